--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,390 @@
+//! Golden files of what the node reads and writes: the lines of the simulated host, the settings, the configuration,
+//! the list of servers, load reports and the messages on sockets. Names in the code may change, these forms may not.
+//!
+//! A missing file is a failure; `GOLDEN_WRITE=1` writes it. Files that exist are never rewritten.
+
+mod net;
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use balancer::net::config::{load_report, Config};
+use balancer::net::list::{Decoder, Phase};
+use balancer::wire::{Dialect, Line, Member};
+use balancer::*;
+use net::{config, list, member, request, Exchange, Message, Node, Server, OK};
+use serde_json::json;
+
+fn path(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+/// Compares with a golden file, byte for byte.
+fn assert_golden(name: &str, actual: &str) {
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path(name).exists() {
+        std::fs::write(path(name), actual).expect("written");
+    }
+    assert_eq!(actual, read_golden(name), "{name}");
+}
+
+fn read_golden(name: &str) -> String {
+    std::fs::read_to_string(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
+}
+
+// ---- Lines of the simulated host
+
+const FACTS: &str = "wire-facts.json";
+
+fn dialect() -> Dialect {
+    let mut dialect = Dialect::default();
+    dialect.settings(&read_golden(FACTS)).expect("settings");
+    dialect
+}
+
+/// The lists of the golden file, each under the number that its line names.
+fn rosters() -> [Option<Vec<Member>>; 16] {
+    let members = read_golden("wire-members.txt");
+    let members = members.lines().map(|line| Member::parse(line).expect("an entry")).collect();
+    let mut lists: [Option<Vec<Member>>; 16] = Default::default();
+    lists[3] = Some(members);
+    lists
+}
+
+fn entries() -> Vec<ServerEntry> {
+    let entry = |server, name, availability, started_at, cell, zone, kind, weight| ServerEntry {
+        server: ServerId(server),
+        availability,
+        started_at,
+        cell,
+        zone,
+        kind,
+        weight,
+        key: wire::key(name),
+    };
+    vec![
+        entry(0, "10.0.0.1:80", Availability::Ready, Some(6100.25), 4, 1, 2, 1.5),
+        entry(1, "10.0.0.2:80", Availability::Draining, None, 5, 2, 0, 1.0),
+        entry(2, "10.0.0.3:80", Availability::Gone, None, 0, 0, 0, 1.0),
+    ]
+}
+
+fn outcome(txn: u64, ending: Ending) -> Event {
+    let (attempt, complete) = (txn as usize % 3, ending == Ending::Served);
+    let report = (ending == Ending::Served).then_some(Report { in_flight: Some(7.0), queued: Some(2.5) });
+    Event::Outcome(Outcome { request: RequestId(txn), attempt, elapsed_ms: 7.125, ending, complete, report })
+}
+
+fn events() -> Vec<Event> {
+    let id = RequestId;
+    let report = Some(Report { in_flight: Some(3.0), queued: Some(1.0) });
+    vec![
+        Event::Servers(Listing::Changes(entries())),
+        Event::Servers(Listing::Full(entries())),
+        Event::Servers(Listing::Cached(entries())),
+        Event::Servers(Listing::Failed),
+        Event::Request(Request {
+            id: id(5),
+            class: 1,
+            tenant: 2,
+            budget_ms: 800.5,
+            cost_ms: Some(12.25),
+            repeat: true,
+        }),
+        Event::Request(Request::new(id(6), 0, 700.0)),
+        Event::StreamStarted { request: id(5), attempt: 1 },
+        outcome(10, Ending::Served),
+        outcome(11, Ending::Error),
+        outcome(12, Ending::Full),
+        outcome(13, Ending::TimedOut),
+        outcome(14, Ending::Unreachable),
+        outcome(15, Ending::Reset),
+        outcome(16, Ending::Cancelled),
+        outcome(17, Ending::NotSent),
+        Event::ClientGone(id(6)),
+        Event::Timer(18),
+        Event::Probed { server: ServerId(1), ending: Ending::Served, report },
+        Event::Probed { server: ServerId(1), ending: Ending::TimedOut, report: None },
+    ]
+}
+
+#[test]
+fn lines_of_the_host_are_read_as_events() {
+    let (mut dialect, lists, text) = (dialect(), rosters(), read_golden("wire-events.txt"));
+    let read = |line| dialect.event(&Line::parse(line).expect("a line"), &lists).expect("sound");
+    let read: Vec<_> = text.lines().filter_map(read).collect();
+    assert_eq!(read, events());
+}
+
+#[test]
+fn actions_are_printed_for_the_host() {
+    let (mut dialect, lists) = (dialect(), rosters());
+    let line = Line::parse("REGISTRY node=n mode=1 roster_id=3").expect("a line");
+    dialect.event(&line, &lists).expect("numbers the servers");
+    let request = RequestId(5);
+    let actions = [
+        Action::Send { request, server: ServerId(0), within_ms: None },
+        Action::Send { request, server: ServerId(1), within_ms: Some(3.5) },
+        Action::Probe { server: ServerId(2) },
+        Action::Cancel { request, attempt: 1 },
+        Action::Refuse { request, retry_after_ms: None },
+        Action::Refuse { request, retry_after_ms: Some(12.34567) },
+        Action::Fail { request },
+        Action::Subscribe,
+        Action::SetTimer { timer: 6, after_ms: 40.0 },
+        Action::Note("two\nlines".to_owned()),
+    ];
+    let mut text = String::new();
+    actions.iter().for_each(|action| dialect.print("node-1", action, &mut text));
+    assert_golden("wire-actions.txt", &text);
+}
+
+/// Each setting has a value of its own, none of them its default.
+fn settings() -> Settings {
+    let class = |aim_ms, deadline_ms, effect, worth, late_worth| Class {
+        aim_ms,
+        deadline_ms,
+        effect,
+        worth,
+        late_worth,
+    };
+    let keyed = |group, window_ms| Effect::Keyed { group, window_ms };
+    Settings {
+        classes: vec![
+            class(400.0, 800.0, Effect::Safe, 2.0, 0.25),
+            class(401.0, 801.0, keyed(Group::All, 501.0), 1.0, 0.0),
+            class(402.0, 802.0, keyed(Group::Zone, 502.0), 1.0, 0.0),
+            class(403.0, 803.0, keyed(Group::Cell, 503.0), 1.0, 0.0),
+            class(804.0, 804.0, Effect::Unsafe, 1.0, 0.0),
+        ],
+        quotas_per_s: vec![25.5, f64::MAX],
+        over_quota_worth: 0.125,
+        nodes: 31,
+        me: 7,
+        zone: 2,
+        kinds: 3,
+        discovery: Discovery::Subscribe,
+        weights: Weights::Live,
+        ask_within_ms: 9_001.0,
+        drain_grace_ms: 2_002.0,
+        max_attempts: 4,
+        second_copies: true,
+        cancel: false,
+        retry_after_most_ms: Some(450.5),
+        probes: true,
+        peers: true,
+        answers_report: true,
+        probes_report: true,
+        probe_price: 0.0625,
+        cold_from: 0.5,
+        cold_ms: 3_003.0,
+        tip_multiple: 2.5,
+        tip_after_ms: 1_004.0,
+        waste_price: 0.75,
+        cross_zone_price: 0.375,
+    }
+}
+
+#[test]
+fn settings_are_read_from_their_json() {
+    let facts: serde_json::Value = serde_json::from_str(&read_golden(FACTS)).expect("JSON");
+    assert_eq!(wire::read_settings(&facts).expect("settings"), settings());
+    let restricted = json!({
+        "classes": [{"deadline_ms": 800.0}], "weights": "nominal", "discovery": "push",
+        "stats": {"source": "on_probe", "fields": ["waiting"]}, "allowed": {"retry_after": false}
+    });
+    let expected = Settings {
+        weights: Weights::Size,
+        answers_report: false,
+        ..Settings::new(vec![Class::new(800.0, 800.0, Effect::Unsafe)])
+    };
+    assert_eq!(wire::read_settings(&restricted).expect("settings"), expected);
+}
+
+#[test]
+fn settings_out_of_range_are_named_by_their_key() {
+    let mut named = String::new();
+    let mut check = |change: &dyn Fn(&mut Settings)| {
+        let mut changed = settings();
+        change(&mut changed);
+        let error = changed.validate().expect_err("out of range");
+        named += &format!("{}: {error}\n", error.key());
+    };
+    check(&|s| s.classes.clear());
+    check(&|s| s.classes[0].aim_ms = 0.0);
+    check(&|s| s.classes[0].deadline_ms = f64::NAN);
+    check(&|s| s.classes[0].worth = -1.0);
+    check(&|s| s.classes[0].late_worth = -1.0);
+    check(&|s| s.classes[0].effect = Effect::Keyed { group: Group::All, window_ms: -1.0 });
+    check(&|s| s.quotas_per_s[0] = -1.0);
+    check(&|s| s.over_quota_worth = -1.0);
+    check(&|s| s.nodes = 0);
+    check(&|s| s.ask_within_ms = -1.0);
+    check(&|s| s.drain_grace_ms = -1.0);
+    check(&|s| s.retry_after_most_ms = Some(-1.0));
+    check(&|s| s.cold_from = 1.5);
+    check(&|s| s.cold_ms = -1.0);
+    check(&|s| s.tip_multiple = -1.0);
+    check(&|s| s.tip_after_ms = -1.0);
+    check(&|s| s.probe_price = -1.0);
+    check(&|s| s.waste_price = -1.0);
+    check(&|s| s.cross_zone_price = -1.0);
+    assert_golden("settings-errors.txt", &named);
+}
+
+// ---- The configuration, the list of servers and load reports
+
+/// The only test of this file that sets variables of the environment.
+#[test]
+fn the_configuration_is_read_from_the_environment() {
+    std::env::set_var("GW_NAME", "node-7");
+    std::env::set_var("GW_LISTEN", "127.0.0.1:8001");
+    std::env::set_var("GW_DISCOVERY", "127.0.0.1:8002");
+    std::env::set_var("GW_CONFIG", path("config.json"));
+    let config = Config::from_env().expect("a configuration");
+    let address = |text: &str| text.parse::<SocketAddr>().expect("an address");
+    assert_eq!(config.name, "node-7");
+    assert_eq!((config.listen, config.discovery), (address("127.0.0.1:8001"), address("127.0.0.1:8003")));
+    assert_eq!((config.seed, config.sockets, config.list_most), (0x8c1f_30d2_7a5b_e964, 256, 50 << 20));
+    assert_eq!((config.known.revision, config.known.members.len()), (41, 1));
+    assert_eq!(config.settings.retry_after_most_ms, Some(350.0));
+    assert_eq!(config.settings.classes[0].deadline_ms, 900.0);
+    assert_eq!(config.names.classes, ["read"]);
+    assert_eq!(config.names.tenants, ["acme", "globex"]);
+    assert_eq!(
+        (config.names.zones, config.names.kinds),
+        (vec!["a".into(), "b".into()], vec!["m".to_owned()])
+    );
+    assert_eq!(config.conn_idle, Duration::from_millis(20_500));
+    assert_eq!(config.dial_timeout, Duration::from_millis(250));
+    assert_eq!(config.most_held, 1_000);
+
+    std::env::set_var("GW_CONFIG", path("config-minimal.json"));
+    let config = Config::from_env().expect("a configuration");
+    assert_eq!((config.discovery, config.list_most), (address("127.0.0.1:8002"), 96 << 20));
+    assert_eq!(config.settings.retry_after_most_ms, Some(900.0));
+    assert_eq!((config.most_held, config.known.revision), (usize::MAX, 0));
+    assert_eq!(config.conn_idle, Duration::from_secs(24 * 3600));
+    assert_eq!(config.dial_timeout, Duration::from_millis(900));
+}
+
+#[test]
+fn a_list_is_read_from_its_json() {
+    let mut decoder = Decoder::new(1 << 20);
+    decoder.feed(read_golden("list.json").as_bytes()).expect("sound");
+    let list = decoder.finish().expect("a list");
+    assert_eq!((list.revision, list.complete, list.entries), (41, false, 5));
+    let ids: Vec<_> = list.members.iter().map(|member| member.id.as_str()).collect();
+    assert_eq!(ids, ["s0", "s1", "s2"]);
+    let first = &list.members[0];
+    assert_eq!(first.host_port, "127.0.0.1:9001".parse().expect("an address"));
+    assert_eq!((first.locality.as_str(), first.flavor.as_str(), first.cell), ("a", "m", 3));
+    assert_eq!((first.size, first.up_since_ms), (1.5, 1_700_000_000_123.0));
+    let phases: Vec<_> = list.members.iter().map(|member| member.phase).collect();
+    assert!(phases == [Phase::Active, Phase::Leaving, Phase::Left]);
+    assert_eq!((list.unread.ids.as_slice(), list.unread.nameless), (&["s3".to_owned()][..], 1));
+}
+
+#[test]
+fn load_reports_are_read() {
+    let report = |in_flight, queued| Some(Report { in_flight, queued });
+    let expected = [
+        report(Some(7.0), Some(2.0)),
+        report(Some(1.0), Some(0.5)),
+        report(Some(3.0), None),
+        report(None, Some(4.0)),
+        None,
+        None,
+        None,
+    ];
+    let read: Vec<_> = read_golden("load-reports.txt").lines().map(load_report).collect();
+    assert_eq!(read, expected);
+}
+
+// ---- Messages on sockets
+
+/// A message as a golden file holds it: what differs between runs is replaced by what it is.
+fn shown(message: &Message) -> String {
+    let mut text = format!("{}\n", message.first);
+    for (name, value) in &message.headers {
+        let digits = value.replace(|c: char| c.is_ascii_digit(), "#");
+        let value = match name.as_str() {
+            "retry-after" => digits.as_str(),
+            "date" => "(date)",
+            "x-deadline" => "(seconds)",
+            "x-request-id" => "(id)",
+            "host" if value.starts_with("127.") => "(address)",
+            _ => value,
+        };
+        text += &format!("{name}: {value}\n");
+    }
+    text + "\n" + &String::from_utf8_lossy(&message.body)
+}
+
+fn take(server: &Server, wanted: &str) -> Exchange {
+    let exchange = server.request();
+    assert!(exchange.request.first.starts_with(wanted), "{}", exchange.request.first);
+    exchange
+}
+
+#[test]
+fn messages_to_servers_and_discovery() {
+    let server = Server::start();
+    let mut settings = config(&[member("s0", server.address, "active")]);
+    settings["settings"]["n_instances"] = json!(100);
+    settings["settings"]["stats"]["source"] = json!("on_probe");
+    settings["settings"]["allowed"]["probes"] = json!(true);
+    let mut text = String::new();
+    let node = Node::start_told(&settings, |_, first| {
+        text += &shown(&first.request);
+        first.answer(OK, "", list(7, true, &[member("s0", server.address, "active")]).to_string().as_bytes());
+    });
+    text += &shown(&node.discovery.request().request);
+    let mut client = node.client();
+    client
+        .send(&request("update", 20.0).replace("x-class", "content-type: text/plain\r\nother: 1\r\nx-class"));
+    let probe = take(&server, "GET /_load");
+    text += &shown(&probe.request);
+    probe.answer(OK, "", b"active=0,waiting=0");
+    let forwarded = take(&server, "POST /api");
+    text += &shown(&forwarded.request);
+    forwarded.answer(OK, "x-load: active=1,waiting=0\r\n", b"done");
+    assert_eq!(client.answer().status(), 200);
+    assert_golden("messages-sent.txt", &text);
+}
+
+#[test]
+fn answers_to_clients() {
+    let server = Server::start();
+    let node = Node::before(&[&server]);
+    let mut text = String::new();
+    let mut show = |what: &str, answer: &Message| text += &format!("# {what}\n{}\n\n", shown(answer));
+    let mut ask = |what: &str, request: &str| show(what, &node.client().ask(request));
+    ask("healthy", "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n");
+    ask("no such path", "GET /other HTTP/1.1\r\nhost: n\r\n\r\n");
+    let sound = request("read", 20.0);
+    for name in ["x-request-id", "x-class", "x-tenant", "x-deadline"] {
+        ask(&format!("without {name}"), &sound.replace(name, "other"));
+    }
+    ask("a field that comes twice", &sound.replace("x-class", "x-class: read\r\nx-class"));
+    ask("a method that does not fit", &sound.replace("GET", "POST"));
+    ask("a body of GET", &sound.replace("\r\n\r\n", "\r\ncontent-length: 2\r\n\r\nxy"));
+    ask("two lengths", &sound.replace("\r\n\r\n", "\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nxyz"));
+    ask("a long body", &format!("{}{}", request("pay", 20.0).replace(": 4", ": 70000"), "x".repeat(69_996)));
+    let mut asked = |what: &str, class: &str, status: &str, headers: &str| {
+        let mut client = node.client();
+        client.send(&request(class, 20.0));
+        take(&server, "").answer(status, headers, b"body");
+        show(what, &client.answer());
+    };
+    asked("served", "read", OK, "x-load: active=1,waiting=0\r\n");
+    asked("failed", "pay", "500 Oh", "");
+    let none = Node::before(&[]);
+    show("refused", &none.client().ask(&request("read", 20.0)));
+    let mut client = node.client();
+    client.send(&request("read", 0.2));
+    let unanswered = take(&server, "");
+    show("no answer in time", &client.answer());
+    drop(unanswered);
+    assert_golden("answers.txt", &text);
+}
