--- a/crates/store-plane/src/replication/mod.rs
+++ b/crates/store-plane/src/replication/mod.rs
@@ -20,3 +20,7 @@
 pub use messages::{MovedReply, Page, MOVED_PATH};
 pub use owned::{Deposed, JobState, OwnedJob};
 pub use store::{JobStore, Limits};
+
+#[cfg(test)]
+#[path = "../../tests/golden/messages.rs"]
+mod golden;
--- a/crates/store-plane/tests/copies.rs
+++ b/crates/store-plane/tests/copies.rs
@@ -1,6 +1,7 @@
 //! Which stores keep a batch job.
 
 use std::collections::{HashMap, HashSet};
+use std::path::Path;
 
 use register::{Incarnation, Member};
 use state::{StoreMember, StoreSet};
@@ -104,3 +105,18 @@
         assert_eq!(stations(&set, &format!("job-{number}")), first);
     }
 }
+
+/// Every process must place a batch job on the same stores, also one that runs another release of the software.
+#[test]
+fn given_a_store_set_when_batch_jobs_are_placed_then_on_the_same_stores_as_before() {
+    let set = StoreSet { wanted: 45, ..set_of(45, 4) };
+    let placed: String = (0..40)
+        .map(|number| format!("{number:016x}"))
+        .map(|job| format!("{job} {}\n", stations(&set, &job).join(" ")))
+        .collect();
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/placement.txt");
+    if !path.exists() && std::env::var_os("GOLDEN_WRITE").is_some() {
+        std::fs::write(&path, &placed).expect("the golden file can be written");
+    }
+    assert_eq!(placed, std::fs::read_to_string(&path).expect("the golden file can be read"));
+}
--- /dev/null
+++ b/crates/store-plane/tests/golden/messages.rs
@@ -0,0 +1,221 @@
+//! The encoded form of every message between stores, and from traffic nodes to stores, byte for byte.
+//!
+//! The messages are private to the replication, which includes this file as a module of its own. Each form stands in a
+//! file of this folder as lines of hexadecimal digits; a run with `GOLDEN_WRITE=1` writes the files that are missing.
+
+use std::fmt::Debug;
+use std::path::Path;
+use std::sync::Arc;
+
+use batch::{
+    Ballot, Condition, Entry, HandedIn, ItemResult, JobError, JobId, ReplicaReply, ReplicaRequest, StoreId,
+};
+use bytes::Bytes;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+use super::messages::{
+    Answer, Call, Heartbeat, HeartbeatReply, MarkReply, MovedReply, OwnedMark, Page, ReadRequest,
+    ReplicateReply, Submission, SubmitReply, TakeOver,
+};
+
+const BYTES_PER_LINE: usize = 32;
+const STORE: StoreId = 0x0102_0304_0506_0708;
+
+/// Compares the encoded form of a message with its file, and the message read from that file with the message.
+fn check<T: Serialize + DeserializeOwned + Debug>(name: &str, message: &T) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.hex"));
+    let encoded = rpc::encode(message);
+    if !path.exists() && std::env::var_os("GOLDEN_WRITE").is_some() {
+        std::fs::write(&path, to_hex(&encoded)).expect("the golden file can be written");
+    }
+    let golden = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}.hex: {error}"));
+    assert_eq!(to_hex(&encoded), golden, "{name} is encoded as before");
+    let decoded: T = rpc::decode(&from_hex(&golden)).expect("the golden file can be decoded");
+    assert_eq!(format!("{decoded:?}"), format!("{message:?}"), "{name} is decoded as before");
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    let line = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
+    bytes.chunks(BYTES_PER_LINE).map(line).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits: String = text.split_whitespace().collect();
+    let byte = |start| u8::from_str_radix(&digits[start..start + 2], 16).expect("two hexadecimal digits");
+    (0..digits.len()).step_by(2).map(byte).collect()
+}
+
+fn ballot(round: u64) -> Ballot {
+    Ballot { epoch: 300, round, owner: STORE, nonce: 0x1112_1314_1516_1718 }
+}
+
+fn entries() -> Vec<Arc<Entry>> {
+    let handed_in = HandedIn {
+        host: "texts.example".into(),
+        path: "/jobs/1".into(),
+        body: Bytes::from_static(b"{\"parcels\":[]}"),
+        total: 70_000,
+    };
+    let delivered = ItemResult {
+        id: "item-1".into(),
+        condition: Condition::Delivered,
+        text: "one\ntwo".to_owned(),
+        versions: vec![7, 300],
+        grade: Some("stamp".to_owned()),
+    };
+    let undeliverable = ItemResult {
+        id: "item-2".into(),
+        condition: Condition::Undeliverable,
+        text: String::new(),
+        versions: Vec::new(),
+        grade: None,
+    };
+    let entries = [Entry::Job(handed_in), Entry::Result(delivered), Entry::Result(undeliverable), Entry::End];
+    entries.into_iter().map(Arc::new).collect()
+}
+
+fn call<T>(request: T) -> Call<T> {
+    Call { to: STORE, job: JobId::from("job-1"), request }
+}
+
+#[test]
+fn given_replica_requests_when_encoded_then_as_before() {
+    let requests = [
+        ("claim", ReplicaRequest::Claim { ballot: ballot(5), accepted: ballot(4), length: 1000 }),
+        ("write", ReplicaRequest::Write { ballot: ballot(5), base: ballot(4), from: 2, entries: entries() }),
+        ("query", ReplicaRequest::Query),
+        ("forget", ReplicaRequest::Forget { ballot: ballot(5) }),
+    ];
+    for (name, request) in requests {
+        check(&format!("replicate-{name}"), &call(request));
+    }
+}
+
+#[test]
+fn given_replica_replies_when_encoded_then_as_before() {
+    let promised = ReplicaReply::Promised {
+        ballot: ballot(5),
+        accepted: ballot(4),
+        length: 6,
+        from: 2,
+        entries: entries(),
+    };
+    let replies = [
+        ("promised", promised),
+        ("written", ReplicaReply::Written { ballot: ballot(5), length: 1000 }),
+        ("behind", ReplicaReply::Behind { ballot: ballot(5), accepted: ballot(4), length: 1000 }),
+        ("rejected", ReplicaReply::Rejected { promised: ballot(6) }),
+        ("holds", ReplicaReply::Holds { promised: ballot(6), length: 1000 }),
+        ("forgotten", ReplicaReply::Forgotten { ballot: ballot(5) }),
+    ];
+    for (name, reply) in replies {
+        check(&format!("replicate-reply-{name}"), &ReplicateReply { reply, age_ms: 123_456 });
+    }
+}
+
+#[test]
+fn given_requests_to_take_over_when_encoded_then_as_before() {
+    check("take-over-resigned", &call(TakeOver { from: 300, resigned: true }));
+    check("take-over-left", &call(TakeOver { from: 301, resigned: false }));
+    check("take-over-reply", &());
+}
+
+#[test]
+fn given_heartbeats_when_encoded_then_as_before() {
+    let mark =
+        |job: &str, established| OwnedMark { job: job.into(), ballot: ballot(5), length: 1000, established };
+    check("heartbeat", &Heartbeat { to: STORE, jobs: vec![mark("job-1", true), mark("job-2", false)] });
+    check("heartbeat-empty", &Heartbeat { to: STORE, jobs: Vec::new() });
+    let rejected = MarkReply::Other(ReplicaReply::Rejected { promised: ballot(6) });
+    check("heartbeat-reply", &HeartbeatReply { marks: vec![None, Some(MarkReply::Has), Some(rejected)] });
+}
+
+#[test]
+fn given_a_submission_when_encoded_then_as_before() {
+    let submission = Submission {
+        host: "texts.example".into(),
+        path: "/jobs/1".into(),
+        body: Bytes::from_static(b"{\"parcels\":[]}"),
+        wait_ms: 1200,
+    };
+    check("submit", &call(submission));
+}
+
+#[test]
+fn given_answers_to_submissions_when_encoded_then_as_before() {
+    let replies = [
+        ("accepted", SubmitReply::Accepted),
+        ("invalid-unreadable", SubmitReply::Invalid(JobError::Unreadable("expected value".to_owned()))),
+        ("invalid-empty", SubmitReply::Invalid(JobError::Empty)),
+        ("invalid-repeated", SubmitReply::Invalid(JobError::Repeated("item-1".into()))),
+        ("invalid-bad-body", SubmitReply::Invalid(JobError::BadBody("item-2".into()))),
+        ("not-taken", SubmitReply::NotTaken),
+        ("unsure", SubmitReply::Unsure),
+        ("elsewhere", SubmitReply::Elsewhere(STORE)),
+    ];
+    for (name, reply) in replies {
+        check(&format!("submit-reply-{name}"), &reply);
+    }
+}
+
+#[test]
+fn given_reads_of_results_when_encoded_then_as_before() {
+    let deliveries = Bytes::from_static(b"[{\"id\":\"item-1\"}]");
+    check("read", &call(ReadRequest { after: 300, hold_ms: 70_000 }));
+    check("read-reply-is", &Answer::Is(Page { total: 70_000, next: 301, deliveries }));
+    check("read-reply-no-such-job", &Answer::<Page>::NoSuchJob);
+    check("read-reply-unsure", &Answer::<Page>::Unsure);
+    check("read-reply-elsewhere", &Answer::<Page>::Elsewhere(STORE));
+}
+
+#[test]
+fn given_reads_of_a_body_when_encoded_then_as_before() {
+    check("body", &call("item-1".to_owned()));
+    check("body-reply-is", &Answer::Is(Some(Bytes::from_static(b"hello"))));
+    check("body-reply-no-such-item", &Answer::<Option<Bytes>>::Is(None));
+    check("body-reply-no-such-job", &Answer::<Option<Bytes>>::NoSuchJob);
+    check("body-reply-unsure", &Answer::<Option<Bytes>>::Unsure);
+    check("body-reply-elsewhere", &Answer::<Option<Bytes>>::Elsewhere(STORE));
+}
+
+#[test]
+fn given_the_end_of_a_batch_job_when_encoded_then_as_before() {
+    check("end", &call(()));
+    check("end-reply-is", &Answer::Is(()));
+    check("end-reply-no-such-job", &Answer::<()>::NoSuchJob);
+    check("end-reply-unsure", &Answer::<()>::Unsure);
+    check("end-reply-elsewhere", &Answer::<()>::Elsewhere(STORE));
+}
+
+#[test]
+fn given_the_state_of_a_move_when_encoded_then_as_before() {
+    check("moved", &());
+    check("moved-reply", &MovedReply { store: STORE, epoch: 300, moved: true });
+}
+
+#[test]
+fn given_the_paths_of_the_messages_when_listed_then_as_before() {
+    use super::messages as paths;
+    let listed = [
+        paths::REPLICATE_PATH,
+        paths::HEARTBEAT_PATH,
+        paths::TAKE_OVER_PATH,
+        paths::SUBMIT_PATH,
+        paths::READ_PATH,
+        paths::BODY_PATH,
+        paths::END_PATH,
+        paths::MOVED_PATH,
+    ];
+    let expected = [
+        "/batch/replicate",
+        "/batch/heartbeat",
+        "/batch/take-over",
+        "/batch/submit",
+        "/batch/read",
+        "/batch/body",
+        "/batch/end",
+        "/batch/moved",
+    ];
+    assert_eq!(listed, expected);
+}
