--- /dev/null
+++ b/crates/lease/tests/golden.rs
@@ -0,0 +1,66 @@
+//! Golden files of the lease: how its messages are encoded between processes.
+
+use std::fmt::Debug;
+use std::path::Path;
+
+use lease::{GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use yare::parameterized;
+
+#[test]
+fn given_a_request_when_encoded_then_it_is_as_before() {
+    let request = LeaseRequest {
+        holder: "machine-1/17a2".to_owned(),
+        term: 300,
+        ttl_ms: 1500,
+        revision: 70_000,
+        grantors: vec![GrantorId(0xfeed_0000_0000_0001), GrantorId(2), GrantorId(0xfeed_0000_0000_0003)],
+    };
+    assert_golden("request.hex", &request);
+    assert_golden("grantor_id.hex", &request.grantors[0]);
+}
+
+#[parameterized(
+    granted = { "reply_granted.hex", LeaseReply::Granted { settled_ms: 1700 } },
+    held = { "reply_held.hex", LeaseReply::Held { holder: "machine-2/8f".to_owned(), remaining_ms: 900 } },
+    held_by_nobody = { "reply_held_by_nobody.hex", LeaseReply::Held { holder: String::new(), remaining_ms: 0 } },
+)]
+fn given_a_reply_when_encoded_then_it_is_as_before(name: &str, reply: LeaseReply) {
+    assert_golden(name, &reply);
+}
+
+#[test]
+fn given_a_release_when_encoded_then_it_is_as_before() {
+    assert_golden("release.hex", &LeaseRelease { holder: "machine-1/17a2".to_owned(), term: 301 });
+}
+
+/// Compares the encoding of a message with its golden file, and decodes the file to an equal message.
+///
+/// A missing file is a failure; `GOLDEN_WRITE=1` writes it.
+fn assert_golden<T>(name: &str, message: &T)
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let encoded = to_hex(&rpc::encode(message));
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        std::fs::write(&path, &encoded).expect("the golden file can be written");
+    }
+    let golden = std::fs::read_to_string(&path).expect("the golden file exists");
+    assert_eq!(encoded, golden, "{name}");
+    let decoded: T = rpc::decode(&from_hex(&golden)).expect("the golden file can be decoded");
+    assert_eq!(&decoded, message, "{name}");
+}
+
+/// Lowercase hexadecimal digits, 32 bytes a line.
+fn to_hex(bytes: &[u8]) -> String {
+    let line = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
+    bytes.chunks(32).map(line).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits: Vec<char> = text.chars().filter(|character| !character.is_whitespace()).collect();
+    let byte = |pair: &[char]| u8::from_str_radix(&String::from_iter(pair), 16).expect("hexadecimal digits");
+    digits.chunks(2).map(byte).collect()
+}
--- /dev/null
+++ b/crates/membership/tests/golden.rs
@@ -0,0 +1,37 @@
+//! Golden file of the placement: scores and rankings on which all processes of a deployment agree.
+
+use std::fmt::Write as _;
+use std::path::Path;
+
+use membership::{hash, monitored_by, monitors, rendezvous, rendezvous_score};
+
+const MEMBERS: [&str; 7] =
+    ["vault-a-1", "vault-a-2", "vault-b-1", "vault-b-2", "vault-c-1", "vault-c-2", "x"];
+
+#[test]
+fn given_members_and_keys_when_ranked_then_scores_and_rankings_are_as_before() {
+    let mut text = String::new();
+    for name in MEMBERS {
+        writeln!(text, "hash of {name}: {:016x}", hash(name.as_bytes())).expect("a string takes text");
+    }
+    for key in ["", "job-1", "4f1d33a0", "Zürich"] {
+        for member in MEMBERS {
+            let score = rendezvous_score(member, key);
+            writeln!(text, "rendezvous score of {member} for {key:?}: {score:016x}")
+                .expect("a string takes text");
+        }
+        let ranking = rendezvous(key.as_bytes(), &MEMBERS, MEMBERS.len());
+        writeln!(text, "ranking for {key:?}: {ranking:?}").expect("a string takes text");
+    }
+    for member in MEMBERS {
+        let monitors = monitors(member, &MEMBERS, 3);
+        let monitored = monitored_by(member, &MEMBERS, 3);
+        writeln!(text, "{member}: monitors {monitors:?}, monitored {monitored:?}")
+            .expect("a string takes text");
+    }
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/placement.txt");
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        std::fs::write(&path, &text).expect("the golden file can be written");
+    }
+    assert_eq!(text, std::fs::read_to_string(&path).expect("the golden file exists"));
+}
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -5,7 +5,7 @@
 use crate::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Outcome, RegisterValue, Versioned};
 
 /// What an acceptor must not forget.
-#[derive(Serialize, Deserialize, Clone, Debug)]
+#[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorState<V> {
     /// The incarnation of its disk.
     pub incarnation: Incarnation,
--- a/crates/register/src/types.rs
+++ b/crates/register/src/types.rs
@@ -56,7 +56,7 @@
 }
 
 /// What a proposer asks of an acceptor.
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcceptorRequest<V> {
     /// Promise to accept nothing below this ballot.
     Prepare(Ballot),
@@ -71,7 +71,7 @@
 }
 
 /// What an acceptor answers.
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptorReply<V> {
     /// The incarnation of the disk that answers; a reply counts only for that member.
     pub incarnation: Incarnation,
@@ -80,7 +80,7 @@
 }
 
 /// The answer of an acceptor.
-#[derive(Clone, Debug, Serialize, Deserialize)]
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome<V> {
     /// The promise is given; the value with the highest ballot accepted so far.
     Promised(Option<Versioned<V>>),
--- /dev/null
+++ b/crates/register/tests/golden.rs
@@ -0,0 +1,141 @@
+//! Golden files of the register: how its messages and its durable state are encoded between processes and on disk.
+
+use std::fmt::Debug;
+use std::path::Path;
+use std::sync::Arc;
+
+use register::{
+    AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Incarnation, Member, Outcome, Versioned,
+};
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use yare::parameterized;
+
+/// A value of the register in place of the control state.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+struct ExampleValue {
+    text: String,
+}
+
+fn ballot(round: u64) -> Ballot {
+    Ballot { round, proposer: 0x0123_4567_89ab_cdef }
+}
+
+fn member(number: u64) -> Member {
+    Member {
+        station: format!("machine-{number}"),
+        incarnation: Incarnation(0xfeed_0000_0000_0000 + number),
+        address: format!("192.0.2.{number}:7660"),
+    }
+}
+
+/// A value after a change of the acceptors, with every field set.
+fn versioned(round: u64) -> Versioned<ExampleValue> {
+    Versioned {
+        ballot: ballot(round),
+        value: Arc::new(ExampleValue { text: format!("value of round {round}") }),
+        previous: Arc::from([member(1), member(2)]),
+        predecessor: ballot(round - 1),
+    }
+}
+
+fn reply(outcome: Outcome<ExampleValue>) -> AcceptorReply<ExampleValue> {
+    AcceptorReply { incarnation: member(3).incarnation, outcome }
+}
+
+#[test]
+fn given_the_parts_of_a_message_when_encoded_then_they_are_as_before() {
+    assert_golden("ballot.hex", &ballot(300));
+    assert_golden("incarnation.hex", &member(1).incarnation);
+    assert_golden("member.hex", &member(1));
+    assert_golden("versioned.hex", &versioned(300));
+    assert_golden("versioned_first.hex", &Versioned::new(ballot(1), versioned(1).value));
+}
+
+#[parameterized(
+    prepare = { "request_prepare.hex", AcceptorRequest::Prepare(ballot(300)) },
+    accept = { "request_accept.hex", AcceptorRequest::Accept(versioned(300)) },
+    learn = { "request_learn.hex", AcceptorRequest::Learn(versioned(301)) },
+    read = { "request_read.hex", AcceptorRequest::Read },
+    read_newer = { "request_read_newer.hex", AcceptorRequest::ReadNewer(ballot(302)) },
+)]
+fn given_a_request_when_encoded_then_it_is_as_before(name: &str, request: AcceptorRequest<ExampleValue>) {
+    assert_golden(name, &request);
+}
+
+#[parameterized(
+    promised = { "reply_promised.hex", Outcome::Promised(Some(versioned(300))) },
+    promised_nothing_accepted = { "reply_promised_nothing_accepted.hex", Outcome::Promised(None) },
+    accepted = { "reply_accepted.hex", Outcome::Accepted },
+    rejected = { "reply_rejected.hex", Outcome::Rejected(ballot(301)) },
+    learned = { "reply_learned.hex", Outcome::Learned },
+    current = {
+        "reply_current.hex",
+        Outcome::Current { accepted: Some(versioned(301)), committed: Some(versioned(300)) }
+    },
+    current_accepted = {
+        "reply_current_accepted.hex", Outcome::Current { accepted: Some(versioned(301)), committed: None }
+    },
+    current_committed = {
+        "reply_current_committed.hex", Outcome::Current { accepted: None, committed: Some(versioned(300)) }
+    },
+    nothing_newer = {
+        "reply_nothing_newer.hex",
+        Outcome::NothingNewer { accepted: Some(ballot(301)), committed: Some(ballot(300)) }
+    },
+    nothing_newer_accepted = {
+        "reply_nothing_newer_accepted.hex", Outcome::NothingNewer { accepted: Some(ballot(301)), committed: None }
+    },
+    nothing_newer_committed = {
+        "reply_nothing_newer_committed.hex", Outcome::NothingNewer { accepted: None, committed: Some(ballot(300)) }
+    },
+)]
+fn given_a_reply_when_encoded_then_it_is_as_before(name: &str, outcome: Outcome<ExampleValue>) {
+    assert_golden(name, &reply(outcome));
+}
+
+#[parameterized(
+    full = {
+        "acceptor_state.hex",
+        AcceptorState {
+            incarnation: member(3).incarnation,
+            promised: ballot(302),
+            accepted: Some(versioned(301)),
+            committed: Some(versioned(300)),
+        }
+    },
+    empty = { "acceptor_state_empty.hex", AcceptorState::empty(member(3).incarnation) },
+)]
+fn given_a_durable_state_when_encoded_then_it_is_as_before(name: &str, state: AcceptorState<ExampleValue>) {
+    assert_golden(name, &state);
+}
+
+/// Compares the encoding of a message with its golden file, and decodes the file to an equal message.
+///
+/// A missing file is a failure; `GOLDEN_WRITE=1` writes it.
+fn assert_golden<T>(name: &str, message: &T)
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let encoded = to_hex(&rpc::encode(message));
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        std::fs::write(&path, &encoded).expect("the golden file can be written");
+    }
+    let golden = std::fs::read_to_string(&path).expect("the golden file exists");
+    assert_eq!(encoded, golden, "{name}");
+    let decoded: T = rpc::decode(&from_hex(&golden)).expect("the golden file can be decoded");
+    assert_eq!(&decoded, message, "{name}");
+}
+
+/// Lowercase hexadecimal digits, 32 bytes a line.
+fn to_hex(bytes: &[u8]) -> String {
+    let line = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
+    bytes.chunks(32).map(line).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits: Vec<char> = text.chars().filter(|character| !character.is_whitespace()).collect();
+    let byte = |pair: &[char]| u8::from_str_radix(&String::from_iter(pair), 16).expect("hexadecimal digits");
+    digits.chunks(2).map(byte).collect()
+}
--- /dev/null
+++ b/crates/rollout/tests/golden.rs
@@ -0,0 +1,56 @@
+//! Golden files of the rollout: the JSON bodies of calls to a server.
+
+use std::path::Path;
+
+use rollout::{Method, ModelReport, Order, Report};
+use yare::parameterized;
+
+#[parameterized(
+    hold = { "order_hold.json", Method::Hold },
+    keep = { "order_keep.json", Method::Keep },
+)]
+fn given_an_order_when_written_then_it_is_as_before(name: &str, method: Method) {
+    let order = Order {
+        server: "i-1".into(),
+        address: ([10, 0, 0, 1], 80).into(),
+        model: "daka510000".into(),
+        version: 3,
+        method,
+    };
+    let body = serde_json::to_string(&order.body("machine-7/17a2", 41)).expect("an order can be written");
+    assert_eq!(body, golden(name, &body));
+}
+
+/// A report is only read here, so that its files are what a server writes.
+#[test]
+fn given_a_report_when_read_then_its_values_are_as_before() {
+    let report = Report {
+        models: vec![
+            ModelReport { name: "daka510000".into(), version: 3 },
+            ModelReport { name: "daka510001".into(), version: 1 },
+        ],
+        occupied: true,
+        orders_taken: 2,
+        queued: 5,
+        running: 12,
+    };
+    let written = r#"{"leg":"both","models":[{"name":"daka510000","edition":3,"adapters":[]},{"name":"daka510001","edition":1,"adapters":["a"]}],"occupied":true,"callCount":2,"queuedCount":5,"inTransit":12,"cacheUsed":41000,"cacheTotal":90000,"handles":0}"#;
+    let read: Report = serde_json::from_str(&golden("report.json", written)).expect("a report can be read");
+    assert_eq!(read, report);
+}
+
+#[test]
+fn given_an_empty_report_when_read_then_its_values_are_as_before() {
+    let read: Report =
+        serde_json::from_str(&golden("report_empty.json", "{}")).expect("an empty report can be read");
+    assert_eq!(read, Report::default());
+}
+
+/// The content of a golden file. A missing file is a failure; `GOLDEN_WRITE=1` writes it.
+fn golden(name: &str, written: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        std::fs::write(&path, written).expect("the golden file can be written");
+    }
+    std::fs::read_to_string(&path).expect("the golden file exists")
+}
