--- /dev/null
+++ b/crates/batch/tests/golden.rs
@@ -0,0 +1,251 @@
+//! Golden files: the bytes that stores write to their disks and exchange, and the JSON of batch jobs and results.
+//!
+//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that a store could not read what
+//! another version wrote.
+
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+
+use batch::{
+    Ballot, Condition, Entry, HandedIn, Item, ItemResult, Job, JobError, Record, ReplicaReply,
+    ReplicaRequest, RewardRequest,
+};
+use bytes::Bytes;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use yare::parameterized;
+
+/// Compares `text` with a golden file byte for byte.
+fn check_golden(name: &str, text: &str) {
+    let path: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        std::fs::write(&path, text).expect("the golden file can be written");
+    }
+    let golden = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    assert_eq!(text, golden, "{}", path.display());
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    let mut text = String::new();
+    for line in bytes.chunks(32) {
+        for byte in line {
+            text.push_str(&format!("{byte:02x}"));
+        }
+        text.push('\n');
+    }
+    text
+}
+
+/// Compares the encoding with its golden file, and decodes it back to an equal value.
+fn check_encoding<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, value: &T) {
+    let bytes = rpc::encode(value);
+    check_golden(name, &to_hex(&bytes));
+    assert_eq!(rpc::decode::<T>(&bytes).as_ref(), Ok(value));
+}
+
+fn ballot(seed: u64) -> Ballot {
+    Ballot { epoch: seed, round: 300 + seed, owner: 70_000 + seed, nonce: 0xfeed_0000_0000_0000 + seed }
+}
+
+fn handed_in() -> HandedIn {
+    HandedIn {
+        host: "trainer.example".into(),
+        path: "/batches/generate".into(),
+        body: Bytes::from_static(br#"{"parcels":[{"id":"item-1","lane":"/generate/x"}]}"#),
+        total: 417,
+    }
+}
+
+fn delivered_result() -> ItemResult {
+    ItemResult {
+        id: "item-1".into(),
+        condition: Condition::Delivered,
+        text: "first event\nsecond event\n".to_owned(),
+        versions: vec![6, 7, 300],
+        grade: Some("stamp 0.75".to_owned()),
+    }
+}
+
+fn undeliverable_result() -> ItemResult {
+    ItemResult {
+        id: "item-2".into(),
+        condition: Condition::Undeliverable,
+        text: String::new(),
+        versions: Vec::new(),
+        grade: None,
+    }
+}
+
+fn entries() -> Vec<Arc<Entry>> {
+    let entries = [
+        Entry::Job(handed_in()),
+        Entry::Result(delivered_result()),
+        Entry::Result(undeliverable_result()),
+        Entry::End,
+    ];
+    entries.into_iter().map(Arc::new).collect()
+}
+
+fn record_epoch() -> Record {
+    Record::Epoch(9)
+}
+
+fn record_promise() -> Record {
+    Record::Promise { job: "job-1".into(), ballot: ballot(1) }
+}
+
+fn record_write() -> Record {
+    Record::Write { job: "job-1".into(), ballot: ballot(2), from: 513, entries: entries() }
+}
+
+fn record_snapshot() -> Record {
+    Record::Snapshot { job: "job-1".into(), promised: ballot(3), accepted: ballot(2), entries: entries() }
+}
+
+fn record_forget() -> Record {
+    Record::Forget { job: "job-1".into() }
+}
+
+#[parameterized(
+    epoch = { "record-epoch.hex", record_epoch() },
+    promise = { "record-promise.hex", record_promise() },
+    write = { "record-write.hex", record_write() },
+    snapshot = { "record-snapshot.hex", record_snapshot() },
+    forget = { "record-forget.hex", record_forget() },
+)]
+fn given_a_record_when_encoded_then_its_bytes_are_golden(name: &str, record: Record) {
+    check_encoding(name, &record);
+}
+
+/// A store writes a list of records as one record of its journal.
+#[test]
+fn given_a_list_of_records_when_encoded_as_on_disk_then_its_bytes_are_golden() {
+    let records: Vec<Record> =
+        vec![record_epoch(), record_promise(), record_write(), record_snapshot(), record_forget()];
+    check_encoding("journal-records.hex", &records);
+}
+
+#[parameterized(
+    job = { "entry-job.hex", Entry::Job(handed_in()) },
+    result_delivered = { "entry-result-delivered.hex", Entry::Result(delivered_result()) },
+    result_undeliverable = { "entry-result-undeliverable.hex", Entry::Result(undeliverable_result()) },
+    end = { "entry-end.hex", Entry::End },
+)]
+fn given_an_entry_when_encoded_then_its_bytes_are_golden(name: &str, entry: Entry) {
+    check_encoding(name, &entry);
+}
+
+#[test]
+fn given_parts_of_entries_when_encoded_then_their_bytes_are_golden() {
+    check_encoding("ballot.hex", &ballot(4));
+    check_encoding("submitted-job.hex", &handed_in());
+    check_encoding("item-result-delivered.hex", &delivered_result());
+    check_encoding("item-result-undeliverable.hex", &undeliverable_result());
+}
+
+#[parameterized(
+    claim = {
+        "request-claim.hex",
+        ReplicaRequest::Claim { ballot: ballot(5), accepted: ballot(4), length: 301 },
+    },
+    write = {
+        "request-write.hex",
+        ReplicaRequest::Write { ballot: ballot(5), base: ballot(3), from: 2, entries: entries() },
+    },
+    query = { "request-query.hex", ReplicaRequest::Query },
+    forget = { "request-forget.hex", ReplicaRequest::Forget { ballot: ballot(6) } },
+)]
+fn given_a_replica_request_when_encoded_then_its_bytes_are_golden(name: &str, request: ReplicaRequest) {
+    check_encoding(name, &request);
+}
+
+#[parameterized(
+    promised = {
+        "reply-promised.hex",
+        ReplicaReply::Promised {
+            ballot: ballot(5),
+            accepted: ballot(4),
+            length: 305,
+            from: 301,
+            entries: entries(),
+        },
+    },
+    written = { "reply-written.hex", ReplicaReply::Written { ballot: ballot(5), length: 305 } },
+    behind = {
+        "reply-behind.hex",
+        ReplicaReply::Behind { ballot: ballot(5), accepted: ballot(2), length: 17 },
+    },
+    rejected = { "reply-rejected.hex", ReplicaReply::Rejected { promised: ballot(7) } },
+    holds = { "reply-holds.hex", ReplicaReply::Holds { promised: ballot(7), length: 18 } },
+    forgotten = { "reply-forgotten.hex", ReplicaReply::Forgotten { ballot: ballot(6) } },
+)]
+fn given_a_replica_reply_when_encoded_then_its_bytes_are_golden(name: &str, reply: ReplicaReply) {
+    check_encoding(name, &reply);
+}
+
+#[parameterized(
+    unreadable = { "job-error-unreadable.hex", JobError::Unreadable("expected value".to_owned()) },
+    empty = { "job-error-empty.hex", JobError::Empty },
+    repeated = { "job-error-repeated.hex", JobError::Repeated("item-1".into()) },
+    bad_body = { "job-error-bad-body.hex", JobError::BadBody("item-2".into()) },
+)]
+fn given_a_job_error_when_encoded_then_its_bytes_are_golden(name: &str, error: JobError) {
+    check_encoding(name, &error);
+}
+
+fn complete_job() -> Job {
+    let headers = [("Model", "model-a"), ("Prompt-Prefix", "p1,p2")];
+    Job {
+        step: Some(7),
+        model: Some("model-a".into()),
+        oldest_version: Some(6),
+        wanted: Some(1),
+        items: vec![Item {
+            id: "item-1".into(),
+            path: "/generate/x".to_owned(),
+            headers: headers.map(|(name, value)| (name.to_owned(), value.to_owned())).into(),
+            body: "q83vEjRWeJA=".to_owned(),
+            tokens: 940,
+            group: Some("group-1".into()),
+            reward: Some(RewardRequest {
+                id: "reward-1".to_owned(),
+                host: "scorer.example".to_owned(),
+                path: "/score".to_owned(),
+                body: "3q2+7w==".to_owned(),
+            }),
+        }],
+    }
+}
+
+fn minimal_job() -> Job {
+    let item = Item {
+        id: "item-1".into(),
+        path: "/generate/x".to_owned(),
+        headers: Default::default(),
+        body: String::new(),
+        tokens: 0,
+        group: None,
+        reward: None,
+    };
+    Job { step: None, model: None, oldest_version: None, wanted: None, items: vec![item] }
+}
+
+#[parameterized(
+    complete = { "job-complete.json", complete_job() },
+    minimal = { "job-minimal.json", minimal_job() },
+)]
+fn given_a_job_when_written_as_json_then_it_is_golden_and_parses_back(name: &str, job: Job) {
+    let json = serde_json::to_string(&job).expect("a job can be written");
+    check_golden(name, &json);
+    assert_eq!(Job::parse(json.as_bytes()), Ok(job));
+}
+
+#[parameterized(
+    delivered = { "item-result-delivered.json", delivered_result() },
+    undeliverable = { "item-result-undeliverable.json", undeliverable_result() },
+)]
+fn given_an_item_result_when_written_as_json_then_it_is_golden(name: &str, result: ItemResult) {
+    let json = serde_json::to_string(&result).expect("a result can be written");
+    check_golden(name, &json);
+    assert_eq!(serde_json::from_str::<ItemResult>(&json).ok(), Some(result));
+}
--- /dev/null
+++ b/crates/rpc/tests/golden.rs
@@ -0,0 +1,172 @@
+//! Golden files: the encoding of messages, and calls as they travel over HTTP.
+//!
+//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that processes of two versions
+//! could not talk to each other.
+
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::Duration;
+
+use poem::Route;
+use rpc::Client;
+use serde::{Deserialize, Serialize};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use yare::parameterized;
+
+const TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Compares `text` with a golden file byte for byte.
+fn check_golden(name: &str, text: &str) {
+    let path: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        std::fs::write(&path, text).expect("the golden file can be written");
+    }
+    let golden = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    assert_eq!(text, golden, "{}", path.display());
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    let mut text = String::new();
+    for line in bytes.chunks(32) {
+        for byte in line {
+            text.push_str(&format!("{byte:02x}"));
+        }
+        text.push('\n');
+    }
+    text
+}
+
+/// A message with a field of each kind that the messages of the system have.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+struct Message {
+    truth: bool,
+    small: u8,
+    middle: u32,
+    large: u64,
+    negative: i64,
+    fraction: f64,
+    text: String,
+    shared: Arc<str>,
+    some: Option<u16>,
+    none: Option<u16>,
+    list: Vec<Kind>,
+    map: BTreeMap<String, u64>,
+    bytes: bytes::Bytes,
+    duration: Duration,
+    pair: (u8, ()),
+}
+
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+enum Kind {
+    Unit,
+    Tuple(u32, String),
+    Struct { number: u64 },
+}
+
+fn message() -> Message {
+    Message {
+        truth: true,
+        small: 200,
+        middle: 70_000,
+        large: u64::MAX,
+        negative: -300,
+        fraction: 0.75,
+        text: "words".to_owned(),
+        shared: "shared words".into(),
+        some: Some(251),
+        none: None,
+        list: vec![Kind::Unit, Kind::Tuple(250, "tuple".to_owned()), Kind::Struct { number: 65_536 }],
+        map: [("one".to_owned(), 1), ("two".to_owned(), 2)].into(),
+        bytes: bytes::Bytes::from_static(&[0, 1, 254, 255]),
+        duration: Duration::from_millis(1500),
+        pair: (9, ()),
+    }
+}
+
+#[test]
+fn given_a_message_when_encoded_then_its_bytes_are_golden() {
+    let bytes = rpc::encode(&message());
+    check_golden("message.hex", &to_hex(&bytes));
+    assert_eq!(rpc::decode(&bytes), Ok(message()));
+}
+
+async fn start_peer() -> String {
+    let double = |number: u64| async move { number.checked_mul(2) };
+    let routes = Route::new().at("/double", poem::post(rpc::handler(double)));
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("an address").to_string();
+    tokio::spawn(rpc::serve(listener, routes));
+    address
+}
+
+/// The head as text, except for the value of the `date` header and the port; the body in hexadecimal digits.
+fn describe(bytes: &[u8], address: &str) -> String {
+    let end = bytes.windows(4).position(|window| window == b"\r\n\r\n").expect("the head ends") + 4;
+    let head = String::from_utf8(bytes[..end].to_vec()).expect("the head is text");
+    let lines = head.trim_end().split("\r\n").map(|line| match line.split_once(": ") {
+        Some((name, _)) if name.eq_ignore_ascii_case("date") => format!("{name}: DATE\n"),
+        _ => format!("{}\n", line.replace(address, "ADDRESS")),
+    });
+    format!("{}\n{}", lines.collect::<String>(), to_hex(&bytes[end..]))
+}
+
+async fn exchange(address: &str, method: &str, path: &str, body: &[u8]) -> Vec<u8> {
+    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let length = body.len();
+    let head = format!(
+        "{method} {path} HTTP/1.1\r\nhost: {address}\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n"
+    );
+    stream.write_all(&[head.as_bytes(), body].concat()).await.expect("the request is sent");
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await.expect("the response comes back");
+    response
+}
+
+#[parameterized(
+    reply = { "response-reply.txt", "POST", "/double", rpc::encode(&21_u64) },
+    not_carried_out = { "response-not-carried-out.txt", "POST", "/double", rpc::encode(&u64::MAX) },
+    malformed = { "response-malformed.txt", "POST", "/double", rpc::encode(&"no number") },
+    unknown_path = { "response-unknown-path.txt", "POST", "/none", rpc::encode(&21_u64) },
+    other_method = { "response-other-method.txt", "GET", "/double", Vec::new() },
+)]
+#[test_macro(tokio::test)]
+async fn given_a_call_when_answered_then_the_response_is_golden(
+    name: &str,
+    method: &str,
+    path: &str,
+    body: Vec<u8>,
+) {
+    let address = start_peer().await;
+    let response = exchange(&address, method, path, &body).await;
+    check_golden(name, &describe(&response, &address));
+}
+
+/// Reads a request up to the end of its body, and answers it with `reply`.
+async fn answer_once(listener: TcpListener, body_bytes: usize, reply: Vec<u8>) -> Vec<u8> {
+    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let mut request = Vec::new();
+    let is_complete = |request: &[u8]| {
+        let head_end = request.windows(4).position(|window| window == b"\r\n\r\n");
+        head_end.is_some_and(|end| request.len() >= end + 4 + body_bytes)
+    };
+    while !is_complete(&request) {
+        stream.read_buf(&mut request).await.expect("the request comes");
+    }
+    let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", reply.len());
+    stream.write_all(&[head.as_bytes(), &reply].concat()).await.expect("the reply is sent");
+    request
+}
+
+#[tokio::test]
+async fn given_a_call_when_sent_then_the_request_is_golden() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("an address").to_string();
+    let body_bytes = rpc::encode(&message()).len();
+    let peer = tokio::spawn(answer_once(listener, body_bytes, rpc::encode(&42_u64)));
+    let reply: Result<u64, _> = Client::new().call(&address, "/double", &message(), TIMEOUT).await;
+    assert_eq!(reply, Ok(42));
+    let request = peer.await.expect("the peer answers");
+    check_golden("request.txt", &describe(&request, &address));
+}
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -154,3 +154,7 @@
     word.copy_from_slice(&bytes[at..at + 8]);
     u64::from_le_bytes(word)
 }
+
+#[cfg(test)]
+#[path = "../tests/golden/format.rs"]
+mod golden_format;
--- /dev/null
+++ b/crates/storage/tests/golden.rs
@@ -0,0 +1,87 @@
+//! Golden files: the bytes of a small ring that wrapped around, and what a start reads from them.
+//!
+//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that a ring could not be read by
+//! another version. The forms of single headers are checked in `golden/format.rs`.
+
+mod common;
+#[path = "golden/check.rs"]
+mod golden;
+
+use std::path::{Path, PathBuf};
+
+use common::{append, append_filled, open, try_open, Records, DIRECTORY, OPTIONS};
+use golden::{check_golden, from_hex, read_golden, to_hex};
+use storage::simulated::SimulatedDisk;
+use storage::{Identity, Position, Ring, Usage};
+
+fn segment_path(slot: usize) -> PathBuf {
+    Path::new(DIRECTORY).join(format!("ring-{slot:03}"))
+}
+
+fn golden_name(slot: usize) -> String {
+    format!("wrapped-ring-{slot:03}.hex")
+}
+
+fn read_segment(disk: &SimulatedDisk, slot: usize) -> Vec<u8> {
+    let mut file = disk.file_system().open(&segment_path(slot)).expect("the segment opens");
+    let mut bytes = vec![0; file.length().expect("it has a length") as usize];
+    let count = file.read_at(0, &mut bytes).expect("it can be read");
+    assert_eq!(count, bytes.len());
+    bytes
+}
+
+fn write_segment(disk: &SimulatedDisk, slot: usize, bytes: &[u8]) {
+    let mut file = disk.file_system().open(&segment_path(slot)).expect("the segment opens");
+    file.write_at(0, bytes).expect("it can be written");
+    file.sync().expect("it can be synced");
+}
+
+/// A ring that wrapped around, was released in part, was opened twice and met a failed sync.
+fn write_ring(disk: &SimulatedDisk) {
+    let (mut ring, _, _) = open(disk);
+    for number in 1..=12 {
+        let position = append_filled(&mut ring, number, 120);
+        ring.release(Position(position.0.saturating_sub(2)));
+    }
+    disk.kill();
+    let (mut ring, _, _) = open(disk);
+    disk.fail_syncs(1);
+    append(&mut ring, b"not durable").expect_err("the sync fails");
+    let outcomes = ring.append(&[b"a record".as_slice(), b"", b"the last record"]);
+    assert!(outcomes.iter().all(Result::is_ok), "{outcomes:?}");
+    disk.kill();
+}
+
+#[test]
+fn given_a_ring_that_wrapped_around_when_written_then_its_files_are_golden() {
+    let disk = SimulatedDisk::new(51);
+    write_ring(&disk);
+    for slot in 0..OPTIONS.segments {
+        check_golden(&golden_name(slot), &to_hex(&read_segment(&disk, slot)));
+    }
+}
+
+/// What a start found, a record a line, without the names of the code.
+fn describe(ring: &Ring, records: &Records, identity: Identity) -> String {
+    let Identity { incarnation, fresh } = identity;
+    let Usage { used_bytes, capacity_bytes } = ring.usage();
+    let mut text = format!("incarnation {incarnation:016x}, made by this start: {fresh}\n");
+    text.push_str(&format!("{used_bytes} of {capacity_bytes} bytes are in use\n"));
+    for (position, record) in records {
+        text.push_str(&format!("record {}:\n{}", position.0, to_hex(record)));
+    }
+    text
+}
+
+#[test]
+fn given_golden_files_of_a_ring_when_opened_then_its_records_are_found_and_appends_go_on() {
+    let disk = SimulatedDisk::new(52);
+    for slot in 0..OPTIONS.segments {
+        write_segment(&disk, slot, &from_hex(&read_golden(&golden_name(slot))));
+    }
+    let (mut ring, records, identity) = try_open(disk.file_system()).expect("the ring opens");
+    check_golden("wrapped-ring-recovered.txt", &describe(&ring, &records, identity));
+    let newest = records.last().map(|(position, _)| position.0).expect("there are records");
+    assert_eq!(records.last().map(|(_, record)| record.as_slice()), Some(b"the last record".as_slice()));
+    assert_eq!(append(&mut ring, b"next"), Ok(Position(newest + 1)));
+}
--- /dev/null
+++ b/crates/storage/tests/golden/format.rs
@@ -0,0 +1,49 @@
+//! Golden files of the headers of segments and of records with their headers.
+
+#[path = "check.rs"]
+mod golden;
+
+use golden::{check_golden, from_hex, read_golden, to_hex};
+
+use super::{
+    append_record, ChainEnd, RecordHeader, SegmentHeader, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES,
+};
+
+const HEADER: SegmentHeader = SegmentHeader {
+    incarnation: 0x1122_3344_5566_7788,
+    index: 9,
+    chain: ChainEnd { next_sequence: 260, generation: 0x99aa_bbcc_ddee_ff00 },
+    released: 258,
+    segment_bytes: 65_536,
+    segments: 12,
+};
+
+#[test]
+fn given_a_segment_header_when_encoded_then_its_bytes_are_golden() {
+    check_golden("segment-header.hex", &to_hex(&HEADER.encode()));
+    let golden = from_hex(&read_golden("segment-header.hex"));
+    let bytes = golden.first_chunk::<SEGMENT_HEADER_BYTES>().expect("a whole header");
+    assert_eq!(SegmentHeader::decode(bytes), Some(HEADER));
+}
+
+#[test]
+fn given_records_when_framed_then_their_bytes_are_golden() {
+    let start = ChainEnd { next_sequence: 260, generation: 7 };
+    let mut bytes = Vec::new();
+    let first = append_record(&mut bytes, start, 8, b"a record");
+    let second = append_record(&mut bytes, first, 8, b"");
+    assert_eq!(second, ChainEnd { next_sequence: 262, generation: 8 });
+    check_golden("records.hex", &to_hex(&bytes));
+
+    let golden = from_hex(&read_golden("records.hex"));
+    let (first_record, second_record) = golden.split_at(RECORD_HEADER_BYTES + b"a record".len());
+    for (record, chain, content) in
+        [(first_record, start, b"a record".as_slice()), (second_record, first, b"")]
+    {
+        let (header, found) = record.split_first_chunk::<RECORD_HEADER_BYTES>().expect("a whole header");
+        let header = RecordHeader::decode(header);
+        assert_eq!(found, content);
+        assert_eq!((header.length as usize, header.generation), (content.len(), 8));
+        assert!(header.continues(chain) && header.verifies(found));
+    }
+}
