--- /dev/null
+++ b/crates/data-plane/tests/support/golden.rs
@@ -0,0 +1,67 @@
+//! Comparison of HTTP messages with golden files, and a client that speaks HTTP byte by byte.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// Headers whose values differ from run to run. Their values are replaced before a comparison.
+const VARIABLE_HEADERS: [&str; 2] = ["date: ", "time-left-ms: "];
+
+/// Compares a message with `tests/golden/{name}.http`, in which `\r` and `\n` are written out.
+///
+/// With `GOLDEN_WRITE=1` in the environment, a file that is missing is written instead.
+pub fn assert_golden(name: &str, message: &str) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.http"));
+    let message = visible(&without_variable_values(message));
+    if !path.exists() && std::env::var_os("GOLDEN_WRITE").is_some() {
+        std::fs::write(&path, &message).expect("a golden file that can be written");
+    }
+    let golden = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    assert_eq!(message, golden, "{name} differs from its golden file");
+}
+
+/// Shows the bytes that end lines, and ends the line of text behind each line feed.
+fn visible(message: &str) -> String {
+    message.replace('\r', "\\r").replace('\n', "\\n\n")
+}
+
+fn without_variable_values(message: &str) -> String {
+    let lines = message.split("\r\n").map(|line| {
+        match VARIABLE_HEADERS.iter().find(|name| line.starts_with(*name)) {
+            Some(name) => format!("{name}<any>"),
+            None => line.to_owned(),
+        }
+    });
+    lines.collect::<Vec<_>>().join("\r\n")
+}
+
+/// Sends these bytes on a connection of their own and reads one response, or what came of it before the end.
+pub async fn exchange(address: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    stream.write_all(request.as_bytes()).await.expect("a request that is written");
+    let is_head_request = request.starts_with("HEAD ");
+    let mut received = Vec::new();
+    while !is_complete(&received, is_head_request) {
+        if !matches!(stream.read_buf(&mut received).await, Ok(read) if read > 0) {
+            break;
+        }
+    }
+    String::from_utf8(received).expect("text")
+}
+
+fn is_complete(received: &[u8], is_head_request: bool) -> bool {
+    let text = String::from_utf8_lossy(received);
+    let Some((head, body)) = text.split_once("\r\n\r\n") else {
+        return false;
+    };
+    if is_head_request || head.starts_with("HTTP/1.1 204") {
+        return true;
+    }
+    let length = head.split("\r\n").find_map(|line| line.strip_prefix("content-length: "));
+    match length {
+        Some(length) => body.len() >= length.parse::<usize>().expect("a length"),
+        None => body.ends_with("0\r\n\r\n"),
+    }
+}
--- a/crates/data-plane/tests/support/mod.rs
+++ b/crates/data-plane/tests/support/mod.rs
@@ -1,6 +1,7 @@
 //! Stand-in servers on loopback sockets, and views that list them.
 #![allow(dead_code)]
 
+pub mod golden;
 pub mod node;
 
 use std::collections::BTreeMap;
@@ -18,6 +19,8 @@
 /// A request as a stand-in read it.
 #[derive(Clone, Debug)]
 pub struct Seen {
+    /// The head byte for byte, with the blank line that ends it.
+    pub head: String,
     pub line: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
@@ -166,7 +169,7 @@
         }
     }
     let body = buffer.drain(..length).collect();
-    Some(Seen { line, headers, body, connection: 0 })
+    Some(Seen { head, line, headers, body, connection: 0 })
 }
 
 /// A whole answer.
