--- /dev/null
+++ b/crates/control-plane/tests/golden.rs
@@ -0,0 +1,99 @@
+//! What the control plane writes on disks and sends: internal messages, the acceptor's journal, the operator's
+//! interface, calls to servers.
+//!
+//! `bincode` encodes by position, so a field or variant that moves, is added or changes its type changes these bytes.
+//! A file that is missing is written when `GOLDEN_WRITE` is set; otherwise files never change.
+
+mod support;
+
+#[path = "golden/journal.rs"]
+mod journal;
+#[path = "golden/messages.rs"]
+mod messages;
+#[path = "golden/operator.rs"]
+mod operator;
+#[path = "golden/server_calls.rs"]
+mod server_calls;
+
+use std::collections::BTreeMap;
+use std::path::Path;
+use std::sync::Arc;
+
+use register::{Ballot, Incarnation, Member, Versioned};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use state::{ControlState, Document, DrainState, StoreMember, StoreSet, TakenChange};
+
+/// The text of a file, after it was compared with `present`.
+fn check_text(name: &str, present: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        std::fs::write(&path, present).expect("the file is written");
+    }
+    let golden = std::fs::read_to_string(&path).expect("the golden file is there");
+    assert_eq!(present, golden, "{name} has changed");
+    golden
+}
+
+/// Compares bytes with a file, and gives those of the file.
+fn check_bytes(name: &str, present: &[u8]) -> Vec<u8> {
+    let hex_line = |line: &[u8]| line.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
+    let golden = check_text(name, &present.chunks(32).map(hex_line).collect::<String>());
+    let digits: Vec<u8> = golden.bytes().filter(u8::is_ascii_hexdigit).collect();
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex");
+    digits.chunks(2).map(byte).collect()
+}
+
+/// Compares a message with its file in both directions.
+fn check<T: Serialize + DeserializeOwned + std::fmt::Debug>(name: &str, message: &T) {
+    let golden = check_bytes(name, &rpc::encode(message));
+    let decoded: T = rpc::decode(&golden).expect("the message is read");
+    assert_eq!(format!("{decoded:?}"), format!("{message:?}"), "{name}");
+    assert_eq!(rpc::encode(&decoded), golden, "{name}");
+}
+
+fn member(station: &str, incarnation: u64) -> Member {
+    Member { station: station.into(), incarnation: Incarnation(incarnation), address: format!("{station}:1") }
+}
+
+fn store(station: &str, incarnation: u64) -> StoreMember {
+    StoreMember { member: member(station, incarnation), zone: "z".into() }
+}
+
+/// A control state with every field set.
+fn control_state() -> ControlState {
+    let stores = |epoch, first: u64| StoreSet {
+        epoch,
+        members: vec![store("v0", first), store("v1", first + 1)],
+        copies: 3,
+        wanted: 4,
+    };
+    ControlState {
+        revision: 300,
+        acceptors: vec![member("a", 1), member("b", u64::MAX)],
+        acceptors_wanted: 5,
+        acceptors_since: 299,
+        standbys: vec![member("d", 4)],
+        configuration: Document::new(support::document(9, "r")),
+        edition: 9,
+        taken: [TakenChange { digest: 1 << 100, edition: 8 }, TakenChange { digest: 77, edition: 9 }].into(),
+        named_versions: BTreeMap::from([("m".to_owned(), 3), ("n".to_owned(), 70_000)]),
+        fence: 12,
+        fence_holder: Some("a".to_owned()),
+        order_holder: Some("b".to_owned()),
+        stores: stores(6, 10),
+        joining_stores: vec![store("v9", 90)],
+        previous_stores: Some(stores(5, 20)),
+        draining: [("v0".to_owned(), DrainState::Rolling), ("v1".to_owned(), DrainState::Delivered)].into(),
+    }
+}
+
+/// A value with every field set.
+fn versioned() -> Versioned<ControlState> {
+    Versioned {
+        ballot: Ballot { round: 400, proposer: u64::MAX },
+        value: Arc::new(control_state()),
+        previous: [member("a", 1), member("c", 3)].into(),
+        predecessor: Ballot { round: 399, proposer: 17 },
+    }
+}
--- /dev/null
+++ b/crates/control-plane/tests/golden/messages.rs
@@ -0,0 +1,129 @@
+//! Internal messages, and the paths that they are posted to.
+
+use std::sync::Arc;
+
+use control_plane::{
+    paths, Announcement, Capability, ControlUpdate, Introduction, PingReply, PollReply, PollRequest,
+    ServerChanges, ServerUpdate,
+};
+use register::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Outcome};
+use state::{Condition, ControlState, ServerEntry, ServerList, ServerListVersion};
+
+use super::{check, check_text, member, versioned};
+
+const VERSION: ServerListVersion = ServerListVersion { fence: 12, sequence: 400, local: 0 };
+
+fn entry(id: &str, condition: Condition) -> ServerEntry {
+    ServerEntry {
+        id: id.into(),
+        service: "engine".into(),
+        address: "10.1.2.3:8080".parse().expect("an address"),
+        zone: "z1".into(),
+        slots: 300,
+        condition,
+        cold_ms: 4000,
+        models: [(Arc::from("m"), 3), (Arc::from("n"), 70_000)].into(),
+    }
+}
+
+fn whole_list() -> ServerUpdate {
+    let servers = vec![entry("a", Condition::Open), entry("b", Condition::Closing)];
+    ServerUpdate::Whole(ServerList { version: VERSION, servers })
+}
+
+fn changes() -> ServerUpdate {
+    ServerUpdate::Changes(ServerChanges {
+        base: ServerListVersion { sequence: 399, ..VERSION },
+        version: VERSION,
+        changed: vec![entry("a", Condition::Closing)],
+        removed: vec!["c".into()],
+    })
+}
+
+#[test]
+fn given_the_paths_of_internal_calls_when_listed_then_they_stay() {
+    let all = [
+        paths::REGISTER,
+        paths::LEASE,
+        paths::RELEASE,
+        paths::POLL,
+        paths::ANNOUNCE,
+        paths::FIRST,
+        paths::INTRODUCE,
+        paths::PING,
+    ];
+    check_text("paths.txt", &(all.join("\n") + "\n"));
+}
+
+#[test]
+fn given_messages_of_discovery_when_encoded_then_their_bytes_stay() {
+    let announcement =
+        |capability| Announcement { member: member("a", 1), zone: "z1".to_owned(), capability };
+    check("announcement_acceptor.hex", &announcement(Capability::Acceptor));
+    check("announcement_store.hex", &announcement(Capability::Store));
+    check("capability_acceptor.hex", &Capability::Acceptor);
+    check("capability_store.hex", &Capability::Store);
+    check("introduction.hex", &Introduction { revision: 300, acceptors: vec!["a:1".into(), "b:1".into()] });
+    let ping = PingReply {
+        incarnation: Some(Incarnation(70_000)),
+        settled_epoch: 6,
+        knows_control: true,
+        is_steady: true,
+        silent: vec![Incarnation(1), Incarnation(u64::MAX)],
+    };
+    check("ping_reply.hex", &ping);
+    let unknown = PingReply { incarnation: None, knows_control: false, is_steady: false, ..ping };
+    check("ping_reply_without_disk.hex", &unknown);
+}
+
+#[test]
+fn given_updates_when_encoded_then_their_bytes_stay() {
+    let newest = versioned();
+    check("control_update_whole.hex", &ControlUpdate::new(&newest, 0));
+    check("control_update_since.hex", &ControlUpdate::new(&newest, 8));
+    check("control_update_same_configuration.hex", &ControlUpdate::new(&newest, 9));
+    check("server_update_whole.hex", &whole_list());
+    check("server_update_changes.hex", &changes());
+}
+
+#[test]
+fn given_polls_when_encoded_then_their_bytes_stay() {
+    let ballot = Ballot { round: 400, proposer: u64::MAX };
+    check("poll_request.hex", &PollRequest { ballot, edition: 9, servers: VERSION, hold_ms: 450 });
+    let reply = PollReply {
+        control: Some(ControlUpdate::new(&versioned(), 8)),
+        servers: Some(changes()),
+        confirmed_age_ms: Some(300),
+        servers_version: VERSION,
+        servers_age_ms: Some(700),
+    };
+    check("poll_reply.hex", &reply);
+    let nothing =
+        PollReply { control: None, servers: None, confirmed_age_ms: None, servers_age_ms: None, ..reply };
+    check("poll_reply_nothing_newer.hex", &nothing);
+}
+
+#[test]
+fn given_requests_to_the_acceptor_when_encoded_then_their_bytes_stay() {
+    type Request = AcceptorRequest<ControlState>;
+    let ballot = Ballot { round: 400, proposer: 17 };
+    check("acceptor_request_prepare.hex", &Request::Prepare(ballot));
+    check("acceptor_request_accept.hex", &Request::Accept(versioned()));
+    check("acceptor_request_learn.hex", &Request::Learn(versioned()));
+    check("acceptor_request_read.hex", &Request::Read);
+    check("acceptor_request_read_newer.hex", &Request::ReadNewer(ballot));
+}
+
+#[test]
+fn given_replies_of_the_acceptor_when_encoded_then_their_bytes_stay() {
+    let ballot = Ballot { round: 400, proposer: 17 };
+    let reply = |outcome: Outcome<ControlState>| AcceptorReply { incarnation: Incarnation(70_000), outcome };
+    check("acceptor_reply_promised.hex", &reply(Outcome::Promised(Some(versioned()))));
+    check("acceptor_reply_accepted.hex", &reply(Outcome::Accepted));
+    check("acceptor_reply_rejected.hex", &reply(Outcome::Rejected(ballot)));
+    check("acceptor_reply_learned.hex", &reply(Outcome::Learned));
+    let current = Outcome::Current { accepted: Some(versioned()), committed: None };
+    check("acceptor_reply_current.hex", &reply(current));
+    let nothing = Outcome::NothingNewer { accepted: Some(ballot), committed: None };
+    check("acceptor_reply_nothing_newer.hex", &reply(nothing));
+}
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use control_plane::{operator_routes, paths, AcceptorService, Distribution, Proposer, ViewCell, LEASE_TTL};
 use lease::{Grantor, GrantorId, LeaseRelease, LeaseRequest};
 use poem::endpoint::BoxEndpoint;
-use poem::http::{Method, StatusCode};
+use poem::http::{HeaderMap, Method, StatusCode};
 use poem::{Body, Endpoint, EndpointExt, Request, Response, Route};
 use register::{AcceptorRequest, Ballot, Incarnation, Member, Versioned};
 use state::change::first_state;
@@ -54,12 +54,22 @@
 
 /// Nodes whose register has its first value, with this many stores.
 pub async fn nodes(count: usize, stores: u64) -> Vec<Node> {
+    nodes_with(count, stores, |state| state).await
+}
+
+/// As [`nodes`], with a first value that `adapt` has changed.
+pub async fn nodes_with(
+    count: usize,
+    stores: u64,
+    adapt: impl Fn(ControlState) -> ControlState,
+) -> Vec<Node> {
     let mut started = Vec::new();
     for index in 0..count {
         started.push(start(index).await);
     }
     let members: Vec<Member> = started.iter().map(|(node, _)| node.member.clone()).collect();
     let first = first(members, (0..stores).map(store).collect());
+    let first = Versioned::new(FIRST, Arc::new(adapt(ControlState::clone(&first.value))));
     for (node, acceptor) in &started {
         assert_eq!(acceptor.initialise(first.clone()).await, Some(first.clone()));
         node.view.adopt_control(&first);
@@ -134,8 +144,8 @@
             request = request.header("If-Match", expected);
         }
         let response = self.operator.get_response(request.body(body)).await;
-        let status = response.status();
-        Answer { status, body: response.into_body().into_string().await.expect("a text") }
+        let (status, headers) = (response.status(), response.headers().clone());
+        Answer { status, headers, body: response.into_body().into_string().await.expect("a text") }
     }
 
     pub async fn put(&self, expected: u64, body: &str) -> StatusCode {
@@ -156,6 +166,7 @@
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
+    pub headers: HeaderMap,
     pub body: String,
 }
 
--- /dev/null
+++ b/crates/state/tests/golden.rs
@@ -0,0 +1,137 @@
+//! The bytes of the shared state, as they stand on disks and travel between processes.
+//!
+//! `bincode` encodes by position, so a field or variant that moves, is added or changes its type changes these bytes.
+//! A file that is missing is written when `GOLDEN_WRITE` is set; otherwise files never change.
+
+mod common;
+
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+use std::path::Path;
+use std::sync::Arc;
+
+use common::{document, member, store};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use state::{
+    Condition, ControlState, Document, DrainState, ServerEntry, ServerList, ServerListVersion, StoreSet,
+    TakenChange,
+};
+
+/// Compares a value with its file in both directions. The encoding is that of `rpc::encode`.
+fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let encoded =
+        bincode::serde::encode_to_vec(value, bincode::config::standard()).expect("it is serialized");
+    let hex: String = encoded.chunks(32).map(|line| hex_line(line) + "\n").collect();
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        std::fs::write(&path, &hex).expect("the file is written");
+    }
+    let golden = std::fs::read_to_string(&path).expect("the golden file is there");
+    assert_eq!(hex, golden, "{name}: the bytes have changed");
+    let (decoded, read): (T, usize) =
+        bincode::serde::decode_from_slice(&bytes(&golden), bincode::config::standard()).expect("it is read");
+    assert_eq!((&decoded, read), (value, encoded.len()), "{name}");
+}
+
+fn hex_line(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex");
+    digits.chunks(2).map(byte).collect()
+}
+
+/// A control state with every field set.
+fn control_state() -> ControlState {
+    let stores = |epoch, first: u64| StoreSet {
+        epoch,
+        members: vec![store("v0", first), store("v1", first + 1)],
+        copies: 3,
+        wanted: 4,
+    };
+    ControlState {
+        revision: 300,
+        acceptors: vec![member("a", 1), member("b", u64::MAX)],
+        acceptors_wanted: 5,
+        acceptors_since: 299,
+        standbys: vec![member("d", 4)],
+        configuration: Document::new(document(9, "r")),
+        edition: 9,
+        taken: [TakenChange { digest: 1 << 100, edition: 8 }, TakenChange { digest: 77, edition: 9 }].into(),
+        named_versions: BTreeMap::from([("m".to_owned(), 3), ("n".to_owned(), 70_000)]),
+        fence: 12,
+        fence_holder: Some("a".to_owned()),
+        order_holder: Some("b".to_owned()),
+        stores: stores(6, 10),
+        joining_stores: vec![store("v9", 90)],
+        previous_stores: Some(stores(5, 20)),
+        draining: [("v0".to_owned(), DrainState::Rolling), ("v1".to_owned(), DrainState::Delivered)].into(),
+    }
+}
+
+#[test]
+fn given_a_control_state_when_encoded_then_its_bytes_stay() {
+    check("control_state.hex", &control_state());
+    check("control_state_default.hex", &ControlState::default());
+}
+
+#[test]
+fn given_parts_of_the_control_state_when_encoded_then_their_bytes_stay() {
+    let state = control_state();
+    check("taken_change.hex", &state.taken[0]);
+    check("document.hex", &state.configuration);
+    check("document_empty.hex", &Document::default());
+    check("store_member.hex", &state.joining_stores[0]);
+    check("store_set.hex", &state.stores);
+    check("drain_state_rolling.hex", &DrainState::Rolling);
+    check("drain_state_delivered.hex", &DrainState::Delivered);
+}
+
+fn entry(id: &str, condition: Condition) -> ServerEntry {
+    ServerEntry {
+        id: id.into(),
+        service: "engine".into(),
+        address: "10.1.2.3:8080".parse().expect("an address"),
+        zone: "z1".into(),
+        slots: 300,
+        condition,
+        cold_ms: 4000,
+        models: [(Arc::from("m"), 3), (Arc::from("n"), 70_000)].into(),
+    }
+}
+
+fn server_list() -> ServerList {
+    let over_ipv6 =
+        ServerEntry { address: "[::1]:80".parse().expect("an address"), ..entry("b", Condition::Closing) };
+    ServerList {
+        version: ServerListVersion { fence: 12, sequence: 400, local: 1 << 24 | 5 },
+        servers: vec![entry("a", Condition::Open), over_ipv6],
+    }
+}
+
+#[test]
+fn given_a_server_list_when_encoded_then_its_bytes_stay() {
+    check("server_list.hex", &server_list());
+    check("server_list_default.hex", &ServerList::default());
+}
+
+#[test]
+fn given_parts_of_a_server_list_when_encoded_then_their_bytes_stay() {
+    let list = server_list();
+    check("server_list_version.hex", &list.version);
+    check("server_entry_open.hex", &list.servers[0]);
+    check("server_entry_closing.hex", &list.servers[1]);
+    check("condition_open.hex", &Condition::Open);
+    check("condition_closing.hex", &Condition::Closing);
+}
+
+#[test]
+fn given_a_condition_when_written_as_json_then_its_names_stay() {
+    for (condition, text) in [(Condition::Open, "\"open\""), (Condition::Closing, "\"closing\"")] {
+        assert_eq!(serde_json::to_string(&condition).expect("it is serialized"), text);
+        assert_eq!(serde_json::from_str::<Condition>(text).expect("it is read"), condition);
+    }
+}
