--- /dev/null
+++ b/crates/configuration/tests/golden.rs
@@ -0,0 +1,205 @@
+//! Golden files: the operator's documents and changes, and the errors that answer them.
+//!
+//! What is computed has to equal the golden file byte for byte. `GOLDEN_WRITE=1` writes the results.
+
+use std::fmt::Write;
+use std::path::PathBuf;
+
+use configuration::{patch, replace, Configuration, ConfigurationError, Route, Service};
+use yare::parameterized;
+
+fn golden_path(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+fn golden(name: &str) -> String {
+    std::fs::read_to_string(golden_path(name)).expect("the golden file exists")
+}
+
+fn assert_golden(name: &str, actual: &str) {
+    if std::env::var_os("GOLDEN_WRITE").is_some() {
+        std::fs::write(golden_path(name), actual).expect("the golden file can be written");
+    }
+    assert_eq!(actual, golden(name), "{name}");
+}
+
+macro_rules! render {
+    ($($field:literal => $value:expr,)*) => {{
+        let mut text = String::new();
+        $(writeln!(text, "  {}: {:?}", $field, $value).expect("a string takes any text");)*
+        text
+    }};
+}
+
+fn render_route(route: &Route) -> String {
+    let split: Vec<(&str, u32)> =
+        route.targets.iter().map(|target| (&*target.service, target.share)).collect();
+    render! {
+        "route" => route.name,
+        "depot" => route.host,
+        "lanePrefix" => route.prefix,
+        "kind" => route.kind,
+        "kind takes batch jobs" => route.kind.takes_batch_jobs(),
+        "idempotent" => route.is_idempotent(),
+        "expiryMs" => route.timeout,
+        "dueMs" => route.aim,
+        "urgency" => route.urgency,
+        "split" => split,
+        "tries" => route.tries,
+        "resume" => route.resume,
+        "singleEdition" => route.single_version,
+        "deliveryDueMs" => route.delivery_due,
+        "shelfLifeS" => route.shelf_life,
+        "sameCarrier" => route.same_server,
+    }
+}
+
+fn render_service(service: &Service) -> String {
+    let engine = service.engine.as_ref();
+    render! {
+        "service" => service.name,
+        "healthPath" => service.health_path,
+        "berthCap" => service.connections_most,
+        "engine.berths" => engine.map(|engine| engine.slots),
+        "engine.cacheTokens" => engine.map(|engine| engine.cache_tokens),
+        "engine.cacheBytes" => engine.map(|engine| engine.cache_bytes),
+        "engine.linkMbps" => engine.map(|engine| engine.link_mbps),
+        "engine.stride" => engine.map(|engine| engine.stride),
+        "engine.models" => engine.map(|engine| &engine.models),
+    }
+}
+
+fn render_configuration(configuration: &Configuration) -> String {
+    let limits = configuration.limits();
+    let mut services: Vec<String> = configuration.services().map(|service| render_service(service)).collect();
+    services.sort();
+    let routes: Vec<String> = configuration.routes().iter().map(|route| render_route(route)).collect();
+    let rest = render! {
+        "edition" => configuration.edition(),
+        "models of mixed versions" => configuration.models_of_mixed_versions(),
+        "limits.labelBytes" => limits.head_bytes,
+        "limits.parcelBytes" => limits.body_bytes,
+        "limits.labelMs" => limits.head_timeout,
+        "limits.idleMs" => limits.idle,
+    };
+    [routes.join("\n"), services.join("\n"), rest].join("\n")
+}
+
+#[parameterized(full = { "configuration-full" }, defaults = { "configuration-defaults" })]
+fn given_a_document_when_parsed_then_each_field_has_its_golden_value(name: &str) {
+    let document = golden(&format!("{name}.json"));
+    let configuration = Configuration::parse(document.as_bytes()).expect("the golden file is valid");
+    assert_golden(&format!("{name}.txt"), &render_configuration(&configuration));
+}
+
+#[test]
+fn given_a_whole_document_when_put_then_it_is_stored_byte_for_byte() {
+    let document = golden("configuration-full.json");
+    let stored = replace(6, document.as_bytes()).expect("the golden file is valid");
+    assert_golden("replaced.json", &stored);
+    assert_eq!(stored, document);
+}
+
+#[test]
+fn given_a_patch_when_applied_then_the_stored_document_is_the_golden_one() {
+    let patched =
+        patch(&golden("configuration-full.json"), golden("patch.json").as_bytes()).expect("it is valid");
+    assert_golden("patched.json", &patched);
+}
+
+fn error_variants() -> Vec<(&'static str, ConfigurationError)> {
+    let text = str::to_owned;
+    vec![
+        (
+            "cut short",
+            ConfigurationError::Unreadable { field: text("routes[0].depot"), cause: text("the cause") },
+        ),
+        ("unusable", ConfigurationError::Unusable { field: text("."), cause: text("the cause") }),
+        ("old version", ConfigurationError::OldVersion { edition: 7, current: 8 }),
+        ("unknown service", ConfigurationError::UnknownService { route: text("r"), service: text("s") }),
+        ("same host and prefix", ConfigurationError::SamePlace { first: text("r-1"), second: text("r-2") }),
+        ("no weight", ConfigurationError::NoWeight { route: text("r") }),
+        ("no time-out", ConfigurationError::NoTimeout { route: text("r") }),
+        ("same name", ConfigurationError::SameName { list: "routes", name: text("r") }),
+    ]
+}
+
+#[test]
+fn given_each_error_when_answered_then_status_field_and_text_are_golden() {
+    let mut rendered = String::new();
+    for (name, error) in error_variants() {
+        let (status, field) = (error.status(), error.field());
+        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
+    }
+    assert_golden("errors.txt", &rendered);
+}
+
+/// Faults of a whole document: a name, the text that is replaced in the golden document, and what replaces it.
+const DOCUMENT_FAULTS: &[(&str, &str, &str)] = &[
+    ("unknown service", r#""postalLine":"wuno96b","resume""#, r#""postalLine":"gone","resume""#),
+    ("unknown service in split", r#""postalLine":"wuno96b","share""#, r#""postalLine":"gone","share""#),
+    ("no service", r#""postalLine":"wuno96b","resume""#, r#""resume""#),
+    ("same host and prefix", "/lohu930/inner/", "/lohu930/"),
+    ("no time-out", r#""expiryMs":1500"#, r#""expiryMs":0"#),
+    ("negative time-out", r#""expiryMs":1500"#, r#""expiryMs":-1"#),
+    ("negative shelf life", r#""shelfLifeS":40.5"#, r#""shelfLifeS":-1"#),
+    ("text for time-out", r#""expiryMs":1500"#, r#""expiryMs":"1500""#),
+    ("text for edition", r#""edition":7"#, r#""edition":"7""#),
+    ("fraction for tries", r#""tries":3"#, r#""tries":2.5"#),
+    ("tries too large", r#""tries":3"#, r#""tries":4294967296"#),
+    (
+        "no weights",
+        r#""share":90},{"postalLine":"wuno96b","share":10"#,
+        r#""share":0},{"postalLine":"wuno96b","share":0"#,
+    ),
+    ("same route name", "r-service", "r-full"),
+    ("same service name", r#""name":"wuno96b""#, r#""name":"huvo11a""#),
+    ("empty route name", "r-full", ""),
+    ("empty host", "Ficu95.example:80", ""),
+    ("empty prefix", "/lohu930/\"", "\""),
+    ("empty service name", r#""name":"plain""#, r#""name":"""#),
+    ("no edition", r#""edition":7,"#, ""),
+    ("cut short", r#","other":1.50}"#, ""),
+    ("bytes behind the document", r#""other":1.50}"#, r#""other":1.50}}"#),
+];
+
+#[test]
+fn given_a_faulty_document_when_put_then_status_field_and_text_are_golden() {
+    let document = golden("configuration-full.json");
+    let mut rendered = String::new();
+    for (name, good, bad) in DOCUMENT_FAULTS {
+        assert!(document.contains(good), "{name}");
+        let error = replace(6, document.replacen(good, bad, 1).as_bytes()).expect_err(name);
+        let (status, field) = (error.status(), error.field());
+        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
+    }
+    assert_golden("document-faults.txt", &rendered);
+}
+
+/// Faults of a patch: a name and the body.
+const PATCH_FAULTS: &[(&str, &str)] = &[
+    ("cut short", r#"{"edition":9,"strike":{"routes":["r-sec"#),
+    ("no edition", r#"{"strike":{"routes":["r-full"]}}"#),
+    ("same edition", r#"{"edition":7,"strike":{"routes":["r-full"]}}"#),
+    ("strike of a used service", r#"{"edition":9,"strike":{"postalLines":["wuno96b"]}}"#),
+    ("unnamed item", r#"{"edition":9,"loadIn":{"routes":[{"depot":"h"}]}}"#),
+    ("text for list", r#"{"edition":9,"loadIn":{"routes":"r"}}"#),
+    ("text for names", r#"{"edition":9,"strike":{"routes":"r-full"}}"#),
+    ("strike in a field that is no list", r#"{"edition":9,"strike":{"limits":["r-full"]}}"#),
+    (
+        "no timeout",
+        r#"{"edition":9,"loadIn":{"routes":[{"name":"n","depot":"h","lanePrefix":"/x/","kind":"safe","expiryMs":0,"postalLine":"wuno96b"}]}}"#,
+    ),
+];
+
+#[test]
+fn given_a_faulty_patch_when_applied_then_status_field_and_text_are_golden() {
+    let document = golden("configuration-full.json");
+    let mut rendered = String::new();
+    for (name, body) in PATCH_FAULTS {
+        let error = patch(&document, body.as_bytes()).expect_err(name);
+        let (status, field) = (error.status(), error.field());
+        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
+    }
+    assert_golden("patch-faults.txt", &rendered);
+}
