--- a/crates/emulator/src/logging.rs
+++ b/crates/emulator/src/logging.rs
@@ -3,6 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
+use log::kv::{Error, Key, Value, VisitSource};
 use log::{LevelFilter, Log, Metadata, Record};
 
 thread_local! {
@@ -19,13 +20,32 @@
 
     fn log(&self, record: &Record<'_>) {
         let now = NOW.get().as_secs_f64();
-        MACHINE
-            .with_borrow(|machine| println!("{now:9.3} {machine:10} {:5} {}", record.level(), record.args()));
+        let fields = key_values(record);
+        MACHINE.with_borrow(|machine| {
+            println!("{now:9.3} {machine:10} {:5} {}{fields}", record.level(), record.args());
+        });
     }
 
     fn flush(&self) {}
 }
 
+/// The key-value fields of a record as ` key=value` each, behind its message.
+fn key_values(record: &Record<'_>) -> String {
+    struct Fields(String);
+
+    impl<'kvs> VisitSource<'kvs> for Fields {
+        fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
+            self.0 += &format!(" {key}={value}");
+            Ok(())
+        }
+    }
+
+    let mut fields = Fields(String::new());
+    // Collecting into a string does not fail.
+    let _ = record.key_values().visit(&mut fields);
+    fields.0
+}
+
 /// Prints the log lines of all processes from now on.
 pub fn print_logs(level: LevelFilter) {
     if log::set_boxed_logger(Box::new(Printer)).is_ok() {
