--- a/crates/local-fleet/src/lib.rs
+++ b/crates/local-fleet/src/lib.rs
@@ -55,4 +55,7 @@
 pub use trouble::{NoTrouble, Trouble, TroubleKind};
 pub use verify::{check_result, EventData, ItemTerms, JobTerms};
 pub use violation::{Rule, Violation};
-pub use wire::{header, Carrier, ModelVersion, ResultPage, ServerCondition};
+pub use wire::{
+    header, Carrier, CarrierPage, EngineReport, ModelVersion, NamedVersion, Order, ResultPage,
+    ServerCondition,
+};
--- /dev/null
+++ b/crates/local-fleet/tests/golden.rs
@@ -0,0 +1,290 @@
+//! What the local fleet prints, writes and sends, byte for byte.
+//!
+//! Each form is compared with a file in `tests/golden/`. A run with `GOLDEN_WRITE=1` writes the files that are missing;
+//! files that exist are never overwritten.
+
+use std::fmt::Debug;
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use batch::{Condition, ItemResult};
+use local_fleet::{
+    Carrier, CarrierPage, ConfigurationFile, ConfigurationPatch, EngineReport, EventData, Layout, Limits,
+    Load, LoadItems, ModelVersion, NamedVersion, Names, Order, Report, ResultPage, RouteEntry, Rule, RunId,
+    ServerCondition, ServiceEntry, SettingsFile, StepOutcome, StrikeItems, Trouble, TroubleKind, Violation,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use yare::parameterized;
+
+fn golden_file(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+/// Compares a text with its golden file, and returns what the file holds.
+fn assert_golden(name: &str, text: &str) -> String {
+    let path = golden_file(name);
+    if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
+        fs::write(&path, text).expect("the golden file can be written");
+    }
+    let expected = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    assert_eq!(text, expected, "{name}");
+    expected
+}
+
+/// Compares the JSON of a value with its golden file, and decodes the file to an equal value.
+fn assert_golden_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let expected = assert_golden(name, &serde_json::to_string(value).expect("JSON"));
+    assert_eq!(serde_json::from_str::<T>(&expected).expect("a readable file"), *value);
+}
+
+fn report() -> Report {
+    Report {
+        steps_done: 4,
+        steps_failed: 1,
+        groups_whole: 31,
+        results: 152,
+        requests_sent: 820,
+        requests_served: 817,
+        configurations: 3,
+        newest_version: 6,
+        engine_versions: vec![6, 6, 5, 6],
+        orders: 21,
+        platform_calls: (340, 2),
+        start_seconds: 1.25,
+        seconds: 41.06,
+        troubles: vec!["0:kill:node-1".to_owned(), "2:kill-all:".to_owned()],
+        violations: vec!["Fault: node-1 did not end in time".to_owned(), "LOST: item t1".to_owned()],
+        violations_seen: 7,
+    }
+}
+
+#[test]
+fn given_a_report_when_printed_then_its_text_is_as_in_the_file() {
+    assert_golden("report.txt", &report().to_string());
+}
+
+#[test]
+fn given_a_report_when_printed_as_json_then_its_text_is_as_in_the_file() {
+    assert_golden("report.json", &serde_json::to_string_pretty(&report()).expect("JSON"));
+}
+
+#[test]
+fn given_the_report_of_a_run_without_steps_when_printed_then_its_text_is_as_in_the_file() {
+    assert_golden("report-empty.txt", &Report::default().to_string());
+}
+
+#[parameterized(done = { "step-done.txt", true }, not_done = { "step-not-done.txt", false })]
+fn given_the_outcome_of_a_step_when_printed_then_its_text_is_as_in_the_file(name: &str, done: bool) {
+    let outcome = StepOutcome {
+        step: 3,
+        groups_whole: 8,
+        wanted: 7,
+        done,
+        results: 36,
+        took: Duration::from_millis(5432),
+        left: Vec::new(),
+    };
+    assert_golden(name, &outcome.to_string());
+}
+
+#[test]
+fn given_each_rule_when_a_violation_is_printed_then_its_text_is_as_in_the_file() {
+    let rules = [
+        Rule::Mixed,
+        Rule::Unasked,
+        Rule::Twice,
+        Rule::Route,
+        Rule::Denied,
+        Rule::Config,
+        Rule::Order,
+        Rule::Lost,
+        Rule::Version,
+        Rule::One,
+        Rule::Acknowledged,
+        Rule::Fault,
+    ];
+    let lines = rules.map(|rule| format!("{}\n", Violation::new(rule, "what was seen")));
+    assert_golden("violations.txt", &lines.concat());
+}
+
+#[test]
+fn given_each_option_that_names_a_trouble_when_printed_then_it_is_the_option() {
+    let trouble = |after_step, kind, process: &str| Trouble { after_step, kind, process: process.to_owned() };
+    let troubles = [
+        trouble(0, TroubleKind::Kill, "node-1"),
+        trouble(1, TroubleKind::Wipe, "store-2"),
+        trouble(2, TroubleKind::Stop, "node-3"),
+        trouble(3, TroubleKind::KillAll, ""),
+    ];
+    let text: String = troubles.iter().map(|trouble| format!("{trouble}\n")).collect();
+    let expected = assert_golden("trouble-options.txt", &text);
+    let read: Vec<Trouble> = expected.lines().map(|line| line.parse().expect("an option")).collect();
+    assert_eq!(read, troubles);
+    let unreadable = "1:melt:node-1".parse::<Trouble>().expect_err("no such kind");
+    assert_golden("trouble-option-unreadable.txt", &unreadable.to_string());
+}
+
+fn layout() -> Layout {
+    Layout { subnet: 7, nodes: 4, stores: 3, plain_servers: 2, engines: 2 }
+}
+
+#[parameterized(with_disk = { "settings-node.toml", 1 }, without_disk = { "settings-node-without-disk.toml", 3 })]
+fn given_a_node_when_its_settings_are_written_then_the_file_is_as_before(name: &str, node: u8) {
+    let file = SettingsFile::node(&layout(), node, Path::new("files"));
+    let text = assert_golden(name, &file.to_toml().expect("TOML"));
+    assert_eq!(settings::Settings::parse(&text).expect("settings").station, file.station());
+}
+
+#[test]
+fn given_a_store_when_its_settings_are_written_then_the_file_is_as_before() {
+    let file = SettingsFile::store(&layout(), 2, Path::new("files"));
+    let text = assert_golden("settings-store.toml", &file.to_toml().expect("TOML"));
+    assert_eq!(settings::Settings::parse(&text).expect("settings").station, file.station());
+}
+
+#[test]
+fn given_a_layout_when_its_addresses_are_told_then_they_are_as_in_the_file() {
+    let layout = layout();
+    let lines = [
+        format!("node {}", layout.node_ip(3)),
+        format!("store {}", layout.store_ip(2)),
+        format!("front {}", layout.front(0)),
+        format!("ready {}", layout.ready(0)),
+        format!("control {}", layout.control(0)),
+        format!("seeds {:?}", layout.seeds()),
+        format!("platform {}", layout.platform()),
+        format!("plain {}", layout.plain_server(1)),
+        format!("engine {}", layout.engine(1)),
+        format!("zone {}", layout.zone(5)),
+        format!("lost {}", layout.machines_lost()),
+    ];
+    assert_golden("layout.txt", &lines.join("\n"));
+}
+
+fn names() -> Names {
+    Names {
+        host: "abcdef01.example".to_owned(),
+        plain_service: "ghijkl02".to_owned(),
+        engine_service: "mnopqr03".to_owned(),
+        model: "stuvwx04".to_owned(),
+    }
+}
+
+fn configuration() -> ConfigurationFile {
+    let names = names();
+    ConfigurationFile {
+        version: 2,
+        routes: vec![
+            RouteEntry::safe(&names, "/sightings/"),
+            RouteEntry::reward(&names, "/rewards/"),
+            RouteEntry::rollout(&names, "/rollouts/", true),
+        ],
+        services: vec![
+            ServiceEntry::engines(&names.engine_service, &names.model, 8, 39_117),
+            ServiceEntry::plain(&names.plain_service),
+        ],
+        limits: Limits::default(),
+    }
+}
+
+#[test]
+fn given_a_configuration_when_sent_then_its_json_is_as_in_the_file() {
+    assert_golden_json("configuration.json", &configuration());
+}
+
+#[test]
+fn given_a_change_of_the_configuration_when_sent_then_its_json_is_as_in_the_file() {
+    let routes = vec![RouteEntry::safe(&names(), "/sightings-1/")];
+    let strike = StrikeItems { routes: vec!["r-sightings".to_owned()] };
+    let patch = ConfigurationPatch { version: 4, load: LoadItems { routes }, strike };
+    assert_golden_json("configuration-patch.json", &patch);
+    assert_golden_json("configuration-patched.json", &configuration().patched(&patch));
+}
+
+fn carrier(condition: ServerCondition, part: Option<&str>, models: Vec<ModelVersion>) -> Carrier {
+    Carrier {
+        service: "mnopqr03".into(),
+        address: SocketAddr::from(([127, 10, 7, 160], 8080)),
+        zone: "zone-a".into(),
+        software: "v1".into(),
+        slots: 8,
+        condition,
+        cold_ms: 1500,
+        part: part.map(Into::into),
+        models,
+        id: "i-00c0ffee".into(),
+    }
+}
+
+fn model_version() -> ModelVersion {
+    ModelVersion { name: "stuvwx04".into(), version: 5, adapters: vec!["a1".to_owned()] }
+}
+
+#[test]
+fn given_a_page_of_the_platforms_list_when_sent_then_its_json_is_as_in_the_file() {
+    let carriers = vec![
+        carrier(ServerCondition::Open, Some("both"), vec![model_version()]),
+        carrier(ServerCondition::Closing, None, Vec::new()),
+    ];
+    assert_golden_json("server-list-page.json", &CarrierPage { carriers, next: Some("p-2".to_owned()) });
+    assert_golden_json("server-list-last-page.json", &CarrierPage { carriers: Vec::new(), next: None });
+}
+
+#[test]
+fn given_the_report_of_an_engine_when_sent_then_its_json_is_as_in_the_file() {
+    let report = EngineReport {
+        part: "both".into(),
+        models: vec![model_version()],
+        occupied: true,
+        orders_taken: 3,
+        waiting: 2,
+        running: 8,
+        cache_used: 17,
+        cache_total: 39_117,
+        handles: 1,
+    };
+    assert_golden_json("engine-report.json", &report);
+}
+
+#[test]
+fn given_an_order_to_an_engine_when_sent_then_its_json_is_as_in_the_file() {
+    let order = Order {
+        order: "edition".to_owned(),
+        model: Some("stuvwx04".to_owned()),
+        version: Some(6),
+        method: Some("hold".to_owned()),
+        holder: Some("counter-zone-a-1".to_owned()),
+        fence: Some(9),
+        if_orders_taken: Some(3),
+    };
+    assert_golden_json("engine-order.json", &order);
+    assert_golden_json("engine-order-unconditional.json", &Order { if_orders_taken: None, ..order });
+}
+
+#[test]
+fn given_a_page_of_results_when_sent_then_its_json_is_as_in_the_file() {
+    let result = ItemResult {
+        id: "t1".into(),
+        condition: Condition::Delivered,
+        text: "event 1 of run 7 by version 2".to_owned(),
+        versions: vec![2],
+        grade: Some("i-1.0.00c0ffee".to_owned()),
+    };
+    assert_golden_json("result-page.json", &ResultPage { total: 40, next: 5, results: vec![result] });
+}
+
+#[test]
+fn given_a_named_version_when_sent_then_its_json_is_as_in_the_file() {
+    assert_golden_json("named-version.json", &NamedVersion { model: "stuvwx04".to_owned(), version: 6 });
+}
+
+#[test]
+fn given_data_and_load_of_servers_when_sent_then_their_texts_are_as_in_the_files() {
+    let data = EventData { index: 3, run: RunId(41), version: 6 };
+    let text = assert_golden("event-data.txt", &data.to_string());
+    assert_eq!(text.parse(), Ok(data));
+    assert_golden("server-load.txt", &Load { running: 5, waiting: 2, slots: 8 }.to_string());
+}
