--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -124,7 +124,7 @@
 /// How an item ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Condition {
+pub enum ItemCondition {
     /// Its text is whole.
     Delivered,
     /// It was given up for good.
@@ -137,7 +137,7 @@
     /// The item.
     pub id: ItemId,
     /// How it ended.
-    pub condition: Condition,
+    pub condition: ItemCondition,
     /// The data of all events in order, parted by line feeds.
     pub text: String,
     /// All versions that made an event of the text, ascending.
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -6,8 +6,8 @@
 mod replica;
 mod schedule;
 
-pub use job::{Condition, Item, ItemId, ItemResult, Job, JobError, JobId, RewardRequest};
-pub use log::{Ballot, Entry, HandedIn, Record, StoreId};
-pub use ownership::{Copies, Ownership, Phase};
+pub use job::{Item, ItemCondition, ItemId, ItemResult, Job, JobError, JobId, RewardRequest};
+pub use log::{Ballot, Entry, Record, StoreId, SubmittedJob};
+pub use ownership::{Ownership, OwnershipPhase, ReplicaSet};
 pub use replica::{Replica, ReplicaLog, ReplicaReply, ReplicaRequest};
-pub use schedule::{Candidate, ItemIndex, ItemPhase, JobOrder, Outlook, Precedence, Urgency};
+pub use schedule::{ItemCandidate, ItemIndex, ItemPhase, JobOrder, Outlook, Precedence, Urgency};
--- a/crates/batch/src/log.rs
+++ b/crates/batch/src/log.rs
@@ -41,7 +41,7 @@
 
 /// A batch job as it was handed in.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedIn {
+pub struct SubmittedJob {
     /// The `Host` header.
     pub host: Arc<str>,
     /// The path.
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
     /// The batch job.
-    Job(HandedIn),
+    Job(SubmittedJob),
     /// A result; its position is its rank among the results.
     Result(ItemResult),
     /// The trainer ended the batch job.
--- a/crates/batch/src/ownership.rs
+++ b/crates/batch/src/ownership.rs
@@ -8,7 +8,7 @@
 
 /// How far an ownership is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum OwnershipPhase {
     /// Promises are being collected.
     Claiming,
     /// A majority promised and its log was adopted; entries may be added.
@@ -29,7 +29,7 @@
 
 /// The stores that an ownership asks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Copies {
+pub struct ReplicaSet {
     /// The stores that keep the batch job.
     pub present: Vec<StoreId>,
     /// Those that kept it under the store set before, while that one still counts.
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug)]
 pub struct Ownership {
     ballot: Ballot,
-    copies: Copies,
+    copies: ReplicaSet,
     peers: BTreeMap<StoreId, Peer>,
-    phase: Phase,
+    phase: OwnershipPhase,
     base: Ballot,
     base_length: usize,
     log: Vec<Arc<Entry>>,
@@ -52,7 +52,7 @@
 impl Ownership {
     /// Begins to claim a batch job, of which the claimant itself has this log.
     #[must_use]
-    pub fn claim(ballot: Ballot, copies: Copies, own: Option<&ReplicaLog>) -> Self {
+    pub fn claim(ballot: Ballot, copies: ReplicaSet, own: Option<&ReplicaLog>) -> Self {
         let stores = copies.present.iter().chain(&copies.previous);
         let peers = stores.map(|store| (*store, Peer::default())).collect();
         let own = own.cloned().unwrap_or_default();
@@ -60,7 +60,7 @@
             ballot,
             copies,
             peers,
-            phase: Phase::Claiming,
+            phase: OwnershipPhase::Claiming,
             base: own.accepted,
             base_length: own.entries.len(),
             log: own.entries,
@@ -76,13 +76,13 @@
 
     /// The stores that it asks.
     #[must_use]
-    pub fn copies(&self) -> &Copies {
+    pub fn replicas(&self) -> &ReplicaSet {
         &self.copies
     }
 
     /// How far it is.
     #[must_use]
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> OwnershipPhase {
         self.phase
     }
 
@@ -101,7 +101,7 @@
     /// Whether it leads and everything that earlier owners may have shown is committed again.
     #[must_use]
     pub fn is_established(&self) -> bool {
-        self.phase == Phase::Leading && self.committed >= self.base_length
+        self.phase == OwnershipPhase::Leading && self.committed >= self.base_length
     }
 
     /// Adds entries; they are committed once a majority has them.
@@ -110,7 +110,7 @@
     ///
     /// When it does not lead.
     pub fn append(&mut self, entries: impl IntoIterator<Item = Arc<Entry>>) {
-        assert_eq!(self.phase, Phase::Leading, "only a leading owner adds entries");
+        assert_eq!(self.phase, OwnershipPhase::Leading, "only a leading owner adds entries");
         self.log.extend(entries);
     }
 
@@ -133,10 +133,10 @@
 
     fn request_for(&self, store: StoreId) -> Option<ReplicaRequest> {
         match self.phase {
-            Phase::Lost(_) => None,
-            Phase::Claiming => self.claim_for(store),
-            Phase::Leading if self.is_copy(store) => self.write_for(store),
-            Phase::Leading => self.forget_for(store),
+            OwnershipPhase::Lost(_) => None,
+            OwnershipPhase::Claiming => self.claim_for(store),
+            OwnershipPhase::Leading if self.is_copy(store) => self.write_for(store),
+            OwnershipPhase::Leading => self.forget_for(store),
         }
     }
 
@@ -183,12 +183,12 @@
 
     /// Takes what a store told by the way, for example about a heartbeat that was sent at `sent`.
     pub fn note(&mut self, from: StoreId, reply: ReplicaReply, sent: Duration) {
-        if !self.peers.contains_key(&from) || matches!(self.phase, Phase::Lost(_)) {
+        if !self.peers.contains_key(&from) || matches!(self.phase, OwnershipPhase::Lost(_)) {
             return;
         }
         match reply {
             ReplicaReply::Rejected { promised } if promised > self.ballot => {
-                self.phase = Phase::Lost(promised)
+                self.phase = OwnershipPhase::Lost(promised)
             }
             ReplicaReply::Promised { ballot, accepted, length, from: start, entries }
                 if ballot == self.ballot =>
@@ -221,7 +221,7 @@
         entries: Vec<Arc<Entry>>,
     ) {
         self.learn(from, accepted, length);
-        if self.phase != Phase::Claiming {
+        if self.phase != OwnershipPhase::Claiming {
             return;
         }
         let ahead = (accepted, length) > (self.base, self.base_length);
@@ -238,7 +238,7 @@
         }
         let promised = |store: &StoreId| self.peers[store].promised;
         if is_majority(&self.copies.present, promised) && self.previous_majority(promised) {
-            self.phase = Phase::Leading;
+            self.phase = OwnershipPhase::Leading;
         }
     }
 
@@ -265,7 +265,7 @@
     }
 
     fn commit(&mut self) {
-        if self.phase != Phase::Leading {
+        if self.phase != OwnershipPhase::Leading {
             return;
         }
         let mut lengths: Vec<usize> =
--- a/crates/batch/src/schedule.rs
+++ b/crates/batch/src/schedule.rs
@@ -32,7 +32,7 @@
 
 /// The item that a batch job would start next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Candidate {
+pub struct ItemCandidate {
     /// The item.
     pub index: ItemIndex,
     /// Whether the trainer waits for its group; otherwise it is worth idle capacity only.
@@ -131,7 +131,7 @@
 
     /// Whole groups.
     #[must_use]
-    pub fn whole_groups(&self) -> usize {
+    pub fn complete_groups(&self) -> usize {
         self.whole
     }
 
@@ -143,11 +143,11 @@
 
     /// The item to start next at `now`, if any may start.
     #[must_use]
-    pub fn next(&self, now: Duration) -> Option<Candidate> {
+    pub fn next(&self, now: Duration) -> Option<ItemCandidate> {
         let (ranked, needed) = self.ranked_groups();
         ranked.iter().enumerate().find_map(|(rank, &group)| {
             let index = self.groups[group].next_item(&self.phases, now)?;
-            Some(Candidate { index, needed: rank < needed })
+            Some(ItemCandidate { index, needed: rank < needed })
         })
     }
 
@@ -264,7 +264,7 @@
 impl Precedence {
     /// The precedence of the next item of a batch job with this outlook.
     #[must_use]
-    pub fn new(candidate: Candidate, outlook: Outlook) -> Self {
+    pub fn new(candidate: ItemCandidate, outlook: Outlook) -> Self {
         let urgency = match candidate.needed {
             false => Urgency::Surplus,
             true if outlook.item_finished <= outlook.due + DUE_TOLERANCE => Urgency::InTime,
--- a/crates/batch/tests/golden.rs
+++ b/crates/batch/tests/golden.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use batch::{
-    Ballot, Condition, Entry, HandedIn, Item, ItemResult, Job, JobError, Record, ReplicaReply,
-    ReplicaRequest, RewardRequest,
+    Ballot, Entry, Item, ItemCondition, ItemResult, Job, JobError, Record, ReplicaReply, ReplicaRequest,
+    RewardRequest, SubmittedJob,
 };
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
@@ -47,8 +47,8 @@
     Ballot { epoch: seed, round: 300 + seed, owner: 70_000 + seed, nonce: 0xfeed_0000_0000_0000 + seed }
 }
 
-fn handed_in() -> HandedIn {
-    HandedIn {
+fn handed_in() -> SubmittedJob {
+    SubmittedJob {
         host: "trainer.example".into(),
         path: "/batches/generate".into(),
         body: Bytes::from_static(br#"{"parcels":[{"id":"item-1","lane":"/generate/x"}]}"#),
@@ -59,7 +59,7 @@
 fn delivered_result() -> ItemResult {
     ItemResult {
         id: "item-1".into(),
-        condition: Condition::Delivered,
+        condition: ItemCondition::Delivered,
         text: "first event\nsecond event\n".to_owned(),
         versions: vec![6, 7, 300],
         grade: Some("stamp 0.75".to_owned()),
@@ -69,7 +69,7 @@
 fn undeliverable_result() -> ItemResult {
     ItemResult {
         id: "item-2".into(),
-        condition: Condition::Undeliverable,
+        condition: ItemCondition::Undeliverable,
         text: String::new(),
         versions: Vec::new(),
         grade: None,
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use batch::{Candidate, Item, ItemIndex, ItemPhase, Job, JobOrder, Outlook, Precedence, Urgency};
+use batch::{Item, ItemCandidate, ItemIndex, ItemPhase, Job, JobOrder, Outlook, Precedence, Urgency};
 use yare::parameterized;
 
 const START: Duration = Duration::ZERO;
@@ -31,7 +31,7 @@
 }
 
 /// Starts items at `now` until none may start.
-fn start_all(order: &mut JobOrder, now: Duration) -> Vec<Candidate> {
+fn start_all(order: &mut JobOrder, now: Duration) -> Vec<ItemCandidate> {
     let mut started = Vec::new();
     while let Some(candidate) = order.next(now) {
         order.set_phase(candidate.index, ItemPhase::Streaming);
@@ -40,7 +40,7 @@
     started
 }
 
-fn indices(candidates: &[Candidate]) -> Vec<ItemIndex> {
+fn indices(candidates: &[ItemCandidate]) -> Vec<ItemIndex> {
     candidates.iter().map(|candidate| candidate.index).collect()
 }
 
@@ -85,8 +85,8 @@
 
     list(&mut order, [1]);
 
-    assert_eq!(order.whole_groups(), 1);
-    assert_eq!(order.next(START), Some(Candidate { index: 0, needed: false }));
+    assert_eq!(order.complete_groups(), 1);
+    assert_eq!(order.next(START), Some(ItemCandidate { index: 0, needed: false }));
 }
 
 #[test]
@@ -107,7 +107,7 @@
 
     order.set_phase(7, ItemPhase::Waiting(START));
 
-    assert_eq!(order.next(START), Some(Candidate { index: 7, needed: true }));
+    assert_eq!(order.next(START), Some(ItemCandidate { index: 7, needed: true }));
 }
 
 #[test]
@@ -137,7 +137,7 @@
 
     let started = start_all(&mut order, START);
 
-    assert_eq!(started[0], Candidate { index: 0, needed: true });
+    assert_eq!(started[0], ItemCandidate { index: 0, needed: true });
     assert!(started[1..].iter().all(|candidate| !candidate.needed));
 }
 
@@ -162,7 +162,7 @@
 
     assert_eq!(order.phase(0), ItemPhase::Listed);
     assert!(order.is_finished());
-    assert_eq!(order.whole_groups(), 1);
+    assert_eq!(order.complete_groups(), 1);
 }
 
 #[test]
@@ -186,7 +186,7 @@
     let item_finished = Duration::from_millis(9_500);
     let outlook = Outlook { due: seconds(due), item_finished, ..Outlook::default() };
 
-    let precedence = Precedence::new(Candidate { index: 0, needed }, outlook);
+    let precedence = Precedence::new(ItemCandidate { index: 0, needed }, outlook);
 
     assert_eq!(precedence.urgency, urgency);
 }
@@ -196,7 +196,7 @@
     let precedence = |needed, due, streaming| {
         let outlook =
             Outlook { due: seconds(due), streaming, item_finished: seconds(5), ..Outlook::default() };
-        Precedence::new(Candidate { index: 0, needed }, outlook)
+        Precedence::new(ItemCandidate { index: 0, needed }, outlook)
     };
 
     let mut ranked =
@@ -220,7 +220,7 @@
             all_finished: seconds(all_finished),
             ..Outlook::default()
         };
-        Precedence::new(Candidate { index: 0, needed: true }, outlook)
+        Precedence::new(ItemCandidate { index: 0, needed: true }, outlook)
     };
     let (short, long) = (precedence(12, 40, 3), precedence(8, 160, 6));
     let (late, later) = (precedence(5, 200, 6), precedence(7, 10, 8));
--- a/crates/batch/tests/world/mod.rs
+++ b/crates/batch/tests/world/mod.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use batch::{
-    Ballot, Copies, Entry, HandedIn, JobId, Ownership, Phase, Record, Replica, ReplicaReply, ReplicaRequest,
-    StoreId,
+    Ballot, Entry, JobId, Ownership, OwnershipPhase, Record, Replica, ReplicaReply, ReplicaRequest,
+    ReplicaSet, StoreId, SubmittedJob,
 };
 use bytes::Bytes;
 use fastrand::Rng;
@@ -196,7 +196,7 @@
             return Ok(());
         };
         let copies =
-            Copies { present: machine.view.present.clone(), previous: machine.view.previous.clone() };
+            ReplicaSet { present: machine.view.present.clone(), previous: machine.view.previous.clone() };
         machine.owner = Some(Ownership::claim(ballot, copies, log));
         if !self.ballots.insert(ballot) {
             return Err(Violation::SameBallot(ballot));
@@ -208,11 +208,11 @@
         self.next_entry += 1;
         let number = self.next_entry;
         let Some(owner) = self.machines[index].owner.as_mut() else { return };
-        if owner.phase() != Phase::Leading {
+        if owner.phase() != OwnershipPhase::Leading {
             return;
         }
         let body = Bytes::from(number.to_string());
-        let handed_in = HandedIn { host: "host".into(), path: "/path".into(), body, total: 1 };
+        let handed_in = SubmittedJob { host: "host".into(), path: "/path".into(), body, total: 1 };
         owner.append([Arc::new(Entry::Job(handed_in))]);
     }
 
@@ -338,7 +338,7 @@
         if owner.committed().is_empty() {
             return;
         }
-        for to in owner.copies().present.clone() {
+        for to in owner.replicas().present.clone() {
             self.network.push(Message::Settled { to, ballot: owner.ballot() });
         }
     }
@@ -434,7 +434,7 @@
     }
 
     fn leads(&self) -> bool {
-        self.owner.as_ref().is_some_and(|owner| owner.phase() == Phase::Leading)
+        self.owner.as_ref().is_some_and(|owner| owner.phase() == OwnershipPhase::Leading)
     }
 
     fn has_moved(&self, job: &JobId, epoch: u64) -> bool {
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -12,8 +12,8 @@
 };
 use crate::error::ConfigurationError;
 use crate::host;
-use crate::route::{Kind, Route, Target};
-use crate::service::{Engine, Limits, Service};
+use crate::route::{Route, RouteKind, Target};
+use crate::service::{ConfigurationLimits, Engine, Service};
 
 /// Held no longer than this where a route has no time-out.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -28,7 +28,7 @@
     edition: u64,
     routes: Vec<Arc<Route>>,
     services: HashMap<Arc<str>, Arc<Service>>,
-    limits: Limits,
+    limits: ConfigurationLimits,
     /// The routes of a host, longest prefix first.
     by_host: HashMap<Arc<str>, Vec<Arc<Route>>>,
 }
@@ -44,7 +44,7 @@
         let services = compile_services(document.services)?;
         let routes = compile_routes(document.routes, &services)?;
         let by_host = index_by_host(&routes)?;
-        let limits = document.limits.map_or_else(Limits::default, compile_limits);
+        let limits = document.limits.map_or_else(ConfigurationLimits::default, compile_limits);
         Ok(Self { edition: document.edition, routes, services, limits, by_host })
     }
 
@@ -73,7 +73,7 @@
 
     /// What a client may send.
     #[must_use]
-    pub fn limits(&self) -> &Limits {
+    pub fn limits(&self) -> &ConfigurationLimits {
         &self.limits
     }
 
@@ -153,9 +153,9 @@
     }
 }
 
-fn compile_limits(document: LimitsDocument) -> Limits {
-    let default = Limits::default();
-    Limits {
+fn compile_limits(document: LimitsDocument) -> ConfigurationLimits {
+    let default = ConfigurationLimits::default();
+    ConfigurationLimits {
         head_bytes: whole(document.head_bytes).unwrap_or(default.head_bytes),
         body_bytes: whole(document.body_bytes).unwrap_or(default.body_bytes),
         head_timeout: duration(document.head_timeout).unwrap_or(default.head_timeout),
@@ -201,17 +201,17 @@
         name: document.name.into(),
         host: host::normalize(&document.host).into(),
         prefix: document.prefix.into(),
-        kind: Kind::from_word(&document.kind),
+        kind: RouteKind::from_keyword(&document.kind),
         timeout,
-        aim: duration(document.aim).unwrap_or(timeout),
+        latency_target: duration(document.aim).unwrap_or(timeout),
         urgency: document.urgency.map_or(0, |Count(count)| count),
         targets,
-        tries: document.tries.map_or(DEFAULT_TRIES, |Count(count)| count.max(1)),
+        max_attempts: document.tries.map_or(DEFAULT_TRIES, |Count(count)| count.max(1)),
         resume: document.resume.0,
         single_version: document.single_version.0,
         delivery_due: duration(document.delivery_due),
         shelf_life: document.shelf_life.map(|figure| figure.0),
-        same_server: document.same_server.0,
+        prefix_affinity: document.same_server.0,
     })
 }
 
@@ -230,7 +230,7 @@
         .into_iter()
         .map(|target| compile_target(route, &target, services))
         .collect::<Result<Vec<_>, _>>()?;
-    if targets.iter().all(|target| target.share == 0) {
+    if targets.iter().all(|target| target.weight == 0) {
         return Err(ConfigurationError::NoWeight { route: route.to_owned() });
     }
     Ok(targets)
@@ -254,7 +254,7 @@
             service: target.service.clone(),
         });
     };
-    Ok(Target { service: Arc::clone(service), share: target.share.0 })
+    Ok(Target { service: Arc::clone(service), weight: target.share.0 })
 }
 
 fn index_by_host(routes: &[Arc<Route>]) -> Result<HashMap<Arc<str>, Vec<Arc<Route>>>, ConfigurationError> {
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -15,5 +15,5 @@
 pub use change::{patch, replace};
 pub use compile::Configuration;
 pub use error::ConfigurationError;
-pub use route::{Kind, Route, Target};
-pub use service::{Engine, Limits, Service};
+pub use route::{Route, RouteKind, Target};
+pub use service::{ConfigurationLimits, Engine, Service};
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -5,7 +5,7 @@
 
 /// What may be repeated, and how the answer comes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// Requests may run more than once.
     Safe,
     /// Requests run at most once for each try.
@@ -20,10 +20,10 @@
     Other(Arc<str>),
 }
 
-impl Kind {
+impl RouteKind {
     /// The kind that the operator's word names.
     #[must_use]
-    pub fn from_word(word: &str) -> Self {
+    pub fn from_keyword(word: &str) -> Self {
         match word {
             "safe" => Self::Safe,
             "unsafe" => Self::Unsafe,
@@ -47,7 +47,7 @@
     /// The service's name.
     pub service: Arc<str>,
     /// Its weight among the targets; the weights of a route add up to more than 0.
-    pub share: u32,
+    pub weight: u32,
 }
 
 /// A route.
@@ -60,17 +60,17 @@
     /// How the paths of its requests begin.
     pub prefix: Arc<str>,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The longest time that a try is held.
     pub timeout: Duration,
     /// The time within which an answer earns its full worth.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Its rank; 0 is highest.
     pub urgency: u32,
     /// Where its requests go.
     pub targets: Vec<Target>,
     /// The most servers that one try may go to.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// Whether a stream may be taken up again after a cut.
     pub resume: bool,
     /// Whether one weight version has to make the whole text of a result.
@@ -80,19 +80,19 @@
     /// How long after the first send of a batch job its items may be given up.
     pub shelf_life: Option<Duration>,
     /// Whether requests that share parts of their prompt gain from the same server.
-    pub same_server: bool,
+    pub prefix_affinity: bool,
 }
 
 impl Route {
     /// Whether a request of this route may run more than once.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
-        self.kind == Kind::Safe || (self.kind == Kind::Stream && self.resume)
+        self.kind == RouteKind::Safe || (self.kind == RouteKind::Stream && self.resume)
     }
 
     /// Whether the route may send requests to the service.
     #[must_use]
     pub fn allows(&self, service: &str) -> bool {
-        self.targets.iter().any(|target| target.share > 0 && &*target.service == service)
+        self.targets.iter().any(|target| target.weight > 0 && &*target.service == service)
     }
 }
--- a/crates/configuration/src/service.rs
+++ b/crates/configuration/src/service.rs
@@ -35,7 +35,7 @@
 
 /// What a client may send, and how long it may take.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct ConfigurationLimits {
     /// Largest head of a request.
     pub head_bytes: u64,
     /// Largest body of a request.
@@ -46,7 +46,7 @@
     pub idle: Duration,
 }
 
-impl Default for Limits {
+impl Default for ConfigurationLimits {
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
--- a/crates/configuration/tests/golden.rs
+++ b/crates/configuration/tests/golden.rs
@@ -33,7 +33,7 @@
 
 fn render_route(route: &Route) -> String {
     let split: Vec<(&str, u32)> =
-        route.targets.iter().map(|target| (&*target.service, target.share)).collect();
+        route.targets.iter().map(|target| (&*target.service, target.weight)).collect();
     render! {
         "route" => route.name,
         "depot" => route.host,
@@ -42,15 +42,15 @@
         "kind takes batch jobs" => route.kind.takes_batch_jobs(),
         "idempotent" => route.is_idempotent(),
         "expiryMs" => route.timeout,
-        "dueMs" => route.aim,
+        "dueMs" => route.latency_target,
         "urgency" => route.urgency,
         "split" => split,
-        "tries" => route.tries,
+        "tries" => route.max_attempts,
         "resume" => route.resume,
         "singleEdition" => route.single_version,
         "deliveryDueMs" => route.delivery_due,
         "shelfLifeS" => route.shelf_life,
-        "sameCarrier" => route.same_server,
+        "sameCarrier" => route.prefix_affinity,
     }
 }
 
--- a/crates/configuration/tests/parse.rs
+++ b/crates/configuration/tests/parse.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::DOCUMENT;
-use configuration::{Configuration, ConfigurationError, Kind};
+use configuration::{Configuration, ConfigurationError, RouteKind};
 use yare::parameterized;
 
 fn document() -> Configuration {
@@ -21,13 +21,13 @@
     let configuration = document();
     assert_eq!(configuration.edition(), 7);
     let first = &configuration.routes()[0];
-    assert_eq!(first.kind, Kind::Safe);
+    assert_eq!(first.kind, RouteKind::Safe);
     assert_eq!(first.timeout, Duration::from_millis(1500));
-    assert_eq!(first.aim, Duration::from_millis(150));
-    assert_eq!((first.urgency, first.tries), (2, 2));
-    let shares: Vec<u32> = first.targets.iter().map(|target| target.share).collect();
+    assert_eq!(first.latency_target, Duration::from_millis(150));
+    assert_eq!((first.urgency, first.max_attempts), (2, 2));
+    let shares: Vec<u32> = first.targets.iter().map(|target| target.weight).collect();
     assert_eq!(shares, [90, 10]);
-    assert_eq!(configuration.routes()[1].aim, Duration::from_micros(150_500));
+    assert_eq!(configuration.routes()[1].latency_target, Duration::from_micros(150_500));
     let service = configuration.service("huvo11a").expect("it is in the document");
     assert_eq!(service.connections_most, Some(150));
     let engine = service.engine.as_ref().expect("it has an engine");
@@ -132,15 +132,15 @@
 }
 
 #[parameterized(
-    rollout = { "rollout", Kind::Rollout, false, true },
-    batch = { "batch", Kind::Batch, false, true },
-    plain_stream = { "stream", Kind::Stream, false, false },
-    unsafe_kind = { "unsafe", Kind::Unsafe, false, false },
-    new_word = { "novel", Kind::Other("novel".into()), false, false },
+    rollout = { "rollout", RouteKind::Rollout, false, true },
+    batch = { "batch", RouteKind::Batch, false, true },
+    plain_stream = { "stream", RouteKind::Stream, false, false },
+    unsafe_kind = { "unsafe", RouteKind::Unsafe, false, false },
+    new_word = { "novel", RouteKind::Other("novel".into()), false, false },
 )]
 fn given_a_kind_when_parsed_then_its_word_is_kept(
     word: &str,
-    kind: Kind,
+    kind: RouteKind,
     idempotent: bool,
     takes_jobs: bool,
 ) {
@@ -158,11 +158,11 @@
     let text = DOCUMENT.replacen(r#""tries":2"#, marks, 1);
     let configuration = Configuration::parse(text.as_bytes()).expect("valid");
     let route = &configuration.routes()[0];
-    assert!(route.resume && route.single_version && route.same_server);
+    assert!(route.resume && route.single_version && route.prefix_affinity);
     assert_eq!(route.delivery_due, Some(Duration::from_millis(9600)));
     assert_eq!(route.shelf_life, Some(Duration::from_secs(40)));
     let other = &configuration.routes()[1];
-    assert!(!other.resume && !other.single_version && !other.same_server);
+    assert!(!other.resume && !other.single_version && !other.prefix_affinity);
 }
 
 #[test]
@@ -171,8 +171,8 @@
     let configuration = Configuration::parse(text.as_bytes()).expect("valid");
     let route = configuration.route("h", "/p/x").expect("it matches");
     assert!(route.timeout > Duration::ZERO);
-    assert_eq!(route.aim, route.timeout);
-    assert_eq!(route.tries, 1);
+    assert_eq!(route.latency_target, route.timeout);
+    assert_eq!(route.max_attempts, 1);
     assert!(route.allows("s"));
     assert!(configuration.limits().head_bytes > 0);
 }
--- a/crates/control-plane/src/acceptor.rs
+++ b/crates/control-plane/src/acceptor.rs
@@ -6,7 +6,7 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use register::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Confirmation, Incarnation, Member,
-    Outcome, Verdict, Versioned,
+    ReplyOutcome, Verdict, Versioned,
 };
 use serde::{Deserialize, Serialize};
 use state::ControlState;
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use crate::messages::paths;
-use crate::{Contacts, Proposer, ViewCell};
+use crate::{AcceptorContacts, Proposer, ViewCell};
 
 /// How often the newest value is confirmed with a majority.
 const CONFIRM_EVERY: Duration = Duration::from_millis(400);
@@ -93,7 +93,7 @@
             let (accepted, committed) = (inner.durable.accepted.clone(), inner.durable.committed.clone());
             return Some(AcceptorReply {
                 incarnation: self.incarnation,
-                outcome: Outcome::Current { accepted, committed },
+                outcome: ReplyOutcome::Current { accepted, committed },
             });
         }
         self.carry_out(|acceptor| acceptor.handle(request)).await
@@ -232,9 +232,9 @@
 }
 
 /// Only the acceptor itself counts, not another disk at its address.
-fn note_contact(contacts: &Contacts, member: &Member, reply: &AcceptorReply<ControlState>) {
+fn note_contact(contacts: &AcceptorContacts, member: &Member, reply: &AcceptorReply<ControlState>) {
     if reply.incarnation == member.incarnation {
-        contacts.heard(member.incarnation);
+        contacts.record_contact(member.incarnation);
     }
 }
 
--- a/crates/control-plane/src/acceptor_membership.rs
+++ b/crates/control-plane/src/acceptor_membership.rs
@@ -83,7 +83,7 @@
         }
         let deadline = Instant::now() + LEAVE_TIMEOUT;
         match proposer.change(deadline, |state| without_acceptor(state, member, standby)).await {
-            Ok(_) => log::info!("left the register to {}", standby.station),
+            Ok(_) => log::info!("left the register to {}", standby.name),
             Err(_) => log::warn!("has not left the register: a standby takes its place when it is silent"),
         }
         return;
--- a/crates/control-plane/src/bootstrap.rs
+++ b/crates/control-plane/src/bootstrap.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures_util::future::join_all;
-use register::{AcceptorReply, AcceptorRequest, Ballot, Member, Outcome, Versioned};
+use register::{AcceptorReply, AcceptorRequest, Ballot, Member, ReplyOutcome, Versioned};
 use state::change::{choose_first, first_state, with_store, without_store};
 use state::{ControlState, StoreMember};
 use tokio::time::Instant;
@@ -49,7 +49,7 @@
     /// Notes an announcement.
     pub fn announce(&self, announcement: Announcement) {
         let mut announced = self.announced.lock().unwrap_or_else(PoisonError::into_inner);
-        announced.insert(announcement.member.station.clone(), announcement);
+        announced.insert(announcement.member.name.clone(), announcement);
     }
 
     /// The first value, made of everyone announced so far.
@@ -137,7 +137,7 @@
     let reply: Result<AcceptorReply<ControlState>, _> =
         client.call(&member.address, paths::REGISTER, &request, CALL_TIMEOUT).await;
     match reply.ok()?.outcome {
-        Outcome::Current { accepted, .. } => Some(accepted),
+        ReplyOutcome::Current { accepted, .. } => Some(accepted),
         _ => None,
     }
 }
@@ -149,7 +149,7 @@
     first: &Versioned<ControlState>,
 ) -> Option<Versioned<ControlState>> {
     let stands = client.call(&member.address, paths::FIRST, first, CALL_TIMEOUT).await;
-    stands.inspect_err(|error| log::info!("{} has not taken the first value: {error}", member.station)).ok()
+    stands.inspect_err(|error| log::info!("{} has not taken the first value: {error}", member.name)).ok()
 }
 
 /// Makes this machine a member of the store set whenever it is none, unless the operator has it emptied.
--- a/crates/control-plane/src/contacts.rs
+++ b/crates/control-plane/src/contacts.rs
@@ -13,17 +13,17 @@
 
 /// When each acceptor answered last, as noted by the rounds of the scrub.
 #[derive(Default)]
-pub struct Contacts {
+pub struct AcceptorContacts {
     known: Mutex<Known>,
 }
 
 #[derive(Default)]
 struct Known {
     last_round: Option<Instant>,
-    heard: BTreeMap<Incarnation, Instant>,
+    record_contact: BTreeMap<Incarnation, Instant>,
 }
 
-impl Contacts {
+impl AcceptorContacts {
     /// Begins a round in which all of these acceptors are asked.
     pub fn begin_round(&self, acceptors: &[Member]) {
         let now = Instant::now();
@@ -31,29 +31,29 @@
         let was_interrupted = known.last_round.is_some_and(|last| now - last > INTERRUPTED_AFTER);
         known.last_round = Some(now);
         if was_interrupted {
-            known.heard.clear();
+            known.record_contact.clear();
         }
-        known.heard.retain(|heard, _| acceptors.iter().any(|member| member.incarnation == *heard));
+        known.record_contact.retain(|heard, _| acceptors.iter().any(|member| member.incarnation == *heard));
         for member in acceptors {
-            known.heard.entry(member.incarnation).or_insert(now);
+            known.record_contact.entry(member.incarnation).or_insert(now);
         }
     }
 
     /// Notes that an acceptor has answered.
-    pub fn heard(&self, acceptor: Incarnation) {
-        if let Some(last) = self.lock().heard.get_mut(&acceptor) {
+    pub fn record_contact(&self, acceptor: Incarnation) {
+        if let Some(last) = self.lock().record_contact.get_mut(&acceptor) {
             *last = Instant::now();
         }
     }
 
     /// The acceptors that have been silent for this long; none while the rounds themselves are interrupted.
     #[must_use]
-    pub fn silent_for(&self, silence: Duration) -> Vec<Incarnation> {
+    pub fn unresponsive_for(&self, silence: Duration) -> Vec<Incarnation> {
         let known = self.lock();
         if known.last_round.is_none_or(|last| last.elapsed() > INTERRUPTED_AFTER) {
             return Vec::new();
         }
-        let silent = known.heard.iter().filter(|(_, heard)| heard.elapsed() >= silence);
+        let silent = known.record_contact.iter().filter(|(_, heard)| heard.elapsed() >= silence);
         silent.map(|(acceptor, _)| *acceptor).collect()
     }
 
--- a/crates/control-plane/src/control_updates.rs
+++ b/crates/control-plane/src/control_updates.rs
@@ -5,7 +5,7 @@
 
 use register::Versioned;
 use serde::{Deserialize, Serialize};
-use state::{ControlState, Document, TakenChange, TAKEN_KEPT};
+use state::{AppliedChange, ControlState, Document, MAX_APPLIED_CHANGES};
 
 /// A newer committed value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,12 +26,12 @@
 /// The changes that were taken: all, or those since the version that the receiver holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum TakenPart {
-    Whole(VecDeque<TakenChange>),
-    Since { edition: u64, changes: Vec<TakenChange> },
+    Whole(VecDeque<AppliedChange>),
+    Since { edition: u64, changes: Vec<AppliedChange> },
 }
 
 impl TakenPart {
-    fn new(taken: VecDeque<TakenChange>, edition_held: u64) -> Self {
+    fn new(taken: VecDeque<AppliedChange>, edition_held: u64) -> Self {
         match taken.iter().position(|change| change.edition == edition_held) {
             Some(held) => {
                 Self::Since { edition: edition_held, changes: taken.into_iter().skip(held + 1).collect() }
@@ -40,13 +40,13 @@
         }
     }
 
-    fn apply(self, held: &ControlState) -> Option<VecDeque<TakenChange>> {
+    fn apply(self, held: &ControlState) -> Option<VecDeque<AppliedChange>> {
         match self {
             Self::Whole(taken) => Some(taken),
             Self::Since { edition, changes } if held.edition == edition => {
-                let mut taken = held.taken.clone();
+                let mut taken = held.applied_changes.clone();
                 taken.extend(changes);
-                let surplus = taken.len().saturating_sub(TAKEN_KEPT);
+                let surplus = taken.len().saturating_sub(MAX_APPLIED_CHANGES);
                 taken.drain(..surplus);
                 Some(taken)
             }
@@ -61,7 +61,7 @@
     pub fn new(newest: &Versioned<ControlState>, edition_held: u64) -> Self {
         let mut state = ControlState::clone(&newest.value);
         let configuration = std::mem::take(&mut state.configuration);
-        let taken = TakenPart::new(std::mem::take(&mut state.taken), edition_held);
+        let taken = TakenPart::new(std::mem::take(&mut state.applied_changes), edition_held);
         let part = ConfigurationPart { configuration, taken };
         let is_held = state.edition == edition_held;
         let rest = Versioned { value: Arc::new(state), ..newest.clone() };
@@ -75,11 +75,11 @@
         match self.configuration {
             Some(part) => {
                 state.configuration = part.configuration;
-                state.taken = part.taken.apply(held)?;
+                state.applied_changes = part.taken.apply(held)?;
             }
             None if held.edition == state.edition => {
                 state.configuration.clone_from(&held.configuration);
-                state.taken.clone_from(&held.taken);
+                state.applied_changes.clone_from(&held.applied_changes);
             }
             None => return None,
         }
--- a/crates/control-plane/src/core_service.rs
+++ b/crates/control-plane/src/core_service.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lease::{Grantor, GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
-use register::{AcceptorReply, AcceptorRequest, Incarnation, Outcome, Versioned};
+use register::{AcceptorReply, AcceptorRequest, Incarnation, ReplyOutcome, Versioned};
 use state::ControlState;
 use tokio::time::Instant;
 
@@ -63,7 +63,7 @@
         let reply = self.acceptor.handle(request).await?;
         // Of a value that was rejected nothing may be noted: it may never be committed, and candidates would be refused
         // for not knowing it.
-        if let Some(accepted) = proposed.filter(|_| matches!(reply.outcome, Outcome::Accepted)) {
+        if let Some(accepted) = proposed.filter(|_| matches!(reply.outcome, ReplyOutcome::Accepted)) {
             self.observe(&accepted);
         }
         Some(reply)
--- a/crates/control-plane/src/distribution.rs
+++ b/crates/control-plane/src/distribution.rs
@@ -10,7 +10,7 @@
 
 use crate::messages::{PingReply, PollReply, PollRequest};
 use crate::server_updates::RecentLists;
-use crate::{Contacts, ControlUpdate, ViewCell};
+use crate::{AcceptorContacts, ControlUpdate, ViewCell};
 
 /// The longest that a poll is held.
 const HOLD_MOST: Duration = Duration::from_millis(1000);
@@ -20,7 +20,7 @@
     view: Arc<ViewCell>,
     settled_epoch: AtomicU64,
     incarnation: OnceLock<Incarnation>,
-    contacts: Arc<Contacts>,
+    contacts: Arc<AcceptorContacts>,
     silence: Duration,
     started: Instant,
     steady_after: Duration,
@@ -34,7 +34,7 @@
     #[must_use]
     pub fn new(
         view: Arc<ViewCell>,
-        contacts: Arc<Contacts>,
+        contacts: Arc<AcceptorContacts>,
         silence: Duration,
         steady_after: Duration,
     ) -> Arc<Self> {
@@ -57,7 +57,7 @@
     }
 
     /// Tells how far this process has moved its batch jobs; until then it has moved none.
-    pub fn set_settled_epoch(&self, epoch: u64) {
+    pub fn set_committed_epoch(&self, epoch: u64) {
         self.settled_epoch.store(epoch, Ordering::Relaxed);
     }
 
@@ -71,7 +71,7 @@
     pub fn ping(&self) -> PingReply {
         let settled_epoch = self.settled_epoch.load(Ordering::Relaxed);
         let knows_control = self.view.committed().is_some();
-        let silent = self.contacts.silent_for(self.silence);
+        let silent = self.contacts.unresponsive_for(self.silence);
         let is_steady =
             self.started.elapsed() >= self.steady_after && !self.is_leaving.load(Ordering::Relaxed);
         let incarnation = self.incarnation.get().copied();
--- a/crates/control-plane/src/introductions.rs
+++ b/crates/control-plane/src/introductions.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::messages::{paths, Introduction};
+use crate::messages::{paths, GossipMessage};
 use crate::ViewCell;
 
 /// How long a call may take.
@@ -31,7 +31,7 @@
 /// ... and of any other process.
 const REPEAT_OTHER: Duration = Duration::from_secs(5);
 
-impl Introduction {
+impl GossipMessage {
     /// Introduces the acceptors of a state.
     pub(crate) fn of(state: &ControlState) -> Self {
         let acceptors = state.acceptors.iter().map(|member| member.address.clone()).collect();
@@ -41,13 +41,13 @@
 
 /// The newest acceptors that others have introduced to this process.
 #[derive(Default)]
-pub struct Introductions {
-    newest: Mutex<Introduction>,
+pub struct AcceptorGossip {
+    newest: Mutex<GossipMessage>,
 }
 
-impl Introductions {
+impl AcceptorGossip {
     /// Takes note of an introduction, unless a newer one is known.
-    pub fn receive(&self, introduction: Introduction) {
+    pub fn receive(&self, introduction: GossipMessage) {
         let mut newest = self.lock();
         if introduction.revision >= newest.revision {
             *newest = introduction;
@@ -60,13 +60,13 @@
         self.lock().acceptors.clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Introduction> {
+    fn lock(&self) -> MutexGuard<'_, GossipMessage> {
         self.newest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Introduces the acceptors to the process at an address; tells whether it was told.
-pub(crate) async fn introduce(client: &rpc::Client, address: &str, introduction: &Introduction) -> bool {
+pub(crate) async fn introduce(client: &rpc::Client, address: &str, introduction: &GossipMessage) -> bool {
     let told: Result<(), _> = client.call(address, paths::INTRODUCE, introduction, CALL_TIMEOUT).await;
     told.is_ok()
 }
@@ -119,7 +119,7 @@
 }
 
 /// Introduces the acceptors to the seeds, for as long as the process runs.
-pub async fn run_introductions(
+pub async fn run_acceptor_gossip(
     view: Arc<ViewCell>,
     client: rpc::Client,
     mut seeds: watch::Receiver<Vec<String>>,
@@ -133,7 +133,7 @@
             schedule = Schedule::begin(&seeds.borrow_and_update(), &this_address);
         }
         if let Some(known) = view.committed() {
-            let introduction = Introduction::of(&known.value);
+            let introduction = GossipMessage::of(&known.value);
             let due = schedule.due(repeat_every);
             let told = join_all(due.iter().map(|seed| introduce(&client, seed, &introduction))).await;
             due.iter().zip(told).for_each(|(seed, was_told)| schedule.note(seed, was_told));
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -5,9 +5,9 @@
 
 use futures_util::future::join_all;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use lease::{Action, Candidate, GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
+use lease::{Candidate, CandidateAction, GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
 use register::{Member, Versioned};
-use state::change::{may_order_at_once, with_fence, with_order_holder, HeldLease, Superseded};
+use state::change::{may_issue_orders_immediately, with_fence, with_order_issuer, LeaderLease, Superseded};
 use state::ControlState;
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
@@ -43,7 +43,7 @@
 pub struct Leadership {
     began: Instant,
     view: Arc<ViewCell>,
-    held: Mutex<Option<HeldLease>>,
+    held: Mutex<Option<LeaderLease>>,
     stage: watch::Sender<Stage>,
     may_order: Notify,
 }
@@ -119,11 +119,11 @@
         self.began.elapsed()
     }
 
-    fn held(&self) -> Option<HeldLease> {
+    fn held(&self) -> Option<LeaderLease> {
         *self.lock()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Option<HeldLease>> {
+    fn lock(&self) -> MutexGuard<'_, Option<LeaderLease>> {
         self.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -159,11 +159,11 @@
             continue;
         }
         match candidate.next_action(began.elapsed()) {
-            Action::Wait(until) => {
+            CandidateAction::Wait(until) => {
                 let now = began.elapsed();
                 let order_wait = leadership
                     .held()
-                    .and_then(|held| held.order_holder_due_later(now).or_else(|| held.orders_due_later(now)));
+                    .and_then(|held| held.order_issuer_due_at(now).or_else(|| held.orders_allowed_at(now)));
                 let wake = order_wait.map_or(until, |end| end.min(until));
                 let wait = wake.saturating_sub(began.elapsed()).max(WAIT_LEAST);
                 // A change of the stage is seen at the head of the loop.
@@ -173,18 +173,18 @@
                     leadership.announce_orders();
                 }
             }
-            Action::GiveUp => give_up(&mut candidate, began, &view, &client).await,
-            Action::Ask => {
+            CandidateAction::GiveUp => give_up(&mut candidate, began, &view, &client).await,
+            CandidateAction::Ask => {
                 let control = Arc::clone(&view.view().control);
-                if !control.acceptors.iter().any(|member| member.station == station) {
+                if !control.acceptors.iter().any(|member| member.name == station) {
                     tokio::time::sleep(LEASE_TTL / 4).await;
                     continue;
                 }
                 // A station that may send orders at once saves the servers the wait between two holders.
-                candidate.set_defers(!may_order_at_once(&control, &station));
+                candidate.set_defers(!may_issue_orders_immediately(&control, &station));
                 candidate.set_first_grantors(control.has_first_acceptors());
                 ask_all(&mut candidate, began, &control, &client).await;
-                let until = candidate.held_until();
+                let until = candidate.expires_at();
                 if candidate.holds(began.elapsed()) {
                     let winner = Winner { station: &station, proposer: &proposer, client: &client, gap };
                     winner.hold(&leadership, until).await;
@@ -198,7 +198,7 @@
 /// One round at all acceptors; ends as soon as the lease is won or the round is lost.
 async fn ask_all(candidate: &mut Candidate, began: Instant, control: &ControlState, client: &rpc::Client) {
     let acceptors = &control.acceptors;
-    let held_before = candidate.held_until();
+    let held_before = candidate.expires_at();
     let request = candidate.begin(began.elapsed(), control.revision, &grantors_of(control));
     let mut calls: FuturesUnordered<_> =
         acceptors.iter().map(|member| ask(client, member.clone(), request.clone())).collect();
@@ -206,7 +206,7 @@
         if let Some(reply) = reply {
             candidate.on_reply(request.term, GrantorId(member.incarnation.0), &reply);
         }
-        if candidate.held_until() > held_before {
+        if candidate.expires_at() > held_before {
             return;
         }
     }
@@ -256,14 +256,14 @@
         let Some(value) = raise_fence(leadership, until, self.proposer, self.station).await else { return };
         let wait = self.wait_before_orders(&value.value).await;
         log::info!("leads with fencing token {}, orders after {} ms", value.value.fence, wait.as_millis());
-        let won = HeldLease::won(&value.value, self.station, leadership.now(), until, wait, ORDER_TIMEOUT);
+        let won = LeaderLease::won(&value.value, self.station, leadership.now(), until, wait, ORDER_TIMEOUT);
         *leadership.lock() = Some(earlier.map_or(won, |earlier| won.following(earlier)));
         leadership.announce_orders();
     }
 
     /// How long this holder of the lease must wait before it sends orders.
     async fn wait_before_orders(&self, state: &ControlState) -> Duration {
-        let is_free = may_order_at_once(state, self.station)
+        let is_free = may_issue_orders_immediately(state, self.station)
             || self.gap.fence_checked && self.is_former_out(state).await;
         if is_free {
             Duration::ZERO
@@ -274,9 +274,9 @@
 
     /// Whether the process that last was free to send orders does not answer, or does not run undisturbed.
     async fn is_former_out(&self, state: &ControlState) -> bool {
-        let Some(former) = &state.order_holder else { return true };
+        let Some(former) = &state.order_issuer else { return true };
         let mut members = state.acceptors.iter().chain(&state.standbys);
-        let Some(member) = members.find(|member| member.station == *former) else { return true };
+        let Some(member) = members.find(|member| member.name == *former) else { return true };
         let reply = ping_address(self.client, member, FORMER_TIMEOUT).await;
         !reply.is_some_and(|reply| reply.is_steady)
     }
@@ -308,12 +308,12 @@
 /// Once the time between two holders is over, notes in the register that this station sends orders. Only then does
 /// it send any, so that a later holder knows whether it must wait for this one.
 async fn note_order_holder(leadership: &Leadership, proposer: &Proposer, station: &str) {
-    let due = leadership.held().and_then(|held| held.order_holder_due(leadership.now()));
+    let due = leadership.held().and_then(|held| held.order_issuer_due(leadership.now()));
     let Some(fence) = due else { return };
-    let note = |state: &ControlState| with_order_holder(state, station, fence);
+    let note = |state: &ControlState| with_order_issuer(state, station, fence);
     if proposer.change(Instant::now() + FENCE_TIMEOUT, note).await.is_ok() {
         if let Some(held) = leadership.lock().as_mut() {
-            held.note_order_holder(fence);
+            held.record_order_issuer(fence);
         }
         leadership.announce_orders();
     }
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -54,7 +54,7 @@
 
 /// Tells a process where the acceptors are.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Introduction {
+pub struct GossipMessage {
     /// The revision of the control state that names them.
     pub revision: u64,
     /// Their internal addresses.
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -7,7 +7,9 @@
 use poem::web::{Data, Json, Path};
 use poem::{get, handler, post, Body, EndpointExt, Request, Response, Route};
 use serde::{Deserialize, Serialize};
-use state::change::{change_digest, with_configuration, with_draining, with_version, ChangeKind, Declined};
+use state::change::{
+    change_digest, with_configuration, with_draining, with_version, ChangeKind, ChangeRejected,
+};
 use state::{ControlState, DrainState};
 use tokio::time::Instant;
 
@@ -141,22 +143,22 @@
     poem::IntoResponse::into_response(Json(RetireReply { condition }))
 }
 
-fn decline(declined: &Declined) -> Response {
+fn decline(declined: &ChangeRejected) -> Response {
     match declined {
-        Declined::AlreadyTaken | Declined::Unchanged => StatusCode::OK.into(),
-        Declined::OtherVersion(current) => {
+        ChangeRejected::AlreadyTaken | ChangeRejected::Unchanged => StatusCode::OK.into(),
+        ChangeRejected::OtherVersion(current) => {
             failure(StatusCode::PRECONDITION_FAILED, &format!("version {current} is in place"))
         }
-        Declined::TooOld => failure(
+        ChangeRejected::TooOld => failure(
             StatusCode::SERVICE_UNAVAILABLE,
             "it builds on a version so old that it cannot be told whether it was taken",
         ),
-        Declined::Unreadable => {
+        ChangeRejected::Unreadable => {
             failure(StatusCode::SERVICE_UNAVAILABLE, "the present configuration cannot be read here")
         }
-        Declined::Invalid(error) => failure(StatusCode::BAD_REQUEST, &error.to_string()),
-        Declined::Unknown => failure(StatusCode::NOT_FOUND, "no such store machine"),
-        Declined::TooFew => failure(StatusCode::CONFLICT, "too few store machines would be left"),
+        ChangeRejected::Invalid(error) => failure(StatusCode::BAD_REQUEST, &error.to_string()),
+        ChangeRejected::Unknown => failure(StatusCode::NOT_FOUND, "no such store machine"),
+        ChangeRejected::TooFew => failure(StatusCode::CONFLICT, "too few store machines would be left"),
     }
 }
 
--- a/crates/control-plane/src/order_desk.rs
+++ b/crates/control-plane/src/order_desk.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use rollout::{Action, Answer, Pacing, Planner, Report, ServerId};
+use rollout::{OrderReply, Pacing, Planner, RolloutAction, ServerId, ServerReport};
 
 /// What came of a call.
 #[derive(Clone, Debug)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// An order was answered, or had no clear answer.
-    Answered(ServerId, Answer),
+    Answered(ServerId, OrderReply),
     /// A server gave its report.
-    Reported(ServerId, Box<Report>),
+    Reported(ServerId, Box<ServerReport>),
     /// A server gave no report.
     NotReported(ServerId),
 }
@@ -33,13 +33,13 @@
 /// Calls outlive their term. What comes of one is told to the planner that has made it and to no other; and as long
 /// as an order of an earlier term may still reach its server, no order of the present one goes out.
 #[derive(Default)]
-pub struct OrderDesk {
+pub struct OrderTracker {
     term: Option<Term>,
     /// The fencing token of each order without an answer.
     under_way: Vec<u64>,
 }
 
-impl OrderDesk {
+impl OrderTracker {
     /// Goes on with the term of this fencing token, or with none.
     pub fn follow(&mut self, fence: Option<u64>) {
         match fence {
@@ -63,8 +63,8 @@
     }
 
     /// Takes note that a call of the present term goes out now; `None` where there is no term.
-    pub fn begin(&mut self, action: &Action) -> Option<CallTag> {
-        let tag = CallTag { fence: self.fence()?, is_order: matches!(action, Action::Order(_)) };
+    pub fn begin(&mut self, action: &RolloutAction) -> Option<CallTag> {
+        let tag = CallTag { fence: self.fence()?, is_order: matches!(action, RolloutAction::Order(_)) };
         if tag.is_order {
             self.under_way.push(tag.fence);
         }
@@ -72,16 +72,16 @@
     }
 
     /// Takes what came of a call.
-    pub fn finish(&mut self, now: Duration, tag: CallTag, outcome: &Outcome) {
+    pub fn finish(&mut self, now: Duration, tag: CallTag, outcome: &CallOutcome) {
         if tag.is_order {
             let ended = self.under_way.iter().position(|fence| *fence == tag.fence);
             ended.map(|ended| self.under_way.swap_remove(ended));
         }
         let Some(term) = self.term.as_mut().filter(|term| term.fence == tag.fence) else { return };
         match outcome {
-            Outcome::Answered(server, answer) => term.planner.answered(now, server, *answer),
-            Outcome::Reported(server, report) => term.planner.reported(now, server, report),
-            Outcome::NotReported(server) => term.planner.not_reported(now, server),
+            CallOutcome::Answered(server, answer) => term.planner.on_order_reply(now, server, *answer),
+            CallOutcome::Reported(server, report) => term.planner.on_report(now, server, report),
+            CallOutcome::NotReported(server) => term.planner.on_report_failure(now, server),
         }
     }
 }
--- a/crates/control-plane/src/orders.rs
+++ b/crates/control-plane/src/orders.rs
@@ -6,11 +6,11 @@
 
 use futures_util::future::BoxFuture;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use rollout::{Action, Ask, ModelName, Order, Planner};
-use state::{Condition, View};
+use rollout::{ModelName, Planner, ReportRequest, RolloutAction, VersionOrder};
+use state::{ServerCondition, View};
 use tokio::time::Instant;
 
-use crate::order_desk::{OrderDesk, Outcome};
+use crate::order_desk::{CallOutcome, OrderTracker};
 use crate::version_news::VersionNews;
 use crate::{Leadership, ServerCalls, ViewCell};
 
@@ -26,7 +26,7 @@
 ) {
     let began = Instant::now();
     let mut views = view.subscribe();
-    let mut desk = OrderDesk::default();
+    let mut desk = OrderTracker::default();
     let mut calls = FuturesUnordered::new();
     let mut news = VersionNews::default();
     loop {
@@ -54,7 +54,7 @@
         tokio::select! {
             biased;
             Some((tag, outcome)) = calls.next(), if !calls.is_empty() => {
-                if let Outcome::Reported(server, report) = &outcome {
+                if let CallOutcome::Reported(server, report) = &outcome {
                     news.note(began.elapsed(), server, report);
                 }
                 desk.finish(began.elapsed(), tag, &outcome);
@@ -72,15 +72,15 @@
 
 fn feed(planner: &mut Planner, now: Duration, view: &View) {
     for (model, version) in &view.control.named_versions {
-        planner.set_named(now, model, *version);
+        planner.set_target_version(now, model, *version);
     }
     planner.set_keep(models_to_keep(view));
     planner.set_servers(view.servers.servers.iter().filter(|server| !server.models.is_empty()).map(
-        |server| rollout::Server {
+        |server| rollout::RolloutServer {
             id: Arc::clone(&server.id),
             address: server.address,
             zone: Arc::clone(&server.zone),
-            closing: server.condition == Condition::Closing,
+            closing: server.condition == ServerCondition::Closing,
             models: server.models.clone(),
         },
     ));
@@ -101,27 +101,32 @@
 
 fn start(
     calls: &Arc<dyn ServerCalls>,
-    action: Action,
+    action: RolloutAction,
     station: &str,
     fence: u64,
-) -> BoxFuture<'static, Outcome> {
+) -> BoxFuture<'static, CallOutcome> {
     let calls = Arc::clone(calls);
     match action {
-        Action::Order(order) => Box::pin(send_order(calls, order, station.to_owned(), fence)),
-        Action::Ask(ask) => Box::pin(send_ask(calls, ask)),
+        RolloutAction::Order(order) => Box::pin(send_order(calls, order, station.to_owned(), fence)),
+        RolloutAction::Ask(ask) => Box::pin(send_ask(calls, ask)),
     }
 }
 
-async fn send_order(calls: Arc<dyn ServerCalls>, order: Order, station: String, fence: u64) -> Outcome {
+async fn send_order(
+    calls: Arc<dyn ServerCalls>,
+    order: VersionOrder,
+    station: String,
+    fence: u64,
+) -> CallOutcome {
     let body = serde_json::to_string(&order.body(&station, fence)).unwrap_or_default();
     let answer = calls.order(&order, body).await;
     log::info!("order: {} to version {} of {}: {answer:?}", order.server, order.version, order.model);
-    Outcome::Answered(order.server, answer)
+    CallOutcome::Answered(order.server, answer)
 }
 
-async fn send_ask(calls: Arc<dyn ServerCalls>, ask: Ask) -> Outcome {
+async fn send_ask(calls: Arc<dyn ServerCalls>, ask: ReportRequest) -> CallOutcome {
     match calls.report(&ask).await {
-        Some(report) => Outcome::Reported(ask.server, Box::new(report)),
-        None => Outcome::NotReported(ask.server),
+        Some(report) => CallOutcome::Reported(ask.server, Box::new(report)),
+        None => CallOutcome::NotReported(ask.server),
     }
 }
--- a/crates/control-plane/src/platform.rs
+++ b/crates/control-plane/src/platform.rs
@@ -8,7 +8,7 @@
 
 use futures_util::future::BoxFuture;
 use serde::Deserialize;
-use state::{Condition, ServerEntry, ServerList, ServerListVersion};
+use state::{ServerCondition, ServerEntry, ServerList, ServerListVersion};
 
 /// How long one page may take.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
@@ -52,7 +52,7 @@
     zone: Arc<str>,
     #[serde(rename = "berths", default = "one")]
     slots: u32,
-    condition: Condition,
+    condition: ServerCondition,
     #[serde(rename = "coldMs", default)]
     cold_ms: f64,
     #[serde(default)]
@@ -80,7 +80,7 @@
             zone: entry.zone,
             slots: entry.slots,
             condition: entry.condition,
-            cold_ms: entry.cold_ms.max(0.0) as u64,
+            warm_up_ms: entry.cold_ms.max(0.0) as u64,
             models,
         }
     }
--- a/crates/control-plane/src/poll.rs
+++ b/crates/control-plane/src/poll.rs
@@ -8,7 +8,7 @@
 
 use crate::distribution::NO_BALLOT;
 use crate::messages::{paths, PollReply, PollRequest, CONFIRMED_AGE_MOST};
-use crate::{Introductions, Leadership, ViewCell};
+use crate::{AcceptorGossip, Leadership, ViewCell};
 
 /// How long a peer may hold a poll.
 const HOLD: Duration = Duration::from_millis(450);
@@ -27,7 +27,7 @@
     view: Arc<ViewCell>,
     client: rpc::Client,
     seeds: watch::Receiver<Vec<String>>,
-    introductions: Arc<Introductions>,
+    introductions: Arc<AcceptorGossip>,
     this_address: String,
     leadership: Option<Arc<Leadership>>,
 ) {
@@ -41,7 +41,7 @@
             tokio::time::sleep(HOLD).await;
             continue;
         }
-        let present = view.view().control.fence_holder.clone();
+        let present = view.view().control.fence_owner.clone();
         if leadership.is_some() && present != leader {
             (next, leader) = (0, present);
         }
@@ -95,7 +95,7 @@
     let control = &view.view().control;
     let mut known: Vec<_> = control.acceptors.iter().collect();
     if leader_first {
-        known.sort_by_key(|member| control.fence_holder.as_deref() != Some(&*member.station));
+        known.sort_by_key(|member| control.fence_owner.as_deref() != Some(&*member.name));
     }
     let known = known.into_iter().map(|member| member.address.clone());
     let mut peers: Vec<String> = known.filter(|address| address != this_address).collect();
--- a/crates/control-plane/src/proposer.rs
+++ b/crates/control-plane/src/proposer.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use register::{AcceptorReply, AcceptorRequest, Ballot, Member, Proposal, Step, Versioned};
+use register::{AcceptorReply, AcceptorRequest, Ballot, Member, Proposal, ProposalStep, Versioned};
 use state::ControlState;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
 use crate::acceptor::confirm_once;
 use crate::messages::paths;
-use crate::{Contacts, ViewCell};
+use crate::{AcceptorContacts, ViewCell};
 
 /// How long one acceptor may take for one request.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
@@ -39,7 +39,7 @@
     /// Random number of this process, so that ballots are unique.
     identity: u64,
     round: AtomicU64,
-    contacts: Arc<Contacts>,
+    contacts: Arc<AcceptorContacts>,
     /// Changes of one process take turns: their proposals would only preempt each other.
     turn: tokio::sync::Mutex<()>,
 }
@@ -66,7 +66,7 @@
 
     /// When this process last heard of each acceptor.
     #[must_use]
-    pub fn contacts(&self) -> &Arc<Contacts> {
+    pub fn contacts(&self) -> &Arc<AcceptorContacts> {
         &self.contacts
     }
 
@@ -144,9 +144,9 @@
             };
             let Some(reply) = reply else { continue };
             match proposal.on_reply(&member, reply) {
-                Step::Wait => {}
-                Step::Send(more) => calls.extend(more.into_iter().map(|(m, r)| self.ask(m, r))),
-                Step::Read(current) => {
+                ProposalStep::Wait => {}
+                ProposalStep::Send(more) => calls.extend(more.into_iter().map(|(m, r)| self.ask(m, r))),
+                ProposalStep::Read(current) => {
                     let value = match decide(&current.value) {
                         Ok(value) => {
                             wanted = Some(value.clone());
@@ -165,7 +165,7 @@
                     let accept = proposal.propose(value);
                     calls.extend(accept.into_iter().map(|(m, r)| self.ask(m, r)));
                 }
-                Step::Committed(value) => {
+                ProposalStep::Committed(value) => {
                     self.view.adopt_control(&value);
                     self.view.confirm(began);
                     let told = self.spread(proposal.announcements());
@@ -176,7 +176,7 @@
                     let is_settled_only = wanted.is_some_and(|wanted| wanted != *value.value);
                     return if is_settled_only { Attempt::Preempted } else { Attempt::Committed(value) };
                 }
-                Step::Preempted(higher) => {
+                ProposalStep::Preempted(higher) => {
                     log::debug!("proposal {ballot:?}: {higher:?} was promised");
                     self.round.fetch_max(higher.round, Ordering::Relaxed);
                     *declined = None;
@@ -210,7 +210,7 @@
                     Ok(reply) if reply.incarnation == member.incarnation => drop(noted.send(member)),
                     Ok(_) => {}
                     Err(error) => {
-                        log::debug!("{} was not told of a committed value: {error}", member.station);
+                        log::debug!("{} was not told of a committed value: {error}", member.name);
                     }
                 }
             });
--- a/crates/control-plane/src/server_calls.rs
+++ b/crates/control-plane/src/server_calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures_util::future::BoxFuture;
-use rollout::{Answer, Ask, Order, Report};
+use rollout::{OrderReply, ReportRequest, ServerReport, VersionOrder};
 
 /// The paths of a server.
 const ORDER_PATH: &str = "/api/order";
@@ -17,9 +17,9 @@
 /// Carries orders and questions to servers. Nothing is sent twice by one call.
 pub trait ServerCalls: Send + Sync {
     /// Sends an order with this body.
-    fn order<'a>(&'a self, order: &'a Order, body: String) -> BoxFuture<'a, Answer>;
+    fn order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply>;
     /// Asks for a report; `None` where none came.
-    fn report<'a>(&'a self, ask: &'a Ask) -> BoxFuture<'a, Option<Report>>;
+    fn report<'a>(&'a self, ask: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>>;
 }
 
 /// Carries calls to servers over HTTP.
@@ -54,7 +54,7 @@
 }
 
 impl ServerCalls for HttpServerCalls {
-    fn order<'a>(&'a self, order: &'a Order, body: String) -> BoxFuture<'a, Answer> {
+    fn order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply> {
         Box::pin(async move {
             let call = self
                 .http
@@ -64,14 +64,14 @@
                 .timeout(CALL_TIMEOUT)
                 .body(body);
             match call.send().await {
-                Ok(answer) => Answer::from_status(answer.status().as_u16()),
-                Err(error) if error.is_connect() => Answer::NotTaken,
-                Err(_) => Answer::Unclear,
+                Ok(answer) => OrderReply::from_status(answer.status().as_u16()),
+                Err(error) if error.is_connect() => OrderReply::NotTaken,
+                Err(_) => OrderReply::Unclear,
             }
         })
     }
 
-    fn report<'a>(&'a self, ask: &'a Ask) -> BoxFuture<'a, Option<Report>> {
+    fn report<'a>(&'a self, ask: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>> {
         Box::pin(async move {
             let call = self
                 .http
--- a/crates/control-plane/src/upkeep.rs
+++ b/crates/control-plane/src/upkeep.rs
@@ -5,12 +5,12 @@
 
 use futures_util::future::join_all;
 use register::Member;
-use state::change::{next_upkeep, Observation, QuorumMargin, Reachability};
+use state::change::{next_reconciliation, Observation, QuorumMargin, Reachability};
 use state::ControlState;
 use tokio::time::{Instant, MissedTickBehavior};
 
 use crate::introductions::introduce;
-use crate::messages::{Introduction, PingReply};
+use crate::messages::{GossipMessage, PingReply};
 use crate::ping::ping_address;
 use crate::{Leadership, Proposer, ViewCell};
 
@@ -26,7 +26,7 @@
 
 /// Tends the members while this process leads. A store that is silent for the time `silence` is replaced where another
 /// machine waits to take its place.
-pub async fn run_upkeep(
+pub async fn run_reconciler(
     leadership: Arc<Leadership>,
     view: Arc<ViewCell>,
     proposer: Arc<Proposer>,
@@ -52,7 +52,7 @@
         ping_all(&control, &client, &mut observed, last_round).await;
         tell_margin(observed.reachability.quorum_margin(&control), &mut told_margin);
         // The lease is looked up anew: the process may have been frozen.
-        if leadership.fence() == Some(fence) && next_upkeep(&control, fence, &observed).is_some() {
+        if leadership.fence() == Some(fence) && next_reconciliation(&control, fence, &observed).is_some() {
             change(&proposer, fence, &observed).await;
         }
         last_round = Instant::now();
@@ -77,7 +77,7 @@
 }
 
 async fn change(proposer: &Proposer, fence: u64, observed: &Observation) {
-    let decide = |state: &ControlState| next_upkeep(state, fence, observed).ok_or(());
+    let decide = |state: &ControlState| next_reconciliation(state, fence, observed).ok_or(());
     let Ok(value) = proposer.change(Instant::now() + CHANGE_TIMEOUT, decide).await else { return };
     let state = &value.value;
     log::info!(
@@ -96,12 +96,13 @@
     last_round: Instant,
 ) {
     let members = Observation::to_ping(control);
-    let introduction = Introduction::of(control);
+    let introduction = GossipMessage::of(control);
     let replies =
         join_all(members.iter().map(|member| ping_and_introduce(client, member, &introduction))).await;
     let answers =
         || members.iter().zip(&replies).filter_map(|(member, reply)| Some((member, reply.as_ref()?)));
-    answers().for_each(|(member, reply)| observed.note_settled(member.incarnation, reply.settled_epoch));
+    answers()
+        .for_each(|(member, reply)| observed.record_committed_epoch(member.incarnation, reply.settled_epoch));
     let answered: Vec<Member> = answers().map(|(member, _)| member.clone()).collect();
     observed.reachability.round(control, &answered, last_round.elapsed(), ROUND_MOST);
 }
@@ -110,7 +111,7 @@
 async fn ping_and_introduce(
     client: &rpc::Client,
     member: &Member,
-    introduction: &Introduction,
+    introduction: &GossipMessage,
 ) -> Option<PingReply> {
     let reply = ping_address(client, member, PING_TIMEOUT).await?;
     if !reply.knows_control {
--- a/crates/control-plane/src/version_news.rs
+++ b/crates/control-plane/src/version_news.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use rollout::{ModelName, Report, ServerId};
+use rollout::{ModelName, ServerId, ServerReport};
 
 use crate::{Leadership, ViewCell};
 
@@ -20,7 +20,7 @@
 
 impl VersionNews {
     /// Notes the report of a server.
-    pub(crate) fn note(&mut self, now: Duration, server: &ServerId, report: &Report) {
+    pub(crate) fn note(&mut self, now: Duration, server: &ServerId, report: &ServerReport) {
         self.reported.insert(Arc::clone(server), report.versions());
         self.due = self.due.or(Some(now + GATHERED_FOR));
     }
--- a/crates/control-plane/tests/acceptor.rs
+++ b/crates/control-plane/tests/acceptor.rs
@@ -4,13 +4,13 @@
 
 use std::sync::Arc;
 
-use register::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, Outcome, Versioned};
+use register::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, ReplyOutcome, Versioned};
 use state::ControlState;
 use storage::simulated::{LoseEverything, SimulatedDisk};
 use support::{acceptor, first};
 
 fn start_value(incarnation: Incarnation) -> Versioned<ControlState> {
-    first(vec![Member { station: "a".into(), incarnation, address: "a:1".into() }], Vec::new())
+    first(vec![Member { name: "a".into(), incarnation, address: "a:1".into() }], Vec::new())
 }
 
 fn next(value: &Versioned<ControlState>, round: u64) -> Versioned<ControlState> {
@@ -20,7 +20,7 @@
 
 fn accepted(reply: &AcceptorReply<ControlState>) -> Option<Versioned<ControlState>> {
     match &reply.outcome {
-        Outcome::Current { accepted, .. } => accepted.clone(),
+        ReplyOutcome::Current { accepted, .. } => accepted.clone(),
         other => panic!("{other:?}"),
     }
 }
@@ -53,7 +53,7 @@
     let shown = service.handle(AcceptorRequest::Read).await.expect("it answers");
     assert_eq!(accepted(&shown), Some(newer));
     let refused = service.handle(AcceptorRequest::Accept(next(&value, 7))).await.expect("it answers");
-    assert!(matches!(refused.outcome, Outcome::Rejected(ballot) if ballot.round == 8), "{refused:?}");
+    assert!(matches!(refused.outcome, ReplyOutcome::Rejected(ballot) if ballot.round == 8), "{refused:?}");
 }
 
 #[tokio::test]
@@ -66,7 +66,7 @@
     disk.fail_syncs(1);
     assert!(service.handle(AcceptorRequest::Accept(newer.clone())).await.is_none(), "it is not durable");
     let reply = service.handle(AcceptorRequest::Accept(newer.clone())).await.expect("it is durable");
-    assert!(matches!(reply.outcome, Outcome::Accepted));
+    assert!(matches!(reply.outcome, ReplyOutcome::Accepted));
     disk.lose_power(&mut LoseEverything);
     let shown = acceptor(&disk).0.handle(AcceptorRequest::Read).await.expect("it answers");
     assert_eq!(accepted(&shown), Some(newer));
--- a/crates/control-plane/tests/control_updates.rs
+++ b/crates/control-plane/tests/control_updates.rs
@@ -5,7 +5,7 @@
 
 use control_plane::ControlUpdate;
 use register::{Ballot, Versioned};
-use state::{ControlState, Document, TakenChange, TAKEN_KEPT};
+use state::{AppliedChange, ControlState, Document, MAX_APPLIED_CHANGES};
 use yare::parameterized;
 
 /// Far more than the rest of a state takes, also compressed.
@@ -22,7 +22,7 @@
         revision: 10 * edition + named,
         configuration: Document::new(incompressible(CONFIGURATION_BYTES)),
         edition,
-        taken: VecDeque::from([TakenChange { digest: edition.into(), edition }]),
+        applied_changes: VecDeque::from([AppliedChange { digest: edition.into(), edition }]),
         named_versions: BTreeMap::from([("m".to_owned(), named)]),
         fence: 3,
         ..ControlState::default()
@@ -51,10 +51,10 @@
 
 /// A state after this many changes, each of which raised the version by two.
 fn changed(times: u64) -> ControlState {
-    let newest = (1..=times).rev().take(TAKEN_KEPT).collect::<Vec<_>>();
+    let newest = (1..=times).rev().take(MAX_APPLIED_CHANGES).collect::<Vec<_>>();
     let taken =
-        newest.into_iter().rev().map(|change| TakenChange { digest: change.into(), edition: 2 * change });
-    ControlState { taken: taken.collect(), ..state(2 * times, 1) }
+        newest.into_iter().rev().map(|change| AppliedChange { digest: change.into(), edition: 2 * change });
+    ControlState { applied_changes: taken.collect(), ..state(2 * times, 1) }
 }
 
 #[parameterized(
@@ -68,7 +68,7 @@
     let update = ControlUpdate::new(&newest, held.edition);
     let bytes = rpc::encode(&update).len() - newest.value.configuration.packed_bytes();
     let since = (newest.value.edition - held.edition) as usize / 2;
-    assert!(bytes < 200 + 25 * since.min(TAKEN_KEPT), "{bytes} bytes for {since} changes");
+    assert!(bytes < 200 + 25 * since.min(MAX_APPLIED_CHANGES), "{bytes} bytes for {since} changes");
     assert_eq!(update.apply(&held), Some(newest));
 }
 
--- a/crates/control-plane/tests/core_service.rs
+++ b/crates/control-plane/tests/core_service.rs
@@ -7,14 +7,14 @@
 
 use control_plane::{CoreService, ViewCell, LEASE_TTL};
 use lease::{GrantorId, LeaseReply, LeaseRequest};
-use register::{AcceptorRequest, Ballot, Incarnation, Member, Outcome, Versioned};
+use register::{AcceptorRequest, Ballot, Incarnation, Member, ReplyOutcome, Versioned};
 use state::ControlState;
 use storage::simulated::SimulatedDisk;
 use support::{acceptor, first};
 use yare::parameterized;
 
 fn member(incarnation: Incarnation) -> Member {
-    Member { station: format!("node-{}", incarnation.0), incarnation, address: "127.0.0.1:1".into() }
+    Member { name: format!("node-{}", incarnation.0), incarnation, address: "127.0.0.1:1".into() }
 }
 
 /// The state after `value`, with other acceptors.
@@ -42,7 +42,7 @@
         core.handle(AcceptorRequest::Prepare(Ballot { round: 8, proposer: 7 })).await.expect("it is durable");
         let reply =
             core.handle(AcceptorRequest::Accept(with_others(&known, round))).await.expect("it answers");
-        assert_eq!(matches!(reply.outcome, Outcome::Accepted), is_refused, "{reply:?}");
+        assert_eq!(matches!(reply.outcome, ReplyOutcome::Accepted), is_refused, "{reply:?}");
         tokio::time::advance(LEASE_TTL + Duration::from_millis(1)).await;
         let request = LeaseRequest {
             holder: "candidate".into(),
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -22,7 +22,7 @@
 use register::{Ballot, Incarnation, Member, Versioned};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use state::{ControlState, Document, DrainState, StoreMember, StoreSet, TakenChange};
+use state::{AppliedChange, ControlState, Document, DrainState, StoreMember, StoreSet};
 
 /// The text of a file, after it was compared with `present`.
 fn check_text(name: &str, present: &str) -> String {
@@ -53,7 +53,7 @@
 }
 
 fn member(station: &str, incarnation: u64) -> Member {
-    Member { station: station.into(), incarnation: Incarnation(incarnation), address: format!("{station}:1") }
+    Member { name: station.into(), incarnation: Incarnation(incarnation), address: format!("{station}:1") }
 }
 
 fn store(station: &str, incarnation: u64) -> StoreMember {
@@ -65,22 +65,26 @@
     let stores = |epoch, first: u64| StoreSet {
         epoch,
         members: vec![store("v0", first), store("v1", first + 1)],
-        copies: 3,
-        wanted: 4,
+        replication_factor: 3,
+        target_size: 4,
     };
     ControlState {
         revision: 300,
         acceptors: vec![member("a", 1), member("b", u64::MAX)],
-        acceptors_wanted: 5,
+        target_acceptor_count: 5,
         acceptors_since: 299,
         standbys: vec![member("d", 4)],
         configuration: Document::new(support::document(9, "r")),
         edition: 9,
-        taken: [TakenChange { digest: 1 << 100, edition: 8 }, TakenChange { digest: 77, edition: 9 }].into(),
+        applied_changes: [
+            AppliedChange { digest: 1 << 100, edition: 8 },
+            AppliedChange { digest: 77, edition: 9 },
+        ]
+        .into(),
         named_versions: BTreeMap::from([("m".to_owned(), 3), ("n".to_owned(), 70_000)]),
         fence: 12,
-        fence_holder: Some("a".to_owned()),
-        order_holder: Some("b".to_owned()),
+        fence_owner: Some("a".to_owned()),
+        order_issuer: Some("b".to_owned()),
         stores: stores(6, 10),
         joining_stores: vec![store("v9", 90)],
         previous_stores: Some(stores(5, 20)),
--- a/crates/control-plane/tests/golden/journal.rs
+++ b/crates/control-plane/tests/golden/journal.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use control_plane::AcceptorService;
-use register::{AcceptorRequest, Ballot, Incarnation, Outcome};
+use register::{AcceptorRequest, Ballot, Incarnation, ReplyOutcome};
 use storage::simulated::SimulatedDisk;
 use storage::{Journal, Position};
 
@@ -37,5 +37,5 @@
     assert_eq!((recovered.accepted(), recovered.committed()), (Some(versioned()), Some(versioned())));
     let lower = Ballot { round: PROMISED.round - 1, ..PROMISED };
     let reply = recovered.handle(AcceptorRequest::Prepare(lower)).await.expect("it answers");
-    assert!(matches!(reply.outcome, Outcome::Rejected(promised) if promised == PROMISED), "{reply:?}");
+    assert!(matches!(reply.outcome, ReplyOutcome::Rejected(promised) if promised == PROMISED), "{reply:?}");
 }
--- a/crates/control-plane/tests/golden/messages.rs
+++ b/crates/control-plane/tests/golden/messages.rs
@@ -3,17 +3,17 @@
 use std::sync::Arc;
 
 use control_plane::{
-    paths, Announcement, Capability, ControlUpdate, Introduction, PingReply, PollReply, PollRequest,
+    paths, Announcement, Capability, ControlUpdate, GossipMessage, PingReply, PollReply, PollRequest,
     ServerChanges, ServerUpdate,
 };
-use register::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Outcome};
-use state::{Condition, ControlState, ServerEntry, ServerList, ServerListVersion};
+use register::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, ReplyOutcome};
+use state::{ControlState, ServerCondition, ServerEntry, ServerList, ServerListVersion};
 
 use super::{check, check_text, member, versioned};
 
 const VERSION: ServerListVersion = ServerListVersion { fence: 12, sequence: 400, local: 0 };
 
-fn entry(id: &str, condition: Condition) -> ServerEntry {
+fn entry(id: &str, condition: ServerCondition) -> ServerEntry {
     ServerEntry {
         id: id.into(),
         service: "engine".into(),
@@ -21,13 +21,13 @@
         zone: "z1".into(),
         slots: 300,
         condition,
-        cold_ms: 4000,
+        warm_up_ms: 4000,
         models: [(Arc::from("m"), 3), (Arc::from("n"), 70_000)].into(),
     }
 }
 
 fn whole_list() -> ServerUpdate {
-    let servers = vec![entry("a", Condition::Open), entry("b", Condition::Closing)];
+    let servers = vec![entry("a", ServerCondition::Open), entry("b", ServerCondition::Closing)];
     ServerUpdate::Whole(ServerList { version: VERSION, servers })
 }
 
@@ -35,7 +35,7 @@
     ServerUpdate::Changes(ServerChanges {
         base: ServerListVersion { sequence: 399, ..VERSION },
         version: VERSION,
-        changed: vec![entry("a", Condition::Closing)],
+        changed: vec![entry("a", ServerCondition::Closing)],
         removed: vec!["c".into()],
     })
 }
@@ -63,7 +63,7 @@
     check("announcement_store.hex", &announcement(Capability::Store));
     check("capability_acceptor.hex", &Capability::Acceptor);
     check("capability_store.hex", &Capability::Store);
-    check("introduction.hex", &Introduction { revision: 300, acceptors: vec!["a:1".into(), "b:1".into()] });
+    check("introduction.hex", &GossipMessage { revision: 300, acceptors: vec!["a:1".into(), "b:1".into()] });
     let ping = PingReply {
         incarnation: Some(Incarnation(70_000)),
         settled_epoch: 6,
@@ -117,13 +117,14 @@
 #[test]
 fn given_replies_of_the_acceptor_when_encoded_then_their_bytes_stay() {
     let ballot = Ballot { round: 400, proposer: 17 };
-    let reply = |outcome: Outcome<ControlState>| AcceptorReply { incarnation: Incarnation(70_000), outcome };
-    check("acceptor_reply_promised.hex", &reply(Outcome::Promised(Some(versioned()))));
-    check("acceptor_reply_accepted.hex", &reply(Outcome::Accepted));
-    check("acceptor_reply_rejected.hex", &reply(Outcome::Rejected(ballot)));
-    check("acceptor_reply_learned.hex", &reply(Outcome::Learned));
-    let current = Outcome::Current { accepted: Some(versioned()), committed: None };
+    let reply =
+        |outcome: ReplyOutcome<ControlState>| AcceptorReply { incarnation: Incarnation(70_000), outcome };
+    check("acceptor_reply_promised.hex", &reply(ReplyOutcome::Promised(Some(versioned()))));
+    check("acceptor_reply_accepted.hex", &reply(ReplyOutcome::Accepted));
+    check("acceptor_reply_rejected.hex", &reply(ReplyOutcome::Rejected(ballot)));
+    check("acceptor_reply_learned.hex", &reply(ReplyOutcome::Learned));
+    let current = ReplyOutcome::Current { accepted: Some(versioned()), committed: None };
     check("acceptor_reply_current.hex", &reply(current));
-    let nothing = Outcome::NothingNewer { accepted: Some(ballot), committed: None };
+    let nothing = ReplyOutcome::NothingNewer { accepted: Some(ballot), committed: None };
     check("acceptor_reply_nothing_newer.hex", &reply(nothing));
 }
--- a/crates/control-plane/tests/golden/operator.rs
+++ b/crates/control-plane/tests/golden/operator.rs
@@ -6,7 +6,7 @@
 use control_plane::{operator_routes, Proposer, ViewCell};
 use poem::http::Method;
 use poem::{Body, Endpoint, EndpointExt, Request};
-use state::{ControlState, Document, DrainState, TakenChange, TAKEN_KEPT};
+use state::{AppliedChange, ControlState, Document, DrainState, MAX_APPLIED_CHANGES};
 
 use super::check_text;
 use super::support::{document, nodes, nodes_with, Answer, Node};
@@ -87,15 +87,15 @@
 
 #[tokio::test]
 async fn given_a_state_that_cannot_decide_when_changes_come_then_the_answers_stay() {
-    let changes =
-        (0..TAKEN_KEPT as u64).map(|index| TakenChange { digest: index.into(), edition: 100 + index });
+    let changes = (0..MAX_APPLIED_CHANGES as u64)
+        .map(|index| AppliedChange { digest: index.into(), edition: 100 + index });
     // The digest of a text, with bytes that cannot be unpacked.
     let unreadable: Document =
         rpc::decode(&rpc::encode(&(77_u128, [0xff_u8; 4].as_slice()))).expect("a document");
     let adapt = |state: ControlState| ControlState {
-        edition: 99 + TAKEN_KEPT as u64,
+        edition: 99 + MAX_APPLIED_CHANGES as u64,
         configuration: unreadable.clone(),
-        taken: changes.clone().collect(),
+        applied_changes: changes.clone().collect(),
         ..state
     };
     let nodes = nodes_with(1, 3, adapt).await;
--- a/crates/control-plane/tests/golden/server_calls.rs
+++ b/crates/control-plane/tests/golden/server_calls.rs
@@ -6,7 +6,7 @@
 use poem::endpoint::make;
 use poem::http::HeaderMap;
 use poem::{Request, Route};
-use rollout::{Answer, Ask, Method, Order};
+use rollout::{Method, OrderReply, ReportRequest, VersionOrder};
 use tokio::net::TcpListener;
 
 use super::check_text;
@@ -42,10 +42,11 @@
     tokio::spawn(rpc::serve(listener, Route::new().at("/*", server)));
 
     let calls = HttpServerCalls::new();
-    let order = Order { server: "s-1".into(), address, model: "m".into(), version: 3, method: Method::Hold };
+    let order =
+        VersionOrder { server: "s-1".into(), address, model: "m".into(), version: 3, method: Method::Hold };
     let body = serde_json::to_string(&order.body("a", 12)).expect("it is serialized");
-    assert_eq!(calls.order(&order, body).await, Answer::from_status(200));
-    let report = calls.report(&Ask { server: "s-1".into(), address }).await.expect("it reports");
+    assert_eq!(calls.order(&order, body).await, OrderReply::from_status(200));
+    let report = calls.report(&ReportRequest { server: "s-1".into(), address }).await.expect("it reports");
     assert_eq!((report.models[0].version, report.occupied, report.running), (3, true, 3));
     check_text("server_calls.txt", &seen.lock().expect("no panic").join("\n"));
 }
--- a/crates/control-plane/tests/leader.rs
+++ b/crates/control-plane/tests/leader.rs
@@ -25,7 +25,7 @@
 fn seek_with(node: &Node, gap: OrderGap) -> Arc<Leadership> {
     let leadership = Arc::new(Leadership::new(Arc::clone(&node.view)));
     tokio::spawn(run_leader(
-        node.member.station.clone(),
+        node.member.name.clone(),
         gap,
         Arc::clone(&leadership),
         Arc::clone(&node.view),
--- a/crates/control-plane/tests/platform.rs
+++ b/crates/control-plane/tests/platform.rs
@@ -3,7 +3,7 @@
 use control_plane::{ListSource, Platform, PlatformError};
 use poem::http::StatusCode;
 use poem::{handler, Endpoint, Request, Response, Route};
-use state::{Condition, ServerListVersion};
+use state::{ServerCondition, ServerListVersion};
 use tokio::net::TcpListener;
 use yare::parameterized;
 
@@ -36,7 +36,10 @@
 async fn given_several_pages_when_read_then_all_servers_are_listed_once_by_id() {
     let list = platform(two_pages).await.read(ServerListVersion::default()).await.expect("a list");
     let shown: Vec<_> = list.servers.iter().map(|server| (&*server.id, server.condition)).collect();
-    assert_eq!(shown, [("a", Condition::Open), ("b", Condition::Closing), ("c", Condition::Open)]);
+    assert_eq!(
+        shown,
+        [("a", ServerCondition::Open), ("b", ServerCondition::Closing), ("c", ServerCondition::Open)]
+    );
     assert_eq!((list.servers[0].slots, list.servers[0].models["m"]), (8, 3));
 }
 
--- a/crates/control-plane/tests/server_updates.rs
+++ b/crates/control-plane/tests/server_updates.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use control_plane::{RecentLists, ServerUpdate};
-use state::{Condition, ServerEntry, ServerList, ServerListVersion};
+use state::{ServerCondition, ServerEntry, ServerList, ServerListVersion};
 use yare::parameterized;
 
 fn server(id: &str, model_version: u64) -> ServerEntry {
@@ -14,8 +14,8 @@
         address: ([10, 0, 0, 1], 80).into(),
         zone: "a".into(),
         slots: 6,
-        condition: Condition::Open,
-        cold_ms: 0,
+        condition: ServerCondition::Open,
+        warm_up_ms: 0,
         models: BTreeMap::from([("m".into(), model_version)]),
     }
 }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -14,10 +14,10 @@
 use state::change::first_state;
 use state::{ControlState, StoreMember};
 use storage::simulated::SimulatedDisk;
-use storage::{Journal, Options};
+use storage::{Journal, RingOptions};
 use tokio::net::TcpListener;
 
-pub const OPTIONS: Options = Options { segment_bytes: 256 * 1024, segments: 8 };
+pub const OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
 pub const FIRST: Ballot = Ballot { round: 1, proposer: 0 };
 
 const SILENCE: Duration = Duration::from_secs(2);
@@ -48,7 +48,7 @@
 
 pub fn store(index: u64) -> StoreMember {
     let incarnation = Incarnation(1000 + index);
-    let member = Member { station: format!("store{index}"), incarnation, address: "127.0.0.1:1".into() };
+    let member = Member { name: format!("store{index}"), incarnation, address: "127.0.0.1:1".into() };
     StoreMember { member, zone: "z".into() }
 }
 
@@ -126,7 +126,7 @@
     tokio::spawn(rpc::serve(listener, routes));
     let proposer = Proposer::new(Arc::clone(&view), rpc::Client::new());
     let operator = operator_routes(Arc::clone(&view), Arc::clone(&proposer)).map_to_response().boxed();
-    let member = Member { station: format!("node{index}"), incarnation, address };
+    let member = Member { name: format!("node{index}"), incarnation, address };
     (Node { view, proposer, member, distribution: told, operator }, acceptor)
 }
 
--- a/crates/control-plane/tests/view.rs
+++ b/crates/control-plane/tests/view.rs
@@ -7,7 +7,7 @@
 
 use control_plane::{Distribution, PollReply, PollRequest, ServerUpdate, ViewCell};
 use register::{Ballot, Versioned};
-use state::{Condition, ControlState, Document, ServerEntry, ServerList, ServerListVersion};
+use state::{ControlState, Document, ServerCondition, ServerEntry, ServerList, ServerListVersion};
 use support::document;
 use tokio::time::Instant;
 use yare::parameterized;
@@ -115,7 +115,7 @@
 fn given_a_process_that_has_not_told_when_pinged_then_it_has_moved_nothing() {
     let distribution = Distribution::new(Arc::new(ViewCell::new()), Arc::default(), SILENCE, STEADY_AFTER);
     assert_eq!(distribution.ping().settled_epoch, 0);
-    distribution.set_settled_epoch(4);
+    distribution.set_committed_epoch(4);
     assert_eq!(distribution.ping().settled_epoch, 4);
 }
 
@@ -160,7 +160,7 @@
     assert_eq!(reply.is_fresh(), stays);
 }
 
-fn reading(condition: Condition) -> ServerList {
+fn reading(condition: ServerCondition) -> ServerList {
     let server = ServerEntry {
         id: "i".into(),
         service: "s".into(),
@@ -168,7 +168,7 @@
         zone: "z".into(),
         slots: 1,
         condition,
-        cold_ms: 0,
+        warm_up_ms: 0,
         models: [].into(),
     };
     ServerList { version: ServerListVersion::default(), servers: vec![server] }
@@ -178,23 +178,26 @@
 fn given_the_holder_of_the_lease_when_it_reads_then_only_what_changed_or_is_renewed_gets_a_new_version() {
     let view = ViewCell::new();
     let now = Instant::now();
-    assert!(view.adopt_reading(reading(Condition::Open), now, Some(3), false));
-    assert!(!view.adopt_reading(reading(Condition::Open), now, Some(3), false));
-    assert!(view.adopt_reading(reading(Condition::Closing), now, Some(3), false));
+    assert!(view.adopt_reading(reading(ServerCondition::Open), now, Some(3), false));
+    assert!(!view.adopt_reading(reading(ServerCondition::Open), now, Some(3), false));
+    assert!(view.adopt_reading(reading(ServerCondition::Closing), now, Some(3), false));
     assert_eq!(view.view().servers.version, version(3, 2));
-    assert!(view.adopt_reading(reading(Condition::Closing), now, Some(3), true));
-    assert!(view.adopt_reading(reading(Condition::Closing), now, Some(4), false), "a new holder renews");
+    assert!(view.adopt_reading(reading(ServerCondition::Closing), now, Some(3), true));
+    assert!(
+        view.adopt_reading(reading(ServerCondition::Closing), now, Some(4), false),
+        "a new holder renews"
+    );
     assert_eq!(view.view().servers.version, version(4, 1));
 }
 
 #[test]
 fn given_a_process_without_the_lease_when_it_reads_for_itself_then_the_holder_still_wins() {
     let view = ViewCell::new();
-    view.adopt_reading(reading(Condition::Open), Instant::now(), Some(3), false);
-    assert!(view.adopt_reading(reading(Condition::Closing), Instant::now(), None, true));
-    assert_eq!(view.view().servers.servers[0].condition, Condition::Closing);
+    view.adopt_reading(reading(ServerCondition::Open), Instant::now(), Some(3), false);
+    assert!(view.adopt_reading(reading(ServerCondition::Closing), Instant::now(), None, true));
+    assert_eq!(view.view().servers.servers[0].condition, ServerCondition::Closing);
     assert!(
-        !view.adopt_reading(reading(Condition::Closing), Instant::now(), Some(2), true),
+        !view.adopt_reading(reading(ServerCondition::Closing), Instant::now(), Some(2), true),
         "no holder any more"
     );
     view.adopt_servers(list(3, 2));
--- a/crates/data-plane/src/answer.rs
+++ b/crates/data-plane/src/answer.rs
@@ -9,7 +9,7 @@
 
 /// Whether a request may have run at a server that gave no proper answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ExecutionStatus {
     /// It has not run there and never will.
     NotRun,
     /// It may have run, or run still.
@@ -17,27 +17,27 @@
 }
 
 /// The body of an answer.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It comes piece by piece. An error means that the answer must be broken off.
-    Pieces(BoxStream<'static, std::io::Result<Bytes>>),
+    Stream(BoxStream<'static, std::io::Result<Bytes>>),
 }
 
 /// An answer for a client.
-pub struct Answer {
+pub struct ClientResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
-impl Answer {
+impl ClientResponse {
     /// An answer of our own.
     pub(crate) fn own(status: StatusCode) -> Self {
-        Self { status, headers: HeaderMap::new(), body: AnswerBody::Whole(Bytes::new()) }
+        Self { status, headers: HeaderMap::new(), body: ResponseBody::Complete(Bytes::new()) }
     }
 
     /// The promise that the request has not run and never will.
@@ -51,11 +51,11 @@
     }
 }
 
-impl From<Answer> for poem::Response {
-    fn from(answer: Answer) -> Self {
+impl From<ClientResponse> for poem::Response {
+    fn from(answer: ClientResponse) -> Self {
         let mut response = match answer.body {
-            AnswerBody::Whole(bytes) => Self::builder().body(bytes),
-            AnswerBody::Pieces(pieces) => Self::builder().body(poem::Body::from_bytes_stream(pieces)),
+            ResponseBody::Complete(bytes) => Self::builder().body(bytes),
+            ResponseBody::Stream(pieces) => Self::builder().body(poem::Body::from_bytes_stream(pieces)),
         };
         response.set_status(answer.status);
         *response.headers_mut() = answer.headers;
--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use tokio::time::{timeout_at, Instant};
 
-use crate::answer::Verdict;
+use crate::answer::ExecutionStatus;
 use crate::call::{Call, ATTEMPT_ID, EXPECTED_SERVER, EXPECT_VERSION, LAST_EVENT_ID, TIME_LEFT};
 use crate::sender::Ticket;
 
@@ -63,14 +63,14 @@
 /// Why an attempt gave no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Failure {
-    pub(crate) verdict: Verdict,
+    pub(crate) verdict: ExecutionStatus,
     /// When the server wants to be asked again.
     pub(crate) retry_after: Option<Duration>,
     pub(crate) timed_out: bool,
 }
 
 impl Failure {
-    fn new(verdict: Verdict) -> Self {
+    fn new(verdict: ExecutionStatus) -> Self {
         Self { verdict, retry_after: None, timed_out: false }
     }
 }
@@ -106,7 +106,7 @@
             if Instant::now() < self.extra.deadline {
                 self.ticket.outcome = Outcome::Failed;
             }
-            return Err(Failure { timed_out: true, ..Failure::new(Verdict::MayHaveRun) });
+            return Err(Failure { timed_out: true, ..Failure::new(ExecutionStatus::MayHaveRun) });
         };
         match chunk {
             Ok(Some(bytes)) => Ok(Some(bytes)),
@@ -117,7 +117,7 @@
             }
             Err(_) => {
                 self.ticket.outcome = Outcome::Failed;
-                Err(Failure::new(Verdict::MayHaveRun))
+                Err(Failure::new(ExecutionStatus::MayHaveRun))
             }
         }
     }
@@ -126,7 +126,7 @@
 /// Sends the request to the chosen server and waits for the head of its answer.
 pub(crate) async fn open(mut ticket: Ticket, call: &Call, extra: Extra) -> Result<Opened, Failure> {
     let Some(request) = prepare(&ticket, call, extra) else {
-        return Err(Failure::new(Verdict::NotRun));
+        return Err(Failure::new(ExecutionStatus::NotRun));
     };
     let begun = Instant::now();
     let sent = timeout_at(extra.wait_until(QUEUE_SILENCES), request.send()).await;
@@ -134,14 +134,15 @@
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
             ticket.outcome = Outcome::Failed;
-            let verdict = if error.is_connect() { Verdict::NotRun } else { Verdict::MayHaveRun };
+            let verdict =
+                if error.is_connect() { ExecutionStatus::NotRun } else { ExecutionStatus::MayHaveRun };
             return Err(Failure::new(verdict));
         }
         Err(_) => {
             if begun.elapsed() >= SILENCE_HELD_AGAINST {
                 ticket.outcome = Outcome::Failed;
             }
-            return Err(Failure { timed_out: true, ..Failure::new(Verdict::MayHaveRun) });
+            return Err(Failure { timed_out: true, ..Failure::new(ExecutionStatus::MayHaveRun) });
         }
     };
     accept(ticket, call, extra, response)
@@ -181,7 +182,7 @@
         // What comes next on that connection may belong to another request as well.
         ticket.sender.state().links.forget(&ticket.choice.id);
         ticket.outcome = Outcome::Failed;
-        return Err(Failure::new(Verdict::MayHaveRun));
+        return Err(Failure::new(ExecutionStatus::MayHaveRun));
     }
     note_load(&ticket, headers);
     let version = text(headers, &VERSION).and_then(|version| version.trim().parse().ok());
@@ -198,7 +199,7 @@
     }
     if !is_proper(&response) {
         ticket.outcome = Outcome::Failed;
-        return Err(Failure::new(Verdict::MayHaveRun));
+        return Err(Failure::new(ExecutionStatus::MayHaveRun));
     }
     Ok(Opened { ticket, response, extra, version })
 }
@@ -257,7 +258,7 @@
     }
     let retry_after = text(response.headers(), &RETRY_AFTER).and_then(|seconds| seconds.trim().parse().ok());
     let retry_after = retry_after.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    Failure { retry_after, ..Failure::new(Verdict::NotRun) }
+    Failure { retry_after, ..Failure::new(ExecutionStatus::NotRun) }
 }
 
 /// Whether the answer can be the server's. One without a length ends with its connection; if that is reset, reading
--- a/crates/data-plane/src/front.rs
+++ b/crates/data-plane/src/front.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use configuration::{Configuration, Kind, Limits, Route};
+use configuration::{Configuration, ConfigurationLimits, Route, RouteKind};
 use futures_util::future::BoxFuture;
 use http::header::{HeaderMap, HeaderValue, CONNECTION, HOST};
 use http::{Method, StatusCode};
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout_at, Instant};
 
-use crate::answer::Answer;
+use crate::answer::ClientResponse;
 use crate::call::{end_to_end, Call, ATTEMPT_ID, TIME_LEFT};
 use crate::connections;
 use crate::sender::Sender;
@@ -43,16 +43,16 @@
 }
 
 /// A condition that is looked up whenever it matters.
-pub type Condition = Box<dyn Fn() -> bool + Send + Sync>;
+pub type ReadinessCheck = Box<dyn Fn() -> bool + Send + Sync>;
 
 /// What the front needs beside a sender.
 pub struct FrontSettings {
     /// Serves calls on batch jobs.
     pub jobs: Arc<dyn JobEndpoint>,
     /// Whether the node wants clients.
-    pub is_ready: Condition,
+    pub is_ready: ReadinessCheck,
     /// Whether the configuration is known to be the newest; only then is a path without route answered 404.
-    pub is_confirmed: Condition,
+    pub is_confirmed: ReadinessCheck,
     /// After the call of [`Front::drain`], new connections are taken for this long, as they still come until the
     /// platform has seen two misses; 2.5 s where it asks once a second.
     pub still_coming: Duration,
@@ -132,7 +132,7 @@
 
     async fn answer(&self, request: Request) -> Response {
         let Some(configuration) = self.shared.sender.configuration() else {
-            return Answer::not_run(COME_BACK).into();
+            return ClientResponse::not_run(COME_BACK).into();
         };
         if JOB_PREFIXES.iter().any(|prefix| request.uri().path().starts_with(prefix)) {
             return self.shared.settings.jobs.handle(request).await;
@@ -141,32 +141,39 @@
             return self.no_route().into();
         };
         match route.kind {
-            Kind::Rollout | Kind::Batch if request.method() == Method::POST => {
+            RouteKind::Rollout | RouteKind::Batch if request.method() == Method::POST => {
                 self.shared.settings.jobs.handle(request).await
             }
-            Kind::Rollout | Kind::Batch => Answer::own(StatusCode::METHOD_NOT_ALLOWED).into(),
+            RouteKind::Rollout | RouteKind::Batch => {
+                ClientResponse::own(StatusCode::METHOD_NOT_ALLOWED).into()
+            }
             _ => self.forward(route, configuration.limits(), request).await.into(),
         }
     }
 
-    fn no_route(&self) -> Answer {
+    fn no_route(&self) -> ClientResponse {
         if (self.shared.settings.is_confirmed)() {
-            Answer::own(StatusCode::NOT_FOUND)
+            ClientResponse::own(StatusCode::NOT_FOUND)
         } else {
-            Answer::not_run(COME_BACK)
+            ClientResponse::not_run(COME_BACK)
         }
     }
 
-    async fn forward(&self, route: &Arc<Route>, limits: &Limits, request: Request) -> Answer {
+    async fn forward(
+        &self,
+        route: &Arc<Route>,
+        limits: &ConfigurationLimits,
+        request: Request,
+    ) -> ClientResponse {
         let deadline = Instant::now() + time_left(route, request.headers());
         let call = match read(request, limits, deadline).await {
             Ok(call) => Arc::new(call),
-            Err(status) => return Answer::own(status),
+            Err(status) => return ClientResponse::own(status),
         };
         match route.kind {
-            Kind::Stream => self.shared.sender.stream(route, call, deadline).await,
+            RouteKind::Stream => self.shared.sender.stream(route, call, deadline).await,
             _ => {
-                let may_repeat = route.kind == Kind::Safe;
+                let may_repeat = route.kind == RouteKind::Safe;
                 self.shared.sender.plain(route, call, may_repeat, deadline).await.answer
             }
         }
@@ -185,7 +192,11 @@
 }
 
 /// Reads a whole request; otherwise gives the status to refuse it with.
-async fn read(mut request: Request, limits: &Limits, deadline: Instant) -> Result<Call, StatusCode> {
+async fn read(
+    mut request: Request,
+    limits: &ConfigurationLimits,
+    deadline: Instant,
+) -> Result<Call, StatusCode> {
     if head_bytes(&request) > limits.head_bytes {
         return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     }
@@ -210,7 +221,11 @@
     request.headers().iter().map(line).sum()
 }
 
-async fn read_body(request: &mut Request, limits: &Limits, deadline: Instant) -> Result<Bytes, StatusCode> {
+async fn read_body(
+    request: &mut Request,
+    limits: &ConfigurationLimits,
+    deadline: Instant,
+) -> Result<Bytes, StatusCode> {
     let most = usize::try_from(limits.body_bytes).unwrap_or(usize::MAX);
     let body = request.take_body().into_bytes_limit(most);
     match timeout_at(deadline, body).await {
--- a/crates/data-plane/src/item.rs
+++ b/crates/data-plane/src/item.rs
@@ -11,7 +11,7 @@
 use http::{Method, StatusCode};
 use tokio::time::Instant;
 
-use crate::answer::Verdict;
+use crate::answer::ExecutionStatus;
 use crate::attempt::{open, Extra, Failure, Opened};
 use crate::call::{end_to_end, Call, ATTEMPT_ID, MODEL};
 use crate::event_stream::{Event, EventParser};
@@ -68,7 +68,7 @@
 
 /// How a run of an item ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ItemEnd {
+pub enum ItemOutcome {
     /// The text is whole.
     Whole(ItemProgress),
     /// The server answered with an error of its own: a failed attempt.
@@ -103,13 +103,13 @@
 
 impl Sender {
     /// Runs an item once, from where its progress stands.
-    pub async fn run_item(&self, item: ItemCall) -> ItemEnd {
+    pub async fn run_item(&self, item: ItemCall) -> ItemOutcome {
         let Some(call) = request(&item) else {
             log::error!("item {} cannot be sent: a header of it is no header", item.id);
-            return ItemEnd::NotRun { retry_after: UNSENDABLE_PAUSE };
+            return ItemOutcome::NotRun { retry_after: UNSENDABLE_PAUSE };
         };
         let Some(ticket) = self.choose_for(&item) else {
-            return ItemEnd::NotRun { retry_after: COME_BACK };
+            return ItemOutcome::NotRun { retry_after: COME_BACK };
         };
         let known = ticket.choice.version;
         let extra = Extra {
@@ -120,22 +120,22 @@
         };
         let opened = match open(ticket, &call, extra).await {
             Ok(opened) => opened,
-            Err(Failure { verdict: Verdict::NotRun, retry_after, .. }) => {
-                return ItemEnd::NotRun { retry_after: retry_after.unwrap_or(COME_BACK) };
+            Err(Failure { verdict: ExecutionStatus::NotRun, retry_after, .. }) => {
+                return ItemOutcome::NotRun { retry_after: retry_after.unwrap_or(COME_BACK) };
             }
-            Err(_) => return ItemEnd::Interrupted(item.progress),
+            Err(_) => return ItemOutcome::Interrupted(item.progress),
         };
         match opened.status() {
             StatusCode::INTERNAL_SERVER_ERROR => {
                 opened.discard();
-                ItemEnd::Failed
+                ItemOutcome::Failed
             }
             StatusCode::UNPROCESSABLE_ENTITY => {
                 opened.discard();
-                ItemEnd::Impossible
+                ItemOutcome::Impossible
             }
             status if status.is_success() => gather(item, opened, known).await,
-            _ => ItemEnd::Interrupted(item.progress),
+            _ => ItemOutcome::Interrupted(item.progress),
         }
     }
 
@@ -179,7 +179,7 @@
 }
 
 /// Reads the events of a run.
-async fn gather(item: ItemCall, mut opened: Opened, known: Option<u64>) -> ItemEnd {
+async fn gather(item: ItemCall, mut opened: Opened, known: Option<u64>) -> ItemOutcome {
     let mut parser = EventParser::default();
     let version = opened.version.or(known);
     let mut gathering = Gathering {
@@ -192,9 +192,9 @@
         let chunk = match opened.chunk().await {
             Ok(Some(chunk)) => chunk,
             Ok(None) if !parser.has_partial() && !gathering.progress.events.is_empty() => {
-                return ItemEnd::Whole(gathering.progress);
+                return ItemOutcome::Whole(gathering.progress);
             }
-            _ => return ItemEnd::Interrupted(gathering.progress),
+            _ => return ItemOutcome::Interrupted(gathering.progress),
         };
         parser.push(&chunk);
         while let Some(event) = parser.next_event() {
@@ -204,8 +204,8 @@
             }
             match gathering.add(&event) {
                 Ok(()) => {}
-                Err(Misfit::Event) => return ItemEnd::Interrupted(gathering.progress),
-                Err(Misfit::Versions) => return ItemEnd::Interrupted(ItemProgress::default()),
+                Err(Misfit::Event) => return ItemOutcome::Interrupted(gathering.progress),
+                Err(Misfit::Versions) => return ItemOutcome::Interrupted(ItemProgress::default()),
             }
         }
     }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -17,10 +17,10 @@
 mod sender;
 mod stream;
 
-pub use answer::{Answer, AnswerBody, Verdict};
+pub use answer::{ClientResponse, ExecutionStatus, ResponseBody};
 pub use call::Call;
 pub use event_stream::{Event, EventParser};
-pub use front::{Condition, Front, FrontSettings, JobEndpoint};
-pub use item::{ItemCall, ItemEnd, ItemProgress};
-pub use reward::RewardEnd;
+pub use front::{Front, FrontSettings, JobEndpoint, ReadinessCheck};
+pub use item::{ItemCall, ItemOutcome, ItemProgress};
+pub use reward::RewardOutcome;
 pub use sender::Sender;
--- a/crates/data-plane/src/plain.rs
+++ b/crates/data-plane/src/plain.rs
@@ -13,7 +13,7 @@
 use state::ServerId;
 use tokio::time::{sleep_until, Instant};
 
-use crate::answer::{Answer, AnswerBody, Verdict};
+use crate::answer::{ClientResponse, ExecutionStatus, ResponseBody};
 use crate::attempt::{open, Extra, Failure, Opened};
 use crate::call::{end_to_end, Call};
 use crate::sender::Sender;
@@ -29,12 +29,12 @@
 /// A second attempt goes out when this part of the aim has passed.
 const HEDGE_AT: f64 = 0.6;
 
-type Attempt = BoxFuture<'static, Result<Answer, Failure>>;
+type Attempt = BoxFuture<'static, Result<ClientResponse, Failure>>;
 
 /// What all attempts for one try of a client came to.
 pub(crate) struct PlainEnd {
     /// The answer for the client.
-    pub(crate) answer: Answer,
+    pub(crate) answer: ClientResponse,
     /// Whether it is a server's.
     pub(crate) is_servers: bool,
     /// How many servers answered with status 500.
@@ -59,7 +59,7 @@
     retry_after: Option<Duration>,
     timed_out: bool,
     /// A server's error, which is the answer if nothing better comes.
-    fallback: Option<Answer>,
+    fallback: Option<ClientResponse>,
 }
 
 impl Sender {
@@ -95,8 +95,8 @@
     async fn run(&mut self) -> PlainEnd {
         let mut running = FuturesUnordered::new();
         running.extend(self.start());
-        let hedge_at = Instant::now() + self.route.aim.mul_f64(HEDGE_AT);
-        let mut may_hedge = self.may_repeat && self.route.tries > 1 && hedge_at < self.deadline;
+        let hedge_at = Instant::now() + self.route.latency_target.mul_f64(HEDGE_AT);
+        let mut may_hedge = self.may_repeat && self.route.max_attempts > 1 && hedge_at < self.deadline;
         while !running.is_empty() {
             tokio::select! {
                 Some(end) = running.next() => {
@@ -122,7 +122,7 @@
     /// Starts an attempt at one more server, if one may be tried.
     fn start(&mut self) -> Option<Attempt> {
         let is_first = self.spent == 0;
-        let may_run = is_first || (self.may_repeat && self.spent < self.route.tries.max(1));
+        let may_run = is_first || (self.may_repeat && self.spent < self.route.max_attempts.max(1));
         let has_time = Instant::now() < self.deadline;
         if !may_run || !has_time || self.refused > REFUSALS_MOST {
             return None;
@@ -149,7 +149,7 @@
     }
 
     /// Takes in the end of an attempt; gives the answer if it is final.
-    fn take(&mut self, end: Result<Answer, Failure>) -> Option<Answer> {
+    fn take(&mut self, end: Result<ClientResponse, Failure>) -> Option<ClientResponse> {
         self.running -= 1;
         match end {
             Ok(answer) if answer.status.is_server_error() => {
@@ -164,7 +164,7 @@
             }
             Ok(answer) => Some(answer),
             Err(failure) => {
-                if failure.verdict == Verdict::NotRun {
+                if failure.verdict == ExecutionStatus::NotRun {
                     self.spent -= 1;
                     self.refused += 1;
                 }
@@ -181,11 +181,11 @@
             return PlainEnd { answer, is_servers: true, errors: self.errors };
         }
         let answer = if self.spent == 0 {
-            Answer::not_run(self.retry_after.unwrap_or(COME_BACK).min(COME_BACK_MOST))
+            ClientResponse::not_run(self.retry_after.unwrap_or(COME_BACK).min(COME_BACK_MOST))
         } else if self.timed_out {
-            Answer::own(StatusCode::GATEWAY_TIMEOUT)
+            ClientResponse::own(StatusCode::GATEWAY_TIMEOUT)
         } else {
-            Answer::own(StatusCode::BAD_GATEWAY)
+            ClientResponse::own(StatusCode::BAD_GATEWAY)
         };
         PlainEnd { answer, is_servers: false, errors: self.errors }
     }
@@ -199,7 +199,7 @@
 }
 
 /// Reads the body to its end, or up to the length from which it is passed on as it comes.
-pub(crate) async fn hold(mut opened: Opened) -> Result<Answer, Failure> {
+pub(crate) async fn hold(mut opened: Opened) -> Result<ClientResponse, Failure> {
     let (status, mut headers) = (opened.status(), opened.headers().clone());
     let length = headers.remove(CONTENT_LENGTH);
     headers.remove(TRANSFER_ENCODING);
@@ -217,8 +217,8 @@
         body.extend_from_slice(&chunk);
         if body.len() > HELD_MOST {
             headers.extend(length.map(|length| (CONTENT_LENGTH, length)));
-            let body = AnswerBody::Pieces(rest(body.freeze(), opened));
-            return Ok(Answer { status, headers, body });
+            let body = ResponseBody::Stream(rest(body.freeze(), opened));
+            return Ok(ClientResponse { status, headers, body });
         }
     }
     let body = if body.is_empty() { first } else { body.freeze() };
@@ -226,7 +226,7 @@
         // It tells the length of a body that is not sent, as after HEAD.
         headers.extend(length.map(|length| (CONTENT_LENGTH, length)));
     }
-    Ok(Answer { status, headers, body: AnswerBody::Whole(body) })
+    Ok(ClientResponse { status, headers, body: ResponseBody::Complete(body) })
 }
 
 /// What has come of a long answer, then the rest of it as it comes.
--- a/crates/data-plane/src/reward.rs
+++ b/crates/data-plane/src/reward.rs
@@ -14,7 +14,7 @@
 
 /// How a reward call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RewardEnd {
+pub enum RewardOutcome {
     /// The stamp of the 2xx.
     Graded(String),
     /// Servers answered 500 and none answered otherwise.
@@ -37,23 +37,23 @@
         id: &str,
         body: Bytes,
         deadline: Duration,
-    ) -> RewardEnd {
+    ) -> RewardOutcome {
         let plain_path = path.split('?').next().unwrap_or(path);
         let configuration = self.configuration();
         let Some(route) = configuration.as_ref().and_then(|c| c.route(host, plain_path)) else {
-            return RewardEnd::NoRoute;
+            return RewardOutcome::NoRoute;
         };
         let Some(headers) = headers(host, id) else {
-            return RewardEnd::NoRoute;
+            return RewardOutcome::NoRoute;
         };
         let call = Arc::new(Call { method: Method::POST, target: path.to_owned(), headers, body });
         let end = self.plain(route, call, true, Instant::now() + deadline).await;
         let status = end.answer.status;
         let stamp = end.answer.headers.get(POSTMARK).and_then(|stamp| stamp.to_str().ok());
         match stamp {
-            Some(stamp) if end.is_servers && status.is_success() => RewardEnd::Graded(stamp.to_owned()),
-            _ if end.errors > 0 => RewardEnd::Failed { answers: end.errors },
-            _ => RewardEnd::Again,
+            Some(stamp) if end.is_servers && status.is_success() => RewardOutcome::Graded(stamp.to_owned()),
+            _ if end.errors > 0 => RewardOutcome::Failed { answers: end.errors },
+            _ => RewardOutcome::Again,
         }
     }
 }
--- a/crates/data-plane/src/sender.rs
+++ b/crates/data-plane/src/sender.rs
@@ -63,14 +63,14 @@
 
     /// Free places, by our counts, at the servers of these services that satisfy the version.
     #[must_use]
-    pub fn room(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
+    pub fn free_capacity(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
         let now = self.now();
         self.state().dispatcher.room(now, &item_need(targets, model, oldest_version))
     }
 
     /// Places, taken or free, at the servers of these services that satisfy the version.
     #[must_use]
-    pub fn places(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
+    pub fn total_capacity(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
         let now = self.now();
         self.state().dispatcher.places(now, &item_need(targets, model, oldest_version))
     }
--- a/crates/data-plane/src/stream.rs
+++ b/crates/data-plane/src/stream.rs
@@ -13,7 +13,7 @@
 use state::ServerId;
 use tokio::time::Instant;
 
-use crate::answer::{Answer, AnswerBody, Verdict};
+use crate::answer::{ClientResponse, ExecutionStatus, ResponseBody};
 use crate::attempt::{open, Extra, Failure, Opened};
 use crate::call::{end_to_end, Call, LAST_EVENT_ID};
 use crate::event_stream::EventParser;
@@ -42,7 +42,12 @@
 
 impl Sender {
     /// Brings a request for a stream to a server.
-    pub(crate) async fn stream(&self, route: &Arc<Route>, call: Arc<Call>, deadline: Instant) -> Answer {
+    pub(crate) async fn stream(
+        &self,
+        route: &Arc<Route>,
+        call: Arc<Call>,
+        deadline: Instant,
+    ) -> ClientResponse {
         let asked = call.headers.get(LAST_EVENT_ID).and_then(|id| id.to_str().ok()?.parse().ok());
         let mut source = Source {
             sender: self.clone(),
@@ -62,13 +67,13 @@
             return source.refusal();
         };
         if !is_event_stream(&opened) {
-            return hold(opened).await.unwrap_or_else(|_| Answer::own(StatusCode::BAD_GATEWAY));
+            return hold(opened).await.unwrap_or_else(|_| ClientResponse::own(StatusCode::BAD_GATEWAY));
         }
         let (status, mut headers) = (opened.status(), end_to_end(opened.headers()));
         headers.remove(CONTENT_LENGTH);
         headers.remove(TRANSFER_ENCODING);
         source.opened = Some(opened);
-        Answer { status, headers, body: AnswerBody::Pieces(source.into_pieces()) }
+        ClientResponse { status, headers, body: ResponseBody::Stream(source.into_pieces()) }
     }
 }
 
@@ -102,12 +107,12 @@
     }
 
     fn may_try(&self) -> bool {
-        let may_run = self.spent == 0 || (self.route.resume && self.spent < self.route.tries.max(1));
+        let may_run = self.spent == 0 || (self.route.resume && self.spent < self.route.max_attempts.max(1));
         may_run && self.refused <= REFUSALS_MOST && Instant::now() < self.deadline
     }
 
     fn note(&mut self, failure: Failure) {
-        if failure.verdict == Verdict::NotRun {
+        if failure.verdict == ExecutionStatus::NotRun {
             self.spent -= 1;
             self.refused += 1;
         }
@@ -115,14 +120,14 @@
     }
 
     /// The answer when no server has begun to answer.
-    fn refusal(&self) -> Answer {
+    fn refusal(&self) -> ClientResponse {
         let failure = self.last_failure;
         if self.spent == 0 {
             let retry_after = failure.and_then(|failure| failure.retry_after);
-            return Answer::not_run(retry_after.unwrap_or(COME_BACK).min(COME_BACK_MOST));
+            return ClientResponse::not_run(retry_after.unwrap_or(COME_BACK).min(COME_BACK_MOST));
         }
         let timed_out = failure.is_some_and(|failure| failure.timed_out);
-        Answer::own(if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY })
+        ClientResponse::own(if timed_out { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY })
     }
 
     fn into_pieces(self) -> BoxStream<'static, io::Result<Bytes>> {
--- a/crates/data-plane/tests/items.rs
+++ b/crates/data-plane/tests/items.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use configuration::Route;
-use data_plane::{ItemCall, ItemEnd, ItemProgress, RewardEnd, Sender};
+use data_plane::{ItemCall, ItemOutcome, ItemProgress, RewardOutcome, Sender};
 use support::{answer, event, nobody, refusal, sender, sender_to, stream_text, success, Act, StandIn, LONG};
 use tokio::time::Instant;
 use yare::parameterized;
@@ -42,7 +42,7 @@
     }
 }
 
-async fn run(script: Act, path: &str, before: ItemProgress) -> (ItemEnd, StandIn) {
+async fn run(script: Act, path: &str, before: ItemProgress) -> (ItemOutcome, StandIn) {
     let server = StandIn::start("a", move |_, _| script.clone()).await;
     let (sender, _changes) = sender(&[&server]);
     let end = sender.run_item(item(&sender, path, before)).await;
@@ -55,7 +55,7 @@
 async fn given_a_whole_stream_when_an_item_runs_then_its_text_is_whole_and_the_request_is_right() {
     let text = stream_text(TOLD, &[&event(1), &event(2)], true);
     let (end, server) = run(Act::Write(text), "/rollout/3/x?y=1", ItemProgress::default()).await;
-    assert_eq!(end, ItemEnd::Whole(progress(&[1, 2], &[3])));
+    assert_eq!(end, ItemOutcome::Whole(progress(&[1, 2], &[3])));
     let seen = &server.seen()[0];
     assert_eq!(seen.line, "POST /rollout/3/x?y=1 HTTP/1.1");
     assert_eq!(seen.body, b"\x00body");
@@ -70,7 +70,7 @@
 async fn given_one_version_a_text_when_an_item_runs_then_that_version_is_expected() {
     let text = stream_text(TOLD, &[&event(1)], true);
     let (end, server) = run(Act::Write(text), "/single/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemEnd::Whole(progress(&[1], &[3])));
+    assert_eq!(end, ItemOutcome::Whole(progress(&[1], &[3])));
     assert_eq!(server.seen()[0].header("expect-version"), "3");
 }
 
@@ -83,21 +83,21 @@
 async fn given_a_cut_when_an_item_runs_then_whole_events_are_kept(pieces: &[&str]) {
     let cut = Act::WriteAndClose(stream_text(TOLD, pieces, false));
     let (end, _) = run(cut, "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemEnd::Interrupted(progress(&[1], &[3])));
+    assert_eq!(end, ItemOutcome::Interrupted(progress(&[1], &[3])));
 }
 
 #[tokio::test]
 async fn given_a_proper_end_within_an_event_when_an_item_runs_then_it_is_not_whole() {
     let text = stream_text(TOLD, &[&event(1), "id: 2\nda"], true);
     let (end, _) = run(Act::Write(text), "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemEnd::Interrupted(progress(&[1], &[3])));
+    assert_eq!(end, ItemOutcome::Interrupted(progress(&[1], &[3])));
 }
 
 #[tokio::test]
 async fn given_progress_when_an_item_runs_then_it_goes_on_behind_its_last_event() {
     let text = stream_text(TOLD, &[&event(3)], true);
     let (end, server) = run(Act::Write(text), "/rollout/x", progress(&[1, 2], &[3])).await;
-    assert_eq!(end, ItemEnd::Whole(progress(&[1, 2, 3], &[3])));
+    assert_eq!(end, ItemOutcome::Whole(progress(&[1, 2, 3], &[3])));
     assert_eq!(server.seen()[0].header("last-event-id"), "2");
 }
 
@@ -106,7 +106,7 @@
 async fn given_an_event_that_does_not_follow_when_an_item_runs_then_it_is_not_taken(id: u64) {
     let text = stream_text(TOLD, &[&event(id)], true);
     let (end, _) = run(Act::Write(text), "/rollout/x", progress(&[1, 2], &[3])).await;
-    assert_eq!(end, ItemEnd::Interrupted(progress(&[1, 2], &[3])));
+    assert_eq!(end, ItemOutcome::Interrupted(progress(&[1, 2], &[3])));
 }
 
 #[tokio::test]
@@ -114,7 +114,7 @@
     let second = format!("weight-editions: 4\n{}", event(2));
     let text = stream_text(TOLD, &[&event(1), &second, &event(3)], true);
     let (end, _) = run(Act::Write(text), "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemEnd::Whole(progress(&[1, 2, 3], &[3, 4])));
+    assert_eq!(end, ItemOutcome::Whole(progress(&[1, 2, 3], &[3, 4])));
 }
 
 #[tokio::test]
@@ -122,27 +122,27 @@
     let second = format!("weight-editions: 4\n{}", event(2));
     let text = stream_text(TOLD, &[&event(1), &second], true);
     let (end, _) = run(Act::Write(text), "/single/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemEnd::Interrupted(ItemProgress::default()));
+    assert_eq!(end, ItemOutcome::Interrupted(ItemProgress::default()));
 }
 
 #[tokio::test]
 async fn given_a_version_that_is_too_old_when_an_item_runs_then_its_events_are_not_taken() {
     let text = stream_text("Weight-Editions: 2\r\n", &[&event(1)], true);
     let (end, _) = run(Act::Write(text), "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemEnd::Interrupted(ItemProgress::default()));
+    assert_eq!(end, ItemOutcome::Interrupted(ItemProgress::default()));
 }
 
 #[parameterized(
-    error = { answer(500, "Postmark: stamp\r\n", "bad"), ItemEnd::Failed },
-    impossible = { answer(422, "Postmark: stamp\r\n", "no"), ItemEnd::Impossible },
-    full = { refusal(), ItemEnd::NotRun { retry_after: std::time::Duration::from_millis(250) } },
-    other_version = { answer(421, "", ""), ItemEnd::NotRun { retry_after: std::time::Duration::from_millis(50) } },
-    reset = { Act::WriteAndClose(String::new()), ItemEnd::Interrupted(ItemProgress::default()) },
+    error = { answer(500, "Postmark: stamp\r\n", "bad"), ItemOutcome::Failed },
+    impossible = { answer(422, "Postmark: stamp\r\n", "no"), ItemOutcome::Impossible },
+    full = { refusal(), ItemOutcome::NotRun { retry_after: std::time::Duration::from_millis(250) } },
+    other_version = { answer(421, "", ""), ItemOutcome::NotRun { retry_after: std::time::Duration::from_millis(50) } },
+    reset = { Act::WriteAndClose(String::new()), ItemOutcome::Interrupted(ItemProgress::default()) },
     other_answer = { Act::Write(stream_text(TOLD, &["id: 1\ndata: e1\n\n"], true).replace("{id}", "other")),
-        ItemEnd::Interrupted(ItemProgress::default()) },
+        ItemOutcome::Interrupted(ItemProgress::default()) },
 )]
 #[test_macro(tokio::test)]
-async fn given_no_text_when_an_item_runs_then_its_end_tells_why(script: Act, expected: ItemEnd) {
+async fn given_no_text_when_an_item_runs_then_its_end_tells_why(script: Act, expected: ItemOutcome) {
     let (end, _) = run(script, "/rollout/x", ItemProgress::default()).await;
     assert_eq!(end, expected);
 }
@@ -152,9 +152,9 @@
     let server = StandIn::start("a", |_, _| success("")).await;
     let (sender, _changes) = sender(&[&server]);
     let newer = ItemCall { oldest_version: 4, ..item(&sender, "/rollout/x", ItemProgress::default()) };
-    assert_eq!(sender.room(&newer.route.targets, Some("m"), 4), 0);
-    assert!(sender.room(&newer.route.targets, Some("m"), 3) > 0);
-    assert!(matches!(sender.run_item(newer).await, ItemEnd::NotRun { .. }));
+    assert_eq!(sender.free_capacity(&newer.route.targets, Some("m"), 4), 0);
+    assert!(sender.free_capacity(&newer.route.targets, Some("m"), 3) > 0);
+    assert!(matches!(sender.run_item(newer).await, ItemOutcome::NotRun { .. }));
     assert!(server.seen().is_empty());
 }
 
@@ -162,7 +162,7 @@
 async fn given_nobody_at_the_address_when_an_item_runs_then_it_has_not_run() {
     let (sender, _changes) = sender_to(vec![support::entry("a", nobody().await, "s")]);
     let end = sender.run_item(item(&sender, "/rollout/x", ItemProgress::default())).await;
-    assert!(matches!(end, ItemEnd::NotRun { .. }), "{end:?}");
+    assert!(matches!(end, ItemOutcome::NotRun { .. }), "{end:?}");
 }
 
 #[tokio::test]
@@ -172,7 +172,7 @@
     let (sender, _changes) = sender(&[&server]);
     let call = item(&sender, "/rollout/x", ItemProgress::default());
     let targets = call.route.targets.clone();
-    let room = sender.room(&targets, Some("m"), 3);
+    let room = sender.free_capacity(&targets, Some("m"), 3);
     let running = tokio::spawn({
         let sender = sender.clone();
         async move { sender.run_item(call).await }
@@ -180,14 +180,14 @@
     while server.seen().is_empty() {
         tokio::task::yield_now().await;
     }
-    assert_eq!(sender.room(&targets, Some("m"), 3), room - 1);
+    assert_eq!(sender.free_capacity(&targets, Some("m"), 3), room - 1);
     running.abort();
     server.hang_closed().await;
     assert!(running.await.is_err());
-    assert_eq!(sender.room(&targets, Some("m"), 3), room);
+    assert_eq!(sender.free_capacity(&targets, Some("m"), 3), room);
 }
 
-async fn reward(sender: &Sender, path: &str) -> RewardEnd {
+async fn reward(sender: &Sender, path: &str) -> RewardOutcome {
     sender.reward("h.example", path, "reward1", Bytes::from_static(b"score"), LONG).await
 }
 
@@ -195,11 +195,11 @@
 async fn given_a_stamped_answer_when_a_reward_is_asked_then_the_stamp_is_its_grade() {
     let server = StandIn::start("a", |_, _| success("ok")).await;
     let (sender, _changes) = sender(&[&server]);
-    assert_eq!(reward(&sender, "/safe/r").await, RewardEnd::Graded("stamp".into()));
+    assert_eq!(reward(&sender, "/safe/r").await, RewardOutcome::Graded("stamp".into()));
     let seen = &server.seen()[0];
     assert_eq!(seen.line, "POST /safe/r HTTP/1.1");
     assert_eq!((seen.header("attempt-id"), seen.body.as_slice()), ("reward1", b"score".as_slice()));
-    assert_eq!(reward(&sender, "/none/r").await, RewardEnd::NoRoute);
+    assert_eq!(reward(&sender, "/none/r").await, RewardOutcome::NoRoute);
 }
 
 #[tokio::test]
@@ -209,7 +209,7 @@
         servers.push(StandIn::start(id, |_, _| answer(500, "Postmark: stamp\r\n", "")).await);
     }
     let (sender, _changes) = sender(&servers.iter().collect::<Vec<_>>());
-    assert_eq!(reward(&sender, "/safe/r").await, RewardEnd::Failed { answers: 3 });
+    assert_eq!(reward(&sender, "/safe/r").await, RewardOutcome::Failed { answers: 3 });
     let ids: BTreeSet<_> =
         servers.iter().flat_map(StandIn::seen).map(|seen| seen.headers["expected-carrier"].clone()).collect();
     assert_eq!(ids.len(), 3);
@@ -219,14 +219,14 @@
 async fn given_one_server_that_fails_all_tries_of_a_reward_then_each_answer_is_counted() {
     let server = StandIn::start("a", |_, _| answer(500, "Postmark: stamp\r\n", "")).await;
     let (sender, _changes) = sender(&[&server]);
-    assert_eq!(reward(&sender, "/safe/r").await, RewardEnd::Failed { answers: 3 });
+    assert_eq!(reward(&sender, "/safe/r").await, RewardOutcome::Failed { answers: 3 });
 }
 
 #[tokio::test]
 async fn given_refusals_when_a_reward_is_asked_then_it_may_be_asked_again() {
     let server = StandIn::start("a", |_, _| refusal()).await;
     let (sender, _changes) = sender(&[&server]);
-    assert_eq!(reward(&sender, "/safe/r").await, RewardEnd::Again);
+    assert_eq!(reward(&sender, "/safe/r").await, RewardOutcome::Again);
 }
 
 #[tokio::test]
@@ -237,10 +237,10 @@
     let (sender, _changes) = sender(&[&server]);
     let call = item(&sender, "/rollout/x", ItemProgress::default());
     let targets = call.route.targets.clone();
-    let room = sender.room(&targets, Some("m"), 3);
-    assert!(matches!(sender.run_item(call).await, ItemEnd::Whole(_)));
+    let room = sender.free_capacity(&targets, Some("m"), 3);
+    assert!(matches!(sender.run_item(call).await, ItemOutcome::Whole(_)));
     // One of the four was the item itself.
-    assert_eq!(sender.room(&targets, Some("m"), 3), room - 3);
+    assert_eq!(sender.free_capacity(&targets, Some("m"), 3), room - 3);
 }
 
 #[tokio::test]
@@ -250,9 +250,9 @@
     let (sender, _changes) = sender(&[&server]);
     let call = item(&sender, "/rollout/x", ItemProgress::default());
     let targets = call.route.targets.clone();
-    assert_eq!(sender.room(&targets, Some("m"), 5), 0);
-    assert!(matches!(sender.run_item(call).await, ItemEnd::Whole(_)));
-    assert!(sender.room(&targets, Some("m"), 5) > 0);
+    assert_eq!(sender.free_capacity(&targets, Some("m"), 5), 0);
+    assert!(matches!(sender.run_item(call).await, ItemOutcome::Whole(_)));
+    assert!(sender.free_capacity(&targets, Some("m"), 5) > 0);
 }
 
 #[tokio::test]
@@ -261,7 +261,7 @@
     let (sender, _changes) = sender(&[&server]);
     for _ in 0..2 {
         let end = sender.run_item(item(&sender, "/single/x", ItemProgress::default())).await;
-        assert!(matches!(end, ItemEnd::NotRun { .. }));
+        assert!(matches!(end, ItemOutcome::NotRun { .. }));
     }
     assert_eq!(server.seen().len(), 1);
 }
--- a/crates/data-plane/tests/support/mod.rs
+++ b/crates/data-plane/tests/support/mod.rs
@@ -11,7 +11,7 @@
 
 use configuration::Configuration;
 use data_plane::Sender;
-use state::{Condition, ServerEntry, ServerList, View};
+use state::{ServerCondition, ServerEntry, ServerList, View};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
@@ -219,8 +219,8 @@
         address,
         zone: "zone".into(),
         slots: 4,
-        condition: Condition::Open,
-        cold_ms: 0,
+        condition: ServerCondition::Open,
+        warm_up_ms: 0,
         models: BTreeMap::from([(Arc::from("m"), 3)]),
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -85,14 +85,14 @@
     /// How many more requests the servers that fit have places for.
     #[must_use]
     pub fn room(&self, now: Duration, need: &Need<'_>) -> usize {
-        let pools = need.targets.iter().filter(|target| target.share > 0);
+        let pools = need.targets.iter().filter(|target| target.weight > 0);
         pools.filter_map(|target| self.pools.get(&target.service)).map(|pool| pool.room(now, need)).sum()
     }
 
     /// How many places the servers that fit have, taken or free.
     #[must_use]
     pub fn places(&self, now: Duration, need: &Need<'_>) -> usize {
-        let pools = need.targets.iter().filter(|target| target.share > 0);
+        let pools = need.targets.iter().filter(|target| target.weight > 0);
         pools.filter_map(|target| self.pools.get(&target.service)).map(|pool| pool.places(now, need)).sum()
     }
 
@@ -147,19 +147,19 @@
     /// Draws a service by the shares among those that have a fitting server.
     fn draw(&self, now: Duration, need: &Need<'_>) -> Option<Arc<str>> {
         let fits = |target: &&Target| {
-            target.share > 0 && self.pools.get(&target.service).is_some_and(|pool| pool.fits(now, need))
+            target.weight > 0 && self.pools.get(&target.service).is_some_and(|pool| pool.fits(now, need))
         };
         if let [only] = need.targets {
             return fits(&only).then(|| Arc::clone(&only.service));
         }
         let fitting: Vec<_> = need.targets.iter().filter(fits).collect();
-        let total: u64 = fitting.iter().map(|target| u64::from(target.share)).sum();
+        let total: u64 = fitting.iter().map(|target| u64::from(target.weight)).sum();
         if total == 0 {
             return None;
         }
         let mut drawn = fastrand::u64(..total);
         for target in fitting {
-            let share = u64::from(target.share);
+            let share = u64::from(target.weight);
             if drawn < share {
                 return Some(Arc::clone(&target.service));
             }
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use state::{Condition, ServerEntry, ServerId};
+use state::{ServerCondition, ServerEntry, ServerId};
 
 use crate::health::Health;
 use crate::versions::Versions;
@@ -85,7 +85,7 @@
     pub(crate) fn update(&mut self, entry: &ServerEntry, zone: &str) {
         self.address = entry.address;
         self.slots = entry.slots;
-        self.open = entry.condition == Condition::Open;
+        self.open = entry.condition == ServerCondition::Open;
         self.near = &*entry.zone == zone;
         self.versions.listed(&entry.models);
     }
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -6,7 +6,7 @@
 
 use configuration::Target;
 use dispatch::{Dispatcher, Need, Outcome, VersionNeed};
-use state::{Condition, ServerEntry, ServerId, ServerList};
+use state::{ServerCondition, ServerEntry, ServerId, ServerList};
 use yare::parameterized;
 
 const NOW: Duration = Duration::from_secs(100);
@@ -18,8 +18,8 @@
         address: ([10, 0, 0, 1], 80).into(),
         zone: "near".into(),
         slots: 4,
-        condition: Condition::Open,
-        cold_ms: 0,
+        condition: ServerCondition::Open,
+        warm_up_ms: 0,
         models: BTreeMap::new(),
     }
 }
@@ -39,7 +39,7 @@
 }
 
 fn targets(shares: &[(&str, u32)]) -> Vec<Target> {
-    shares.iter().map(|(service, share)| Target { service: (*service).into(), share: *share }).collect()
+    shares.iter().map(|(service, share)| Target { service: (*service).into(), weight: *share }).collect()
 }
 
 fn need<'a>(targets: &'a [Target], tried: &'a [ServerId]) -> Need<'a> {
@@ -72,7 +72,7 @@
 
 #[test]
 fn given_closing_servers_when_choosing_then_only_open_ones_of_the_service_are_chosen() {
-    let closing = ServerEntry { condition: Condition::Closing, ..entry("b", "s") };
+    let closing = ServerEntry { condition: ServerCondition::Closing, ..entry("b", "s") };
     let mut dispatcher = dispatcher(vec![entry("a", "s"), closing, entry("c", "other"), entry("d", "s")]);
     let targets = targets(&[("s", 1)]);
     assert_eq!(chosen(&mut dispatcher, &need(&targets, &[]), 100), set(&["a", "d"]));
--- a/crates/emulator/src/fleet/faults.rs
+++ b/crates/emulator/src/fleet/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use storage::simulated::RandomFates;
+use storage::simulated::RandomWriteFaults;
 
 use super::{catch_up, Fleet, MachineKind};
 use crate::wire::Place;
@@ -19,7 +19,7 @@
     /// Cuts the power of a machine, at times amid a write; it starts again within a second.
     pub fn lose_power(&mut self, machine: usize) {
         self.note_loss(machine, Duration::from_secs(1));
-        let mut fates = RandomFates::new(self.random.u64(..));
+        let mut fates = RandomWriteFaults::new(self.random.u64(..));
         self.machines[machine].disk.lose_power(&mut fates);
         self.end(machine, false);
         self.start_soon(machine, Duration::from_secs(1));
--- a/crates/emulator/src/fleet/looks.rs
+++ b/crates/emulator/src/fleet/looks.rs
@@ -134,7 +134,7 @@
                 known.map(|known| (known.ballot, known.value.revision, known.value.acceptors.clone()))
             );
             if let Some(jobs) = process.jobs() {
-                log::info!("{:?}", jobs.moved());
+                log::info!("{:?}", jobs.migration_status());
                 log::debug!("{}", jobs.describe());
             }
             if let Some(acceptor) = process.acceptor() {
@@ -153,7 +153,7 @@
     /// The node that was the last to raise the fencing token, as far as any node knows.
     #[must_use]
     pub fn leader(&self) -> Option<usize> {
-        let holder = self.newest_state()?.fence_holder.clone()?;
+        let holder = self.newest_state()?.fence_owner.clone()?;
         self.machines.iter().position(|machine| machine.station == holder)
     }
 }
--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::{Condition, ItemResult};
+use batch::{ItemCondition, ItemResult};
 use bytes::Bytes;
 use control_plane::AcceptorService;
 use poem::endpoint::BoxEndpoint;
@@ -19,7 +19,7 @@
 use settings::Settings;
 use state::ControlState;
 use storage::simulated::SimulatedDisk;
-use storage::{Journal, Options};
+use storage::{Journal, RingOptions};
 use store_plane::{JobState, JobStore, OwnedJob};
 use tokio::runtime::{Builder, Runtime};
 use tokio::sync::mpsc;
@@ -31,9 +31,9 @@
 use crate::wire::{Outcome, SimulatedTransport, Wire};
 
 /// The ring of an acceptor: small, so that it goes round often.
-const NODE_RING: Options = Options { segment_bytes: 128 * 1024, segments: 4 };
+const NODE_RING: RingOptions = RingOptions { segment_bytes: 128 * 1024, segments: 4 };
 /// The ring of a store.
-const STORE_RING: Options = Options { segment_bytes: 256 * 1024, segments: 8 };
+const STORE_RING: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
 /// How long an item takes, in milliseconds.
 const ITEM_MS: std::ops::Range<u64> = 20..200;
 
@@ -271,7 +271,7 @@
         }
         let result = ItemResult {
             id: item.id.clone(),
-            condition: Condition::Delivered,
+            condition: ItemCondition::Delivered,
             text: text_of(&item.id),
             versions: vec![1],
             grade: None,
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use serde::Deserialize;
-use state::{Condition, ServerEntry};
+use state::{ServerCondition, ServerEntry};
 
 /// Path of an order.
 pub(crate) const ORDER_PATH: &str = "order";
@@ -76,8 +76,8 @@
             address: address_of(self.index),
             zone: "zone".into(),
             slots: 8,
-            condition: Condition::Open,
-            cold_ms: 0,
+            condition: ServerCondition::Open,
+            warm_up_ms: 0,
             models: self.versions.clone(),
         }
     }
--- a/crates/emulator/src/simulation/checker.rs
+++ b/crates/emulator/src/simulation/checker.rs
@@ -132,5 +132,5 @@
 fn is_member(state: &ControlState, station: &str, incarnation: Incarnation) -> bool {
     let stores = state.stores.members.iter().map(|store| &store.member);
     let mut members = state.acceptors.iter().chain(&state.standbys).chain(stores);
-    members.any(|member| member.station == station && member.incarnation == incarnation)
+    members.any(|member| member.name == station && member.incarnation == incarnation)
 }
--- a/crates/emulator/src/simulation/troubles.rs
+++ b/crates/emulator/src/simulation/troubles.rs
@@ -304,13 +304,12 @@
         state.acceptors.clone()
     };
     let is_present = |member: &register::Member| {
-        let station = fleet.machines().find(|one| fleet.station(*one) == member.station);
+        let station = fleet.machines().find(|one| fleet.station(*one) == member.name);
         station
             .is_some_and(|one| fleet.incarnation(one) == Some(member.incarnation) && !fleet.is_leaving(one))
     };
     let absent = members.iter().filter(|member| !is_present(member)).count();
     let is_moving = is_store && state.previous_stores.is_some();
-    let is_member =
-        members.iter().any(|member| member.station == fleet.station(machine) && is_present(member));
+    let is_member = members.iter().any(|member| member.name == fleet.station(machine) && is_present(member));
     is_member && !is_moving && absent < fleet.shape().machines_lost
 }
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use control_plane::{ListSource, PlatformError, ServerCalls};
 use futures_util::future::BoxFuture;
-use rollout::{Answer, Ask, Order, Report};
+use rollout::{OrderReply, ReportRequest, ServerReport, VersionOrder};
 use rpc::{CallError, Transport};
 use state::{ServerList, ServerListVersion};
 use tokio::sync::oneshot;
@@ -119,19 +119,19 @@
 }
 
 impl ServerCalls for SimulatedTransport {
-    fn order<'a>(&'a self, order: &'a Order, body: String) -> BoxFuture<'a, Answer> {
+    fn order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply> {
         Box::pin(async move {
             let to = Place::Server(servers::index_of(order.address));
             let called = self.wire.call(self.machine, to, ORDER_PATH, body.into(), OUTSIDE_CALL_TIMEOUT);
             match called.await {
-                Ok((status, _)) => Answer::from_status(status),
-                Err(error) if error.may_have_run() => Answer::Unclear,
-                Err(_) => Answer::NotTaken,
+                Ok((status, _)) => OrderReply::from_status(status),
+                Err(error) if error.may_have_run() => OrderReply::Unclear,
+                Err(_) => OrderReply::NotTaken,
             }
         })
     }
 
-    fn report<'a>(&'a self, ask: &'a Ask) -> BoxFuture<'a, Option<Report>> {
+    fn report<'a>(&'a self, ask: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>> {
         Box::pin(async move {
             let to = Place::Server(servers::index_of(ask.address));
             let called = self.wire.call(self.machine, to, REPORT_PATH, Bytes::new(), OUTSIDE_CALL_TIMEOUT);
--- a/crates/emulator/tests/stories.rs
+++ b/crates/emulator/tests/stories.rs
@@ -177,7 +177,7 @@
         let incarnation = fleet.incarnation(machine);
         members
             .iter()
-            .any(|member| member.station == fleet.station(machine) && Some(member.incarnation) == incarnation)
+            .any(|member| member.name == fleet.station(machine) && Some(member.incarnation) == incarnation)
     };
     state.previous_stores.is_none() && fleet.machines().all(is_member)
 }
@@ -221,9 +221,9 @@
         story.fleet.replace(4);
         let is_done = |fleet: &Fleet| {
             fleet.state(0).is_some_and(|state| {
-                let has = |station: &str| state.acceptors.iter().any(|member| member.station == station);
+                let has = |station: &str| state.acceptors.iter().any(|member| member.name == station);
                 let stores = &state.stores.members;
-                let has_store = |station: &str| stores.iter().any(|store| store.member.station == station);
+                let has_store = |station: &str| stores.iter().any(|store| store.member.name == station);
                 has("node-6") && !has("node-1") && has_store("store-7") && !has_store("store-4")
             })
         };
@@ -591,7 +591,7 @@
 /// Whether this machine is an acceptor in the newest state that any machine knows.
 fn is_acceptor(fleet: &Fleet, machine: usize) -> bool {
     let newest = fleet.newest_state().expect("somebody knows the state");
-    newest.acceptors.iter().any(|member| member.station == fleet.station(machine))
+    newest.acceptors.iter().any(|member| member.name == fleet.station(machine))
 }
 
 /// At no moment of this time do two hold the lease.
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -23,7 +23,7 @@
 
 /// What a candidate should do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Action {
+pub enum CandidateAction {
     /// Start a round: [`Candidate::begin`], and send the request to all grantors.
     Ask,
     /// The round is lost: [`Candidate::give_up`], and send the release, if any, to all grantors.
@@ -150,7 +150,7 @@
     }
 
     /// When the lease ends, if it is not renewed.
-    pub fn held_until(&self) -> Duration {
+    pub fn expires_at(&self) -> Duration {
         self.held_until
     }
 
@@ -160,19 +160,19 @@
     }
 
     /// What to do now.
-    pub fn next_action(&mut self, now: Duration) -> Action {
+    pub fn next_action(&mut self, now: Duration) -> CandidateAction {
         self.advance(now);
         match &self.round {
             Some(round) if !round.is_won() => {
                 let gives_up_at = round.asked_at + self.ttl / ROUND_PART;
                 if round.is_lost() || self.clock >= gives_up_at {
-                    Action::GiveUp
+                    CandidateAction::GiveUp
                 } else {
-                    Action::Wait(gives_up_at)
+                    CandidateAction::Wait(gives_up_at)
                 }
             }
-            _ if self.clock >= self.next_round => Action::Ask,
-            _ => Action::Wait(self.next_round),
+            _ if self.clock >= self.next_round => CandidateAction::Ask,
+            _ => CandidateAction::Wait(self.next_round),
         }
     }
 
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -25,6 +25,6 @@
 mod grantor;
 mod messages;
 
-pub use candidate::{Action, Candidate};
+pub use candidate::{Candidate, CandidateAction};
 pub use grantor::Grantor;
 pub use messages::{GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
--- a/crates/lease/tests/candidate.rs
+++ b/crates/lease/tests/candidate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lease::{Action, Candidate, GrantorId, LeaseRelease, LeaseReply};
+use lease::{Candidate, CandidateAction, GrantorId, LeaseRelease, LeaseReply};
 use yare::parameterized;
 
 const TTL: Duration = Duration::from_secs(3);
@@ -56,7 +56,7 @@
     let candidate = winner();
     assert!(candidate.holds(START + ms(2600)));
     assert!(!candidate.holds(START + ms(2800)));
-    assert!(candidate.held_until() < START + TTL);
+    assert!(candidate.expires_at() < START + TTL);
 }
 
 #[test]
@@ -75,9 +75,9 @@
 #[test]
 fn given_a_holder_when_it_renews_then_the_lease_goes_on() {
     let mut candidate = winner();
-    assert_eq!(candidate.next_action(START), Action::Wait(START + ms(1000)));
+    assert_eq!(candidate.next_action(START), CandidateAction::Wait(START + ms(1000)));
     let renewal = START + ms(1000);
-    assert_eq!(candidate.next_action(renewal), Action::Ask);
+    assert_eq!(candidate.next_action(renewal), CandidateAction::Ask);
     let request = candidate.begin(renewal, 1, &grantors(3));
     assert!(candidate.holds(renewal));
     for grantor in [0, 1] {
@@ -92,10 +92,10 @@
     let renewal = START + ms(1000);
     candidate.begin(renewal, 1, &grantors(3));
     let late = renewal + ms(500);
-    assert_eq!(candidate.next_action(late), Action::GiveUp);
+    assert_eq!(candidate.next_action(late), CandidateAction::GiveUp);
     assert_eq!(candidate.give_up(late), None);
     assert!(candidate.holds(late));
-    assert!(matches!(candidate.next_action(late), Action::Wait(until) if until < late + ms(400)));
+    assert!(matches!(candidate.next_action(late), CandidateAction::Wait(until) if until < late + ms(400)));
 }
 
 #[test]
@@ -138,12 +138,12 @@
     let request = candidate.begin(START, 1, &grantors(3));
     candidate.on_reply(request.term, GrantorId(0), &GRANTED);
     candidate.on_reply(request.term, GrantorId(1), &held("two", 2990));
-    assert!(matches!(candidate.next_action(START), Action::Wait(_)));
+    assert!(matches!(candidate.next_action(START), CandidateAction::Wait(_)));
     candidate.on_reply(request.term, GrantorId(2), &held("three", 2990));
-    assert_eq!(candidate.next_action(START), Action::GiveUp);
+    assert_eq!(candidate.next_action(START), CandidateAction::GiveUp);
     let release = LeaseRelease { holder: "one".to_owned(), term: request.term };
     assert_eq!(candidate.give_up(START), Some(release));
-    assert!(matches!(candidate.next_action(START), Action::Wait(until) if until < START + ms(800)));
+    assert!(matches!(candidate.next_action(START), CandidateAction::Wait(until) if until < START + ms(800)));
 }
 
 #[test]
@@ -154,7 +154,7 @@
         candidate.on_reply(request.term, GrantorId(grantor), &held("two", 2000));
     }
     candidate.give_up(START);
-    let Action::Wait(until) = candidate.next_action(START) else {
+    let CandidateAction::Wait(until) = candidate.next_action(START) else {
         panic!("it waits");
     };
     assert!(until >= START + ms(2000) && until < START + ms(2800), "{until:?}");
@@ -171,7 +171,7 @@
         }
         candidate.give_up(START + ms(1));
         match candidate.next_action(START + ms(1)) {
-            Action::Wait(until) => until,
+            CandidateAction::Wait(until) => until,
             action => panic!("it does not wait: {action:?}"),
         }
     };
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use lease::{Action, Candidate, Grantor, GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
+use lease::{Candidate, CandidateAction, Grantor, GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
 
 /// Length of the lease.
 pub const TTL: Duration = Duration::from_secs(3);
@@ -225,8 +225,8 @@
         let now = process.now(time);
         let contender = &mut process.part;
         match contender.candidate.next_action(now) {
-            Action::Wait(_) => {}
-            Action::Ask => {
+            CandidateAction::Wait(_) => {}
+            CandidateAction::Ask => {
                 contender.candidate.set_first_grantors(contender.revision == 1);
                 let request = contender.candidate.begin(now, contender.revision, &contender.grantors);
                 let (life, grantors) = (contender.life, contender.grantors.clone());
@@ -234,7 +234,7 @@
                     self.send(picked, Message::Request { life, request: request.clone(), to });
                 }
             }
-            Action::GiveUp => {
+            CandidateAction::GiveUp => {
                 let release = contender.candidate.give_up(now);
                 let grantors = contender.grantors.clone();
                 for (release, grantor) in release
--- a/crates/local-fleet/src/verify.rs
+++ b/crates/local-fleet/src/verify.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use batch::{Condition, ItemResult};
+use batch::{ItemCondition, ItemResult};
 
 use crate::ledger::{EventRecord, Ledger, RunId, RunRecord};
 use crate::violation::{Rule, Violation};
@@ -72,7 +72,7 @@
     let Some(item) = terms.items.get(&**id) else {
         return vec![Violation::new(Rule::Mixed, format!("{id} belongs to another batch job"))];
     };
-    if result.condition == Condition::Undeliverable {
+    if result.condition == ItemCondition::Undeliverable {
         return if terms.may_give_up {
             Vec::new()
         } else {
--- a/crates/local-fleet/tests/golden.rs
+++ b/crates/local-fleet/tests/golden.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use batch::{Condition, ItemResult};
+use batch::{ItemCondition, ItemResult};
 use local_fleet::{
     Carrier, CarrierPage, ConfigurationFile, ConfigurationPatch, EngineReport, EventData, Layout, Limits,
     Load, LoadItems, ModelVersion, NamedVersion, Names, Order, Report, ResultPage, RouteEntry, Rule, RunId,
@@ -268,7 +268,7 @@
 fn given_a_page_of_results_when_sent_then_its_json_is_as_in_the_file() {
     let result = ItemResult {
         id: "t1".into(),
-        condition: Condition::Delivered,
+        condition: ItemCondition::Delivered,
         text: "event 1 of run 7 by version 2".to_owned(),
         versions: vec![2],
         grade: Some("i-1.0.00c0ffee".to_owned()),
--- a/crates/local-fleet/tests/listing.rs
+++ b/crates/local-fleet/tests/listing.rs
@@ -1,12 +1,12 @@
 //! Positions of results.
 
-use batch::{Condition, ItemResult};
+use batch::{ItemCondition, ItemResult};
 use local_fleet::{Listing, ResultPage, Rule};
 use yare::parameterized;
 
 fn result(id: &str) -> ItemResult {
     let text = format!("text of {id}");
-    ItemResult { id: id.into(), condition: Condition::Delivered, text, versions: vec![1], grade: None }
+    ItemResult { id: id.into(), condition: ItemCondition::Delivered, text, versions: vec![1], grade: None }
 }
 
 fn page(from: usize, ids: &[&str]) -> ResultPage {
--- a/crates/local-fleet/tests/verify.rs
+++ b/crates/local-fleet/tests/verify.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use batch::{Condition, ItemResult};
+use batch::{ItemCondition, ItemResult};
 use local_fleet::{
     check_result, Answer, Arrival, EventData, Expected, ItemTerms, JobTerms, Ledger, OrderRecord, Rule, RunId,
 };
@@ -43,7 +43,13 @@
 
 fn result(text: &[EventData], versions: &[u64], grade: Option<String>) -> ItemResult {
     let text = text.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n");
-    ItemResult { id: "t1".into(), condition: Condition::Delivered, text, versions: versions.to_vec(), grade }
+    ItemResult {
+        id: "t1".into(),
+        condition: ItemCondition::Delivered,
+        text,
+        versions: versions.to_vec(),
+        grade,
+    }
 }
 
 fn rules(ledger: &Ledger, terms: &JobTerms, result: &ItemResult) -> Vec<Rule> {
@@ -155,7 +161,7 @@
     may_give_up: bool,
     expected: &[Rule],
 ) {
-    let given_up = ItemResult { condition: Condition::Undeliverable, ..result(&[], &[], None) };
+    let given_up = ItemResult { condition: ItemCondition::Undeliverable, ..result(&[], &[], None) };
     let terms = JobTerms { may_give_up, ..terms(2) };
     assert_eq!(rules(&ledger(), &terms, &given_up), expected);
 }
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -17,7 +17,7 @@
 impl Timing {
     /// How long a peer may be silent.
     #[must_use]
-    pub fn silence_most(&self) -> Duration {
+    pub fn failure_timeout(&self) -> Duration {
         self.beat * (self.missed_most + 1)
     }
 }
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    heard: Duration,
+    record_heartbeat: Duration,
     suspected: bool,
 }
 
@@ -61,15 +61,15 @@
         let mut earlier = std::mem::take(&mut self.peers);
         for name in peers {
             let name = name.as_ref();
-            let peer = earlier.remove(name).unwrap_or(Peer { heard: now, suspected: false });
+            let peer = earlier.remove(name).unwrap_or(Peer { record_heartbeat: now, suspected: false });
             self.peers.insert(name.to_owned(), peer);
         }
     }
 
     /// A heartbeat came; it ends a suspicion.
-    pub fn heard(&mut self, now: Duration, peer: &str) {
+    pub fn record_heartbeat(&mut self, now: Duration, peer: &str) {
         if let Some(peer) = self.peers.get_mut(peer) {
-            peer.heard = peer.heard.max(now);
+            peer.record_heartbeat = peer.record_heartbeat.max(now);
             peer.suspected = false;
         }
     }
@@ -104,25 +104,27 @@
     /// The peers that are to be suspected from now on.
     fn failed(&self, now: Duration) -> Vec<String> {
         let watched = self.peers.values().filter(|peer| !peer.suspected).count();
-        let quiet = self.silent_for(now, self.timing.silence_most().saturating_sub(self.timing.beat)).count();
+        let quiet =
+            self.silent_for(now, self.timing.failure_timeout().saturating_sub(self.timing.beat)).count();
         if quiet == watched && watched > 1 {
             return Vec::new();
         }
         if quiet * 2 <= watched || watched == 1 {
-            return self.silent_for(now, self.timing.silence_most()).map(str::to_owned).collect();
+            return self.silent_for(now, self.timing.failure_timeout()).map(str::to_owned).collect();
         }
-        self.silent_for(now, self.timing.silence_most() * 2).take(watched / 2).map(str::to_owned).collect()
+        self.silent_for(now, self.timing.failure_timeout() * 2).take(watched / 2).map(str::to_owned).collect()
     }
 
     /// The peers that have been silent for longer and are not suspected yet.
     fn silent_for(&self, now: Duration, silence: Duration) -> impl Iterator<Item = &str> {
-        let silent = move |peer: &Peer| !peer.suspected && now.saturating_sub(peer.heard) > silence;
+        let silent =
+            move |peer: &Peer| !peer.suspected && now.saturating_sub(peer.record_heartbeat) > silence;
         self.peers.iter().filter(move |(_, peer)| silent(peer)).map(|(name, _)| name.as_str())
     }
 
     fn restart_timers(&mut self, now: Duration) {
         for peer in self.peers.values_mut() {
-            peer.heard = now;
+            peer.record_heartbeat = now;
         }
     }
 }
--- a/crates/membership/tests/detector.rs
+++ b/crates/membership/tests/detector.rs
@@ -51,7 +51,7 @@
         for (index, name) in self.names.iter().enumerate() {
             let phase = index as u64 % 3 * TICK;
             if self.alive[index] && (self.now + phase).is_multiple_of(300) {
-                self.detector.heard(ms(self.now), name);
+                self.detector.record_heartbeat(ms(self.now), name);
             }
         }
     }
--- a/crates/register/examples/embed.rs
+++ b/crates/register/examples/embed.rs
@@ -8,7 +8,7 @@
 
 use register::{
     Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, BallotSource, Confirmation, Incarnation,
-    Member, Proposal, RegisterValue, Step, Verdict, Versioned,
+    Member, Proposal, ProposalStep, RegisterValue, Verdict, Versioned,
 };
 
 /// What the register holds. A value names its own acceptors.
@@ -68,19 +68,19 @@
         let from = request.0.clone();
         let Some(reply) = cluster.call(request) else { continue };
         match proposal.on_reply(&from, reply) {
-            Step::Wait => {}
-            Step::Send(more) => requests.extend(more),
-            Step::Read(current) => {
+            ProposalStep::Wait => {}
+            ProposalStep::Send(more) => requests.extend(more),
+            ProposalStep::Read(current) => {
                 let next = Settings { text: text.to_owned(), ..Settings::clone(&current.value) };
                 requests.extend(proposal.propose(next));
             }
-            Step::Committed(committed) => {
+            ProposalStep::Committed(committed) => {
                 for announcement in proposal.announcements() {
                     cluster.call(announcement);
                 }
                 return Some(committed);
             }
-            Step::Preempted(higher) => {
+            ProposalStep::Preempted(higher) => {
                 ballots.observe(higher);
                 return None;
             }
@@ -101,7 +101,7 @@
 
 fn main() {
     let member = |number: u64| Member {
-        station: format!("machine-{number}"),
+        name: format!("machine-{number}"),
         incarnation: Incarnation(fastrand::u64(..)),
         address: format!("192.0.2.{number}:7660"),
     };
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Outcome, RegisterValue, Versioned};
+use crate::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, RegisterValue, ReplyOutcome, Versioned};
 
 /// What an acceptor must not forget.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
         let (outcome, must_persist) = match request {
             AcceptorRequest::Prepare(ballot) => self.prepare(ballot),
             AcceptorRequest::Accept(proposed) => self.accept(proposed),
-            AcceptorRequest::Learn(committed) => (Outcome::Learned, self.learn(committed)),
+            AcceptorRequest::Learn(committed) => (ReplyOutcome::Learned, self.learn(committed)),
             AcceptorRequest::Read => (self.current(), false),
             AcceptorRequest::ReadNewer(known) => (self.newer_than(known), false),
         };
@@ -74,7 +74,7 @@
             return self.handled(outcome, false);
         }
         let changed = self.learn(first);
-        self.handled(Outcome::Learned, changed)
+        self.handled(ReplyOutcome::Learned, changed)
     }
 
     fn is_untouched(&self) -> bool {
@@ -82,25 +82,25 @@
         state.promised == Ballot::default() && state.accepted.is_none() && state.committed.is_none()
     }
 
-    fn handled(&self, outcome: Outcome<V>, must_persist: bool) -> Handled<V> {
+    fn handled(&self, outcome: ReplyOutcome<V>, must_persist: bool) -> Handled<V> {
         Handled { reply: AcceptorReply { incarnation: self.state.incarnation, outcome }, must_persist }
     }
 
-    fn prepare(&mut self, ballot: Ballot) -> (Outcome<V>, bool) {
+    fn prepare(&mut self, ballot: Ballot) -> (ReplyOutcome<V>, bool) {
         if ballot < self.state.promised {
-            return (Outcome::Rejected(self.state.promised), false);
+            return (ReplyOutcome::Rejected(self.state.promised), false);
         }
         self.state.promised = ballot;
-        (Outcome::Promised(self.state.accepted.clone()), true)
+        (ReplyOutcome::Promised(self.state.accepted.clone()), true)
     }
 
-    fn accept(&mut self, proposed: Versioned<V>) -> (Outcome<V>, bool) {
+    fn accept(&mut self, proposed: Versioned<V>) -> (ReplyOutcome<V>, bool) {
         if proposed.ballot < self.state.promised {
-            return (Outcome::Rejected(self.state.promised), false);
+            return (ReplyOutcome::Rejected(self.state.promised), false);
         }
         self.state.promised = proposed.ballot;
         self.state.accepted = Some(proposed);
-        (Outcome::Accepted, true)
+        (ReplyOutcome::Accepted, true)
     }
 
     /// Notes a committed value. It is also shown to proposers as accepted, unless a newer one is; this is not a
@@ -117,17 +117,20 @@
         true
     }
 
-    fn newer_than(&self, known: Ballot) -> Outcome<V> {
+    fn newer_than(&self, known: Ballot) -> ReplyOutcome<V> {
         let accepted = ballot_of(&self.state.accepted);
         let committed = ballot_of(&self.state.committed);
         if accepted.max(committed) > Some(known) {
             return self.current();
         }
-        Outcome::NothingNewer { accepted, committed }
+        ReplyOutcome::NothingNewer { accepted, committed }
     }
 
-    fn current(&self) -> Outcome<V> {
-        Outcome::Current { accepted: self.state.accepted.clone(), committed: self.state.committed.clone() }
+    fn current(&self) -> ReplyOutcome<V> {
+        ReplyOutcome::Current {
+            accepted: self.state.accepted.clone(),
+            committed: self.state.committed.clone(),
+        }
     }
 }
 
--- a/crates/register/src/confirmation.rs
+++ b/crates/register/src/confirmation.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 
 use crate::members::majority;
-use crate::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, Outcome, RegisterValue, Versioned};
+use crate::{
+    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome, Versioned,
+};
 
 /// What is known after a reply.
 #[derive(Clone, Debug)]
@@ -53,12 +55,12 @@
             return Verdict::Wait;
         }
         let (shown, committed) = match reply.outcome {
-            Outcome::Current { accepted, committed } => {
+            ReplyOutcome::Current { accepted, committed } => {
                 let accepted = accepted.as_ref().map(|accepted| accepted.ballot);
                 let known = committed.as_ref().map(|committed| committed.ballot);
                 (Shown { accepted, committed: known }, committed)
             }
-            Outcome::NothingNewer { accepted, committed } => (Shown { accepted, committed }, None),
+            ReplyOutcome::NothingNewer { accepted, committed } => (Shown { accepted, committed }, None),
             _ => return Verdict::Wait,
         };
         self.shown.insert(reply.incarnation, shown);
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -26,7 +26,7 @@
 pub use ballots::BallotSource;
 pub use confirmation::{Confirmation, Verdict};
 pub use members::{can_change, next_members, same_members, with_member, with_replaced, without_member};
-pub use proposal::{Proposal, Step};
+pub use proposal::{Proposal, ProposalStep};
 pub use types::{
-    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, Outcome, RegisterValue, Versioned,
+    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome, Versioned,
 };
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -4,14 +4,16 @@
 use std::sync::Arc;
 
 use crate::members::{can_change, has_majority, is_blocked, same_members};
-use crate::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, Outcome, RegisterValue, Versioned};
+use crate::{
+    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome, Versioned,
+};
 
 /// Requests with the acceptors that they go to.
 type Requests<V> = Vec<(Member, AcceptorRequest<V>)>;
 
 /// What to do after a reply.
 #[derive(Clone, Debug)]
-pub enum Step<V> {
+pub enum ProposalStep<V> {
     /// Nothing: more replies are needed, or this one came late.
     Wait,
     /// Send these requests too.
@@ -74,20 +76,22 @@
 
     /// Whether the value that was read is known to be committed. If not, the acceptors can't be changed by this
     /// proposal; propose the value unchanged first, and start again from the outcome.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_known_committed(&self) -> bool {
         self.current.ballot == self.base.ballot
     }
 
     /// Takes a reply to one of this proposal's requests.
-    pub fn on_reply(&mut self, from: &Member, reply: AcceptorReply<V>) -> Step<V> {
+    pub fn on_reply(&mut self, from: &Member, reply: AcceptorReply<V>) -> ProposalStep<V> {
         if from.incarnation != reply.incarnation {
-            return Step::Wait;
+            return ProposalStep::Wait;
         }
         match reply.outcome {
-            Outcome::Promised(accepted) => self.on_promise(reply.incarnation, accepted),
-            Outcome::Accepted => self.on_acceptance(reply.incarnation),
-            Outcome::Rejected(ballot) => self.on_refusal(reply.incarnation, ballot),
-            Outcome::Learned | Outcome::Current { .. } | Outcome::NothingNewer { .. } => Step::Wait,
+            ReplyOutcome::Promised(accepted) => self.on_promise(reply.incarnation, accepted),
+            ReplyOutcome::Accepted => self.on_acceptance(reply.incarnation),
+            ReplyOutcome::Rejected(ballot) => self.on_refusal(reply.incarnation, ballot),
+            ReplyOutcome::Learned | ReplyOutcome::Current { .. } | ReplyOutcome::NothingNewer { .. } => {
+                ProposalStep::Wait
+            }
         }
     }
 
@@ -119,14 +123,15 @@
 
     fn may_follow(&self, value: &V) -> bool {
         let current = self.current.value.members();
-        same_members(current, value.members()) || (self.is_settled() && can_change(current, value.members()))
+        same_members(current, value.members())
+            || (self.is_known_committed() && can_change(current, value.members()))
     }
 
     /// The acceptors of the committed value that the proposed one comes from, if others than its own, and the ballot
     /// of that value. A value that is not settled comes from the same one as what is proposed in its place.
     fn previous_of(&self, value: &V) -> (Arc<[Member]>, Ballot) {
         let current = self.current.value.members();
-        if !self.is_settled() && self.needs_previous() {
+        if !self.is_known_committed() && self.needs_previous() {
             (Arc::clone(&self.current.previous), self.current.predecessor)
         } else if same_members(current, value.members()) {
             (Arc::default(), Ballot::default())
@@ -143,26 +148,26 @@
         self.current.predecessor >= self.base.ballot
     }
 
-    fn on_promise(&mut self, from: Incarnation, accepted: Option<Versioned<V>>) -> Step<V> {
+    fn on_promise(&mut self, from: Incarnation, accepted: Option<Versioned<V>>) -> ProposalStep<V> {
         if self.phase != Phase::Preparing {
-            return Step::Wait;
+            return ProposalStep::Wait;
         }
         self.promises.insert(from);
         let newer = accepted.filter(|accepted| accepted.ballot > self.current.ballot);
         let requests = newer.map(|newer| self.follow(newer)).unwrap_or_default();
         if self.is_promised() {
             self.phase = Phase::Read;
-            return Step::Read(self.current.clone());
+            return ProposalStep::Read(self.current.clone());
         }
         if requests.is_empty() {
-            Step::Wait
+            ProposalStep::Wait
         } else {
-            Step::Send(requests)
+            ProposalStep::Send(requests)
         }
     }
 
     fn is_promised(&self) -> bool {
-        let is_current_promised = if self.is_settled() || !self.needs_previous() {
+        let is_current_promised = if self.is_known_committed() || !self.needs_previous() {
             has_majority(self.current.value.members(), &self.promises)
         } else {
             has_majorities(&self.current, &self.promises)
@@ -177,7 +182,7 @@
 
     fn prepare_current(&mut self) -> Requests<V> {
         let mut requests = Vec::new();
-        let is_alone = self.is_settled() || !self.needs_previous();
+        let is_alone = self.is_known_committed() || !self.needs_previous();
         let previous: &[Member] = if is_alone { &[] } else { &self.current.previous };
         for member in union(self.current.value.members(), previous) {
             let is_asked = self.asked.iter().any(|asked| asked.incarnation == member.incarnation);
@@ -189,23 +194,23 @@
         requests
     }
 
-    fn on_acceptance(&mut self, from: Incarnation) -> Step<V> {
+    fn on_acceptance(&mut self, from: Incarnation) -> ProposalStep<V> {
         if self.phase != Phase::Accepting {
-            return Step::Wait;
+            return ProposalStep::Wait;
         }
         self.acceptances.insert(from);
         match &self.proposed {
             Some(proposed) if has_majorities(proposed, &self.acceptances) => {
                 self.phase = Phase::Done;
-                Step::Committed(proposed.clone())
+                ProposalStep::Committed(proposed.clone())
             }
-            _ => Step::Wait,
+            _ => ProposalStep::Wait,
         }
     }
 
-    fn on_refusal(&mut self, from: Incarnation, ballot: Ballot) -> Step<V> {
+    fn on_refusal(&mut self, from: Incarnation, ballot: Ballot) -> ProposalStep<V> {
         if ballot <= self.ballot {
-            return Step::Wait;
+            return ProposalStep::Wait;
         }
         self.refusals.insert(from);
         let is_lost = match (&self.phase, &self.proposed) {
@@ -217,11 +222,11 @@
             _ => false,
         };
         if !is_lost {
-            return Step::Wait;
+            return ProposalStep::Wait;
         }
         self.phase = Phase::Done;
         self.proposed = None;
-        Step::Preempted(ballot)
+        ProposalStep::Preempted(ballot)
     }
 }
 
--- a/crates/register/src/types.rs
+++ b/crates/register/src/types.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// The machine's name.
-    pub station: String,
+    pub name: String,
     /// The incarnation of its disk.
     pub incarnation: Incarnation,
     /// Its address for internal calls.
@@ -76,12 +76,12 @@
     /// The incarnation of the disk that answers; a reply counts only for that member.
     pub incarnation: Incarnation,
     /// The answer.
-    pub outcome: Outcome<V>,
+    pub outcome: ReplyOutcome<V>,
 }
 
 /// The answer of an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome<V> {
+pub enum ReplyOutcome<V> {
     /// The promise is given; the value with the highest ballot accepted so far.
     Promised(Option<Versioned<V>>),
     /// The value is accepted.
--- a/crates/register/tests/acceptor.rs
+++ b/crates/register/tests/acceptor.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ballot, members, versioned, History};
-use register::{Acceptor, AcceptorRequest, AcceptorState, Handled, Incarnation, Outcome, Versioned};
+use register::{Acceptor, AcceptorRequest, AcceptorState, Handled, Incarnation, ReplyOutcome, Versioned};
 use yare::parameterized;
 
 fn empty() -> Acceptor<History> {
@@ -19,14 +19,15 @@
 }
 
 fn is_rejected(handled: &Handled<History>, round: u64) -> bool {
-    matches!(handled.reply.outcome, Outcome::Rejected(by) if by == ballot(round)) && !handled.must_persist
+    matches!(handled.reply.outcome, ReplyOutcome::Rejected(by) if by == ballot(round))
+        && !handled.must_persist
 }
 
 #[test]
 fn given_a_promise_when_a_lower_ballot_comes_then_it_is_rejected() {
     let mut acceptor = empty();
     let promise = acceptor.handle(AcceptorRequest::Prepare(ballot(5)));
-    assert!(matches!(promise.reply.outcome, Outcome::Promised(None)) && promise.must_persist);
+    assert!(matches!(promise.reply.outcome, ReplyOutcome::Promised(None)) && promise.must_persist);
     assert_eq!(promise.reply.incarnation, Incarnation(7));
     assert!(is_rejected(&acceptor.handle(AcceptorRequest::Prepare(ballot(4))), 5));
     assert!(is_rejected(&acceptor.handle(AcceptorRequest::Accept(value(4))), 5));
@@ -36,9 +37,9 @@
 fn given_an_accepted_value_when_prepared_then_it_is_shown() {
     let mut acceptor = empty();
     let accepted = acceptor.handle(AcceptorRequest::Accept(value(3)));
-    assert!(matches!(accepted.reply.outcome, Outcome::Accepted) && accepted.must_persist);
+    assert!(matches!(accepted.reply.outcome, ReplyOutcome::Accepted) && accepted.must_persist);
     let promise = acceptor.handle(AcceptorRequest::Prepare(ballot(4)));
-    assert!(matches!(promise.reply.outcome, Outcome::Promised(shown) if round_of(&shown) == Some(3)));
+    assert!(matches!(promise.reply.outcome, ReplyOutcome::Promised(shown) if round_of(&shown) == Some(3)));
     assert!(is_rejected(&acceptor.handle(AcceptorRequest::Accept(value(3))), 4));
 }
 
@@ -73,7 +74,7 @@
     }
     acceptor.handle(AcceptorRequest::Prepare(ballot(promised)));
     let handled = acceptor.handle(AcceptorRequest::Learn(value(learned)));
-    assert!(matches!(handled.reply.outcome, Outcome::Learned) && handled.must_persist);
+    assert!(matches!(handled.reply.outcome, ReplyOutcome::Learned) && handled.must_persist);
     assert_eq!(round_of(&acceptor.state().accepted), shown);
     assert_eq!(round_of(&acceptor.state().committed), Some(learned));
     assert_eq!(acceptor.state().promised, ballot(promised_after));
@@ -98,7 +99,7 @@
         acceptor.handle(request);
     });
     let handled = acceptor.initialise(value(0));
-    assert_eq!(matches!(handled.reply.outcome, Outcome::Learned), takes);
+    assert_eq!(matches!(handled.reply.outcome, ReplyOutcome::Learned), takes);
     assert_eq!(handled.must_persist, takes);
     assert!(!acceptor.initialise(value(0)).must_persist);
 }
@@ -113,7 +114,7 @@
     let read = restarted.handle(AcceptorRequest::Read);
     assert!(!read.must_persist);
     assert!(
-        matches!(read.reply.outcome, Outcome::Current { accepted, committed: None } if round_of(&accepted) == Some(3))
+        matches!(read.reply.outcome, ReplyOutcome::Current { accepted, committed: None } if round_of(&accepted) == Some(3))
     );
 }
 
@@ -129,11 +130,11 @@
     let handled = acceptor.handle(AcceptorRequest::ReadNewer(ballot(known)));
     assert!(!handled.must_persist);
     match handled.reply.outcome {
-        Outcome::Current { accepted, committed } => {
+        ReplyOutcome::Current { accepted, committed } => {
             assert!(sends);
             assert_eq!((round_of(&accepted), round_of(&committed)), (Some(3), Some(2)));
         }
-        Outcome::NothingNewer { accepted, committed } => {
+        ReplyOutcome::NothingNewer { accepted, committed } => {
             assert!(!sends);
             assert_eq!((accepted, committed), (Some(ballot(3)), Some(ballot(2))));
         }
--- a/crates/register/tests/common/mod.rs
+++ b/crates/register/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use register::{
-    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, Outcome, RegisterValue, Versioned,
+    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome, Versioned,
 };
 
 /// A value that remembers all changes that led to it.
@@ -50,7 +50,7 @@
 /// The machine of this number, with its disk of that incarnation.
 pub fn member_of(station: usize, incarnation: u64) -> Member {
     Member {
-        station: format!("station-{station}"),
+        name: format!("station-{station}"),
         incarnation: Incarnation(incarnation),
         address: format!("address-{station}"),
     }
@@ -76,11 +76,11 @@
 }
 
 /// The reply of a member.
-pub fn reply(from: &Member, outcome: Outcome<History>) -> AcceptorReply<History> {
+pub fn reply(from: &Member, outcome: ReplyOutcome<History>) -> AcceptorReply<History> {
     AcceptorReply { incarnation: from.incarnation, outcome }
 }
 
 /// The numbers of the machines that requests go to.
 pub fn receivers(requests: &[Request]) -> Vec<&str> {
-    requests.iter().map(|(member, _)| member.station.as_str()).collect()
+    requests.iter().map(|(member, _)| member.name.as_str()).collect()
 }
--- a/crates/register/tests/common/world.rs
+++ b/crates/register/tests/common/world.rs
@@ -5,8 +5,8 @@
 use fastrand::Rng;
 use register::{
     can_change, with_member, with_replaced, without_member, Acceptor, AcceptorReply, AcceptorRequest,
-    AcceptorState, BallotSource, Confirmation, Incarnation, Member, Outcome, Proposal, RegisterValue, Step,
-    Verdict, Versioned,
+    AcceptorState, BallotSource, Confirmation, Incarnation, Member, Proposal, ProposalStep, RegisterValue,
+    ReplyOutcome, Verdict, Versioned,
 };
 
 use super::oracle::Oracle;
@@ -206,7 +206,7 @@
             return;
         };
         let handled = acceptor.handle(request);
-        let accepted = matches!(handled.reply.outcome, Outcome::Accepted);
+        let accepted = matches!(handled.reply.outcome, ReplyOutcome::Accepted);
         let message = Message { task, member, payload: Payload::Reply(handled.reply) };
         if !handled.must_persist {
             self.network.push(message);
@@ -352,13 +352,13 @@
         }
     }
 
-    fn on_step(&mut self, picked: usize, step: Step<History>) {
+    fn on_step(&mut self, picked: usize, step: ProposalStep<History>) {
         match step {
-            Step::Wait => {}
-            Step::Send(requests) => self.send(picked, requests),
-            Step::Read(current) => self.propose(picked, &current),
-            Step::Committed(value) => self.on_committed(picked, value),
-            Step::Preempted(ballot) => {
+            ProposalStep::Wait => {}
+            ProposalStep::Send(requests) => self.send(picked, requests),
+            ProposalStep::Read(current) => self.propose(picked, &current),
+            ProposalStep::Committed(value) => self.on_committed(picked, value),
+            ProposalStep::Preempted(ballot) => {
                 let proposer = &mut self.proposers[picked];
                 proposer.ballots.observe(ballot);
                 proposer.work = Work::Idle;
@@ -476,6 +476,6 @@
 }
 
 fn station_of(member: &Member) -> usize {
-    let number = member.station.rsplit('-').next().and_then(|number| number.parse().ok());
+    let number = member.name.rsplit('-').next().and_then(|number| number.parse().ok());
     number.expect("the name ends with a number")
 }
--- a/crates/register/tests/confirmation.rs
+++ b/crates/register/tests/confirmation.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{member, member_of, members, receivers, reply, versioned, History};
-use register::{Confirmation, Member, Outcome, Verdict, Versioned};
+use register::{Confirmation, Member, ReplyOutcome, Verdict, Versioned};
 use yare::parameterized;
 
 fn value(round: u64) -> Versioned<History> {
@@ -16,7 +16,7 @@
     accepted: Option<u64>,
     committed: Option<u64>,
 ) -> Verdict<History> {
-    let outcome = Outcome::Current { accepted: accepted.map(value), committed: committed.map(value) };
+    let outcome = ReplyOutcome::Current { accepted: accepted.map(value), committed: committed.map(value) };
     confirmation.on_reply(from, reply(from, outcome))
 }
 
@@ -40,7 +40,7 @@
 #[test]
 fn given_acceptors_that_show_ballots_only_when_read_then_the_value_is_confirmed() {
     let (mut confirmation, _) = Confirmation::start(value(5));
-    let ballots = |accepted: u64, committed: u64| Outcome::NothingNewer {
+    let ballots = |accepted: u64, committed: u64| ReplyOutcome::NothingNewer {
         accepted: Some(value(accepted).ballot),
         committed: Some(value(committed).ballot),
     };
@@ -75,7 +75,7 @@
     let replaced = member_of(1, 99);
     assert!(matches!(show(&mut confirmation, &replaced, None, None), Verdict::Wait));
     assert!(matches!(show(&mut confirmation, &member(4), None, None), Verdict::Wait));
-    let outcome = Outcome::Current { accepted: None, committed: None };
+    let outcome = ReplyOutcome::Current { accepted: None, committed: None };
     let verdict = confirmation.on_reply(&member(1), reply(&replaced, outcome));
     assert!(matches!(verdict, Verdict::Wait));
 }
--- a/crates/register/tests/exhaustive.rs
+++ b/crates/register/tests/exhaustive.rs
@@ -9,7 +9,8 @@
 use common::oracle::Oracle;
 use common::{member, members, versioned, History, Request};
 use register::{
-    Acceptor, AcceptorRequest, AcceptorState, Ballot, Member, Outcome, Proposal, RegisterValue, Step,
+    Acceptor, AcceptorRequest, AcceptorState, Ballot, Member, Proposal, ProposalStep, RegisterValue,
+    ReplyOutcome,
 };
 use yare::parameterized;
 
@@ -147,7 +148,7 @@
         let (number, (member, request)) = self.in_flight.swap_remove(picked);
         let station = station_of(&member);
         let handled = self.acceptors[station].handle(request);
-        if matches!(handled.reply.outcome, Outcome::Accepted) {
+        if matches!(handled.reply.outcome, ReplyOutcome::Accepted) {
             self.told[number].accepted_by.insert(station);
             self.oracle.on_durable(self.proposals[number].ballot(), member.incarnation);
         }
@@ -156,14 +157,14 @@
         }
         self.told[number].replies.insert((station, code_of(&handled.reply.outcome)));
         match self.proposals[number].on_reply(&member, handled.reply) {
-            Step::Wait => {}
-            Step::Preempted(_) => self.told[number].enter(Round::Done),
-            Step::Send(requests) => self.send(number, requests),
-            Step::Committed(value) => {
+            ProposalStep::Wait => {}
+            ProposalStep::Preempted(_) => self.told[number].enter(Round::Done),
+            ProposalStep::Send(requests) => self.send(number, requests),
+            ProposalStep::Committed(value) => {
                 self.oracle.on_committed(&value);
                 self.told[number].enter(Round::Done);
             }
-            Step::Read(current) => {
+            ProposalStep::Read(current) => {
                 self.told[number].enter(Round::Accept);
                 self.told[number].read = Some(current.ballot);
                 let wanted = wishes[number].apply(&current.value, number as u32 + 1);
@@ -192,11 +193,11 @@
 }
 
 /// Tells outcomes apart, as far as a proposal does.
-fn code_of(outcome: &Outcome<History>) -> u64 {
+fn code_of(outcome: &ReplyOutcome<History>) -> u64 {
     match outcome {
-        Outcome::Promised(shown) => shown.as_ref().map_or(0, |shown| shown.ballot.round + 1),
-        Outcome::Accepted => 1000,
-        Outcome::Rejected(ballot) => 2000 + ballot.round,
+        ReplyOutcome::Promised(shown) => shown.as_ref().map_or(0, |shown| shown.ballot.round + 1),
+        ReplyOutcome::Accepted => 1000,
+        ReplyOutcome::Rejected(ballot) => 2000 + ballot.round,
         _ => 3000,
     }
 }
--- a/crates/register/tests/golden.rs
+++ b/crates/register/tests/golden.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use register::{
-    AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Incarnation, Member, Outcome, Versioned,
+    AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Incarnation, Member, ReplyOutcome, Versioned,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
 
 fn member(number: u64) -> Member {
     Member {
-        station: format!("machine-{number}"),
+        name: format!("machine-{number}"),
         incarnation: Incarnation(0xfeed_0000_0000_0000 + number),
         address: format!("192.0.2.{number}:7660"),
     }
@@ -39,7 +39,7 @@
     }
 }
 
-fn reply(outcome: Outcome<ExampleValue>) -> AcceptorReply<ExampleValue> {
+fn reply(outcome: ReplyOutcome<ExampleValue>) -> AcceptorReply<ExampleValue> {
     AcceptorReply { incarnation: member(3).incarnation, outcome }
 }
 
@@ -64,33 +64,33 @@
 }
 
 #[parameterized(
-    promised = { "reply_promised.hex", Outcome::Promised(Some(versioned(300))) },
-    promised_nothing_accepted = { "reply_promised_nothing_accepted.hex", Outcome::Promised(None) },
-    accepted = { "reply_accepted.hex", Outcome::Accepted },
-    rejected = { "reply_rejected.hex", Outcome::Rejected(ballot(301)) },
-    learned = { "reply_learned.hex", Outcome::Learned },
+    promised = { "reply_promised.hex", ReplyOutcome::Promised(Some(versioned(300))) },
+    promised_nothing_accepted = { "reply_promised_nothing_accepted.hex", ReplyOutcome::Promised(None) },
+    accepted = { "reply_accepted.hex", ReplyOutcome::Accepted },
+    rejected = { "reply_rejected.hex", ReplyOutcome::Rejected(ballot(301)) },
+    learned = { "reply_learned.hex", ReplyOutcome::Learned },
     current = {
         "reply_current.hex",
-        Outcome::Current { accepted: Some(versioned(301)), committed: Some(versioned(300)) }
+        ReplyOutcome::Current { accepted: Some(versioned(301)), committed: Some(versioned(300)) }
     },
     current_accepted = {
-        "reply_current_accepted.hex", Outcome::Current { accepted: Some(versioned(301)), committed: None }
+        "reply_current_accepted.hex", ReplyOutcome::Current { accepted: Some(versioned(301)), committed: None }
     },
     current_committed = {
-        "reply_current_committed.hex", Outcome::Current { accepted: None, committed: Some(versioned(300)) }
+        "reply_current_committed.hex", ReplyOutcome::Current { accepted: None, committed: Some(versioned(300)) }
     },
     nothing_newer = {
         "reply_nothing_newer.hex",
-        Outcome::NothingNewer { accepted: Some(ballot(301)), committed: Some(ballot(300)) }
+        ReplyOutcome::NothingNewer { accepted: Some(ballot(301)), committed: Some(ballot(300)) }
     },
     nothing_newer_accepted = {
-        "reply_nothing_newer_accepted.hex", Outcome::NothingNewer { accepted: Some(ballot(301)), committed: None }
+        "reply_nothing_newer_accepted.hex", ReplyOutcome::NothingNewer { accepted: Some(ballot(301)), committed: None }
     },
     nothing_newer_committed = {
-        "reply_nothing_newer_committed.hex", Outcome::NothingNewer { accepted: None, committed: Some(ballot(300)) }
+        "reply_nothing_newer_committed.hex", ReplyOutcome::NothingNewer { accepted: None, committed: Some(ballot(300)) }
     },
 )]
-fn given_a_reply_when_encoded_then_it_is_as_before(name: &str, outcome: Outcome<ExampleValue>) {
+fn given_a_reply_when_encoded_then_it_is_as_before(name: &str, outcome: ReplyOutcome<ExampleValue>) {
     assert_golden(name, &reply(outcome));
 }
 
--- a/crates/register/tests/lost_disk.rs
+++ b/crates/register/tests/lost_disk.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use register::{
     next_members, same_members, with_member, with_replaced, without_member, Acceptor, AcceptorState,
-    BallotSource, Incarnation, Member, Proposal, RegisterValue, Step, Versioned,
+    BallotSource, Incarnation, Member, Proposal, ProposalStep, RegisterValue, Versioned,
 };
 use yare::parameterized;
 
@@ -56,20 +56,20 @@
         ballots.observe(base.ballot);
         let (mut proposal, mut requests) = Proposal::start(ballots.next_ballot(), base);
         while let Some((member, request)) = self.pick(&mut requests) {
-            let station: usize = member.station.trim_start_matches("station-").parse().expect("a number");
+            let station: usize = member.name.trim_start_matches("station-").parse().expect("a number");
             let reply = self.acceptors[station].handle(request).reply;
             match proposal.on_reply(&member, reply) {
-                Step::Wait => {}
-                Step::Send(more) => requests.extend(more),
-                Step::Read(current) => {
-                    let value = change(&current.value, proposal.is_settled());
+                ProposalStep::Wait => {}
+                ProposalStep::Send(more) => requests.extend(more),
+                ProposalStep::Read(current) => {
+                    let value = change(&current.value, proposal.is_known_committed());
                     requests.extend(proposal.propose(value));
                 }
-                Step::Preempted(ballot) => {
+                ProposalStep::Preempted(ballot) => {
                     ballots.observe(ballot);
                     return None;
                 }
-                Step::Committed(value) => {
+                ProposalStep::Committed(value) => {
                     self.announce(&proposal);
                     return Some(value);
                 }
@@ -92,7 +92,7 @@
                 return;
             }
             self.budget -= 1;
-            let station: usize = member.station.trim_start_matches("station-").parse().expect("a number");
+            let station: usize = member.name.trim_start_matches("station-").parse().expect("a number");
             self.acceptors[station].handle(request);
         }
     }
