--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -14,8 +14,8 @@
 use balancer::net::discovery::{self, Subscriber};
 use balancer::net::list::Decoder;
 use balancer::{
-    wire, Action, Availability, Balancer, Ending, Event, Listing, Outcome, Report, Request, RequestId,
-    ServerEntry, ServerId, Settings,
+    wire, AttemptEnd, AttemptOutcome, Availability, Balancer, BalancerAction, BalancerEvent, ClientRequest,
+    DecisionSettings, EndpointUpdate, LoadReport, RequestId, ServerEntry, ServerId,
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -51,7 +51,7 @@
     /// Where the agent of each region listens.
     pub agents: Vec<SocketAddr>,
     /// The settings; `me` and `zone` are each node's own.
-    pub settings: Settings,
+    pub settings: DecisionSettings,
     /// Requests that come to one node in a second, on average.
     pub requests_per_s: f64,
 }
@@ -171,7 +171,7 @@
         let size = crew.plan.size;
         let zone = size.zone(number);
         let mut settings = crew.plan.settings.clone();
-        (settings.nodes, settings.me, settings.zone) = (size.nodes, number, zone);
+        (settings.nodes, settings.node_index, settings.zone) = (size.nodes, number, zone);
         let balancer = Balancer::new(settings, crew.plan.seed ^ number as u64)?;
         crew.held.set(number, 0);
         lock(&crew.tally).starts += 1;
@@ -233,7 +233,7 @@
         self.taken.borrow_mut().insert(id, Taken::default());
         let begun = Instant::now();
         let budget_ms = self.crew.plan.settings.classes[class].deadline_ms;
-        let actions = self.decide(Event::Request(Request::new(id, class, budget_ms)));
+        let actions = self.decide(BalancerEvent::RequestArrived(ClientRequest::new(id, class, budget_ms)));
         let mut tally = lock(&self.crew.tally);
         tally.request.add(begun.elapsed());
         tally.requests += 1;
@@ -242,12 +242,12 @@
         self.forget_if_over(id);
     }
 
-    fn handle(self: &Rc<Self>, event: Event) {
+    fn handle(self: &Rc<Self>, event: BalancerEvent) {
         let actions = self.decide(event);
         self.carry_out(actions);
     }
 
-    fn decide(&self, event: Event) -> Vec<Action> {
+    fn decide(&self, event: BalancerEvent) -> Vec<BalancerAction> {
         let mut actions = Vec::new();
         if !self.over.get() {
             self.balancer.borrow_mut().handle(self.crew.world.now_ms(), event, &mut actions);
@@ -255,29 +255,29 @@
         actions
     }
 
-    fn carry_out(self: &Rc<Self>, actions: Vec<Action>) {
+    fn carry_out(self: &Rc<Self>, actions: Vec<BalancerAction>) {
         for action in actions {
             match action {
-                Action::Send { request, server, .. } => self.send(request, server),
-                Action::Probe { server } => self.probe(server),
-                Action::Cancel { request, attempt } => {
+                BalancerAction::Send { request, server, .. } => self.send(request, server),
+                BalancerAction::Probe { server } => self.probe(server),
+                BalancerAction::Cancel { request, attempt } => {
                     let mut taken = self.taken.borrow_mut();
                     let out = taken.get_mut(&request).and_then(|held| held.attempts.get_mut(attempt));
                     // Dropped, it tells the attempt to end.
                     drop(out.and_then(Option::take));
                 }
-                Action::Refuse { request, .. } => self.answer(request, |tally| tally.refused += 1),
-                Action::Fail { request } => self.answer(request, |tally| tally.failed += 1),
-                Action::Subscribe => self.wanted.notify_one(),
-                Action::SetTimer { timer, after_ms } => {
+                BalancerAction::Reject { request, .. } => self.answer(request, |tally| tally.refused += 1),
+                BalancerAction::Fail { request } => self.answer(request, |tally| tally.failed += 1),
+                BalancerAction::Subscribe => self.wanted.notify_one(),
+                BalancerAction::SetTimer { timer, after_ms } => {
                     let node = Rc::clone(self);
                     let after = Duration::try_from_secs_f64(after_ms / 1000.0).unwrap_or_default();
                     tokio::task::spawn_local(async move {
                         sleep(after).await;
-                        node.handle(Event::Timer(timer));
+                        node.handle(BalancerEvent::TimerFired(timer));
                     });
                 }
-                Action::Note(text) => tracing::debug!(node = self.number, "{text}"),
+                BalancerAction::Log(text) => tracing::debug!(node = self.number, "{text}"),
             }
         }
     }
@@ -309,11 +309,11 @@
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let begun = Instant::now();
-            let (ending, report) = tokio::select! {
+            let (outcome, report) = tokio::select! {
                 reply = node.crew.call(server, node.region, "/api") => reply,
-                _ = stopped => (Ending::Cancelled, None),
+                _ = stopped => (AttemptOutcome::Cancelled, None),
             };
-            node.ended(request, attempt, begun.elapsed(), ending, report);
+            node.ended(request, attempt, begun.elapsed(), outcome, report);
         });
     }
 
@@ -322,18 +322,25 @@
         request: RequestId,
         attempt: usize,
         elapsed: Duration,
-        ending: Ending,
-        report: Option<Report>,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
     ) {
         if let Some(held) = self.taken.borrow_mut().get_mut(&request) {
             held.attempts[attempt] = None;
         }
-        if ending == Ending::Served {
+        if outcome == AttemptOutcome::Served {
             self.answer(request, |tally| tally.served += 1);
         }
         let complete = self.taken.borrow().get(&request).is_none_or(|held| held.answered);
         let elapsed_ms = elapsed.as_secs_f64() * 1000.0;
-        self.handle(Event::Outcome(Outcome { request, attempt, elapsed_ms, ending, complete, report }));
+        self.handle(BalancerEvent::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            elapsed_ms,
+            outcome,
+            complete,
+            report,
+        }));
         self.forget_if_over(request);
     }
 
@@ -341,8 +348,8 @@
         lock(&self.crew.tally).probes += 1;
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let (ending, report) = node.crew.call(server, node.region, "/_load").await;
-            node.handle(Event::Probed { server, ending, report });
+            let (outcome, report) = node.crew.call(server, node.region, "/_load").await;
+            node.handle(BalancerEvent::ProbeEnded { server, outcome, report });
         });
     }
 }
@@ -362,19 +369,31 @@
         Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default()
     }
 
-    async fn call(&self, server: ServerId, region: usize, path: &str) -> (Ending, Option<Report>) {
+    async fn call(
+        &self,
+        server: ServerId,
+        region: usize,
+        path: &str,
+    ) -> (AttemptOutcome, Option<LoadReport>) {
         let call = self.exchange(server, region, path);
-        timeout(self.longest(), call).await.unwrap_or((Ending::TimedOut, None))
+        timeout(self.longest(), call).await.unwrap_or((AttemptOutcome::TimedOut, None))
     }
 
-    async fn exchange(&self, server: ServerId, region: usize, path: &str) -> (Ending, Option<Report>) {
+    async fn exchange(
+        &self,
+        server: ServerId,
+        region: usize,
+        path: &str,
+    ) -> (AttemptOutcome, Option<LoadReport>) {
         let Some(address) = self.world.catalogue().address(server.0) else {
-            return (Ending::Unreachable, None);
+            return (AttemptOutcome::Unreachable, None);
+        };
+        let Some(mut sender) = self.connection(address).await else {
+            return (AttemptOutcome::Unreachable, None);
         };
-        let Some(mut sender) = self.connection(address).await else { return (Ending::Unreachable, None) };
         let request = hyper::Request::get(path).header("Host", catalogue::name(server.0));
         let request = request.header("X-From", region).body(Empty::new()).expect("a sound request");
-        let Ok(response) = sender.send_request(request).await else { return (Ending::Reset, None) };
+        let Ok(response) = sender.send_request(request).await else { return (AttemptOutcome::Reset, None) };
         let (head, body) = response.into_parts();
         let whole = Limited::new(body, ANSWER_MOST).collect().await.is_ok();
         let mut idle = self.idle.borrow_mut();
@@ -383,14 +402,14 @@
             idle.push(sender);
         }
         let report = head.headers.get("x-load").and_then(|load| load.to_str().ok()).and_then(load_report);
-        let ending = match head.status {
-            _ if !whole => Ending::Reset,
-            StatusCode::OK => Ending::Served,
+        let outcome = match head.status {
+            _ if !whole => AttemptOutcome::Reset,
+            StatusCode::OK => AttemptOutcome::Served,
             // Stands for a refused connection.
-            StatusCode::GONE => Ending::Unreachable,
-            _ => Ending::Error,
+            StatusCode::GONE => AttemptOutcome::Unreachable,
+            _ => AttemptOutcome::Error,
         };
-        (ending, report)
+        (outcome, report)
     }
 
     async fn connection(&self, address: SocketAddr) -> Option<SendRequest<Empty<Bytes>>> {
@@ -421,14 +440,14 @@
 
 /// A list as the decisions take it.
 #[must_use]
-pub fn listing(list: &List, zones: &[String]) -> Listing {
+pub fn listing(list: &List, zones: &[String]) -> EndpointUpdate {
     let entry = |member: &balancer::net::config::Member| {
         Some(ServerEntry {
             server: ServerId(catalogue::number(&member.id)?),
             availability: match member.phase {
                 Phase::Active => Availability::Ready,
                 Phase::Leaving => Availability::Draining,
-                Phase::Left => Availability::Gone,
+                Phase::Left => Availability::Removed,
             },
             started_at: Some(member.up_since_ms).filter(|at| *at > 0.0),
             cell: member.cell,
@@ -440,9 +459,9 @@
     };
     let entries = list.members.iter().filter_map(entry).collect();
     if list.complete {
-        Listing::Full(entries)
+        EndpointUpdate::Snapshot(entries)
     } else {
-        Listing::Changes(entries)
+        EndpointUpdate::Delta(entries)
     }
 }
 
@@ -476,7 +495,7 @@
         let (revision, complete) = (list.revision, list.complete);
         drop(list);
         let begun = Instant::now();
-        let actions = self.decide(Event::Servers(listing));
+        let actions = self.decide(BalancerEvent::EndpointsUpdated(listing));
         // Only now do the decisions go by it.
         let now = Instant::now();
         let mut tally = lock(&self.crew.tally);
@@ -498,6 +517,6 @@
 
     fn list_failed(self: &Rc<Self>) {
         lock(&self.crew.tally).failed_calls += 1;
-        self.handle(Event::Servers(Listing::Failed));
+        self.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
     }
 }
--- a/fleet/src/play.rs
+++ b/fleet/src/play.rs
@@ -8,7 +8,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use balancer::{Class, Effect, Settings};
+use balancer::{DecisionSettings, Idempotency, RequestClass};
 use serde::Serialize;
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
@@ -191,11 +191,12 @@
 
 /// The settings of hollow nodes.
 #[must_use]
-pub fn settings(load: &Load) -> Settings {
-    let mut settings = Settings::new(vec![Class::new(load.aim_ms, load.deadline_ms, Effect::Safe)]);
+pub fn settings(load: &Load) -> DecisionSettings {
+    let mut settings =
+        DecisionSettings::new(vec![RequestClass::new(load.aim_ms, load.deadline_ms, Idempotency::Safe)]);
     settings.drain_grace_ms = load.drain_grace_ms;
     settings.max_attempts = load.max_attempts;
-    settings.retry_after_most_ms = Some(load.deadline_ms);
+    settings.max_retry_after_ms = Some(load.deadline_ms);
     settings
 }
 
@@ -234,7 +235,7 @@
 }
 
 impl Stage {
-    fn set(scenario: &Scenario, settings: Settings, options: Options) -> Result<Self, PlayError> {
+    fn set(scenario: &Scenario, settings: DecisionSettings, options: Options) -> Result<Self, PlayError> {
         let size = scenario.size;
         let place = |first, at: usize| {
             let [.., third, fourth] = (at as u32).to_be_bytes();
--- a/fleet/src/slopes.rs
+++ b/fleet/src/slopes.rs
@@ -14,8 +14,8 @@
 use balancer::net::discovery::{first, Subscriber};
 use balancer::net::node::Node;
 use balancer::{
-    wire, Action, Balancer, Class, Effect, Ending, Event, Listing, Outcome, Report, Request, RequestId,
-    ServerEntry, Settings,
+    wire, AttemptEnd, AttemptOutcome, Balancer, BalancerAction, BalancerEvent, ClientRequest,
+    DecisionSettings, EndpointUpdate, Idempotency, LoadReport, RequestClass, RequestId, ServerEntry,
 };
 use clap::ValueEnum;
 use serde::{Deserialize as _, Serialize};
@@ -280,8 +280,8 @@
     (servers * 3 / 2).clamp(1, NODES_MOST)
 }
 
-fn settings(nodes: usize) -> Settings {
-    let mut settings = Settings::new(vec![Class::new(80.0, 400.0, Effect::Safe)]);
+fn settings(nodes: usize) -> DecisionSettings {
+    let mut settings = DecisionSettings::new(vec![RequestClass::new(80.0, 400.0, Idempotency::Safe)]);
     settings.nodes = nodes;
     settings
 }
@@ -293,7 +293,7 @@
 fn entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
     let list = read(&catalogue.whole().body)?;
     match listing(&list, &zone_names(catalogue.size())) {
-        Listing::Full(entries) => Ok(entries),
+        EndpointUpdate::Snapshot(entries) => Ok(entries),
         _ => Err(SlopesError::Broken("the whole list is not whole".into())),
     }
 }
@@ -425,7 +425,11 @@
         let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
         self.memory(servers * STATE_BYTES / 2, |seed| {
             let mut balancer = balancer(nodes(servers), seed)?;
-            balancer.handle(1_000.0, Event::Servers(Listing::Full(entries.clone())), &mut Vec::new());
+            balancer.handle(
+                1_000.0,
+                BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
+                &mut Vec::new(),
+            );
             Ok(State::Balancer(Box::new(balancer)))
         })
     }
@@ -460,9 +464,13 @@
         let mut balancer = balancer(nodes(servers), self.seed)?;
         let mut actions = Vec::new();
         // The first list builds what the later ones replace.
-        balancer.handle(0.0, Event::Servers(Listing::Full(entries.clone())), &mut actions);
+        balancer.handle(
+            0.0,
+            BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
+            &mut actions,
+        );
         let mut measure = || {
-            let event = Event::Servers(Listing::Full(entries.clone()));
+            let event = BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone()));
             let begun = Instant::now();
             balancer.handle(1_000.0, event, &mut actions);
             micros(begun.elapsed())
@@ -475,15 +483,27 @@
         let mut random = fastrand::Rng::with_seed(self.seed);
         let mut balancer = balancer(nodes(servers), self.seed)?;
         let mut actions = Vec::new();
-        balancer.handle(0.0, Event::Servers(Listing::Full(entries.clone())), &mut actions);
+        balancer.handle(
+            0.0,
+            BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
+            &mut actions,
+        );
         // In turn a server begins to drain, and is back.
         let mut measure = |_| {
             let mut changed = entries[random.usize(..entries.len())].clone();
             let back = changed.clone();
             changed.availability = balancer::Availability::Draining;
             let begun = Instant::now();
-            balancer.handle(1_000.0, Event::Servers(Listing::Changes(vec![changed])), &mut actions);
-            balancer.handle(1_000.0, Event::Servers(Listing::Changes(vec![back])), &mut actions);
+            balancer.handle(
+                1_000.0,
+                BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![changed])),
+                &mut actions,
+            );
+            balancer.handle(
+                1_000.0,
+                BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![back])),
+                &mut actions,
+            );
             micros(begun.elapsed()) / 2.0
         };
         Ok((0..repeats * 4).map(&mut measure).collect())
@@ -687,14 +707,18 @@
 struct Service {
     balancer: Balancer,
     random: fastrand::Rng,
-    actions: Vec<Action>,
+    actions: Vec<BalancerAction>,
 }
 
 impl Service {
     fn new(servers: usize, nodes: usize, seed: u64) -> Result<Self, SlopesError> {
         let mut balancer = balancer(nodes, seed)?;
         let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
-        balancer.handle(0.0, Event::Servers(Listing::Full(entries)), &mut Vec::new());
+        balancer.handle(
+            0.0,
+            BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries)),
+            &mut Vec::new(),
+        );
         Ok(Self { balancer, random: fastrand::Rng::with_seed(!seed), actions: Vec::new() })
     }
 
@@ -703,17 +727,27 @@
     fn serve(&mut self, id: u64, now: f64) -> Option<usize> {
         let request = RequestId(id);
         self.actions.clear();
-        self.balancer.handle(now, Event::Request(Request::new(request, 0, 400.0)), &mut self.actions);
+        self.balancer.handle(
+            now,
+            BalancerEvent::RequestArrived(ClientRequest::new(request, 0, 400.0)),
+            &mut self.actions,
+        );
         let sent = self.actions.iter().find_map(|action| match action {
-            Action::Send { server, .. } => Some(server.0),
+            BalancerAction::Send { server, .. } => Some(server.0),
             _ => None,
         })?;
         let held = f64::from(self.random.u8(1..=3));
         let elapsed_ms = 5.0 * held * (0.5 + self.random.f64());
-        let report = Some(Report { in_flight: Some(held), queued: None });
-        let outcome =
-            Outcome { request, attempt: 0, elapsed_ms, ending: Ending::Served, complete: true, report };
-        self.balancer.handle(now + elapsed_ms, Event::Outcome(outcome), &mut self.actions);
+        let report = Some(LoadReport { in_flight: Some(held), queued: None });
+        let attempt_end = AttemptEnd {
+            request,
+            attempt: 0,
+            elapsed_ms,
+            outcome: AttemptOutcome::Served,
+            complete: true,
+            report,
+        };
+        self.balancer.handle(now + elapsed_ms, BalancerEvent::AttemptEnded(attempt_end), &mut self.actions);
         Some(sent)
     }
 }
--- a/src/bin/balancer-simhost.rs
+++ b/src/bin/balancer-simhost.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use balancer::wire::{one_line, Dialect, Line, Member, WireError};
-use balancer::{Action, Balancer};
+use balancer::{Balancer, BalancerAction};
 
 /// One instance: its balancer and the names only it has been told.
 struct Instance {
@@ -23,7 +23,7 @@
     reading: Option<(usize, usize, Vec<Member>)>,
     passed_over: BTreeSet<String>,
     reply: String,
-    actions: Vec<Action>,
+    actions: Vec<BalancerAction>,
 }
 
 enum Step {
--- a/src/decisions/estimates.rs
+++ b/src/decisions/estimates.rs
@@ -1,73 +1,185 @@
-//! Running estimates: the pace of servers and classes, and the level of load in the fleet.
+//! Running estimates: the pace of servers and classes, the load level of the fleet, rejections and arrivals.
+//!
+//! Times are milliseconds. Half-lives are given in mean latency targets of the classes, the time scale of all
+//! estimates.
 
-/// Outcomes that count in a running mean of one server; four times as many in one of all.
-pub(super) const RECENT: f64 = 16.0;
+use crate::interface::*;
 
-/// Outcomes that the knowledge of all servers weighs as much as.
-const PRIOR: f64 = 4.0;
+/// Outcomes that count in a running mean of one server; four times as many in one over all servers.
+pub(super) const RECENT_OUTCOMES: f64 = 16.0;
 
-/// In mean aims: the level follows new reports in this, though by a part at the least.
-const LEVEL_FOLLOWS: f64 = 2.0;
+/// Outcomes that the knowledge about all servers weighs as much as.
+const PRIOR_WEIGHT: f64 = 4.0;
 
-const LEVEL_LEAST: f64 = 0.15;
+/// The load level follows new reports with this half-life ...
+const LEVEL_GAIN_HALF_LIFE: f64 = 2.0;
 
-/// In mean aims: where no reports come the level falls by half to an idle fleet's in this: refusals end.
-const LEVEL_LASTS: f64 = 6.0;
+/// ... though each report moves it by this part at least.
+const MIN_LEVEL_GAIN: f64 = 0.15;
 
-/// Part of a mean aim that answers are thought to take at the most where nothing recent is known.
-pub(super) const EASY: f64 = 0.25;
+/// Without reports the load level falls to that of an idle fleet with this half-life, so that rejecting ends.
+const LEVEL_DECAY_HALF_LIFE: f64 = 6.0;
 
-/// In mean aims: half of the part of attempts that servers turned away is forgotten in this. They slow down
-/// where the pressure stays.
-pub(super) const PRESSURE_LASTS: f64 = 20.0;
+/// Latency that is assumed at the most where nothing recent is known, in mean latency targets.
+pub(super) const OPTIMISTIC_LATENCY: f64 = 0.25;
 
-/// Running means of the latency, and of how many requests the server held meanwhile.
+/// Half-life of the rejected part of attempts. Attempts slow down where servers go on rejecting.
+pub(super) const REJECTION_HALF_LIFE: f64 = 20.0;
+
+/// Attempts over which the rejected part is averaged.
+const REJECTION_WINDOW: f64 = 6.0;
+
+/// A server is not believed to hold more than this: a count of that size would never be the lowest again.
+const MAX_REPORTED_REQUESTS: f64 = 100_000.0;
+
+/// What remains of a weight after `elapsed`.
+pub(super) fn decay(elapsed: f64, half_life: f64) -> f64 {
+    0.5_f64.powf(elapsed / half_life)
+}
+
+/// Latency in milliseconds, and the requests that the server had meanwhile.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LatencyAtDepth {
+    pub(super) latency: f64,
+    pub(super) depth: f64,
+}
+
+/// Running means of the latency, and of how many requests the server had meanwhile.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Pace {
     pub(super) latency: f64,
     pub(super) depth: f64,
-    pub(super) seen: f64,
-    pub(super) at: f64,
+    /// Weight of the outcomes in the means.
+    pub(super) samples: f64,
+    updated_at: f64,
 }
 
 impl Pace {
-    /// What was seen still weighs this. Guards against judging by a trouble long past: little corrects it.
-    pub(super) fn weight(&self, now: f64, half_life: f64) -> f64 {
-        self.seen * 0.5_f64.powf((now - self.at) / half_life)
+    /// The weight that the means still have: a fault long past must not decide, since little would correct it.
+    fn weight(&self, now: f64, half_life: f64) -> f64 {
+        self.samples * decay(now - self.updated_at, half_life)
     }
 
-    pub(super) fn add(&mut self, now: f64, half_life: f64, most: f64, latency: f64, depth: f64) {
-        self.seen = (self.weight(now, half_life) + 1.0).min(most);
-        self.latency += (latency - self.latency) / self.seen;
-        self.depth += (depth - self.depth) / self.seen;
-        self.at = now;
+    pub(super) fn add(&mut self, now: f64, half_life: f64, max_samples: f64, sample: LatencyAtDepth) {
+        self.samples = (self.weight(now, half_life) + 1.0).min(max_samples);
+        self.latency += (sample.latency - self.latency) / self.samples;
+        self.depth += (sample.depth - self.depth) / self.samples;
+        self.updated_at = now;
     }
 
     /// Mean latency and depth, the own outcomes weighed against what is known beyond them.
-    pub(super) fn or(&self, now: f64, half_life: f64, prior: (f64, f64)) -> (f64, f64) {
+    pub(super) fn blend(&self, now: f64, half_life: f64, prior: LatencyAtDepth) -> LatencyAtDepth {
         let weight = self.weight(now, half_life);
-        let mix = |own: f64, prior: f64| (own * weight + prior * PRIOR) / (weight + PRIOR);
-        (mix(self.latency, prior.0), mix(self.depth, prior.1))
+        let mix = |own: f64, prior: f64| (own * weight + prior * PRIOR_WEIGHT) / (weight + PRIOR_WEIGHT);
+        LatencyAtDepth { latency: mix(self.latency, prior.latency), depth: mix(self.depth, prior.depth) }
     }
 }
 
-/// Requests held by a server of late, over all servers that this node hears from.
+/// Requests at a server of late, over all servers that this node gets reports from.
 #[derive(Clone, Copy)]
-pub(super) struct Level {
-    pub(super) held: f64,
-    pub(super) at: f64,
+pub(super) struct LoadLevel {
+    requests: f64,
+    updated_at: f64,
 }
 
-impl Level {
+impl LoadLevel {
     /// What an idle server reports: the request that it has just answered.
     pub(super) const IDLE: f64 = 1.0;
 
-    pub(super) fn add(&mut self, now: f64, aim: f64, reading: f64) {
-        let kept = 0.5_f64.powf((now - self.at) / (LEVEL_FOLLOWS * aim)).min(1.0 - LEVEL_LEAST);
-        *self = Self { held: reading + (self.held - reading) * kept, at: now };
+    fn add(&mut self, now: f64, latency_target: f64, reported: f64) {
+        let kept = decay(now - self.updated_at, LEVEL_GAIN_HALF_LIFE * latency_target);
+        let kept = kept.min(1.0 - MIN_LEVEL_GAIN);
+        *self = Self { requests: reported + (self.requests - reported) * kept, updated_at: now };
+    }
+
+    fn at(&self, now: f64, latency_target: f64) -> f64 {
+        let kept = decay(now - self.updated_at, LEVEL_DECAY_HALF_LIFE * latency_target);
+        Self::IDLE + (self.requests - Self::IDLE) * kept
+    }
+}
+
+/// Estimates over all servers.
+pub(super) struct Estimates {
+    /// Mean latency target of the classes.
+    pub(super) latency_target: f64,
+    classes: Vec<Pace>,
+    pub(super) overall: Pace,
+    load_level: LoadLevel,
+    /// Requests that a server works on beside those in its queue, of late, where reports tell both apart.
+    pub(super) in_service: Option<f64>,
+    /// Part of the attempts that full servers rejected, of late, and when the last attempt ended.
+    rejected: f64,
+    rejected_at: f64,
+    /// Mean time between requests.
+    pub(super) arrival_gap: f64,
+    last_arrival: f64,
+}
+
+impl Estimates {
+    pub(super) fn new(settings: &DecisionSettings) -> Self {
+        Self {
+            latency_target: settings.mean_latency_target_ms(),
+            classes: vec![Pace::default(); settings.classes.len()],
+            overall: Pace::default(),
+            load_level: LoadLevel { requests: LoadLevel::IDLE, updated_at: 0.0 },
+            in_service: None,
+            rejected: 0.0,
+            rejected_at: 0.0,
+            arrival_gap: 0.0,
+            last_arrival: 0.0,
+        }
     }
 
-    pub(super) fn now(&self, now: f64, aim: f64) -> f64 {
-        Self::IDLE + (self.held - Self::IDLE) * 0.5_f64.powf((now - self.at) / (LEVEL_LASTS * aim))
+    pub(super) fn record_arrival(&mut self, now: f64) {
+        let gap = (now - self.last_arrival).min(self.latency_target);
+        self.arrival_gap += (gap - self.arrival_gap) / RECENT_OUTCOMES;
+        self.last_arrival = now;
     }
+
+    pub(super) fn record_latency(&mut self, now: f64, class: usize, sample: LatencyAtDepth) {
+        let max_samples = 4.0 * RECENT_OUTCOMES;
+        self.classes[class].add(now, f64::INFINITY, max_samples, sample);
+        self.overall.add(now, f64::INFINITY, max_samples, sample);
+    }
+
+    /// How much longer a class takes than the mean request.
+    pub(super) fn relative_latency(&self, class: usize) -> f64 {
+        let ratio = self.classes[class].latency / self.overall.latency;
+        Some(ratio).filter(|r| r.is_finite() && *r > 0.0).unwrap_or(1.0)
+    }
+
+    /// Part of the attempts that full servers reject at `now`.
+    pub(super) fn rejection_rate(&self, now: f64) -> f64 {
+        self.rejected * decay(now - self.rejected_at, REJECTION_HALF_LIFE * self.latency_target)
+    }
+
+    pub(super) fn record_rejection(&mut self, now: f64, rejected: bool) {
+        let rate = self.rejection_rate(now);
+        let sample = if rejected { 1.0 } else { 0.0 };
+        self.rejected = rate + (sample - rate) / REJECTION_WINDOW;
+        self.rejected_at = now;
+    }
+
+    /// Requests at a server at `now`, over all servers.
+    pub(super) fn load_level(&self, now: f64) -> f64 {
+        self.load_level.at(now, self.latency_target)
+    }
+
+    pub(super) fn record_load(&mut self, now: f64, requests: f64) {
+        self.load_level.add(now, self.latency_target, requests);
+    }
+
+    /// Takes how many of a server's requests it works on, rather than queues.
+    pub(super) fn record_in_service(&mut self, in_service: f64) {
+        let mean = self.in_service.get_or_insert(in_service);
+        *mean += (in_service - *mean) / RECENT_OUTCOMES;
+    }
+}
+
+/// The requests that a report says its server has. A queue is reported without the requests in service; where
+/// `counts_are_stale`, the request that has just been answered was one of those.
+pub(super) fn reported_requests(report: &LoadReport, counts_are_stale: bool) -> Option<f64> {
+    let in_service = if counts_are_stale { LoadLevel::IDLE } else { 0.0 };
+    let requests = report.in_flight.or(report.queued.map(|queued| queued + in_service));
+    requests.filter(|requests| *requests <= MAX_REPORTED_REQUESTS)
 }
--- a/src/decisions/health.rs
+++ b/src/decisions/health.rs
@@ -1,90 +1,133 @@
-//! What the outcome of an attempt says of its server: its pace, and whether it is healthy.
+//! What the end of an attempt says about its server: its pace, and whether it is healthy. Outlier ejection.
 
-use super::attempts::Attempt;
-use super::estimates::{Level, RECENT};
-use super::{Balancer, HALF_LIFE, PACE_LASTS, SHARERS};
+use super::endpoint_table::Server;
+use super::estimates::{reported_requests, LatencyAtDepth, LoadLevel, RECENT_OUTCOMES};
+use super::pending::Attempt;
+use super::{Balancer, NODES_PER_SERVER};
 use crate::interface::*;
 
-/// Failures in a row, none served between them, that take a server out.
-const STRIKES: u32 = 3;
+/// When a server is ejected, and for how long.
+struct EjectionPolicy {
+    /// Failures in a row, none served between them, that eject a server.
+    consecutive_failures: u32,
+    /// Ejection time in mean latency targets.
+    duration: f64,
+}
 
-/// A server is taken out for this many mean aims.
-const EJECT: f64 = 2.0;
+/// At a node of few, which meets each server often: one failure says little there.
+const EJECTION: EjectionPolicy = EjectionPolicy { consecutive_failures: 3, duration: 2.0 };
 
-/// One node of many meets a server seldom: there one failure takes it out, and for longer. By the third in a
-/// row, and with trials in between every other aim, each node would have paid for what all of them know.
-const SPARSE_STRIKES: u32 = 1;
-const SPARSE_EJECT: f64 = 30.0;
+/// One node of many meets a server seldom: there one failure ejects it, and for longer. With three in a row, and
+/// trials in between every other target, each node would have paid for what all of them know.
+const STALE_EJECTION: EjectionPolicy = EjectionPolicy { consecutive_failures: 1, duration: 30.0 };
 
-/// Attempts over which the part that was turned away is told.
-const PRESSURE_OVER: f64 = 6.0;
+/// What an attempt's end means for the health of its server.
+enum Verdict {
+    Success,
+    /// A full server is busy, not unhealthy.
+    Neutral,
+    Failure,
+    /// It says nothing about the server.
+    Unknown,
+}
 
 impl Balancer {
-    pub(super) fn judge(
+    /// Records the end of an attempt with its server and the estimates.
+    pub(super) fn record_attempt_end(
         &mut self,
         now: f64,
         class: usize,
         attempt: &Attempt,
-        outcome: &Outcome,
-        to: &mut Vec<Action>,
+        end: &AttemptEnd,
+        actions: &mut Vec<BalancerAction>,
     ) {
-        let (at, depth, elapsed) = (attempt.server, attempt.depth, outcome.elapsed_ms);
-        let half_life = if self.sparse { PACE_LASTS } else { HALF_LIFE } * self.aim;
-        let relative = self.relative(class);
-        // What one node of many has out says nothing of a queue: its report does.
-        let told = outcome.report.and_then(|report| self.reading(&report));
-        let depth = told.filter(|_| self.sparse).map_or(depth, |held| held.max(Level::IDLE));
-        let turned_away = f64::from(u8::from(outcome.ending == Ending::Full));
-        let pressure = self.pressure(now);
-        self.pressure = (pressure + (turned_away - pressure) / PRESSURE_OVER, now);
-        let warm = self.servers.get(at).is_some_and(|s| s.age(now) >= self.settings.cold_ms);
-        if matches!(outcome.ending, Ending::Served | Ending::Full | Ending::TimedOut) {
-            self.chosen(warm && outcome.ending == Ending::Served);
+        use AttemptOutcome::{Error, Rejected, Served, TimedOut};
+        let (number, outcome) = (attempt.server, end.outcome);
+        self.estimates.record_rejection(now, outcome == Rejected);
+        let warmup_ms = self.settings.warmup_ms;
+        let warm = self.endpoints.get(number).is_some_and(|server| server.age(now) >= warmup_ms);
+        if matches!(outcome, Served | Rejected | TimedOut) {
+            self.slow_start.record_choice(warm && outcome == Served);
         }
-        let server = self.servers.get_mut(at).expect("kept while something is out");
-        server.out = server.out.saturating_sub(1);
-        if server.is_over() {
-            self.servers.remove(at);
+        let server = self.endpoints.in_use_mut(number);
+        server.in_flight = server.in_flight.saturating_sub(1);
+        if matches!(outcome, Served | Rejected | Error) {
+            server.last_answer_at = now;
+        }
+        if self.endpoints.remove_unreferenced(number) {
             return;
         }
-        if matches!(outcome.ending, Ending::Served | Ending::Full | Ending::Error) {
-            server.heard_at = now;
+        let verdict = self.verdict(class, attempt, end);
+        if matches!(outcome, Served | TimedOut) {
+            self.record_pace(now, class, attempt, end);
         }
-        let failed = match outcome.ending {
-            Ending::Cancelled if attempt.cut => true,
-            // A full server is busy, not ill; a time-out within the aim says nothing of it.
-            Ending::Served | Ending::Full => false,
-            Ending::TimedOut => elapsed >= self.settings.classes[class].aim_ms,
-            Ending::Error | Ending::Unreachable | Ending::Reset => true,
-            Ending::Cancelled | Ending::NotSent => return,
-        };
-        if matches!(outcome.ending, Ending::Served | Ending::TimedOut) {
-            self.classes[class].add(now, f64::INFINITY, 4.0 * RECENT, elapsed, depth);
-            self.all.add(now, f64::INFINITY, 4.0 * RECENT, elapsed, depth);
-            server.pace.add(now, half_life, RECENT, elapsed / relative, depth);
+        match verdict {
+            Verdict::Success => {
+                if self.endpoints.in_use_mut(number).reinstate() {
+                    actions.push(BalancerAction::Log(format!("server {number} is back")));
+                }
+            }
+            Verdict::Failure => self.record_failure(now, number, actions),
+            Verdict::Neutral | Verdict::Unknown => {}
         }
-        if outcome.ending == Ending::Served {
-            server.strikes = 0;
-            if server.ejected_until.take().is_some() {
-                to.push(Action::Note(format!("server {at} is back")));
+    }
+
+    fn verdict(&self, class: usize, attempt: &Attempt, end: &AttemptEnd) -> Verdict {
+        match end.outcome {
+            AttemptOutcome::Served => Verdict::Success,
+            AttemptOutcome::Rejected => Verdict::Neutral,
+            // A time-out within the latency target says nothing about the server.
+            AttemptOutcome::TimedOut if end.elapsed_ms < self.settings.classes[class].latency_target_ms => {
+                Verdict::Neutral
             }
-        } else if failed {
-            self.strike(now, at, to);
+            AttemptOutcome::TimedOut
+            | AttemptOutcome::Error
+            | AttemptOutcome::Unreachable
+            | AttemptOutcome::Reset => Verdict::Failure,
+            AttemptOutcome::Cancelled if attempt.cancelled_as_stalled => Verdict::Failure,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => Verdict::Unknown,
         }
     }
 
-    /// Guards against servers that fail quickly, hang or cannot be reached: counts alone favour them.
-    fn strike(&mut self, now: f64, at: usize, to: &mut Vec<Action>) {
-        // A node of few meets each server often: one spoilt answer says little there.
-        let (strikes, eject) = match self.sparse && self.settings.nodes as f64 > SHARERS {
-            true => (SPARSE_STRIKES, SPARSE_EJECT),
-            false => (STRIKES, EJECT),
-        };
-        let server = self.servers.get_mut(at).expect("kept while something is out");
-        server.strikes += 1;
-        let due = server.ejected_until.map_or(server.strikes >= strikes, |until| until <= now);
-        if due && server.ejected_until.replace(now + eject * self.aim).is_none() {
-            to.push(Action::Note(format!("server {at} is taken out")));
+    fn record_pace(&mut self, now: f64, class: usize, attempt: &Attempt, end: &AttemptEnd) {
+        // What one node of many has in flight says nothing of a queue: the server's report does.
+        let stale = self.signals.counts_are_stale;
+        let reported = end.report.and_then(|report| reported_requests(&report, stale)).filter(|_| stale);
+        let depth = reported.map_or(attempt.depth, |requests| requests.max(LoadLevel::IDLE));
+        let half_life = self.pace_half_life();
+        let relative = self.estimates.relative_latency(class);
+        self.estimates.record_latency(now, class, LatencyAtDepth { latency: end.elapsed_ms, depth });
+        let sample = LatencyAtDepth { latency: end.elapsed_ms / relative, depth };
+        let server = self.endpoints.in_use_mut(attempt.server);
+        server.pace.add(now, half_life, RECENT_OUTCOMES, sample);
+    }
+
+    /// Ejects servers that fail quickly, hang or cannot be reached: counts alone would favour them.
+    fn record_failure(&mut self, now: f64, number: usize, actions: &mut Vec<BalancerAction>) {
+        let one_of_many = self.signals.counts_are_stale && self.settings.nodes as f64 > NODES_PER_SERVER;
+        let policy = if one_of_many { &STALE_EJECTION } else { &EJECTION };
+        let duration = policy.duration * self.estimates.latency_target;
+        if self.endpoints.in_use_mut(number).record_failure(now, policy, duration) {
+            actions.push(BalancerAction::Log(format!("server {number} is taken out")));
         }
     }
 }
+
+impl Server {
+    /// A request was served; whether the server was ejected until now.
+    fn reinstate(&mut self) -> bool {
+        self.consecutive_failures = 0;
+        self.ejected_until.take().is_some()
+    }
+
+    /// A request failed. The server is ejected for `duration` milliseconds where it has failed often enough, or failed
+    /// its trial; whether it was not ejected before.
+    fn record_failure(&mut self, now: f64, policy: &EjectionPolicy, duration: f64) -> bool {
+        self.consecutive_failures += 1;
+        let due = match self.ejected_until {
+            Some(until) => until <= now,
+            None => self.consecutive_failures >= policy.consecutive_failures,
+        };
+        due && self.ejected_until.replace(now + duration).is_none()
+    }
+}
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,153 +1,164 @@
-//! Every decision of a node. The types it is fed and answers with are in `src/interface.rs`.
+//! Every decision of a node. The types it is fed and answers with are in `src/interface`.
 //!
-//! [`Balancer`] holds the state; each module decides one concern of it:
+//! [`Balancer`] holds the state and hands each event to the module that decides about it. The state is split by
+//! owner: each part below has its own methods, and only the module that defines it writes its fields.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `listing` | changes of the list of servers, and the subscription that brings them |
-//! | `servers` | the table of servers |
-//! | `choice` | the ordinary path, HSQ: which server gets a request |
-//! | `ramp` | how much a cold server may see |
-//! | `admission` | whether a request is taken |
-//! | `attempts` | attempts, repeats, cuts and the final answer |
-//! | `health` | what outcomes say of a server |
-//! | `estimates` | running estimates of pace and level |
+//! | `admission` | whether a request is admitted, and the longest wait it is admitted for |
+//! | `attempts` | sending attempts, their ends, clients that disconnect |
+//! | `endpoint_table` | the table of servers and the ring they are selected from |
+//! | `estimates` | running estimates of latency, load, rejections and arrivals |
+//! | `expectation` | the wait that a request would see at a server |
+//! | `health` | what the end of an attempt says about its server; outlier ejection |
+//! | `pending` | the state of a request until its final answer |
+//! | `probing` | probes of a few servers before the first attempt |
+//! | `quota` | token buckets of the tenants |
+//! | `retry` | the retry budget, further attempts and the final answer |
+//! | `selection` | the ordinary path, HSQ: which server gets a request |
+//! | `slow_start` | the share of requests that a warming server is offered |
+//! | `stalled` | cancelling attempts at servers that stopped answering |
+//! | `subscription` | updates of the server list and the subscription to them |
 
 mod admission;
 mod attempts;
-mod choice;
+mod endpoint_table;
 mod estimates;
+mod expectation;
 mod health;
-mod listing;
-mod ramp;
-mod servers;
+mod pending;
+mod probing;
+mod quota;
+mod retry;
+mod selection;
+mod slow_start;
+mod stalled;
+mod subscription;
 
-use std::collections::HashMap;
-
-use self::attempts::Held;
-use self::estimates::{Level, Pace};
-use self::servers::Servers;
+use self::endpoint_table::EndpointTable;
+use self::estimates::Estimates;
+use self::pending::PendingRequests;
+use self::quota::TenantQuotas;
+use self::retry::RetryBudget;
+use self::slow_start::SlowStart;
+use self::subscription::Subscription;
 use crate::interface::*;
 use crate::ring::Ring;
 
-/// Outcomes lose half their weight in this part of a mean aim: what is not confirmed is soon forgotten.
-const HALF_LIFE: f64 = 0.25;
+/// About how many nodes share a server: connections stay few and warm, and each node meets its servers often.
+const NODES_PER_SERVER: f64 = 12.0;
 
-/// Among several nodes, in mean aims: half of what was seen of a server's speed is forgotten after this.
-const PACE_LASTS: f64 = 40.0;
+/// Servers that a node's subset has at least, where there are as many, and the most that are probed.
+const MIN_SUBSET_SIZE: usize = 3;
 
-/// Nodes that share a server, about: connections stay few and warm, and each node meets its servers often.
-const SHARERS: f64 = 12.0;
+/// The golden ratio's fraction: its multiples spread node numbers evenly over a ring.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// Servers a node's subset has at least, where there are as many, and that are asked at the most.
-const SUBSET_LEAST: usize = 3;
+/// Part of the result that may be spent on probing servers before each send.
+const PROBE_BUDGET: f64 = 0.008;
 
-/// The golden ratio's fraction: its multiples spread node numbers evenly over a ring.
-const GOLDEN: f64 = 0.618_033_988_749_895;
+/// The timer of the next subscription. Timers above it belong to the request of that number less one, whose
+/// servers were probed or whose attempt may have stalled.
+const RESUBSCRIBE_TIMER: u64 = 0;
+
+/// The timer of a request; see [`RESUBSCRIBE_TIMER`].
+fn request_timer(id: RequestId) -> u64 {
+    id.0 + 1
+}
+
+/// What this node knows of the servers' load, fixed by the settings.
+struct LoadSignals {
+    /// Servers that are probed before the first attempt of each request; zero where none are.
+    probes_per_request: usize,
+    /// Other nodes send to the same servers unseen and nobody probes, so reported counts are out of date.
+    counts_are_stale: bool,
+    /// Whether load reports come, with responses or with the probes before each send.
+    reports_arrive: bool,
+}
 
-/// Part of the result that may be spent on asking servers before each send.
-const ASK_SPEND: f64 = 0.008;
+impl LoadSignals {
+    fn new(settings: &DecisionSettings) -> Self {
+        // None are probed where a few nodes' responses keep counts fresh, or where peers may talk.
+        let outdated = !settings.responses_carry_load || settings.nodes as f64 > NODES_PER_SERVER;
+        // A probe that costs more than the budget is left out: all nodes probe before each send and pay its
+        // price for every request, and the one server that is probed then stands for all.
+        let affordable = (PROBE_BUDGET / settings.probe_price).clamp(0.0, MIN_SUBSET_SIZE as f64) as usize;
+        // Without reports a count is never overwritten and rises until everything is rejected.
+        let useful = settings.probes && settings.probes_carry_load && !settings.peers && outdated;
+        let probes_per_request = if useful { affordable } else { 0 };
+        Self {
+            probes_per_request,
+            counts_are_stale: probes_per_request == 0 && settings.nodes > 1,
+            reports_arrive: settings.responses_carry_load || probes_per_request > 0,
+        }
+    }
 
-/// The timers: for a new subscription, and above it for the request of that number less one, whose servers
-/// have been asked or whose attempt has been out for long.
-const RESUBSCRIBE: u64 = 0;
+    fn probes_before_send(&self) -> bool {
+        self.probes_per_request > 0
+    }
+}
 
 /// Decides for one node. See the [crate] page for an example.
 pub struct Balancer {
-    settings: Settings,
+    settings: DecisionSettings,
+    /// The order of draws is part of the behaviour: the same seed and events give the same actions.
     random: fastrand::Rng,
-    servers: Servers,
-    ring: Ring,
-    held: HashMap<RequestId, Held>,
-    /// Requests whose servers are being asked, in the order they came, and how many are asked for each.
-    asking_for: Vec<RequestId>,
-    asks: usize,
-    /// One node of several that asks nobody: others send to the same servers unseen, so its counts are old.
-    sparse: bool,
-    level: Level,
-    /// Requests that a server has in work beside those that wait, of late, where reports tell both apart.
-    in_work: Option<f64>,
-    /// Part of the attempts that full servers turned away, of late, and when the last one ended.
-    pressure: (f64, f64),
-    /// Requests each tenant may still send within its quota, and when that was last counted up.
-    quotas: Vec<(f64, f64)>,
-    /// Latency by class and over all.
-    classes: Vec<Pace>,
-    all: Pace,
-    /// Mean time between requests, and when the last one came.
-    gap: f64,
-    came_at: f64,
-    /// Mean aim of the classes: the time scale of all judgements.
-    aim: f64,
-    retries: f64,
-    /// Of the choices of a server, the part that each warm one of the fleet served, of late; and about how
-    /// many of those there are.
-    share: f64,
-    warm: f64,
-    subscribed: bool,
-    asking: bool,
-    failed_calls: i32,
+    signals: LoadSignals,
+    endpoints: EndpointTable,
+    subscription: Subscription,
+    pending: PendingRequests,
+    estimates: Estimates,
+    quotas: TenantQuotas,
+    retry_budget: RetryBudget,
+    slow_start: SlowStart,
 }
 
 impl Balancer {
-    /// A balancer that knows no server yet. The error names the first setting that makes no sense.
-    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+    /// A balancer that has no servers yet.
+    ///
+    /// # Errors
+    ///
+    /// Names the first setting that is out of range.
+    pub fn new(settings: DecisionSettings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        // None are asked before a send where a few nodes' answers keep counts fresh, or where peers may talk.
-        let old = !settings.answers_report || settings.nodes as f64 > SHARERS;
-        // An ask that costs more than may be spent is left out: all nodes ask before each send, and pay its
-        // price for every request; and the one server that is asked then speaks for all.
-        let most = (ASK_SPEND / settings.probe_price).clamp(0.0, SUBSET_LEAST as f64) as usize;
-        // Guards against asking where no report comes: what is never overwritten rises until all is refused.
-        let asks = if settings.probes && settings.probes_report && !settings.peers && old { most } else { 0 };
+        // Each node uses an equal subset, from a position of its own, of a ring that all nodes order alike.
+        // Otherwise each node would connect to each server and see too few reports of any of them.
+        let ring = Ring::new(
+            ((settings.node_index + 1) as f64 * GOLDEN_RATIO_FRACTION).fract(),
+            NODES_PER_SERVER / settings.nodes as f64,
+            MIN_SUBSET_SIZE,
+        );
         Ok(Self {
-            quotas: vec![(f64::INFINITY, 0.0); settings.quotas_per_s.len()],
-            classes: vec![Pace::default(); settings.classes.len()],
             random: fastrand::Rng::with_seed(seed),
-            servers: Servers::default(),
-            // Each node uses an equal subset, from a place of its own, of a ring that all order alike.
-            // Guards against connections of each node to each server, and against too few reports of them.
-            ring: Ring::new(
-                ((settings.me + 1) as f64 * GOLDEN).fract(),
-                SHARERS / settings.nodes as f64,
-                SUBSET_LEAST,
-            ),
-            held: HashMap::new(),
-            asking_for: Vec::new(),
-            sparse: asks == 0 && settings.nodes > 1,
-            level: Level { held: Level::IDLE, at: 0.0 },
-            in_work: None,
-            pressure: (0.0, 0.0),
-            asks,
-            gap: 0.0,
-            came_at: 0.0,
-            aim: settings.classes.iter().map(|c| c.aim_ms).sum::<f64>() / settings.classes.len() as f64,
-            all: Pace::default(),
-            retries: settings.max_attempts as f64,
-            share: 1.0,
-            warm: 0.0,
-            subscribed: false,
-            asking: false,
-            failed_calls: 0,
+            signals: LoadSignals::new(&settings),
+            endpoints: EndpointTable::new(ring, settings.zone),
+            subscription: Subscription::default(),
+            pending: PendingRequests::default(),
+            estimates: Estimates::new(&settings),
+            quotas: TenantQuotas::new(&settings),
+            retry_budget: RetryBudget::new(settings.max_attempts),
+            slow_start: SlowStart::new(),
             settings,
         })
     }
 
-    /// Takes one event that happened at `now`, which never runs backwards, and appends what is to be done.
-    /// Events about what is not known are passed over.
-    pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
+    /// Takes one event that happened at `now`, in milliseconds of a clock that never runs backwards, and appends
+    /// the actions to carry out. Events about unknown requests, servers or timers are ignored.
+    pub fn handle(&mut self, now: f64, event: BalancerEvent, actions: &mut Vec<BalancerAction>) {
         match event {
-            Event::Servers(listing) => self.listing(listing, actions),
-            Event::Request(request) => self.request(now, &request, actions),
-            Event::Outcome(outcome) => self.outcome(now, &outcome, actions),
-            Event::ClientGone(id) => self.client_gone(id, actions),
-            Event::Timer(RESUBSCRIBE) if std::mem::take(&mut self.asking) => actions.push(Action::Subscribe),
-            Event::Timer(timer) if timer > RESUBSCRIBE => {
+            BalancerEvent::EndpointsUpdated(update) => self.update_endpoints(update, actions),
+            BalancerEvent::RequestArrived(request) => self.admit(now, &request, actions),
+            BalancerEvent::AttemptEnded(end) => self.attempt_ended(now, &end, actions),
+            BalancerEvent::ClientDisconnected(id) => self.client_disconnected(id, actions),
+            BalancerEvent::TimerFired(RESUBSCRIBE_TIMER) => self.subscription.retry(actions),
+            BalancerEvent::TimerFired(timer) => {
                 self.dispatch(now, RequestId(timer - 1), actions);
-                self.cut(now, RequestId(timer - 1), actions);
+                self.cancel_stalled(now, RequestId(timer - 1), actions);
+            }
+            BalancerEvent::ProbeEnded { server, outcome, report } => {
+                self.probe_ended(now, server, outcome, report, actions);
             }
-            Event::Probed { server, ending, report } => self.probed(now, server.0, ending, report, actions),
-            Event::Timer(_) | Event::StreamStarted { .. } => {}
+            BalancerEvent::StreamStarted { .. } => {}
         }
     }
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::{wire, Effect, Report, Settings};
+use crate::{wire, DecisionSettings, Idempotency, LoadReport};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::Value;
@@ -36,7 +36,7 @@
     /// The list of servers as it was last known.
     pub known: List,
     /// What the decisions go by.
-    pub settings: Settings,
+    pub settings: DecisionSettings,
     /// The names that requests, lists and load reports use.
     pub names: Names,
     /// A server closes a connection that stands idle for this long; where it is 0, none is kept.
@@ -104,7 +104,7 @@
         // client waits at the longest.
         let longest = settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
         let most = facts["allowed"]["max_retry_after_ms"].as_f64().unwrap_or(longest);
-        settings.retry_after_most_ms = Some(most);
+        settings.max_retry_after_ms = Some(most);
         settings.validate().map_err(|e| format!("`settings`: {e}"))?;
         let names = Names {
             classes: names(facts, "classes")?,
@@ -134,8 +134,8 @@
     }
 
     /// What running a request of a class twice does.
-    pub fn effect(&self, class: usize) -> Effect {
-        self.settings.classes[class].effect
+    pub fn idempotency(&self, class: usize) -> Idempotency {
+        self.settings.classes[class].idempotency
     }
 }
 
@@ -193,8 +193,8 @@
 
 /// Reads a load report such as `active=7,waiting=2`; one that is malformed tells nothing.
 /// Guards against counts that never hear a report: servers use the settings' names, but others are about.
-pub fn load_report(text: &str) -> Option<Report> {
-    let mut report = Report::default();
+pub fn load_report(text: &str) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     for pair in text.trim().split(',') {
         let (name, value) = pair.split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|x| x.is_finite() && *x >= 0.0)?;
@@ -204,5 +204,5 @@
             _ => {}
         }
     }
-    (report != Report::default()).then_some(report)
+    (report != LoadReport::default()).then_some(report)
 }
--- a/src/net/frontend.rs
+++ b/src/net/frontend.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::{Effect, RequestId};
+use crate::{Idempotency, RequestId};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -87,7 +87,7 @@
     /// with that time and what closes it.
     idle: RefCell<BTreeMap<(bool, u64), Idle>>,
     last_idle: Cell<u64>,
-    ending: Cell<bool>,
+    outcome: Cell<bool>,
     /// The end is near: what comes now is refused at once.
     over: Cell<bool>,
 }
@@ -273,7 +273,7 @@
         spare: node.config.sockets / 16,
         idle: RefCell::default(),
         last_idle: Cell::new(0),
-        ending: Cell::new(false),
+        outcome: Cell::new(false),
         over: Cell::new(false),
     });
     let mut stop = pin!(stop);
@@ -284,7 +284,7 @@
             () = accept(&node, &front, &listener) => {}
         }
     }
-    front.ending.set(true);
+    front.outcome.set(true);
     let longest = node.config.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
     let longest =
         Duration::try_from_secs_f64(longest / 1000.0).map_or(DEADLINE_MOST, |d| d.min(DEADLINE_MOST));
@@ -349,7 +349,7 @@
                 Framing::Length(_) | Framing::Chunked => answer(node, seat, socket, request, body_by).await,
             };
             // Where the next head begins is known only where the length is.
-            if seat.front.ending.get() || !matches!(framing, Framing::Length(_)) {
+            if seat.front.outcome.get() || !matches!(framing, Framing::Length(_)) {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             seat.answered.set(true);
@@ -369,7 +369,7 @@
             // An error is the client's: it has left, or does not speak HTTP.
             _ = served.as_mut() => return,
             () = seat.close.notified() => {
-                let linger = seat.front.ending.get() && socket.begun.get().is_some();
+                let linger = seat.front.outcome.get() && socket.begun.get().is_some();
                 closing = Some(Instant::now() + if linger { LINGER } else { Duration::ZERO });
             }
             () = sleep_until(wake) => {}
@@ -402,7 +402,7 @@
 ) -> Response<Full<Bytes>> {
     match request.uri().path() {
         "/api" => api(node, seat, socket, request, body_by).await,
-        "/_health" if seat.front.ending.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
+        "/_health" if seat.front.outcome.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
         "/_health" => plain(StatusCode::OK, "ready\n"),
         _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
     }
@@ -483,7 +483,7 @@
     let budget = gives_up_at.saturating_duration_since(Instant::now());
     // Near the end of the node no time is left to learn what would come of it.
     if budget.is_zero() || seat.front.over.get() {
-        return refusal(node.config.settings.retry_after_most_ms);
+        return refusal(node.config.settings.max_retry_after_ms);
     }
     asked.budget_ms = budget.as_secs_f64() * 1000.0;
     // Who has left while the request lay unread gets nothing of it, and neither does a server.
@@ -495,7 +495,7 @@
     let id = match node.take(forward, asked, answer) {
         Ok(id) => id,
         // The settings' bound, not a decision: how long it lasts is not known.
-        Err(NotTaken::Full) => return refusal(node.config.settings.retry_after_most_ms),
+        Err(NotTaken::Full) => return refusal(node.config.settings.max_retry_after_ms),
         Err(NotTaken::Known) => return plain(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
     };
     let _waiting = Waiting { node: Rc::clone(node), id };
@@ -518,7 +518,7 @@
     node: &Node,
     method: &Method,
     headers: &HeaderMap,
-) -> Result<(Duration, crate::Request), &'static str> {
+) -> Result<(Duration, crate::ClientRequest), &'static str> {
     // Guards against one meaning here and another at a server.
     let doubled = |name: &&str| headers.get_all(*name).iter().nth(1).is_some();
     if FIELDS.iter().any(doubled) {
@@ -541,22 +541,22 @@
     let wait = wait.filter(|wait| !wait.is_zero() && *wait <= WAIT_MOST);
     let wait = wait.ok_or("X-Deadline is missing or no time above 0\n")?;
     // Without its key a keyed request could take effect twice.
-    let fits = match node.config.effect(class) {
-        Effect::Safe => method == Method::GET,
-        Effect::Keyed { .. } => {
+    let fits = match node.config.idempotency(class) {
+        Idempotency::Safe => method == Method::GET,
+        Idempotency::Keyed { .. } => {
             method == Method::POST && text("idempotency-key").is_some_and(|k| !k.is_empty())
         }
-        Effect::Unsafe => method == Method::POST,
+        Idempotency::Unsafe => method == Method::POST,
     };
     if !fits {
         return Err("the method or Idempotency-Key does not fit X-Class\n");
     }
     let cost_us = text("x-cost-hint").and_then(|text| text.parse::<f64>().ok());
-    let request = crate::Request {
+    let request = crate::ClientRequest {
         tenant,
         cost_ms: cost_us.filter(|us| us.is_finite() && *us >= 0.0).map(|us| us / 1000.0),
-        repeat: text("x-retry") == Some("1"),
-        ..crate::Request::new(RequestId(0), class, 0.0)
+        is_retry: text("x-retry") == Some("1"),
+        ..crate::ClientRequest::new(RequestId(0), class, 0.0)
     };
     Ok((wait, request))
 }
--- a/src/net/node.rs
+++ b/src/net/node.rs
@@ -8,8 +8,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use crate::{
-    wire, Action, Availability, Balancer, Discovery, Event, Listing, Outcome, Request, RequestId,
-    ServerEntry, ServerId,
+    wire, AttemptEnd, Availability, Balancer, BalancerAction, BalancerEvent, ClientRequest, DiscoveryMode,
+    EndpointUpdate, RequestId, ServerEntry, ServerId,
 };
 use bytes::Bytes;
 use hyper::header::HeaderValue;
@@ -129,8 +129,8 @@
             started_unix_ms: unix.as_secs_f64() * 1000.0,
         });
         let entries = node.changes(known);
-        node.handle(Event::Servers(Listing::Cached(entries)));
-        if node.config.settings.discovery == Discovery::Push {
+        node.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
+        if node.config.settings.discovery == DiscoveryMode::Push {
             // The decisions expect such lists unasked; on sockets they come to a watch as well.
             node.subscribed.notify_one();
         }
@@ -142,7 +142,7 @@
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    fn handle(self: &Rc<Self>, event: Event) {
+    fn handle(self: &Rc<Self>, event: BalancerEvent) {
         let mut actions = Vec::new();
         self.balancer.borrow_mut().handle(self.now(), event, &mut actions);
         for action in actions {
@@ -150,9 +150,9 @@
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn carry_out(self: &Rc<Self>, action: BalancerAction) {
         match action {
-            Action::Send { request, server, within_ms } => {
+            BalancerAction::Send { request, server, within_ms } => {
                 let mut requests = self.requests.borrow_mut();
                 let Some(held) = requests.get_mut(&request) else { return };
                 let (give_up, given_up) = oneshot::channel();
@@ -169,14 +169,18 @@
                     node.ended(request, attempt, begun.elapsed(), reply);
                 });
             }
-            Action::Probe { server } => {
+            BalancerAction::Probe { server } => {
                 let node = Rc::clone(self);
                 tokio::task::spawn_local(async move {
                     let reply = upstream::probe(&node.upstream, server).await;
-                    node.handle(Event::Probed { server, ending: reply.ending, report: reply.report });
+                    node.handle(BalancerEvent::ProbeEnded {
+                        server,
+                        outcome: reply.outcome,
+                        report: reply.report,
+                    });
                 });
             }
-            Action::Cancel { request, attempt } => {
+            BalancerAction::Cancel { request, attempt } => {
                 let mut requests = self.requests.borrow_mut();
                 let out = requests.get_mut(&request).and_then(|held| held.attempts.get_mut(attempt));
                 if let Some(out) = out.and_then(Option::take) {
@@ -184,20 +188,20 @@
                     let _ = out.give_up.send(());
                 }
             }
-            Action::Refuse { request, retry_after_ms } => {
+            BalancerAction::Reject { request, retry_after_ms } => {
                 self.answer(request, Answer::Refused(retry_after_ms));
             }
-            Action::Fail { request } => self.answer(request, Answer::Failed),
-            Action::Subscribe => self.subscribed.notify_one(),
-            Action::SetTimer { timer, after_ms } => {
+            BalancerAction::Fail { request } => self.answer(request, Answer::Failed),
+            BalancerAction::Subscribe => self.subscribed.notify_one(),
+            BalancerAction::SetTimer { timer, after_ms } => {
                 let node = Rc::clone(self);
                 let after = Duration::try_from_secs_f64(after_ms / 1000.0).unwrap_or_default();
                 tokio::task::spawn_local(async move {
                     sleep(after).await;
-                    node.handle(Event::Timer(timer));
+                    node.handle(BalancerEvent::TimerFired(timer));
                 });
             }
-            Action::Note(text) => self.note(&text),
+            BalancerAction::Log(text) => self.note(&text),
         }
     }
 
@@ -231,7 +235,7 @@
     pub fn take(
         self: &Rc<Self>,
         forward: Forward,
-        request: Request,
+        request: ClientRequest,
         answer: oneshot::Sender<Answer>,
     ) -> Result<RequestId, NotTaken> {
         if self.requests.borrow().len() >= self.config.most_held {
@@ -244,7 +248,7 @@
         let id = RequestId(self.last_id.get());
         let held = Held { forward: Rc::new(forward), answer: Some(answer), attempts: Vec::new() };
         self.requests.borrow_mut().insert(id, held);
-        self.handle(Event::Request(Request { id, ..request }));
+        self.handle(BalancerEvent::RequestArrived(ClientRequest { id, ..request }));
         Ok(id)
     }
 
@@ -265,7 +269,7 @@
         }
         drop(requests);
         if was_owed {
-            self.handle(Event::ClientGone(id));
+            self.handle(BalancerEvent::ClientDisconnected(id));
             self.forget_if_over(id);
         }
     }
@@ -277,7 +281,7 @@
         owed.sort_unstable();
         for id in owed {
             self.answer(id, Answer::Failed);
-            self.handle(Event::ClientGone(id));
+            self.handle(BalancerEvent::ClientDisconnected(id));
         }
     }
 
@@ -303,11 +307,11 @@
             self.answer(id, Answer::Served(body));
         }
         let complete = self.requests.borrow().get(&id).is_none_or(|held| held.answer.is_none());
-        self.handle(Event::Outcome(Outcome {
+        self.handle(BalancerEvent::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             elapsed_ms: elapsed.as_secs_f64() * 1000.0,
-            ending: reply.ending,
+            outcome: reply.outcome,
             complete,
             report: reply.report,
         }));
@@ -334,7 +338,7 @@
             availability: match member.phase {
                 Phase::Active => Availability::Ready,
                 Phase::Leaving => Availability::Draining,
-                Phase::Left => Availability::Gone,
+                Phase::Left => Availability::Removed,
             },
             started_at: Some(member.up_since_ms).filter(|at| *at > 0.0),
             cell: member.cell,
@@ -364,7 +368,7 @@
             let next = ServerId(self.last_server.get() + 1);
             let known = listed.get(&member.id).map(|known| known.entry.server);
             let entry = self.entry(&member, known.unwrap_or(next), wire::key(&member.id));
-            if entry.availability == Availability::Gone {
+            if entry.availability == Availability::Removed {
                 let gone = listed.remove(&member.id);
                 changes.extend(gone.map(|Listed { entry, .. }| self.gone(&entry)));
                 continue;
@@ -411,7 +415,7 @@
 
     fn gone(&self, entry: &ServerEntry) -> ServerEntry {
         self.upstream.forget(entry.server);
-        ServerEntry { availability: Availability::Gone, ..entry.clone() }
+        ServerEntry { availability: Availability::Removed, ..entry.clone() }
     }
 
     /// Closes connections to servers before the servers do, for as long as the node runs.
@@ -447,7 +451,7 @@
     async fn take(self: &Rc<Self>, mut list: List) {
         let tell = |changes: Vec<_>| {
             if !changes.is_empty() {
-                self.handle(Event::Servers(Listing::Changes(changes)));
+                self.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(changes)));
             }
         };
         let mut members = std::mem::take(&mut list.members).into_iter();
@@ -483,11 +487,11 @@
             ));
         }
         let changes = self.changes(list);
-        self.handle(Event::Servers(Listing::Changes(changes)));
+        self.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(changes)));
     }
 
     fn list_failed(self: &Rc<Self>) {
-        self.handle(Event::Servers(Listing::Failed));
+        self.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
     }
 
     fn list_most(&self) -> usize {
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::{Ending, Report, ServerId};
+use crate::{AttemptOutcome, LoadReport, ServerId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -85,17 +85,17 @@
 /// How an attempt or a probe ended.
 pub struct Reply {
     /// The outcome.
-    pub ending: Ending,
+    pub outcome: AttemptOutcome,
     /// The load report that came along.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The whole body, where it was served.
     pub body: Option<Bytes>,
 }
 
 impl Reply {
     /// An end without an answer.
-    pub fn none(ending: Ending) -> Self {
-        Self { ending, report: None, body: None }
+    pub fn none(outcome: AttemptOutcome) -> Self {
+        Self { outcome, report: None, body: None }
     }
 }
 
@@ -255,18 +255,18 @@
         server: &Rc<Server>,
         within: Duration,
         most: usize,
-    ) -> Result<Connection, Ending> {
+    ) -> Result<Connection, AttemptOutcome> {
         let until = Instant::now() + within;
         let (made, mut comes) = mpsc::unbounded_channel();
         // Where nothing is waited for any more, because its client has left, all are given up.
         let mut dials = JoinSet::new();
-        let mut result = Err(Ending::Unreachable);
+        let mut result = Err(AttemptOutcome::Unreachable);
         for dial in 1..=most {
             // Another is for places to spare.
             match (dial == 1 || self.open.get() < self.most / 2).then(|| self.slot()).flatten() {
                 Some(slot) => drop(dials.spawn_local(self.dial(Rc::clone(server), slot, made.clone()))),
                 // Without a place the attempt ends unsent, and that is not the server's fault.
-                None if dial == 1 => return Err(Ending::NotSent),
+                None if dial == 1 => return Err(AttemptOutcome::NotSent),
                 None => {}
             }
             let late = Instant::now() + Duration::from_secs_f64(self.usual_dial.get() * LATE);
@@ -286,7 +286,7 @@
         &self,
         server: Rc<Server>,
         slot: Slot,
-        made: mpsc::UnboundedSender<Result<Connection, Ending>>,
+        made: mpsc::UnboundedSender<Result<Connection, AttemptOutcome>>,
     ) -> impl Future<Output = ()> {
         let (within, usual) = (self.dial_timeout, Rc::clone(&self.usual_dial));
         async move {
@@ -295,7 +295,7 @@
             let slower = begun.elapsed().as_secs_f64() > usual.get();
             let step = if slower { DIAL_STEP } else { 1.0 / DIAL_STEP };
             usual.set((usual.get() * step).clamp(DIAL_LEAST, DIAL_MOST));
-            let connection = dialled.unwrap_or(Err(Ending::Unreachable));
+            let connection = dialled.unwrap_or(Err(AttemptOutcome::Unreachable));
             if let Err(mpsc::error::SendError(Ok(connection))) = made.send(connection) {
                 server.keep(connection);
             }
@@ -303,16 +303,16 @@
     }
 }
 
-async fn dial(address: SocketAddr, slot: Slot) -> Result<Connection, Ending> {
-    let stream = TcpStream::connect(address).await.map_err(|_| Ending::Unreachable)?;
-    stream.set_nodelay(true).map_err(|_| Ending::Unreachable)?;
+async fn dial(address: SocketAddr, slot: Slot) -> Result<Connection, AttemptOutcome> {
+    let stream = TcpStream::connect(address).await.map_err(|_| AttemptOutcome::Unreachable)?;
+    stream.set_nodelay(true).map_err(|_| AttemptOutcome::Unreachable)?;
     let socket = Rc::new(Socket { stream, _slot: slot });
     let handshake = http1::Builder::new()
         .max_buf_size(2 * BODY_MOST)
         .max_header_size(HEAD_MOST)
         .handshake(TokioIo::new(Io(Rc::clone(&socket))))
         .await;
-    let (sender, connection) = handshake.map_err(|_| Ending::Unreachable)?;
+    let (sender, connection) = handshake.map_err(|_| AttemptOutcome::Unreachable)?;
     tokio::task::spawn_local(connection);
     Ok(Connection { sender, socket, address, idle_since: Instant::now() })
 }
@@ -327,13 +327,14 @@
     stage: &Cell<Stage>,
     given_up: oneshot::Receiver<()>,
 ) -> Reply {
-    let unless_sent = |ending| Reply::none(if stage.get() == Stage::Sent { ending } else { Ending::NotSent });
+    let unless_sent =
+        |outcome| Reply::none(if stage.get() == Stage::Sent { outcome } else { AttemptOutcome::NotSent });
     // The exchange holds the connection; it is dropped, and that closed, before this returns.
     tokio::select! {
         biased;
         reply = exchange(upstream, server, Some((forward, send_by)), stage) => reply,
-        Ok(()) = given_up => unless_sent(Ending::Cancelled),
-        () = sleep_until(forward.gives_up_at) => unless_sent(Ending::TimedOut),
+        Ok(()) = given_up => unless_sent(AttemptOutcome::Cancelled),
+        () = sleep_until(forward.gives_up_at) => unless_sent(AttemptOutcome::TimedOut),
     }
 }
 
@@ -341,7 +342,7 @@
 pub async fn probe(upstream: &Upstream, server: ServerId) -> Reply {
     let stage = Cell::new(Stage::Unsent);
     let reply = timeout(upstream.dial_timeout, exchange(upstream, server, None, &stage)).await;
-    let mut reply = reply.unwrap_or_else(|_| Reply::none(Ending::TimedOut));
+    let mut reply = reply.unwrap_or_else(|_| Reply::none(AttemptOutcome::TimedOut));
     if let Some(body) = reply.body.take() {
         reply.report = std::str::from_utf8(&body).ok().and_then(load_report).or(reply.report);
     }
@@ -358,7 +359,7 @@
     let (forward, send_by) = request.map_or((None, None), |(forward, send_by)| (Some(forward), send_by));
     // It may have gone since the decision.
     let Some(server) = upstream.servers.borrow().get(&server).cloned() else {
-        return Reply::none(Ending::NotSent);
+        return Reply::none(AttemptOutcome::NotSent);
     };
     let dials = forward.map_or(1, |_| DIALS_MOST);
     let left = |forward: &Forward| forward.gives_up_at.saturating_duration_since(Instant::now());
@@ -368,7 +369,7 @@
             Some(connection) => (connection, true),
             None => match upstream.connect(&server, dial_most(upstream, forward, send_by), dials).await {
                 Ok(connection) => (connection, false),
-                Err(ending) => return Reply::none(ending),
+                Err(outcome) => return Reply::none(outcome),
             },
         };
         if kept {
@@ -378,12 +379,12 @@
             if kept {
                 continue;
             }
-            return Reply::none(Ending::Unreachable);
+            return Reply::none(AttemptOutcome::Unreachable);
         }
         // Time has passed since the decision: a server that drains by now gets nothing new.
         let late = send_by.is_some_and(|by| Instant::now() >= by);
         if late || stage.get() == Stage::Unwanted || forward.is_some() && !server.ready.get() {
-            return Reply::none(Ending::NotSent);
+            return Reply::none(AttemptOutcome::NotSent);
         }
         let request = forward.map_or_else(|| probe_request(connection.address), forward_request);
         stage.set(Stage::Sent);
@@ -394,9 +395,9 @@
                 let unsent = error.take_message().is_some();
                 stage.set(if unsent { Stage::Unsent } else { Stage::Sent });
                 match (unsent, kept) {
-                    (false, _) => return Reply::none(Ending::Reset),
+                    (false, _) => return Reply::none(AttemptOutcome::Reset),
                     (true, true) => continue,
-                    (true, false) => return Reply::none(Ending::Unreachable),
+                    (true, false) => return Reply::none(AttemptOutcome::Unreachable),
                 }
             }
         };
@@ -442,14 +443,14 @@
         false => None,
     };
     let whole = body.is_some();
-    let ending = match head.status {
+    let outcome = match head.status {
         // What comes spoilt proves nothing, whatever its head says.
-        _ if !whole => Ending::Reset,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Ending::Full,
-        StatusCode::OK => Ending::Served,
-        _ => Ending::Error,
+        _ if !whole => AttemptOutcome::Reset,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => AttemptOutcome::Rejected,
+        StatusCode::OK => AttemptOutcome::Served,
+        _ => AttemptOutcome::Error,
     };
-    let reply = Reply { ending, report, body: body.filter(|_| ending == Ending::Served) };
+    let reply = Reply { outcome, report, body: body.filter(|_| outcome == AttemptOutcome::Served) };
     (reply, whole)
 }
 
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -1,55 +1,57 @@
 //! The ready servers in an order that all nodes share, and the subset of them that is one node's.
 
-/// A ready server: its key, its number, and its slot in the table of servers.
-pub type Place = (u64, usize, usize);
+/// A ready server: its key, its number, and its slot in the table of servers. Ordered by key, then number.
+pub type RingEntry = (u64, usize, usize);
 
-/// Two rings, of the servers in the node's own zone and of all others, each in the order of its keys.
+/// Two rings, one of the servers in the node's own zone and one of all others, each in the order of its keys.
 ///
-/// They are kept in that order, so a change moves what it names and no more. The node's turn is in where its
-/// subset starts.
+/// They are kept in that order, so a change moves what it names and no more. Nodes differ in where their subset
+/// starts.
 pub struct Ring {
-    parts: [Vec<Place>; 2],
+    /// Near servers, then far ones; both are sorted.
+    parts: [Vec<RingEntry>; 2],
     /// Where this node's subset starts, as a fraction of each ring.
     start: f64,
-    /// Its length as a fraction of all servers, and the servers it has at least, where there are as many.
+    /// Size of the subset as a fraction of all servers.
     share: f64,
-    least: usize,
+    /// Servers of each ring that it has at least, where there are as many.
+    min_size: usize,
 }
 
 impl Ring {
-    /// Empty rings, of which the node uses `share` of all servers and at least `least`, from `start` on.
-    pub fn new(start: f64, share: f64, least: usize) -> Self {
-        Self { parts: Default::default(), start, share, least }
+    /// Empty rings, of which the node uses `share` of all servers and at least `min_size`, from `start` on.
+    pub fn new(start: f64, share: f64, min_size: usize) -> Self {
+        Self { parts: Default::default(), start, share, min_size }
     }
 
-    /// Takes all ready servers anew, each with whether it is far.
-    pub fn fill(&mut self, places: impl Iterator<Item = (bool, Place)>) {
+    /// Replaces all entries, each given with whether its server is far.
+    pub fn rebuild(&mut self, entries: impl Iterator<Item = (bool, RingEntry)>) {
         self.parts.iter_mut().for_each(Vec::clear);
-        places.for_each(|(far, place)| self.parts[usize::from(far)].push(place));
+        entries.for_each(|(far, entry)| self.parts[usize::from(far)].push(entry));
         self.parts.iter_mut().for_each(|part| part.sort_unstable());
     }
 
     /// Moves one server from where it was, if it was ready, to where it is now, if it is.
-    pub fn shift(&mut self, from: Option<(bool, Place)>, to: Option<(bool, Place)>) {
+    pub fn shift(&mut self, from: Option<(bool, RingEntry)>, to: Option<(bool, RingEntry)>) {
         if from == to {
             return;
         }
-        if let Some((far, place)) = from {
+        if let Some((far, entry)) = from {
             let part = &mut self.parts[usize::from(far)];
-            if let Ok(at) = part.binary_search(&place) {
-                part.remove(at);
+            if let Ok(index) = part.binary_search(&entry) {
+                part.remove(index);
             }
         }
-        if let Some((far, place)) = to {
+        if let Some((far, entry)) = to {
             let part = &mut self.parts[usize::from(far)];
-            let (Ok(at) | Err(at)) = part.binary_search(&place);
-            part.insert(at, place);
+            let (Ok(index) | Err(index)) = part.binary_search(&entry);
+            part.insert(index, entry);
         }
     }
 
-    /// The slots of the near and of the far part, from the node's own place all the way round.
+    /// The slots of the near and of the far servers, each ring once round from the start of the node's subset.
     pub fn parts(&self) -> [impl Iterator<Item = usize> + '_; 2] {
-        self.parts.each_ref().map(|part| self.turned(part).map(|(.., slot)| *slot))
+        self.parts.each_ref().map(|part| self.rotated(part).map(|(.., slot)| *slot))
     }
 
     /// Ready servers in all.
@@ -57,33 +59,34 @@
         self.parts.iter().map(Vec::len).sum()
     }
 
-    /// The part of the near and of the far servers that one request sees, `most` of each at most.
-    pub fn seen(&self, most: usize) -> [f64; 2] {
-        let length = self.length().min(most);
-        self.parts.each_ref().map(|part| length.min(part.len()) as f64 / part.len().max(1) as f64)
+    /// The fraction of the near and of the far servers that one request is offered, `max` of each at most.
+    pub fn visible_fraction(&self, max: usize) -> [f64; 2] {
+        let size = self.subset_size().min(max);
+        self.parts.each_ref().map(|part| size.min(part.len()) as f64 / part.len().max(1) as f64)
     }
 
-    /// The slots of the node's own subset, near ones first; of a part of more than `most` a window of so
-    /// many, drawn afresh, that goes on from the end of the subset to its start.
-    pub fn subset(&self, most: usize, random: &mut fastrand::Rng) -> Vec<usize> {
-        let length = self.length();
-        let mut slots = Vec::with_capacity(2 * most.min(length));
+    /// The slots of the node's own subset, near ones first. Of a part with more than `max`, a window of so many
+    /// from a random start, which continues from the end of the subset at its beginning.
+    pub fn subset(&self, max: usize, random: &mut fastrand::Rng) -> Vec<usize> {
+        let subset_size = self.subset_size();
+        let mut slots = Vec::with_capacity(2 * max.min(subset_size));
         for part in &self.parts {
-            let length = length.min(part.len());
-            let from = if length > most { random.usize(..length) } else { 0 };
-            let (first, all) = (most.min(length - from), most.min(length));
-            slots.extend(self.turned(part).skip(from).take(first).map(|(.., slot)| *slot));
-            slots.extend(self.turned(part).take(all - first).map(|(.., slot)| *slot));
+            let size = subset_size.min(part.len());
+            let offset = if size > max { random.usize(..size) } else { 0 };
+            let (before_wrap, total) = (max.min(size - offset), max.min(size));
+            slots.extend(self.rotated(part).skip(offset).take(before_wrap).map(|(.., slot)| *slot));
+            slots.extend(self.rotated(part).take(total - before_wrap).map(|(.., slot)| *slot));
         }
         slots
     }
 
     /// Servers of each ring in the subset, where it has so many.
-    fn length(&self) -> usize {
-        self.least.max((self.len() as f64 * self.share).ceil() as usize)
+    fn subset_size(&self) -> usize {
+        self.min_size.max((self.len() as f64 * self.share).ceil() as usize)
     }
 
-    fn turned<'a>(&self, part: &'a [Place]) -> impl Iterator<Item = &'a Place> {
+    /// A ring once round, from the start of the node's subset.
+    fn rotated<'a>(&self, part: &'a [RingEntry]) -> impl Iterator<Item = &'a RingEntry> {
         let (before, after) = part.split_at((self.start * part.len() as f64) as usize);
         after.iter().chain(before)
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -150,7 +150,7 @@
         let availability = match line.text("availability")? {
             "2" => Availability::Ready,
             "0" => Availability::Draining,
-            "3" => Availability::Gone,
+            "3" => Availability::Removed,
             other => return wrong(format!("`availability={other}` is unknown")),
         };
         let or_zero = |name| Ok::<_, WireError>(line.whole(name)?.unwrap_or(0) as usize);
@@ -195,13 +195,13 @@
         ServerId(id)
     }
 
-    fn report(&self, line: &Line<'_>) -> Result<Option<Report>, WireError> {
+    fn report(&self, line: &Line<'_>) -> Result<Option<LoadReport>, WireError> {
         let Some(row) = line.get("server_stats").filter(|r| !r.is_empty() && *r != "-") else {
             return Ok(None);
         };
         let values: Vec<f64> = row.split(',').map(|v| figure("server_stats", v)).collect::<Result<_, _>>()?;
         let at = |i: Option<usize>| i.and_then(|i| values.get(i).copied());
-        Ok(Some(Report { in_flight: at(self.in_flight_at), queued: at(self.queued_at) }))
+        Ok(Some(LoadReport { in_flight: at(self.in_flight_at), queued: at(self.queued_at) }))
     }
 
     /// Reads the settings of a start.
@@ -209,7 +209,7 @@
     /// # Errors
     ///
     /// They are no object of the expected types.
-    pub fn settings(&mut self, facts: &str) -> Result<Settings, WireError> {
+    pub fn settings(&mut self, facts: &str) -> Result<DecisionSettings, WireError> {
         let facts: Value = serde_json::from_str(facts).map_err(|e| WireError(format!("`facts`: {e}")))?;
         if !facts.is_object() {
             return wrong("`facts` is no object");
@@ -229,29 +229,29 @@
         &mut self,
         line: &Line<'_>,
         lists: &[Option<Vec<Member>>; 16],
-    ) -> Result<Option<Event>, WireError> {
+    ) -> Result<Option<BalancerEvent>, WireError> {
         Ok(Some(match line.message {
-            "REGISTRY" => Event::Servers(self.listing(line, lists)?),
+            "REGISTRY" => BalancerEvent::EndpointsUpdated(self.listing(line, lists)?),
             "CALL" => {
                 let marks = line.whole("marks")?.unwrap_or(0);
-                Event::Request(Request {
+                BalancerEvent::RequestArrived(ClientRequest {
                     id: RequestId(line.need_whole("txn")?),
                     class: line.index("grade")?,
                     tenant: line.whole("party")?.unwrap_or(0) as usize,
                     budget_ms: line.need_figure("budget_ms")?,
                     cost_ms: line.figure("cost_ms")?.filter(|_| marks & 1 != 0),
-                    repeat: marks & 2 != 0,
+                    is_retry: marks & 2 != 0,
                 })
             }
-            "ACK_FIRST" => Event::StreamStarted {
+            "ACK_FIRST" => BalancerEvent::StreamStarted {
                 request: RequestId(line.need_whole("txn")?),
                 attempt: line.index("try")?,
             },
-            "ENDED" => Event::Outcome(Outcome {
+            "ENDED" => BalancerEvent::AttemptEnded(AttemptEnd {
                 request: RequestId(line.need_whole("txn")?),
                 attempt: line.index("try")?,
                 elapsed_ms: line.need_figure("rtt_ms")?,
-                ending: ending(line)?,
+                outcome: outcome(line)?,
                 complete: match line.text("complete")? {
                     "1" => true,
                     "0" => false,
@@ -259,25 +259,29 @@
                 },
                 report: self.report(line)?,
             }),
-            "HANGUP" => Event::ClientGone(RequestId(line.need_whole("txn")?)),
+            "HANGUP" => BalancerEvent::ClientDisconnected(RequestId(line.need_whole("txn")?)),
             // A token that is none of ours is no timer of ours: pass it over.
             "FIRED" => match line.text("nonce")?.parse() {
-                Ok(timer) => Event::Timer(timer),
+                Ok(timer) => BalancerEvent::TimerFired(timer),
                 Err(_) => return Ok(None),
             },
-            "HEALTH" => Event::Probed {
+            "HEALTH" => BalancerEvent::ProbeEnded {
                 server: self.intern(line.text("server")?),
-                ending: ending(line)?,
+                outcome: outcome(line)?,
                 report: self.report(line)?,
             },
             _ => return Ok(None),
         }))
     }
 
-    fn listing(&mut self, line: &Line<'_>, lists: &[Option<Vec<Member>>; 16]) -> Result<Listing, WireError> {
+    fn listing(
+        &mut self,
+        line: &Line<'_>,
+        lists: &[Option<Vec<Member>>; 16],
+    ) -> Result<EndpointUpdate, WireError> {
         let mode = line.text("mode")?;
         if mode == "3" {
-            return Ok(Listing::Failed);
+            return Ok(EndpointUpdate::Unavailable);
         }
         let number = line.index("roster_id")?;
         let Some(list) = lists.get(number).and_then(Option::as_ref) else {
@@ -286,35 +290,37 @@
         let entries =
             list.iter().map(|m| ServerEntry { server: self.intern(&m.server), ..m.entry.clone() }).collect();
         match mode {
-            "0" => Ok(Listing::Changes(entries)),
-            "1" => Ok(Listing::Full(entries)),
-            "2" => Ok(Listing::Cached(entries)),
+            "0" => Ok(EndpointUpdate::Delta(entries)),
+            "1" => Ok(EndpointUpdate::Snapshot(entries)),
+            "2" => Ok(EndpointUpdate::CachedSnapshot(entries)),
             other => wrong(format!("`mode={other}` is unknown")),
         }
     }
 
     /// Prints an action of an instance.
-    pub fn print(&self, node: &str, action: &Action, out: &mut String) {
+    pub fn print(&self, node: &str, action: &BalancerAction, out: &mut String) {
         let done = match action {
-            Action::Send { request, server, .. } => {
+            BalancerAction::Send { request, server, .. } => {
                 write!(out, "PLACE node={node} txn={} server={}", request.0, self.names[server.0])
             }
-            Action::Probe { server } => write!(out, "SOUND_OUT node={node} server={}", self.names[server.0]),
-            Action::Cancel { request, attempt } => {
+            BalancerAction::Probe { server } => {
+                write!(out, "SOUND_OUT node={node} server={}", self.names[server.0])
+            }
+            BalancerAction::Cancel { request, attempt } => {
                 write!(out, "STOP_ATTEMPT node={node} txn={} try={attempt}", request.0)
             }
-            Action::Refuse { request, retry_after_ms: None } => {
+            BalancerAction::Reject { request, retry_after_ms: None } => {
                 write!(out, "PUSH_BACK node={node} txn={}", request.0)
             }
-            Action::Refuse { request, retry_after_ms: Some(ms) } => {
+            BalancerAction::Reject { request, retry_after_ms: Some(ms) } => {
                 write!(out, "PUSH_BACK node={node} txn={} stay_away_ms={ms:.3}", request.0)
             }
-            Action::Fail { request } => write!(out, "REPORT_FAILURE node={node} txn={}", request.0),
-            Action::Subscribe => write!(out, "TRACK node={node} want=1"),
-            Action::SetTimer { timer, after_ms } => {
+            BalancerAction::Fail { request } => write!(out, "REPORT_FAILURE node={node} txn={}", request.0),
+            BalancerAction::Subscribe => write!(out, "TRACK node={node} want=1"),
+            BalancerAction::SetTimer { timer, after_ms } => {
                 write!(out, "SCHEDULE node={node} nonce={timer} offset_ms={after_ms:.3}")
             }
-            Action::Note(text) => write!(out, "NOTE_DOWN node={node} note_text={}", one_line(text)),
+            BalancerAction::Log(text) => write!(out, "NOTE_DOWN node={node} note_text={}", one_line(text)),
         };
         debug_assert!(done.is_ok(), "writing to a string cannot fail");
         out.push('\n');
@@ -327,16 +333,16 @@
     text.replace(['\n', '\r'], " ")
 }
 
-fn ending(line: &Line<'_>) -> Result<Ending, WireError> {
+fn outcome(line: &Line<'_>) -> Result<AttemptOutcome, WireError> {
     Ok(match line.text("ending")? {
-        "S" => Ending::Served,
-        "E" => Ending::Error,
-        "F" => Ending::Full,
-        "T" => Ending::TimedOut,
-        "C" => Ending::Unreachable,
-        "R" => Ending::Reset,
-        "X" => Ending::Cancelled,
-        "N" => Ending::NotSent,
+        "S" => AttemptOutcome::Served,
+        "E" => AttemptOutcome::Error,
+        "F" => AttemptOutcome::Rejected,
+        "T" => AttemptOutcome::TimedOut,
+        "C" => AttemptOutcome::Unreachable,
+        "R" => AttemptOutcome::Reset,
+        "X" => AttemptOutcome::Cancelled,
+        "N" => AttemptOutcome::NotSent,
         other => return wrong(format!("`ending={other}` is unknown")),
     })
 }
@@ -346,59 +352,60 @@
 /// # Errors
 ///
 /// A key is of a wrong type.
-pub fn read_settings(facts: &Value) -> Result<Settings, WireError> {
+pub fn read_settings(facts: &Value) -> Result<DecisionSettings, WireError> {
     let class_list = facts["classes"].as_array().map_or(&[][..], Vec::as_slice);
     let classes = class_list.iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
-    let mut settings = Settings::new(classes);
+    let mut settings = DecisionSettings::new(classes);
     let parties = facts["parties"].as_array().map_or(&[][..], Vec::as_slice);
     for party in parties {
         let mut quota = f64::MAX;
         read(party, "quota_per_s", &mut quota)?;
         settings.quotas_per_s.push(quota);
     }
-    read(facts, "over_share_worth", &mut settings.over_quota_worth)?;
+    read(facts, "over_share_worth", &mut settings.over_quota_value)?;
     read_index(facts, "n_instances", &mut settings.nodes)?;
     settings.nodes = settings.nodes.max(1);
-    read_index(facts, "me", &mut settings.me)?;
+    read_index(facts, "me", &mut settings.node_index)?;
     read_index(facts, "az", &mut settings.zone)?;
     settings.kinds = facts["kinds"].as_array().map_or(1, |k| k.len().max(1));
     if facts["discovery"] == "subscribe" {
-        settings.discovery = Discovery::Subscribe;
+        settings.discovery = DiscoveryMode::Subscribe;
     }
     settings.weights = match facts["weights"].as_str() {
-        Some("nominal" | "rough") => Weights::Size,
-        Some("live") => Weights::Live,
-        _ => Weights::None,
+        Some("nominal" | "rough") => WeightMeaning::Size,
+        Some("live") => WeightMeaning::Live,
+        _ => WeightMeaning::None,
     };
     let rules = &facts["rules"];
-    read(rules, "ask_within_ms", &mut settings.ask_within_ms)?;
+    read(rules, "ask_within_ms", &mut settings.max_poll_interval_ms)?;
     read(rules, "drain_grace_ms", &mut settings.drain_grace_ms)?;
-    read(rules, "cold_from", &mut settings.cold_from)?;
-    read(rules, "cold_ms", &mut settings.cold_ms)?;
-    read(rules, "tip_multiple", &mut settings.tip_multiple)?;
-    read(rules, "tip_after_ms", &mut settings.tip_after_ms)?;
+    read(rules, "cold_from", &mut settings.warmup_initial_fraction)?;
+    read(rules, "cold_ms", &mut settings.warmup_ms)?;
+    read(rules, "tip_multiple", &mut settings.warmup_overload_factor)?;
+    read(rules, "tip_after_ms", &mut settings.warmup_overload_ms)?;
     let allowed = &facts["allowed"];
     read_index(allowed, "max_attempts", &mut settings.max_attempts)?;
-    read_flag(allowed, "second_copies", &mut settings.second_copies)?;
+    read_flag(allowed, "second_copies", &mut settings.hedging)?;
     read_flag(allowed, "cancel", &mut settings.cancel)?;
     let (mut told, mut most) = (false, f64::MAX);
     read_flag(allowed, "retry_after", &mut told)?;
     read(allowed, "max_retry_after_ms", &mut most)?;
-    settings.retry_after_most_ms = told.then_some(most);
+    settings.max_retry_after_ms = told.then_some(most);
     read_flag(allowed, "probes", &mut settings.probes)?;
     read_flag(allowed, "peers", &mut settings.peers)?;
     // A report that tells neither what a server holds nor what waits there is none to the decisions.
     let counts = |field: &Value| field == "active" || field == "waiting";
     let tells = facts["stats"]["fields"].as_array().is_some_and(|fields| fields.iter().any(counts));
-    settings.answers_report = tells && facts["stats"]["source"] == "inline";
-    settings.probes_report = settings.answers_report || tells && facts["stats"]["source"] == "on_probe";
+    settings.responses_carry_load = tells && facts["stats"]["source"] == "inline";
+    settings.probes_carry_load =
+        settings.responses_carry_load || tells && facts["stats"]["source"] == "on_probe";
     read(&facts["prices"], "probe", &mut settings.probe_price)?;
     read(&facts["prices"], "waste", &mut settings.waste_price)?;
     read(&facts["prices"], "cross_zone", &mut settings.cross_zone_price)?;
     Ok(settings)
 }
 
-fn read_class(class: &Value) -> Result<Class, WireError> {
+fn read_class(class: &Value) -> Result<RequestClass, WireError> {
     // A class must say how long its clients wait; nothing can be guessed in its place.
     let (mut aim, mut deadline, mut window) = (f64::NAN, f64::NAN, 0.0);
     read(class, "deadline_ms", &mut deadline)?;
@@ -407,23 +414,23 @@
     }
     read(class, "promise_ms", &mut aim)?;
     read(class, "dedup_window_ms", &mut window)?;
-    let effect = match class["effect"].as_str() {
-        Some("retryable") => Effect::Safe,
+    let idempotency = match class["effect"].as_str() {
+        Some("retryable") => Idempotency::Safe,
         Some("dedup") => {
             let group = match class["group"].as_str() {
-                Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                _ => Group::Cell,
+                Some("all") => DeduplicationScope::All,
+                Some("zone") => DeduplicationScope::Zone,
+                _ => DeduplicationScope::Cell,
             };
-            Effect::Keyed { group, window_ms: window }
+            Idempotency::Keyed { group, window_ms: window }
         }
         // An effect that is not known is treated as the one that allows least.
-        _ => Effect::Unsafe,
+        _ => Idempotency::Unsafe,
     };
     // No aim, or one that nothing can meet, leaves the deadline.
-    let mut read_class = Class::new(if aim > 0.0 { aim } else { deadline }, deadline, effect);
-    read(class, "worth", &mut read_class.worth)?;
-    read(class, "late_worth", &mut read_class.late_worth)?;
+    let mut read_class = RequestClass::new(if aim > 0.0 { aim } else { deadline }, deadline, idempotency);
+    read(class, "worth", &mut read_class.value)?;
+    read(class, "late_worth", &mut read_class.late_value)?;
     Ok(read_class)
 }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -39,7 +39,7 @@
     told_ms: f64,
     /// Servers that answer at once with an error.
     bad: Vec<usize>,
-    effect: Effect,
+    idempotency: Idempotency,
     /// Only probes tell the load.
     asks: bool,
 }
@@ -55,18 +55,18 @@
             starts: Vec::new(),
             told_ms: 0.0,
             bad: Vec::new(),
-            effect: Effect::Safe,
+            idempotency: Idempotency::Safe,
             asks: false,
         }
     }
 
-    fn settings(&self, me: usize) -> Settings {
-        let mut settings = Settings::new(vec![Class::new(300.0, BUDGET, self.effect)]);
-        (settings.nodes, settings.me, settings.zone) = (self.nodes, me, me % self.traffic.len());
-        (settings.cold_from, settings.cold_ms) = (COLD_FROM, 24_000.0);
-        (settings.tip_multiple, settings.tip_after_ms) = (3.0, 3_000.0);
+    fn settings(&self, me: usize) -> DecisionSettings {
+        let mut settings = DecisionSettings::new(vec![RequestClass::new(300.0, BUDGET, self.idempotency)]);
+        (settings.nodes, settings.node_index, settings.zone) = (self.nodes, me, me % self.traffic.len());
+        (settings.warmup_initial_fraction, settings.warmup_ms) = (COLD_FROM, 24_000.0);
+        (settings.warmup_overload_factor, settings.warmup_overload_ms) = (3.0, 3_000.0);
         (settings.max_attempts, settings.cross_zone_price) = (5, 0.005);
-        (settings.probes, settings.answers_report) = (self.asks, !self.asks);
+        (settings.probes, settings.responses_carry_load) = (self.asks, !self.asks);
         settings
     }
 }
@@ -153,17 +153,19 @@
             })
             .collect();
         for node in 0..self.nodes.len() {
-            self.feed(now, node, Event::Servers(Listing::Full(entries.clone())));
+            self.feed(now, node, BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())));
         }
     }
 
-    fn feed(&mut self, now: f64, node: usize, event: Event) {
+    fn feed(&mut self, now: f64, node: usize, event: BalancerEvent) {
         self.nodes[node].now = now;
         for action in self.nodes[node].feed(event) {
             match action {
-                Action::Send { request, server, .. } => self.send(now, node, request.0, server.0),
-                Action::Probe { server } => self.after(now + 1.0, Due::Probed { node, server: server.0 }),
-                Action::SetTimer { timer, after_ms } => {
+                BalancerAction::Send { request, server, .. } => self.send(now, node, request.0, server.0),
+                BalancerAction::Probe { server } => {
+                    self.after(now + 1.0, Due::Probed { node, server: server.0 })
+                }
+                BalancerAction::SetTimer { timer, after_ms } => {
                     self.after(now + after_ms, Due::Timer { node, timer });
                 }
                 _ => {}
@@ -189,37 +191,37 @@
         self.after(ends, Due::Ends { node, request, attempt, server, life, sent_at: now });
     }
 
-    fn held(&mut self, now: f64, server: usize) -> Option<Report> {
+    fn held(&mut self, now: f64, server: usize) -> Option<LoadReport> {
         let queue = &mut self.servers[server].queue;
         while queue.front().is_some_and(|end| *end <= now - 1.0) {
             queue.pop_front();
         }
-        Some(Report { in_flight: Some(queue.len() as f64), queued: None })
+        Some(LoadReport { in_flight: Some(queue.len() as f64), queued: None })
     }
 
     fn ended(&mut self, now: f64, due: Due) {
         let Due::Ends { node, request, attempt, server, life, sent_at } = due else { return };
         let report = self.held(now, server);
         let (up, (_, came_at)) = (self.servers[server].up, self.attempts[&request]);
-        let ending = match life {
-            u32::MAX if !up => Ending::Unreachable,
-            u32::MAX if self.fleet.bad.contains(&server) => Ending::Error,
-            u32::MAX => Ending::Full,
-            life if !up || life != self.servers[server].life => Ending::Reset,
-            _ if now - came_at >= BUDGET => Ending::TimedOut,
-            _ => Ending::Served,
+        let outcome = match life {
+            u32::MAX if !up => AttemptOutcome::Unreachable,
+            u32::MAX if self.fleet.bad.contains(&server) => AttemptOutcome::Error,
+            u32::MAX => AttemptOutcome::Rejected,
+            life if !up || life != self.servers[server].life => AttemptOutcome::Reset,
+            _ if now - came_at >= BUDGET => AttemptOutcome::TimedOut,
+            _ => AttemptOutcome::Served,
         };
-        self.served += usize::from(ending == Ending::Served && now > TROUBLE);
+        self.served += usize::from(outcome == AttemptOutcome::Served && now > TROUBLE);
         let heard = up && !self.fleet.asks;
-        let outcome = Outcome {
+        let attempt_end = AttemptEnd {
             request: RequestId(request),
             attempt,
             elapsed_ms: now - sent_at,
-            ending,
-            complete: ending == Ending::Served,
-            report: report.filter(|_| heard && ending != Ending::TimedOut),
+            outcome,
+            complete: outcome == AttemptOutcome::Served,
+            report: report.filter(|_| heard && outcome != AttemptOutcome::TimedOut),
         };
-        self.feed(now, node, Event::Outcome(outcome));
+        self.feed(now, node, BalancerEvent::AttemptEnded(attempt_end));
     }
 
     fn run(fleet: &Fleet, seed: u64) -> Figures {
@@ -261,7 +263,11 @@
                     let rate = if burst { 1.5 } else { 1.0 } * fleet.load * CAPACITY / 1_000.0 * count as f64;
                     let gap = -play.random.f64().max(1e-9).ln() / rate;
                     play.after(now + gap, Due::Arrival);
-                    play.feed(now, node.unwrap_or(0), Event::Request(Request::new(RequestId(id), 0, BUDGET)));
+                    play.feed(
+                        now,
+                        node.unwrap_or(0),
+                        BalancerEvent::RequestArrived(ClientRequest::new(RequestId(id), 0, BUDGET)),
+                    );
                 }
                 Due::Arrival => {}
                 Due::Tell => play.tell(now),
@@ -278,10 +284,15 @@
                 }
                 Due::Probed { node, server } => {
                     let report = play.held(now, server).filter(|_| play.servers[server].up);
-                    let ending = if report.is_some() { Ending::Served } else { Ending::Unreachable };
-                    play.feed(now, node, Event::Probed { server: ServerId(server), ending, report });
+                    let outcome =
+                        if report.is_some() { AttemptOutcome::Served } else { AttemptOutcome::Unreachable };
+                    play.feed(
+                        now,
+                        node,
+                        BalancerEvent::ProbeEnded { server: ServerId(server), outcome, report },
+                    );
                 }
-                Due::Timer { node, timer } => play.feed(now, node, Event::Timer(timer)),
+                Due::Timer { node, timer } => play.feed(now, node, BalancerEvent::TimerFired(timer)),
                 Due::Ends { .. } => play.ended(now, due),
             }
         }
@@ -324,7 +335,7 @@
 /// What a cold server must be spared in, in a fleet of that many servers.
 fn troubles(nodes: usize, servers: usize) -> Vec<(&'static str, Fleet)> {
     let (one_zone, two) = (Fleet::new(nodes, servers, 1), Fleet::new(nodes, servers, 2));
-    let keyed = Effect::Keyed { group: Group::Cell, window_ms: 700.0 };
+    let keyed = Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 700.0 };
     let zone = || (0..servers).filter(|i| i % 2 == 1);
     let few = 3..servers;
     vec![
@@ -332,7 +343,10 @@
         ("one of a quiet fleet", Fleet { load: 0.6, starts: together(5..6), ..two.clone() }),
         ("a third", Fleet { starts: together(0..servers / 3), traffic: vec![3.0, 1.0], ..two.clone() }),
         ("a third, some bad", Fleet { bad: vec![0, 9], starts: together(4..8), ..two.clone() }),
-        ("a cell, bound", Fleet { bad: vec![0, 9], starts: together(1..3), effect: keyed, ..two.clone() }),
+        (
+            "a cell, bound",
+            Fleet { bad: vec![0, 9], starts: together(1..3), idempotency: keyed, ..two.clone() },
+        ),
         ("most", Fleet { starts: together(1..servers), ..one_zone.clone() }),
         ("most, asked", Fleet { asks: true, starts: together(1..servers), ..one_zone.clone() }),
         ("a zone in turn", Fleet { starts: in_turn(zone(), 700.0), ..two.clone() }),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,22 +9,22 @@
 }
 
 impl Node {
-    pub fn new(settings: Settings, seed: u64) -> Self {
+    pub fn new(settings: DecisionSettings, seed: u64) -> Self {
         Self { balancer: Balancer::new(settings, seed).expect("sound settings"), now: 1_000.0 }
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    pub fn feed(&mut self, event: BalancerEvent) -> Vec<BalancerAction> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
-    pub fn servers(&mut self, entries: Vec<ServerEntry>) -> Vec<Action> {
-        self.feed(Event::Servers(Listing::Full(entries)))
+    pub fn servers(&mut self, entries: Vec<ServerEntry>) -> Vec<BalancerAction> {
+        self.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries)))
     }
 
-    pub fn request(&mut self, id: u64, class: usize, budget_ms: f64) -> Vec<Action> {
-        self.feed(Event::Request(Request::new(RequestId(id), class, budget_ms)))
+    pub fn request(&mut self, id: u64, class: usize, budget_ms: f64) -> Vec<BalancerAction> {
+        self.feed(BalancerEvent::RequestArrived(ClientRequest::new(RequestId(id), class, budget_ms)))
     }
 
     /// Where a request is sent; it must be.
@@ -33,8 +33,14 @@
         send_of(&actions).unwrap_or_else(|| panic!("request {id} was not sent: {actions:?}"))
     }
 
-    pub fn end(&mut self, id: u64, attempt: usize, elapsed_ms: f64, ending: Ending) -> Vec<Action> {
-        self.report(id, attempt, elapsed_ms, ending, None)
+    pub fn end(
+        &mut self,
+        id: u64,
+        attempt: usize,
+        elapsed_ms: f64,
+        outcome: AttemptOutcome,
+    ) -> Vec<BalancerAction> {
+        self.report(id, attempt, elapsed_ms, outcome, None)
     }
 
     pub fn report(
@@ -42,16 +48,16 @@
         id: u64,
         attempt: usize,
         elapsed_ms: f64,
-        ending: Ending,
+        outcome: AttemptOutcome,
         held: Option<f64>,
-    ) -> Vec<Action> {
-        self.feed(Event::Outcome(Outcome {
+    ) -> Vec<BalancerAction> {
+        self.feed(BalancerEvent::AttemptEnded(AttemptEnd {
             request: RequestId(id),
             attempt,
             elapsed_ms,
-            ending,
-            complete: ending == Ending::Served,
-            report: held.map(|n| Report { in_flight: Some(n), queued: None }),
+            outcome,
+            complete: outcome == AttemptOutcome::Served,
+            report: held.map(|n| LoadReport { in_flight: Some(n), queued: None }),
         }))
     }
 }
@@ -60,21 +66,21 @@
     servers.map(|i| ServerEntry::new(ServerId(i), Availability::Ready)).collect()
 }
 
-pub fn send_of(actions: &[Action]) -> Option<usize> {
+pub fn send_of(actions: &[BalancerAction]) -> Option<usize> {
     actions.iter().find_map(|a| match a {
-        Action::Send { server, .. } => Some(server.0),
+        BalancerAction::Send { server, .. } => Some(server.0),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+pub fn refused(actions: &[BalancerAction]) -> bool {
+    actions.iter().any(|a| matches!(a, BalancerAction::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub fn failed(actions: &[BalancerAction]) -> bool {
+    actions.iter().any(|a| matches!(a, BalancerAction::Fail { .. }))
 }
 
-pub fn one_class(effect: Effect) -> Settings {
-    Settings::new(vec![Class::new(400.0, 800.0, effect)])
+pub fn one_class(idempotency: Idempotency) -> DecisionSettings {
+    DecisionSettings::new(vec![RequestClass::new(400.0, 800.0, idempotency)])
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,13 +7,14 @@
 
 const AIM: f64 = 80.0;
 
-fn class(worth: f64, effect: Effect) -> Class {
-    Class { worth, ..Class::new(AIM, 390.0, effect) }
+fn class(value: f64, idempotency: Idempotency) -> RequestClass {
+    RequestClass { value, ..RequestClass::new(AIM, 390.0, idempotency) }
 }
 
 /// Two classes of which one is worth an eighth of the other.
-fn of_many() -> Settings {
-    let mut settings = Settings::new(vec![class(8.0, Effect::Safe), class(1.0, Effect::Safe)]);
+fn of_many() -> DecisionSettings {
+    let mut settings =
+        DecisionSettings::new(vec![class(8.0, Idempotency::Safe), class(1.0, Idempotency::Safe)]);
     (settings.nodes, settings.max_attempts) = (100, 5);
     settings
 }
@@ -26,7 +27,7 @@
         let taken = send_of(&node.request(id, (id % 2) as usize, 390.0)).is_some();
         node.now += elapsed_ms;
         if taken {
-            node.report(id, 0, elapsed_ms, Ending::Served, Some(held));
+            node.report(id, 0, elapsed_ms, AttemptOutcome::Served, Some(held));
         }
         refusals += usize::from(!taken);
         node.now += (66.0 - elapsed_ms).max(0.0);
@@ -70,7 +71,7 @@
         far += usize::from(id >= 200 && at >= 8);
         node.now += 25.0;
         let held = if at < 8 { 3.0 } else { 1.0 };
-        node.report(id, 0, 20.0 * held, Ending::Served, Some(held));
+        node.report(id, 0, 20.0 * held, AttemptOutcome::Served, Some(held));
         node.now += 41.0;
     }
     assert!(far > 150, "{far} of 200 left the crowded zone");
@@ -85,7 +86,7 @@
         refusals(&mut node, 0..60, 25.0, 1.3);
         let id = 1_000;
         let crowded = node.sent_to(id);
-        node.report(id, 0, 25.0, Ending::Served, Some(4.0));
+        node.report(id, 0, 25.0, AttemptOutcome::Served, Some(4.0));
         node.now += rest;
         // Each of the others is sent one; the next goes to the lowest count.
         let others = [node.sent_to(id + 1), node.sent_to(id + 2), node.sent_to(id + 3)];
@@ -104,24 +105,24 @@
     refusals(&mut node, 0..60, 25.0, 1.3);
     let bad = node.sent_to(1_000);
     node.now += 2.0;
-    let further = node.report(1_000, 0, 2.0, Ending::Error, Some(0.0));
+    let further = node.report(1_000, 0, 2.0, AttemptOutcome::Error, Some(0.0));
     assert!(send_of(&further).is_some_and(|at| at != bad), "repeated elsewhere: {further:?}");
     node.now += 25.0;
-    node.report(1_000, 1, 25.0, Ending::Served, Some(1.0));
+    node.report(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
     let back = node.now + 20.0 * AIM;
     let mut id = 2_000;
     while node.now < back {
         let at = node.sent_to(id);
         assert_ne!(at, bad, "sent to {} ms before it may be tried", back - node.now);
         node.now += 25.0;
-        node.report(id, 0, 25.0, Ending::Served, Some(1.0));
+        node.report(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
         node.now += 41.0;
         id += 1;
     }
     let tried = (id..id + 60).any(|id| {
         node.now += 66.0;
         let at = node.sent_to(id);
-        node.report(id, 0, 25.0, Ending::Served, Some(1.0));
+        node.report(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
         at == bad
     });
     assert!(tried, "a trial comes in time");
@@ -132,8 +133,8 @@
 #[test]
 fn a_cold_server_gets_the_part_that_it_is_let_see() {
     let mut settings = of_many();
-    (settings.cold_from, settings.cold_ms) = (0.5, 1_000_000.0);
-    (settings.tip_multiple, settings.tip_after_ms) = (3.0, 3_000.0);
+    (settings.warmup_initial_fraction, settings.warmup_ms) = (0.5, 1_000_000.0);
+    (settings.warmup_overload_factor, settings.warmup_overload_ms) = (3.0, 3_000.0);
     let mut node = Node::new(settings, 3);
     let mut entries = ready(0..3);
     entries[2].started_at = Some(node.now);
@@ -144,7 +145,7 @@
         cold += usize::from(at == 2);
         node.now += 25.0;
         // The cold one says nothing that can be read; the others are at their ease.
-        node.report(id, 0, 25.0, Ending::Served, (at != 2).then_some(1.0));
+        node.report(id, 0, 25.0, AttemptOutcome::Served, (at != 2).then_some(1.0));
         node.now += 41.0;
     }
     // Half of the multiple, of half a warm server's part: no more, and not a mere third of it.
@@ -166,7 +167,7 @@
             let Some(_) = next else { break };
             sent += 1;
             node.now += 1.0;
-            next = send_of(&node.report(id, attempt, 1.0, Ending::Full, Some(4.0)));
+            next = send_of(&node.report(id, attempt, 1.0, AttemptOutcome::Rejected, Some(4.0)));
         }
         node.now += 66.0;
     }
@@ -178,14 +179,14 @@
 /// Told to come back after one turn, as at a node that sees its queues, clients came back to full servers.
 #[test]
 fn clients_are_told_to_stay_away_for_as_long_as_servers_are_full() {
-    let told = |actions: &[Action]| {
+    let told = |actions: &[BalancerAction]| {
         actions.iter().find_map(|a| match a {
-            Action::Refuse { retry_after_ms, .. } => *retry_after_ms,
+            BalancerAction::Reject { retry_after_ms, .. } => *retry_after_ms,
             _ => None,
         })
     };
     let mut settings = of_many();
-    settings.retry_after_most_ms = Some(2_000.0);
+    settings.max_retry_after_ms = Some(2_000.0);
     let mut node = Node::new(settings, 3);
     let idle = told(&node.request(1, 0, 390.0)).expect("no server is known");
     node.servers(ready(0..60));
@@ -198,7 +199,7 @@
                 break;
             }
             node.now += 1.0;
-            actions = node.report(id, attempt, 1.0, Ending::Full, Some(8.0));
+            actions = node.report(id, attempt, 1.0, AttemptOutcome::Rejected, Some(8.0));
         }
     }
     let full = last.expect("something is refused");
@@ -215,7 +216,7 @@
     for nodes in [1, 2, 3, 12, 13, 100] {
         // A tight aim: the answer takes nine parts in ten of it.
         let mut settings = of_many();
-        (settings.nodes, settings.classes[1].worth) = (nodes, 0.01);
+        (settings.nodes, settings.classes[1].value) = (nodes, 0.01);
         let mut node = Node::new(settings, 3);
         node.servers(ready(0..6));
         assert_eq!(refusals(&mut node, 0..400, 0.9 * AIM, 1.0), 0, "{nodes} nodes");
@@ -235,7 +236,7 @@
         for id in 100..500 {
             let class = (id % 2) as usize;
             match send_of(&node.request(id, class, 390.0)) {
-                Some(_) => drop(node.report(id, 0, 65.0, Ending::Served, Some(3.0))),
+                Some(_) => drop(node.report(id, 0, 65.0, AttemptOutcome::Served, Some(3.0))),
                 None => refused_by_class[class] += 1,
             }
             node.now += 20.0;
@@ -250,18 +251,22 @@
 fn a_distant_aim_does_not_make_queues_long() {
     let refused = |in_flight: Option<f64>, queued: f64| {
         let mut settings = of_many();
-        settings.classes.iter_mut().for_each(|class| (class.aim_ms, class.deadline_ms) = (2_400.0, 5_000.0));
+        settings
+            .classes
+            .iter_mut()
+            .for_each(|class| (class.latency_target_ms, class.deadline_ms) = (2_400.0, 5_000.0));
         let mut node = Node::new(settings, 3);
         node.servers(ready(0..6));
-        let report = Some(Report { in_flight, queued: Some(queued) });
+        let report = Some(LoadReport { in_flight, queued: Some(queued) });
         let mut refused = 0;
         for id in 0..300 {
             let taken = send_of(&node.request(id, 0, 5_000.0)).is_some();
             node.now += 40.0;
             refused += usize::from(!taken && id >= 100);
-            let (request, ending) = (RequestId(id), Ending::Served);
-            let outcome = Outcome { request, attempt: 0, elapsed_ms: 400.0, ending, complete: true, report };
-            node.feed(Event::Outcome(outcome));
+            let (request, outcome) = (RequestId(id), AttemptOutcome::Served);
+            let attempt_end =
+                AttemptEnd { request, attempt: 0, elapsed_ms: 400.0, outcome, complete: true, report };
+            node.feed(BalancerEvent::AttemptEnded(attempt_end));
         }
         refused
     };
@@ -282,16 +287,16 @@
         node.servers(ready(0..3));
         refusals(&mut node, 0..60, 25.0, 1.0);
         let bad = node.sent_to(1_000);
-        let further = node.report(1_000, 0, 2.0, Ending::Reset, None);
+        let further = node.report(1_000, 0, 2.0, AttemptOutcome::Reset, None);
         assert!(send_of(&further).is_some_and(|at| at != bad), "repeated elsewhere: {further:?}");
-        node.report(1_000, 1, 25.0, Ending::Served, Some(1.0));
+        node.report(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
         let mut met = false;
         for id in 2_000..2_012 {
             node.now += 66.0;
             let Some(at) = send_of(&node.request(id, 0, 390.0)) else { continue };
             met |= at == bad;
             // The others hold more than it did.
-            node.report(id, 0, 25.0, Ending::Served, Some(3.0));
+            node.report(id, 0, 25.0, AttemptOutcome::Served, Some(3.0));
         }
         assert!(met, "{nodes} nodes: left alone for twelve requests");
     }
@@ -315,11 +320,11 @@
     node.servers(ready(0..3));
     refusals(&mut node, 0..60, 25.0, 1.0);
     let alone = node.sent_to(1_000);
-    node.report(1_000, 0, 50.0, Ending::Served, Some(4.0));
+    node.report(1_000, 0, 50.0, AttemptOutcome::Served, Some(4.0));
     let met = (2_000..).position(|id| {
         node.now += 33.0;
         let Some(at) = send_of(&node.request(id, 0, 390.0)) else { return false };
-        node.report(id, 0, 50.0, Ending::Served, Some(2.0));
+        node.report(id, 0, 50.0, AttemptOutcome::Served, Some(2.0));
         at == alone
     });
     met.expect("endless") as u64
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -65,46 +65,54 @@
     vec![
         entry(0, "10.0.0.1:80", Availability::Ready, Some(6100.25), 4, 1, 2, 1.5),
         entry(1, "10.0.0.2:80", Availability::Draining, None, 5, 2, 0, 1.0),
-        entry(2, "10.0.0.3:80", Availability::Gone, None, 0, 0, 0, 1.0),
+        entry(2, "10.0.0.3:80", Availability::Removed, None, 0, 0, 0, 1.0),
     ]
 }
 
-fn outcome(txn: u64, ending: Ending) -> Event {
-    let (attempt, complete) = (txn as usize % 3, ending == Ending::Served);
-    let report = (ending == Ending::Served).then_some(Report { in_flight: Some(7.0), queued: Some(2.5) });
-    Event::Outcome(Outcome { request: RequestId(txn), attempt, elapsed_ms: 7.125, ending, complete, report })
+fn attempt_end(txn: u64, outcome: AttemptOutcome) -> BalancerEvent {
+    let (attempt, complete) = (txn as usize % 3, outcome == AttemptOutcome::Served);
+    let report =
+        (outcome == AttemptOutcome::Served).then_some(LoadReport { in_flight: Some(7.0), queued: Some(2.5) });
+    BalancerEvent::AttemptEnded(AttemptEnd {
+        request: RequestId(txn),
+        attempt,
+        elapsed_ms: 7.125,
+        outcome,
+        complete,
+        report,
+    })
 }
 
-fn events() -> Vec<Event> {
+fn events() -> Vec<BalancerEvent> {
     let id = RequestId;
-    let report = Some(Report { in_flight: Some(3.0), queued: Some(1.0) });
+    let report = Some(LoadReport { in_flight: Some(3.0), queued: Some(1.0) });
     vec![
-        Event::Servers(Listing::Changes(entries())),
-        Event::Servers(Listing::Full(entries())),
-        Event::Servers(Listing::Cached(entries())),
-        Event::Servers(Listing::Failed),
-        Event::Request(Request {
+        BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(entries())),
+        BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries())),
+        BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries())),
+        BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable),
+        BalancerEvent::RequestArrived(ClientRequest {
             id: id(5),
             class: 1,
             tenant: 2,
             budget_ms: 800.5,
             cost_ms: Some(12.25),
-            repeat: true,
+            is_retry: true,
         }),
-        Event::Request(Request::new(id(6), 0, 700.0)),
-        Event::StreamStarted { request: id(5), attempt: 1 },
-        outcome(10, Ending::Served),
-        outcome(11, Ending::Error),
-        outcome(12, Ending::Full),
-        outcome(13, Ending::TimedOut),
-        outcome(14, Ending::Unreachable),
-        outcome(15, Ending::Reset),
-        outcome(16, Ending::Cancelled),
-        outcome(17, Ending::NotSent),
-        Event::ClientGone(id(6)),
-        Event::Timer(18),
-        Event::Probed { server: ServerId(1), ending: Ending::Served, report },
-        Event::Probed { server: ServerId(1), ending: Ending::TimedOut, report: None },
+        BalancerEvent::RequestArrived(ClientRequest::new(id(6), 0, 700.0)),
+        BalancerEvent::StreamStarted { request: id(5), attempt: 1 },
+        attempt_end(10, AttemptOutcome::Served),
+        attempt_end(11, AttemptOutcome::Error),
+        attempt_end(12, AttemptOutcome::Rejected),
+        attempt_end(13, AttemptOutcome::TimedOut),
+        attempt_end(14, AttemptOutcome::Unreachable),
+        attempt_end(15, AttemptOutcome::Reset),
+        attempt_end(16, AttemptOutcome::Cancelled),
+        attempt_end(17, AttemptOutcome::NotSent),
+        BalancerEvent::ClientDisconnected(id(6)),
+        BalancerEvent::TimerFired(18),
+        BalancerEvent::ProbeEnded { server: ServerId(1), outcome: AttemptOutcome::Served, report },
+        BalancerEvent::ProbeEnded { server: ServerId(1), outcome: AttemptOutcome::TimedOut, report: None },
     ]
 }
 
@@ -123,16 +131,16 @@
     dialect.event(&line, &lists).expect("numbers the servers");
     let request = RequestId(5);
     let actions = [
-        Action::Send { request, server: ServerId(0), within_ms: None },
-        Action::Send { request, server: ServerId(1), within_ms: Some(3.5) },
-        Action::Probe { server: ServerId(2) },
-        Action::Cancel { request, attempt: 1 },
-        Action::Refuse { request, retry_after_ms: None },
-        Action::Refuse { request, retry_after_ms: Some(12.34567) },
-        Action::Fail { request },
-        Action::Subscribe,
-        Action::SetTimer { timer: 6, after_ms: 40.0 },
-        Action::Note("two\nlines".to_owned()),
+        BalancerAction::Send { request, server: ServerId(0), within_ms: None },
+        BalancerAction::Send { request, server: ServerId(1), within_ms: Some(3.5) },
+        BalancerAction::Probe { server: ServerId(2) },
+        BalancerAction::Cancel { request, attempt: 1 },
+        BalancerAction::Reject { request, retry_after_ms: None },
+        BalancerAction::Reject { request, retry_after_ms: Some(12.34567) },
+        BalancerAction::Fail { request },
+        BalancerAction::Subscribe,
+        BalancerAction::SetTimer { timer: 6, after_ms: 40.0 },
+        BalancerAction::Log("two\nlines".to_owned()),
     ];
     let mut text = String::new();
     actions.iter().for_each(|action| dialect.print("node-1", action, &mut text));
@@ -140,46 +148,46 @@
 }
 
 /// Each setting has a value of its own, none of them its default.
-fn settings() -> Settings {
-    let class = |aim_ms, deadline_ms, effect, worth, late_worth| Class {
-        aim_ms,
+fn settings() -> DecisionSettings {
+    let class = |latency_target_ms, deadline_ms, idempotency, value, late_value| RequestClass {
+        latency_target_ms,
         deadline_ms,
-        effect,
-        worth,
-        late_worth,
+        idempotency,
+        value,
+        late_value,
     };
-    let keyed = |group, window_ms| Effect::Keyed { group, window_ms };
-    Settings {
+    let keyed = |group, window_ms| Idempotency::Keyed { group, window_ms };
+    DecisionSettings {
         classes: vec![
-            class(400.0, 800.0, Effect::Safe, 2.0, 0.25),
-            class(401.0, 801.0, keyed(Group::All, 501.0), 1.0, 0.0),
-            class(402.0, 802.0, keyed(Group::Zone, 502.0), 1.0, 0.0),
-            class(403.0, 803.0, keyed(Group::Cell, 503.0), 1.0, 0.0),
-            class(804.0, 804.0, Effect::Unsafe, 1.0, 0.0),
+            class(400.0, 800.0, Idempotency::Safe, 2.0, 0.25),
+            class(401.0, 801.0, keyed(DeduplicationScope::All, 501.0), 1.0, 0.0),
+            class(402.0, 802.0, keyed(DeduplicationScope::Zone, 502.0), 1.0, 0.0),
+            class(403.0, 803.0, keyed(DeduplicationScope::Cell, 503.0), 1.0, 0.0),
+            class(804.0, 804.0, Idempotency::Unsafe, 1.0, 0.0),
         ],
         quotas_per_s: vec![25.5, f64::MAX],
-        over_quota_worth: 0.125,
+        over_quota_value: 0.125,
         nodes: 31,
-        me: 7,
+        node_index: 7,
         zone: 2,
         kinds: 3,
-        discovery: Discovery::Subscribe,
-        weights: Weights::Live,
-        ask_within_ms: 9_001.0,
+        discovery: DiscoveryMode::Subscribe,
+        weights: WeightMeaning::Live,
+        max_poll_interval_ms: 9_001.0,
         drain_grace_ms: 2_002.0,
         max_attempts: 4,
-        second_copies: true,
+        hedging: true,
         cancel: false,
-        retry_after_most_ms: Some(450.5),
+        max_retry_after_ms: Some(450.5),
         probes: true,
         peers: true,
-        answers_report: true,
-        probes_report: true,
+        responses_carry_load: true,
+        probes_carry_load: true,
         probe_price: 0.0625,
-        cold_from: 0.5,
-        cold_ms: 3_003.0,
-        tip_multiple: 2.5,
-        tip_after_ms: 1_004.0,
+        warmup_initial_fraction: 0.5,
+        warmup_ms: 3_003.0,
+        warmup_overload_factor: 2.5,
+        warmup_overload_ms: 1_004.0,
         waste_price: 0.75,
         cross_zone_price: 0.375,
     }
@@ -193,10 +201,10 @@
         "classes": [{"deadline_ms": 800.0}], "weights": "nominal", "discovery": "push",
         "stats": {"source": "on_probe", "fields": ["waiting"]}, "allowed": {"retry_after": false}
     });
-    let expected = Settings {
-        weights: Weights::Size,
-        answers_report: false,
-        ..Settings::new(vec![Class::new(800.0, 800.0, Effect::Unsafe)])
+    let expected = DecisionSettings {
+        weights: WeightMeaning::Size,
+        responses_carry_load: false,
+        ..DecisionSettings::new(vec![RequestClass::new(800.0, 800.0, Idempotency::Unsafe)])
     };
     assert_eq!(wire::read_settings(&restricted).expect("settings"), expected);
 }
@@ -204,28 +212,30 @@
 #[test]
 fn settings_out_of_range_are_named_by_their_key() {
     let mut named = String::new();
-    let mut check = |change: &dyn Fn(&mut Settings)| {
+    let mut check = |change: &dyn Fn(&mut DecisionSettings)| {
         let mut changed = settings();
         change(&mut changed);
         let error = changed.validate().expect_err("out of range");
         named += &format!("{}: {error}\n", error.key());
     };
     check(&|s| s.classes.clear());
-    check(&|s| s.classes[0].aim_ms = 0.0);
+    check(&|s| s.classes[0].latency_target_ms = 0.0);
     check(&|s| s.classes[0].deadline_ms = f64::NAN);
-    check(&|s| s.classes[0].worth = -1.0);
-    check(&|s| s.classes[0].late_worth = -1.0);
-    check(&|s| s.classes[0].effect = Effect::Keyed { group: Group::All, window_ms: -1.0 });
+    check(&|s| s.classes[0].value = -1.0);
+    check(&|s| s.classes[0].late_value = -1.0);
+    check(&|s| {
+        s.classes[0].idempotency = Idempotency::Keyed { group: DeduplicationScope::All, window_ms: -1.0 }
+    });
     check(&|s| s.quotas_per_s[0] = -1.0);
-    check(&|s| s.over_quota_worth = -1.0);
+    check(&|s| s.over_quota_value = -1.0);
     check(&|s| s.nodes = 0);
-    check(&|s| s.ask_within_ms = -1.0);
+    check(&|s| s.max_poll_interval_ms = -1.0);
     check(&|s| s.drain_grace_ms = -1.0);
-    check(&|s| s.retry_after_most_ms = Some(-1.0));
-    check(&|s| s.cold_from = 1.5);
-    check(&|s| s.cold_ms = -1.0);
-    check(&|s| s.tip_multiple = -1.0);
-    check(&|s| s.tip_after_ms = -1.0);
+    check(&|s| s.max_retry_after_ms = Some(-1.0));
+    check(&|s| s.warmup_initial_fraction = 1.5);
+    check(&|s| s.warmup_ms = -1.0);
+    check(&|s| s.warmup_overload_factor = -1.0);
+    check(&|s| s.warmup_overload_ms = -1.0);
     check(&|s| s.probe_price = -1.0);
     check(&|s| s.waste_price = -1.0);
     check(&|s| s.cross_zone_price = -1.0);
@@ -247,7 +257,7 @@
     assert_eq!((config.listen, config.discovery), (address("127.0.0.1:8001"), address("127.0.0.1:8003")));
     assert_eq!((config.seed, config.sockets, config.list_most), (0x8c1f_30d2_7a5b_e964, 256, 50 << 20));
     assert_eq!((config.known.revision, config.known.members.len()), (41, 1));
-    assert_eq!(config.settings.retry_after_most_ms, Some(350.0));
+    assert_eq!(config.settings.max_retry_after_ms, Some(350.0));
     assert_eq!(config.settings.classes[0].deadline_ms, 900.0);
     assert_eq!(config.names.classes, ["read"]);
     assert_eq!(config.names.tenants, ["acme", "globex"]);
@@ -262,7 +272,7 @@
     std::env::set_var("GW_CONFIG", path("config-minimal.json"));
     let config = Config::from_env().expect("a configuration");
     assert_eq!((config.discovery, config.list_most), (address("127.0.0.1:8002"), 96 << 20));
-    assert_eq!(config.settings.retry_after_most_ms, Some(900.0));
+    assert_eq!(config.settings.max_retry_after_ms, Some(900.0));
     assert_eq!((config.most_held, config.known.revision), (usize::MAX, 0));
     assert_eq!(config.conn_idle, Duration::from_secs(24 * 3600));
     assert_eq!(config.dial_timeout, Duration::from_millis(900));
@@ -287,7 +297,7 @@
 
 #[test]
 fn load_reports_are_read() {
-    let report = |in_flight, queued| Some(Report { in_flight, queued });
+    let report = |in_flight, queued| Some(LoadReport { in_flight, queued });
     let expected = [
         report(Some(7.0), Some(2.0)),
         report(Some(1.0), Some(0.5)),
--- a/tests/hsq.rs
+++ b/tests/hsq.rs
@@ -6,8 +6,8 @@
 use balancer::*;
 
 /// Settings whose aim is so far off that nothing is refused.
-fn patient() -> Settings {
-    Settings::new(vec![Class::new(40_000.0, 80_000.0, Effect::Safe)])
+fn patient() -> DecisionSettings {
+    DecisionSettings::new(vec![RequestClass::new(40_000.0, 80_000.0, Idempotency::Safe)])
 }
 
 /// Each of the first sends goes to a server that has had none yet: every own send counts one.
@@ -44,14 +44,14 @@
 }
 
 /// Answers all alike, so that every server is learned to be of one size.
-fn warmed(servers: usize, settings: Settings) -> Node {
+fn warmed(servers: usize, settings: DecisionSettings) -> Node {
     let mut node = Node::new(settings, 3);
     node.servers(ready(0..servers));
     for id in 10_000..10_000 + 20 * servers as u64 {
         node.now += 10.0;
         node.sent_to(id);
         node.now += 40.0;
-        node.report(id, 0, 40.0, Ending::Served, Some(0.0));
+        node.report(id, 0, 40.0, AttemptOutcome::Served, Some(0.0));
     }
     node.now += 5_000.0;
     node
@@ -64,7 +64,7 @@
     let at: Vec<usize> = (0..3).map(|id| node.sent_to(id)).collect();
     for (id, held) in [(0, 9.0), (1, 2.0), (2, 9.0)] {
         node.now += 40.0;
-        node.report(id, 0, 40.0, Ending::Served, Some(held));
+        node.report(id, 0, 40.0, AttemptOutcome::Served, Some(held));
     }
     // The second now stands 7 under the others: it gets the next sends, as far as it is not backed up.
     assert_eq!(node.sent_to(100), at[1]);
@@ -76,21 +76,23 @@
     let mut node = warmed(2, patient());
     let first = node.sent_to(1);
     node.now += 40.0;
-    node.end(1, 0, 40.0, Ending::Served);
+    node.end(1, 0, 40.0, AttemptOutcome::Served);
     // Without a report the answered send still counts, so the other server is next.
     assert_ne!(node.sent_to(2), first);
 }
 
 #[test]
 fn failures_leave_the_counts_alone() {
-    for ending in [Ending::Error, Ending::Full, Ending::Unreachable, Ending::Reset] {
+    for outcome in
+        [AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::Unreachable, AttemptOutcome::Reset]
+    {
         let mut settings = patient();
         settings.max_attempts = 1;
         let mut node = warmed(2, settings);
         let first = node.sent_to(1);
         node.now += 40.0;
-        node.end(1, 0, 40.0, ending);
-        assert_ne!(node.sent_to(2), first, "{ending:?} gave the send back");
+        node.end(1, 0, 40.0, outcome);
+        assert_ne!(node.sent_to(2), first, "{outcome:?} gave the send back");
     }
 }
 
@@ -101,7 +103,7 @@
         let at = node.sent_to(id);
         answers[at] += 1;
         node.now += 100.0;
-        node.report(id, 0, 40.0, Ending::Served, Some((1 + answers[at] / 2 % 2) as f64));
+        node.report(id, 0, 40.0, AttemptOutcome::Served, Some((1 + answers[at] / 2 % 2) as f64));
     }
 }
 
@@ -115,12 +117,12 @@
     for id in 1..100 {
         match &mut out[node.sent_to(id)] {
             first @ None => *first = Some(id),
-            Some(_) => drop(node.end(id, 0, 80.0, Ending::Served)),
+            Some(_) => drop(node.end(id, 0, 80.0, AttemptOutcome::Served)),
         }
     }
     node.now += 10_000.0;
     for id in out {
-        node.report(id.expect("both were sent to"), 0, 40.0, Ending::Served, Some(5.0));
+        node.report(id.expect("both were sent to"), 0, 40.0, AttemptOutcome::Served, Some(5.0));
     }
     let sends: Vec<usize> = (100..102).map(|id| node.sent_to(id)).collect();
     assert_ne!(sends[0], sends[1]);
@@ -128,7 +130,7 @@
     // would get the next two.
     let repeating = sends[0];
     node.now += 1.0;
-    node.report(100, 0, 40.0, Ending::Served, Some(5.0));
+    node.report(100, 0, 40.0, AttemptOutcome::Served, Some(5.0));
     let next: Vec<usize> = (200..202).map(|id| node.sent_to(id)).collect();
     assert!(next != [repeating, repeating], "the repeat erased an own send");
 }
@@ -147,19 +149,19 @@
     for (ids, reading) in out.iter().zip([0.0, 6.0]) {
         for (id, held) in ids.iter().zip(1..) {
             let report = (held == ids.len()).then_some(reading);
-            node.report(*id, 0, 40.0 * held as f64, Ending::Served, report);
+            node.report(*id, 0, 40.0 * held as f64, AttemptOutcome::Served, report);
         }
     }
     for id in 20..24 {
         assert_eq!(node.sent_to(id), 0, "send {id}");
-        node.end(id, 0, 40.0, Ending::Served);
+        node.end(id, 0, 40.0, AttemptOutcome::Served);
     }
     node.now += 10_000.0;
     node.sent_to(30);
-    node.report(30, 0, 40.0, Ending::Served, Some(0.0));
+    node.report(30, 0, 40.0, AttemptOutcome::Served, Some(0.0));
     for id in 40..44 {
         assert_eq!(node.sent_to(id), 0, "the second 0 was no news");
-        node.end(id, 0, 40.0, Ending::Served);
+        node.end(id, 0, 40.0, AttemptOutcome::Served);
     }
 }
 
@@ -168,13 +170,13 @@
     let mut node = warmed(2, patient());
     let at: Vec<usize> = (0..2).map(|id| node.sent_to(id)).collect();
     node.now += 40.0;
-    node.report(0, 0, 40.0, Ending::Served, Some(1.0));
-    node.report(1, 0, 40.0, Ending::Served, Some(9.0));
+    node.report(0, 0, 40.0, AttemptOutcome::Served, Some(1.0));
+    node.report(1, 0, 40.0, AttemptOutcome::Served, Some(9.0));
     node.servers(ready(0..3));
     // Counts are 1, 9 and, new, their mean 5: the low one first, four times, as nothing backs up.
     for id in 100..104 {
         assert_eq!(node.sent_to(id), at[0], "the new server was taken for idle");
-        node.end(id, 0, 40.0, Ending::Served);
+        node.end(id, 0, 40.0, AttemptOutcome::Served);
     }
 }
 
@@ -197,7 +199,7 @@
         sent[at] += 1;
         let elapsed = if at == 0 { 30.0 } else { 90.0 };
         node.now += elapsed;
-        node.report(id, 0, elapsed, Ending::Served, Some(if id % 2 == 0 { 1.0 } else { 2.0 }));
+        node.report(id, 0, elapsed, AttemptOutcome::Served, Some(if id % 2 == 0 { 1.0 } else { 2.0 }));
     }
     assert!(sent[0] > sent[1] * 3 / 2, "{sent:?}");
 }
@@ -209,7 +211,7 @@
     let mut nodes_of = [0; 60];
     for me in 0..300 {
         let mut settings = patient();
-        (settings.nodes, settings.me) = (300, me);
+        (settings.nodes, settings.node_index) = (300, me);
         let mut node = Node::new(settings, me as u64);
         node.servers(ready(0..60));
         let mut subset: Vec<usize> = (0..40).map(|id| node.sent_to(id)).collect();
@@ -221,20 +223,21 @@
     assert!(nodes_of.iter().all(|n| (10..=20).contains(n)), "{nodes_of:?}");
 }
 
-fn asking() -> Settings {
-    let mut settings = one_class(Effect::Safe);
-    (settings.probes, settings.answers_report) = (true, false);
+fn asking() -> DecisionSettings {
+    let mut settings = one_class(Idempotency::Safe);
+    (settings.probes, settings.responses_carry_load) = (true, false);
     settings
 }
 
-fn probes_of(actions: &[Action]) -> Vec<usize> {
-    let probe = |a: &Action| if let Action::Probe { server } = a { Some(server.0) } else { None };
+fn probes_of(actions: &[BalancerAction]) -> Vec<usize> {
+    let probe =
+        |a: &BalancerAction| if let BalancerAction::Probe { server } = a { Some(server.0) } else { None };
     actions.iter().filter_map(probe).collect()
 }
 
-fn answer(node: &mut Node, server: usize, held: f64) -> Vec<Action> {
-    let report = Some(Report { in_flight: Some(held), queued: None });
-    node.feed(Event::Probed { server: ServerId(server), ending: Ending::Served, report })
+fn answer(node: &mut Node, server: usize, held: f64) -> Vec<BalancerAction> {
+    let report = Some(LoadReport { in_flight: Some(held), queued: None });
+    node.feed(BalancerEvent::ProbeEnded { server: ServerId(server), outcome: AttemptOutcome::Served, report })
 }
 
 /// A fleet of 100 nodes paid a probe for each request, a twelfth of all that the requests were worth, and
@@ -242,10 +245,10 @@
 /// paid so too, and refused two requests in five for the queue of the one server that it asked.
 #[test]
 fn a_node_of_many_does_not_ask_where_asking_costs_more_than_it_may_spend() {
-    let sends = |price: f64, answers_report: bool| {
-        let mut settings = one_class(Effect::Safe);
+    let sends = |price: f64, responses_carry_load: bool| {
+        let mut settings = one_class(Idempotency::Safe);
         (settings.probes, settings.nodes, settings.probe_price) = (true, 100, price);
-        settings.answers_report = answers_report;
+        settings.responses_carry_load = responses_carry_load;
         let mut node = Node::new(settings, 5);
         node.servers(ready(0..6));
         let actions = node.request(1, 0, 800.0);
@@ -278,7 +281,7 @@
 fn where_no_report_comes_none_is_asked_for_and_none_is_missed() {
     for nodes in [2, 100] {
         let mut settings = asking();
-        (settings.probes_report, settings.nodes) = (false, nodes);
+        (settings.probes_carry_load, settings.nodes) = (false, nodes);
         let mut node = Node::new(settings, 1);
         node.servers(ready(0..8));
         for id in 0..1_000 {
@@ -286,7 +289,7 @@
             assert!(probes_of(&actions).is_empty(), "{nodes} nodes, request {id}");
             assert!(send_of(&actions).is_some(), "{nodes} nodes, request {id}: {actions:?}");
             node.now += 20.0;
-            node.end(id, 0, 20.0, Ending::Served);
+            node.end(id, 0, 20.0, AttemptOutcome::Served);
         }
     }
 }
@@ -295,8 +298,8 @@
 /// starts at the mean of the others.
 #[test]
 fn where_no_report_comes_a_node_of_many_goes_round_by_its_own_counts() {
-    let mut settings = one_class(Effect::Safe);
-    (settings.answers_report, settings.probes_report, settings.nodes) = (false, false, 13);
+    let mut settings = one_class(Idempotency::Safe);
+    (settings.responses_carry_load, settings.probes_carry_load, settings.nodes) = (false, false, 13);
     let mut node = Node::new(settings, 1);
     let mut sends = [0_u32; 5];
     for id in 0..450 {
@@ -307,7 +310,7 @@
         }
         sends[node.sent_to(id)] += 1;
         node.now += 20.0;
-        node.end(id, 0, 20.0, Ending::Served);
+        node.end(id, 0, 20.0, AttemptOutcome::Served);
     }
     assert!(
         sends.iter().take(4).all(|n| (98..=102).contains(n)) && (48..=52).contains(&sends[4]),
@@ -322,18 +325,18 @@
     node.servers(ready(0..8));
     let actions = node.request(1, 0, 800.0);
     let asked = probes_of(&actions);
-    let timer = |actions: &[Action]| match actions[..] {
-        [.., Action::SetTimer { timer, after_ms }] => (timer, after_ms),
+    let timer = |actions: &[BalancerAction]| match actions[..] {
+        [.., BalancerAction::SetTimer { timer, after_ms }] => (timer, after_ms),
         _ => panic!("no timer: {actions:?}"),
     };
     assert!(timer(&actions).1 <= 80.0);
     let (due, after_ms) = timer(&answer(&mut node, asked[2], 1.0));
     assert_eq!(after_ms, 0.0, "late ones are busy");
-    assert_eq!(send_of(&node.feed(Event::Timer(due))), Some(asked[2]));
-    assert!(node.feed(Event::Timer(due)).is_empty(), "sent once");
+    assert_eq!(send_of(&node.feed(BalancerEvent::TimerFired(due))), Some(asked[2]));
+    assert!(node.feed(BalancerEvent::TimerFired(due)).is_empty(), "sent once");
     // Where nobody answers all are too busy, and none is sent to unseen.
     let (due, _) = timer(&node.request(2, 0, 800.0));
-    assert!(refused(&node.feed(Event::Timer(due))));
+    assert!(refused(&node.feed(BalancerEvent::TimerFired(due))));
 }
 
 /// Incident i3dd8ec: servers whose last count was low were asked again and again though they were silent, while
@@ -353,11 +356,13 @@
         if id < 12 || server > 1 {
             answer(&mut node, server, if server > 1 { 3.0 } else { 0.0 });
         } else {
-            let Action::SetTimer { timer, .. } = actions[actions.len() - 1] else { panic!("{actions:?}") };
+            let BalancerAction::SetTimer { timer, .. } = actions[actions.len() - 1] else {
+                panic!("{actions:?}")
+            };
             node.now += 80.0;
-            node.feed(Event::Timer(timer));
+            node.feed(BalancerEvent::TimerFired(timer));
         }
-        node.end(id, 0, 40.0, Ending::Served);
+        node.end(id, 0, 40.0, AttemptOutcome::Served);
     }
     assert!(asked[0] + asked[1] <= 20, "the silent two were asked {asked:?}");
 }
@@ -385,7 +390,7 @@
     let mut node = Node::new(asking(), 1);
     node.servers(ready(0..8));
     let asked = probes_of(&node.request(1, 0, 800.0));
-    node.feed(Event::ClientGone(RequestId(1)));
+    node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
     for server in asked {
         assert!(answer(&mut node, server, 0.0).is_empty());
     }
@@ -436,9 +441,9 @@
     for id in 0..3 {
         assert_eq!(node.sent_to(id), 2);
         node.now += 1.0;
-        let further = node.end(id, 0, 1.0, Ending::Unreachable);
+        let further = node.end(id, 0, 1.0, AttemptOutcome::Unreachable);
         assert!(send_of(&further).is_some_and(|at| at < 2), "{further:?}");
-        node.end(id, 1, 20.0, Ending::Served);
+        node.end(id, 1, 20.0, AttemptOutcome::Served);
     }
     assert!(node.sent_to(3) < 2);
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -11,9 +11,10 @@
     let mut repeats = 0;
     for seed in 0..24 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut settings = one_class(Effect::Keyed { group: Group::Zone, window_ms: 500.0 });
+        let mut settings =
+            one_class(Idempotency::Keyed { group: DeduplicationScope::Zone, window_ms: 500.0 });
         (settings.nodes, settings.zone) = (1 + random.usize(..100), 1);
-        settings.me = random.usize(..settings.nodes);
+        settings.node_index = random.usize(..settings.nodes);
         let mut by_changes = Node::new(settings.clone(), seed);
         let mut by_lists = Node::new(settings, seed);
         let mut fleet = ready(0..400);
@@ -21,14 +22,14 @@
             // Some keys are the same: then the number decides.
             (entry.zone, entry.key) = (random.usize(..3), random.u64(..300));
         }
-        by_changes.feed(Event::Servers(Listing::Changes(fleet.clone())));
+        by_changes.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(fleet.clone())));
         by_lists.servers(fleet.clone());
         for round in 0..60_u64 {
             let most = if random.u8(..10) == 0 { 400 } else { 4 };
             let mut changed = Vec::new();
             for _ in 0..random.usize(..=most) {
                 let entry = &mut fleet[random.usize(..400)];
-                let states = [Availability::Ready, Availability::Draining, Availability::Gone];
+                let states = [Availability::Ready, Availability::Draining, Availability::Removed];
                 match random.u8(..6) {
                     0 => entry.zone = random.usize(..3),
                     1 => entry.key = random.u64(..300),
@@ -37,8 +38,8 @@
                 }
                 changed.push(entry.clone());
             }
-            by_changes.feed(Event::Servers(Listing::Changes(changed)));
-            let listed = fleet.iter().filter(|entry| entry.availability != Availability::Gone);
+            by_changes.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(changed)));
+            let listed = fleet.iter().filter(|entry| entry.availability != Availability::Removed);
             by_lists.servers(listed.cloned().collect());
             for id in round * 8..round * 8 + 8 {
                 let sent = by_changes.request(id, 0, 800.0);
@@ -46,13 +47,13 @@
                 if send_of(&sent).is_none() {
                     continue;
                 }
-                let ending = if id % 3 == 0 { Ending::Error } else { Ending::Served };
+                let outcome = if id % 3 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Served };
                 let held = Some(random.u8(..6).into());
-                let further = by_changes.report(id, 0, 20.0, ending, held);
-                assert_eq!(further, by_lists.report(id, 0, 20.0, ending, held), "seed {seed}, request {id}");
+                let further = by_changes.report(id, 0, 20.0, outcome, held);
+                assert_eq!(further, by_lists.report(id, 0, 20.0, outcome, held), "seed {seed}, request {id}");
                 repeats += usize::from(send_of(&further).is_some());
                 for node in [&mut by_changes, &mut by_lists] {
-                    node.end(id, 1, 20.0, Ending::Served);
+                    node.end(id, 1, 20.0, AttemptOutcome::Served);
                     node.now += 10.0;
                 }
             }
@@ -64,7 +65,7 @@
 /// Only so many are offered to a request that may have run; what its group allows is found all round the ring.
 #[test]
 fn a_repeat_finds_the_one_server_of_its_group() {
-    let mut settings = one_class(Effect::Keyed { group: Group::Cell, window_ms: 500.0 });
+    let mut settings = one_class(Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 500.0 });
     settings.nodes = 2_000;
     for seed in 0..20 {
         let mut node = Node::new(settings.clone(), seed);
@@ -74,7 +75,7 @@
         entries.iter_mut().enumerate().for_each(|(i, e)| (e.cell, e.zone) = (cell(i), i / 2_000));
         node.servers(entries);
         let first = node.sent_to(1);
-        let second = send_of(&node.end(1, 0, 5.0, Ending::Error)).expect("its fellow is ready");
+        let second = send_of(&node.end(1, 0, 5.0, AttemptOutcome::Error)).expect("its fellow is ready");
         assert!(second != first && cell(second) == cell(first), "{first}, then {second}");
     }
 }
@@ -82,7 +83,8 @@
 /// Beyond some hundreds of servers a request sees a window of them. All have their turn, as evenly as if seen at once.
 #[test]
 fn a_window_of_a_large_fleet_goes_round() {
-    let mut node = Node::new(Settings::new(vec![Class::new(40_000.0, 80_000.0, Effect::Safe)]), 1);
+    let mut node =
+        Node::new(DecisionSettings::new(vec![RequestClass::new(40_000.0, 80_000.0, Idempotency::Safe)]), 1);
     node.servers(ready(0..700));
     let mut sends = [0; 700];
     (0..7_000).for_each(|id| sends[node.sent_to(id)] += 1);
