--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,8 +11,12 @@
 
 #[test]
 fn no_servers_still_gives_one_answer_at_once() {
-    for effect in [Effect::Safe, Effect::Keyed { group: Group::Cell, window_ms: 500.0 }, Effect::Unsafe] {
-        let mut node = Node::new(one_class(effect), 1);
+    for idempotency in [
+        Idempotency::Safe,
+        Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 500.0 },
+        Idempotency::Unsafe,
+    ] {
+        let mut node = Node::new(one_class(idempotency), 1);
         assert!(refused(&node.request(1, 0, 100.0)), "nothing ran, so a refusal is true");
         node.servers(Vec::new());
         assert!(refused(&node.request(2, 0, 100.0)));
@@ -21,7 +25,7 @@
 
 #[test]
 fn a_class_that_does_not_exist_is_answered() {
-    let mut node = Node::new(one_class(Effect::Safe), 1);
+    let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..2));
     assert!(failed(&node.request(1, 7, 100.0)));
 }
@@ -30,17 +34,17 @@
 #[test]
 fn a_refusal_says_when_to_come_back() {
     for (most, told) in [(None, None), (Some(400.0), Some(100.0)), (Some(30.0), Some(30.0))] {
-        let mut settings = one_class(Effect::Safe);
-        settings.retry_after_most_ms = most;
+        let mut settings = one_class(Idempotency::Safe);
+        settings.max_retry_after_ms = most;
         let mut node = Node::new(settings, 1);
-        let refuse = Action::Refuse { request: RequestId(1), retry_after_ms: told };
+        let refuse = BalancerAction::Reject { request: RequestId(1), retry_after_ms: told };
         assert_eq!(node.request(1, 0, 800.0), [refuse]);
         node.servers(ready(0..2));
         node.sent_to(2);
-        node.end(2, 0, 20.0, Ending::Served);
+        node.end(2, 0, 20.0, AttemptOutcome::Served);
         node.servers(Vec::new());
         let told = most.map(|_| 20.0);
-        let refuse = Action::Refuse { request: RequestId(3), retry_after_ms: told };
+        let refuse = BalancerAction::Reject { request: RequestId(3), retry_after_ms: told };
         assert_eq!(node.request(3, 0, 800.0), [refuse]);
     }
 }
@@ -48,29 +52,29 @@
 /// An unsafe request is sent again only with proof that nothing ran, and otherwise not refused either.
 #[test]
 fn unsafe_after_each_ending() {
-    for (ending, again) in [
-        (Ending::Full, true),
-        (Ending::Unreachable, true),
-        (Ending::NotSent, true),
-        (Ending::Error, false),
-        (Ending::TimedOut, false),
-        (Ending::Reset, false),
-        (Ending::Cancelled, false),
+    for (outcome, again) in [
+        (AttemptOutcome::Rejected, true),
+        (AttemptOutcome::Unreachable, true),
+        (AttemptOutcome::NotSent, true),
+        (AttemptOutcome::Error, false),
+        (AttemptOutcome::TimedOut, false),
+        (AttemptOutcome::Reset, false),
+        (AttemptOutcome::Cancelled, false),
     ] {
-        let mut node = Node::new(one_class(Effect::Unsafe), 1);
+        let mut node = Node::new(one_class(Idempotency::Unsafe), 1);
         node.servers(ready(0..3));
         node.sent_to(1);
         node.now += 5.0;
-        let actions = node.end(1, 0, 5.0, ending);
-        assert_eq!(send_of(&actions).is_some(), again, "{ending:?}");
-        assert_eq!(failed(&actions), !again, "{ending:?}");
-        assert!(!refused(&actions), "{ending:?}");
+        let actions = node.end(1, 0, 5.0, outcome);
+        assert_eq!(send_of(&actions).is_some(), again, "{outcome:?}");
+        assert_eq!(failed(&actions), !again, "{outcome:?}");
+        assert!(!refused(&actions), "{outcome:?}");
     }
 }
 
 #[test]
 fn keyed_stays_in_its_cell_and_window() {
-    let settings = one_class(Effect::Keyed { group: Group::Cell, window_ms: 500.0 });
+    let settings = one_class(Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 500.0 });
     for (wait, again) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
         for seed in 0..20 {
             let mut node = Node::new(settings.clone(), seed);
@@ -79,7 +83,7 @@
             node.servers(entries);
             let first = node.sent_to(1);
             node.now += wait;
-            let actions = node.end(1, 0, wait, Ending::Error);
+            let actions = node.end(1, 0, wait, AttemptOutcome::Error);
             assert!(!refused(&actions), "a refusal would promise that nothing ran");
             match send_of(&actions) {
                 Some(at) => assert!(again && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
@@ -91,45 +95,45 @@
 
 #[test]
 fn keyed_with_group_all_may_be_refused_after_it_ran() {
-    let mut settings = one_class(Effect::Keyed { group: Group::All, window_ms: 500.0 });
+    let mut settings = one_class(Idempotency::Keyed { group: DeduplicationScope::All, window_ms: 500.0 });
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..3));
     node.sent_to(1);
     node.now += 5.0;
-    assert!(refused(&node.end(1, 0, 5.0, Ending::Error)));
+    assert!(refused(&node.end(1, 0, 5.0, AttemptOutcome::Error)));
 }
 
 #[test]
 fn a_time_out_at_the_deadline_is_answered_at_once() {
-    let mut node = Node::new(one_class(Effect::Unsafe), 1);
+    let mut node = Node::new(one_class(Idempotency::Unsafe), 1);
     node.servers(ready(0..3));
     node.sent_to(1);
     node.now += 800.0;
-    assert!(failed(&node.end(1, 0, 800.0, Ending::TimedOut)));
-    assert!(node.end(1, 0, 801.0, Ending::Served).is_empty(), "an ending comes once");
+    assert!(failed(&node.end(1, 0, 800.0, AttemptOutcome::TimedOut)));
+    assert!(node.end(1, 0, 801.0, AttemptOutcome::Served).is_empty(), "an ending comes once");
 }
 
 #[test]
 fn nothing_follows_a_final_answer() {
-    let mut node = Node::new(one_class(Effect::Safe), 1);
+    let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..3));
     node.sent_to(1);
-    node.feed(Event::ClientGone(RequestId(1)));
+    node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
     node.now += 5.0;
-    assert!(send_of(&node.end(1, 0, 5.0, Ending::Error)).is_none());
-    assert!(node.feed(Event::ClientGone(RequestId(1))).is_empty());
+    assert!(send_of(&node.end(1, 0, 5.0, AttemptOutcome::Error)).is_none());
+    assert!(node.feed(BalancerEvent::ClientDisconnected(RequestId(1))).is_empty());
 }
 
 #[test]
 fn drained_and_gone_servers_get_nothing_new() {
-    let mut node = Node::new(one_class(Effect::Safe), 1);
+    let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
-    node.feed(Event::Servers(Listing::Changes(vec![entry.clone()])));
+    node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![entry.clone()])));
     entry.server = ServerId(1);
-    entry.availability = Availability::Gone;
-    node.feed(Event::Servers(Listing::Changes(vec![entry])));
+    entry.availability = Availability::Removed;
+    node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
     assert!((0..20).all(|id| node.sent_to(id) == 2));
     // A complete list without it removes the last one, too.
     node.servers(ready(3..4));
@@ -143,28 +147,29 @@
 #[test]
 fn what_ends_late_on_a_forgotten_server_does_no_harm() {
     let cell = |i, cell| ServerEntry { cell, ..ServerEntry::new(ServerId(i), Availability::Ready) };
-    let mut node = Node::new(one_class(Effect::Keyed { group: Group::Cell, window_ms: 500.0 }), 1);
+    let mut node =
+        Node::new(one_class(Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 500.0 }), 1);
     node.servers(vec![cell(0, 7)]);
     assert_eq!((node.sent_to(1), node.sent_to(2)), (0, 0));
     node.servers(vec![cell(1, 8), cell(2, 7)]);
-    assert_eq!(send_of(&node.report(1, 0, 50.0, Ending::Reset, Some(3.0))), Some(2));
-    assert_eq!(send_of(&node.report(2, 0, 50.0, Ending::Reset, Some(3.0))), Some(2));
-    let report = Some(Report { in_flight: Some(9.0), queued: None });
-    node.feed(Event::Probed { server: ServerId(0), ending: Ending::Served, report });
-    node.end(1, 1, 50.0, Ending::Served);
-    let gone = ServerEntry { availability: Availability::Gone, ..cell(2, 7) };
-    node.feed(Event::Servers(Listing::Changes(vec![gone])));
-    assert!(failed(&node.end(2, 1, 50.0, Ending::Reset)));
+    assert_eq!(send_of(&node.report(1, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
+    assert_eq!(send_of(&node.report(2, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
+    let report = Some(LoadReport { in_flight: Some(9.0), queued: None });
+    node.feed(BalancerEvent::ProbeEnded { server: ServerId(0), outcome: AttemptOutcome::Served, report });
+    node.end(1, 1, 50.0, AttemptOutcome::Served);
+    let gone = ServerEntry { availability: Availability::Removed, ..cell(2, 7) };
+    node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
+    assert!(failed(&node.end(2, 1, 50.0, AttemptOutcome::Reset)));
 }
 
 #[test]
 fn a_cold_server_gets_no_more_than_its_budget() {
-    let mut settings = one_class(Effect::Safe);
+    let mut settings = one_class(Idempotency::Safe);
     settings.nodes = 3;
-    settings.cold_from = 0.3;
-    settings.cold_ms = 9_000.0;
-    settings.tip_multiple = 2.5;
-    settings.tip_after_ms = 3_000.0;
+    settings.warmup_initial_fraction = 0.3;
+    settings.warmup_ms = 9_000.0;
+    settings.warmup_overload_factor = 2.5;
+    settings.warmup_overload_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..10));
     let mut at = BTreeMap::new();
@@ -185,7 +190,7 @@
             let cold = at[&(id - 10)] == 10;
             let held = if cold { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
             let elapsed = if cold { 10.0 } else { 40.0 };
-            node.report(id - 10, 0, elapsed, Ending::Served, Some(held));
+            node.report(id - 10, 0, elapsed, AttemptOutcome::Served, Some(held));
         }
     }
     // The fleet serves 250 a second on ten servers; a cold one's capacity begins at 0.3 of a tenth.
@@ -202,13 +207,13 @@
 /// A node that restarted has served nothing yet; what it knows of starts is in its list.
 #[test]
 fn a_restarted_node_spares_cold_servers() {
-    let mut settings = one_class(Effect::Safe);
-    (settings.cold_from, settings.cold_ms) = (0.3, 9_000.0);
-    (settings.tip_multiple, settings.tip_after_ms) = (2.5, 3_000.0);
+    let mut settings = one_class(Idempotency::Safe);
+    (settings.warmup_initial_fraction, settings.warmup_ms) = (0.3, 9_000.0);
+    (settings.warmup_overload_factor, settings.warmup_overload_ms) = (2.5, 3_000.0);
     let mut node = Node::new(settings, 1);
     let mut entries = ready(0..2);
     entries[1].started_at = Some(node.now - 100.0);
-    node.feed(Event::Servers(Listing::Cached(entries)));
+    node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
     let cold = (0..40).filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1)).count();
     // Had both all of their capacity, each would get twenty.
     assert!(cold as f64 <= 2.5 * 0.3 * 20.0, "{cold} of 40");
@@ -218,13 +223,13 @@
 /// server over together. What counts is the sum over the nodes.
 #[test]
 fn hundreds_of_nodes_together_spare_a_cold_server() {
-    let mut settings = one_class(Effect::Safe);
+    let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
-    (settings.cold_from, settings.cold_ms) = (0.2, 20_000.0);
-    (settings.tip_multiple, settings.tip_after_ms) = (2.5, 1_500.0);
+    (settings.warmup_initial_fraction, settings.warmup_ms) = (0.2, 20_000.0);
+    (settings.warmup_overload_factor, settings.warmup_overload_ms) = (2.5, 1_500.0);
     let (mut cold, mut sent) = (0, 0);
     for me in 0..400 {
-        settings.me = me;
+        settings.node_index = me;
         let mut node = Node::new(settings.clone(), me as u64);
         let mut entries = ready(0..10);
         entries[7].started_at = Some(node.now);
@@ -232,7 +237,7 @@
         for id in 0..30 {
             node.now += 50.0;
             let at = node.sent_to(id);
-            node.report(id, 0, 40.0, Ending::Served, Some(1.0));
+            node.report(id, 0, 40.0, AttemptOutcome::Served, Some(1.0));
             sent += 1;
             cold += usize::from(at == 7);
         }
@@ -247,28 +252,31 @@
 
 #[test]
 fn it_subscribes_at_once_and_again_after_failures() {
-    let mut settings = one_class(Effect::Safe);
-    settings.discovery = Discovery::Subscribe;
-    settings.ask_within_ms = 10_000.0;
+    let mut settings = one_class(Idempotency::Safe);
+    settings.discovery = DiscoveryMode::Subscribe;
+    settings.max_poll_interval_ms = 10_000.0;
     let mut node = Node::new(settings, 1);
-    let actions = node.feed(Event::Servers(Listing::Cached(ready(0..2))));
-    assert_eq!(actions, [Action::Subscribe]);
+    let actions = node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(ready(0..2))));
+    assert_eq!(actions, [BalancerAction::Subscribe]);
     let mut waits = Vec::new();
     for call in 0..8 {
-        let actions = node.feed(Event::Servers(Listing::Failed));
-        let notes = actions.iter().filter(|a| matches!(a, Action::Note(_))).count();
+        let actions = node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
+        let notes = actions.iter().filter(|a| matches!(a, BalancerAction::Log(_))).count();
         assert_eq!(notes, usize::from(call == 0), "the loss is noted once: {actions:?}");
-        let [.., Action::SetTimer { timer, after_ms }] = actions[..] else { panic!("{actions:?}") };
-        assert!(node.feed(Event::Servers(Listing::Failed)).is_empty(), "one call at a time");
+        let [.., BalancerAction::SetTimer { timer, after_ms }] = actions[..] else { panic!("{actions:?}") };
+        assert!(
+            node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable)).is_empty(),
+            "one call at a time"
+        );
         waits.push(after_ms);
         node.now += after_ms;
-        assert_eq!(node.feed(Event::Timer(timer)), [Action::Subscribe]);
-        assert!(node.feed(Event::Timer(timer)).is_empty(), "a timer is used once");
+        assert_eq!(node.feed(BalancerEvent::TimerFired(timer)), [BalancerAction::Subscribe]);
+        assert!(node.feed(BalancerEvent::TimerFired(timer)).is_empty(), "a timer is used once");
     }
     assert!(waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0), "{waits:?}");
-    let list = || Event::Servers(Listing::Full(ready(0..2)));
+    let list = || BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(ready(0..2)));
     let noted = node.feed(list());
-    assert!(matches!(noted[..], [Action::Note(_)]), "and so is the end of it: {noted:?}");
+    assert!(matches!(noted[..], [BalancerAction::Log(_)]), "and so is the end of it: {noted:?}");
     assert!(node.feed(list()).is_empty(), "once");
 }
 
@@ -277,7 +285,7 @@
 /// A server that fails quickly reports a short queue and would draw more.
 #[test]
 fn quick_failures_take_a_server_out_and_success_brings_it_back() {
-    let mut node = Node::new(one_class(Effect::Safe), 1);
+    let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..4));
     let run = |node: &mut Node, from: u64, bad: bool| {
         let mut sent = 0;
@@ -286,11 +294,11 @@
             node.now += 10.0;
             sent += usize::from(at == 0);
             if bad && at == 0 {
-                let again = node.report(id, 0, 2.0, Ending::Error, Some(0.0));
+                let again = node.report(id, 0, 2.0, AttemptOutcome::Error, Some(0.0));
                 let attempt = usize::from(send_of(&again).is_some());
-                node.end(id, attempt, 30.0, Ending::Served);
+                node.end(id, attempt, 30.0, AttemptOutcome::Served);
             } else {
-                node.end(id, 0, 30.0, Ending::Served);
+                node.end(id, 0, 30.0, AttemptOutcome::Served);
             }
         }
         sent
@@ -306,7 +314,7 @@
 /// A server that takes requests and answers none has an ordinary count.
 #[test]
 fn a_silent_server_is_passed_over() {
-    let mut node = Node::new(one_class(Effect::Safe), 1);
+    let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..4));
     let mut hung = 0;
     for id in 0..600 {
@@ -315,7 +323,7 @@
         if id > 200 && at == Some(0) {
             hung += 1;
         } else if at.is_some() {
-            node.report(id, 0, 30.0, Ending::Served, Some((1 + id % 3) as f64));
+            node.report(id, 0, 30.0, AttemptOutcome::Served, Some((1 + id % 3) as f64));
         }
     }
     assert!(hung < 12, "{hung} requests went to a silent server");
@@ -325,34 +333,38 @@
 /// A server that falls silent costs requests their time; those that may be repeated are sent elsewhere.
 #[test]
 fn attempts_on_a_silent_server_are_cut_where_a_repeat_is_allowed() {
-    let keyed = |window_ms| Effect::Keyed { group: Group::All, window_ms };
-    for (effect, heard, cut) in [
-        (Effect::Safe, false, true),
+    let keyed = |window_ms| Idempotency::Keyed { group: DeduplicationScope::All, window_ms };
+    for (idempotency, heard, cut) in [
+        (Idempotency::Safe, false, true),
         (keyed(5_000.0), false, true),
         (keyed(500.0), false, false),
-        (Effect::Unsafe, false, false),
-        (Effect::Safe, true, false),
+        (Idempotency::Unsafe, false, false),
+        (Idempotency::Safe, true, false),
     ] {
-        let mut node = Node::new(one_class(effect), 1);
+        let mut node = Node::new(one_class(idempotency), 1);
         node.servers(ready(0..2));
         let ids = 1..=6;
         let at: BTreeMap<u64, usize> = ids.clone().map(|id| (id, node.sent_to(id))).collect();
         node.now += 20.0;
         let silent: Vec<u64> = ids.clone().filter(|id| at[id] == 0).collect();
         for id in ids.filter(|id| at[id] == 1 || heard && *id == silent[0]) {
-            node.end(id, 0, 20.0, Ending::Served);
+            node.end(id, 0, 20.0, AttemptOutcome::Served);
         }
         node.now += 700.0;
         // The timer of the third attempt there shows what became of the others, too.
-        let actions = node.feed(Event::Timer(silent[2] + 1));
+        let actions = node.feed(BalancerEvent::TimerFired(silent[2] + 1));
         for id in silent {
-            let cancel = Action::Cancel { request: RequestId(id), attempt: 0 };
-            assert_eq!(actions.contains(&cancel), cut, "{effect:?} {heard}");
+            let cancel = BalancerAction::Cancel { request: RequestId(id), attempt: 0 };
+            assert_eq!(actions.contains(&cancel), cut, "{idempotency:?} {heard}");
             if !cut {
                 continue;
             }
-            assert_eq!(send_of(&node.end(id, 0, 720.0, Ending::Cancelled)), Some(1));
-            assert_eq!(node.feed(Event::Timer(id + 1)), [], "the second attempt has its own time");
+            assert_eq!(send_of(&node.end(id, 0, 720.0, AttemptOutcome::Cancelled)), Some(1));
+            assert_eq!(
+                node.feed(BalancerEvent::TimerFired(id + 1)),
+                [],
+                "the second attempt has its own time"
+            );
         }
     }
 }
@@ -360,20 +372,20 @@
 /// A count that no server can have would keep its server out for good.
 #[test]
 fn an_absurd_report_changes_no_count() {
-    let mut node = Node::new(one_class(Effect::Safe), 1);
+    let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..2));
     let mut sent = [0; 2];
     for id in 1..=40 {
         let at = node.sent_to(id);
         sent[at] += 1;
-        node.report(id, 0, 20.0, Ending::Served, Some(if at == 0 { 1e300 } else { f64::INFINITY }));
+        node.report(id, 0, 20.0, AttemptOutcome::Served, Some(if at == 0 { 1e300 } else { f64::INFINITY }));
     }
     assert_eq!(sent, [20, 20]);
 }
 
 #[test]
 fn refusals_end_when_the_servers_recover() {
-    let mut settings = one_class(Effect::Safe);
+    let mut settings = one_class(Idempotency::Safe);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..4));
@@ -383,8 +395,9 @@
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
-            let (elapsed, ending) = if broken { (800.0, Ending::TimedOut) } else { (30.0, Ending::Served) };
-            node.end(id, 0, elapsed, ending);
+            let (elapsed, outcome) =
+                if broken { (800.0, AttemptOutcome::TimedOut) } else { (30.0, AttemptOutcome::Served) };
+            node.end(id, 0, elapsed, outcome);
         }
         if id >= 2_000 {
             last = (last.0 + usize::from(sent), last.1 + 1);
@@ -397,7 +410,7 @@
 /// often that the trials alone keep the servers crowded.
 #[test]
 fn trials_of_many_nodes_stay_few() {
-    let mut settings = one_class(Effect::Safe);
+    let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (16, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..10));
@@ -406,7 +419,7 @@
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
-            node.end(id, 0, 790.0, Ending::Served);
+            node.end(id, 0, 790.0, AttemptOutcome::Served);
             tried += u32::from(id >= 2_000);
         }
     }
@@ -418,7 +431,7 @@
 /// believed for long, or the node refuses what idle servers would take.
 #[test]
 fn a_crowded_start_is_soon_forgotten() {
-    let mut settings = one_class(Effect::Safe);
+    let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (12, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..20));
@@ -429,7 +442,7 @@
         let crowded = id < 120;
         while out.front().is_some_and(|(_, _, end)| *end <= node.now) {
             let (id, elapsed, _) = out.pop_front().expect("checked");
-            node.end(id, 0, elapsed, Ending::Served);
+            node.end(id, 0, elapsed, AttemptOutcome::Served);
         }
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         if sent {
@@ -449,18 +462,23 @@
 #[test]
 fn a_pushed_list_that_fails_is_asked_for_again_within_the_grace() {
     for (grace, most) in [(2_000.0, 500.0), (1_000.0, 250.0), (0.0, 50.0)] {
-        let mut settings = one_class(Effect::Safe);
+        let mut settings = one_class(Idempotency::Safe);
         settings.drain_grace_ms = grace;
         let mut node = Node::new(settings, 1);
         node.servers(ready(0..1));
         for _ in 0..12 {
-            let actions = node.feed(Event::Servers(Listing::Failed));
-            let after =
-                |a: &Action| if let Action::SetTimer { after_ms, .. } = a { Some(*after_ms) } else { None };
+            let actions = node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
+            let after = |a: &BalancerAction| {
+                if let BalancerAction::SetTimer { after_ms, .. } = a {
+                    Some(*after_ms)
+                } else {
+                    None
+                }
+            };
             let after = actions.iter().find_map(after).expect("it asks again");
             assert!(after > 0.0 && after <= most, "{after} ms of {grace}");
             node.now += after;
-            assert_eq!(node.feed(Event::Timer(0)), [Action::Subscribe]);
+            assert_eq!(node.feed(BalancerEvent::TimerFired(0)), [BalancerAction::Subscribe]);
         }
     }
 }
@@ -468,20 +486,20 @@
 /// A repeat must be sent within its window, also where its connection is slow to come up.
 #[test]
 fn a_repeat_says_until_when_it_may_be_sent() {
-    let within = |actions: &[Action]| match actions[..] {
-        [Action::Send { within_ms, .. }, ..] => within_ms,
+    let within = |actions: &[BalancerAction]| match actions[..] {
+        [BalancerAction::Send { within_ms, .. }, ..] => within_ms,
         _ => panic!("not sent: {actions:?}"),
     };
-    let keyed = Effect::Keyed { group: Group::All, window_ms: 1_000.0 };
-    for (effect, repeat) in [(keyed, Some(700.0)), (Effect::Safe, None)] {
-        let mut node = Node::new(one_class(effect), 1);
+    let keyed = Idempotency::Keyed { group: DeduplicationScope::All, window_ms: 1_000.0 };
+    for (idempotency, repeat) in [(keyed, Some(700.0)), (Idempotency::Safe, None)] {
+        let mut node = Node::new(one_class(idempotency), 1);
         node.servers(ready(0..3));
         assert_eq!(within(&node.request(1, 0, 800.0)), None);
         node.now += 200.0;
-        assert_eq!(within(&node.end(1, 0, 200.0, Ending::Error)), repeat);
+        assert_eq!(within(&node.end(1, 0, 200.0, AttemptOutcome::Error)), repeat);
         // What never ran starts no window.
         assert_eq!(within(&node.request(2, 0, 800.0)), None);
-        assert_eq!(within(&node.end(2, 0, 0.0, Ending::Full)), None);
+        assert_eq!(within(&node.end(2, 0, 0.0, AttemptOutcome::Rejected)), None);
     }
 }
 
@@ -490,18 +508,24 @@
 #[test]
 fn nothing_follows_for_a_client_that_has_left() {
     for cancel in [true, false] {
-        for ending in [Ending::Full, Ending::Unreachable, Ending::NotSent, Ending::Error, Ending::Cancelled] {
-            let mut settings = one_class(Effect::Safe);
+        for outcome in [
+            AttemptOutcome::Rejected,
+            AttemptOutcome::Unreachable,
+            AttemptOutcome::NotSent,
+            AttemptOutcome::Error,
+            AttemptOutcome::Cancelled,
+        ] {
+            let mut settings = one_class(Idempotency::Safe);
             settings.cancel = cancel;
             let mut node = Node::new(settings, 1);
             node.servers(ready(0..3));
             node.sent_to(1);
-            let actions = node.feed(Event::ClientGone(RequestId(1)));
+            let actions = node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
             assert_eq!(send_of(&actions), None);
             assert_eq!(actions.len(), usize::from(cancel), "{actions:?}");
             node.now += 300.0;
-            let actions = node.end(1, 0, 300.0, ending);
-            assert!(actions.iter().all(|a| matches!(a, Action::Note(_))), "{ending:?}: {actions:?}");
+            let actions = node.end(1, 0, 300.0, outcome);
+            assert!(actions.iter().all(|a| matches!(a, BalancerAction::Log(_))), "{outcome:?}: {actions:?}");
         }
     }
 }
@@ -512,7 +536,7 @@
 /// makes them refuse all together, then none. Over the bound a node of many takes a part of what comes.
 #[test]
 fn a_node_of_many_takes_a_part_of_what_is_over_the_bound() {
-    let mut settings = one_class(Effect::Safe);
+    let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..4));
@@ -521,7 +545,7 @@
         let taken = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 340.0;
         if taken {
-            node.end(id, 0, 340.0, Ending::Served);
+            node.end(id, 0, 340.0, AttemptOutcome::Served);
         }
         sent += usize::from(taken && id >= 100);
     }
@@ -531,21 +555,21 @@
 
 #[test]
 fn beyond_its_quota_a_tenant_is_refused_first() {
-    let mut settings = one_class(Effect::Safe);
+    let mut settings = one_class(Idempotency::Safe);
     settings.quotas_per_s = vec![1_000.0, 10.0];
-    settings.over_quota_worth = 0.1;
+    settings.over_quota_value = 0.1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..2));
     let mut refusals = [0; 2];
     for id in 0..4_000_u64 {
         let tenant = (id % 2) as usize;
-        let request = Request { tenant, ..Request::new(RequestId(id), 0, 800.0) };
-        let actions = node.feed(Event::Request(request));
+        let request = ClientRequest { tenant, ..ClientRequest::new(RequestId(id), 0, 800.0) };
+        let actions = node.feed(BalancerEvent::RequestArrived(request));
         refusals[tenant] += usize::from(refused(&actions));
         node.now += 10.0;
         // Two servers that each answer in 25 ms for every request they hold: near their limit.
         if id >= 4 {
-            node.end(id - 4, 0, 100.0 + (id % 7) as f64 * 20.0, Ending::Served);
+            node.end(id - 4, 0, 100.0 + (id % 7) as f64 * 20.0, AttemptOutcome::Served);
         }
     }
     assert!(refusals[1] > refusals[0], "{refusals:?}");
@@ -555,10 +579,10 @@
 /// bucket with no room for one request never held any: every tenant was beyond its quota everywhere.
 #[test]
 fn a_small_part_of_a_quota_is_still_a_quota() {
-    let mut settings = one_class(Effect::Safe);
+    let mut settings = one_class(Idempotency::Safe);
     settings.nodes = 800;
     settings.quotas_per_s = vec![400.0, 40.0];
-    settings.over_quota_worth = 0.1;
+    settings.over_quota_value = 0.1;
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..4));
@@ -566,10 +590,10 @@
     for id in 0..2_000_u64 {
         // One request in two seconds of the first tenant is within its part, of the second it is not.
         let tenant = (id % 2) as usize;
-        let request = Request { tenant, ..Request::new(RequestId(id), 0, 800.0) };
-        refusals[tenant] += usize::from(refused(&node.feed(Event::Request(request))));
+        let request = ClientRequest { tenant, ..ClientRequest::new(RequestId(id), 0, 800.0) };
+        refusals[tenant] += usize::from(refused(&node.feed(BalancerEvent::RequestArrived(request))));
         node.now += 1_000.0;
-        node.end(id, 0, 280.0, Ending::Served);
+        node.end(id, 0, 280.0, AttemptOutcome::Served);
     }
     assert!(refusals[0] < 20 && refusals[1] > 400, "{refusals:?}");
 }
@@ -578,9 +602,10 @@
 /// class with a near aim would be late.
 #[test]
 fn low_worth_does_not_crowd_out_what_is_worth_more() {
-    let mut near = Class::new(200.0, 2_000.0, Effect::Safe);
-    near.worth = 5.0;
-    let mut settings = Settings::new(vec![near, Class::new(4_000.0, 8_000.0, Effect::Safe)]);
+    let mut near = RequestClass::new(200.0, 2_000.0, Idempotency::Safe);
+    near.value = 5.0;
+    let mut settings =
+        DecisionSettings::new(vec![near, RequestClass::new(4_000.0, 8_000.0, Idempotency::Safe)]);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..2));
@@ -598,7 +623,7 @@
         // One answer in 20 ms is half of what is asked for; answers wait for all that is before them.
         if id % 2 == 0 {
             if let Some((id, since)) = out.pop_front() {
-                node.end(id, 0, node.now - since, Ending::Served);
+                node.end(id, 0, node.now - since, AttemptOutcome::Served);
             }
         }
     }
@@ -609,7 +634,7 @@
 
 /// Keeps the four rules' books from events and actions alone.
 struct Checker {
-    settings: Settings,
+    settings: DecisionSettings,
     requests: BTreeMap<u64, Entry>,
     servers: BTreeMap<usize, ServerEntry>,
     told_gone: BTreeMap<usize, f64>,
@@ -619,7 +644,7 @@
 struct Entry {
     class: usize,
     deadline: f64,
-    attempts: Vec<(usize, f64, Option<Ending>)>,
+    attempts: Vec<(usize, f64, Option<AttemptOutcome>)>,
     done: bool,
 }
 
@@ -642,22 +667,24 @@
     }
 
     /// Notes what an event says just before the module hears it.
-    fn learn(&mut self, event: &mut Event) {
+    fn learn(&mut self, event: &mut BalancerEvent) {
         match event {
-            Event::Outcome(outcome) => {
-                let entry = self.requests.get_mut(&outcome.request.0).expect("sent");
-                entry.attempts[outcome.attempt].2 = Some(outcome.ending);
-                entry.done |= outcome.complete;
-                outcome.complete = entry.done;
+            BalancerEvent::AttemptEnded(attempt_end) => {
+                let entry = self.requests.get_mut(&attempt_end.request.0).expect("sent");
+                entry.attempts[attempt_end.attempt].2 = Some(attempt_end.outcome);
+                entry.done |= attempt_end.complete;
+                attempt_end.complete = entry.done;
+            }
+            BalancerEvent::ClientDisconnected(id) => {
+                self.requests.get_mut(&id.0).into_iter().for_each(|e| e.done = true)
             }
-            Event::ClientGone(id) => drop(self.requests.get_mut(&id.0).map(|e| e.done = true)),
             _ => {}
         }
     }
 
-    fn act(&mut self, now: f64, action: &Action) {
+    fn act(&mut self, now: f64, action: &BalancerAction) {
         match action {
-            Action::Send { request, server, .. } => {
+            BalancerAction::Send { request, server, .. } => {
                 let gone = self.told_gone.get(&server.0);
                 assert!(gone.is_none_or(|t| now <= t + self.grace_ms), "sent to a drained server");
                 let target = self.servers.get(&server.0).expect("a listed server");
@@ -665,45 +692,48 @@
                 assert!(!entry.done, "sent after the final answer");
                 assert!(entry.attempts.len() < self.settings.max_attempts, "too many attempts");
                 assert!(entry.attempts.iter().all(|a| a.2.is_some()), "two attempts at once");
-                let ran = entry.attempts.iter().find(|a| a.2.is_none_or(Ending::may_have_run));
+                let ran = entry.attempts.iter().find(|a| a.2.is_none_or(AttemptOutcome::may_have_run));
                 if let Some((first, at, _)) = ran {
-                    match self.settings.classes[entry.class].effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("an unsafe request was sent twice"),
-                        Effect::Keyed { group, window_ms } => {
+                    match self.settings.classes[entry.class].idempotency {
+                        Idempotency::Safe => {}
+                        Idempotency::Unsafe => panic!("an unsafe request was sent twice"),
+                        Idempotency::Keyed { group, window_ms } => {
                             assert!(now - at < window_ms, "resent past its window");
                             let first = &self.servers[first];
                             assert!(match group {
-                                Group::All => true,
-                                Group::Zone => first.zone == target.zone,
-                                Group::Cell => first.cell == target.cell,
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => first.zone == target.zone,
+                                DeduplicationScope::Cell => first.cell == target.cell,
                             });
                         }
                     }
                 }
                 entry.attempts.push((server.0, now, None));
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            BalancerAction::Reject { request, .. } | BalancerAction::Fail { request } => {
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
                 assert!(!entry.done, "two final answers");
                 entry.done = true;
-                let ran = entry.attempts.iter().any(|a| a.2.is_none_or(Ending::may_have_run));
-                if matches!(action, Action::Refuse { .. }) && ran {
-                    let effect = self.settings.classes[entry.class].effect;
-                    let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+                let ran = entry.attempts.iter().any(|a| a.2.is_none_or(AttemptOutcome::may_have_run));
+                if matches!(action, BalancerAction::Reject { .. }) && ran {
+                    let idempotency = self.settings.classes[entry.class].idempotency;
+                    let harmless = matches!(
+                        idempotency,
+                        Idempotency::Safe | Idempotency::Keyed { group: DeduplicationScope::All, .. }
+                    );
                     assert!(harmless, "a refusal that promises falsely");
                 }
             }
-            Action::Cancel { request, attempt } => {
+            BalancerAction::Cancel { request, attempt } => {
                 assert!(self.settings.cancel && self.requests[&request.0].attempts.len() > *attempt);
             }
-            Action::Probe { server } => {
+            BalancerAction::Probe { server } => {
                 assert!(
                     self.settings.probes && self.servers.contains_key(&server.0),
                     "a probe that is not allowed"
                 );
             }
-            Action::Subscribe | Action::SetTimer { .. } | Action::Note(_) => {}
+            BalancerAction::Subscribe | BalancerAction::SetTimer { .. } | BalancerAction::Log(_) => {}
         }
     }
 
@@ -716,20 +746,24 @@
 /// One legal day from a seed: lists that come and go, endings of every kind, clients that leave.
 fn generated_day(seed: u64) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
-    let groups = [Group::All, Group::Zone, Group::Cell];
-    let mut settings = Settings::new(vec![
-        Class::new(200.0, 600.0, Effect::Safe),
-        Class::new(400.0, 900.0, Effect::Keyed { group: groups[seed as usize % 3], window_ms: 500.0 }),
-        Class::new(600.0, 2_000.0, Effect::Unsafe),
+    let groups = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
+    let mut settings = DecisionSettings::new(vec![
+        RequestClass::new(200.0, 600.0, Idempotency::Safe),
+        RequestClass::new(
+            400.0,
+            900.0,
+            Idempotency::Keyed { group: groups[seed as usize % 3], window_ms: 500.0 },
+        ),
+        RequestClass::new(600.0, 2_000.0, Idempotency::Unsafe),
     ]);
     settings.nodes = 1 + random.usize(..4);
     settings.kinds = 2;
-    (settings.probes, settings.answers_report) = (random.bool(), random.bool());
+    (settings.probes, settings.responses_carry_load) = (random.bool(), random.bool());
     settings.cancel = random.bool();
     settings.max_attempts = 1 + random.usize(..5);
-    (settings.cold_from, settings.cold_ms) = (0.3, 5_000.0);
+    (settings.warmup_initial_fraction, settings.warmup_ms) = (0.3, 5_000.0);
     if random.bool() {
-        settings.discovery = Discovery::Subscribe;
+        settings.discovery = DiscoveryMode::Subscribe;
     }
     let mut checker = Checker {
         settings: settings.clone(),
@@ -739,21 +773,21 @@
         grace_ms: 0.0,
     };
     let mut node = Node::new(settings, seed);
-    let mut out: Vec<(f64, u64, usize, Ending)> = Vec::new();
+    let mut out: Vec<(f64, u64, usize, AttemptOutcome)> = Vec::new();
     let mut sends = 0;
     let mut timers: Vec<(f64, u64)> = Vec::new();
     let mut probes: Vec<(f64, ServerId)> = Vec::new();
     for id in 0..1_500_u64 {
         node.now += random.f64() * 20.0;
         let now = node.now;
-        let mut events: Vec<Event> = Vec::new();
+        let mut events: Vec<BalancerEvent> = Vec::new();
         if random.u32(..30) == 0 || id == 0 {
             let mut entries = Vec::new();
             for i in 0..10 {
                 if random.u32(..5) == 0 {
                     continue;
                 }
-                let states = [Availability::Ready, Availability::Draining, Availability::Gone];
+                let states = [Availability::Ready, Availability::Draining, Availability::Removed];
                 entries.push(ServerEntry {
                     started_at: (random.u32(..4) == 0).then_some(now - 1_000.0),
                     cell: i / 3,
@@ -764,82 +798,84 @@
             }
             let complete = random.bool();
             checker.list(now, &entries, complete);
-            events.push(Event::Servers(if complete {
-                Listing::Full(entries)
+            events.push(BalancerEvent::EndpointsUpdated(if complete {
+                EndpointUpdate::Snapshot(entries)
             } else {
-                Listing::Changes(entries)
+                EndpointUpdate::Delta(entries)
             }));
         }
         if random.u32(..60) == 0 {
-            events.push(Event::Servers(Listing::Failed));
+            events.push(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
         }
         out.sort_by(|a, b| a.0.total_cmp(&b.0));
         while out.first().is_some_and(|o| o.0 <= now) {
-            let (_, id, attempt, ending) = out.remove(0);
+            let (_, id, attempt, outcome) = out.remove(0);
             let entry = checker.requests.get_mut(&id).expect("sent");
             let sent_at = entry.attempts[attempt].1;
-            events.push(Event::Outcome(Outcome {
+            events.push(BalancerEvent::AttemptEnded(AttemptEnd {
                 request: RequestId(id),
                 attempt,
                 elapsed_ms: now - sent_at,
-                ending,
-                complete: ending == Ending::Served,
-                report: random.bool().then(|| Report { in_flight: Some(random.f64() * 9.0), queued: None }),
+                outcome,
+                complete: outcome == AttemptOutcome::Served,
+                report: random
+                    .bool()
+                    .then(|| LoadReport { in_flight: Some(random.f64() * 9.0), queued: None }),
             }));
         }
         timers.retain(|(at, timer)| {
             let due = *at <= now;
             if due {
-                events.push(Event::Timer(*timer));
+                events.push(BalancerEvent::TimerFired(*timer));
             }
             !due
         });
         let due: Vec<_> = probes.iter().filter(|(at, _)| *at <= now).copied().collect();
         probes.retain(|(at, _)| *at > now);
         for (_, server) in due {
-            let ending = if random.u32(..4) > 0 { Ending::Served } else { Ending::TimedOut };
-            let report = (ending == Ending::Served)
-                .then(|| Report { in_flight: Some(random.f64() * 5.0), queued: None });
-            events.push(Event::Probed { server, ending, report });
+            let outcome = if random.u32(..4) > 0 { AttemptOutcome::Served } else { AttemptOutcome::TimedOut };
+            let report = (outcome == AttemptOutcome::Served)
+                .then(|| LoadReport { in_flight: Some(random.f64() * 5.0), queued: None });
+            events.push(BalancerEvent::ProbeEnded { server, outcome, report });
         }
         if random.u32(..40) == 0 && id > 20 {
             let gone = id - 1 - random.u64(..20);
-            events.push(Event::ClientGone(RequestId(gone)));
+            events.push(BalancerEvent::ClientDisconnected(RequestId(gone)));
         }
         let class = random.usize(..3);
         let budget = checker.settings.classes[class].deadline_ms * (0.3 + 0.7 * random.f64());
         checker
             .requests
             .insert(id, Entry { class, deadline: now + budget, attempts: Vec::new(), done: false });
-        events.push(Event::Request(Request::new(RequestId(id), class, budget)));
+        events.push(BalancerEvent::RequestArrived(ClientRequest::new(RequestId(id), class, budget)));
         for mut event in events {
             checker.learn(&mut event);
             for action in node.feed(event) {
                 checker.act(now, &action);
                 match action {
-                    Action::Send { request, .. } => {
+                    BalancerAction::Send { request, .. } => {
                         sends += 1;
                         let entry = &checker.requests[&request.0];
                         let endings = [
-                            Ending::Error,
-                            Ending::Full,
-                            Ending::Unreachable,
-                            Ending::Reset,
-                            Ending::TimedOut,
-                            Ending::NotSent,
+                            AttemptOutcome::Error,
+                            AttemptOutcome::Rejected,
+                            AttemptOutcome::Unreachable,
+                            AttemptOutcome::Reset,
+                            AttemptOutcome::TimedOut,
+                            AttemptOutcome::NotSent,
                         ];
                         let ok = random.u32(..3) > 0;
-                        let ending = if ok { Ending::Served } else { endings[random.usize(..6)] };
+                        let outcome = if ok { AttemptOutcome::Served } else { endings[random.usize(..6)] };
                         let at = now + random.f64() * random.f64() * 900.0;
-                        let (at, ending) = if at > entry.deadline {
-                            (entry.deadline, Ending::TimedOut)
+                        let (at, outcome) = if at > entry.deadline {
+                            (entry.deadline, AttemptOutcome::TimedOut)
                         } else {
-                            (at, ending)
+                            (at, outcome)
                         };
-                        out.push((at, request.0, entry.attempts.len() - 1, ending));
+                        out.push((at, request.0, entry.attempts.len() - 1, outcome));
                     }
-                    Action::SetTimer { timer, after_ms } => timers.push((now + after_ms, timer)),
-                    Action::Probe { server } => probes.push((now + random.f64() * 40.0, server)),
+                    BalancerAction::SetTimer { timer, after_ms } => timers.push((now + after_ms, timer)),
+                    BalancerAction::Probe { server } => probes.push((now + random.f64() * 40.0, server)),
                     _ => {}
                 }
             }
@@ -859,15 +895,21 @@
 /// Events about things never heard of must not disturb anything.
 #[test]
 fn unknown_ids_are_passed_over() {
-    let mut node = Node::new(one_class(Effect::Safe), 1);
+    let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..2));
-    assert!(node.end(77, 0, 5.0, Ending::Served).is_empty());
-    assert!(node.feed(Event::ClientGone(RequestId(77))).is_empty());
-    assert!(node.feed(Event::Timer(0)).is_empty() && node.feed(Event::Timer(5)).is_empty());
-    assert!(node.feed(Event::StreamStarted { request: RequestId(7), attempt: 0 }).is_empty());
-    let probed =
-        Event::Probed { server: ServerId(99), ending: Ending::Served, report: Some(Report::default()) };
+    assert!(node.end(77, 0, 5.0, AttemptOutcome::Served).is_empty());
+    assert!(node.feed(BalancerEvent::ClientDisconnected(RequestId(77))).is_empty());
+    assert!(
+        node.feed(BalancerEvent::TimerFired(0)).is_empty()
+            && node.feed(BalancerEvent::TimerFired(5)).is_empty()
+    );
+    assert!(node.feed(BalancerEvent::StreamStarted { request: RequestId(7), attempt: 0 }).is_empty());
+    let probed = BalancerEvent::ProbeEnded {
+        server: ServerId(99),
+        outcome: AttemptOutcome::Served,
+        report: Some(LoadReport::default()),
+    };
     assert!(node.feed(probed).is_empty());
     node.sent_to(1);
-    assert!(node.end(1, 9, 5.0, Ending::Error).is_empty(), "an attempt that was never made");
+    assert!(node.end(1, 9, 5.0, AttemptOutcome::Error).is_empty(), "an attempt that was never made");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -223,7 +223,7 @@
     let told = |stats: serde_json::Value| {
         let facts = serde_json::json!({"classes": [{"deadline_ms": 800.0}], "stats": stats});
         let settings = balancer::wire::read_settings(&facts).expect("sound");
-        (settings.answers_report, settings.probes_report)
+        (settings.responses_carry_load, settings.probes_carry_load)
     };
     let stats = |source, fields| serde_json::json!({"source": source, "fields": fields});
     assert_eq!(told(stats("inline", ["waiting"])), (true, true));
