--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,23 +1,18 @@
-//! Admission: whether a request is taken, and the longest expected wait it is taken for.
+//! Admission: whether a request is taken, for which expected wait, and the probes before it is first sent.
 
-use super::estimates::RECENT_OUTCOMES;
-use super::pending::PendingRequest;
-use super::Balancer;
+use super::{estimates::RECENT_OUTCOMES, Balancer, Context, PendingRequest};
 use crate::interface::*;
 
-/// Part of its latency target that an answer may be expected to take, so that most come in time ...
+/// Part of its latency target that an answer may be expected to take, for most to come in time; and the part
+/// of that which remains for a request of the lowest value.
 const MAX_WAIT_FRACTION: f64 = 0.45;
-
-/// ... and the part of that which remains for a request of the lowest value.
 const MIN_VALUE_FRACTION: f64 = 0.5;
 
-/// The same two at one node of many: what such a node knows of a queue is old, and a tight bound would reject what
-/// the fleet has room for.
+/// The same at one node of many: what it knows of a queue is old, and a tight bound would reject too much.
 const STALE_MAX_WAIT_FRACTION: f64 = 0.75;
 const STALE_MIN_VALUE_FRACTION: f64 = 0.9;
 
-/// At one node of many a request over the bound is admitted with probability (bound / expected) to the power
-/// 1 / this.
+/// At one node of many a request over the bound is admitted with a chance of (bound / expected)^(1 / this).
 const ADMISSION_JITTER_EXPONENT: f64 = 0.2;
 
 /// Requests in a server's queue, beside those in service, that an expected wait of the full target allows.
@@ -29,52 +24,129 @@
 /// How far to the full latency target the bound of admission moves where counts were just probed.
 const PROBED_CONFIDENCE: f64 = 0.4;
 
+/// Retries as a share of requests, so that they cannot multiply an overload.
+const RETRY_RATIO: f64 = 0.2;
+
+/// Part of its latency target that a request waits for probes.
+const PROBE_TIMEOUT_FRACTION: f64 = 0.1;
+
+/// Requests within a quota that may come in a burst at one node of many; with fewer, none would ever fit.
+const MIN_BURST: f64 = 4.0;
+
+/// Requests that a tenant may still send within the node's share of its quota.
+pub(super) struct TokenBucket {
+    rate_per_s: f64,
+    tokens: f64,
+    refilled_at: f64,
+}
+
+impl TokenBucket {
+    pub(super) fn new(rate_per_s: f64) -> Self {
+        Self { rate_per_s, tokens: f64::INFINITY, refilled_at: 0.0 }
+    }
+
+    /// Takes a token; whether there was one.
+    fn try_acquire(&mut self, now: f64) -> bool {
+        let elapsed_ms = (now - std::mem::replace(&mut self.refilled_at, now)).max(0.0);
+        self.tokens += self.rate_per_s * elapsed_ms / 1000.0;
+        self.tokens = self.tokens.min(self.rate_per_s.max(MIN_BURST));
+        let available = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(available));
+        available
+    }
+}
+
 /// `fraction`, moved towards one by `rest`.
 fn soften(fraction: f64, rest: f64) -> f64 {
     fraction + (1.0 - fraction) * rest
 }
 
 impl Balancer {
-    /// A client's request has come.
-    pub(super) fn admit(&mut self, now: f64, request: &ClientRequest, actions: &mut Vec<BalancerAction>) {
-        if request.class >= self.settings.classes.len() {
-            return actions.push(BalancerAction::Fail { request: request.id });
+    pub(super) fn admit(&mut self, cx: &mut Context, request: &ClientRequest) {
+        let (id, class, now) = (request.id, request.class, cx.now);
+        if class >= self.settings.classes.len() {
+            return cx.actions.push(BalancerAction::Fail { request: id });
         }
         self.estimates.record_arrival(now);
-        self.retry_budget.deposit();
-        let within_quota = self.quotas.try_acquire(now, request.tenant);
-        let mut max_wait = self.max_expected_wait(request.class, within_quota);
-        if self.signals.counts_are_stale {
-            // Rejections are heard of at once and from all servers, where counts are old: without this the node
-            // would fill up what remains of a fleet.
+        self.retry_tokens = (self.retry_tokens + RETRY_RATIO).min(RECENT_OUTCOMES);
+        let within_quota = self.quotas.get_mut(request.tenant).is_none_or(|bucket| bucket.try_acquire(now));
+        let mut max_wait = self.max_expected_wait(class, within_quota);
+        if self.signals.stale {
+            // Rejections are known at once, where counts are old: else what remains of a fleet would fill up.
             max_wait *= (1.0 - self.estimates.rejection_rate(now)).powf(REJECTION_EXPONENT);
-            // Where each node sees little, chance makes the sum of them admit a part rather than all or nothing.
+            // Chance makes nodes that each see little admit a part together, not all or nothing.
             max_wait /= self.random.f64().powf(ADMISSION_JITTER_EXPONENT);
         }
         let expires_at = now + request.budget_ms;
-        let pending = PendingRequest { class: request.class, expires_at, max_wait, ..Default::default() };
-        self.probe_or_dispatch(now, request, pending, actions);
+        let mut pending = PendingRequest { class, expires_at, max_wait, ..Default::default() };
+        if self.signals.probing {
+            pending.probing = self.pick(now, &pending, f64::INFINITY, self.signals.probes_per_request);
+        }
+        for &server in &pending.probing {
+            // Counts like a send until a report comes: else one that does not answer is probed for ever.
+            self.endpoints.get_mut(server).expect("in use").count.iter_mut().for_each(|count| *count += 1.0);
+            cx.actions.push(BalancerAction::Probe { server: ServerId(server) });
+        }
+        self.awaiting_probes.push(id);
+        if pending.probing.is_empty() {
+            self.pending.insert(id, pending);
+            return self.dispatch(cx, id);
+        }
+        self.pending.insert(id, pending);
+        let latency_target_ms = self.settings.classes[class].latency_target_ms;
+        cx.set_request_timer(id, latency_target_ms.min(request.budget_ms) * PROBE_TIMEOUT_FRACTION);
     }
 
-    /// The longest expected wait with which a request is still admitted: late answers must not crowd out the rest.
+    /// The probes of a request have been answered, or its timer has fired: its first attempt is due.
+    pub(super) fn dispatch(&mut self, cx: &mut Context, id: RequestId) {
+        let Some(index) = self.awaiting_probes.iter().position(|waiting| *waiting == id) else { return };
+        self.awaiting_probes.remove(index);
+        let Some(mut request) = self.pending.remove(&id) else { return };
+        // Where none of the probed servers answered, all are too busy to: nothing is sent without a report.
+        let load_known = !self.signals.probing || !request.probed.is_empty();
+        let max = usize::from(load_known && self.settings.max_attempts > 0);
+        if let Some(&server) = self.pick(cx.now, &request, request.max_wait, max).first() {
+            self.send(cx, id, server, &mut request);
+            self.pending.insert(id, request);
+        } else {
+            self.slow_start.record_choice(false);
+            self.give_up(cx, id, &request);
+        }
+    }
+
+    /// A probe was answered, or failed.
+    pub(super) fn probe_ended(&mut self, cx: &mut Context, server: usize, served: bool) {
+        let mut due = Vec::new();
+        for id in &self.awaiting_probes {
+            let request = self.pending.get_mut(id).filter(|request| request.probing.contains(&server));
+            let Some(request) = request else { continue };
+            request.probing.retain(|probed| *probed != server);
+            request.probed.extend(served.then_some(server));
+            if request.probing.is_empty() {
+                due.push(*id);
+            } else if request.probed == [server] {
+                // Only answers of the same moment are waited for: servers that answer later are busy.
+                cx.set_request_timer(*id, 0.0);
+            }
+        }
+        due.into_iter().for_each(|id| self.dispatch(cx, id));
+    }
+
+    /// The longest expected wait for which a request is admitted: late answers must not crowd out the rest.
     fn max_expected_wait(&self, class: usize, within_quota: bool) -> f64 {
+        let (estimates, overall) = (&self.estimates, &self.estimates.overall);
         // A node that has just started has no latency to reject by, unless it probes for counts.
-        if !self.signals.probes_before_send() && self.estimates.overall.samples < RECENT_OUTCOMES {
+        if !self.signals.probing && overall.samples < RECENT_OUTCOMES {
             return f64::INFINITY;
         }
         let fraction = self.target_fraction(class, within_quota);
-        // The distant target of a class of low value must not fill the queues in which worthier classes would be
-        // late: the bound is the tightest of all of at least its value.
-        let own = self.value_density(class);
-        let worthier =
-            (0..self.settings.classes.len()).filter(|k| *k == class || self.value_density(*k) > own);
-        let target =
-            |k: usize| self.settings.classes[k].latency_target_ms / self.estimates.relative_latency(k);
+        // A class of low value must not fill the queues in which others would be late: their targets count.
+        let (own, all) = (self.value_density(class), 0..self.settings.classes.len());
+        let worthier = all.filter(|k| *k == class || self.value_density(*k) > own);
+        let target = |k: usize| self.settings.classes[k].latency_target_ms / estimates.relative_latency(k);
         let in_time = worthier.map(target).fold(f64::INFINITY, f64::min) * fraction;
-        // Nor may any class fill them further than keeps servers busy: a long queue serves no more, and slows them.
-        let max_requests =
-            self.estimates.in_service.map_or(f64::INFINITY, |in_service| in_service + MAX_QUEUED * fraction);
-        let overall = &self.estimates.overall;
+        // Nor may any class fill them further than keeps servers busy: a long queue serves no more.
+        let max_requests = estimates.in_service.map_or(f64::INFINITY, |busy| busy + MAX_QUEUED * fraction);
         in_time.min(max_requests * overall.latency / overall.depth)
     }
 
@@ -84,20 +156,15 @@
         let best = (0..self.settings.classes.len()).map(|k| self.value_density(k)).fold(0.0, f64::max);
         let value = if best > 0.0 { self.value_density(class) * quota / best } else { 1.0 };
         // A late answer is no loss where it keeps some value; counts just probed need less margin.
-        let late = match self.signals.probes_before_send() {
-            true => PROBED_CONFIDENCE,
-            false => self.settings.classes[class].late_value,
-        };
-        if self.signals.counts_are_stale {
-            STALE_MAX_WAIT_FRACTION
-                * soften(soften(STALE_MIN_VALUE_FRACTION, late), value)
-                * soften(soften(MIN_VALUE_FRACTION, late), quota)
-        } else {
-            soften(MAX_WAIT_FRACTION, late) * soften(soften(MIN_VALUE_FRACTION, late), value)
+        let late_value = self.settings.classes[class].late_value;
+        let late = if self.signals.probing { PROBED_CONFIDENCE } else { late_value };
+        if !self.signals.stale {
+            return soften(MAX_WAIT_FRACTION, late) * soften(soften(MIN_VALUE_FRACTION, late), value);
         }
+        let by_value = soften(soften(STALE_MIN_VALUE_FRACTION, late), value);
+        STALE_MAX_WAIT_FRACTION * by_value * soften(soften(MIN_VALUE_FRACTION, late), quota)
     }
 
-    /// Value of a class for the time that it takes.
     fn value_density(&self, class: usize) -> f64 {
         self.settings.classes[class].value / self.estimates.relative_latency(class)
     }
--- a/src/decisions/attempts.rs
+++ b/src/decisions/attempts.rs
@@ -1,104 +1,212 @@
-//! Attempts of an admitted request: sending them, their ends, and clients that disconnect.
+//! The attempts of an admitted request until its final answer: sending, stalled attempts, retries.
 
-use super::pending::{Attempt, PendingRequest};
-use super::stalled::STALLED_IN_FLIGHT;
-use super::{request_timer, Balancer};
+use super::estimates::{OPTIMISTIC_LATENCY, REJECTION_HALF_LIFE};
+use super::{Balancer, Context};
 use crate::interface::*;
 
-/// Part of the deduplication window within which a repeat must have got its connection.
+/// Parts of the deduplication window within which a repeat must be sent, and must have got its connection.
+const MAX_SEND_WINDOW_FRACTION: f64 = 0.8;
 const MAX_CONNECT_WINDOW_FRACTION: f64 = 0.9;
 
+/// An attempt is stalled after this many latency targets (sooner, more work would be done twice than won),
+/// and this many times the answer expected of its server, which has answered nothing since.
+const MIN_STALL_TARGETS: f64 = 1.5;
+const MIN_STALL_WAITS: f64 = 3.0;
+
+/// Attempts of the node in flight at a server before one of them counts as stalled.
+const MIN_STALLED_IN_FLIGHT: usize = 3;
+
+/// One attempt of a request.
+pub(super) struct Attempt {
+    pub(super) target: ServerEntry,
+    pub(super) sent_at: f64,
+    /// Requests at its server when it was sent, as far as the node can tell.
+    pub(super) depth: f64,
+    /// From when on it may be cancelled as stalled.
+    pub(super) stalls_at: f64,
+    pub(super) in_flight: bool,
+    /// Cancelled as stalled: its end counts as a failure of its server.
+    pub(super) stalled: bool,
+}
+
+/// A request that was admitted, until its final answer and the end of its last attempt.
+#[derive(Default)]
+pub(super) struct PendingRequest {
+    pub(super) class: usize,
+    pub(super) expires_at: f64,
+    pub(super) attempts: Vec<Attempt>,
+    /// Index of the first attempt that may have run or may still run.
+    pub(super) may_have_run: Option<usize>,
+    /// The final answer was given, or the client has disconnected.
+    pub(super) answered: bool,
+    /// Servers probed before the first attempt: those that have not answered yet, and those that have.
+    pub(super) probing: Vec<usize>,
+    pub(super) probed: Vec<usize>,
+    /// The longest expected wait for which it is admitted.
+    pub(super) max_wait: f64,
+}
+
+impl PendingRequest {
+    /// The server of the last attempt, while that is in flight.
+    fn server_in_flight(&self) -> Option<usize> {
+        self.attempts.last().filter(|last| last.in_flight).map(|last| last.target.server.0)
+    }
+
+    /// Answered, and no attempt is in flight.
+    fn is_finished(&self) -> bool {
+        self.answered && self.attempts.iter().all(|attempt| !attempt.in_flight)
+    }
+
+    /// The first attempt that may have run.
+    pub(super) fn first_run(&self) -> Option<&Attempt> {
+        self.may_have_run.map(|attempt| &self.attempts[attempt])
+    }
+}
+
 impl Balancer {
     /// Starts an attempt at a server.
-    pub(super) fn send(
-        &mut self,
-        now: f64,
-        id: RequestId,
-        request: &mut PendingRequest,
-        number: usize,
-        actions: &mut Vec<BalancerAction>,
-    ) {
-        let probed = self.signals.probes_before_send();
-        let server = self.endpoints.in_use_mut(number);
-        server.in_flight += 1;
-        server.count = server.count.map(|count| count + 1.0);
-        let in_flight = server.in_flight;
-        let depth = server.count.filter(|_| probed).unwrap_or(in_flight as f64);
-        let (zone, cell) = (server.entry.zone, server.entry.cell);
-        let stall_ms = self.stall_ms(request.class, in_flight);
-        request.attempts.push(Attempt {
-            server: number,
-            zone,
-            cell,
-            sent_at: now,
-            depth,
-            in_flight: true,
-            stalls_at: now + stall_ms,
-            cancelled_as_stalled: false,
-        });
-        let within_ms = self.send_within_ms(now, request);
-        actions.push(BalancerAction::Send { request: id, server: ServerId(number), within_ms });
-        if self.may_cancel_later(now + stall_ms, request, in_flight) {
-            actions.push(BalancerAction::SetTimer { timer: request_timer(id), after_ms: stall_ms });
+    pub(super) fn send(&mut self, cx: &mut Context, id: RequestId, to: usize, request: &mut PendingRequest) {
+        let target = self.endpoints.get_mut(to).expect("in use");
+        target.in_flight += 1;
+        target.count = target.count.map(|count| count + 1.0);
+        let sent = target.in_flight;
+        let depth = target.count.filter(|_| self.signals.probing).unwrap_or(sent as f64);
+        let target = target.entry.clone();
+        let overall = &self.estimates.overall;
+        let expected_wait = sent as f64 * overall.latency / overall.depth.max(1.0);
+        let class = &self.settings.classes[request.class];
+        let stall_ms = (class.latency_target_ms * MIN_STALL_TARGETS).max(expected_wait * MIN_STALL_WAITS);
+        let (sent_at, stalls_at) = (cx.now, cx.now + stall_ms);
+        let attempt = Attempt { target, sent_at, depth, stalls_at, in_flight: true, stalled: false };
+        request.attempts.push(attempt);
+        let window = request.first_run().zip(class.idempotency.window_ms());
+        let within_ms = window.map(|(first, ms)| first.sent_at + ms * MAX_CONNECT_WINDOW_FRACTION - cx.now);
+        cx.actions.push(BalancerAction::Send { request: id, server: ServerId(to), within_ms });
+        let may_stall = sent >= MIN_STALLED_IN_FLIGHT && stalls_at < request.expires_at;
+        let may_cancel = self.settings.cancel && request.attempts.len() < self.settings.max_attempts;
+        if may_stall && may_cancel && self.may_repeat(stalls_at, request, true) {
+            cx.set_request_timer(id, stall_ms);
         }
     }
 
-    /// Whether the last attempt could be cancelled as stalled at `stalls_at`, with time left for another.
-    fn may_cancel_later(&self, stalls_at: f64, request: &PendingRequest, in_flight: usize) -> bool {
-        let attempts_left = request.attempts.len() < self.settings.max_attempts;
-        self.settings.cancel
-            && attempts_left
-            && in_flight >= STALLED_IN_FLIGHT
-            && stalls_at < request.expires_at
-            && self.may_repeat(stalls_at, request, true)
+    /// The timer of a request fired: cancels the stalled attempts at the server that it waits for.
+    pub(super) fn cancel_stalled(&mut self, cx: &mut Context, id: RequestId) {
+        let Some(server) = self.pending.get(&id).and_then(PendingRequest::server_in_flight) else { return };
+        let waiting = self.pending.iter().filter(|(_, request)| request.server_in_flight() == Some(server));
+        let mut waiting: Vec<RequestId> = waiting.map(|(id, _)| *id).collect();
+        waiting.sort_unstable();
+        for id in waiting {
+            let Some(mut request) = self.pending.remove(&id) else { continue };
+            if let Some(attempt) = self.stalled_attempt(cx.now, &mut request) {
+                request.attempts[attempt].stalled = true;
+                cx.actions.push(BalancerAction::Cancel { request: id, attempt });
+            }
+            self.pending.insert(id, request);
+        }
     }
 
-    /// Time within which a repeat must be on its way, where its deduplication window sets a limit.
-    fn send_within_ms(&self, now: f64, request: &PendingRequest) -> Option<f64> {
-        match (request.first_run(), self.settings.classes[request.class].idempotency) {
-            (Some(first), Idempotency::Keyed { window_ms, .. }) => {
-                Some(first.sent_at + window_ms * MAX_CONNECT_WINDOW_FRACTION - now)
-            }
-            _ => None,
+    /// The attempt of a request that is to be cancelled, if any: one that another server may repeat.
+    fn stalled_attempt(&mut self, now: f64, request: &mut PendingRequest) -> Option<usize> {
+        let last = request.attempts.len().checked_sub(1)?;
+        let attempt = &request.attempts[last];
+        let due = attempt.in_flight && !attempt.stalled && now >= attempt.stalls_at;
+        let server = self.endpoints.get(attempt.target.server.0)?;
+        let silent = server.last_answer_at < attempt.sent_at && server.in_flight >= MIN_STALLED_IN_FLIGHT;
+        let may_retry = last + 1 < self.settings.max_attempts && self.retry_tokens >= 1.0;
+        let may_cancel = self.settings.cancel && !request.answered;
+        if !(due && silent && may_retry && may_cancel && self.may_repeat(now, request, true)) {
+            return None;
         }
+        let (may_have_run, server) = (request.may_have_run, attempt.target.server.0);
+        request.may_have_run = may_have_run.or(Some(last));
+        let next = self.pick(now, request, f64::INFINITY, 1);
+        request.may_have_run = may_have_run;
+        next.first().is_some_and(|next| *next != server).then_some(last)
     }
 
-    /// An attempt ended.
-    pub(super) fn attempt_ended(&mut self, now: f64, end: &AttemptEnd, actions: &mut Vec<BalancerAction>) {
+    pub(super) fn attempt_ended(&mut self, cx: &mut Context, end: &AttemptEnd) {
         let id = end.request;
-        let Some(mut request) = self.pending.take(id) else { return };
+        let Some(mut request) = self.pending.remove(&id) else { return };
         let Some(attempt) = request.attempts.get_mut(end.attempt).filter(|attempt| attempt.in_flight) else {
-            return self.pending.insert(id, request);
+            return drop(self.pending.insert(id, request));
         };
         attempt.in_flight = false;
-        let server = attempt.server;
-        if let Some(report) = &end.report {
-            self.record_load_report(now, server, report);
-        }
-        self.record_attempt_end(now, request.class, &request.attempts[end.attempt], end, actions);
+        let server = attempt.target.server.0;
+        end.report.iter().for_each(|report| self.record_load_report(cx.now, server, report));
+        self.record_end(cx, request.class, &request.attempts[end.attempt], end);
         if end.outcome.may_have_run() && request.may_have_run.is_none() {
             request.may_have_run = Some(end.attempt);
         }
         if end.complete {
             request.answered = true;
         } else if !request.answered {
-            self.retry_or_give_up(now, id, &mut request, actions);
+            self.retry_or_give_up(cx, id, &mut request);
         }
         if !request.is_finished() {
             self.pending.insert(id, request);
         }
     }
 
+    /// Whether another attempt may follow those that may have run, with the last among them for `with_last`.
+    fn may_repeat(&self, now: f64, request: &PendingRequest, with_last: bool) -> bool {
+        let last = request.attempts.last().filter(|_| with_last);
+        let Some(first) = request.first_run().or(last) else { return true };
+        let idempotency = self.settings.classes[request.class].idempotency;
+        let in_window = |window_ms: f64| now - first.sent_at < window_ms * MAX_SEND_WINDOW_FRACTION;
+        idempotency == Idempotency::Safe || idempotency.window_ms().is_some_and(in_window)
+    }
+
+    /// Another attempt where class, time and budget allow it, else the final answer.
+    fn retry_or_give_up(&mut self, cx: &mut Context, id: RequestId, request: &mut PendingRequest) {
+        let attempts_left = request.attempts.len() < self.settings.max_attempts;
+        let in_budget = attempts_left && self.retry_tokens >= 1.0;
+        if in_budget && cx.now < request.expires_at && self.may_repeat(cx.now, request, false) {
+            // Bounds servers that fill up with what others rejected (incident ia94218, big days).
+            let bounded = self.signals.probing || self.signals.stale;
+            let max_wait = if bounded { request.max_wait } else { f64::INFINITY };
+            if let Some(&server) = self.pick(cx.now, request, max_wait, 1).first() {
+                self.retry_tokens -= 1.0;
+                return self.send(cx, id, server, request);
+            }
+            self.slow_start.record_choice(false);
+        }
+        self.give_up(cx, id, request);
+        request.answered = true;
+    }
+
+    /// The final answer for a request that is not served: a rejection only where a client's retry is safe.
+    pub(super) fn give_up(&mut self, cx: &mut Context, id: RequestId, request: &PendingRequest) {
+        let idempotency = self.settings.classes[request.class].idempotency;
+        let retry_is_safe = request.may_have_run.is_none() || idempotency.allows_repeat_anywhere();
+        let retry_after_ms = self.settings.max_retry_after_ms.map(|max| self.retry_after_ms(cx.now).min(max));
+        let reject = BalancerAction::Reject { request: id, retry_after_ms };
+        cx.actions.push(if retry_is_safe { reject } else { BalancerAction::Fail { request: id } });
+    }
+
+    /// When a rejected client should retry, in milliseconds from now.
+    fn retry_after_ms(&self, now: f64) -> f64 {
+        let (estimates, overall) = (&self.estimates, &self.estimates.overall);
+        // As long as a server takes for one of its requests: the next slot is free by then.
+        let unknown = estimates.latency_target * OPTIMISTIC_LATENCY;
+        let service_ms = if overall.samples > 0.0 { overall.latency / overall.depth } else { unknown };
+        if !self.signals.stale {
+            return service_ms;
+        }
+        // A node of many rejects until the servers have worked off their load, longer where they reject, too.
+        let rejecting_ms = estimates.rejection_rate(now) * REJECTION_HALF_LIFE * estimates.latency_target;
+        service_ms * estimates.load_level(now) + rejecting_ms
+    }
+
     /// A client disconnected: its attempts are cancelled, where that is allowed.
-    pub(super) fn client_disconnected(&mut self, id: RequestId, actions: &mut Vec<BalancerAction>) {
-        let Some(request) = self.pending.get_mut(id) else { return };
+    pub(super) fn client_disconnected(&mut self, cx: &mut Context, id: RequestId) {
+        let Some(request) = self.pending.get_mut(&id) else { return };
         request.answered = true;
         if self.settings.cancel {
             let in_flight = request.attempts.iter().enumerate().filter(|(_, attempt)| attempt.in_flight);
-            actions.extend(in_flight.map(|(attempt, _)| BalancerAction::Cancel { request: id, attempt }));
+            cx.actions.extend(in_flight.map(|(attempt, _)| BalancerAction::Cancel { request: id, attempt }));
         }
         if request.is_finished() {
-            self.pending.take(id);
+            self.pending.remove(&id);
         }
     }
 }
--- a/src/decisions/endpoint_table.rs
+++ b/src/decisions/endpoint_table.rs
@@ -3,8 +3,7 @@
 use std::collections::HashMap;
 
 use super::estimates::Pace;
-use crate::interface::*;
-use crate::ring::{Ring, RingEntry};
+use crate::{interface::*, ring::Ring, ring::RingEntry};
 
 /// With more entries than this at once the ring is rebuilt: moving each one alone would cost more.
 const MAX_RING_MOVES: usize = 300;
@@ -13,16 +12,13 @@
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) entry: ServerEntry,
-    /// The array of HSQ: the last load report and what this node has sent since.
+    /// The array of HSQ: the last load report and what this node has sent since; and when that report came.
     pub(super) count: Option<f64>,
-    /// When the last load report came.
     pub(super) reported_at: Option<f64>,
-    /// This node's attempts in flight.
+    /// This node's attempts in flight; while there are any, the server stays in the table.
     pub(super) in_flight: usize,
     pub(super) pace: Pace,
-    /// Failures in a row, none served between them.
     pub(super) consecutive_failures: u32,
-    /// When it last gave any answer.
     pub(super) last_answer_at: f64,
     /// Set while it is ejected; once this time has passed it is on trial until a request is served.
     pub(super) ejected_until: Option<f64>,
@@ -33,22 +29,14 @@
     pub(super) fn age(&self, now: f64) -> f64 {
         now - self.entry.started_at.unwrap_or(f64::NEG_INFINITY)
     }
-
-    /// Removed and with nothing in flight: no event can concern it any more.
-    fn is_unreferenced(&self) -> bool {
-        self.entry.availability == Availability::Removed && self.in_flight == 0
-    }
 }
 
-/// The servers and the ring of the ready ones.
-///
-/// Server numbers grow for ever; slots are reused, so the table grows with the fleet only.
+/// The servers and the ring of the ready ones. Server numbers grow for ever; slots are reused.
 pub(super) struct EndpointTable {
     pub(super) slots: Vec<Server>,
     free: Vec<usize>,
     slot_of: HashMap<usize, usize>,
     pub(super) ring: Ring,
-    /// The node's own zone.
     zone: usize,
 }
 
@@ -65,37 +53,36 @@
         self.slot_of.get(&server).map(|slot| &mut self.slots[*slot])
     }
 
-    /// A server that has attempts in flight, or was selected just now.
-    ///
-    /// # Panics
-    ///
-    /// Panics where there is no such server: a server stays in the table while anything is in flight to it.
-    pub(super) fn in_use_mut(&mut self, server: usize) -> &mut Server {
-        self.get_mut(server).expect("a server with attempts in flight is in the table")
-    }
-
-    /// Removes a server that is no longer listed once nothing is in flight to it; whether it did.
+    /// Removes a server that is no longer listed, unless an attempt is in flight to it; whether it did.
     pub(super) fn remove_unreferenced(&mut self, server: usize) -> bool {
-        let Some(&slot) = self.slot_of.get(&server) else { return false };
-        if !self.slots[slot].is_unreferenced() {
-            return false;
+        let listed = |server: &Server| server.entry.availability != Availability::Removed;
+        let unreferenced = self.get(server).is_some_and(|server| server.in_flight == 0 && !listed(server));
+        if let Some(slot) = unreferenced.then(|| self.slot_of.remove(&server)).flatten() {
+            self.slots[slot] = Server::default();
+            self.free.push(slot);
         }
-        self.slot_of.remove(&server);
-        self.slots[slot] = Server::default();
-        self.free.push(slot);
-        true
+        unreferenced
     }
 
-    /// Takes entries of an update; where it is `complete`, servers that it does not name are removed.
+    /// Takes the entries of an update; where it is `complete`, servers that it does not name are removed.
     pub(super) fn update(&mut self, entries: Vec<ServerEntry>, complete: bool) {
         let rebuild = complete || entries.len() > MAX_RING_MOVES;
-        if complete {
-            self.slots.iter_mut().for_each(|server| server.entry.availability = Availability::Removed);
+        for server in self.slots.iter_mut().filter(|_| complete) {
+            server.entry.availability = Availability::Removed;
         }
-        let mut updated = Vec::with_capacity(entries.len());
+        let mut updated: Vec<usize> = entries.iter().map(|entry| entry.server.0).collect();
         for entry in entries {
-            updated.push(entry.server.0);
-            self.update_one(entry, rebuild);
+            let slot = self.slot(entry.server.0);
+            let from = self.ring_entry(slot).filter(|_| !rebuild);
+            let server = &mut self.slots[slot];
+            // What was learned of a process does not hold for its successor.
+            if server.entry.started_at != entry.started_at {
+                *server = Server { in_flight: server.in_flight, ..Server::default() };
+            }
+            server.entry = entry;
+            if !rebuild {
+                self.ring.shift(from, self.ring_entry(slot));
+            }
         }
         if complete {
             updated = self.slot_of.keys().copied().collect();
@@ -104,28 +91,11 @@
             self.remove_unreferenced(server);
         }
         if rebuild {
-            let entries = (0..self.slots.len()).filter_map(|slot| self.ring_entry(slot));
-            let entries: Vec<_> = entries.collect();
-            self.ring.rebuild(entries.into_iter());
-        }
-    }
-
-    fn update_one(&mut self, entry: ServerEntry, rebuild: bool) {
-        let slot = self.slot(entry.server.0);
-        let from = self.ring_entry(slot).filter(|_| !rebuild);
-        let server = &mut self.slots[slot];
-        // What was learned of a process does not hold for its successor.
-        if server.entry.started_at != entry.started_at {
-            *server = Server { in_flight: server.in_flight, ..Server::default() };
-        }
-        server.entry = entry;
-        if !rebuild {
-            let to = self.ring_entry(slot);
-            self.ring.shift(from, to);
+            let entries = (0..self.slots.len()).filter_map(|slot| self.ring_entry(slot)).collect();
+            self.ring.rebuild(entries);
         }
     }
 
-    /// The slot of a server, an empty one where it is new.
     fn slot(&mut self, server: usize) -> usize {
         *self.slot_of.entry(server).or_insert_with(|| {
             self.free.pop().unwrap_or_else(|| {
--- a/src/decisions/estimates.rs
+++ b/src/decisions/estimates.rs
@@ -1,34 +1,31 @@
 //! Running estimates: the pace of servers and classes, the load level of the fleet, rejections and arrivals.
-//!
-//! Times are milliseconds. Half-lives are given in mean latency targets of the classes, the time scale of all
-//! estimates.
+//! Times are milliseconds; half-lives are given in mean latency targets of the classes.
 
 use crate::interface::*;
 
 /// Outcomes that count in a running mean of one server; four times as many in one over all servers.
 pub(super) const RECENT_OUTCOMES: f64 = 16.0;
 
-/// Outcomes that the knowledge about all servers weighs as much as.
+/// Outcomes that weigh as much as the knowledge about all servers.
 const PRIOR_WEIGHT: f64 = 4.0;
 
-/// The load level follows new reports with this half-life ...
+/// The load level follows new reports with this half-life, though each moves it by this part at least.
 const LEVEL_GAIN_HALF_LIFE: f64 = 2.0;
-
-/// ... though each report moves it by this part at least.
 const MIN_LEVEL_GAIN: f64 = 0.15;
 
 /// Without reports the load level falls to that of an idle fleet with this half-life, so that rejecting ends.
 const LEVEL_DECAY_HALF_LIFE: f64 = 6.0;
 
-/// Latency that is assumed at the most where nothing recent is known, in mean latency targets.
+/// Latency that is assumed at the most where nothing recent is known.
 pub(super) const OPTIMISTIC_LATENCY: f64 = 0.25;
 
-/// Half-life of the rejected part of attempts. Attempts slow down where servers go on rejecting.
+/// Half-life of the rejected part of attempts, and how many attempts it is averaged over.
 pub(super) const REJECTION_HALF_LIFE: f64 = 20.0;
-
-/// Attempts over which the rejected part is averaged.
 const REJECTION_WINDOW: f64 = 6.0;
 
+/// Requests that an idle server reports: the one that it has just answered.
+pub(super) const IDLE_REQUESTS: f64 = 1.0;
+
 /// A server is not believed to hold more than this: a count of that size would never be the lowest again.
 const MAX_REPORTED_REQUESTS: f64 = 100_000.0;
 
@@ -37,25 +34,24 @@
     0.5_f64.powf(elapsed / half_life)
 }
 
-/// Latency in milliseconds, and the requests that the server had meanwhile.
-#[derive(Clone, Copy, Debug)]
+/// A latency, and the requests that the server had meanwhile.
+#[derive(Clone, Copy)]
 pub(super) struct LatencyAtDepth {
     pub(super) latency: f64,
     pub(super) depth: f64,
 }
 
-/// Running means of the latency, and of how many requests the server had meanwhile.
+/// Running means of the latency and the depth, with the weight of the samples in them.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Pace {
     pub(super) latency: f64,
     pub(super) depth: f64,
-    /// Weight of the outcomes in the means.
     pub(super) samples: f64,
     updated_at: f64,
 }
 
 impl Pace {
-    /// The weight that the means still have: a fault long past must not decide, since little would correct it.
+    /// The weight that the means still have: a fault long past must not decide.
     fn weight(&self, now: f64, half_life: f64) -> f64 {
         self.samples * decay(now - self.updated_at, half_life)
     }
@@ -75,59 +71,30 @@
     }
 }
 
-/// Requests at a server of late, over all servers that this node gets reports from.
-#[derive(Clone, Copy)]
-pub(super) struct LoadLevel {
-    requests: f64,
-    updated_at: f64,
-}
-
-impl LoadLevel {
-    /// What an idle server reports: the request that it has just answered.
-    pub(super) const IDLE: f64 = 1.0;
-
-    fn add(&mut self, now: f64, latency_target: f64, reported: f64) {
-        let kept = decay(now - self.updated_at, LEVEL_GAIN_HALF_LIFE * latency_target);
-        let kept = kept.min(1.0 - MIN_LEVEL_GAIN);
-        *self = Self { requests: reported + (self.requests - reported) * kept, updated_at: now };
-    }
-
-    fn at(&self, now: f64, latency_target: f64) -> f64 {
-        let kept = decay(now - self.updated_at, LEVEL_DECAY_HALF_LIFE * latency_target);
-        Self::IDLE + (self.requests - Self::IDLE) * kept
-    }
-}
-
-/// Estimates over all servers.
+/// Estimates over all servers. The latency target is the mean of the classes'.
+#[derive(Default)]
 pub(super) struct Estimates {
-    /// Mean latency target of the classes.
     pub(super) latency_target: f64,
     classes: Vec<Pace>,
     pub(super) overall: Pace,
-    load_level: LoadLevel,
+    /// Requests at a server of late, over all servers with reports, and when the last report came.
+    load_level: f64,
+    reported_at: f64,
     /// Requests that a server works on beside those in its queue, of late, where reports tell both apart.
     pub(super) in_service: Option<f64>,
     /// Part of the attempts that full servers rejected, of late, and when the last attempt ended.
     rejected: f64,
     rejected_at: f64,
-    /// Mean time between requests.
+    /// Mean time between requests, and when the last one came.
     pub(super) arrival_gap: f64,
     last_arrival: f64,
 }
 
 impl Estimates {
     pub(super) fn new(settings: &DecisionSettings) -> Self {
-        Self {
-            latency_target: settings.mean_latency_target_ms(),
-            classes: vec![Pace::default(); settings.classes.len()],
-            overall: Pace::default(),
-            load_level: LoadLevel { requests: LoadLevel::IDLE, updated_at: 0.0 },
-            in_service: None,
-            rejected: 0.0,
-            rejected_at: 0.0,
-            arrival_gap: 0.0,
-            last_arrival: 0.0,
-        }
+        let latency_target = settings.mean_latency_target_ms();
+        let classes = vec![Pace::default(); settings.classes.len()];
+        Self { latency_target, classes, load_level: IDLE_REQUESTS, ..Self::default() }
     }
 
     pub(super) fn record_arrival(&mut self, now: f64) {
@@ -137,9 +104,9 @@
     }
 
     pub(super) fn record_latency(&mut self, now: f64, class: usize, sample: LatencyAtDepth) {
-        let max_samples = 4.0 * RECENT_OUTCOMES;
-        self.classes[class].add(now, f64::INFINITY, max_samples, sample);
-        self.overall.add(now, f64::INFINITY, max_samples, sample);
+        for pace in [&mut self.classes[class], &mut self.overall] {
+            pace.add(now, f64::INFINITY, 4.0 * RECENT_OUTCOMES, sample);
+        }
     }
 
     /// How much longer a class takes than the mean request.
@@ -155,31 +122,31 @@
 
     pub(super) fn record_rejection(&mut self, now: f64, rejected: bool) {
         let rate = self.rejection_rate(now);
-        let sample = if rejected { 1.0 } else { 0.0 };
-        self.rejected = rate + (sample - rate) / REJECTION_WINDOW;
+        self.rejected = rate + (f64::from(u8::from(rejected)) - rate) / REJECTION_WINDOW;
         self.rejected_at = now;
     }
 
     /// Requests at a server at `now`, over all servers.
     pub(super) fn load_level(&self, now: f64) -> f64 {
-        self.load_level.at(now, self.latency_target)
-    }
-
-    pub(super) fn record_load(&mut self, now: f64, requests: f64) {
-        self.load_level.add(now, self.latency_target, requests);
+        let kept = decay(now - self.reported_at, LEVEL_DECAY_HALF_LIFE * self.latency_target);
+        IDLE_REQUESTS + (self.load_level - IDLE_REQUESTS) * kept
     }
 
-    /// Takes how many of a server's requests it works on, rather than queues.
-    pub(super) fn record_in_service(&mut self, in_service: f64) {
-        let mean = self.in_service.get_or_insert(in_service);
-        *mean += (in_service - *mean) / RECENT_OUTCOMES;
+    /// Records a report of so many requests at a server, and how many of them it works on, if it says so.
+    pub(super) fn record_load(&mut self, now: f64, requests: f64, in_service: Option<f64>) {
+        let kept = decay(now - self.reported_at, LEVEL_GAIN_HALF_LIFE * self.latency_target);
+        self.load_level = requests + (self.load_level - requests) * kept.min(1.0 - MIN_LEVEL_GAIN);
+        self.reported_at = now;
+        if let Some(in_service) = in_service {
+            let mean = self.in_service.get_or_insert(in_service);
+            *mean += (in_service - *mean) / RECENT_OUTCOMES;
+        }
     }
 }
 
-/// The requests that a report says its server has. A queue is reported without the requests in service; where
-/// `counts_are_stale`, the request that has just been answered was one of those.
-pub(super) fn reported_requests(report: &LoadReport, counts_are_stale: bool) -> Option<f64> {
-    let in_service = if counts_are_stale { LoadLevel::IDLE } else { 0.0 };
+/// The requests that a report says its server has; with `stale` counts a queue excludes those in service.
+pub(super) fn reported_requests(report: &LoadReport, stale: bool) -> Option<f64> {
+    let in_service = if stale { IDLE_REQUESTS } else { 0.0 };
     let requests = report.in_flight.or(report.queued.map(|queued| queued + in_service));
     requests.filter(|requests| *requests <= MAX_REPORTED_REQUESTS)
 }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,24 +1,4 @@
-//! Every decision of a node. The types it is fed and answers with are in `src/interface`.
-//!
-//! [`Balancer`] holds the state and hands each event to the module that decides about it. The state is split by
-//! owner: each part below has its own methods, and only the module that defines it writes its fields.
-//!
-//! | module | concern |
-//! | --- | --- |
-//! | `admission` | whether a request is admitted, and the longest wait it is admitted for |
-//! | `attempts` | sending attempts, their ends, clients that disconnect |
-//! | `endpoint_table` | the table of servers and the ring they are selected from |
-//! | `estimates` | running estimates of latency, load, rejections and arrivals |
-//! | `expectation` | the wait that a request would see at a server |
-//! | `health` | what the end of an attempt says about its server; outlier ejection |
-//! | `pending` | the state of a request until its final answer |
-//! | `probing` | probes of a few servers before the first attempt |
-//! | `quota` | token buckets of the tenants |
-//! | `retry` | the retry budget, further attempts and the final answer |
-//! | `selection` | the ordinary path, HSQ: which server gets a request |
-//! | `slow_start` | the share of requests that a warming server is offered |
-//! | `stalled` | cancelling attempts at servers that stopped answering |
-//! | `subscription` | updates of the server list and the subscription to them |
+//! Every decision of a node: [`Balancer`] hands each event to the module that decides about it.
 
 mod admission;
 mod attempts;
@@ -26,24 +6,15 @@
 mod estimates;
 mod expectation;
 mod health;
-mod pending;
-mod probing;
-mod quota;
-mod retry;
 mod selection;
 mod slow_start;
-mod stalled;
 mod subscription;
 
-use self::endpoint_table::EndpointTable;
-use self::estimates::Estimates;
-use self::pending::PendingRequests;
-use self::quota::TenantQuotas;
-use self::retry::RetryBudget;
-use self::slow_start::SlowStart;
-use self::subscription::Subscription;
-use crate::interface::*;
-use crate::ring::Ring;
+use std::collections::HashMap;
+
+use self::{admission::TokenBucket, attempts::PendingRequest, endpoint_table::EndpointTable};
+use self::{estimates::Estimates, slow_start::SlowStart, subscription::Subscription};
+use crate::{interface::*, ring::Ring};
 
 /// About how many nodes share a server: connections stay few and warm, and each node meets its servers often.
 const NODES_PER_SERVER: f64 = 12.0;
@@ -57,21 +28,28 @@
 /// Part of the result that may be spent on probing servers before each send.
 const PROBE_BUDGET: f64 = 0.008;
 
-/// The timer of the next subscription. Timers above it belong to the request of that number less one, whose
-/// servers were probed or whose attempt may have stalled.
+/// The timer of the next subscription. A request has the timer of its number plus one.
 const RESUBSCRIBE_TIMER: u64 = 0;
 
-/// The timer of a request; see [`RESUBSCRIBE_TIMER`].
-fn request_timer(id: RequestId) -> u64 {
-    id.0 + 1
+/// What a handler gets beside its event: the time in milliseconds, and where its actions go.
+struct Context<'a> {
+    now: f64,
+    actions: &'a mut Vec<BalancerAction>,
+}
+
+impl Context<'_> {
+    fn set_request_timer(&mut self, id: RequestId, after_ms: f64) {
+        self.actions.push(BalancerAction::SetTimer { timer: id.0 + 1, after_ms });
+    }
 }
 
 /// What this node knows of the servers' load, fixed by the settings.
 struct LoadSignals {
-    /// Servers that are probed before the first attempt of each request; zero where none are.
+    /// Servers that are probed before the first attempt of each request, and whether any are.
     probes_per_request: usize,
-    /// Other nodes send to the same servers unseen and nobody probes, so reported counts are out of date.
-    counts_are_stale: bool,
+    probing: bool,
+    /// Other nodes send to the same servers unseen and nobody probes: reported counts are out of date.
+    stale: bool,
     /// Whether load reports come, with responses or with the probes before each send.
     reports_arrive: bool,
 }
@@ -80,21 +58,13 @@
     fn new(settings: &DecisionSettings) -> Self {
         // None are probed where a few nodes' responses keep counts fresh, or where peers may talk.
         let outdated = !settings.responses_carry_load || settings.nodes as f64 > NODES_PER_SERVER;
-        // A probe that costs more than the budget is left out: all nodes probe before each send and pay its
-        // price for every request, and the one server that is probed then stands for all.
+        // All nodes pay the price of a probe for every request. Without reports probing is of no use.
         let affordable = (PROBE_BUDGET / settings.probe_price).clamp(0.0, MIN_SUBSET_SIZE as f64) as usize;
-        // Without reports a count is never overwritten and rises until everything is rejected.
         let useful = settings.probes && settings.probes_carry_load && !settings.peers && outdated;
         let probes_per_request = if useful { affordable } else { 0 };
-        Self {
-            probes_per_request,
-            counts_are_stale: probes_per_request == 0 && settings.nodes > 1,
-            reports_arrive: settings.responses_carry_load || probes_per_request > 0,
-        }
-    }
-
-    fn probes_before_send(&self) -> bool {
-        self.probes_per_request > 0
+        let probing = probes_per_request > 0;
+        let reports_arrive = settings.responses_carry_load || probing;
+        Self { probes_per_request, probing, stale: !probing && settings.nodes > 1, reports_arrive }
     }
 }
 
@@ -106,57 +76,57 @@
     signals: LoadSignals,
     endpoints: EndpointTable,
     subscription: Subscription,
-    pending: PendingRequests,
+    pending: HashMap<RequestId, PendingRequest>,
+    /// Requests whose first attempt waits for probes, in order of arrival.
+    awaiting_probes: Vec<RequestId>,
     estimates: Estimates,
-    quotas: TenantQuotas,
-    retry_budget: RetryBudget,
+    /// What each tenant may still send within its quota.
+    quotas: Vec<TokenBucket>,
+    /// Retries that may still be made; each request adds a fraction of one.
+    retry_tokens: f64,
     slow_start: SlowStart,
 }
 
 impl Balancer {
-    /// A balancer that has no servers yet.
-    ///
-    /// # Errors
-    ///
-    /// Names the first setting that is out of range.
+    /// A balancer that has no servers yet. The error names the first setting that is out of range.
     pub fn new(settings: DecisionSettings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        // Each node uses an equal subset, from a position of its own, of a ring that all nodes order alike.
-        // Otherwise each node would connect to each server and see too few reports of any of them.
-        let ring = Ring::new(
-            ((settings.node_index + 1) as f64 * GOLDEN_RATIO_FRACTION).fract(),
-            NODES_PER_SERVER / settings.nodes as f64,
-            MIN_SUBSET_SIZE,
-        );
+        // Each node uses an equal subset of a ring that all nodes order alike, from a position of its own.
+        let start = ((settings.node_index + 1) as f64 * GOLDEN_RATIO_FRACTION).fract();
+        let ring = Ring::new(start, NODES_PER_SERVER / settings.nodes as f64, MIN_SUBSET_SIZE);
+        let bucket = |quota: &f64| TokenBucket::new(quota / settings.nodes as f64);
         Ok(Self {
             random: fastrand::Rng::with_seed(seed),
             signals: LoadSignals::new(&settings),
             endpoints: EndpointTable::new(ring, settings.zone),
             subscription: Subscription::default(),
-            pending: PendingRequests::default(),
+            pending: HashMap::new(),
+            awaiting_probes: Vec::new(),
             estimates: Estimates::new(&settings),
-            quotas: TenantQuotas::new(&settings),
-            retry_budget: RetryBudget::new(settings.max_attempts),
-            slow_start: SlowStart::new(),
+            quotas: settings.quotas_per_s.iter().map(bucket).collect(),
+            retry_tokens: settings.max_attempts as f64,
+            slow_start: SlowStart { warm_share: 1.0, warm_servers: 0.0 },
             settings,
         })
     }
 
-    /// Takes one event that happened at `now`, in milliseconds of a clock that never runs backwards, and appends
-    /// the actions to carry out. Events about unknown requests, servers or timers are ignored.
+    /// Takes one event that happened at `now`, in milliseconds of a clock that never runs backwards, and
+    /// appends the actions to carry out. Events about unknown requests, servers or timers are ignored.
     pub fn handle(&mut self, now: f64, event: BalancerEvent, actions: &mut Vec<BalancerAction>) {
+        let cx = &mut Context { now, actions };
         match event {
-            BalancerEvent::EndpointsUpdated(update) => self.update_endpoints(update, actions),
-            BalancerEvent::RequestArrived(request) => self.admit(now, &request, actions),
-            BalancerEvent::AttemptEnded(end) => self.attempt_ended(now, &end, actions),
-            BalancerEvent::ClientDisconnected(id) => self.client_disconnected(id, actions),
-            BalancerEvent::TimerFired(RESUBSCRIBE_TIMER) => self.subscription.retry(actions),
+            BalancerEvent::EndpointsUpdated(update) => self.update_endpoints(cx, update),
+            BalancerEvent::RequestArrived(request) => self.admit(cx, &request),
+            BalancerEvent::AttemptEnded(end) => self.attempt_ended(cx, &end),
+            BalancerEvent::ClientDisconnected(id) => self.client_disconnected(cx, id),
+            BalancerEvent::TimerFired(RESUBSCRIBE_TIMER) => self.subscription.retry(cx),
             BalancerEvent::TimerFired(timer) => {
-                self.dispatch(now, RequestId(timer - 1), actions);
-                self.cancel_stalled(now, RequestId(timer - 1), actions);
+                self.dispatch(cx, RequestId(timer - 1));
+                self.cancel_stalled(cx, RequestId(timer - 1));
             }
             BalancerEvent::ProbeEnded { server, outcome, report } => {
-                self.probe_ended(now, server, outcome, report, actions);
+                report.iter().for_each(|report| self.record_load_report(now, server.0, report));
+                self.probe_ended(cx, server.0, outcome == AttemptOutcome::Served);
             }
             BalancerEvent::StreamStarted { .. } => {}
         }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -2,6 +2,8 @@
 
 use std::fmt;
 
+use super::ServerEntry;
+
 /// The servers that share one deduplication table for requests with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
@@ -29,6 +31,34 @@
     Unsafe,
 }
 
+impl Idempotency {
+    /// Whether a request that may have run at `first` may be sent to `other`.
+    #[must_use]
+    pub fn allows_repeat(self, first: &ServerEntry, other: &ServerEntry) -> bool {
+        match self {
+            Self::Safe | Self::Keyed { group: DeduplicationScope::All, .. } => true,
+            Self::Keyed { group: DeduplicationScope::Zone, .. } => first.zone == other.zone,
+            Self::Keyed { group: DeduplicationScope::Cell, .. } => first.cell == other.cell,
+            Self::Unsafe => false,
+        }
+    }
+
+    /// Whether a request that may have run may be sent to any server.
+    #[must_use]
+    pub fn allows_repeat_anywhere(self) -> bool {
+        matches!(self, Self::Safe | Self::Keyed { group: DeduplicationScope::All, .. })
+    }
+
+    /// For how long repeats are discarded, in milliseconds, where they are.
+    #[must_use]
+    pub fn window_ms(self) -> Option<f64> {
+        match self {
+            Self::Keyed { window_ms, .. } => Some(window_ms),
+            Self::Safe | Self::Unsafe => None,
+        }
+    }
+}
+
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,7 +8,15 @@
 //! | module | job |
 //! | --- | --- |
 //! | `interface` | settings, events and actions of the decisions; re-exported here |
-//! | `decisions` | the decisions, [`Balancer`] |
+//! | `decisions` | the decisions, [`Balancer`]; its submodules: |
+//! | `decisions::admission` | whether a request is admitted; probes before its first attempt |
+//! | `decisions::selection` | the ordinary path, HSQ: which server gets a request |
+//! | `decisions::expectation` | the wait that a request would see at a server |
+//! | `decisions::attempts` | attempts, retries, stalled attempts and the final answer |
+//! | `decisions::health` | what the end of an attempt says about its server; outlier ejection |
+//! | `decisions::slow_start` | the share of requests that a warming server is offered |
+//! | `decisions::estimates` | running estimates of latency, load, rejections and arrivals |
+//! | `decisions::endpoint_table`, `decisions::subscription` | the servers, and updates of their list |
 //! | `ring` | the subset of servers that a node uses |
 //! | [`net`] | the node on sockets, binary `balancer-node` |
 //! | [`wire`] | the text protocol of the simulated host, binary `balancer-simhost` |
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -3,18 +3,13 @@
 /// A ready server: its key, its number, and its slot in the table of servers. Ordered by key, then number.
 pub type RingEntry = (u64, usize, usize);
 
-/// Two rings, one of the servers in the node's own zone and one of all others, each in the order of its keys.
-///
-/// They are kept in that order, so a change moves what it names and no more. Nodes differ in where their subset
-/// starts.
+/// Two rings, of the servers in the node's zone and of all others. Nodes differ in where their subset starts.
 pub struct Ring {
-    /// Near servers, then far ones; both are sorted.
+    /// Near servers and far ones, both sorted.
     parts: [Vec<RingEntry>; 2],
-    /// Where this node's subset starts, as a fraction of each ring.
+    /// Where the node's subset starts in each ring, its size as a fraction of all servers, and at least.
     start: f64,
-    /// Size of the subset as a fraction of all servers.
     share: f64,
-    /// Servers of each ring that it has at least, where there are as many.
     min_size: usize,
 }
 
@@ -25,9 +20,9 @@
     }
 
     /// Replaces all entries, each given with whether its server is far.
-    pub fn rebuild(&mut self, entries: impl Iterator<Item = (bool, RingEntry)>) {
+    pub fn rebuild(&mut self, entries: Vec<(bool, RingEntry)>) {
         self.parts.iter_mut().for_each(Vec::clear);
-        entries.for_each(|(far, entry)| self.parts[usize::from(far)].push(entry));
+        entries.into_iter().for_each(|(far, entry)| self.parts[usize::from(far)].push(entry));
         self.parts.iter_mut().for_each(|part| part.sort_unstable());
     }
 
@@ -49,7 +44,7 @@
         }
     }
 
-    /// The slots of the near and of the far servers, each ring once round from the start of the node's subset.
+    /// The slots of the near and of the far servers, each ring once round from where the subset starts.
     pub fn parts(&self) -> [impl Iterator<Item = usize> + '_; 2] {
         self.parts.each_ref().map(|part| self.rotated(part).map(|(.., slot)| *slot))
     }
@@ -65,8 +60,7 @@
         self.parts.each_ref().map(|part| size.min(part.len()) as f64 / part.len().max(1) as f64)
     }
 
-    /// The slots of the node's own subset, near ones first. Of a part with more than `max`, a window of so many
-    /// from a random start, which continues from the end of the subset at its beginning.
+    /// The slots of the subset, near ones first; of a part with more than `max`, so many from a random start.
     pub fn subset(&self, max: usize, random: &mut fastrand::Rng) -> Vec<usize> {
         let subset_size = self.subset_size();
         let mut slots = Vec::with_capacity(2 * max.min(subset_size));
