--- a/crates/emulator/src/process.rs
+++ b/crates/emulator/src/process.rs
@@ -263,7 +263,11 @@
 
 async fn run_job(owned: OwnedJob) {
     let state = owned.state();
-    let left = owned.job.items.iter().filter(|item| owned.listed.iter().all(|listed| listed.id != item.id));
+    let left = owned
+        .job
+        .items
+        .iter()
+        .filter(|item| owned.committed_results.iter().all(|result| result.id != item.id));
     for item in left {
         tokio::time::sleep(Duration::from_millis(fastrand::u64(ITEM_MS))).await;
         if *state.borrow() != JobState::Open {
--- a/crates/rushrudder/src/jobs.rs
+++ b/crates/rushrudder/src/jobs.rs
@@ -81,12 +81,12 @@
         match self.client.submit(host, path.into(), Arc::clone(&job), body).await {
             SubmitOutcome::Accepted => StatusCode::ACCEPTED.into(),
             SubmitOutcome::Invalid(error) => failure(StatusCode::BAD_REQUEST, &error.to_string()),
-            SubmitOutcome::NotTaken => {
+            SubmitOutcome::NotAccepted => {
                 log::warn!("batch job {job} was not taken");
                 let reply = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE);
                 reply.header("Retry-After", COME_BACK).body("the batch job was not taken")
             }
-            SubmitOutcome::Unsure => {
+            SubmitOutcome::Unknown => {
                 log::warn!("batch job {job} may have been taken");
                 failure(StatusCode::GATEWAY_TIMEOUT, "the batch job may have been taken")
             }
@@ -102,7 +102,7 @@
         match self.client.read(Arc::from(job), after, hold).await {
             ReadOutcome::Page(page) => page_reply(&page),
             ReadOutcome::NoSuchJob => failure(StatusCode::NOT_FOUND, "no such batch job"),
-            ReadOutcome::Unsure => unsure(job),
+            ReadOutcome::Unknown => unsure(job),
         }
     }
 
@@ -113,7 +113,7 @@
         match self.client.body(Arc::from(job), item).await {
             BodyOutcome::Body(bytes) => Response::builder().body(bytes),
             BodyOutcome::NoSuchItem => failure(StatusCode::NOT_FOUND, "no such item"),
-            BodyOutcome::Unsure => unsure(job),
+            BodyOutcome::Unknown => unsure(job),
         }
     }
 
@@ -121,7 +121,7 @@
         match self.client.end(Arc::from(job)).await {
             EndOutcome::Ended => StatusCode::OK.into(),
             EndOutcome::NoSuchJob => failure(StatusCode::NOT_FOUND, "no such batch job"),
-            EndOutcome::Unsure => unsure(job),
+            EndOutcome::Unknown => unsure(job),
         }
     }
 }
--- a/crates/rushrudder/src/store.rs
+++ b/crates/rushrudder/src/store.rs
@@ -9,7 +9,7 @@
 use poem::Route;
 use register::Member;
 use settings::Settings;
-use store_plane::runner::owned::run_owned_jobs;
+use store_plane::runner::owned_jobs::run_owned_jobs;
 use store_plane::runner::RunnerSettings;
 use store_plane::{JobStore, OwnedJob, StoreLimits};
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -67,7 +67,7 @@
             disk.records.into_iter().map(|(position, bytes)| (position.0, bytes)),
             control.client.clone(),
             control.view.subscribe(),
-            StoreLimits { results_kept: settings.timetable.status() },
+            StoreLimits { result_retention: settings.timetable.status() },
         );
         (Self { control, jobs, member }, owned)
     }
@@ -89,7 +89,7 @@
         self.control.stop_joining();
         self.control.distribution.set_leaving();
         leave_stores(&self.member, &self.control.view, &self.control.proposer).await;
-        self.jobs.resign().await;
+        self.jobs.hand_over_jobs().await;
         tokio::time::sleep(LAST_ANSWERS).await;
     }
 }
--- a/crates/store-plane/src/lib.rs
+++ b/crates/store-plane/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod runner;
 
 pub use replication::{
-    replicas_of, Appended, BodyOutcome, Deposed, EndOutcome, JobClient, JobState, JobStore, JournalFailed,
-    MigrationStatus, OwnedJob, ReadOutcome, RecordJournal, ResultPage, StoreLimits, SubmitOutcome,
-    MIGRATION_STATUS_PATH,
+    replicas_of, Appended, BodyOutcome, EndOutcome, JobClient, JobState, JobStore, JournalFailed,
+    MigrationStatus, OwnedJob, OwnershipLost, ReadOutcome, RecordJournal, ResultPage, StoreLimits,
+    SubmitOutcome, MIGRATION_STATUS_PATH,
 };
--- a/crates/store-plane/src/replication/answers.rs
+++ b/crates/store-plane/src/replication/answers.rs
@@ -38,7 +38,7 @@
     /// This store owns it and may answer.
     Owner,
     NoSuchJob,
-    Unsure,
+    Unknown,
     Elsewhere(StoreId),
 }
 
@@ -47,7 +47,7 @@
         match standing {
             Standing::NoSuchJob => Self::NoSuchJob,
             Standing::Elsewhere(store) => Self::Elsewhere(store),
-            Standing::Owner | Standing::Unsure => Self::Unsure,
+            Standing::Owner | Standing::Unknown => Self::Unknown,
         }
     }
 }
@@ -122,7 +122,7 @@
 }
 
 impl Shared {
-    /// Takes a batch job. `NotTaken` only if nothing of it was sent to any store by this call.
+    /// Takes a batch job. `NotAccepted` only if nothing of it was sent to any store by this call.
     async fn submit(self: &Arc<Self>, id: JobId, submission: Submission) -> SubmitReply {
         let wait = Duration::from_millis(submission.wait_ms).saturating_sub(REPLY_MARGIN);
         let answer_by = Instant::now() + wait.min(READY_MOST + COMMIT_MOST);
@@ -135,7 +135,7 @@
         let Submission { host, path, body, .. } = submission;
         let entry = Arc::new(Entry::Job(SubmittedJob { host, path, body, total }));
         if let Err(store) = self.acquire_unless_owned(&id) {
-            return store.map_or(SubmitReply::NotTaken, SubmitReply::Elsewhere);
+            return store.map_or(SubmitReply::NotAccepted, SubmitReply::Elsewhere);
         }
         let proposed = self.wait_owned(&id, propose_by, |owned| match owned.ownership.phase() {
             OwnershipPhase::Leading if owned.ownership.log().is_empty() => {
@@ -146,7 +146,7 @@
             OwnershipPhase::Claiming | OwnershipPhase::Lost(_) => None,
         });
         if proposed.await.is_none() {
-            return self.owner_elsewhere(&id).map_or(SubmitReply::NotTaken, SubmitReply::Elsewhere);
+            return self.owner_elsewhere(&id).map_or(SubmitReply::NotAccepted, SubmitReply::Elsewhere);
         }
         self.drive(&id);
         let is_committed = |owned: &mut Owned| {
@@ -154,7 +154,7 @@
         };
         match self.wait_owned(&id, answer_by, is_committed).await {
             Some(()) => SubmitReply::Accepted,
-            None => SubmitReply::Unsure,
+            None => SubmitReply::Unknown,
         }
     }
 
@@ -178,7 +178,7 @@
         let state = self.lock();
         let committed = state.owned.get(id).map(|owned| owned.ownership.committed().to_vec());
         drop(state);
-        committed.and_then(|committed| page(&committed, after)).map_or(Answer::Unsure, Answer::Is)
+        committed.and_then(|committed| page(&committed, after)).map_or(Answer::Unknown, Answer::Is)
     }
 
     /// The decoded body of an item; `None` inside the answer if the batch job has no such item.
@@ -187,7 +187,7 @@
             Standing::Owner => {}
             other => return Answer::instead(other),
         }
-        let Some(job) = self.job_of(id) else { return Answer::Unsure };
+        let Some(job) = self.job_of(id) else { return Answer::Unknown };
         let found = job.items.iter().find(|one| *one.id == *item);
         Answer::Is(found.map(|one| Bytes::from(one.decoded_body())))
     }
@@ -218,7 +218,7 @@
         self.drive(id);
         let deadline = Instant::now() + COMMIT_MOST;
         let is_ended = |owned: &mut Owned| has_end(owned.ownership.committed()).then_some(());
-        self.wait_owned(id, deadline, is_ended).await.map_or(Answer::Unsure, Answer::Is)
+        self.wait_owned(id, deadline, is_ended).await.map_or(Answer::Unknown, Answer::Is)
     }
 
     /// Whether this store may answer about a batch job. It claims the batch job if nobody else seems to own it.
@@ -232,7 +232,7 @@
             return self.ask_others(id).await;
         }
         if let Err(store) = self.acquire_unless_owned(id) {
-            return store.map_or(Standing::Unsure, Standing::Elsewhere);
+            return store.map_or(Standing::Unknown, Standing::Elsewhere);
         }
         let now_leased = |owned: &mut Owned| {
             let leased = owned.ownership.holds_lease(self.time(Instant::now()), READ_LEASE);
@@ -244,7 +244,7 @@
         match self.wait_owned(id, Instant::now() + READY_MOST, now_leased).await {
             Some(true) => Standing::Owner,
             Some(false) => Standing::NoSuchJob,
-            None => self.owner_elsewhere(id).map_or(Standing::Unsure, Standing::Elsewhere),
+            None => self.owner_elsewhere(id).map_or(Standing::Unknown, Standing::Elsewhere),
         }
     }
 
@@ -289,7 +289,7 @@
                 continue;
             };
             if promised.epoch > view.control.stores.epoch {
-                return Standing::Unsure;
+                return Standing::Unknown;
             }
             if length > 0 {
                 return Standing::Elsewhere(store);
@@ -302,7 +302,7 @@
                 return Standing::NoSuchJob;
             }
         }
-        Standing::Unsure
+        Standing::Unknown
     }
 
     /// Waits until `found` gives something about a batch job that this store owns. `None` once the time is over
--- a/crates/store-plane/src/replication/client.rs
+++ b/crates/store-plane/src/replication/client.rs
@@ -42,9 +42,9 @@
     /// It is no batch job.
     Invalid(JobError),
     /// None of it runs, ever, on account of this call.
-    NotTaken,
+    NotAccepted,
     /// It may have been taken.
-    Unsure,
+    Unknown,
 }
 
 /// What came of reading results.
@@ -55,7 +55,7 @@
     /// There is no such batch job.
     NoSuchJob,
     /// Nothing is sure.
-    Unsure,
+    Unknown,
 }
 
 /// What came of reading the body of an item.
@@ -66,7 +66,7 @@
     /// There is no such batch job, or it has no such item.
     NoSuchItem,
     /// Nothing is sure.
-    Unsure,
+    Unknown,
 }
 
 /// What came of ending a batch job.
@@ -77,7 +77,7 @@
     /// There is no such batch job.
     NoSuchJob,
     /// Nothing is sure.
-    Unsure,
+    Unknown,
 }
 
 /// Makes calls about batch jobs to the stores that keep them. Clones share what is known of the stores.
@@ -126,15 +126,15 @@
                 }
                 Ok(SubmitReply::Invalid(error)) => return SubmitOutcome::Invalid(error),
                 Ok(SubmitReply::Elsewhere(owner)) => itinerary.go_to(owner),
-                Ok(SubmitReply::NotTaken) => {}
-                Ok(SubmitReply::Unsure) => may_be_taken = true,
+                Ok(SubmitReply::NotAccepted) => {}
+                Ok(SubmitReply::Unknown) => may_be_taken = true,
                 Err(error) => may_be_taken |= error.may_have_run(),
             }
         }
         if may_be_taken {
-            SubmitOutcome::Unsure
+            SubmitOutcome::Unknown
         } else {
-            SubmitOutcome::NotTaken
+            SubmitOutcome::NotAccepted
         }
     }
 
@@ -145,7 +145,7 @@
         match self.call(READ_PATH, job, &request, hold).await {
             Answer::Is(page) => ReadOutcome::Page(page),
             Answer::NoSuchJob => ReadOutcome::NoSuchJob,
-            Answer::Unsure | Answer::Elsewhere(_) => ReadOutcome::Unsure,
+            Answer::Unknown | Answer::Elsewhere(_) => ReadOutcome::Unknown,
         }
     }
 
@@ -154,7 +154,7 @@
         match self.call(BODY_PATH, job, &item.to_owned(), Duration::ZERO).await {
             Answer::Is(Some(body)) => BodyOutcome::Body(body),
             Answer::Is(None) | Answer::NoSuchJob => BodyOutcome::NoSuchItem,
-            Answer::Unsure | Answer::Elsewhere(_) => BodyOutcome::Unsure,
+            Answer::Unknown | Answer::Elsewhere(_) => BodyOutcome::Unknown,
         }
     }
 
@@ -163,7 +163,7 @@
         match self.call(END_PATH, job, &(), Duration::ZERO).await {
             Answer::Is(()) => EndOutcome::Ended,
             Answer::NoSuchJob => EndOutcome::NoSuchJob,
-            Answer::Unsure | Answer::Elsewhere(_) => EndOutcome::Unsure,
+            Answer::Unknown | Answer::Elsewhere(_) => EndOutcome::Unknown,
         }
     }
 
@@ -177,14 +177,14 @@
             let time = itinerary.time_left().min(HOP_MOST + hold);
             match self.ask(&store, path, &job, request, time).await {
                 Ok(Answer::Elsewhere(owner)) => itinerary.go_to(owner),
-                Ok(Answer::Unsure) | Err(_) => tokio::time::sleep(PAUSE).await,
+                Ok(Answer::Unknown) | Err(_) => tokio::time::sleep(PAUSE).await,
                 Ok(answer) => {
                     self.remember_owner(&job, store.member.incarnation.0);
                     return answer;
                 }
             }
         }
-        Answer::Unsure
+        Answer::Unknown
     }
 
     async fn ask<Request, Reply>(
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -84,8 +84,8 @@
 pub(super) enum SubmitReply {
     Accepted,
     Invalid(JobError),
-    NotTaken,
-    Unsure,
+    NotAccepted,
+    Unknown,
     Elsewhere(StoreId),
 }
 
@@ -111,7 +111,7 @@
 pub(super) enum Answer<T> {
     Is(T),
     NoSuchJob,
-    Unsure,
+    Unknown,
     Elsewhere(StoreId),
 }
 
--- a/crates/store-plane/src/replication/mod.rs
+++ b/crates/store-plane/src/replication/mod.rs
@@ -17,7 +17,7 @@
 pub use client::{BodyOutcome, EndOutcome, JobClient, ReadOutcome, SubmitOutcome};
 pub use journal::{Appended, JournalFailed, RecordJournal};
 pub use messages::{MigrationStatus, ResultPage, MIGRATION_STATUS_PATH};
-pub use owned::{Deposed, JobState, OwnedJob};
+pub use owned::{JobState, OwnedJob, OwnershipLost};
 pub use replicas::replicas_of;
 pub use store::{JobStore, StoreLimits};
 
--- a/crates/store-plane/src/replication/owned.rs
+++ b/crates/store-plane/src/replication/owned.rs
@@ -10,7 +10,7 @@
 
 /// Another store owns the batch job now, or it was ended: nothing more of it is to be run here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Deposed;
+pub struct OwnershipLost;
 
 /// Whether items of a batch job are to be run here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     /// The trainer ended it.
     Ended,
     /// This store does not own it any more.
-    Deposed,
+    OwnershipLost,
 }
 
 /// A batch job that this store owns.
@@ -36,7 +36,7 @@
     /// How long ago it was handed in, at least, when this store began to own it. Never more than the truth.
     pub age: Duration,
     /// Results that are listed already.
-    pub listed: Vec<ItemResult>,
+    pub committed_results: Vec<ItemResult>,
     pub(super) token: u64,
     pub(super) state: watch::Receiver<JobState>,
     pub(super) shared: Arc<Shared>,
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// When this store does not own the batch job any more, or it was ended.
-    pub async fn append(&self, results: Vec<ItemResult>) -> Result<(), Deposed> {
+    pub async fn append(&self, results: Vec<ItemResult>) -> Result<(), OwnershipLost> {
         self.shared.list(&self.id, self.token, results).await
     }
 
--- a/crates/store-plane/src/replication/owner.rs
+++ b/crates/store-plane/src/replication/owner.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::messages::{Call, ReplicateReply, REPLICATE_PATH};
-use super::owned::{Deposed, JobState, OwnedJob};
+use super::owned::{JobState, OwnedJob, OwnershipLost};
 use super::state::{contains, handed_in, has_end, is_of, results, Owned, State};
 use super::store::Shared;
 
@@ -172,7 +172,7 @@
             host: Arc::clone(&handed_in.host),
             path: Arc::clone(&handed_in.path),
             age,
-            listed,
+            committed_results: listed,
             token: owned.token,
             state: owned.state.subscribe(),
             shared: Arc::clone(self),
@@ -224,12 +224,13 @@
         job: &JobId,
         token: u64,
         results: Vec<ItemResult>,
-    ) -> Result<(), Deposed> {
+    ) -> Result<(), OwnershipLost> {
         let mut entries: Vec<Arc<Entry>> = results.into_iter().map(|r| Arc::new(Entry::Result(r))).collect();
         loop {
             let mut progress = {
                 let mut state = self.lock();
-                let owned = state.owned.get_mut(job).filter(|owned| owned.token == token).ok_or(Deposed)?;
+                let owned =
+                    state.owned.get_mut(job).filter(|owned| owned.token == token).ok_or(OwnershipLost)?;
                 let progress = owned.progress.subscribe();
                 let committed = owned.ownership.committed();
                 entries.retain(|entry| !contains(committed, entry));
@@ -238,7 +239,7 @@
                     return Ok(());
                 }
                 if has_end(committed) {
-                    return Err(Deposed);
+                    return Err(OwnershipLost);
                 }
                 if !has_end(owned.ownership.log()) {
                     owned.append_missing(&entries);
@@ -246,7 +247,7 @@
                 progress
             };
             self.drive(job);
-            progress.changed().await.map_err(|_| Deposed)?;
+            progress.changed().await.map_err(|_| OwnershipLost)?;
         }
     }
 }
--- a/crates/store-plane/src/replication/resign.rs
+++ b/crates/store-plane/src/replication/resign.rs
@@ -16,7 +16,7 @@
 impl Shared {
     /// Gives up every batch job that this store owns, owns no other from now on, and asks the next store in the
     /// order of each to take over.
-    pub(super) async fn resign(self: &Arc<Self>) {
+    pub(super) async fn hand_over_jobs(self: &Arc<Self>) {
         let resigned = self.resign_locally();
         log::info!("hands {} batch jobs over", resigned.len());
         join_all(resigned.into_iter().map(|(job, successors)| self.hand_over(job, successors))).await;
--- a/crates/store-plane/src/replication/state.rs
+++ b/crates/store-plane/src/replication/state.rs
@@ -164,7 +164,7 @@
     /// Gives up an ownership.
     pub fn depose(&mut self, job: &JobId) {
         if let Some(owned) = self.owned.remove(job) {
-            owned.state.send_replace(JobState::Deposed);
+            owned.state.send_replace(JobState::OwnershipLost);
             owned.progress.send_replace(());
         }
     }
--- a/crates/store-plane/src/replication/store.rs
+++ b/crates/store-plane/src/replication/store.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
     /// Results can be read for this long after the batch job was handed in.
-    pub results_kept: Duration,
+    pub result_retention: Duration,
 }
 
 /// What all parts of a store share.
@@ -76,8 +76,8 @@
     }
 
     /// Hands all batch jobs over to other stores, before the process ends. It goes on keeping its copies.
-    pub async fn resign(&self) {
-        self.shared.resign().await;
+    pub async fn hand_over_jobs(&self) {
+        self.shared.hand_over_jobs().await;
     }
 
     /// Writes records, takes over batch jobs whose owner is silent, renews ownership, moves batch jobs to new
--- a/crates/store-plane/src/replication/tend.rs
+++ b/crates/store-plane/src/replication/tend.rs
@@ -214,7 +214,7 @@
 
     /// Drops batch jobs that are over and whose results need not be readable any more.
     fn drop_old(self: &Arc<Self>) {
-        let kept = self.limits.results_kept + self.limits.results_kept / KEPT_MARGIN_DIVISOR;
+        let kept = self.limits.result_retention + self.limits.result_retention / KEPT_MARGIN_DIVISOR;
         let old: Vec<(JobId, Vec<StoreId>, ReplicaRequest)> = {
             let state = self.lock();
             let over = state.owned.iter().filter(|(job, owned)| {
--- a/crates/store-plane/src/runner/job.rs
+++ b/crates/store-plane/src/runner/job.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-use crate::runner::ports::{Deposed, ItemProgress, JobAddress, JobLog, JobState, RouteTerms};
+use crate::runner::ports::{ItemProgress, JobAddress, JobLog, JobState, OwnershipLost, RouteTerms};
 use crate::runner::texts::versions_fit;
 
 /// First pause after a setback of an item; it doubles with each further one.
@@ -217,7 +217,7 @@
 pub(crate) async fn append_results<Log: JobLog>(
     log: Arc<Log>,
     mut results: mpsc::UnboundedReceiver<ItemResult>,
-) -> Result<(), Deposed> {
+) -> Result<(), OwnershipLost> {
     let state = log.state();
     while let Some(first) = results.recv().await {
         let mut together = vec![first];
--- a/crates/store-plane/src/runner/mod.rs
+++ b/crates/store-plane/src/runner/mod.rs
@@ -6,7 +6,7 @@
 
 mod end;
 mod job;
-pub mod owned;
+pub mod owned_jobs;
 pub mod ports;
 pub mod sender;
 mod start;
@@ -184,7 +184,7 @@
         };
         let hand_in = HandIn { age: taken.age, taken_over: self.now() };
         let mut job = ActiveJob::new(taken.id, taken.job, address, hand_in, results, watcher);
-        job.mark_listed(&taken.listed);
+        job.mark_listed(&taken.committed_results);
         job.terms = self.executor.terms(&job.address.host, &job.address.path);
         self.jobs.insert(key, job);
         self.use_kept_texts(key);
--- a/crates/store-plane/src/runner/owned.rs
+++ b/crates/store-plane/src/runner/owned_jobs.rs
@@ -6,13 +6,13 @@
 use data_plane::Sender;
 use tokio::sync::{mpsc, watch};
 
-use crate::runner::ports::{Deposed, JobLog, JobState, RunnableJob};
+use crate::runner::ports::{JobLog, JobState, OwnershipLost, RunnableJob};
 use crate::runner::sender::SenderExecutor;
 use crate::runner::{Runner, RunnerSettings};
 use crate::OwnedJob;
 
 impl JobLog for OwnedJob {
-    async fn append(&self, results: Vec<ItemResult>) -> Result<(), Deposed> {
+    async fn append(&self, results: Vec<ItemResult>) -> Result<(), OwnershipLost> {
         Self::append(self, results).await
     }
 
@@ -29,7 +29,7 @@
             host: Arc::clone(&owned.host),
             path: Arc::clone(&owned.path),
             age: owned.age,
-            listed: std::mem::take(&mut owned.listed),
+            committed_results: std::mem::take(&mut owned.committed_results),
             log: owned,
         }
     }
--- a/crates/store-plane/src/runner/ports.rs
+++ b/crates/store-plane/src/runner/ports.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-pub use crate::replication::{Deposed, JobState};
+pub use crate::replication::{JobState, OwnershipLost};
 pub use data_plane::{ItemOutcome, ItemProgress, RewardOutcome};
 
 /// What the route of a batch job demands of its items.
@@ -93,7 +93,7 @@
 /// The replicated log of a batch job, as its owner uses it.
 pub trait JobLog: Send + Sync + 'static {
     /// Lists results; returns when they are committed.
-    fn append(&self, results: Vec<ItemResult>) -> impl Future<Output = Result<(), Deposed>> + Send;
+    fn append(&self, results: Vec<ItemResult>) -> impl Future<Output = Result<(), OwnershipLost>> + Send;
 
     /// Whether the batch job may still be run.
     fn state(&self) -> watch::Receiver<JobState>;
@@ -113,7 +113,7 @@
     /// How long ago it was handed in.
     pub age: Duration,
     /// Results that earlier owners have listed.
-    pub listed: Vec<ItemResult>,
+    pub committed_results: Vec<ItemResult>,
     /// Its log.
     pub log: Log,
 }
--- a/crates/store-plane/tests/fleet/mod.rs
+++ b/crates/store-plane/tests/fleet/mod.rs
@@ -116,7 +116,7 @@
     }
 
     /// As [`Fleet::start`], with results kept for some time only.
-    pub fn start_with(count: u64, results_kept: Duration) -> Self {
+    pub fn start_with(count: u64, result_retention: Duration) -> Self {
         let stores: Vec<Store> = (1..=count).map(Store::new).collect();
         let members = stores.iter().map(Store::as_member).collect();
         let control = ControlState {
@@ -135,7 +135,7 @@
             client,
             rpc,
             next_incarnation: 100,
-            limits: StoreLimits { results_kept },
+            limits: StoreLimits { result_retention },
         };
         (0..fleet.stores.len()).for_each(|index| fleet.restart(index));
         fleet
@@ -260,7 +260,7 @@
             match self.client.read(id.into(), after, Duration::ZERO).await {
                 ReadOutcome::Page(page) => Some(page),
                 ReadOutcome::NoSuchJob => panic!("the batch job is gone"),
-                ReadOutcome::Unsure => None,
+                ReadOutcome::Unknown => None,
             }
         })
         .await
@@ -338,7 +338,7 @@
         let resigning = store.clone();
         let resigned = async {
             while let Some(done) = signals.resigns.recv().await {
-                resigning.resign().await;
+                resigning.hand_over_jobs().await;
                 let _ = done.send(());
             }
         };
--- a/crates/store-plane/tests/golden/messages.rs
+++ b/crates/store-plane/tests/golden/messages.rs
@@ -151,8 +151,8 @@
         ("invalid-empty", SubmitReply::Invalid(JobError::Empty)),
         ("invalid-repeated", SubmitReply::Invalid(JobError::Repeated("item-1".into()))),
         ("invalid-bad-body", SubmitReply::Invalid(JobError::BadBody("item-2".into()))),
-        ("not-taken", SubmitReply::NotTaken),
-        ("unsure", SubmitReply::Unsure),
+        ("not-taken", SubmitReply::NotAccepted),
+        ("unsure", SubmitReply::Unknown),
         ("elsewhere", SubmitReply::Elsewhere(STORE)),
     ];
     for (name, reply) in replies {
@@ -166,7 +166,7 @@
     check("read", &call(ReadRequest { after: 300, hold_ms: 70_000 }));
     check("read-reply-is", &Answer::Is(ResultPage { total: 70_000, next: 301, deliveries }));
     check("read-reply-no-such-job", &Answer::<ResultPage>::NoSuchJob);
-    check("read-reply-unsure", &Answer::<ResultPage>::Unsure);
+    check("read-reply-unsure", &Answer::<ResultPage>::Unknown);
     check("read-reply-elsewhere", &Answer::<ResultPage>::Elsewhere(STORE));
 }
 
@@ -176,7 +176,7 @@
     check("body-reply-is", &Answer::Is(Some(Bytes::from_static(b"hello"))));
     check("body-reply-no-such-item", &Answer::<Option<Bytes>>::Is(None));
     check("body-reply-no-such-job", &Answer::<Option<Bytes>>::NoSuchJob);
-    check("body-reply-unsure", &Answer::<Option<Bytes>>::Unsure);
+    check("body-reply-unsure", &Answer::<Option<Bytes>>::Unknown);
     check("body-reply-elsewhere", &Answer::<Option<Bytes>>::Elsewhere(STORE));
 }
 
@@ -185,7 +185,7 @@
     check("end", &call(()));
     check("end-reply-is", &Answer::Is(()));
     check("end-reply-no-such-job", &Answer::<()>::NoSuchJob);
-    check("end-reply-unsure", &Answer::<()>::Unsure);
+    check("end-reply-unsure", &Answer::<()>::Unknown);
     check("end-reply-elsewhere", &Answer::<()>::Elsewhere(STORE));
 }
 
--- a/crates/store-plane/tests/replication.rs
+++ b/crates/store-plane/tests/replication.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use fleet::{eventually, result, DiskMode, Fleet};
-use store_plane::{BodyOutcome, Deposed, EndOutcome, JobState, ReadOutcome, SubmitOutcome};
+use store_plane::{BodyOutcome, EndOutcome, JobState, OwnershipLost, ReadOutcome, SubmitOutcome};
 use yare::parameterized;
 
 fn in_runtime(test: impl std::future::Future<Output = ()>) {
@@ -19,7 +19,7 @@
         fleet.submit_until_accepted("job").await;
         assert_eq!(fleet.submit("job").await, SubmitOutcome::Accepted);
         let owned = fleet.next_owned().await;
-        assert_eq!(owned.listed, []);
+        assert_eq!(owned.committed_results, []);
 
         let held = fleet.client.read("job".into(), 0, Duration::from_secs(1));
         let (held, appended) = tokio::join!(held, owned.append(vec![result(3), result(1)]));
@@ -46,7 +46,7 @@
         assert_eq!(fleet.client.end("job".into()).await, EndOutcome::Ended);
 
         assert_eq!(*owned.state().borrow(), JobState::Ended);
-        assert_eq!(owned.append(vec![result(1)]).await, Err(Deposed));
+        assert_eq!(owned.append(vec![result(1)]).await, Err(OwnershipLost));
         assert_eq!(fleet.read("job", 0).await.next, 1);
     });
 }
@@ -75,7 +75,7 @@
 
         assert_eq!(fleet.read("job", 0).await, before);
         let second = fleet.next_owned().await;
-        assert_eq!(second.listed, [result(0), result(1)]);
+        assert_eq!(second.committed_results, [result(0), result(1)]);
         second.append(vec![result(1), result(2)]).await.expect("it is owned");
         assert_eq!(fleet.read("job", 0).await.next, 3);
         let body = fleet.client.body("job".into(), "item-5").await;
@@ -98,8 +98,8 @@
 
         assert!(began.elapsed() < Duration::from_millis(500), "sooner than its silence is noticed");
         assert_ne!(fleet.index_of(&second), leaving);
-        assert_eq!(second.listed, [result(0), result(1)]);
-        assert_eq!(*first.state().borrow(), JobState::Deposed);
+        assert_eq!(second.committed_results, [result(0), result(1)]);
+        assert_eq!(*first.state().borrow(), JobState::OwnershipLost);
         fleet.submit_until_accepted("another").await;
         let another = fleet.next_owned().await;
         assert_ne!(fleet.index_of(&another), leaving, "a store that is leaving owns nothing any more");
@@ -119,7 +119,7 @@
         (0..3).for_each(|index| fleet.restart(index));
 
         assert_eq!(fleet.read("job", 0).await, before);
-        assert_eq!(fleet.next_owned().await.listed.len(), 2);
+        assert_eq!(fleet.next_owned().await.committed_results.len(), 2);
     });
 }
 
@@ -190,7 +190,7 @@
         fleet.kill(0);
         fleet.kill(1);
 
-        assert_eq!(fleet.submit("job").await, SubmitOutcome::NotTaken);
+        assert_eq!(fleet.submit("job").await, SubmitOutcome::NotAccepted);
 
         fleet.restart(0);
         fleet.restart(1);
@@ -257,9 +257,9 @@
         let before = fleet.read("job", 0).await;
         drop(frozen);
 
-        assert_eq!(first.append(vec![result(2)]).await, Err(Deposed));
-        assert_eq!(*first.state().borrow(), JobState::Deposed);
-        assert_eq!(second.listed, [result(0)]);
+        assert_eq!(first.append(vec![result(2)]).await, Err(OwnershipLost));
+        assert_eq!(*first.state().borrow(), JobState::OwnershipLost);
+        assert_eq!(second.committed_results, [result(0)]);
         assert_eq!(fleet.read("job", 0).await, before);
     });
 }
@@ -280,7 +280,7 @@
         }
 
         eventually("the batch job is ended, and may be dropped at once", || async {
-            (fleet.client.end("ended".into()).await != EndOutcome::Unsure).then_some(())
+            (fleet.client.end("ended".into()).await != EndOutcome::Unknown).then_some(())
         })
         .await;
         is_dropped(&fleet, "ended").await;
--- a/crates/store-plane/tests/runner/runs.rs
+++ b/crates/store-plane/tests/runner/runs.rs
@@ -395,7 +395,7 @@
     assert_eq!(bench.executor.runs().len(), runs);
 }
 
-#[parameterized(ended = { JobState::Ended }, deposed = { JobState::Deposed })]
+#[parameterized(ended = { JobState::Ended }, deposed = { JobState::OwnershipLost })]
 fn given_a_running_job_when_it_is_no_longer_open_then_runs_stop_and_nothing_is_listed(state: JobState) {
     paused(async move {
         let bench = Bench::start(FakeExecutor::reliable().with_slots(2));
--- a/crates/store-plane/tests/runner/support.rs
+++ b/crates/store-plane/tests/runner/support.rs
@@ -8,7 +8,7 @@
 use batch::{Item, ItemResult, Job, RewardRequest};
 use bytes::Bytes;
 use store_plane::runner::ports::{
-    Deposed, ItemAttempt, ItemExecutor, ItemOutcome, ItemProgress, JobAddress, JobLog, JobState,
+    ItemAttempt, ItemExecutor, ItemOutcome, ItemProgress, JobAddress, JobLog, JobState, OwnershipLost,
     RewardOutcome, RouteTerms, RunnableJob,
 };
 use store_plane::runner::{Runner, RunnerHandle, RunnerSettings};
@@ -210,10 +210,10 @@
 }
 
 impl JobLog for FakeLog {
-    async fn append(&self, results: Vec<ItemResult>) -> Result<(), Deposed> {
+    async fn append(&self, results: Vec<ItemResult>) -> Result<(), OwnershipLost> {
         tokio::time::sleep(self.commit).await;
         if self.deposed {
-            return Err(Deposed);
+            return Err(OwnershipLost);
         }
         self.appends.fetch_add(1, Ordering::SeqCst);
         self.listed.lock().unwrap().extend(results);
@@ -290,7 +290,7 @@
             host: "texts.example".into(),
             path: "/generate/job".into(),
             age,
-            listed,
+            committed_results: listed,
             log: log.clone(),
         });
         log
