--- /dev/null
+++ b/crates/local-fleet/src/clients/load_balancer.rs
@@ -0,0 +1,99 @@
+//! Stand-in of the platform's load balancer: it directs new connections to nodes that pass their readiness checks.
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use reqwest::Method;
+
+use crate::deployment::Layout;
+use crate::http::{HttpCall, HttpCaller};
+
+/// The path of a node's readiness check.
+const READY_PATH: &str = "/api/ready";
+/// Time from one readiness check of a node to the next.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// A node that has failed this many checks in a row gets no new connections.
+const MAX_FAILED_CHECKS: u32 = 2;
+
+#[derive(Debug)]
+struct BalancedNode {
+    /// Where it serves clients.
+    front: SocketAddr,
+    /// Where it answers readiness checks.
+    ready: SocketAddr,
+    /// Failed checks in a row.
+    failed_checks: u32,
+}
+
+impl BalancedNode {
+    fn is_healthy(&self) -> bool {
+        self.failed_checks < MAX_FAILED_CHECKS
+    }
+}
+
+/// The load balancer. Clones share its state.
+#[derive(Clone, Debug)]
+pub struct LoadBalancer {
+    nodes: Arc<Mutex<Vec<BalancedNode>>>,
+    caller: HttpCaller,
+}
+
+impl LoadBalancer {
+    /// A load balancer for all nodes of a layout; none is healthy before its first check.
+    ///
+    /// # Errors
+    ///
+    /// When the HTTP client cannot be set up.
+    pub fn new(layout: &Layout) -> reqwest::Result<Self> {
+        let node = |node| BalancedNode {
+            front: layout.front(node),
+            ready: layout.ready(node),
+            failed_checks: MAX_FAILED_CHECKS,
+        };
+        let nodes = (0..layout.nodes).map(node).collect();
+        Ok(Self { nodes: Arc::new(Mutex::new(nodes)), caller: HttpCaller::without_reuse()? })
+    }
+
+    fn nodes(&self) -> MutexGuard<'_, Vec<BalancedNode>> {
+        self.nodes.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Checks every node once; returns how many are healthy.
+    pub async fn check_all(&self) -> usize {
+        let addresses: Vec<SocketAddr> = self.nodes().iter().map(|node| node.ready).collect();
+        let call = HttpCall::new(Method::GET, READY_PATH);
+        let checks = addresses.iter().map(|address| self.caller.call_once(*address, &call));
+        let replies = futures_util::future::join_all(checks).await;
+        let mut nodes = self.nodes();
+        for (node, reply) in nodes.iter_mut().zip(replies) {
+            let is_ready = reply.is_ok_and(|reply| reply.status == 200);
+            node.failed_checks = if is_ready { 0 } else { node.failed_checks.saturating_add(1) };
+        }
+        nodes.iter().filter(|node| node.is_healthy()).count()
+    }
+
+    /// Checks all nodes periodically; never returns.
+    pub async fn run(self) {
+        loop {
+            self.check_all().await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
+        }
+    }
+
+    /// The node for a new connection: a healthy one, or any if fewer than half are healthy.
+    ///
+    /// # Panics
+    ///
+    /// When the fleet has no nodes.
+    #[must_use]
+    pub fn pick(&self) -> SocketAddr {
+        let nodes = self.nodes();
+        let mut fronts: Vec<SocketAddr> =
+            nodes.iter().filter(|node| node.is_healthy()).map(|node| node.front).collect();
+        if fronts.len() * 2 < nodes.len() {
+            fronts = nodes.iter().map(|node| node.front).collect();
+        }
+        fronts[fastrand::usize(..fronts.len())]
+    }
+}
--- a/crates/local-fleet/src/configuration_file.rs
+++ b/crates/local-fleet/src/deployment/configuration_file.rs
@@ -1,8 +1,10 @@
-//! The configuration as the operator sends it.
+//! The configuration document that the operator sends.
+//!
+//! Fields are named after the document's keys or renamed by `serde`.
 
 use serde::{Deserialize, Serialize};
 
-/// Names that are drawn anew for each fleet.
+/// Names of a fleet's host, services and model, random for each fleet.
 #[derive(Clone, Debug)]
 pub struct Names {
     /// The host of all routes.
@@ -16,20 +18,20 @@
 }
 
 impl Names {
-    /// Draws names.
+    /// Random names.
     #[must_use]
-    pub fn draw() -> Self {
+    pub fn random() -> Self {
         Self {
-            host: format!("{}.example", word()),
-            plain_service: word(),
-            engine_service: word(),
-            model: word(),
+            host: format!("{}.example", random_name()),
+            plain_service: random_name(),
+            engine_service: random_name(),
+            model: random_name(),
         }
     }
 }
 
-/// A word of six letters and two digits.
-fn word() -> String {
+/// A name of six letters and two digits.
+fn random_name() -> String {
     let letters: String = (0..6).map(|_| fastrand::lowercase()).collect();
     format!("{letters}{:02}", fastrand::u8(..100))
 }
@@ -38,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RouteKind {
-    /// Requests may run more than once.
+    /// Idempotent requests.
     Safe,
     /// Batch jobs of a trainer.
     Rollout,
@@ -53,41 +55,45 @@
     /// The host.
     #[serde(rename = "depot")]
     pub host: String,
-    /// Begins the paths.
+    /// The prefix of its paths.
     #[serde(rename = "lanePrefix")]
     pub path_prefix: String,
-    /// What may be repeated.
+    /// How its requests are treated.
     pub kind: RouteKind,
-    /// Longest time that a try is held.
-    pub expiry_ms: u64,
-    /// When an answer is due.
-    pub due_ms: u64,
-    /// 0 is the most urgent.
-    pub urgency: u8,
+    /// Time limit of an attempt, in milliseconds.
+    #[serde(rename = "expiryMs")]
+    pub attempt_timeout_ms: u64,
+    /// Latency target, in milliseconds.
+    #[serde(rename = "dueMs")]
+    pub latency_target_ms: u64,
+    /// Priority class; 0 is the most urgent.
+    #[serde(rename = "urgency")]
+    pub priority: u8,
     /// The service.
     #[serde(rename = "postalLine")]
     pub service: String,
-    /// Most servers for one try.
-    pub tries: u32,
-    /// When all results of a batch job are due.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub delivery_due_ms: Option<u64>,
-    /// When an item may be given up.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub shelf_life_s: Option<u64>,
-    /// One version must make a whole text.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub single_edition: Option<bool>,
-    /// A cut text may be taken up at another server.
+    /// Maximum number of attempts at servers.
+    #[serde(rename = "tries")]
+    pub max_attempts: u32,
+    /// Latency target for all results of a batch job, in milliseconds.
+    #[serde(rename = "deliveryDueMs", skip_serializing_if = "Option::is_none", default)]
+    pub job_latency_target_ms: Option<u64>,
+    /// After this time an item may be given up, in seconds.
+    #[serde(rename = "shelfLifeS", skip_serializing_if = "Option::is_none", default)]
+    pub item_ttl_s: Option<u64>,
+    /// One version of the weights must generate a complete text.
+    #[serde(rename = "singleEdition", skip_serializing_if = "Option::is_none", default)]
+    pub single_version: Option<bool>,
+    /// A truncated text may be resumed at another server.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub resume: Option<bool>,
-    /// Requests with shared parts of their prompts go to the same servers.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub same_carrier: Option<bool>,
+    /// Requests that share a prefix of their prompts go to the same servers.
+    #[serde(rename = "sameCarrier", skip_serializing_if = "Option::is_none", default)]
+    pub prefix_affinity: Option<bool>,
 }
 
 impl RouteEntry {
-    /// A route of requests that may run more than once.
+    /// A route of idempotent requests.
     #[must_use]
     pub fn safe(names: &Names, path_prefix: &str) -> Self {
         Self {
@@ -95,23 +101,28 @@
             host: names.host.clone(),
             path_prefix: path_prefix.to_owned(),
             kind: RouteKind::Safe,
-            expiry_ms: 800,
-            due_ms: 150,
-            urgency: 2,
+            attempt_timeout_ms: 800,
+            latency_target_ms: 150,
+            priority: 2,
             service: names.plain_service.clone(),
-            tries: 2,
-            delivery_due_ms: None,
-            shelf_life_s: None,
-            single_edition: None,
+            max_attempts: 2,
+            job_latency_target_ms: None,
+            item_ttl_s: None,
+            single_version: None,
             resume: None,
-            same_carrier: None,
+            prefix_affinity: None,
         }
     }
 
     /// A route of reward calls.
     #[must_use]
     pub fn reward(names: &Names, path_prefix: &str) -> Self {
-        Self { expiry_ms: 3000, due_ms: 800, tries: 4, ..Self::safe(names, path_prefix) }
+        Self {
+            attempt_timeout_ms: 3000,
+            latency_target_ms: 800,
+            max_attempts: 4,
+            ..Self::safe(names, path_prefix)
+        }
     }
 
     /// A route of batch jobs.
@@ -119,16 +130,16 @@
     pub fn rollout(names: &Names, path_prefix: &str, single_version: bool) -> Self {
         Self {
             kind: RouteKind::Rollout,
-            expiry_ms: 15_000,
-            due_ms: 400,
-            urgency: 4,
+            attempt_timeout_ms: 15_000,
+            latency_target_ms: 400,
+            priority: 4,
             service: names.engine_service.clone(),
-            tries: 4,
-            delivery_due_ms: Some(8_000),
-            shelf_life_s: Some(40),
-            single_edition: Some(single_version),
+            max_attempts: 4,
+            job_latency_target_ms: Some(8_000),
+            item_ttl_s: Some(40),
+            single_version: Some(single_version),
             resume: Some(true),
-            same_carrier: Some(true),
+            prefix_affinity: Some(true),
             ..Self::safe(names, path_prefix)
         }
     }
@@ -141,20 +152,22 @@
     pub name: String,
 }
 
-/// What the engines of a service can do.
+/// The properties of the engines of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EngineEntry {
-    /// Requests at once.
-    pub berths: usize,
-    /// Memory in tokens.
+    /// Requests that an engine runs concurrently.
+    #[serde(rename = "berths")]
+    pub slots: usize,
+    /// Tokens that the KV cache holds.
     pub cache_tokens: u64,
-    /// Bytes a token.
+    /// Bytes of the KV cache for each token.
     pub cache_bytes: u64,
-    /// Between engines.
+    /// Bandwidth between engines, in Mbit/s.
     pub link_mbps: f64,
-    /// Tokens of a block of the cache.
-    pub stride: u64,
+    /// Tokens of a block of the KV cache.
+    #[serde(rename = "stride")]
+    pub block_tokens: u64,
     /// The models.
     pub models: Vec<ModelName>,
 }
@@ -165,14 +178,14 @@
 pub struct ServiceEntry {
     /// Its name.
     pub name: String,
-    /// The path of its health.
+    /// The path of its health check.
     pub health_path: String,
-    /// Connections that a server takes.
+    /// Maximum number of connections to a server.
     #[serde(rename = "berthCap")]
-    pub connections_most: u32,
-    /// HTTP/1.1.
+    pub max_connections: u32,
+    /// The protocol; `h1` for HTTP/1.1.
     pub protocol: String,
-    /// Not used here.
+    /// Whether connections use TLS; not in this fleet.
     pub tls: bool,
     /// Set for model servers.
     #[serde(skip_serializing_if = "Option::is_none", default)]
@@ -186,7 +199,7 @@
         Self {
             name: name.to_owned(),
             health_path: "/health".to_owned(),
-            connections_most: 130,
+            max_connections: 130,
             protocol: "h1".to_owned(),
             tls: false,
             engine: None,
@@ -198,38 +211,42 @@
     pub fn engines(name: &str, model: &str, slots: usize, cache_tokens: u64) -> Self {
         let models = vec![ModelName { name: model.to_owned() }];
         let engine = EngineEntry {
-            berths: slots,
+            slots,
             cache_tokens,
             cache_bytes: 35_136,
             link_mbps: 1_400_000.0,
-            stride: 54,
+            block_tokens: 54,
             models,
         };
-        Self { connections_most: 160, engine: Some(engine), ..Self::plain(name) }
+        Self { max_connections: 160, engine: Some(engine), ..Self::plain(name) }
     }
 }
 
-/// What a client may send.
+/// Limits of what clients may send.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Limits {
-    /// Bytes of a head.
-    pub label_bytes: u64,
-    /// Bytes of a body.
-    pub parcel_bytes: u64,
-    /// How long a head may take.
-    pub label_ms: u64,
-    /// How long a connection may rest.
-    pub idle_ms: u64,
+pub struct ClientLimits {
+    /// Bytes of a request head.
+    #[serde(rename = "labelBytes")]
+    pub head_bytes: u64,
+    /// Bytes of a request body.
+    #[serde(rename = "parcelBytes")]
+    pub body_bytes: u64,
+    /// Time limit for a request head, in milliseconds.
+    #[serde(rename = "labelMs")]
+    pub head_timeout_ms: u64,
+    /// Time limit of an idle connection, in milliseconds.
+    #[serde(rename = "idleMs")]
+    pub idle_timeout_ms: u64,
 }
 
-impl Default for Limits {
+impl Default for ClientLimits {
     fn default() -> Self {
-        Self { label_bytes: 16_384, parcel_bytes: 33_554_432, label_ms: 3_000, idle_ms: 15_000 }
+        Self { head_bytes: 16_384, body_bytes: 33_554_432, head_timeout_ms: 3_000, idle_timeout_ms: 15_000 }
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationFile {
     /// Its version.
@@ -240,44 +257,45 @@
     /// Its services.
     #[serde(rename = "postalLines")]
     pub services: Vec<ServiceEntry>,
-    /// What clients may send.
-    pub limits: Limits,
+    /// Limits of what clients may send.
+    pub limits: ClientLimits,
 }
 
-/// Items to add or to replace.
+/// Entries to add or to replace.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LoadItems {
+pub struct RouteUpdates {
     /// Routes.
     pub routes: Vec<RouteEntry>,
 }
 
-/// Names to remove.
+/// Names of entries to remove.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct StrikeItems {
+pub struct RouteRemovals {
     /// Routes.
     pub routes: Vec<String>,
 }
 
-/// A change of named items.
+/// A change of named entries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationPatch {
-    /// The version that it makes.
+    /// The version that it results in.
     #[serde(rename = "edition")]
     pub version: u64,
     /// What is added or replaced.
     #[serde(rename = "loadIn")]
-    pub load: LoadItems,
+    pub updates: RouteUpdates,
     /// What is removed.
-    pub strike: StrikeItems,
+    #[serde(rename = "strike")]
+    pub removals: RouteRemovals,
 }
 
 impl ConfigurationFile {
-    /// What a change makes of it.
+    /// The configuration after a change.
     #[must_use]
     pub fn patched(&self, patch: &ConfigurationPatch) -> Self {
         let mut patched = Self { version: patch.version, ..self.clone() };
-        patched.routes.retain(|route| !patch.strike.routes.contains(&route.name));
-        for route in &patch.load.routes {
+        patched.routes.retain(|route| !patch.removals.routes.contains(&route.name));
+        for route in &patch.updates.routes {
             match patched.routes.iter_mut().find(|present| present.name == route.name) {
                 Some(present) => *present = route.clone(),
                 None => patched.routes.push(route.clone()),
--- a/crates/local-fleet/src/layout.rs
+++ b/crates/local-fleet/src/deployment/layout.rs
@@ -1,31 +1,31 @@
-//! Where everything listens: one loopback address for each machine, the same ports on all.
+//! The addresses of a fleet: one loopback address for each machine, the same ports on all.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Ports that are free for what processes say to each other.
+/// The range of ports for internal calls between processes.
 pub const INTERNAL_PORTS: (u16, u16) = (7660, 7675);
-/// Clients and trainers.
+/// The port for clients and trainers.
 const FRONT_PORT: u16 = 8144;
-/// Readiness.
+/// The port for readiness checks.
 const READY_PORT: u16 = 8140;
-/// The operator.
+/// The port for the operator.
 const CONTROL_PORT: u16 = 8146;
-/// The list of servers.
+/// The port of the platform's server list.
 const PLATFORM_PORT: u16 = 8142;
-/// Servers.
+/// The port of plain servers and engines.
 const SERVER_PORT: u16 = 8080;
 
-/// Last parts of addresses begin here.
-const NODES_FROM: u8 = 1;
-const STORES_FROM: u8 = 64;
-const PLATFORM_AT: u8 = 128;
-const PLAIN_FROM: u8 = 130;
-const ENGINES_FROM: u8 = 160;
-
-/// Machines of a kind that fit into the layout.
-pub const MACHINES_MOST: u8 = 24;
-/// Nodes that have a disk.
-const NODES_WITH_DISK: u8 = 3;
+/// The last octet of the first machine of each kind.
+const FIRST_NODE_OCTET: u8 = 1;
+const FIRST_STORE_OCTET: u8 = 64;
+const PLATFORM_OCTET: u8 = 128;
+const FIRST_PLAIN_SERVER_OCTET: u8 = 130;
+const FIRST_ENGINE_OCTET: u8 = 160;
+
+/// Machines of one kind that fit into the layout.
+pub const MAX_MACHINES_PER_KIND: u8 = 24;
+/// The first nodes have a disk; this many at most.
+const MAX_NODES_WITH_DISK: u8 = 3;
 /// Zones of the fleet.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 /// The region of all zones.
@@ -34,7 +34,7 @@
 /// The addresses of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
-    /// The third part of all addresses; fleets with different ones can run side by side.
+    /// The third octet of all addresses; fleets with different ones can run side by side.
     pub subnet: u8,
     /// Traffic nodes.
     pub nodes: u8,
@@ -47,20 +47,20 @@
 }
 
 impl Layout {
-    fn ip(&self, last: u8) -> IpAddr {
-        Ipv4Addr::new(127, 10, self.subnet, last).into()
+    fn ip(&self, last_octet: u8) -> IpAddr {
+        Ipv4Addr::new(127, 10, self.subnet, last_octet).into()
     }
 
     /// The address of a node, counted from 0.
     #[must_use]
     pub fn node_ip(&self, node: u8) -> IpAddr {
-        self.ip(NODES_FROM + node)
+        self.ip(FIRST_NODE_OCTET + node)
     }
 
-    /// The address of a store.
+    /// The address of a store, counted from 0.
     #[must_use]
     pub fn store_ip(&self, store: u8) -> IpAddr {
-        self.ip(STORES_FROM + store)
+        self.ip(FIRST_STORE_OCTET + store)
     }
 
     /// Where a node serves clients.
@@ -69,7 +69,7 @@
         (self.node_ip(node), FRONT_PORT).into()
     }
 
-    /// Where a node tells whether it is ready.
+    /// Where a node answers readiness checks.
     #[must_use]
     pub fn ready(&self, node: u8) -> SocketAddr {
         (self.node_ip(node), READY_PORT).into()
@@ -81,39 +81,39 @@
         (self.node_ip(node), CONTROL_PORT).into()
     }
 
-    /// Where the operator finds nodes at first.
+    /// The nodes that settings name as seeds, by the operator's address.
     #[must_use]
     pub fn seeds(&self) -> Vec<SocketAddr> {
         (0..self.nodes_with_disk()).map(|node| self.control(node)).collect()
     }
 
-    /// The platform.
+    /// The address of the platform.
     #[must_use]
     pub fn platform(&self) -> SocketAddr {
-        (self.ip(PLATFORM_AT), PLATFORM_PORT).into()
+        (self.ip(PLATFORM_OCTET), PLATFORM_PORT).into()
     }
 
-    /// A plain server.
+    /// The address of a plain server, counted from 0.
     #[must_use]
     pub fn plain_server(&self, server: u8) -> SocketAddr {
-        (self.ip(PLAIN_FROM + server), SERVER_PORT).into()
+        (self.ip(FIRST_PLAIN_SERVER_OCTET + server), SERVER_PORT).into()
     }
 
-    /// An engine.
+    /// The address of an engine, counted from 0.
     #[must_use]
     pub fn engine(&self, engine: u8) -> SocketAddr {
-        (self.ip(ENGINES_FROM + engine), SERVER_PORT).into()
+        (self.ip(FIRST_ENGINE_OCTET + engine), SERVER_PORT).into()
     }
 
-    /// The first so many nodes have a disk.
+    /// How many nodes have a disk; these are the first ones.
     #[must_use]
     pub fn nodes_with_disk(&self) -> u8 {
-        self.nodes.min(NODES_WITH_DISK)
+        self.nodes.min(MAX_NODES_WITH_DISK)
     }
 
-    /// How many of the nodes with a disk, and how many stores, may be lost at once.
+    /// How many of the nodes with a disk, and how many stores, may fail at once.
     #[must_use]
-    pub fn machines_lost(&self) -> u8 {
+    pub fn tolerated_failures(&self) -> u8 {
         (self.nodes_with_disk().min(self.stores).max(1) - 1) / 2
     }
 
--- /dev/null
+++ b/crates/local-fleet/src/deployment/mod.rs
@@ -0,0 +1,21 @@
+//! The system under test: its processes, their addresses, settings and configuration, and the faults injected into them.
+
+mod configuration_file;
+mod error;
+mod fault;
+mod fleet;
+mod layout;
+mod process;
+mod settings_file;
+mod timing_rules;
+
+pub use configuration_file::{
+    ClientLimits, ConfigurationFile, ConfigurationPatch, Names, RouteEntry, RouteRemovals, RouteUpdates,
+    ServiceEntry,
+};
+pub use error::FleetError;
+pub use fault::{Fault, FaultKind, ParseFaultError};
+pub use fleet::Fleet;
+pub use layout::{Layout, MAX_MACHINES_PER_KIND};
+pub use settings_file::{MachineClass, SettingsFile, PLATFORM_CALLS_PER_SECOND, PLATFORM_LAG};
+pub use timing_rules::TimingRules;
--- /dev/null
+++ b/crates/local-fleet/src/deployment/settings_file.rs
@@ -0,0 +1,214 @@
+//! The settings file of a process, as the program reads it at its start.
+//!
+//! The types are write-only: fields are named after the keys of the file or renamed by `serde`.
+
+use std::collections::BTreeMap;
+use std::net::IpAddr;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use serde::Serialize;
+
+use super::layout::{Layout, INTERNAL_PORTS, REGION, ZONES};
+use super::timing_rules::TimingRules;
+
+/// Calls a second that the platform accepts from all nodes together.
+pub const PLATFORM_CALLS_PER_SECOND: f64 = 44.0;
+/// How far the platform's server list lags.
+pub const PLATFORM_LAG: Duration = Duration::from_millis(800);
+
+/// The purpose of a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+pub enum MachineClass {
+    /// A traffic node.
+    #[serde(rename = "counter")]
+    Node,
+    /// A store of batch jobs.
+    #[serde(rename = "vault")]
+    Store,
+}
+
+/// The addresses at which a node serves clients, readiness checks and the operator.
+#[derive(Clone, Debug, Default, Serialize)]
+pub struct ListenAddresses {
+    #[serde(rename = "front", skip_serializing_if = "Option::is_none")]
+    clients: Option<String>,
+    #[serde(rename = "readyPost", skip_serializing_if = "Option::is_none")]
+    readiness: Option<String>,
+    #[serde(rename = "controlPost", skip_serializing_if = "Option::is_none")]
+    operator: Option<String>,
+}
+
+/// The resources that a process may use.
+#[derive(Clone, Debug, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub struct ProcessLimits {
+    cpu_share: f64,
+    cores: u32,
+    memory_mb: u64,
+    file_handles: u64,
+    link_mbps: f64,
+    disk_mb: u64,
+}
+
+/// Failures at one time that the system tolerates.
+#[derive(Clone, Debug, Serialize)]
+pub struct ToleratedFailures {
+    machines: u8,
+    zones: u8,
+    regions: u8,
+}
+
+/// How the platform is reached.
+#[derive(Clone, Debug, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub struct PlatformSettings {
+    address: String,
+    #[serde(rename = "perS")]
+    calls_per_second: f64,
+    rounds: Vec<String>,
+    lag_ms: u64,
+}
+
+/// The settings of a process.
+#[derive(Clone, Debug, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub struct SettingsFile {
+    #[serde(rename = "station")]
+    name: String,
+    role: String,
+    machine_class: MachineClass,
+    serves: Vec<&'static str>,
+    ip: IpAddr,
+    zone: &'static str,
+    region: &'static str,
+    #[serde(rename = "innerPorts")]
+    internal_ports: (u16, u16),
+    #[serde(rename = "seedStations")]
+    seeds: Vec<String>,
+    /// Whether the system starts for the first time.
+    pub first_start: bool,
+    counts_for_quorum: bool,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    data_dir: Option<PathBuf>,
+    discovery: &'static str,
+    entry: &'static str,
+    #[serde(rename = "beatMs")]
+    heartbeat_ms: u64,
+    contracts: Vec<&'static str>,
+    zones: BTreeMap<&'static str, &'static str>,
+    #[serde(rename = "posts")]
+    addresses: ListenAddresses,
+    limits: ProcessLimits,
+    #[serde(rename = "withstand")]
+    tolerated_failures: ToleratedFailures,
+    #[serde(rename = "timetable")]
+    timing: TimingRules,
+    #[serde(rename = "cloud")]
+    platform: PlatformSettings,
+}
+
+impl SettingsFile {
+    /// The settings of a traffic node, with its files under `directory`.
+    #[must_use]
+    pub fn node(layout: &Layout, node: u8, directory: &Path) -> Self {
+        let has_disk = node < layout.nodes_with_disk();
+        let addresses = ListenAddresses {
+            clients: Some(layout.front(node).to_string()),
+            readiness: Some(layout.ready(node).to_string()),
+            operator: Some(layout.control(node).to_string()),
+        };
+        Self {
+            name: format!("counter-{}-{}", layout.zone(node), node + 1),
+            role: "node".to_owned(),
+            machine_class: MachineClass::Node,
+            serves: vec!["counter", "dispatch"],
+            ip: layout.node_ip(node),
+            zone: layout.zone(node),
+            counts_for_quorum: has_disk,
+            data_dir: has_disk.then(|| directory.join("data")),
+            addresses,
+            limits: ProcessLimits::with(0.41, 260, 4100, if has_disk { 64 } else { 0 }),
+            ..Self::store(layout, 0, directory)
+        }
+    }
+
+    /// The settings of a store, with its files under `directory`.
+    #[must_use]
+    pub fn store(layout: &Layout, store: u8, directory: &Path) -> Self {
+        Self {
+            name: format!("vault-{}-{}", layout.zone(store), store + 1),
+            role: "store".to_owned(),
+            machine_class: MachineClass::Store,
+            serves: vec!["vault"],
+            ip: layout.store_ip(store),
+            zone: layout.zone(store),
+            region: REGION,
+            internal_ports: INTERNAL_PORTS,
+            seeds: layout.seeds().iter().map(ToString::to_string).collect(),
+            first_start: true,
+            counts_for_quorum: true,
+            data_dir: Some(directory.join("data")),
+            discovery: "cloud",
+            entry: "shared_address",
+            heartbeat_ms: 1200,
+            contracts: vec![
+                "base", "drain", "config", "cost", "recover", "samples", "stream", "engine", "batch",
+            ],
+            zones: ZONES.iter().map(|zone| (*zone, REGION)).collect(),
+            addresses: ListenAddresses::default(),
+            limits: ProcessLimits::with(0.5, 300, 8200, 500),
+            tolerated_failures: ToleratedFailures {
+                machines: layout.tolerated_failures(),
+                zones: 0,
+                regions: 0,
+            },
+            timing: TimingRules::default(),
+            platform: PlatformSettings::of(layout),
+        }
+    }
+
+    /// The name of the machine.
+    #[must_use]
+    pub fn name(&self) -> &str {
+        &self.name
+    }
+
+    /// The purpose of the machine.
+    #[must_use]
+    pub fn machine_class(&self) -> MachineClass {
+        self.machine_class
+    }
+
+    /// Where the process keeps its files, if it has a disk.
+    #[must_use]
+    pub fn data_dir(&self) -> Option<&Path> {
+        self.data_dir.as_deref()
+    }
+
+    /// The text of the file.
+    ///
+    /// # Errors
+    ///
+    /// When a path cannot be written as text.
+    pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
+        toml::to_string(self)
+    }
+}
+
+impl ProcessLimits {
+    fn with(cpu_share: f64, memory_mb: u64, file_handles: u64, disk_mb: u64) -> Self {
+        Self { cpu_share, cores: 1, memory_mb, file_handles, link_mbps: 1000.0, disk_mb }
+    }
+}
+
+impl PlatformSettings {
+    fn of(layout: &Layout) -> Self {
+        Self {
+            address: layout.platform().to_string(),
+            calls_per_second: PLATFORM_CALLS_PER_SECOND,
+            rounds: Vec::new(),
+            lag_ms: u64::try_from(PLATFORM_LAG.as_millis()).unwrap_or(u64::MAX),
+        }
+    }
+}
--- a/crates/local-fleet/src/calls.rs
+++ b/crates/local-fleet/src/http/caller.rs
@@ -1,4 +1,4 @@
-//! Calls of the stand-ins to nodes.
+//! The HTTP client of the stand-ins: single attempts, and calls that are retried until the outcome is known.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 use reqwest::header::HeaderMap;
 use reqwest::Method;
 
-/// A new connection has this long to come up.
+/// Time limit for a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Callers follow a redirect this often.
-const REDIRECTS_MOST: usize = 2;
-/// The pause before the second try ...
-const PAUSE_FIRST: Duration = Duration::from_millis(50);
-/// ... doubles until it is this long.
-const PAUSE_MOST: Duration = Duration::from_millis(800);
-
-/// A call.
+/// How many redirects are followed.
+const MAX_REDIRECTS: usize = 2;
+/// The pause before the second attempt; it doubles with each further one ...
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+/// ... up to this.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+
+/// An HTTP request.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct HttpCall {
     /// Its method.
     pub method: Method,
     /// Its path with its query.
@@ -28,12 +28,12 @@
     pub headers: Vec<(&'static str, String)>,
     /// Its body.
     pub body: Bytes,
-    /// How long a try may take.
+    /// Time limit of one attempt.
     pub timeout: Duration,
 }
 
-impl Call {
-    /// A call without headers and body.
+impl HttpCall {
+    /// A request without headers and body, with a time limit of one second.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -44,28 +44,32 @@
         }
     }
 
-    /// With a header.
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// With a JSON body.
+    /// Sets a JSON body.
+    ///
+    /// # Errors
+    ///
+    /// When the value cannot be serialized.
     pub fn json<T: serde::Serialize>(mut self, body: &T) -> Result<Self, serde_json::Error> {
         self.body = serde_json::to_vec(body)?.into();
         Ok(self.header("Content-Type", "application/json"))
     }
 
-    /// With another time for a try.
+    /// Sets the time limit of one attempt.
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct Reply {
+pub struct HttpReply {
     /// Its status.
     pub status: u16,
     /// Its headers.
@@ -74,62 +78,62 @@
     pub body: Bytes,
 }
 
-impl Reply {
-    /// Whether it is a 2xx.
+impl HttpReply {
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Whether the caller knows now what became of the call.
-    fn is_clear(&self) -> bool {
+    /// Whether the outcome of the call is known: neither a server error nor overload.
+    fn is_conclusive(&self) -> bool {
         self.status < 500 && self.status != 408 && self.status != 429
     }
 
-    /// A header, if it is there and readable.
+    /// A header, if it is present and text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// A call has no clear answer.
+/// The outcome of a call is unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallError {
-    /// No whole answer came.
+pub enum HttpCallError {
+    /// No complete response arrived.
     Failed(String),
-    /// Every try within the time was answered without saying what became of the call.
-    Unclear(u16),
+    /// The last attempt got this status, which leaves the outcome open.
+    Inconclusive(u16),
 }
 
-impl fmt::Display for CallError {
+impl fmt::Display for HttpCallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Failed(why) => write!(f, "no answer: {why}"),
-            Self::Unclear(status) => write!(f, "no clear answer: status {status}"),
+            Self::Inconclusive(status) => write!(f, "no clear answer: status {status}"),
         }
     }
 }
 
-impl std::error::Error for CallError {}
+impl std::error::Error for HttpCallError {}
 
-/// Makes calls.
+/// Makes HTTP calls.
 #[derive(Clone, Debug)]
-pub struct Caller {
+pub struct HttpCaller {
     http: reqwest::Client,
 }
 
-impl Caller {
-    /// Each call on a new connection.
+impl HttpCaller {
+    /// A caller that opens a connection for each call.
     pub fn without_reuse() -> reqwest::Result<Self> {
         Ok(Self { http: builder().pool_max_idle_per_host(0).build()? })
     }
 
-    /// Connections are kept for further calls.
+    /// A caller that keeps connections for further calls.
     pub fn with_reuse() -> reqwest::Result<Self> {
         Ok(Self { http: builder().build()? })
     }
 
-    /// One try.
-    pub async fn once(&self, to: SocketAddr, call: &Call) -> Result<Reply, CallError> {
+    /// Makes one attempt.
+    pub async fn call_once(&self, to: SocketAddr, call: &HttpCall) -> Result<HttpReply, HttpCallError> {
         let mut request = self.http.request(call.method.clone(), format!("http://{to}{}", call.path));
         for (name, value) in &call.headers {
             request = request.header(*name, value);
@@ -137,31 +141,31 @@
         let answer = request.timeout(call.timeout).body(call.body.clone()).send().await.map_err(failed)?;
         let (status, headers) = (answer.status().as_u16(), answer.headers().clone());
         let body = answer.bytes().await.map_err(failed)?;
-        Ok(Reply { status, headers, body })
+        Ok(HttpReply { status, headers, body })
     }
 
-    /// Tries one peer after the other until one gives a clear answer or `within` has passed.
-    pub async fn until_clear(
+    /// Tries one peer after the other, with backoff, until the outcome is known or `timeout` has passed.
+    pub async fn call_until_conclusive(
         &self,
         mut peer: impl FnMut() -> SocketAddr,
-        call: &Call,
-        within: Duration,
-    ) -> Result<Reply, CallError> {
-        let until = Instant::now() + within;
-        let mut pause = PAUSE_FIRST;
+        call: &HttpCall,
+        timeout: Duration,
+    ) -> Result<HttpReply, HttpCallError> {
+        let deadline = Instant::now() + timeout;
+        let mut backoff = MIN_BACKOFF;
         loop {
             let to = peer();
-            let error = match self.once(to, call).await {
-                Ok(reply) if reply.is_clear() => return Ok(reply),
-                Ok(reply) => CallError::Unclear(reply.status),
+            let error = match self.call_once(to, call).await {
+                Ok(reply) if reply.is_conclusive() => return Ok(reply),
+                Ok(reply) => HttpCallError::Inconclusive(reply.status),
                 Err(error) => error,
             };
             log::debug!("{} {} at {to}: {error}", call.method, call.path);
-            if Instant::now() + pause >= until {
+            if Instant::now() + backoff >= deadline {
                 return Err(error);
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(PAUSE_MOST);
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 }
@@ -169,17 +173,18 @@
 fn builder() -> reqwest::ClientBuilder {
     reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
-        .redirect(reqwest::redirect::Policy::limited(REDIRECTS_MOST))
+        .redirect(reqwest::redirect::Policy::limited(MAX_REDIRECTS))
         .tcp_nodelay(true)
         .no_proxy()
 }
 
-fn failed(error: reqwest::Error) -> CallError {
+/// The error with the text of all its causes.
+fn failed(error: reqwest::Error) -> HttpCallError {
     let mut why = error.to_string();
     let mut source = std::error::Error::source(&error);
     while let Some(inner) = source {
         why = format!("{why}: {inner}");
         source = inner.source();
     }
-    CallError::Failed(why)
+    HttpCallError::Failed(why)
 }
--- a/crates/local-fleet/src/connections.rs
+++ b/crates/local-fleet/src/http/connections.rs
@@ -1,7 +1,7 @@
-//! Connections that can be cut in the middle of an answer.
+//! Connections that can be aborted in the middle of a response.
 //!
 //! When the stream of a chunked body ends with an error, poem's server still writes the last chunk, so that the
-//! answer looks complete. A server that is to break off therefore cuts the connection beneath it first.
+//! response looks complete. A server that is to break off therefore aborts the connection below it first.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,22 +17,23 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-type Handles = Arc<Mutex<HashMap<SocketAddr, Connection>>>;
+/// Open connections by the address of the peer.
+type ConnectionsByPeer = Arc<Mutex<HashMap<SocketAddr, Connection>>>;
 
-/// A handle of a connection.
+/// A handle to a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Connection {
-    cut: Arc<AtomicBool>,
+    is_aborted: Arc<AtomicBool>,
 }
 
 impl Connection {
-    /// Lets nothing more through.
-    pub fn cut(&self) {
-        self.cut.store(true, Ordering::Relaxed);
+    /// Fails every further read and write.
+    pub fn abort(&self) {
+        self.is_aborted.store(true, Ordering::Relaxed);
     }
 
     fn check(&self) -> io::Result<()> {
-        if self.cut.load(Ordering::Relaxed) {
+        if self.is_aborted.load(Ordering::Relaxed) {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         Ok(())
@@ -42,41 +43,41 @@
 /// The open connections of a listener.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
-    handles: Handles,
+    by_peer: ConnectionsByPeer,
 }
 
 impl Connections {
-    fn handles(&self) -> MutexGuard<'_, HashMap<SocketAddr, Connection>> {
-        self.handles.lock().unwrap_or_else(PoisonError::into_inner)
+    fn by_peer(&self) -> MutexGuard<'_, HashMap<SocketAddr, Connection>> {
+        self.by_peer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The connection that a request came on.
-    pub fn of(&self, request: &Request) -> Connection {
+    /// The connection by which a request arrived.
+    pub fn of_request(&self, request: &Request) -> Connection {
         let peer = request.remote_addr().as_socket_addr();
-        peer.and_then(|peer| self.handles().get(peer).cloned()).unwrap_or_default()
+        peer.and_then(|peer| self.by_peer().get(peer).cloned()).unwrap_or_default()
     }
 
-    /// Lets nothing more through on any connection.
-    pub fn cut_all(&self) {
-        self.handles().values().for_each(Connection::cut);
+    /// Aborts all connections.
+    pub fn abort_all(&self) {
+        self.by_peer().values().for_each(Connection::abort);
     }
 }
 
-/// Accepts connections that can be cut.
-pub struct CuttableAcceptor {
+/// Accepts connections that can be aborted.
+pub struct AbortableAcceptor {
     inner: TcpAcceptor,
     connections: Connections,
 }
 
-impl CuttableAcceptor {
-    /// An acceptor that notes its connections in `connections`.
+impl AbortableAcceptor {
+    /// An acceptor that registers its connections in `connections`.
     pub fn new(listener: TcpListener, connections: Connections) -> io::Result<Self> {
         Ok(Self { inner: TcpAcceptor::from_tokio(listener)?, connections })
     }
 }
 
-impl Acceptor for CuttableAcceptor {
-    type Io = CuttableStream;
+impl Acceptor for AbortableAcceptor {
+    type Io = AbortableStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
         self.inner.local_addr()
@@ -87,27 +88,27 @@
         socket.set_nodelay(true)?;
         let peer = socket.peer_addr()?;
         let connection = Connection::default();
-        self.connections.handles().insert(peer, connection.clone());
-        let stream = CuttableStream { socket, peer, connection, connections: self.connections.clone() };
+        self.connections.by_peer().insert(peer, connection.clone());
+        let stream = AbortableStream { socket, peer, connection, connections: self.connections.clone() };
         Ok((stream, local, remote, scheme))
     }
 }
 
-/// A connection that can be cut.
-pub struct CuttableStream {
+/// The byte stream of a connection that can be aborted.
+pub struct AbortableStream {
     socket: TcpStream,
     peer: SocketAddr,
     connection: Connection,
     connections: Connections,
 }
 
-impl Drop for CuttableStream {
+impl Drop for AbortableStream {
     fn drop(&mut self) {
-        self.connections.handles().remove(&self.peer);
+        self.connections.by_peer().remove(&self.peer);
     }
 }
 
-impl AsyncRead for CuttableStream {
+impl AsyncRead for AbortableStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -118,7 +119,7 @@
     }
 }
 
-impl AsyncWrite for CuttableStream {
+impl AsyncWrite for AbortableStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/local-fleet/src/operator.rs
+++ b/crates/local-fleet/src/operator.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the operator, and of trainers where they name versions.
+//! Stand-in of the operator, who changes the configuration, and of trainers where they name versions.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,62 +6,61 @@
 
 use reqwest::Method;
 
-use crate::calls::{Call, CallError, Caller};
-use crate::configuration_file::{ConfigurationFile, ConfigurationPatch};
-use crate::layout::Layout;
-use crate::wire::NamedVersion;
+use crate::deployment::{ConfigurationFile, ConfigurationPatch, Layout};
+use crate::http::{HttpCall, HttpCallError, HttpCaller, HttpReply};
+use crate::protocol::NamedVersion;
 
 /// The path of the configuration.
 const CONFIGURATION_PATH: &str = "/api/timetable";
-/// The path where versions are named.
+/// The path for naming versions.
 const VERSION_PATH: &str = "/api/version-put";
-/// The largest answer and the largest order take longer than the usual second.
+/// Time limit of one attempt; the largest documents take longer than the usual second.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An order was not taken.
+/// An order was not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorError {
-    /// No node said what became of it.
-    NoAnswer(CallError),
-    /// It was refused.
-    Refused(u16, String),
-    /// A message cannot be read or written.
-    Unreadable(String),
+    /// Its outcome is unknown.
+    Inconclusive(HttpCallError),
+    /// It was rejected, with this status and body.
+    Rejected(u16, String),
+    /// A message cannot be serialized or parsed.
+    Malformed(String),
 }
 
 impl fmt::Display for OperatorError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoAnswer(error) => error.fmt(f),
-            Self::Refused(status, why) => write!(f, "refused with status {status}: {why}"),
-            Self::Unreadable(why) => write!(f, "unreadable: {why}"),
+            Self::Inconclusive(error) => error.fmt(f),
+            Self::Rejected(status, reason) => write!(f, "refused with status {status}: {reason}"),
+            Self::Malformed(reason) => write!(f, "unreadable: {reason}"),
         }
     }
 }
 
 impl std::error::Error for OperatorError {}
 
-impl From<CallError> for OperatorError {
-    fn from(error: CallError) -> Self {
-        Self::NoAnswer(error)
+impl From<HttpCallError> for OperatorError {
+    fn from(error: HttpCallError) -> Self {
+        Self::Inconclusive(error)
     }
 }
 
 impl From<serde_json::Error> for OperatorError {
     fn from(error: serde_json::Error) -> Self {
-        Self::Unreadable(error.to_string())
+        Self::Malformed(error.to_string())
     }
 }
 
 /// The operator.
 #[derive(Clone, Debug)]
 pub struct Operator {
-    caller: Caller,
+    caller: HttpCaller,
     nodes: Vec<SocketAddr>,
 }
 
 impl Operator {
-    /// An operator that knows all nodes of a layout.
+    /// An operator that reaches all nodes of a layout.
     ///
     /// # Errors
     ///
@@ -70,82 +69,82 @@
         Self::with_nodes((0..layout.nodes).map(|node| layout.control(node)).collect())
     }
 
-    /// An operator that knows these nodes.
+    /// An operator that reaches these nodes.
     ///
     /// # Errors
     ///
     /// When the HTTP client cannot be set up.
     pub fn with_nodes(nodes: Vec<SocketAddr>) -> reqwest::Result<Self> {
-        Ok(Self { caller: Caller::without_reuse()?, nodes })
+        Ok(Self { caller: HttpCaller::without_reuse()?, nodes })
     }
 
-    async fn call(&self, call: &Call, within: Duration) -> Result<crate::calls::Reply, OperatorError> {
+    async fn call(&self, call: &HttpCall, timeout: Duration) -> Result<HttpReply, OperatorError> {
         let mut next = fastrand::usize(..self.nodes.len());
         let peer = || {
             next = (next + 1) % self.nodes.len();
             self.nodes[next]
         };
-        let reply = self.caller.until_clear(peer, call, within).await?;
+        let reply = self.caller.call_until_conclusive(peer, call, timeout).await?;
         if reply.is_success() {
             return Ok(reply);
         }
-        Err(OperatorError::Refused(reply.status, String::from_utf8_lossy(&reply.body).into_owned()))
+        Err(OperatorError::Rejected(reply.status, String::from_utf8_lossy(&reply.body).into_owned()))
     }
 
-    /// Puts a whole configuration on top of version `built_on`.
+    /// Replaces the configuration, on the condition that its version is `expected_version`.
     ///
     /// # Errors
     ///
-    /// When it is not acknowledged within the time.
+    /// When it is not acknowledged within `timeout`.
     pub async fn put(
         &self,
         configuration: &ConfigurationFile,
-        built_on: u64,
-        within: Duration,
+        expected_version: u64,
+        timeout: Duration,
     ) -> Result<(), OperatorError> {
-        let call = Call::new(Method::PUT, CONFIGURATION_PATH).timeout(CONFIGURATION_TIMEOUT);
-        let call = call.header("If-Match", built_on.to_string()).json(configuration)?;
-        self.call(&call, within).await.map(drop)
+        let call = HttpCall::new(Method::PUT, CONFIGURATION_PATH).timeout(CONFIGURATION_TIMEOUT);
+        let call = call.header("If-Match", expected_version.to_string()).json(configuration)?;
+        self.call(&call, timeout).await.map(drop)
     }
 
-    /// Changes named items on top of version `built_on`.
+    /// Changes named entries of the configuration, on the condition that its version is `expected_version`.
     ///
     /// # Errors
     ///
-    /// When it is not acknowledged within the time.
+    /// When it is not acknowledged within `timeout`.
     pub async fn patch(
         &self,
         patch: &ConfigurationPatch,
-        built_on: u64,
-        within: Duration,
+        expected_version: u64,
+        timeout: Duration,
     ) -> Result<(), OperatorError> {
-        let call = Call::new(Method::PATCH, CONFIGURATION_PATH).timeout(CONFIGURATION_TIMEOUT);
-        let call = call.header("If-Match", built_on.to_string()).json(patch)?;
-        self.call(&call, within).await.map(drop)
+        let call = HttpCall::new(Method::PATCH, CONFIGURATION_PATH).timeout(CONFIGURATION_TIMEOUT);
+        let call = call.header("If-Match", expected_version.to_string()).json(patch)?;
+        self.call(&call, timeout).await.map(drop)
     }
 
-    /// The newest configuration.
+    /// Reads the newest configuration.
     ///
     /// # Errors
     ///
-    /// When no node tells it within the time.
-    pub async fn read(&self, within: Duration) -> Result<ConfigurationFile, OperatorError> {
-        let call = Call::new(Method::GET, CONFIGURATION_PATH).timeout(CONFIGURATION_TIMEOUT);
-        Ok(serde_json::from_slice(&self.call(&call, within).await?.body)?)
+    /// When no node sends it within `timeout`.
+    pub async fn read(&self, timeout: Duration) -> Result<ConfigurationFile, OperatorError> {
+        let call = HttpCall::new(Method::GET, CONFIGURATION_PATH).timeout(CONFIGURATION_TIMEOUT);
+        Ok(serde_json::from_slice(&self.call(&call, timeout).await?.body)?)
     }
 
-    /// Names a version of a model's weights.
+    /// Names a version of a model's weights, which the system then rolls out.
     ///
     /// # Errors
     ///
-    /// When it is not acknowledged within the time.
+    /// When it is not acknowledged within `timeout`.
     pub async fn name_version(
         &self,
         model: &str,
         version: u64,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<(), OperatorError> {
         let named = NamedVersion { model: model.to_owned(), version };
-        self.call(&Call::new(Method::POST, VERSION_PATH).json(&named)?, within).await.map(drop)
+        self.call(&HttpCall::new(Method::POST, VERSION_PATH).json(&named)?, timeout).await.map(drop)
     }
 }
--- a/crates/local-fleet/src/wire.rs
+++ b/crates/local-fleet/src/protocol.rs
@@ -1,54 +1,58 @@
-//! Messages and headers of the outer protocol that the stand-ins speak.
+//! Messages and headers that the stand-ins exchange with nodes, servers and the platform.
+//!
+//! The names on the wire are those of the system's interfaces; `serde(rename)` maps them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use batch::ItemResult;
+use poem::http::StatusCode;
+use poem::Response;
 use serde::{Deserialize, Serialize};
 
 /// Names of headers.
 pub mod header {
-    /// Identity of a request.
+    /// Id of a request.
     pub const ATTEMPT_ID: &str = "Attempt-Id";
-    /// Stamp of a server's answer.
+    /// Stamp that identifies a server's response.
     pub const STAMP: &str = "Postmark";
-    /// Milliseconds that the caller will wait.
+    /// Milliseconds that are left until the caller's deadline.
     pub const TIME_LEFT: &str = "Time-Left-Ms";
     /// The only server that may run the request.
     pub const EXPECTED_SERVER: &str = "Expected-Carrier";
-    /// The server that answered.
+    /// The server that responded.
     pub const SERVER: &str = "Carrier";
-    /// Requests running, requests waiting and slots.
+    /// Running requests, queued requests and slots, comma-separated.
     pub const LOAD: &str = "Carrier-Load";
     /// The request was not run.
     pub const NOT_RUN: &str = "Not-Run";
-    /// The only version of the weights that may make the text.
+    /// The only version of the weights that may generate the text.
     pub const EXPECTED_VERSION: &str = "Expect-Version";
     /// The version of the weights.
     pub const VERSION: &str = "Weight-Editions";
-    /// The newest event that the caller has.
+    /// The last event that the caller has received.
     pub const LAST_EVENT_ID: &str = "Last-Event-Id";
-    /// The model that is asked.
+    /// The requested model.
     pub const MODEL: &str = "Model";
-    /// Tokens of the prompt and most tokens out.
+    /// Tokens of the prompt and the maximum of generated tokens, comma-separated.
     pub const TOKENS: &str = "Tokens";
-    /// Parts of the prompt.
+    /// Prefixes of the prompt with their tokens, which engines may have cached.
     pub const PROMPT_PREFIX: &str = "Prompt-Prefix";
-    /// How long a read of results may be held.
-    pub const HOLD: &str = "Hold-Ms";
+    /// Milliseconds that a read of results may wait for a new one.
+    pub const LONG_POLL_TIMEOUT: &str = "Hold-Ms";
 }
 
-/// Whether a server takes new requests.
+/// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerCondition {
-    /// It does.
+    /// It accepts them.
     Open,
-    /// It is about to end.
+    /// It is draining.
     Closing,
 }
 
-/// A model with its version, as servers and the list of servers tell it.
+/// A model with its version, in reports of servers and in the server list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelVersion {
     /// The model.
@@ -60,109 +64,110 @@
     pub adapters: Vec<String>,
 }
 
-/// An entry of the platform's list of servers.
+/// An entry of the platform's server list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Carrier {
-    /// The service.
+pub struct ListedServer {
+    /// The service that it belongs to.
     #[serde(rename = "postalLine")]
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address that it is bound to.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The availability zone.
     pub zone: Arc<str>,
     /// The version of its software.
     #[serde(rename = "edition")]
     pub software: Arc<str>,
-    /// Requests that it works on at once.
+    /// Requests that it runs concurrently.
     #[serde(rename = "berths")]
     pub slots: usize,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub condition: ServerCondition,
-    /// For how much longer it is slow from its start.
+    /// Milliseconds until its warm-up after a start is over.
     #[serde(rename = "coldMs")]
-    pub cold_ms: u64,
-    /// Parts of a generation that it takes on.
+    pub warm_up_ms: u64,
+    /// The phase of a generation that it runs: prefill, decode or both.
     #[serde(rename = "leg", skip_serializing_if = "Option::is_none", default)]
-    pub part: Option<Arc<str>>,
+    pub phase: Option<Arc<str>>,
     /// Its models.
     #[serde(skip_serializing_if = "Vec::is_empty", default)]
     pub models: Vec<ModelVersion>,
-    /// Its incarnation.
+    /// Identifies this start of the server's process.
     pub id: Arc<str>,
 }
 
-/// A page of the list of servers.
+/// A page of the server list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CarrierPage {
+pub struct ServerListPage {
     /// Its entries.
-    pub carriers: Vec<Carrier>,
-    /// The page that follows.
+    #[serde(rename = "carriers")]
+    pub servers: Vec<ListedServer>,
+    /// The token of the next page.
     pub next: Option<String>,
 }
 
-/// What an engine tells of itself.
+/// The status report of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Parts of a generation that it takes on.
+    /// The phase of a generation that it runs: prefill, decode or both.
     #[serde(rename = "leg")]
-    pub part: Arc<str>,
+    pub phase: Arc<str>,
     /// Its models.
     pub models: Vec<ModelVersion>,
-    /// An order is under way.
+    /// An order is being executed.
     pub occupied: bool,
-    /// Orders taken.
+    /// Orders that were accepted since the start.
     #[serde(rename = "callCount")]
-    pub orders_taken: u64,
-    /// Requests waiting.
+    pub accepted_orders: u64,
+    /// Queued requests.
     #[serde(rename = "queuedCount")]
-    pub waiting: usize,
-    /// Requests running.
+    pub queued: usize,
+    /// Running requests.
     #[serde(rename = "inTransit")]
     pub running: usize,
-    /// Cache that cannot give way.
+    /// Tokens of the KV cache that cannot be evicted.
     #[serde(rename = "cacheUsed")]
     pub cache_used: u64,
-    /// Cache in all.
+    /// Tokens that the KV cache holds in total.
     #[serde(rename = "cacheTotal")]
     pub cache_total: u64,
-    /// Handles of moved caches.
+    /// Handles of transferred KV caches.
     pub handles: u64,
 }
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
-    /// What to do.
+pub struct EngineOrder {
+    /// The kind of order.
     pub order: String,
     /// The model.
     pub model: Option<String>,
     /// The version of the weights to load.
     #[serde(rename = "edition")]
     pub version: Option<u64>,
-    /// What becomes of requests that run.
+    /// How running requests are treated.
     pub method: Option<String>,
-    /// Who orders.
+    /// The lease holder that issues the order.
     pub holder: Option<String>,
-    /// The fencing token.
+    /// Its fencing token.
     pub fence: Option<u64>,
-    /// How many orders must have been taken before.
+    /// Precondition: the orders that the engine must have accepted before.
     #[serde(rename = "ifRevision", skip_serializing_if = "Option::is_none", default)]
-    pub if_orders_taken: Option<u64>,
+    pub if_accepted_orders: Option<u64>,
 }
 
 /// A page of the results of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultPage {
-    /// Items of the batch job.
+    /// All items of the batch job.
     pub total: usize,
-    /// The position behind the last result of the page.
+    /// The position after the last result of the page.
     pub next: usize,
     /// The results.
     #[serde(rename = "deliveries")]
     pub results: Vec<ItemResult>,
 }
 
-/// A trainer names a version.
+/// A trainer's request to roll out a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedVersion {
     /// The model.
@@ -171,3 +176,17 @@
     #[serde(rename = "edition")]
     pub version: u64,
 }
+
+/// A random id of a request.
+#[must_use]
+pub fn random_request_id() -> String {
+    format!("{:016x}", fastrand::u64(..))
+}
+
+/// A response with status 200 and a JSON body.
+pub(crate) fn json_response<T: Serialize>(body: &T) -> Response {
+    match serde_json::to_vec(body) {
+        Ok(bytes) => Response::builder().content_type("application/json").body(bytes),
+        Err(_) => StatusCode::INTERNAL_SERVER_ERROR.into(),
+    }
+}
--- a/crates/local-fleet/src/report.rs
+++ b/crates/local-fleet/src/run/report.rs
@@ -1,19 +1,22 @@
-//! What came of a run.
+//! The report of a run.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// What came of a run.
+use crate::platform::PlatformCalls;
+
+/// The report of a run; its text and JSON are read by people and scripts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Report {
-    /// Training steps that were done: all wanted groups came.
+pub struct LocalReport {
+    /// Training steps whose required groups were completed.
     pub steps_done: u64,
-    /// Training steps that were not.
+    /// All other training steps.
     pub steps_failed: u64,
-    /// Whole groups.
-    pub groups_whole: u64,
-    /// Results that were listed.
+    /// Groups that were completed.
+    #[serde(rename = "groups_whole")]
+    pub complete_groups: u64,
+    /// Results that were read.
     pub results: u64,
     /// Requests of clients.
     pub requests_sent: u64,
@@ -21,44 +24,46 @@
     pub requests_served: u64,
     /// Changes of the configuration that were acknowledged.
     pub configurations: u64,
-    /// The newest version of the weights that was named.
+    /// The newest version of the weights that the trainer named.
     pub newest_version: u64,
-    /// Versions of the weights that the engines ended with.
+    /// The version of the weights of each engine at the end.
     pub engine_versions: Vec<u64>,
-    /// Orders that engines took.
+    /// Orders that engines accepted.
     pub orders: u64,
-    /// Calls to the platform, and those of them over its rate.
-    pub platform_calls: (u64, u64),
-    /// From the start of the processes until all nodes were ready.
+    /// Calls to the platform.
+    pub platform_calls: PlatformCalls,
+    /// Seconds from the start of the run until all nodes were ready.
     pub start_seconds: f64,
-    /// All of the run.
+    /// Seconds of the whole run.
     pub seconds: f64,
-    /// Troubles that were made.
-    pub troubles: Vec<String>,
-    /// Broken rules, the first ones of them.
+    /// Faults that were injected.
+    #[serde(rename = "troubles")]
+    pub faults: Vec<String>,
+    /// The first violations of rules.
     pub violations: Vec<String>,
-    /// All broken rules.
-    pub violations_seen: usize,
+    /// The number of all violations.
+    #[serde(rename = "violations_seen")]
+    pub violation_count: usize,
 }
 
-impl Report {
+impl LocalReport {
     /// Whether every step was done and no rule was broken.
     #[must_use]
     pub fn is_clean(&self) -> bool {
-        self.steps_failed == 0 && self.violations_seen == 0
+        self.steps_failed == 0 && self.violation_count == 0
     }
 }
 
-impl fmt::Display for Report {
+impl fmt::Display for LocalReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let steps = self.steps_done + self.steps_failed;
         writeln!(
             f,
             "steps     {} of {steps} done, {} whole groups, {} results",
-            self.steps_done, self.groups_whole, self.results
+            self.steps_done, self.complete_groups, self.results
         )?;
         writeln!(f, "requests  {} of {} served", self.requests_served, self.requests_sent)?;
-        let (calls, over) = self.platform_calls;
+        let PlatformCalls { total: calls, rejected } = self.platform_calls;
         writeln!(
             f,
             "versions  {} named, engines at {:?}, {} orders",
@@ -66,14 +71,14 @@
         )?;
         writeln!(
             f,
-            "control   {} configurations taken, {calls} calls to the platform ({over} over its rate)",
+            "control   {} configurations taken, {calls} calls to the platform ({rejected} over its rate)",
             self.configurations
         )?;
         writeln!(f, "time      ready after {:.1} s, {:.1} s in all", self.start_seconds, self.seconds)?;
-        for trouble in &self.troubles {
-            writeln!(f, "trouble   {trouble}")?;
+        for fault in &self.faults {
+            writeln!(f, "trouble   {fault}")?;
         }
-        writeln!(f, "rules     {} broken", self.violations_seen)?;
+        writeln!(f, "rules     {} broken", self.violation_count)?;
         for violation in &self.violations {
             writeln!(f, "  {violation}")?;
         }
--- /dev/null
+++ b/crates/local-fleet/src/servers/plain.rs
@@ -0,0 +1,138 @@
+//! Stand-in of a plain server: it answers each request after a fixed time; the stamps of its responses grade texts.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use poem::http::{Method, StatusCode};
+use poem::{Request, Response};
+
+use super::responses;
+use super::slots::Slots;
+use crate::http::{Connections, HttpListener};
+use crate::protocol::header;
+use crate::verification::{RecordedResponse, RequestArrival, RequestLog};
+
+/// How a plain server behaves.
+#[derive(Clone, Debug)]
+pub struct PlainOptions {
+    /// Its service.
+    pub service: Arc<str>,
+    /// Identifies this start of the server.
+    pub id: Arc<str>,
+    /// The path of its health check.
+    pub health_path: Arc<str>,
+    /// Requests that it runs concurrently.
+    pub slots: usize,
+    /// Requests that it queues.
+    pub max_queued: usize,
+    /// How long a request runs.
+    pub service_time: Duration,
+}
+
+/// A plain server; it stops when it is dropped.
+#[derive(Debug)]
+pub struct PlainServer {
+    listener: HttpListener,
+}
+
+struct PlainHandler {
+    options: PlainOptions,
+    slots: Slots,
+    request_log: Arc<RequestLog>,
+    response_count: AtomicU64,
+}
+
+impl PlainServer {
+    /// Starts it at `address` (port 0: any free port).
+    ///
+    /// # Errors
+    ///
+    /// When the address cannot be bound.
+    pub async fn start(
+        address: SocketAddr,
+        options: PlainOptions,
+        request_log: Arc<RequestLog>,
+    ) -> io::Result<Self> {
+        let slots = Slots::new(options.slots, options.max_queued);
+        let handler =
+            Arc::new(PlainHandler { options, slots, request_log, response_count: AtomicU64::new(0) });
+        let app = poem::endpoint::make(move |request: Request| {
+            let handler = Arc::clone(&handler);
+            async move { handler.respond(request).await }
+        });
+        Ok(Self { listener: HttpListener::start(address, Connections::default(), app).await? })
+    }
+
+    /// The address that it is bound to.
+    #[must_use]
+    pub fn address(&self) -> SocketAddr {
+        self.listener.address()
+    }
+}
+
+impl PlainHandler {
+    async fn respond(&self, mut request: Request) -> Response {
+        let Ok(body) = request.take_body().into_bytes().await else {
+            return StatusCode::BAD_REQUEST.into();
+        };
+        if request.method() == Method::GET && request.uri().path() == &*self.options.health_path {
+            return responses::health(&self.slots, &self.options.id).await;
+        }
+        let Some(id) = request.header(header::ATTEMPT_ID) else {
+            return responses::not_run(StatusCode::BAD_REQUEST);
+        };
+        let mut response = self.run(&request, id, &body).await;
+        responses::set_header(&mut response, header::ATTEMPT_ID, id);
+        responses::set_header(&mut response, header::LOAD, &self.slots.load().to_string());
+        response
+    }
+
+    async fn run(&self, request: &Request, id: &str, body: &[u8]) -> Response {
+        let deadline = responses::deadline(request, Instant::now());
+        if responses::expects_other_server(request, &self.options.id) {
+            return responses::misdirected(&self.options.id);
+        }
+        let Ok(_slot) = self.slots.acquire().await else {
+            return responses::not_run(StatusCode::SERVICE_UNAVAILABLE);
+        };
+        let now = Instant::now();
+        if deadline.is_some_and(|deadline| now >= deadline) {
+            return responses::not_run(StatusCode::SERVICE_UNAVAILABLE);
+        }
+        let arrived = self.record_arrival(request, id, body, now);
+        let finished = now + self.options.service_time;
+        match deadline {
+            Some(deadline) if deadline < finished => {
+                tokio::time::sleep_until(deadline.into()).await;
+                self.stamped_response(id, StatusCode::GATEWAY_TIMEOUT, arrived)
+            }
+            _ => {
+                tokio::time::sleep_until(finished.into()).await;
+                self.stamped_response(id, StatusCode::OK, arrived)
+            }
+        }
+    }
+
+    fn record_arrival(&self, request: &Request, id: &str, body: &[u8], at: Instant) -> u64 {
+        let path = responses::path_and_query(request);
+        let (service, server) = (&*self.options.service, &*self.options.id);
+        self.request_log.record_arrival(&RequestArrival { id, path, body, service, server, at })
+    }
+
+    /// A response with a stamp by which the request log finds it.
+    fn stamped_response(&self, id: &str, status: StatusCode, arrived: u64) -> Response {
+        let number = self.response_count.fetch_add(1, Ordering::Relaxed);
+        let stamp = format!("{}.{number:x}.{:08x}", self.options.id, fastrand::u32(..));
+        let body = Bytes::from(format!("answer {stamp} to {id}"));
+        let recorded =
+            RecordedResponse { id: id.to_owned(), status: status.as_u16(), body: body.clone(), arrived };
+        self.request_log.record_response(&stamp, recorded);
+        let mut response = Response::builder().status(status).body(body);
+        responses::set_header(&mut response, header::STAMP, &stamp);
+        response
+    }
+}
--- a/crates/local-fleet/src/answers.rs
+++ b/crates/local-fleet/src/servers/responses.rs
@@ -1,4 +1,4 @@
-//! What answers of all servers have in common.
+//! Parts of requests and responses that all servers share.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,24 +6,24 @@
 use poem::http::{HeaderName, HeaderValue, StatusCode};
 use poem::{Request, Response};
 
-use crate::slots::Slots;
-use crate::wire::header;
+use super::slots::Slots;
+use crate::protocol::header;
 
-/// Sets a header of a response; a value that no header can have is left out.
+/// Sets a header of a response; a value that is not valid in a header is left out.
 pub fn set_header(response: &mut Response, name: &str, value: &str) {
     if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::from_str(value)) {
         response.headers_mut().insert(name, value);
     }
 }
 
-/// A response that says that the request was not run.
+/// A response that reports that the request was not run.
 pub fn not_run(status: StatusCode) -> Response {
     let mut response = Response::from(status);
     set_header(&mut response, header::NOT_RUN, "1");
     response
 }
 
-/// The response to a request that is meant for another server or another version of the weights.
+/// The response to a request that expects another server or another version of the weights.
 pub fn misdirected(server: &str) -> Response {
     let mut response = not_run(StatusCode::MISDIRECTED_REQUEST);
     set_header(&mut response, header::SERVER, server);
@@ -31,11 +31,11 @@
 }
 
 /// Whether a request expects another server than `server`.
-pub fn expects_other(request: &Request, server: &str) -> bool {
+pub fn expects_other_server(request: &Request, server: &str) -> bool {
     request.header(header::EXPECTED_SERVER).is_some_and(|expected| expected != server)
 }
 
-/// When the caller of a request stops to wait.
+/// The caller's deadline, from the milliseconds that are left at `now`.
 pub fn deadline(request: &Request, now: Instant) -> Option<Instant> {
     let milliseconds = request.header(header::TIME_LEFT)?.parse().ok()?;
     now.checked_add(Duration::from_millis(milliseconds))
@@ -43,12 +43,12 @@
 
 /// The path of a request with its query.
 pub fn path_and_query(request: &Request) -> &str {
-    request.uri().path_and_query().map_or("/", |whole| whole.as_str())
+    request.uri().path_and_query().map_or("/", |path_and_query| path_and_query.as_str())
 }
 
-/// The answer to a health check, which takes a slot.
+/// Answers a health check, which occupies a slot like any request.
 pub async fn health(slots: &Slots, server: &Arc<str>) -> Response {
-    let Ok(_slot) = slots.enter().await else {
+    let Ok(_slot) = slots.acquire().await else {
         return not_run(StatusCode::SERVICE_UNAVAILABLE);
     };
     let mut response = Response::from(StatusCode::OK);
--- /dev/null
+++ b/crates/local-fleet/src/trainer/mod.rs
@@ -0,0 +1,272 @@
+//! Stand-in of a trainer: it submits one batch job a step, reads and checks the results, and names versions of the
+//! weights.
+
+mod result_history;
+mod step_outcome;
+mod step_plan;
+mod submitted_job;
+
+use std::fmt;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use reqwest::Method;
+
+use crate::clients::LoadBalancer;
+use crate::deployment::TimingRules;
+use crate::http::{HttpCall, HttpCallError, HttpCaller};
+use crate::operator::{Operator, OperatorError};
+use crate::protocol::{header, ResultPage};
+use crate::verification::{check_result, RequestLog, Rule, Violation};
+
+pub use result_history::ResultHistory;
+pub use step_outcome::StepOutcome;
+pub use step_plan::{ItemGroup, JobRouting, JobTemplate, StepPlan};
+
+use step_plan::decode_body;
+use submitted_job::SubmittedJob;
+
+/// How long a read may wait for a new result.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Readers wait longer than the long poll by this.
+const LONG_POLL_MARGIN: Duration = Duration::from_millis(1500);
+/// Time from one read to the next.
+const READ_INTERVAL: Duration = Duration::from_millis(300);
+/// One read of so many starts again at the first position.
+const REREAD_ONE_IN: u32 = 5;
+/// Time limit of one attempt to submit a batch job.
+const SUBMIT_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit of a submission with its retries.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time limit for ending a batch job, naming a version or reading a batch job back, with retries.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(15);
+/// After this time a step gives up on the groups that are missing.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// A step failed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum TrainerError {
+    /// No node accepted the batch job.
+    NotAccepted(HttpCallError),
+    /// A node rejected it with this status.
+    Rejected(u16),
+    /// The next version was not acknowledged.
+    VersionNotNamed(OperatorError),
+}
+
+impl fmt::Display for TrainerError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NotAccepted(error) => write!(f, "the batch job was not taken: {error}"),
+            Self::Rejected(status) => write!(f, "the batch job was refused with status {status}"),
+            Self::VersionNotNamed(error) => write!(f, "the version was not named: {error}"),
+        }
+    }
+}
+
+impl std::error::Error for TrainerError {}
+
+/// The trainer.
+#[derive(Debug)]
+pub struct Trainer {
+    template: JobTemplate,
+    timing: TimingRules,
+    request_log: Arc<RequestLog>,
+    caller: HttpCaller,
+    load_balancer: LoadBalancer,
+    operator: Operator,
+    /// The batch jobs of earlier steps.
+    finished_jobs: Vec<SubmittedJob>,
+}
+
+impl Trainer {
+    /// A trainer that reaches the nodes by `load_balancer`, and names versions as `operator`.
+    ///
+    /// # Errors
+    ///
+    /// When the HTTP client cannot be set up.
+    pub fn new(
+        template: JobTemplate,
+        timing: TimingRules,
+        request_log: Arc<RequestLog>,
+        load_balancer: LoadBalancer,
+        operator: Operator,
+    ) -> reqwest::Result<Self> {
+        let caller = HttpCaller::without_reuse()?;
+        let finished_jobs = Vec::new();
+        Ok(Self { template, timing, request_log, caller, load_balancer, operator, finished_jobs })
+    }
+
+    /// Runs a step: submits its batch job, waits for the required groups, ends it and names the next version.
+    ///
+    /// # Errors
+    ///
+    /// When the batch job is not accepted or the next version is not acknowledged.
+    pub async fn run_step(
+        &mut self,
+        step: u64,
+        incomplete_groups: Vec<ItemGroup>,
+    ) -> Result<StepOutcome, TrainerError> {
+        let newest_version = step + 1;
+        let oldest_version = newest_version.saturating_sub(1).max(1);
+        let plan = StepPlan::random(&self.template, step, oldest_version, incomplete_groups);
+        plan.expect_requests(&self.template.routing, &self.request_log);
+        let submitted = Instant::now();
+        self.submit(&plan).await?;
+        let mut job = SubmittedJob::new(plan, submitted, Instant::now());
+        self.check_item_body(&mut job).await;
+        let is_done = self.wait_for_groups(&mut job).await;
+        let duration = submitted.elapsed();
+        self.end(&mut job).await;
+        self.request_log.name_version(newest_version + 1);
+        let named = self.operator.name_version(&self.template.model, newest_version + 1, ORDER_TIMEOUT).await;
+        let outcome = job.outcome(step, self.template.required_groups, is_done, duration);
+        self.finished_jobs.push(job);
+        named.map(|()| outcome).map_err(TrainerError::VersionNotNamed)
+    }
+
+    fn call(&self, method: Method, path: String) -> HttpCall {
+        HttpCall::new(method, path).header("Host", self.template.routing.host.clone())
+    }
+
+    async fn submit(&self, plan: &StepPlan) -> Result<(), TrainerError> {
+        let path = format!("{}{}", self.template.routing.rollout_prefix, plan.id);
+        let call = self
+            .call(Method::POST, path)
+            .header(header::ATTEMPT_ID, plan.id.clone())
+            .timeout(SUBMIT_ATTEMPT_TIMEOUT)
+            .json(&plan.job)
+            .map_err(|error| TrainerError::NotAccepted(HttpCallError::Failed(error.to_string())))?;
+        let reply =
+            self.caller.call_until_conclusive(|| self.load_balancer.pick(), &call, SUBMIT_TIMEOUT).await;
+        match reply.map_err(TrainerError::NotAccepted)?.status {
+            202 => Ok(()),
+            status => Err(TrainerError::Rejected(status)),
+        }
+    }
+
+    /// Reads the body of the last item, which must be there until its result is.
+    async fn check_item_body(&self, job: &mut SubmittedJob) {
+        let Some(item) = job.plan.job.items.last().cloned() else { return };
+        let call = self.call(Method::GET, format!("/api/items/{}?id={}", job.plan.id, item.id));
+        let reply =
+            self.caller.call_until_conclusive(|| self.load_balancer.pick(), &call, ORDER_TIMEOUT).await;
+        let Ok(reply) = reply else { return };
+        match reply.status {
+            200 if reply.body == decode_body(&item.body) => {}
+            200 => self.report(Rule::Mismatch, format!("the body of item {} has other bytes", item.id)),
+            _ => {
+                self.read(job, 0, job.accepted).await;
+                if self.is_known_everywhere(job.accepted) && !job.history.contains(&item.id) {
+                    self.report(Rule::Lost, format!("item {} is not listed and has no body", item.id));
+                }
+            }
+        }
+    }
+
+    /// Whether all nodes know a batch job that was accepted at `accepted`.
+    fn is_known_everywhere(&self, accepted: Instant) -> bool {
+        accepted.elapsed() > self.timing.job_visible_within()
+    }
+
+    /// Reads results until the required groups are complete; returns whether they are.
+    async fn wait_for_groups(&self, job: &mut SubmittedJob) -> bool {
+        loop {
+            let from = if fastrand::u32(..REREAD_ONE_IN) == 0 { 0 } else { job.history.count() };
+            self.read(job, from, job.accepted).await;
+            if job.has_required_groups(self.template.required_groups) {
+                return true;
+            }
+            if job.submitted.elapsed() > STEP_TIMEOUT {
+                return false;
+            }
+            tokio::time::sleep(READ_INTERVAL).await;
+        }
+    }
+
+    /// Reads results from a position on; returns whether a node sent a page. Nodes may not know a batch job until some
+    /// time after `accepted`.
+    async fn read(&self, job: &mut SubmittedJob, from: usize, accepted: Instant) -> bool {
+        let long_poll = if from < job.history.count() { Duration::ZERO } else { LONG_POLL_TIMEOUT };
+        let call = self
+            .call(Method::GET, format!("/api/lots/{}?after={from}", job.plan.id))
+            .header(header::LONG_POLL_TIMEOUT, long_poll.as_millis().to_string())
+            .timeout(LONG_POLL_TIMEOUT + LONG_POLL_MARGIN);
+        let reply = match self.caller.call_once(self.load_balancer.pick(), &call).await {
+            Ok(reply) => reply,
+            Err(error) => {
+                log::debug!("batch job {}: {error}", job.plan.id);
+                return false;
+            }
+        };
+        match reply.status {
+            200 => self.add_page(job, from, &reply.body),
+            404 | 410 if self.is_known_everywhere(accepted) => {
+                self.report(Rule::Lost, format!("batch job {} answers {}", job.plan.id, reply.status));
+                false
+            }
+            _ => false,
+        }
+    }
+
+    fn add_page(&self, job: &mut SubmittedJob, from: usize, body: &[u8]) -> bool {
+        let page: ResultPage = match serde_json::from_slice(body) {
+            Ok(page) => page,
+            Err(error) => {
+                let description = format!("results of batch job {} cannot be read: {error}", job.plan.id);
+                self.report(Rule::Mismatch, description);
+                return false;
+            }
+        };
+        let (new, violations) = job.history.add_page(&job.plan.id, from, page);
+        let results =
+            new.iter().flat_map(|result| check_result(&self.request_log, &job.plan.expectations, result));
+        violations.into_iter().chain(results).for_each(|violation| self.request_log.report(violation));
+        true
+    }
+
+    /// Ends a batch job; its requests must not start much later.
+    async fn end(&self, job: &mut SubmittedJob) {
+        // From here on, items may be listed as undeliverable.
+        job.plan.expectations.may_be_undeliverable = true;
+        let id = &job.plan.id;
+        let call = self.call(Method::DELETE, format!("/api/lots/{id}"));
+        match self.caller.call_until_conclusive(|| self.load_balancer.pick(), &call, ORDER_TIMEOUT).await {
+            Ok(reply) if reply.status == 200 => {}
+            Ok(reply) => self.report(Rule::Lost, format!("the end of {id} is answered {}", reply.status)),
+            Err(error) => self.report(Rule::Acknowledged, format!("the end of {id}: {error}")),
+        }
+        self.request_log.end(job.plan.request_ids(), Instant::now());
+    }
+
+    /// Reads every batch job again whose results are still retained; each must show what it showed before.
+    pub async fn read_back(&mut self) {
+        let retention = self.timing.result_retention();
+        let mut jobs = std::mem::take(&mut self.finished_jobs);
+        for job in jobs.iter_mut().filter(|job| job.submitted.elapsed() < retention) {
+            self.read_all(job).await;
+        }
+        self.finished_jobs = jobs;
+    }
+
+    async fn read_all(&self, job: &mut SubmittedJob) {
+        let (submitted, known) = (job.submitted, job.history.count());
+        let deadline = Instant::now() + ORDER_TIMEOUT;
+        let mut from = 0;
+        while from < known {
+            if self.read(job, from, submitted).await {
+                from = job.history.last_page_end().max(from);
+            } else if Instant::now() > deadline {
+                let description =
+                    format!("batch job {} cannot be read back from position {from}", job.plan.id);
+                return self.report(Rule::Lost, description);
+            } else {
+                tokio::time::sleep(READ_INTERVAL).await;
+            }
+        }
+    }
+
+    fn report(&self, rule: Rule, description: String) {
+        self.request_log.report(Violation::new(rule, description));
+    }
+}
--- /dev/null
+++ b/crates/local-fleet/src/trainer/result_history.rs
@@ -0,0 +1,104 @@
+//! The results of a batch job as a reader has seen them; positions must not change.
+
+use std::collections::HashSet;
+
+use batch::ItemResult;
+
+use crate::protocol::ResultPage;
+use crate::verification::{Rule, Violation};
+
+/// What a reader has seen of a batch job.
+#[derive(Debug)]
+pub struct ResultHistory {
+    /// Items of the batch job.
+    items: usize,
+    /// By position.
+    results: Vec<ItemResult>,
+    ids: HashSet<String>,
+    last_page_end: usize,
+}
+
+impl ResultHistory {
+    /// The empty history of a batch job with `items` items.
+    #[must_use]
+    pub fn new(items: usize) -> Self {
+        Self { items, results: Vec::new(), ids: HashSet::new(), last_page_end: 0 }
+    }
+
+    /// How many results were read.
+    #[must_use]
+    pub fn count(&self) -> usize {
+        self.results.len()
+    }
+
+    /// The position after the last result of the last page.
+    #[must_use]
+    pub fn last_page_end(&self) -> usize {
+        self.last_page_end
+    }
+
+    /// Whether the result of an item was read.
+    #[must_use]
+    pub fn contains(&self, id: &str) -> bool {
+        self.ids.contains(id)
+    }
+
+    /// The items whose results were read.
+    pub fn ids(&self) -> impl Iterator<Item = &str> {
+        self.ids.iter().map(String::as_str)
+    }
+
+    /// Adds a page that was requested from position `from` on; returns the results that are new, and the violations.
+    pub fn add_page(
+        &mut self,
+        job: &str,
+        from: usize,
+        page: ResultPage,
+    ) -> (Vec<ItemResult>, Vec<Violation>) {
+        let mut violations = self.check_page(job, from, &page);
+        self.last_page_end = from + page.results.len();
+        let mut new = Vec::new();
+        for (position, result) in (from..).zip(page.results) {
+            match self.results.get(position) {
+                Some(known) if *known == result => {}
+                Some(known) => {
+                    let description =
+                        format!("position {position} of {job} held {}, now {}", known.id, result.id);
+                    violations.push(Violation::new(Rule::Duplicate, description));
+                }
+                None => {
+                    violations.extend(self.add_result(job, &result));
+                    new.push(result);
+                }
+            }
+        }
+        (new, violations)
+    }
+
+    /// The counts of a page are consistent, and it has the results that were read before.
+    fn check_page(&self, job: &str, from: usize, page: &ResultPage) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        if page.total != self.items {
+            let description = format!("batch job {job} tells {} items of {}", page.total, self.items);
+            violations.push(Violation::new(Rule::Mismatch, description));
+        }
+        if page.next != from + page.results.len() {
+            let description =
+                format!("batch job {job}: {} results from {from}, next {}", page.results.len(), page.next);
+            violations.push(Violation::new(Rule::Mismatch, description));
+        }
+        if page.results.is_empty() && from < self.count() {
+            let description = format!("batch job {job} has nothing at position {from}");
+            violations.push(Violation::new(Rule::Lost, description));
+        }
+        violations
+    }
+
+    fn add_result(&mut self, job: &str, result: &ItemResult) -> Option<Violation> {
+        let is_duplicate = !self.ids.insert(result.id.to_string());
+        self.results.push(result.clone());
+        is_duplicate.then(|| {
+            Violation::new(Rule::Duplicate, format!("item {} stands at two positions of {job}", result.id))
+        })
+    }
+}
--- /dev/null
+++ b/crates/local-fleet/src/trainer/submitted_job.rs
@@ -0,0 +1,57 @@
+//! A batch job that a node has accepted, with what was read of it.
+
+use std::time::{Duration, Instant};
+
+use super::result_history::ResultHistory;
+use super::step_outcome::StepOutcome;
+use super::step_plan::StepPlan;
+
+/// A batch job that was accepted.
+#[derive(Debug)]
+pub(super) struct SubmittedJob {
+    pub(super) plan: StepPlan,
+    pub(super) history: ResultHistory,
+    /// When the submission started.
+    pub(super) submitted: Instant,
+    /// When it was acknowledged.
+    pub(super) accepted: Instant,
+}
+
+impl SubmittedJob {
+    pub(super) fn new(plan: StepPlan, submitted: Instant, accepted: Instant) -> Self {
+        let history = ResultHistory::new(plan.job.items.len());
+        Self { plan, history, submitted, accepted }
+    }
+
+    /// Whether all groups that were carried over, and as many as the step needs, are complete.
+    pub(super) fn has_required_groups(&self, required_groups: usize) -> bool {
+        let complete = self.plan.complete_groups(self.history.ids());
+        complete.iter().take(self.plan.carried_groups).all(|is_complete| *is_complete)
+            && count(&complete) >= required_groups
+    }
+
+    pub(super) fn outcome(
+        &self,
+        step: u64,
+        required_groups: usize,
+        is_done: bool,
+        duration: Duration,
+    ) -> StepOutcome {
+        let complete = self.plan.complete_groups(self.history.ids());
+        let groups = self.plan.groups.iter().zip(&complete);
+        let incomplete = groups.filter(|(_, is_complete)| !**is_complete).map(|(group, _)| group.clone());
+        StepOutcome {
+            step,
+            complete_groups: count(&complete),
+            required_groups,
+            is_done,
+            results: self.history.count(),
+            duration,
+            incomplete_groups: incomplete.collect(),
+        }
+    }
+}
+
+fn count(flags: &[bool]) -> usize {
+    flags.iter().filter(|flag| **flag).count()
+}
--- a/crates/local-fleet/tests/files.rs
+++ b/crates/local-fleet/tests/files.rs
@@ -1,11 +1,11 @@
-//! What the fleet writes and sends is what the system reads.
+//! The system can read the settings, the configuration and the options that this crate writes.
 
 use std::path::Path;
 
 use configuration::Configuration;
-use local_fleet::{
-    ConfigurationFile, ConfigurationPatch, Layout, Limits, LoadItems, Names, RouteEntry, ServiceEntry,
-    SettingsFile, StrikeItems, Trouble, TroubleKind,
+use local_fleet::deployment::{
+    ClientLimits, ConfigurationFile, ConfigurationPatch, Fault, FaultKind, Layout, Names, RouteEntry,
+    RouteRemovals, RouteUpdates, ServiceEntry, SettingsFile,
 };
 use settings::Settings;
 use yare::parameterized;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn given_the_settings_of_a_node_when_read_then_it_has_posts_seeds_and_a_disk() {
+fn given_the_settings_of_a_node_when_read_then_it_has_addresses_seeds_and_a_disk() {
     let settings = read(&SettingsFile::node(&layout(4, 3), 1, Path::new("files")));
     assert_eq!(settings.station, "counter-zone-b-2");
     assert_eq!(settings.seeds, ["127.10.7.1:8146", "127.10.7.2:8146", "127.10.7.3:8146"]);
@@ -37,14 +37,14 @@
     one_store = { 3, 1, 0 },
     one_node = { 1, 3, 0 },
 )]
-fn given_machines_when_settings_of_a_store_are_read_then_they_tell_what_may_be_lost(
+fn given_machines_when_settings_of_a_store_are_read_then_they_state_the_tolerated_failures(
     nodes: u8,
     stores: u8,
-    lost: u32,
+    tolerated_failures: u32,
 ) {
     let settings = read(&SettingsFile::store(&layout(nodes, stores), 0, Path::new("files")));
     assert_eq!(settings.station, "vault-zone-a-1");
-    assert_eq!(u64::from(settings.withstand.machines), u64::from(lost));
+    assert_eq!(u64::from(settings.withstand.machines), u64::from(tolerated_failures));
 }
 
 fn configuration(names: &Names) -> ConfigurationFile {
@@ -59,44 +59,41 @@
             ServiceEntry::engines(&names.engine_service, &names.model, 8, 1000),
             ServiceEntry::plain(&names.plain_service),
         ],
-        limits: Limits::default(),
+        limits: ClientLimits::default(),
     }
 }
 
 #[test]
 fn given_the_first_configuration_when_read_then_it_is_valid() {
-    let json = serde_json::to_vec(&configuration(&Names::draw())).expect("JSON");
+    let json = serde_json::to_vec(&configuration(&Names::random())).expect("JSON");
     assert_eq!(Configuration::parse(&json).expect("a valid configuration").routes().len(), 3);
 }
 
 #[test]
 fn given_a_change_when_made_then_routes_are_added_replaced_and_removed() {
-    let names = Names::draw();
+    let names = Names::random();
     let mut replaced = RouteEntry::safe(&names, "/b/");
-    replaced.tries = 9;
+    replaced.max_attempts = 9;
     let added = RouteEntry::safe(&names, "/d/");
-    let load = LoadItems { routes: vec![replaced.clone(), added.clone()] };
-    let patch = ConfigurationPatch { version: 5, load, strike: StrikeItems { routes: vec!["r-a".into()] } };
+    let updates = RouteUpdates { routes: vec![replaced.clone(), added.clone()] };
+    let patch =
+        ConfigurationPatch { version: 5, updates, removals: RouteRemovals { routes: vec!["r-a".into()] } };
     let patched = configuration(&names).patched(&patch);
     assert_eq!(patched.version, 5);
     assert_eq!(patched.routes, [replaced, RouteEntry::rollout(&names, "/c/", true), added]);
 }
 
 #[parameterized(
-    kill = { "1:kill:node-1", TroubleKind::Kill, "node-1" },
-    wipe = { "1:wipe:store-2", TroubleKind::Wipe, "store-2" },
-    stop = { "1:stop:node-1", TroubleKind::Stop, "node-1" },
-    kill_all = { "1:kill-all", TroubleKind::KillAll, "" },
+    kill = { "1:kill:node-1", FaultKind::Kill, "node-1" },
+    wipe = { "1:wipe:store-2", FaultKind::Wipe, "store-2" },
+    stop = { "1:stop:node-1", FaultKind::Stop, "node-1" },
+    kill_all = { "1:kill-all", FaultKind::KillAll, "" },
 )]
-fn given_the_text_of_a_trouble_when_read_then_it_is_that_trouble(
-    text: &str,
-    kind: TroubleKind,
-    process: &str,
-) {
-    assert_eq!(text.parse(), Ok(Trouble { after_step: 1, kind, process: process.into() }));
+fn given_the_text_of_a_fault_when_parsed_then_it_is_that_fault(text: &str, kind: FaultKind, process: &str) {
+    assert_eq!(text.parse(), Ok(Fault { after_step: 1, kind, process: process.into() }));
 }
 
 #[parameterized(empty = { "" }, no_step = { "kill:node-1" }, no_process = { "1:kill" }, unknown = { "1:melt:node-1" })]
-fn given_a_text_that_names_no_trouble_when_read_then_it_is_refused(text: &str) {
-    assert!(text.parse::<Trouble>().is_err());
+fn given_a_text_that_describes_no_fault_when_parsed_then_it_is_rejected(text: &str) {
+    assert!(text.parse::<Fault>().is_err());
 }
--- a/crates/local-fleet/tests/golden.rs
+++ b/crates/local-fleet/tests/golden.rs
@@ -10,11 +10,19 @@
 use std::time::Duration;
 
 use batch::{ItemCondition, ItemResult};
-use local_fleet::{
-    Carrier, CarrierPage, ConfigurationFile, ConfigurationPatch, EngineReport, EventData, Layout, Limits,
-    Load, LoadItems, ModelVersion, NamedVersion, Names, Order, Report, ResultPage, RouteEntry, Rule, RunId,
-    ServerCondition, ServiceEntry, SettingsFile, StepOutcome, StrikeItems, Trouble, TroubleKind, Violation,
+use local_fleet::deployment::{
+    ClientLimits, ConfigurationFile, ConfigurationPatch, Fault, FaultKind, Layout, Names, RouteEntry,
+    RouteRemovals, RouteUpdates, ServiceEntry, SettingsFile,
 };
+use local_fleet::platform::PlatformCalls;
+use local_fleet::protocol::{
+    EngineOrder, EngineReport, ListedServer, ModelVersion, NamedVersion, ResultPage, ServerCondition,
+    ServerListPage,
+};
+use local_fleet::servers::ServerLoad;
+use local_fleet::trainer::StepOutcome;
+use local_fleet::verification::{EventData, GenerationId};
+use local_fleet::{LocalReport, Rule, Violation};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use yare::parameterized;
@@ -40,11 +48,11 @@
     assert_eq!(serde_json::from_str::<T>(&expected).expect("a readable file"), *value);
 }
 
-fn report() -> Report {
-    Report {
+fn report() -> LocalReport {
+    LocalReport {
         steps_done: 4,
         steps_failed: 1,
-        groups_whole: 31,
+        complete_groups: 31,
         results: 152,
         requests_sent: 820,
         requests_served: 817,
@@ -52,12 +60,12 @@
         newest_version: 6,
         engine_versions: vec![6, 6, 5, 6],
         orders: 21,
-        platform_calls: (340, 2),
+        platform_calls: PlatformCalls { total: 340, rejected: 2 },
         start_seconds: 1.25,
         seconds: 41.06,
-        troubles: vec!["0:kill:node-1".to_owned(), "2:kill-all:".to_owned()],
+        faults: vec!["0:kill:node-1".to_owned(), "2:kill-all:".to_owned()],
         violations: vec!["Fault: node-1 did not end in time".to_owned(), "LOST: item t1".to_owned()],
-        violations_seen: 7,
+        violation_count: 7,
     }
 }
 
@@ -73,19 +81,19 @@
 
 #[test]
 fn given_the_report_of_a_run_without_steps_when_printed_then_its_text_is_as_in_the_file() {
-    assert_golden("report-empty.txt", &Report::default().to_string());
+    assert_golden("report-empty.txt", &LocalReport::default().to_string());
 }
 
 #[parameterized(done = { "step-done.txt", true }, not_done = { "step-not-done.txt", false })]
 fn given_the_outcome_of_a_step_when_printed_then_its_text_is_as_in_the_file(name: &str, done: bool) {
     let outcome = StepOutcome {
         step: 3,
-        groups_whole: 8,
-        wanted: 7,
-        done,
+        complete_groups: 8,
+        required_groups: 7,
+        is_done: done,
         results: 36,
-        took: Duration::from_millis(5432),
-        left: Vec::new(),
+        duration: Duration::from_millis(5432),
+        incomplete_groups: Vec::new(),
     };
     assert_golden(name, &outcome.to_string());
 }
@@ -93,37 +101,37 @@
 #[test]
 fn given_each_rule_when_a_violation_is_printed_then_its_text_is_as_in_the_file() {
     let rules = [
-        Rule::Mixed,
-        Rule::Unasked,
-        Rule::Twice,
+        Rule::Mismatch,
+        Rule::UnexpectedRequest,
+        Rule::Duplicate,
         Rule::Route,
-        Rule::Denied,
-        Rule::Config,
-        Rule::Order,
+        Rule::WrongRejection,
+        Rule::StaleConfiguration,
+        Rule::EventOrder,
         Rule::Lost,
         Rule::Version,
-        Rule::One,
+        Rule::SingleLeader,
         Rule::Acknowledged,
-        Rule::Fault,
+        Rule::ProcessExit,
     ];
     let lines = rules.map(|rule| format!("{}\n", Violation::new(rule, "what was seen")));
     assert_golden("violations.txt", &lines.concat());
 }
 
 #[test]
-fn given_each_option_that_names_a_trouble_when_printed_then_it_is_the_option() {
-    let trouble = |after_step, kind, process: &str| Trouble { after_step, kind, process: process.to_owned() };
+fn given_each_option_that_describes_a_fault_when_printed_then_it_is_the_option() {
+    let trouble = |after_step, kind, process: &str| Fault { after_step, kind, process: process.to_owned() };
     let troubles = [
-        trouble(0, TroubleKind::Kill, "node-1"),
-        trouble(1, TroubleKind::Wipe, "store-2"),
-        trouble(2, TroubleKind::Stop, "node-3"),
-        trouble(3, TroubleKind::KillAll, ""),
+        trouble(0, FaultKind::Kill, "node-1"),
+        trouble(1, FaultKind::Wipe, "store-2"),
+        trouble(2, FaultKind::Stop, "node-3"),
+        trouble(3, FaultKind::KillAll, ""),
     ];
     let text: String = troubles.iter().map(|trouble| format!("{trouble}\n")).collect();
     let expected = assert_golden("trouble-options.txt", &text);
-    let read: Vec<Trouble> = expected.lines().map(|line| line.parse().expect("an option")).collect();
+    let read: Vec<Fault> = expected.lines().map(|line| line.parse().expect("an option")).collect();
     assert_eq!(read, troubles);
-    let unreadable = "1:melt:node-1".parse::<Trouble>().expect_err("no such kind");
+    let unreadable = "1:melt:node-1".parse::<Fault>().expect_err("no such kind");
     assert_golden("trouble-option-unreadable.txt", &unreadable.to_string());
 }
 
@@ -135,18 +143,18 @@
 fn given_a_node_when_its_settings_are_written_then_the_file_is_as_before(name: &str, node: u8) {
     let file = SettingsFile::node(&layout(), node, Path::new("files"));
     let text = assert_golden(name, &file.to_toml().expect("TOML"));
-    assert_eq!(settings::Settings::parse(&text).expect("settings").station, file.station());
+    assert_eq!(settings::Settings::parse(&text).expect("settings").station, file.name());
 }
 
 #[test]
 fn given_a_store_when_its_settings_are_written_then_the_file_is_as_before() {
     let file = SettingsFile::store(&layout(), 2, Path::new("files"));
     let text = assert_golden("settings-store.toml", &file.to_toml().expect("TOML"));
-    assert_eq!(settings::Settings::parse(&text).expect("settings").station, file.station());
+    assert_eq!(settings::Settings::parse(&text).expect("settings").station, file.name());
 }
 
 #[test]
-fn given_a_layout_when_its_addresses_are_told_then_they_are_as_in_the_file() {
+fn given_a_layout_when_its_addresses_are_listed_then_they_are_as_in_the_file() {
     let layout = layout();
     let lines = [
         format!("node {}", layout.node_ip(3)),
@@ -159,7 +167,7 @@
         format!("plain {}", layout.plain_server(1)),
         format!("engine {}", layout.engine(1)),
         format!("zone {}", layout.zone(5)),
-        format!("lost {}", layout.machines_lost()),
+        format!("lost {}", layout.tolerated_failures()),
     ];
     assert_golden("layout.txt", &lines.join("\n"));
 }
@@ -186,7 +194,7 @@
             ServiceEntry::engines(&names.engine_service, &names.model, 8, 39_117),
             ServiceEntry::plain(&names.plain_service),
         ],
-        limits: Limits::default(),
+        limits: ClientLimits::default(),
     }
 }
 
@@ -198,22 +206,22 @@
 #[test]
 fn given_a_change_of_the_configuration_when_sent_then_its_json_is_as_in_the_file() {
     let routes = vec![RouteEntry::safe(&names(), "/sightings-1/")];
-    let strike = StrikeItems { routes: vec!["r-sightings".to_owned()] };
-    let patch = ConfigurationPatch { version: 4, load: LoadItems { routes }, strike };
+    let removals = RouteRemovals { routes: vec!["r-sightings".to_owned()] };
+    let patch = ConfigurationPatch { version: 4, updates: RouteUpdates { routes }, removals };
     assert_golden_json("configuration-patch.json", &patch);
     assert_golden_json("configuration-patched.json", &configuration().patched(&patch));
 }
 
-fn carrier(condition: ServerCondition, part: Option<&str>, models: Vec<ModelVersion>) -> Carrier {
-    Carrier {
+fn server(condition: ServerCondition, phase: Option<&str>, models: Vec<ModelVersion>) -> ListedServer {
+    ListedServer {
         service: "mnopqr03".into(),
         address: SocketAddr::from(([127, 10, 7, 160], 8080)),
         zone: "zone-a".into(),
         software: "v1".into(),
         slots: 8,
         condition,
-        cold_ms: 1500,
-        part: part.map(Into::into),
+        warm_up_ms: 1500,
+        phase: phase.map(Into::into),
         models,
         id: "i-00c0ffee".into(),
     }
@@ -225,22 +233,22 @@
 
 #[test]
 fn given_a_page_of_the_platforms_list_when_sent_then_its_json_is_as_in_the_file() {
-    let carriers = vec![
-        carrier(ServerCondition::Open, Some("both"), vec![model_version()]),
-        carrier(ServerCondition::Closing, None, Vec::new()),
+    let servers = vec![
+        server(ServerCondition::Open, Some("both"), vec![model_version()]),
+        server(ServerCondition::Closing, None, Vec::new()),
     ];
-    assert_golden_json("server-list-page.json", &CarrierPage { carriers, next: Some("p-2".to_owned()) });
-    assert_golden_json("server-list-last-page.json", &CarrierPage { carriers: Vec::new(), next: None });
+    assert_golden_json("server-list-page.json", &ServerListPage { servers, next: Some("p-2".to_owned()) });
+    assert_golden_json("server-list-last-page.json", &ServerListPage { servers: Vec::new(), next: None });
 }
 
 #[test]
 fn given_the_report_of_an_engine_when_sent_then_its_json_is_as_in_the_file() {
     let report = EngineReport {
-        part: "both".into(),
+        phase: "both".into(),
         models: vec![model_version()],
         occupied: true,
-        orders_taken: 3,
-        waiting: 2,
+        accepted_orders: 3,
+        queued: 2,
         running: 8,
         cache_used: 17,
         cache_total: 39_117,
@@ -251,17 +259,17 @@
 
 #[test]
 fn given_an_order_to_an_engine_when_sent_then_its_json_is_as_in_the_file() {
-    let order = Order {
+    let order = EngineOrder {
         order: "edition".to_owned(),
         model: Some("stuvwx04".to_owned()),
         version: Some(6),
         method: Some("hold".to_owned()),
         holder: Some("counter-zone-a-1".to_owned()),
         fence: Some(9),
-        if_orders_taken: Some(3),
+        if_accepted_orders: Some(3),
     };
     assert_golden_json("engine-order.json", &order);
-    assert_golden_json("engine-order-unconditional.json", &Order { if_orders_taken: None, ..order });
+    assert_golden_json("engine-order-unconditional.json", &EngineOrder { if_accepted_orders: None, ..order });
 }
 
 #[test]
@@ -283,8 +291,8 @@
 
 #[test]
 fn given_data_and_load_of_servers_when_sent_then_their_texts_are_as_in_the_files() {
-    let data = EventData { index: 3, run: RunId(41), version: 6 };
+    let data = EventData { index: 3, generation: GenerationId(41), version: 6 };
     let text = assert_golden("event-data.txt", &data.to_string());
     assert_eq!(text.parse(), Ok(data));
-    assert_golden("server-load.txt", &Load { running: 5, waiting: 2, slots: 8 }.to_string());
+    assert_golden("server-load.txt", &ServerLoad { running: 5, queued: 2, slots: 8 }.to_string());
 }
--- a/crates/local-fleet/tests/listing.rs
+++ b/crates/local-fleet/tests/result_history.rs
@@ -1,7 +1,9 @@
-//! Positions of results.
+//! The results of a batch job keep their positions.
 
 use batch::{ItemCondition, ItemResult};
-use local_fleet::{Listing, ResultPage, Rule};
+use local_fleet::protocol::ResultPage;
+use local_fleet::trainer::ResultHistory;
+use local_fleet::Rule;
 use yare::parameterized;
 
 fn result(id: &str) -> ItemResult {
@@ -13,32 +15,32 @@
     ResultPage { total: 3, next: from + ids.len(), results: ids.iter().map(|id| result(id)).collect() }
 }
 
-fn rules(listing: &mut Listing, from: usize, page: ResultPage) -> Vec<Rule> {
-    listing.take("j1", from, page).1.into_iter().map(|violation| violation.rule).collect()
+fn rules(history: &mut ResultHistory, from: usize, page: ResultPage) -> Vec<Rule> {
+    history.add_page("j1", from, page).1.into_iter().map(|violation| violation.rule).collect()
 }
 
 /// A reader that has seen `a` and `b`.
-fn listing() -> Listing {
-    let mut listing = Listing::new(3);
-    assert_eq!(rules(&mut listing, 0, page(0, &["a", "b"])), []);
-    listing
+fn history() -> ResultHistory {
+    let mut history = ResultHistory::new(3);
+    assert_eq!(rules(&mut history, 0, page(0, &["a", "b"])), []);
+    history
 }
 
 #[test]
 fn given_two_results_when_a_third_is_read_then_only_it_is_new() {
-    let (new, broken) = listing().take("j1", 1, page(1, &["b", "c"]));
-    assert_eq!((new, broken), (vec![result("c")], vec![]));
+    let (new, violations) = history().add_page("j1", 1, page(1, &["b", "c"]));
+    assert_eq!((new, violations), (vec![result("c")], vec![]));
 }
 
 #[parameterized(
     again_the_same = { 0, &["a", "b"], &[] },
     nothing_more_yet = { 2, &[], &[] },
-    swapped = { 0, &["b", "a"], &[Rule::Twice, Rule::Twice] },
-    listed_twice = { 2, &["a"], &[Rule::Twice] },
+    swapped = { 0, &["b", "a"], &[Rule::Duplicate, Rule::Duplicate] },
+    listed_twice = { 2, &["a"], &[Rule::Duplicate] },
     gone = { 1, &[], &[Rule::Lost] },
 )]
 fn given_two_results_when_read_again_then_positions_are_fixed(from: usize, ids: &[&str], expected: &[Rule]) {
-    assert_eq!(rules(&mut listing(), from, page(from, ids)), expected);
+    assert_eq!(rules(&mut history(), from, page(from, ids)), expected);
 }
 
 #[parameterized(
@@ -46,12 +48,12 @@
     next = { ResultPage { next: 2, ..page(2, &["c"]) } },
 )]
 fn given_a_wrong_count_when_read_then_it_is_mixed(page: ResultPage) {
-    assert_eq!(rules(&mut listing(), 2, page), [Rule::Mixed]);
+    assert_eq!(rules(&mut history(), 2, page), [Rule::Mismatch]);
 }
 
 #[test]
 fn given_another_text_at_a_position_when_read_then_it_is_twice() {
     let changed = ItemResult { text: "another".into(), ..result("a") };
     let page = ResultPage { total: 3, next: 1, results: vec![changed] };
-    assert_eq!(rules(&mut listing(), 0, page), [Rule::Twice]);
+    assert_eq!(rules(&mut history(), 0, page), [Rule::Duplicate]);
 }
--- a/crates/local-fleet/tests/servers.rs
+++ b/crates/local-fleet/tests/servers.rs
@@ -4,28 +4,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use local_fleet::{
-    header, EngineOptions, EngineServer, EventData, Expected, Ledger, PlainOptions, PlainServer, Rule,
-};
+use local_fleet::protocol::header;
+use local_fleet::servers::{EngineOptions, EngineServer, PlainOptions, PlainServer};
+use local_fleet::verification::{EventData, ExpectedRequest};
+use local_fleet::{RequestLog, Rule};
 use serde_json::{json, Value};
 
 const LOOPBACK: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
 const LONG: Duration = Duration::from_secs(600);
 
-fn ledger() -> Arc<Ledger> {
-    Arc::new(Ledger::new(Duration::from_secs(3), Duration::ZERO))
+fn request_log() -> Arc<RequestLog> {
+    Arc::new(RequestLog::new(Duration::from_secs(3), Duration::ZERO))
 }
 
-async fn plain(ledger: &Arc<Ledger>, slots: usize, work: Duration) -> PlainServer {
+async fn plain(request_log: &Arc<RequestLog>, slots: usize, service_time: Duration) -> PlainServer {
     let options = PlainOptions {
         service: "tally".into(),
         id: "i-1".into(),
         health_path: "/health".into(),
         slots,
-        waiting_most: 0,
-        work,
+        max_queued: 0,
+        service_time,
     };
-    PlainServer::start(SocketAddr::from(LOOPBACK), options, Arc::clone(ledger)).await.expect("a free port")
+    PlainServer::start(SocketAddr::from(LOOPBACK), options, Arc::clone(request_log))
+        .await
+        .expect("a free port")
 }
 
 fn engine_options() -> EngineOptions {
@@ -35,21 +38,23 @@
         health_path: "/health".into(),
         model: "daka".into(),
         slots: 2,
-        waiting_most: 0,
-        step: Duration::ZERO,
-        load: Duration::ZERO,
+        max_queued: 0,
+        event_interval: Duration::ZERO,
+        load_time: Duration::ZERO,
         cache_tokens: 1000,
-        cut_every: 0,
+        truncate_every: 0,
     }
 }
 
-async fn engine(ledger: &Arc<Ledger>, options: EngineOptions) -> EngineServer {
-    EngineServer::start(SocketAddr::from(LOOPBACK), options, Arc::clone(ledger)).await.expect("a free port")
+async fn engine(request_log: &Arc<RequestLog>, options: EngineOptions) -> EngineServer {
+    EngineServer::start(SocketAddr::from(LOOPBACK), options, Arc::clone(request_log))
+        .await
+        .expect("a free port")
 }
 
-fn expect(ledger: &Ledger, id: &str, service: &str) {
+fn expect(request_log: &RequestLog, id: &str, service: &str) {
     let services = vec![service.to_owned()];
-    ledger.expect(id, Expected { path: "/a/1".into(), body: "body".into(), services });
+    request_log.expect(id, ExpectedRequest { path: "/a/1".into(), body: "body".into(), services });
 }
 
 fn post(to: SocketAddr, id: &str) -> reqwest::RequestBuilder {
@@ -80,34 +85,37 @@
 
 #[tokio::test]
 async fn given_a_plain_server_when_asked_then_it_answers_with_id_stamp_and_load() {
-    let ledger = ledger();
-    expect(&ledger, "q1", "tally");
-    let server = plain(&ledger, 2, Duration::ZERO).await;
+    let request_log = request_log();
+    expect(&request_log, "q1", "tally");
+    let server = plain(&request_log, 2, Duration::ZERO).await;
     let answer = post(server.address(), "q1").send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 200);
     assert_eq!(named(&answer, header::ATTEMPT_ID).as_deref(), Some("q1"));
     assert!(named(&answer, header::LOAD).is_some_and(|load| load.ends_with(",2")));
     let stamp = named(&answer, header::STAMP).expect("a stamp");
     let body = answer.bytes().await.expect("a body");
-    assert_eq!(ledger.answer(&stamp).map(|answer| (answer.id, answer.body)), Some(("q1".to_owned(), body)));
-    assert!(ledger.violations().is_empty());
+    assert_eq!(
+        request_log.response(&stamp).map(|answer| (answer.id, answer.body)),
+        Some(("q1".to_owned(), body))
+    );
+    assert!(request_log.violations().is_empty());
 }
 
 #[tokio::test]
 async fn given_another_expected_server_when_asked_then_the_request_is_not_run() {
-    let ledger = ledger();
-    let server = plain(&ledger, 2, Duration::ZERO).await;
+    let request_log = request_log();
+    let server = plain(&request_log, 2, Duration::ZERO).await;
     let request = post(server.address(), "q1").header(header::EXPECTED_SERVER, "i-9");
     let answer = request.send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 421);
     assert_eq!(named(&answer, header::NOT_RUN).as_deref(), Some("1"));
     assert_eq!(named(&answer, header::SERVER).as_deref(), Some("i-1"));
-    assert!(ledger.violations().is_empty(), "a request that was not run has not come to a server");
+    assert!(request_log.violations().is_empty(), "a request that was not run has not come to a server");
 }
 
 #[tokio::test]
 async fn given_a_request_without_id_when_asked_then_it_is_not_run() {
-    let server = plain(&ledger(), 2, Duration::ZERO).await;
+    let server = plain(&request_log(), 2, Duration::ZERO).await;
     let url = format!("http://{}/a/1", server.address());
     let answer = reqwest::Client::new().post(url).send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 400);
@@ -116,8 +124,8 @@
 
 #[tokio::test]
 async fn given_no_slot_when_asked_then_the_server_says_that_it_did_not_run_the_request() {
-    let ledger = ledger();
-    let server = plain(&ledger, 0, Duration::ZERO).await;
+    let request_log = request_log();
+    let server = plain(&request_log, 0, Duration::ZERO).await;
     let answer = post(server.address(), "q1").send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 503);
     assert_eq!(named(&answer, header::NOT_RUN).as_deref(), Some("1"));
@@ -125,9 +133,9 @@
 
 #[tokio::test]
 async fn given_long_work_when_the_time_of_the_request_ends_then_the_server_gives_its_own_504() {
-    let ledger = ledger();
-    expect(&ledger, "q1", "tally");
-    let server = plain(&ledger, 1, LONG).await;
+    let request_log = request_log();
+    expect(&request_log, "q1", "tally");
+    let server = plain(&request_log, 1, LONG).await;
     let request = post(server.address(), "q1").header(header::TIME_LEFT, "5");
     let answer = request.send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 504);
@@ -137,15 +145,18 @@
 
 #[tokio::test]
 async fn given_a_request_that_was_never_sent_when_run_then_it_breaks_a_rule() {
-    let ledger = ledger();
-    let server = plain(&ledger, 1, Duration::ZERO).await;
+    let request_log = request_log();
+    let server = plain(&request_log, 1, Duration::ZERO).await;
     post(server.address(), "q1").send().await.expect("an answer");
-    assert_eq!(ledger.violations().first().map(|violation| violation.rule), Some(Rule::Unasked));
+    assert_eq!(
+        request_log.violations().first().map(|violation| violation.rule),
+        Some(Rule::UnexpectedRequest)
+    );
 }
 
 #[tokio::test]
 async fn given_a_server_when_its_health_is_asked_then_it_tells_its_incarnation() {
-    let server = plain(&ledger(), 1, Duration::ZERO).await;
+    let server = plain(&request_log(), 1, Duration::ZERO).await;
     let answer = reqwest::get(format!("http://{}/health", server.address())).await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 200);
     assert_eq!(named(&answer, header::SERVER).as_deref(), Some("i-1"));
@@ -153,9 +164,9 @@
 
 #[tokio::test]
 async fn given_an_engine_when_asked_then_it_streams_events_with_rising_ids() {
-    let ledger = ledger();
-    expect(&ledger, "t1", "llm");
-    let server = engine(&ledger, engine_options()).await;
+    let request_log = request_log();
+    expect(&request_log, "t1", "llm");
+    let server = engine(&request_log, engine_options()).await;
     let answer = generation(server.address(), "t1").send().await.expect("an answer");
     assert_eq!(named(&answer, "content-type").as_deref(), Some("text/event-stream"));
     assert_eq!(named(&answer, header::VERSION).as_deref(), Some("1"));
@@ -172,9 +183,9 @@
 
 #[tokio::test]
 async fn given_a_last_event_when_taken_up_then_the_stream_goes_on_behind_it() {
-    let ledger = ledger();
-    expect(&ledger, "t1", "llm");
-    let server = engine(&ledger, engine_options()).await;
+    let request_log = request_log();
+    expect(&request_log, "t1", "llm");
+    let server = engine(&request_log, engine_options()).await;
     let request = generation(server.address(), "t1").header(header::LAST_EVENT_ID, "2");
     let text = request.send().await.expect("an answer").text().await.expect("a whole stream");
     assert_eq!(ids(&text), [3, 4]);
@@ -182,18 +193,18 @@
 }
 
 #[tokio::test]
-async fn given_an_engine_that_cuts_texts_when_asked_then_the_connection_breaks_off() {
-    let ledger = ledger();
-    expect(&ledger, "t1", "llm");
-    let server = engine(&ledger, EngineOptions { cut_every: 1, ..engine_options() }).await;
+async fn given_an_engine_that_truncates_texts_when_called_then_the_connection_breaks_off() {
+    let request_log = request_log();
+    expect(&request_log, "t1", "llm");
+    let server = engine(&request_log, EngineOptions { truncate_every: 1, ..engine_options() }).await;
     let answer = generation(server.address(), "t1").send().await.expect("a head");
     assert!(answer.text().await.is_err());
 }
 
 #[tokio::test]
 async fn given_another_expected_version_when_asked_then_the_engine_does_not_run_the_request() {
-    let ledger = ledger();
-    let server = engine(&ledger, engine_options()).await;
+    let request_log = request_log();
+    let server = engine(&request_log, engine_options()).await;
     let request = generation(server.address(), "t1").header(header::EXPECTED_VERSION, "2");
     let answer = request.send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 421);
@@ -203,23 +214,23 @@
 
 #[tokio::test]
 async fn given_a_named_version_when_ordered_then_the_engine_loads_it() {
-    let ledger = ledger();
-    ledger.name_version(2);
-    let server = engine(&ledger, engine_options()).await;
+    let request_log = request_log();
+    request_log.name_version(2);
+    let server = engine(&request_log, engine_options()).await;
     assert_eq!(order(server.address(), &load_order(2, 1)).await, 202);
     while report(server.address()).await["occupied"] == true {}
     let report = report(server.address()).await;
     assert_eq!(report["models"][0]["edition"], 2);
     assert_eq!(report["callCount"], 1);
     assert_eq!(order(server.address(), &load_order(2, 1)).await, 200, "it holds already");
-    assert_eq!((server.version(), server.orders_taken()), (2, 1));
+    assert_eq!((server.version(), server.accepted_orders()), (2, 1));
 }
 
 #[tokio::test]
 async fn given_an_order_under_way_when_requests_and_orders_come_then_neither_is_taken() {
-    let ledger = ledger();
-    ledger.name_version(2);
-    let server = engine(&ledger, EngineOptions { load: LONG, ..engine_options() }).await;
+    let request_log = request_log();
+    request_log.name_version(2);
+    let server = engine(&request_log, EngineOptions { load_time: LONG, ..engine_options() }).await;
     assert_eq!(order(server.address(), &load_order(2, 1)).await, 202);
     assert_eq!(order(server.address(), &load_order(2, 1)).await, 409);
     let answer = generation(server.address(), "t1").send().await.expect("an answer");
@@ -229,7 +240,7 @@
 
 #[tokio::test]
 async fn given_orders_that_are_none_when_sent_then_they_are_refused() {
-    let server = engine(&ledger(), engine_options()).await;
+    let server = engine(&request_log(), engine_options()).await;
     assert_eq!(order(server.address(), &load_order(2, 1)).await, 400, "no such version is named");
     assert_eq!(
         order(server.address(), &json!({"order": "edition", "model": "daka", "edition": 1})).await,
--- a/crates/local-fleet/tests/verify.rs
+++ b/crates/local-fleet/tests/verify.rs
@@ -4,40 +4,45 @@
 use std::time::{Duration, Instant};
 
 use batch::{ItemCondition, ItemResult};
-use local_fleet::{
-    check_result, Answer, Arrival, EventData, Expected, ItemTerms, JobTerms, Ledger, OrderRecord, Rule, RunId,
+use local_fleet::verification::{
+    check_result, EventData, ExpectedItem, ExpectedRequest, GenerationId, JobExpectations, OrderRecord,
+    RecordedResponse, RequestArrival,
 };
+use local_fleet::{RequestLog, Rule};
 use yare::parameterized;
 
 const RECALL: Duration = Duration::from_secs(3);
 const LEASE: Duration = Duration::from_secs(3);
 
-fn ledger() -> Ledger {
-    Ledger::new(RECALL, LEASE)
+fn request_log() -> RequestLog {
+    RequestLog::new(RECALL, LEASE)
 }
 
-fn terms(events: u64) -> JobTerms {
-    let item = ItemTerms { events, reward: "w1".into() };
+fn terms(events: u64) -> JobExpectations {
+    let item = ExpectedItem { events, reward: "w1".into() };
     let items = HashMap::from([("t1".to_owned(), item)]);
-    JobTerms { items, oldest_version: 2, single_version: true, may_give_up: false }
+    JobExpectations { items, oldest_version: 2, single_version: true, may_be_undeliverable: false }
 }
 
 /// A run of `t1` behind event `after` that makes events up to `last` by `version`.
-fn make(ledger: &Ledger, after: u64, last: u64, version: u64) -> (RunId, Vec<EventData>) {
-    let run = ledger.begin_run("t1", after);
+fn make(request_log: &RequestLog, after: u64, last: u64, version: u64) -> (GenerationId, Vec<EventData>) {
+    let generation = request_log.start_generation("t1", after);
     let data = (after + 1..=last).map(|index| {
-        ledger.made(run, index, version);
-        EventData { index, run, version }
+        request_log.record_event(generation, index, version);
+        EventData { index, generation, version }
     });
-    (run, data.collect())
+    (generation, data.collect())
 }
 
-fn grade(ledger: &Ledger, id: &str, status: u16) -> String {
-    ledger.expect(id, Expected { path: "/r".into(), body: "b".into(), services: vec!["tally".into()] });
-    let arrival = Arrival { id, path: "/r", body: b"b", service: "tally", server: "i-1", at: Instant::now() };
-    let arrived = ledger.arrive(&arrival);
+fn grade(request_log: &RequestLog, id: &str, status: u16) -> String {
+    request_log
+        .expect(id, ExpectedRequest { path: "/r".into(), body: "b".into(), services: vec!["tally".into()] });
+    let arrival =
+        RequestArrival { id, path: "/r", body: b"b", service: "tally", server: "i-1", at: Instant::now() };
+    let arrived = request_log.record_arrival(&arrival);
     let stamp = format!("stamp-{arrived}");
-    ledger.answered(&stamp, Answer { id: id.into(), status, body: "graded".into(), arrived });
+    request_log
+        .record_response(&stamp, RecordedResponse { id: id.into(), status, body: "graded".into(), arrived });
     stamp
 }
 
@@ -52,62 +57,62 @@
     }
 }
 
-fn rules(ledger: &Ledger, terms: &JobTerms, result: &ItemResult) -> Vec<Rule> {
-    check_result(ledger, terms, result).into_iter().map(|violation| violation.rule).collect()
+fn rules(request_log: &RequestLog, terms: &JobExpectations, result: &ItemResult) -> Vec<Rule> {
+    check_result(request_log, terms, result).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
 fn given_a_whole_text_with_its_grade_when_checked_then_no_rule_is_broken() {
-    let ledger = ledger();
-    let (_, text) = make(&ledger, 0, 3, 2);
-    let stamp = grade(&ledger, "w1", 200);
-    assert_eq!(rules(&ledger, &terms(3), &result(&text, &[2], Some(stamp))), []);
+    let request_log = request_log();
+    let (_, text) = make(&request_log, 0, 3, 2);
+    let stamp = grade(&request_log, "w1", 200);
+    assert_eq!(rules(&request_log, &terms(3), &result(&text, &[2], Some(stamp))), []);
 }
 
 #[test]
 fn given_a_text_of_two_joined_runs_when_checked_then_no_rule_is_broken() {
-    let ledger = ledger();
-    let (_, first) = make(&ledger, 0, 2, 2);
-    let (_, second) = make(&ledger, 2, 4, 2);
-    let stamp = grade(&ledger, "w1", 200);
+    let request_log = request_log();
+    let (_, first) = make(&request_log, 0, 2, 2);
+    let (_, second) = make(&request_log, 2, 4, 2);
+    let stamp = grade(&request_log, "w1", 200);
     let text = [first, second].concat();
-    assert_eq!(rules(&ledger, &terms(4), &result(&text, &[2], Some(stamp))), []);
+    assert_eq!(rules(&request_log, &terms(4), &result(&text, &[2], Some(stamp))), []);
 }
 
 #[test]
 fn given_a_second_run_that_was_not_asked_for_behind_the_first_when_checked_then_the_order_is_broken() {
-    let ledger = ledger();
-    let (_, first) = make(&ledger, 0, 2, 2);
-    let (_, second) = make(&ledger, 0, 4, 2);
-    let stamp = grade(&ledger, "w1", 200);
+    let request_log = request_log();
+    let (_, first) = make(&request_log, 0, 2, 2);
+    let (_, second) = make(&request_log, 0, 4, 2);
+    let stamp = grade(&request_log, "w1", 200);
     let text = [&first[..], &second[2..]].concat();
-    assert_eq!(rules(&ledger, &terms(4), &result(&text, &[2], Some(stamp))), [Rule::Order]);
+    assert_eq!(rules(&request_log, &terms(4), &result(&text, &[2], Some(stamp))), [Rule::EventOrder]);
 }
 
 #[test]
 fn given_a_short_text_when_checked_then_it_is_not_the_whole_output() {
-    let ledger = ledger();
-    let (_, text) = make(&ledger, 0, 3, 2);
-    let stamp = grade(&ledger, "w1", 200);
-    assert_eq!(rules(&ledger, &terms(4), &result(&text, &[2], Some(stamp))), [Rule::Mixed]);
+    let request_log = request_log();
+    let (_, text) = make(&request_log, 0, 3, 2);
+    let stamp = grade(&request_log, "w1", 200);
+    assert_eq!(rules(&request_log, &terms(4), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
 }
 
 #[test]
 fn given_a_missing_event_when_checked_then_the_order_is_broken() {
-    let ledger = ledger();
-    let (_, mut text) = make(&ledger, 0, 4, 2);
+    let request_log = request_log();
+    let (_, mut text) = make(&request_log, 0, 4, 2);
     text.remove(1);
-    let stamp = grade(&ledger, "w1", 200);
-    assert_eq!(rules(&ledger, &terms(3), &result(&text, &[2], Some(stamp))), [Rule::Order]);
+    let stamp = grade(&request_log, "w1", 200);
+    assert_eq!(rules(&request_log, &terms(3), &result(&text, &[2], Some(stamp))), [Rule::EventOrder]);
 }
 
 #[test]
 fn given_a_text_that_no_engine_made_when_checked_then_it_is_mixed() {
-    let ledger = ledger();
-    let stamp = grade(&ledger, "w1", 200);
+    let request_log = request_log();
+    let stamp = grade(&request_log, "w1", 200);
     let mut made_up = result(&[], &[2], Some(stamp));
     made_up.text = "an invented line".into();
-    assert_eq!(rules(&ledger, &terms(1), &made_up), [Rule::Mixed]);
+    assert_eq!(rules(&request_log, &terms(1), &made_up), [Rule::Mismatch]);
 }
 
 #[parameterized(
@@ -116,62 +121,62 @@
     too_old = { 1, &[1] },
 )]
 fn given_versions_that_do_not_fit_when_checked_then_the_version_rule_is_broken(made: u64, told: &[u64]) {
-    let ledger = ledger();
-    let (_, text) = make(&ledger, 0, 2, made);
-    let stamp = grade(&ledger, "w1", 200);
-    assert_eq!(rules(&ledger, &terms(2), &result(&text, told, Some(stamp))), [Rule::Version]);
+    let request_log = request_log();
+    let (_, text) = make(&request_log, 0, 2, made);
+    let stamp = grade(&request_log, "w1", 200);
+    assert_eq!(rules(&request_log, &terms(2), &result(&text, told, Some(stamp))), [Rule::Version]);
 }
 
 #[parameterized(one_version_a_text = { true, &[Rule::Version] }, any_versions = { false, &[] })]
 fn given_a_text_of_two_versions_when_checked_then_the_route_decides(single: bool, expected: &[Rule]) {
-    let ledger = ledger();
-    let (_, first) = make(&ledger, 0, 2, 2);
-    let (_, second) = make(&ledger, 2, 4, 3);
-    let stamp = grade(&ledger, "w1", 200);
-    let terms = JobTerms { single_version: single, ..terms(4) };
+    let request_log = request_log();
+    let (_, first) = make(&request_log, 0, 2, 2);
+    let (_, second) = make(&request_log, 2, 4, 3);
+    let stamp = grade(&request_log, "w1", 200);
+    let terms = JobExpectations { single_version: single, ..terms(4) };
     let text = [first, second].concat();
-    assert_eq!(rules(&ledger, &terms, &result(&text, &[2, 3], Some(stamp))), expected);
+    assert_eq!(rules(&request_log, &terms, &result(&text, &[2, 3], Some(stamp))), expected);
 }
 
 #[parameterized(failed = { "w1", 500 }, of_another_item = { "w2", 200 })]
 fn given_a_grade_that_is_no_success_of_its_reward_call_when_checked_then_it_is_mixed(id: &str, status: u16) {
-    let ledger = ledger();
-    let (_, text) = make(&ledger, 0, 2, 2);
-    let stamp = grade(&ledger, id, status);
-    assert_eq!(rules(&ledger, &terms(2), &result(&text, &[2], Some(stamp))), [Rule::Mixed]);
+    let request_log = request_log();
+    let (_, text) = make(&request_log, 0, 2, 2);
+    let stamp = grade(&request_log, id, status);
+    assert_eq!(rules(&request_log, &terms(2), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
 }
 
 #[test]
 fn given_no_grade_when_checked_then_it_is_mixed() {
-    let ledger = ledger();
-    let (_, text) = make(&ledger, 0, 2, 2);
-    assert_eq!(rules(&ledger, &terms(2), &result(&text, &[2], None)), [Rule::Mixed]);
+    let request_log = request_log();
+    let (_, text) = make(&request_log, 0, 2, 2);
+    assert_eq!(rules(&request_log, &terms(2), &result(&text, &[2], None)), [Rule::Mismatch]);
 }
 
 #[test]
 fn given_a_reward_call_before_the_last_event_when_checked_then_it_is_mixed() {
-    let ledger = ledger();
-    let stamp = grade(&ledger, "w1", 200);
-    let (_, text) = make(&ledger, 0, 2, 2);
-    assert_eq!(rules(&ledger, &terms(2), &result(&text, &[2], Some(stamp))), [Rule::Mixed]);
+    let request_log = request_log();
+    let stamp = grade(&request_log, "w1", 200);
+    let (_, text) = make(&request_log, 0, 2, 2);
+    assert_eq!(rules(&request_log, &terms(2), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
 }
 
-#[parameterized(open = { false, &[Rule::Mixed] }, ended = { true, &[] })]
+#[parameterized(open = { false, &[Rule::Mismatch] }, ended = { true, &[] })]
 fn given_an_item_that_is_given_up_when_checked_then_the_end_of_its_batch_job_decides(
-    may_give_up: bool,
+    may_be_undeliverable: bool,
     expected: &[Rule],
 ) {
     let given_up = ItemResult { condition: ItemCondition::Undeliverable, ..result(&[], &[], None) };
-    let terms = JobTerms { may_give_up, ..terms(2) };
-    assert_eq!(rules(&ledger(), &terms, &given_up), expected);
+    let terms = JobExpectations { may_be_undeliverable, ..terms(2) };
+    assert_eq!(rules(&request_log(), &terms, &given_up), expected);
 }
 
 #[parameterized(
     as_sent = { "/a", "tally", 0, None },
-    another_path = { "/b", "tally", 0, Some(Rule::Unasked) },
+    another_path = { "/b", "tally", 0, Some(Rule::UnexpectedRequest) },
     another_service = { "/a", "llm", 0, Some(Rule::Route) },
     soon_after_the_end = { "/a", "tally", 3, None },
-    long_after_the_end = { "/a", "tally", 4, Some(Rule::Unasked) },
+    long_after_the_end = { "/a", "tally", 4, Some(Rule::UnexpectedRequest) },
 )]
 fn given_an_ended_request_when_it_comes_to_a_server_then_it_must_be_as_sent_and_in_time(
     path: &str,
@@ -179,20 +184,23 @@
     seconds: u64,
     expected: Option<Rule>,
 ) {
-    let (ledger, start) = (ledger(), Instant::now());
-    ledger.expect("q1", Expected { path: "/a".into(), body: "b".into(), services: vec!["tally".into()] });
-    ledger.end(["q1"].into_iter(), start);
+    let (request_log, start) = (request_log(), Instant::now());
+    request_log.expect(
+        "q1",
+        ExpectedRequest { path: "/a".into(), body: "b".into(), services: vec!["tally".into()] },
+    );
+    request_log.end(["q1"].into_iter(), start);
     let at = start + Duration::from_secs(seconds);
-    ledger.arrive(&Arrival { id: "q1", path, body: b"b", service, server: "i-1", at });
-    assert_eq!(ledger.violations().first().map(|violation| violation.rule), expected);
+    request_log.record_arrival(&RequestArrival { id: "q1", path, body: b"b", service, server: "i-1", at });
+    assert_eq!(request_log.violations().first().map(|violation| violation.rule), expected);
 }
 
 #[parameterized(
     the_same_holder = { "a", 1, 0, None },
     the_next_holder_after_the_lease = { "b", 2, 3, None },
-    the_next_holder_within_the_lease = { "b", 2, 2, Some(Rule::One) },
-    a_shared_token = { "b", 1, 3, Some(Rule::One) },
-    a_lower_token = { "a", 0, 0, Some(Rule::One) },
+    the_next_holder_within_the_lease = { "b", 2, 2, Some(Rule::SingleLeader) },
+    a_shared_token = { "b", 1, 3, Some(Rule::SingleLeader) },
+    a_lower_token = { "a", 0, 0, Some(Rule::SingleLeader) },
 )]
 fn given_an_order_of_holder_a_when_another_follows_then_one_holder_leads(
     holder: &str,
@@ -200,10 +208,10 @@
     seconds: u64,
     expected: Option<Rule>,
 ) {
-    let (ledger, start) = (ledger(), Instant::now());
+    let (request_log, start) = (request_log(), Instant::now());
     let order =
         |holder: &str, fence, at| OrderRecord { server: "i-1".into(), holder: holder.into(), fence, at };
-    ledger.order(order("a", 1, start));
-    ledger.order(order(holder, fence, start + Duration::from_secs(seconds)));
-    assert_eq!(ledger.violations().first().map(|violation| violation.rule), expected);
+    request_log.record_order(order("a", 1, start));
+    request_log.record_order(order(holder, fence, start + Duration::from_secs(seconds)));
+    assert_eq!(request_log.violations().first().map(|violation| violation.rule), expected);
 }
--- a/crates/rushrudder/src/local.rs
+++ b/crates/rushrudder/src/local.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use gumdrop::Options;
-use local_fleet::{LocalError, LocalOptions, Report, Trouble};
+use local_fleet::{Fault, FleetSize, LocalError, LocalOptions, LocalReport, Workload};
 
 use rushrudder::signals::Signals;
 
@@ -25,13 +25,13 @@
     #[options(default = "5")]
     pub steps: u64,
     /// Every so many texts of a model server, one is cut; 0: none.
-    #[options(default = "0")]
-    pub cut_every: u64,
+    #[options(short = "c", long = "cut-every", default = "0")]
+    pub truncate_every: u64,
     /// Let a text be made by several versions of the weights.
     pub mixed_versions: bool,
     /// A trouble, STEP:kill|wipe|stop:PROCESS or STEP:kill-all; may be given again.
-    #[options(meta = "TROUBLE")]
-    pub trouble: Vec<Trouble>,
+    #[options(short = "t", long = "trouble", meta = "TROUBLE")]
+    pub faults: Vec<Fault>,
     /// Files of the processes (default: a folder for temporary files).
     #[options(meta = "DIRECTORY")]
     pub directory: Option<PathBuf>,
@@ -64,7 +64,7 @@
     }
 }
 
-fn run_fleet(command: &LocalCommand) -> Result<Report, LocalError> {
+fn run_fleet(command: &LocalCommand) -> Result<LocalReport, LocalError> {
     let options = options(command)?;
     eprintln!("files of the processes, with their logs: {}", options.directory.display());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -83,12 +83,14 @@
     let directory = command.directory.clone().unwrap_or_else(temporary_directory);
     let base = LocalOptions::new(std::env::current_exe()?, directory);
     Ok(LocalOptions {
-        nodes: command.nodes,
-        stores: command.stores,
-        steps: command.steps,
-        cut_every: command.cut_every,
-        single_version: !command.mixed_versions,
-        troubles: command.trouble.clone(),
+        size: FleetSize { nodes: command.nodes, stores: command.stores, ..base.size },
+        workload: Workload {
+            steps: command.steps,
+            truncate_every: command.truncate_every,
+            single_version: !command.mixed_versions,
+            ..base.workload
+        },
+        faults: command.faults.clone(),
         subnet: command.subnet,
         ..base
     })
@@ -98,7 +100,7 @@
     std::env::temp_dir().join(format!("rushrudder-local-{}", std::process::id()))
 }
 
-fn print_report(report: &Report, as_json: bool) {
+fn print_report(report: &LocalReport, as_json: bool) {
     if !as_json {
         return print!("{report}");
     }
--- a/crates/rushrudder/tests/local.rs
+++ b/crates/rushrudder/tests/local.rs
@@ -2,21 +2,22 @@
 
 use std::path::{Path, PathBuf};
 
-use local_fleet::{LocalOptions, Report, Trouble};
+use local_fleet::{Fault, LocalOptions, LocalReport, Workload};
 
 /// A fleet with its files in a folder of its own, at addresses of its own.
-fn options(subnet: u8, steps: u64, troubles: &[&str]) -> LocalOptions {
+fn options(subnet: u8, steps: u64, faults: &[&str]) -> LocalOptions {
     let executable = PathBuf::from(env!("CARGO_BIN_EXE_rushrudder"));
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("local-{subnet}"));
-    let troubles = troubles.iter().map(|text| text.parse::<Trouble>().expect("a trouble")).collect();
-    LocalOptions { subnet, steps, troubles, ..LocalOptions::new(executable, directory) }
+    let faults = faults.iter().map(|text| text.parse::<Fault>().expect("a fault")).collect();
+    let workload = Workload { steps, ..Workload::default() };
+    LocalOptions { subnet, workload, faults, ..LocalOptions::new(executable, directory) }
 }
 
-async fn run(options: LocalOptions) -> Report {
+async fn run(options: LocalOptions) -> LocalReport {
     local_fleet::run(options, |line| println!("{line}")).await.expect("a fleet that comes up")
 }
 
-fn assert_clean(report: &Report, steps: u64) {
+fn assert_clean(report: &LocalReport, steps: u64) {
     assert_eq!(report.violations, Vec::<String>::new());
     assert_eq!((report.steps_done, report.steps_failed), (steps, 0), "{report}");
     assert_eq!(report.newest_version, steps + 1, "each step names the next version");
@@ -32,14 +33,15 @@
 
 #[tokio::test]
 async fn given_cut_texts_of_any_versions_when_steps_go_through_then_texts_are_whole() {
-    let options = LocalOptions { cut_every: 4, single_version: false, ..options(22, 3, &[]) };
+    let mut options = options(22, 3, &[]);
+    (options.workload.truncate_every, options.workload.single_version) = (4, false);
     assert_clean(&run(options).await, 3);
 }
 
 #[tokio::test]
 async fn given_killed_processes_when_steps_go_through_then_nothing_acknowledged_is_lost() {
-    let troubles = ["0:kill:node-1", "1:wipe:store-1", "2:kill-all"];
-    assert_clean(&run(options(23, 5, &troubles)).await, 5);
+    let faults = ["0:kill:node-1", "1:wipe:store-1", "2:kill-all"];
+    assert_clean(&run(options(23, 5, &faults)).await, 5);
 }
 
 #[tokio::test]
