--- /dev/null
+++ b/crates/data-plane/src/batch/item.rs
@@ -0,0 +1,205 @@
+//! Items of batch jobs: streamed requests for tokens, whose text is collected here.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use configuration::Route;
+use dispatch::{SelectionCriteria, VersionRequirement};
+use http::header::{HeaderMap, HeaderName, HeaderValue, HOST};
+use http::{Method, StatusCode};
+use tokio::time::Instant;
+
+use crate::batch::capacity::item_criteria;
+use crate::batch::collector::{CollectorRules, EventCollector, EventRejection, ItemProgress};
+use crate::forwarding::Forwarder;
+use crate::headers::{end_to_end, ATTEMPT_ID, MODEL};
+use crate::request::UpstreamRequest;
+use crate::selection::InFlightRequest;
+use crate::streaming::{EventParser, StreamEvent};
+use crate::upstream::{Attempt, AttemptError, AttemptOptions, ExecutionStatus, UpstreamResponse};
+
+/// When an item may be sent again if no server names a time.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// A server that sends nothing for this long between two events is given up; before the first event it has longer, see
+/// [`AttemptOptions`].
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Delay before an item with invalid headers is tried again; its owner gives it up when its shelf life ends.
+const INVALID_HEADERS_RETRY_AFTER: Duration = Duration::from_secs(1);
+
+/// One run of an item.
+#[derive(Clone, Debug)]
+pub struct ItemRequest {
+    /// The route of its batch job.
+    pub route: Arc<Route>,
+    /// The host of that route.
+    pub host: Arc<str>,
+    /// The path and query that it is sent to.
+    pub path: String,
+    /// Its own headers.
+    pub headers: Vec<(String, String)>,
+    /// Its id, which all of its runs share.
+    pub id: Arc<str>,
+    /// Its body.
+    pub body: Bytes,
+    /// The model that makes its text.
+    pub model: Option<Arc<str>>,
+    /// The oldest version of the weights that may make an event of it.
+    pub oldest_version: u64,
+    /// Its group, whose items share their prompt.
+    pub group: Option<Arc<str>>,
+    /// Its length in tokens.
+    pub tokens: u64,
+    /// What earlier runs collected of its text.
+    pub progress: ItemProgress,
+    /// When the run ends at the latest.
+    pub deadline: Instant,
+}
+
+/// How a run of an item ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ItemOutcome {
+    /// The text is complete.
+    Complete(ItemProgress),
+    /// The server answered with an error of its own (500), which counts as a failed attempt.
+    Failed,
+    /// The server answered that the item can never be processed (422).
+    Unprocessable,
+    /// The run broke off. The item may continue from here, or from its beginning if no text is left.
+    Interrupted(ItemProgress),
+    /// No server has run the item.
+    NotRun {
+        /// After which time it may be sent again.
+        retry_after: Duration,
+    },
+}
+
+impl Forwarder {
+    /// Runs an item once, continuing after its progress.
+    pub async fn run_item(&self, item: ItemRequest) -> ItemOutcome {
+        let Some(request) = upstream_request(&item) else {
+            log::error!("item {} cannot be sent: one of its headers is invalid", item.id);
+            return ItemOutcome::NotRun { retry_after: INVALID_HEADERS_RETRY_AFTER };
+        };
+        let Some(in_flight) = self.select_for_item(&item) else {
+            return ItemOutcome::NotRun { retry_after: DEFAULT_RETRY_AFTER };
+        };
+        let known_version = in_flight.server().version;
+        let options = AttemptOptions {
+            deadline: item.deadline,
+            expected_version: known_version.filter(|_| item.route.single_version),
+            last_event_id: item.progress.last_event_id,
+            idle_timeout: Some(EVENT_TIMEOUT),
+        };
+        match (Attempt { in_flight, request: &request, options }).send().await {
+            Ok(upstream) => item_outcome(item, upstream, known_version).await,
+            Err(error) => error_outcome(item, error),
+        }
+    }
+
+    fn select_for_item(&self, item: &ItemRequest) -> Option<InFlightRequest> {
+        let made_by = item.progress.versions.first().filter(|_| item.route.single_version);
+        let version = match made_by {
+            Some(version) => VersionRequirement::Exactly(*version),
+            None => VersionRequirement::AtLeast(item.oldest_version),
+        };
+        let cached = item.group.as_ref().and_then(|group| self.selector.prefix_cache_server(group));
+        let criteria = SelectionCriteria {
+            prefix_cache_server: cached.as_ref(),
+            ..item_criteria(&item.route.targets, item.model.as_deref(), version)
+        };
+        let in_flight = self.selector.select(&criteria)?;
+        if let Some(group) = &item.group {
+            self.selector.record_prefix_cache_server(group, &in_flight.server().id);
+        }
+        Some(in_flight)
+    }
+}
+
+/// The request of an item; `None` if one of its headers is invalid.
+fn upstream_request(item: &ItemRequest) -> Option<UpstreamRequest> {
+    let mut headers = HeaderMap::new();
+    for (name, value) in &item.headers {
+        headers.append(HeaderName::try_from(name).ok()?, HeaderValue::from_str(value).ok()?);
+    }
+    let mut headers = end_to_end(&headers);
+    headers.insert(HOST, HeaderValue::from_str(&item.host).ok()?);
+    headers.insert(ATTEMPT_ID, HeaderValue::from_str(&item.id).ok()?);
+    if let Some(model) = item.model.as_ref().filter(|_| !headers.contains_key(MODEL)) {
+        headers.insert(MODEL, HeaderValue::from_str(model).ok()?);
+    }
+    Some(UpstreamRequest {
+        method: Method::POST,
+        target: item.path.clone(),
+        headers,
+        body: item.body.clone(),
+    })
+}
+
+fn error_outcome(item: ItemRequest, error: AttemptError) -> ItemOutcome {
+    match error.execution_status() {
+        ExecutionStatus::NotRun => {
+            ItemOutcome::NotRun { retry_after: error.retry_after().unwrap_or(DEFAULT_RETRY_AFTER) }
+        }
+        ExecutionStatus::MayHaveRun => ItemOutcome::Interrupted(item.progress),
+    }
+}
+
+async fn item_outcome(
+    item: ItemRequest,
+    upstream: UpstreamResponse,
+    known_version: Option<u64>,
+) -> ItemOutcome {
+    match upstream.status() {
+        StatusCode::INTERNAL_SERVER_ERROR => {
+            upstream.discard();
+            ItemOutcome::Failed
+        }
+        StatusCode::UNPROCESSABLE_ENTITY => {
+            upstream.discard();
+            ItemOutcome::Unprocessable
+        }
+        status if status.is_success() => collect_text(item, upstream, known_version).await,
+        _ => ItemOutcome::Interrupted(item.progress),
+    }
+}
+
+/// Reads the events of a run to their end.
+async fn collect_text(
+    item: ItemRequest,
+    mut upstream: UpstreamResponse,
+    known_version: Option<u64>,
+) -> ItemOutcome {
+    let rules =
+        CollectorRules { oldest_version: item.oldest_version, single_version: item.route.single_version };
+    let version = upstream.version().or(known_version);
+    let mut collector = EventCollector::new(item.progress, rules, version);
+    let mut parser = EventParser::default();
+    loop {
+        let chunk = match upstream.chunk().await {
+            Ok(Some(chunk)) => chunk,
+            Ok(None) if !parser.has_partial() && !collector.progress.events.is_empty() => {
+                return ItemOutcome::Complete(collector.progress);
+            }
+            _ => return ItemOutcome::Interrupted(collector.progress),
+        };
+        parser.push(&chunk);
+        while let Some(event) = parser.next_event() {
+            record_version(&upstream, item.model.as_deref(), &event);
+            match collector.add(&event) {
+                Ok(()) => {}
+                Err(EventRejection::InvalidEvent) => return ItemOutcome::Interrupted(collector.progress),
+                Err(EventRejection::MixedVersions) => {
+                    return ItemOutcome::Interrupted(ItemProgress::default())
+                }
+            }
+        }
+    }
+}
+
+/// Records the version that an event announces as the one that the server runs.
+fn record_version(upstream: &UpstreamResponse, model: Option<&str>, event: &StreamEvent) {
+    if let (Some(version), Some(model)) = (event.version, model) {
+        upstream.in_flight().record_version(model, version);
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/batch/reward.rs
@@ -0,0 +1,72 @@
+//! Reward calls, which grade the text of an item.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::header::{HeaderMap, HeaderValue, HOST};
+use http::Method;
+use tokio::time::Instant;
+
+use crate::forwarding::Forwarder;
+use crate::headers::{text, ATTEMPT_ID, POSTMARK};
+use crate::request::UpstreamRequest;
+
+/// How a reward call ended.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RewardOutcome {
+    /// The grade: the stamp of the successful response.
+    Graded(String),
+    /// Servers answered with status 500, and none otherwise.
+    Failed {
+        /// How many such answers there were.
+        internal_errors: u32,
+    },
+    /// The call has not run, or gave no valid response. It may be repeated.
+    Retryable,
+    /// No route is configured for it.
+    NoRoute,
+}
+
+impl Forwarder {
+    /// Makes a reward call at up to as many servers as its route allows. `deadline` is counted from now.
+    pub async fn call_reward(
+        &self,
+        host: &str,
+        path: &str,
+        id: &str,
+        body: Bytes,
+        deadline: Duration,
+    ) -> RewardOutcome {
+        let path_without_query = path.split('?').next().unwrap_or(path);
+        let configuration = self.configuration();
+        let Some(route) = configuration.as_ref().and_then(|found| found.route(host, path_without_query))
+        else {
+            return RewardOutcome::NoRoute;
+        };
+        let Some(headers) = headers(host, id) else {
+            return RewardOutcome::NoRoute;
+        };
+        let request =
+            Arc::new(UpstreamRequest { method: Method::POST, target: path.to_owned(), headers, body });
+        let forwarded = self.forward_buffered(route, request, true, Instant::now() + deadline).await;
+        let grade = text(&forwarded.response.headers, &POSTMARK);
+        match grade {
+            Some(grade) if forwarded.is_from_server && forwarded.response.status.is_success() => {
+                RewardOutcome::Graded(grade.to_owned())
+            }
+            _ if forwarded.internal_errors > 0 => {
+                RewardOutcome::Failed { internal_errors: forwarded.internal_errors }
+            }
+            _ => RewardOutcome::Retryable,
+        }
+    }
+}
+
+/// The headers of a reward call; `None` if its host or id is no header value.
+fn headers(host: &str, id: &str) -> Option<HeaderMap> {
+    let mut headers = HeaderMap::new();
+    headers.insert(HOST, HeaderValue::from_str(host).ok()?);
+    headers.insert(ATTEMPT_ID, HeaderValue::from_str(id).ok()?);
+    Some(headers)
+}
--- /dev/null
+++ b/crates/data-plane/src/forwarding/buffered.rs
@@ -0,0 +1,136 @@
+//! Forwarding of requests whose response is buffered until it is complete: retries, hedging, and the final response.
+
+use std::sync::Arc;
+
+use configuration::Route;
+use futures_util::future::BoxFuture;
+use futures_util::stream::{FuturesUnordered, StreamExt};
+use http::StatusCode;
+use tokio::time::{sleep_until, Instant};
+
+use crate::forwarding::buffering::buffer_response;
+use crate::forwarding::forwarder::Forwarder;
+use crate::forwarding::retry::RetryState;
+use crate::request::UpstreamRequest;
+use crate::response::ClientResponse;
+use crate::upstream::{Attempt, AttemptError, AttemptOptions};
+
+/// A hedged request is sent when this part of the route's latency target has passed without a response.
+const HEDGE_DELAY_FACTOR: f64 = 0.6;
+
+type AttemptFuture = BoxFuture<'static, Result<ClientResponse, AttemptError>>;
+
+/// What all attempts of a request came to.
+pub(crate) struct ForwardedResponse {
+    /// The response for the client.
+    pub(crate) response: ClientResponse,
+    /// Whether a server gave it.
+    pub(crate) is_from_server: bool,
+    /// How many servers answered with status 500.
+    pub(crate) internal_errors: u32,
+}
+
+impl Forwarder {
+    /// Forwards a request; if it is idempotent, to as many servers as its route allows.
+    pub(crate) async fn forward_buffered(
+        &self,
+        route: &Arc<Route>,
+        request: Arc<UpstreamRequest>,
+        is_idempotent: bool,
+        deadline: Instant,
+    ) -> ForwardedResponse {
+        let retry =
+            RetryState::new(self.selector.clone(), Arc::clone(route), request, is_idempotent, deadline);
+        BufferedForward { retry, attempts: FuturesUnordered::new(), internal_errors: 0, error_response: None }
+            .run()
+            .await
+    }
+}
+
+/// One request with its attempts in flight.
+struct BufferedForward {
+    retry: RetryState,
+    attempts: FuturesUnordered<AttemptFuture>,
+    internal_errors: u32,
+    /// A server's error, which is the response if no attempt gives a better one.
+    error_response: Option<ClientResponse>,
+}
+
+impl BufferedForward {
+    async fn run(mut self) -> ForwardedResponse {
+        self.start_attempt();
+        let hedge_at = Instant::now() + self.retry.route.latency_target.mul_f64(HEDGE_DELAY_FACTOR);
+        let mut may_hedge =
+            self.retry.is_idempotent && self.retry.route.max_attempts > 1 && hedge_at < self.retry.deadline;
+        while !self.attempts.is_empty() {
+            tokio::select! {
+                Some(result) = self.attempts.next() => {
+                    if let Some(response) = self.final_response(result) {
+                        return self.finish(response);
+                    }
+                    if self.attempts.is_empty() {
+                        self.start_attempt();
+                    }
+                }
+                () = sleep_until(hedge_at), if may_hedge => {
+                    may_hedge = false;
+                    if self.retry.selector.withdraw_hedge() {
+                        self.start_attempt();
+                    }
+                }
+            }
+        }
+        self.give_up()
+    }
+
+    /// Starts an attempt at one more server, if one may be made.
+    fn start_attempt(&mut self) {
+        // A server gets the request again only if no other may have free capacity or respond yet.
+        let may_repeat_server = !self.retry.has_rejections() && self.attempts.is_empty();
+        let Some(in_flight) = self.retry.next_attempt(may_repeat_server) else {
+            return;
+        };
+        let (request, deadline) = (Arc::clone(&self.retry.request), self.retry.deadline);
+        self.attempts.push(Box::pin(async move {
+            let attempt = Attempt { in_flight, request: &request, options: AttemptOptions::until(deadline) };
+            buffer_response(attempt.send().await?).await
+        }));
+    }
+
+    /// Takes the result of an attempt; returns the response if it is final.
+    fn final_response(&mut self, result: Result<ClientResponse, AttemptError>) -> Option<ClientResponse> {
+        let response = match result {
+            Ok(response) => response,
+            Err(error) => {
+                self.retry.record_error(error);
+                return None;
+            }
+        };
+        if !response.status.is_server_error() {
+            return Some(response);
+        }
+        if response.status == StatusCode::INTERNAL_SERVER_ERROR {
+            self.internal_errors += 1;
+        }
+        if !self.retry.is_idempotent {
+            return Some(response);
+        }
+        self.error_response = Some(response);
+        None
+    }
+
+    /// Returns a server's response. Attempts that are still in flight run to their end, as breaking off work at a
+    /// server costs more.
+    fn finish(self, response: ClientResponse) -> ForwardedResponse {
+        if !self.attempts.is_empty() {
+            tokio::spawn(self.attempts.for_each(|_| async {}));
+        }
+        ForwardedResponse { response, is_from_server: true, internal_errors: self.internal_errors }
+    }
+
+    fn give_up(self) -> ForwardedResponse {
+        let is_from_server = self.error_response.is_some();
+        let response = self.error_response.unwrap_or_else(|| self.retry.error_response());
+        ForwardedResponse { response, is_from_server, internal_errors: self.internal_errors }
+    }
+}
--- /dev/null
+++ b/crates/data-plane/src/ingress/endpoint.rs
@@ -0,0 +1,95 @@
+//! Routing of clients' requests: to the batch jobs' endpoint, to a server, or to a response of the node itself.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use configuration::{Configuration, ConfigurationLimits, Route, RouteKind};
+use http::header::{HeaderMap, HeaderValue, CONNECTION, HOST};
+use http::{Method, StatusCode};
+use poem::{Endpoint, Request, Response};
+use tokio::time::Instant;
+
+use crate::headers::{text, TIME_LEFT};
+use crate::ingress::lifecycle::Ingress;
+use crate::ingress::request_reader::read_request;
+use crate::response::ClientResponse;
+
+/// Prefixes of the paths that concern batch jobs and their items.
+const JOB_PREFIXES: [&str; 2] = ["/api/lots/", "/api/items/"];
+/// When a client may retry while the configuration is missing or may be outdated.
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(200);
+
+/// Responds to the requests of clients.
+pub(super) struct ClientEndpoint(pub(super) Ingress);
+
+impl Endpoint for ClientEndpoint {
+    type Output = Response;
+
+    async fn call(&self, request: Request) -> poem::Result<Response> {
+        let mut response = self.respond(request).await;
+        if self.0.is_draining() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        Ok(response)
+    }
+}
+
+impl ClientEndpoint {
+    async fn respond(&self, request: Request) -> Response {
+        let Some(configuration) = self.0.forwarder().configuration() else {
+            return ClientResponse::not_run(NO_CONFIGURATION_RETRY_AFTER).into();
+        };
+        if JOB_PREFIXES.iter().any(|prefix| request.uri().path().starts_with(prefix)) {
+            return self.0.settings().jobs.handle(request).await;
+        }
+        let Some(route) = find_route(&configuration, &request) else {
+            return self.no_route_response().into();
+        };
+        match route.kind {
+            RouteKind::Rollout | RouteKind::Batch if request.method() == Method::POST => {
+                self.0.settings().jobs.handle(request).await
+            }
+            RouteKind::Rollout | RouteKind::Batch => {
+                ClientResponse::from_node(StatusCode::METHOD_NOT_ALLOWED).into()
+            }
+            _ => self.forward(route, configuration.limits(), request).await.into(),
+        }
+    }
+
+    fn no_route_response(&self) -> ClientResponse {
+        if (self.0.settings().is_configuration_confirmed)() {
+            ClientResponse::from_node(StatusCode::NOT_FOUND)
+        } else {
+            ClientResponse::not_run(NO_CONFIGURATION_RETRY_AFTER)
+        }
+    }
+
+    async fn forward(
+        &self,
+        route: &Arc<Route>,
+        limits: &ConfigurationLimits,
+        request: Request,
+    ) -> ClientResponse {
+        let deadline = Instant::now() + time_left(route, request.headers());
+        let request = match read_request(request, limits, deadline).await {
+            Ok(request) => Arc::new(request),
+            Err(error) => return ClientResponse::from_node(error.status()),
+        };
+        if route.kind == RouteKind::Stream {
+            return self.0.forwarder().forward_stream(route, request, deadline).await;
+        }
+        let is_idempotent = route.kind == RouteKind::Safe;
+        self.0.forwarder().forward_buffered(route, request, is_idempotent, deadline).await.response
+    }
+}
+
+fn find_route<'a>(configuration: &'a Configuration, request: &Request) -> Option<&'a Arc<Route>> {
+    let host = text(request.headers(), &HOST)?;
+    configuration.route(host, request.uri().path())
+}
+
+/// The time until the response must be sent: what the client says, but at most the timeout of the route.
+fn time_left(route: &Route, headers: &HeaderMap) -> Duration {
+    let millis = text(headers, &TIME_LEFT).and_then(|left| left.trim().parse().ok());
+    millis.map_or(route.timeout, |millis| Duration::from_millis(millis).min(route.timeout))
+}
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,26 +1,33 @@
-//! The traffic of a node: front, sender, streams.
+//! The data plane of a node: it takes requests of clients and forwards them to servers.
 //!
-//! The [`Sender`] brings requests to servers: plain requests and streams of clients, items of batch jobs and
-//! reward calls. The [`Front`] takes requests from clients.
+//! | module | what it owns |
+//! | --- | --- |
+//! | `ingress` | connections of clients, routing, limits, readiness, graceful shutdown |
+//! | `forwarding` | the attempts of a request: retries, hedging, responses that are buffered until they are complete |
+//! | `streaming` | event streams: parsing, passing on event by event, resumption at another server |
+//! | `batch` | the requests that batch jobs cause: items, whose text is collected, and reward calls |
+//! | `upstream` | one attempt at one server: the request head, checks of the response head, the body |
+//! | `selection` | the servers as all requests share them: dispatcher, connections, prefix-cache affinity, hedge budget |
+//! | `headers`, `request`, `response` | the protocol's headers, and the messages between the layers |
+//!
+//! The [`Ingress`] serves clients by a [`Forwarder`]; a store, which has no ingress, uses a [`Forwarder`] for the
+//! items and reward calls of its batch jobs. Server list and configuration come from the control plane by a watch
+//! channel. Which server gets an attempt is decided by the crate `dispatch`.
+//!
+//! The rule that governs every retry: after an attempt that may have run, the request goes to another server only if
+//! its route says that it is idempotent.
 
-mod answer;
-mod attempt;
-mod call;
-mod connections;
-mod event_stream;
-mod favourites;
-mod front;
-mod item;
-mod links;
-mod plain;
-mod reward;
-mod sender;
-mod stream;
+mod batch;
+mod forwarding;
+mod headers;
+mod ingress;
+mod request;
+mod response;
+mod selection;
+mod streaming;
+mod upstream;
 
-pub use answer::{ClientResponse, ExecutionStatus, ResponseBody};
-pub use call::Call;
-pub use event_stream::{Event, EventParser};
-pub use front::{Front, FrontSettings, JobEndpoint, ReadinessCheck};
-pub use item::{ItemCall, ItemOutcome, ItemProgress};
-pub use reward::RewardOutcome;
-pub use sender::Sender;
+pub use batch::{ItemOutcome, ItemProgress, ItemRequest, RewardOutcome};
+pub use forwarding::Forwarder;
+pub use ingress::{Ingress, IngressSettings, JobEndpoint, ReadinessCheck};
+pub use streaming::{EventParser, StreamEvent};
--- /dev/null
+++ b/crates/data-plane/src/selection/in_flight.rs
@@ -0,0 +1,87 @@
+//! A request in flight at a server, and what it shows about that server.
+
+use std::time::Duration;
+
+use dispatch::{RequestOutcome, SelectedServer, SelectionCriteria};
+use reqwest::Client;
+
+use crate::headers::ServerLoad;
+use crate::selection::selector::ServerSelector;
+
+/// A request in flight at the server that was selected for it. When it is dropped, the request counts as finished
+/// with the outcome that was set last; it counts as canceled if none was set.
+pub(crate) struct InFlightRequest {
+    selector: ServerSelector,
+    server: SelectedServer,
+    outcome: RequestOutcome,
+}
+
+impl ServerSelector {
+    /// Selects a server for an attempt, which counts as in flight until the returned guard is dropped.
+    ///
+    /// Returns `None` if no server is eligible.
+    pub(crate) fn select(&self, criteria: &SelectionCriteria<'_>) -> Option<InFlightRequest> {
+        let now = self.now();
+        let mut state = self.state();
+        let server = state.dispatcher.select(now, criteria)?;
+        state.hedge_budget.deposit();
+        drop(state);
+        Some(InFlightRequest { selector: self.clone(), server, outcome: RequestOutcome::Canceled })
+    }
+}
+
+impl InFlightRequest {
+    pub(crate) fn server(&self) -> &SelectedServer {
+        &self.server
+    }
+
+    pub(crate) fn set_outcome(&mut self, outcome: RequestOutcome) {
+        self.outcome = outcome;
+    }
+
+    /// The HTTP client with the connections to the server.
+    pub(crate) fn client(&self) -> reqwest::Result<Client> {
+        self.selector.state().clients.get(&self.server.id)
+    }
+
+    /// Closes the connections to the server as soon as the requests on them are finished.
+    pub(crate) fn discard_connections(&self) {
+        self.selector.state().clients.discard(&self.server.id);
+    }
+
+    /// Records that the server keeps idle connections for this long.
+    pub(crate) fn record_keep_alive(&self, timeout: Duration) {
+        self.selector.state().clients.record_keep_alive(timeout);
+    }
+
+    pub(crate) fn record_load(&self, load: ServerLoad) {
+        let now = self.selector.now();
+        let mut state = self.selector.state();
+        state.dispatcher.record_load(now, &self.server.id, load.running, load.queued, load.slots);
+    }
+
+    pub(crate) fn record_version(&self, model: &str, version: u64) {
+        self.selector.state().dispatcher.record_version(&self.server.id, model, version);
+    }
+
+    pub(crate) fn record_version_rejected(&self, model: &str, version: u64) {
+        let now = self.selector.now();
+        self.selector.state().dispatcher.record_version_rejected(now, &self.server.id, model, version);
+    }
+
+    pub(crate) fn record_model_loading(&self, model: &str) {
+        let now = self.selector.now();
+        self.selector.state().dispatcher.record_model_loading(now, &self.server.id, model);
+    }
+
+    pub(crate) fn record_model_serving(&self, model: &str) {
+        self.selector.state().dispatcher.record_model_serving(&self.server.id, model);
+    }
+}
+
+impl Drop for InFlightRequest {
+    fn drop(&mut self) {
+        let now = self.selector.now();
+        self.selector.state().dispatcher.request_finished(now, &self.server.id, self.outcome);
+    }
+}
--- a/crates/data-plane/src/event_stream.rs
+++ b/crates/data-plane/src/streaming/event_parser.rs
@@ -2,66 +2,66 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// The field that names the version of the weights from an event on.
+/// The field that says which version of the weights makes the text from this event on.
 const VERSION_FIELD: &str = "weight-editions";
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Event {
-    /// Its bytes as they came, with the blank line that ends it.
+pub struct StreamEvent {
+    /// Its bytes as they were received, with the blank line that ends it.
     pub raw: Bytes,
-    /// Its `id`, where that is a number.
+    /// Its `id`, if that is a number.
     pub id: Option<u64>,
     /// Its data lines, joined by line feeds.
     pub data: Bytes,
-    /// The version of the weights, where the event tells of a change.
+    /// The version of the weights, if the event announces a change.
     pub version: Option<u64>,
 }
 
-impl Event {
-    /// Whether it is only a comment or empty.
+impl StreamEvent {
+    /// Whether the event is only a comment or empty.
     #[must_use]
     pub fn is_comment(&self) -> bool {
         self.id.is_none() && self.data.is_empty() && self.version.is_none()
     }
 }
 
-/// Cuts a stream into events.
+/// Splits a stream into events. Bytes may be pushed in chunks of any size.
 #[derive(Debug, Default)]
 pub struct EventParser {
     buffer: BytesMut,
-    /// Up to here the buffer holds no end of an event.
+    /// The buffer holds no end of an event before this offset, which is the start of a line.
     searched: usize,
 }
 
 impl EventParser {
-    /// Takes in what came next.
+    /// Appends the next bytes of the stream.
     pub fn push(&mut self, chunk: &[u8]) {
         self.buffer.extend_from_slice(chunk);
     }
 
-    /// The next whole event.
-    pub fn next_event(&mut self) -> Option<Event> {
+    /// Takes the next complete event out of the buffer.
+    pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         self.searched = 0;
         let raw = self.buffer.split_to(end).freeze();
         Some(parse(raw))
     }
 
-    /// Whether part of an event is left.
+    /// Whether the buffer holds part of an event.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Takes what stands behind the last whole event.
+    /// Takes the bytes after the last complete event out of the buffer.
     pub fn take_partial(&mut self) -> Option<Bytes> {
         self.searched = 0;
         let rest = self.buffer.split().freeze();
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// The end of the first blank line.
+    /// The offset after the first blank line.
     fn find_end(&mut self) -> Option<usize> {
         let mut line_start = self.searched;
         while let Some(length) = self.buffer[line_start..].iter().position(|byte| *byte == b'\n') {
@@ -76,8 +76,8 @@
     }
 }
 
-fn parse(raw: Bytes) -> Event {
-    let mut event = Event::default();
+fn parse(raw: Bytes) -> StreamEvent {
+    let mut event = StreamEvent::default();
     let mut data: Option<Vec<u8>> = None;
     for line in raw.split(|byte| *byte == b'\n') {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -100,7 +100,7 @@
     event
 }
 
-/// Splits a line at its first colon; one space behind it belongs to neither side.
+/// Splits a line at its first colon; one space after the colon belongs to neither part.
 fn split_field(line: &[u8]) -> (&[u8], &[u8]) {
     let Some(colon) = line.iter().position(|byte| *byte == b':') else {
         return (line, b"");
--- /dev/null
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -0,0 +1,143 @@
+//! The relay of a stream to a client: each complete event is passed on as it comes.
+
+use std::collections::VecDeque;
+use std::io;
+use std::sync::Arc;
+
+use bytes::Bytes;
+use configuration::Route;
+use http::header::{CONTENT_LENGTH, CONTENT_TYPE, TRANSFER_ENCODING};
+use http::StatusCode;
+use tokio::time::Instant;
+
+use crate::forwarding::{buffer_response, Forwarder, RetryState};
+use crate::headers::{end_to_end, text, LAST_EVENT_ID};
+use crate::request::UpstreamRequest;
+use crate::response::{chunk_stream, ChunkSource, ClientResponse, ResponseBody};
+use crate::streaming::event_parser::EventParser;
+use crate::upstream::{Attempt, AttemptOptions, UpstreamResponse};
+
+impl Forwarder {
+    /// Forwards a request for a stream. If its route allows it, the stream is resumed at another server when one
+    /// breaks off.
+    pub(crate) async fn forward_stream(
+        &self,
+        route: &Arc<Route>,
+        request: Arc<UpstreamRequest>,
+        deadline: Instant,
+    ) -> ClientResponse {
+        let last_event_id = text(&request.headers, &LAST_EVENT_ID).and_then(|id| id.parse().ok());
+        let retry =
+            RetryState::new(self.selector.clone(), Arc::clone(route), request, route.resume, deadline);
+        StreamRelay::new(retry, last_event_id).start().await
+    }
+}
+
+/// One stream of a client, and the server that it comes from at present.
+struct StreamRelay {
+    retry: RetryState,
+    /// The id of the last event that was received, or the one that the client named.
+    last_event_id: Option<u64>,
+    /// The response that the events come from; `None` before the first and while the stream is resumed.
+    upstream: Option<UpstreamResponse>,
+    parser: EventParser,
+    /// Complete events that are yet to be passed on.
+    pending: VecDeque<Bytes>,
+}
+
+impl StreamRelay {
+    fn new(retry: RetryState, last_event_id: Option<u64>) -> Self {
+        Self {
+            retry,
+            last_event_id,
+            upstream: None,
+            parser: EventParser::default(),
+            pending: VecDeque::new(),
+        }
+    }
+
+    /// Opens the stream at a server and returns the response to the client, from which the events are then drawn.
+    async fn start(mut self) -> ClientResponse {
+        let Some(upstream) = self.open_upstream().await else {
+            return self.retry.last_error_response();
+        };
+        if !is_event_stream(&upstream) {
+            let response = buffer_response(upstream).await;
+            return response.unwrap_or_else(|_| ClientResponse::from_node(StatusCode::BAD_GATEWAY));
+        }
+        let (status, mut headers) = (upstream.status(), end_to_end(upstream.headers()));
+        headers.remove(CONTENT_LENGTH);
+        headers.remove(TRANSFER_ENCODING);
+        self.upstream = Some(upstream);
+        ClientResponse { status, headers, body: ResponseBody::Streaming(chunk_stream(self)) }
+    }
+
+    /// Opens the stream, after the last event, at the next server that accepts the request.
+    async fn open_upstream(&mut self) -> Option<UpstreamResponse> {
+        while let Some(in_flight) = self.retry.next_attempt(false) {
+            let options = AttemptOptions {
+                last_event_id: self.last_event_id,
+                ..AttemptOptions::until(self.retry.deadline)
+            };
+            let attempt = Attempt { in_flight, request: &self.retry.request, options };
+            match attempt.send().await {
+                Ok(upstream) => return Some(upstream),
+                Err(error) => self.retry.record_error(error),
+            }
+        }
+        None
+    }
+
+    /// Takes in bytes of the stream. Fails if an event repeats or precedes one that was passed on.
+    fn push(&mut self, chunk: &[u8]) -> io::Result<()> {
+        self.parser.push(chunk);
+        while let Some(event) = self.parser.next_event() {
+            if let (Some(id), Some(last)) = (event.id, self.last_event_id) {
+                if id <= last {
+                    return Err(broken_off());
+                }
+            }
+            self.last_event_id = event.id.or(self.last_event_id);
+            self.pending.push_back(event.raw);
+        }
+        Ok(())
+    }
+
+    /// Continues at another server after the last complete event; what was received of the next one is dropped.
+    async fn resume(&mut self) -> io::Result<()> {
+        self.upstream = None;
+        self.parser = EventParser::default();
+        let upstream = self.open_upstream().await.filter(is_event_stream);
+        self.upstream = Some(upstream.ok_or_else(broken_off)?);
+        Ok(())
+    }
+}
+
+impl ChunkSource for StreamRelay {
+    /// The next complete event.
+    async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
+        loop {
+            if let Some(event) = self.pending.pop_front() {
+                return Ok(Some(event));
+            }
+            let Some(upstream) = &mut self.upstream else {
+                return Err(broken_off());
+            };
+            match upstream.chunk().await {
+                Ok(Some(chunk)) => self.push(&chunk)?,
+                // Bytes after the last event are part of a complete body as well.
+                Ok(None) => return Ok(self.parser.take_partial()),
+                Err(_) => self.resume().await?,
+            }
+        }
+    }
+}
+
+fn is_event_stream(response: &UpstreamResponse) -> bool {
+    let content_type = text(response.headers(), &CONTENT_TYPE);
+    response.status().is_success() && content_type.is_some_and(|kind| kind.starts_with("text/event-stream"))
+}
+
+fn broken_off() -> io::Error {
+    io::Error::other("the stream was broken off")
+}
--- a/crates/data-plane/tests/sends.rs
+++ b/crates/data-plane/tests/at_most_once.rs
@@ -1,18 +1,18 @@
-//! Every way in which the send of a request that may not be repeated can end: what the servers got, counted there,
-//! and what the client is told.
+//! Requests that aren't idempotent reach at most one server, however an attempt ends: what the servers received is
+//! counted there, and compared with the status that the client gets.
 
 mod support;
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-use support::node::{node_before, Node};
-use support::{answer_text, entry, read_request, reset, sender_to, Act, StandIn};
+use support::node::{node_with, Node};
+use support::{entry, forwarder_to, read_request, reset, response_text, FakeServer, Reaction};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use yare::parameterized;
 
-/// Servers that all do the same, so that a send that is repeated anywhere is counted.
+/// Servers that all do the same, so that a repeated attempt is counted wherever it goes.
 const SERVERS: usize = 3;
 
 /// How a server that speaks below HTTP ends a connection.
@@ -26,9 +26,9 @@
     ResetAmidHead,
     /// It reads the head and a part of the body and resets.
     ResetAmidBody,
-    /// It reads the whole request and resets.
+    /// It reads the complete request and resets.
     ResetAfterRequest,
-    /// It reads the whole request and closes.
+    /// It reads the complete request and closes.
     CloseAfterRequest,
 }
 
@@ -46,10 +46,10 @@
             }
         });
     }
-    let (sender, changes) = sender_to(entries);
+    let (forwarder, changes) = forwarder_to(entries);
     // The servers stay listed for as long as the test runs.
     Box::leak(Box::new(changes));
-    (Node::start(sender).await, got)
+    (Node::start(forwarder).await, got)
 }
 
 async fn end(mut stream: TcpStream, ending: Ending, got: Arc<AtomicUsize>) {
@@ -87,14 +87,14 @@
     close_after_request = { Ending::CloseAfterRequest },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_connection_that_ends_when_a_request_was_on_its_way_then_no_server_gets_it_again(
+async fn given_a_connection_that_ends_when_a_request_is_in_flight_then_no_server_gets_it_again(
     ending: Ending,
 ) {
     for _ in 0..10 {
         let (node, got) = servers_that_end(ending).await;
         let response = node.post("/unsafe/x").await;
         let status = response.status().as_u16();
-        // Nothing was sent where the connection was seen to end before; otherwise it may have run.
+        // Nothing was sent where the connection was received to end before; otherwise it may have run.
         assert!(
             status == 502 || (status == 503 && response.headers().contains_key("retry-after")),
             "{status}"
@@ -105,26 +105,27 @@
     }
 }
 
-/// A server whose answer to the first request is sound, so that its connection is kept.
-async fn kept_then(second: Act) -> (Node, Vec<StandIn>) {
+/// Servers whose responses to GET are valid, so that their connections are kept.
+async fn node_with_kept_connections(second: Reaction) -> (Node, Vec<FakeServer>) {
     let mut servers = Vec::new();
     for number in 0..SERVERS {
         let second = second.clone();
-        let script = move |seen: &support::Seen, _: usize| match seen.line.starts_with("GET") {
-            true => support::success("x"),
-            false => second.clone(),
-        };
-        servers.push(StandIn::start(&format!("server{number}"), script).await);
+        let script =
+            move |received: &support::ReceivedRequest, _: usize| match received.line.starts_with("GET") {
+                true => support::success("x"),
+                false => second.clone(),
+            };
+        servers.push(FakeServer::start(&format!("server{number}"), script).await);
     }
-    let node = node_before(&servers).await;
+    let node = node_with(&servers).await;
     for _ in 0..3 * SERVERS {
         assert_eq!(node.get("/safe/x").await.text().await.expect("a body"), "x");
     }
     (node, servers)
 }
 
-fn posts(servers: &[StandIn]) -> usize {
-    servers.iter().flat_map(StandIn::seen).filter(|seen| seen.line.starts_with("POST")).count()
+fn posts(servers: &[FakeServer]) -> usize {
+    servers.iter().flat_map(FakeServer::received).filter(|received| received.line.starts_with("POST")).count()
 }
 
 fn head(status: u16) -> String {
@@ -132,28 +133,28 @@
 }
 
 #[parameterized(
-    reset_on_a_kept_connection = { Act::WriteAndReset(String::new()), 502 },
-    close_on_a_kept_connection = { Act::WriteAndClose(String::new()), 502 },
-    head_then_close = { Act::WriteAndClose(format!("{}Content-Length: 5\r\n\r\n", head(200))), 502 },
-    head_then_reset = { Act::WriteAndReset(format!("{}Content-Length: 5\r\n\r\n", head(200))), 502 },
-    part_of_the_head = { Act::WriteAndClose("HTTP/1.1 200 OK\r\nAttempt".into()), 502 },
-    part_of_the_body = { Act::WriteAndClose(format!("{}Content-Length: 5\r\n\r\nab", head(200))), 502 },
-    part_of_the_chunks = { Act::WriteAndClose(format!("{}Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", head(200))), 502 },
-    no_length_closed = { Act::WriteAndClose(format!("{}\r\nab", head(200))), 200 },
-    no_length_reset = { Act::WriteAndReset(format!("{}\r\nab", head(200))), 502 },
-    no_answer_in_the_protocol = { Act::WriteAndClose("nonsense\r\n\r\n".into()), 502 },
-    informational_first = { Act::Write(format!("HTTP/1.1 102 Processing\r\n\r\n{}", answer_text(200, "Postmark: p\r\n", "ab"))), 200 },
-    bytes_behind_the_answer = { Act::Write(format!("{}surplus", answer_text(200, "Postmark: p\r\n", "ab"))), 200 },
-    answer_to_another_request = { Act::Write(answer_text(200, "Postmark: p\r\n", "ab").replace("{id}", "other")), 502 },
-    error_of_the_server = { Act::Write(answer_text(500, "Postmark: p\r\n", "ab")), 500 },
-    refusal_that_may_have_run = { Act::Write(answer_text(503, "Postmark: p\r\n", "ab")), 503 },
+    reset_on_a_kept_connection = { Reaction::WriteAndReset(String::new()), 502 },
+    close_on_a_kept_connection = { Reaction::WriteAndClose(String::new()), 502 },
+    head_then_close = { Reaction::WriteAndClose(format!("{}Content-Length: 5\r\n\r\n", head(200))), 502 },
+    head_then_reset = { Reaction::WriteAndReset(format!("{}Content-Length: 5\r\n\r\n", head(200))), 502 },
+    part_of_the_head = { Reaction::WriteAndClose("HTTP/1.1 200 OK\r\nAttempt".into()), 502 },
+    part_of_the_body = { Reaction::WriteAndClose(format!("{}Content-Length: 5\r\n\r\nab", head(200))), 502 },
+    part_of_the_chunks = { Reaction::WriteAndClose(format!("{}Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", head(200))), 502 },
+    no_length_closed = { Reaction::WriteAndClose(format!("{}\r\nab", head(200))), 200 },
+    no_length_reset = { Reaction::WriteAndReset(format!("{}\r\nab", head(200))), 502 },
+    no_http_response = { Reaction::WriteAndClose("nonsense\r\n\r\n".into()), 502 },
+    informational_first = { Reaction::Write(format!("HTTP/1.1 102 Processing\r\n\r\n{}", response_text(200, "Postmark: p\r\n", "ab"))), 200 },
+    bytes_after_the_response = { Reaction::Write(format!("{}surplus", response_text(200, "Postmark: p\r\n", "ab"))), 200 },
+    response_to_another_request = { Reaction::Write(response_text(200, "Postmark: p\r\n", "ab").replace("{id}", "other")), 502 },
+    error_of_the_server = { Reaction::Write(response_text(500, "Postmark: p\r\n", "ab")), 500 },
+    unavailable_that_may_have_run = { Reaction::Write(response_text(503, "Postmark: p\r\n", "ab")), 503 },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_kept_connection_when_the_answer_ends_so_then_one_server_got_the_request(
-    second: Act,
+async fn given_a_kept_connection_when_the_response_ends_so_then_one_server_got_the_request(
+    second: Reaction,
     status: u16,
 ) {
-    let (node, servers) = kept_then(second).await;
+    let (node, servers) = node_with_kept_connections(second).await;
     let response = node.post("/unsafe/x").await;
     assert_eq!(response.status(), status);
     let is_servers = response.headers().contains_key("postmark");
@@ -163,8 +164,8 @@
 }
 
 #[tokio::test]
-async fn given_a_refusal_that_says_that_it_has_not_run_when_all_say_so_then_the_client_may_come_back() {
-    let (node, servers) = kept_then(support::refusal()).await;
+async fn given_rejections_that_say_not_run_when_all_servers_send_them_then_the_client_may_retry() {
+    let (node, servers) = node_with_kept_connections(support::rejection()).await;
     let response = node.post("/unsafe/x").await;
     assert_eq!(response.status(), 503);
     assert!(response.headers().contains_key("retry-after"));
@@ -172,26 +173,26 @@
 }
 
 #[tokio::test]
-async fn given_a_silent_server_when_the_time_is_over_then_no_other_gets_the_request() {
-    let (node, servers) = kept_then(Act::Hang).await;
+async fn given_a_silent_server_when_the_request_times_out_then_no_other_gets_it() {
+    let (node, servers) = node_with_kept_connections(Reaction::Hang).await;
     let url = format!("http://{}/unsafe/x", node.address);
     let request = node.client.post(url).header("host", "h.example").header("attempt-id", "try1");
-    let response = request.header("time-left-ms", "60").body("body").send().await.expect("an answer");
+    let response = request.header("time-left-ms", "60").body("body").send().await.expect("a response");
     assert_eq!(response.status(), 504);
     assert_eq!(posts(&servers), 1);
 }
 
 #[tokio::test]
-async fn given_connections_that_the_servers_closed_while_idle_when_asked_then_the_request_is_sent_once_at_most(
-) {
-    for act in [Act::WriteAndClose as fn(String) -> Act, Act::WriteAndReset] {
+async fn given_idle_connections_that_the_servers_closed_when_asked_then_the_request_is_sent_at_most_once() {
+    for act in [Reaction::WriteAndClose as fn(String) -> Reaction, Reaction::WriteAndReset] {
         let mut servers = Vec::new();
         for number in 0..SERVERS {
-            // The answer looks as if the connection would be kept.
-            let script = move |_: &support::Seen, _: usize| act(answer_text(200, "Postmark: p\r\n", "x"));
-            servers.push(StandIn::start(&format!("server{number}"), script).await);
+            // The response looks as if the connection would be kept.
+            let script =
+                move |_: &support::ReceivedRequest, _: usize| act(response_text(200, "Postmark: p\r\n", "x"));
+            servers.push(FakeServer::start(&format!("server{number}"), script).await);
         }
-        let node = node_before(&servers).await;
+        let node = node_with(&servers).await;
         for _ in 0..20 {
             let before = posts(&servers);
             let status = node.post("/unsafe/x").await.status().as_u16();
@@ -202,7 +203,7 @@
 }
 
 #[tokio::test]
-async fn given_a_server_that_answers_before_it_has_read_the_body_when_it_reads_on_then_it_gets_that_body() {
+async fn given_a_server_that_responds_before_it_has_read_the_body_when_it_reads_on_then_it_gets_that_body() {
     const LENGTH: usize = 4000;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -215,7 +216,7 @@
                 let Some(end) = head_end(&mut stream, &mut buffer).await else { break };
                 let text = String::from_utf8_lossy(&buffer[..end]).into_owned();
                 let id = text.split("attempt-id: ").nth(1).and_then(|rest| rest.split("\r\n").next());
-                let early = answer_text(413, "", "").replace("{id}", id.expect("an id"));
+                let early = response_text(413, "", "").replace("{id}", id.expect("an id"));
                 stream.write_all(early.as_bytes()).await.expect("written");
                 buffer.drain(..end);
                 while buffer.len() < LENGTH {
@@ -228,11 +229,11 @@
         }
         bodies
     });
-    let (sender, _changes) = sender_to(vec![entry("a", address, "s")]);
-    let node = Node::start(sender).await;
+    let (forwarder, _changes) = forwarder_to(vec![entry("a", address, "s")]);
+    let node = Node::start(forwarder).await;
     for letter in ["a", "b", "c", "d"] {
-        let response = node.ask(reqwest::Method::POST, "/unsafe/x", &letter.repeat(LENGTH)).await;
-        assert_eq!(response.expect("an answer").status(), 413);
+        let response = node.send(reqwest::Method::POST, "/unsafe/x", &letter.repeat(LENGTH)).await;
+        assert_eq!(response.expect("a response").status(), 413);
     }
     for (body, letter) in serving.await.expect("no panic").iter().zip([b'a', b'b', b'c', b'd']) {
         assert!(body.iter().all(|byte| *byte == letter), "other bytes where the rest of the body is due");
--- a/crates/data-plane/tests/event_stream.rs
+++ b/crates/data-plane/tests/event_stream.rs
@@ -1,9 +1,9 @@
 //! Parsing of event streams.
 
-use data_plane::{Event, EventParser};
+use data_plane::{EventParser, StreamEvent};
 use yare::parameterized;
 
-fn events(chunks: &[&str]) -> (Vec<Event>, bool) {
+fn events(chunks: &[&str]) -> (Vec<StreamEvent>, bool) {
     let mut parser = EventParser::default();
     let mut events = Vec::new();
     for chunk in chunks {
@@ -13,7 +13,7 @@
     (events, parser.has_partial())
 }
 
-fn texts(events: &[Event]) -> Vec<&str> {
+fn texts(events: &[StreamEvent]) -> Vec<&str> {
     events.iter().map(|event| std::str::from_utf8(&event.data).expect("text")).collect()
 }
 
@@ -25,7 +25,7 @@
     cut_anywhere = {&["i", "d: 1\nda", "ta: a\n", "\nid: 2\ndata: b", "\n\n"], &["a", "b"]},
     colon_in_data = {&["id: 1\ndata: a:b\n\nid: 2\ndata\n\n"], &["a:b", ""]},
 )]
-fn given_chunks_when_parsed_then_events_are_whole(chunks: &[&str], data: &[&str]) {
+fn given_chunks_when_parsed_then_events_are_complete(chunks: &[&str], data: &[&str]) {
     let (events, has_partial) = events(chunks);
     assert_eq!(texts(&events), data);
     assert_eq!(events.iter().map(|event| event.id).collect::<Vec<_>>(), [Some(1), Some(2)]);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn given_a_change_of_version_when_parsed_then_the_event_tells_it() {
+fn given_a_change_of_version_when_parsed_then_the_event_announces_it() {
     let (events, _) = events(&["weight-editions: 7\nid: 3\ndata: a\n\nid: 4\ndata: b\n\n"]);
     assert_eq!(events.iter().map(|event| event.version).collect::<Vec<_>>(), [Some(7), None]);
 }
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -6,10 +6,13 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use data_plane::{ItemCall, ItemProgress, Sender};
+use data_plane::{Forwarder, ItemProgress, ItemRequest};
 use support::golden::{assert_golden, exchange};
-use support::node::{node_before, stand_ins, Node};
-use support::{answer, answer_text, event, refusal, sender, stream_text, success, Act, Seen, StandIn, LONG};
+use support::node::{fake_servers, node_with, Node};
+use support::{
+    event, forwarder, rejection, response, response_text, stream_text, success, FakeServer, Reaction,
+    ReceivedRequest, LONG,
+};
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 use yare::parameterized;
@@ -29,8 +32,8 @@
     format!("{line} HTTP/1.1\r\n{CLIENT_HEADERS}{more}{length}\r\n{body}")
 }
 
-fn forwarded(seen: &Seen) -> String {
-    format!("{}{}", seen.head, String::from_utf8(seen.body.clone()).expect("text"))
+fn forwarded(received: &ReceivedRequest) -> String {
+    format!("{}{}", received.head, String::from_utf8(received.body.clone()).expect("text"))
 }
 
 #[parameterized(
@@ -51,36 +54,36 @@
     more: &str,
     body: &str,
 ) {
-    let servers = stand_ins(vec![success("x")]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![success("x")]).await;
+    let node = node_with(&servers).await;
     exchange(node.address, &request(line, more, body)).await;
-    assert_golden(name, &forwarded(&servers[0].seen()[0]));
+    assert_golden(name, &forwarded(&servers[0].received()[0]));
 }
 
 #[tokio::test]
 async fn given_a_cut_stream_when_it_is_resumed_then_the_bytes_of_the_request_are_golden() {
     let cut = stream_text("", &[&event(1), &event(2)], false);
-    let script = move |seen: &Seen, _| match seen.header("last-event-id") {
-        "" => Act::WriteAndClose(cut.clone()),
-        _ => Act::Write(stream_text("", &[&event(3)], true)),
+    let script = move |received: &ReceivedRequest, _| match received.header("last-event-id") {
+        "" => Reaction::WriteAndClose(cut.clone()),
+        _ => Reaction::Write(stream_text("", &[&event(3)], true)),
     };
     let script = Arc::new(script);
     let mut servers = Vec::new();
     for id in ["server0", "server1"] {
         let script = Arc::clone(&script);
-        servers.push(StandIn::start(id, move |seen, number| script(seen, number)).await);
+        servers.push(FakeServer::start(id, move |received, number| script(received, number)).await);
     }
-    let node = node_before(&servers).await;
+    let node = node_with(&servers).await;
     exchange(node.address, &request("GET /resumed/x", "", "")).await;
-    let seen = servers.iter().flat_map(StandIn::seen);
-    let resumed: Vec<_> = seen.filter(|seen| !seen.header("last-event-id").is_empty()).collect();
+    let received = servers.iter().flat_map(FakeServer::received);
+    let resumed: Vec<_> = received.filter(|received| !received.header("last-event-id").is_empty()).collect();
     let head = forwarded(&resumed[0]).replace("expected-carrier: server0", "expected-carrier: server1");
     assert_golden("request_stream_resumed", &head);
 }
 
-fn item(sender: &Sender, path: &str, progress: ItemProgress) -> ItemCall {
-    let configuration = sender.configuration().expect("a configuration");
-    ItemCall {
+fn item(forwarder: &Forwarder, path: &str, progress: ItemProgress) -> ItemRequest {
+    let configuration = forwarder.configuration().expect("a configuration");
+    ItemRequest {
         route: Arc::clone(configuration.route("h.example", path).expect("a route")),
         host: "h.example".into(),
         path: path.into(),
@@ -113,79 +116,79 @@
     path: &str,
     events: &[u64],
 ) {
-    let server = StandIn::start("server0", |_, _| refusal()).await;
-    let (sender, _changes) = sender(&[&server]);
+    let server = FakeServer::start("server0", |_, _| rejection()).await;
+    let (forwarder, _changes) = forwarder(&[&server]);
     let progress = ItemProgress {
         events: events.iter().map(|id| Bytes::from(format!("e{id}"))).collect(),
         last_event_id: events.last().copied(),
         versions: events.iter().map(|_| 3).collect(),
     };
-    sender.run_item(item(&sender, path, progress)).await;
-    assert_golden(name, &forwarded(&server.seen()[0]));
+    forwarder.run_item(item(&forwarder, path, progress)).await;
+    assert_golden(name, &forwarded(&server.received()[0]));
 }
 
 #[tokio::test]
 async fn given_a_reward_call_when_it_is_sent_to_a_server_then_its_bytes_are_golden() {
-    let server = StandIn::start("server0", |_, _| success("x")).await;
-    let (sender, _changes) = sender(&[&server]);
-    sender.reward("h.example", "/safe/r?s=1", "reward1", Bytes::from_static(b"text"), LONG).await;
-    assert_golden("request_reward", &forwarded(&server.seen()[0]));
+    let server = FakeServer::start("server0", |_, _| success("x")).await;
+    let (forwarder, _changes) = forwarder(&[&server]);
+    forwarder.call_reward("h.example", "/safe/r?s=1", "reward1", Bytes::from_static(b"text"), LONG).await;
+    assert_golden("request_reward", &forwarded(&server.received()[0]));
 }
 
 const SERVER_HEADERS: &str = "Postmark: stamp\r\nX-More: yes\r\nContent-Type: text/plain\r\nKeep-Alive: timeout=9\r\n\
     Carrier-Load: 1,2,4\r\nWeight-Editions: 3\r\nX-Twice: a\r\nX-Twice: b\r\nConnection: keep-alive, x-hop\r\n\
     X-Hop: dropped\r\n";
 
-fn refusal_after(seconds: &str) -> Act {
-    answer(503, &format!("Not-Run: 1\r\nRetry-After: {seconds}\r\n"), "full")
+fn rejection_after(seconds: &str) -> Reaction {
+    response(503, &format!("Not-Run: 1\r\nRetry-After: {seconds}\r\n"), "full")
 }
 
 #[parameterized(
-    plain = { "response_plain", "POST /safe/x", answer(201, SERVER_HEADERS, "the bytes") },
-    plain_empty = { "response_plain_empty", "POST /safe/x", answer(204, "Postmark: stamp\r\n", "") },
+    plain = { "response_plain", "POST /safe/x", response(201, SERVER_HEADERS, "the bytes") },
+    plain_empty = { "response_plain_empty", "POST /safe/x", response(204, "Postmark: stamp\r\n", "") },
     plain_chunked = { "response_plain_chunked", "POST /safe/x",
-        Act::Write(stream_text("", &["ab", "cd"], true).replace("text/event-stream", "text/plain")) },
-    head = { "response_head", "HEAD /safe/x", Act::Write(answer_text(200, SERVER_HEADERS, "")
+        Reaction::Write(stream_text("", &["ab", "cd"], true).replace("text/event-stream", "text/plain")) },
+    head = { "response_head", "HEAD /safe/x", Reaction::Write(response_text(200, SERVER_HEADERS, "")
         .replace("Content-Length: 0", "Content-Length: 70")) },
-    server_error_safe = { "response_server_error_safe", "POST /safe/x", answer(500, SERVER_HEADERS, "bad") },
-    server_error_unsafe = { "response_server_error_unsafe", "POST /unsafe/x", answer(500, SERVER_HEADERS, "bad") },
+    server_error_safe = { "response_server_error_safe", "POST /safe/x", response(500, SERVER_HEADERS, "bad") },
+    server_error_unsafe = { "response_server_error_unsafe", "POST /unsafe/x", response(500, SERVER_HEADERS, "bad") },
     server_unavailable = { "response_server_unavailable", "POST /unsafe/x",
-        answer(503, "Postmark: stamp\r\nRetry-After: 9\r\n", "may have run") },
+        response(503, "Postmark: stamp\r\nRetry-After: 9\r\n", "may have run") },
     stream = { "response_stream", "GET /stream/x",
-        Act::Write(stream_text("X-More: yes\r\nKeep-Alive: timeout=9\r\n", &[&event(1), ": note\n\n", &event(2), "data: rest"], true)) },
+        Reaction::Write(stream_text("X-More: yes\r\nKeep-Alive: timeout=9\r\n", &[&event(1), ": note\n\n", &event(2), "data: rest"], true)) },
     stream_broken_off = { "response_stream_broken_off", "GET /stream/x",
-        Act::WriteAndClose(stream_text("", &[&event(1), "id: 2\nda"], false)) },
-    stream_no_events = { "response_stream_no_events", "GET /stream/x", answer(404, SERVER_HEADERS, "none") },
-    rejected = { "response_rejected", "POST /unsafe/x", refusal_after("0.25") },
-    rejected_for_long = { "response_rejected_for_long", "POST /unsafe/x", refusal_after("7") },
-    rejected_without_time = { "response_rejected_without_time", "POST /unsafe/x", answer(503, "Not-Run: 1\r\n", "full") },
-    rejected_other_server = { "response_rejected_other_server", "POST /unsafe/x", answer(421, "", "") },
-    stream_rejected = { "response_stream_rejected", "GET /stream/x", refusal_after("0.25") },
-    stream_rejected_for_long = { "response_stream_rejected_for_long", "GET /stream/x", refusal_after("7") },
-    stream_rejected_without_time = { "response_stream_rejected_without_time", "GET /stream/x", answer(503, "Not-Run: 1\r\n", "full") },
-    broken_off = { "response_bad_gateway", "POST /unsafe/x", Act::WriteAndClose(String::new()) },
-    stream_failed = { "response_stream_bad_gateway", "GET /stream/x", Act::WriteAndClose(String::new()) },
-    timed_out = { "response_gateway_timeout", "POST /short/x", Act::Hang },
+        Reaction::WriteAndClose(stream_text("", &[&event(1), "id: 2\nda"], false)) },
+    stream_no_events = { "response_stream_no_events", "GET /stream/x", response(404, SERVER_HEADERS, "none") },
+    rejected = { "response_rejected", "POST /unsafe/x", rejection_after("0.25") },
+    rejected_for_long = { "response_rejected_for_long", "POST /unsafe/x", rejection_after("7") },
+    rejected_without_time = { "response_rejected_without_time", "POST /unsafe/x", response(503, "Not-Run: 1\r\n", "full") },
+    rejected_other_server = { "response_rejected_other_server", "POST /unsafe/x", response(421, "", "") },
+    stream_rejected = { "response_stream_rejected", "GET /stream/x", rejection_after("0.25") },
+    stream_rejected_for_long = { "response_stream_rejected_for_long", "GET /stream/x", rejection_after("7") },
+    stream_rejected_without_time = { "response_stream_rejected_without_time", "GET /stream/x", response(503, "Not-Run: 1\r\n", "full") },
+    broken_off = { "response_bad_gateway", "POST /unsafe/x", Reaction::WriteAndClose(String::new()) },
+    stream_failed = { "response_stream_bad_gateway", "GET /stream/x", Reaction::WriteAndClose(String::new()) },
+    timed_out = { "response_gateway_timeout", "POST /short/x", Reaction::Hang },
     no_route = { "response_no_route", "GET /none/x", success("") },
     no_server = { "response_no_server", "GET /nowhere/x", success("") },
     batch_job = { "response_batch_job", "POST /rollout/1", success("") },
     batch_job_method = { "response_batch_job_method", "GET /rollout/1", success("") },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_request_when_it_is_answered_then_the_bytes_of_the_response_are_golden(
+async fn given_a_request_when_it_is_responded_to_then_the_bytes_of_the_response_are_golden(
     name: &str,
     line: &str,
-    script: Act,
+    script: Reaction,
 ) {
-    let servers = stand_ins(vec![script]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![script]).await;
+    let node = node_with(&servers).await;
     assert_golden(name, &exchange(node.address, &request(line, "", "")).await);
 }
 
 #[tokio::test]
 async fn given_a_silent_server_when_a_stream_times_out_then_the_bytes_of_the_response_are_golden() {
-    let servers = stand_ins(vec![Act::Hang]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![Reaction::Hang]).await;
+    let node = node_with(&servers).await;
     let response = exchange(node.address, &request("GET /stream/x", "Time-Left-Ms: 30\r\n", "")).await;
     assert_golden("response_stream_gateway_timeout", &response);
 }
@@ -198,20 +201,20 @@
         "POST /short/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: try1\r\nContent-Length: 5\r\n\r\nab" },
 )]
 #[test_macro(tokio::test)]
-async fn given_an_unsound_request_when_it_is_rejected_then_the_bytes_of_the_response_are_golden(
+async fn given_an_invalid_request_when_it_is_rejected_then_the_bytes_of_the_response_are_golden(
     name: &str,
     request: &str,
 ) {
-    let servers = stand_ins(vec![success("")]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![success("")]).await;
+    let node = node_with(&servers).await;
     assert_golden(name, &exchange(node.address, request).await);
-    assert!(servers[0].seen().is_empty());
+    assert!(servers[0].received().is_empty());
 }
 
 #[tokio::test]
 async fn given_a_head_over_the_limit_when_it_is_rejected_then_the_bytes_of_the_response_are_golden() {
-    let servers = stand_ins(vec![success("")]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![success("")]).await;
+    let node = node_with(&servers).await;
     let long = format!("X-Long: {}\r\n", "x".repeat(2000));
     assert_golden(
         "response_head_too_large",
@@ -221,19 +224,19 @@
 
 #[tokio::test]
 async fn given_a_body_over_the_limit_when_it_is_rejected_then_the_bytes_of_the_response_are_golden() {
-    let servers = stand_ins(vec![success("")]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![success("")]).await;
+    let node = node_with(&servers).await;
     let long = request("POST /safe/x", "", &"x".repeat(5001));
     assert_golden("response_body_too_large", &exchange(node.address, &long).await);
 }
 
 #[tokio::test]
-async fn given_a_long_answer_when_it_is_passed_on_then_the_bytes_of_its_head_are_golden() {
-    let long = answer(200, SERVER_HEADERS, &"x".repeat(2_000_000));
-    let servers = stand_ins(vec![long]).await;
-    let node = node_before(&servers).await;
+async fn given_a_long_response_when_it_is_forwarded_then_the_bytes_of_its_head_are_golden() {
+    let long = response(200, SERVER_HEADERS, &"x".repeat(2_000_000));
+    let servers = fake_servers(vec![long]).await;
+    let node = node_with(&servers).await;
     let response = exchange(node.address, &request("GET /safe/x", "", "")).await;
-    let (head, body) = response.split_once("\r\n\r\n").expect("a whole head");
+    let (head, body) = response.split_once("\r\n\r\n").expect("a complete head");
     assert_golden("response_long_head", &format!("{head}\r\n\r\n"));
     assert_eq!(body.len(), 2_000_000);
 }
@@ -241,7 +244,7 @@
 #[tokio::test]
 async fn given_no_configuration_when_asked_then_the_bytes_of_the_response_are_golden() {
     let (_changes, view) = tokio::sync::watch::channel(Arc::new(state::View::default()));
-    let node = Node::start(Sender::new(view, "zone".into())).await;
+    let node = Node::start(Forwarder::new(view, "zone".into())).await;
     assert_golden(
         "response_no_configuration",
         &exchange(node.address, &request("GET /safe/x", "", "")).await,
@@ -250,26 +253,26 @@
 
 #[tokio::test]
 async fn given_a_configuration_that_may_be_old_when_no_route_is_found_then_the_bytes_are_golden() {
-    let node = node_before(&[]).await;
+    let node = node_with(&[]).await;
     node.confirmed.store(false, Ordering::Relaxed);
     assert_golden("response_no_route_yet", &exchange(node.address, &request("GET /none/x", "", "")).await);
 }
 
 #[tokio::test]
 async fn given_a_draining_node_when_asked_then_the_bytes_of_the_response_are_golden() {
-    let servers = stand_ins(vec![success("x")]).await;
-    let node = node_before(&servers).await;
-    node.front.drain();
+    let servers = fake_servers(vec![success("x")]).await;
+    let node = node_with(&servers).await;
+    node.ingress.drain();
     assert_golden("response_draining", &exchange(node.address, &request("GET /safe/x", "", "")).await);
 }
 
 #[tokio::test]
-async fn given_probes_of_readiness_when_they_are_answered_then_the_bytes_are_golden() {
-    let node = node_before(&[]).await;
+async fn given_probes_of_readiness_when_they_are_responded_to_then_the_bytes_are_golden() {
+    let node = node_with(&[]).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let front = node.front.clone();
-    tokio::spawn(async move { front.serve_ready(listener).await });
+    let ingress = node.ingress.clone();
+    tokio::spawn(async move { ingress.serve_ready(listener).await });
     let probe = |path: &'static str| {
         let request = format!("GET {path} HTTP/1.1\r\nHost: probe\r\n\r\n");
         async move { exchange(address, &request).await }
--- a/crates/data-plane/tests/streams.rs
+++ b/crates/data-plane/tests/streams.rs
@@ -1,16 +1,16 @@
-//! Clients' streams through a front to stand-in servers.
+//! Clients' streams through an ingress to fake servers.
 
 mod support;
 
-use support::node::{node_before, sends, stand_ins};
-use support::{answer, event, refusal, stream_text, Act, StandIn};
+use support::node::{fake_servers, node_with, received_count};
+use support::{event, rejection, response, stream_text, FakeServer, Reaction};
 use yare::parameterized;
 
 #[tokio::test]
-async fn given_a_stream_when_asked_then_its_events_go_through() {
+async fn given_a_stream_when_asked_then_its_events_are_forwarded() {
     let (first, second) = (event(1), format!(": hi\n\n{}", event(2)));
-    let servers = stand_ins(vec![Act::Write(stream_text("", &[&first, &second], true))]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![Reaction::Write(stream_text("", &[&first, &second], true))]).await;
+    let node = node_with(&servers).await;
     let response = node.get("/stream/x").await;
     assert_eq!(response.headers()["postmark"], "stamp");
     assert_eq!(response.headers()["content-type"], "text/event-stream");
@@ -18,75 +18,79 @@
 }
 
 #[tokio::test]
-async fn given_a_stream_that_goes_on_when_events_come_then_each_is_passed_on_at_once() {
+async fn given_an_open_stream_when_events_come_then_each_is_forwarded_at_once() {
     let begun = stream_text("", &[&event(1), "id: 2\nda"], false);
-    let servers = stand_ins(vec![Act::WriteAndHang(begun)]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![Reaction::WriteAndHang(begun)]).await;
+    let node = node_with(&servers).await;
     let mut response = node.get("/stream/x").await;
-    assert_eq!(response.chunk().await.expect("a piece").expect("a piece"), event(1));
+    assert_eq!(response.chunk().await.expect("a chunk").expect("a chunk"), event(1));
     drop(response);
-    servers[0].hang_closed().await;
+    servers[0].wait_for_close().await;
 }
 
 #[tokio::test]
-async fn given_a_cut_stream_when_it_may_not_be_resumed_then_the_answer_is_broken_off() {
-    let cut = Act::WriteAndClose(stream_text("", &[&event(1), "id: 2\nda"], false));
-    let servers = stand_ins(vec![cut.clone(), cut]).await;
-    let node = node_before(&servers).await;
+async fn given_a_stream_that_is_cut_off_when_it_may_not_be_resumed_then_the_response_is_cut_off() {
+    let cut = Reaction::WriteAndClose(stream_text("", &[&event(1), "id: 2\nda"], false));
+    let servers = fake_servers(vec![cut.clone(), cut]).await;
+    let node = node_with(&servers).await;
     let mut response = node.get("/stream/x").await;
-    assert_eq!(response.chunk().await.expect("a piece").expect("a piece"), event(1));
+    assert_eq!(response.chunk().await.expect("a chunk").expect("a chunk"), event(1));
     let rest = response.chunk().await;
     assert!(rest.is_err(), "{rest:?}");
-    assert_eq!(sends(&servers), 1);
+    assert_eq!(received_count(&servers), 1);
 }
 
 #[tokio::test]
-async fn given_a_cut_stream_when_it_may_be_resumed_then_another_server_goes_on() {
+async fn given_a_stream_that_is_cut_off_when_it_may_be_resumed_then_another_server_continues_it() {
     let cut = stream_text("", &[&event(1), "id: 2\nda"], false);
     let mut servers = Vec::new();
     for id in ["a", "b"] {
         let cut = cut.clone();
-        let script = move |seen: &support::Seen, _| match seen.header("last-event-id") {
-            "" => Act::WriteAndClose(cut.clone()),
-            "1" => Act::Write(stream_text("", &[&event(2), &event(3)], true)),
+        let script = move |received: &support::ReceivedRequest, _| match received.header("last-event-id") {
+            "" => Reaction::WriteAndClose(cut.clone()),
+            "1" => Reaction::Write(stream_text("", &[&event(2), &event(3)], true)),
             other => panic!("not asked for: {other}"),
         };
-        servers.push(StandIn::start(id, script).await);
+        servers.push(FakeServer::start(id, script).await);
     }
-    let node = node_before(&servers).await;
-    let text = node.get("/resumed/x").await.text().await.expect("a whole body");
+    let node = node_with(&servers).await;
+    let text = node.get("/resumed/x").await.text().await.expect("a complete body");
     assert_eq!(text, format!("{}{}{}", event(1), event(2), event(3)));
-    assert!(servers.iter().all(|server| server.seen().len() == 1));
+    assert!(servers.iter().all(|server| server.received().len() == 1));
 }
 
 #[parameterized(
-    error = { answer(500, "Postmark: p\r\n", "bad"), 500, "bad" },
-    missing = { answer(404, "Postmark: p\r\n", "no such thing"), 404, "no such thing" },
-    refused = { refusal(), 503, "" },
-    reset = { Act::WriteAndClose(String::new()), 502, "" },
+    error = { response(500, "Postmark: p\r\n", "bad"), 500, "bad" },
+    missing = { response(404, "Postmark: p\r\n", "no such thing"), 404, "no such thing" },
+    rejected = { rejection(), 503, "" },
+    reset = { Reaction::WriteAndClose(String::new()), 502, "" },
 )]
 #[test_macro(tokio::test)]
-async fn given_no_stream_when_one_is_asked_for_then_the_answer_tells(script: Act, status: u16, body: &str) {
-    let servers = stand_ins(vec![script]).await;
-    let node = node_before(&servers).await;
+async fn given_no_stream_when_one_is_requested_then_the_response_says_why(
+    script: Reaction,
+    status: u16,
+    body: &str,
+) {
+    let servers = fake_servers(vec![script]).await;
+    let node = node_with(&servers).await;
     let response = node.post("/stream/x").await;
     assert_eq!(response.status(), status);
     assert_eq!(response.text().await.expect("a body"), body);
 }
 
 #[tokio::test]
-async fn given_bytes_behind_the_last_event_when_the_stream_ends_properly_then_they_go_through() {
+async fn given_bytes_after_the_last_event_when_the_stream_ends_properly_then_they_are_forwarded() {
     let text = stream_text("", &[&event(1), "data: rest"], true);
-    let servers = stand_ins(vec![Act::Write(text)]).await;
-    let node = node_before(&servers).await;
+    let servers = fake_servers(vec![Reaction::Write(text)]).await;
+    let node = node_with(&servers).await;
     let body = node.get("/stream/x").await.text().await.expect("a body");
     assert_eq!(body, format!("{}data: rest", event(1)));
 }
 
 #[tokio::test]
-async fn given_a_stream_that_starts_anew_when_it_is_resumed_then_the_answer_is_broken_off() {
-    let cut = Act::WriteAndClose(stream_text("", &[&event(1), &event(2)], false));
-    let servers = stand_ins(vec![cut.clone(), cut]).await;
-    let node = node_before(&servers).await;
+async fn given_a_stream_that_starts_anew_when_it_is_resumed_then_the_response_is_cut_off() {
+    let cut = Reaction::WriteAndClose(stream_text("", &[&event(1), &event(2)], false));
+    let servers = fake_servers(vec![cut.clone(), cut]).await;
+    let node = node_with(&servers).await;
     assert!(node.get("/resumed/x").await.text().await.is_err());
 }
--- /dev/null
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -0,0 +1,171 @@
+//! HTTP servers on loopback sockets that follow a script.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, Notify};
+
+/// A request as a fake server read it.
+#[derive(Clone, Debug)]
+pub struct ReceivedRequest {
+    /// The head byte for byte, with the blank line that ends it.
+    pub head: String,
+    /// The request line.
+    pub line: String,
+    /// The headers by their names in lower case.
+    pub headers: BTreeMap<String, String>,
+    pub body: Vec<u8>,
+    /// Counts the connections of the server, from 0.
+    pub connection: usize,
+}
+
+impl ReceivedRequest {
+    pub fn header(&self, name: &str) -> &str {
+        self.headers.get(name).map_or("", String::as_str)
+    }
+}
+
+/// What a fake server does with a request. `{id}` in what it writes becomes the request's id.
+#[derive(Clone, Debug)]
+pub enum Reaction {
+    /// Writes and keeps the connection.
+    Write(String),
+    /// Writes and closes the connection.
+    WriteAndClose(String),
+    /// Writes and resets the connection.
+    WriteAndReset(String),
+    /// Sends nothing until the other side closes.
+    Hang,
+    /// Writes, then sends nothing more until the other side closes.
+    WriteAndHang(String),
+    /// Writes once it is notified.
+    WriteWhenNotified(Arc<Notify>, String),
+}
+
+pub type Script = dyn Fn(&ReceivedRequest, usize) -> Reaction + Send + Sync;
+
+/// A server that follows a script.
+pub struct FakeServer {
+    pub id: String,
+    pub address: SocketAddr,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
+    closed: tokio::sync::Mutex<mpsc::UnboundedReceiver<()>>,
+}
+
+impl FakeServer {
+    pub async fn start(
+        id: &str,
+        script: impl Fn(&ReceivedRequest, usize) -> Reaction + Send + Sync + 'static,
+    ) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let address = listener.local_addr().expect("an address");
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let script: Arc<Script> = Arc::new(script);
+        let (closing, closed) = mpsc::unbounded_channel();
+        tokio::spawn(accept(listener, Arc::clone(&received), script, closing));
+        Self { id: id.to_owned(), address, received, closed: tokio::sync::Mutex::new(closed) }
+    }
+
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.received.lock().expect("no panic").clone()
+    }
+
+    /// Waits until the other side has closed a connection on which this one hangs.
+    pub async fn wait_for_close(&self) {
+        self.closed.lock().await.recv().await.expect("a fake server");
+    }
+}
+
+async fn accept(
+    listener: TcpListener,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
+    script: Arc<Script>,
+    closing: mpsc::UnboundedSender<()>,
+) {
+    for connection in 0.. {
+        let Ok((stream, _)) = listener.accept().await else {
+            return;
+        };
+        let (received, script, closing) = (Arc::clone(&received), Arc::clone(&script), closing.clone());
+        tokio::spawn(serve(stream, connection, received, script, closing));
+    }
+}
+
+async fn serve(
+    mut stream: TcpStream,
+    connection: usize,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
+    script: Arc<Script>,
+    closing: mpsc::UnboundedSender<()>,
+) {
+    let mut buffer = Vec::new();
+    while let Some(mut request) = read_request(&mut stream, &mut buffer).await {
+        request.connection = connection;
+        let number = {
+            let mut received = received.lock().expect("no panic");
+            received.push(request.clone());
+            received.len() - 1
+        };
+        let fill = |text: &str| text.replace("{id}", request.header("attempt-id"));
+        match script(&request, number) {
+            Reaction::Write(text) => stream.write_all(fill(&text).as_bytes()).await.expect("written"),
+            Reaction::WriteAndClose(text) => {
+                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                return;
+            }
+            Reaction::WriteAndReset(text) => {
+                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                return reset(&stream);
+            }
+            Reaction::WriteWhenNotified(notification, text) => {
+                notification.notified().await;
+                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+            }
+            Reaction::Hang => return hang(stream, closing).await,
+            Reaction::WriteAndHang(text) => {
+                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                return hang(stream, closing).await;
+            }
+        }
+    }
+}
+
+/// A connection is reset when it is dropped.
+pub fn reset(stream: &TcpStream) {
+    stream.set_zero_linger().expect("an option of the socket");
+}
+
+async fn hang(mut stream: TcpStream, closing: mpsc::UnboundedSender<()>) {
+    let mut rest = [0; 64];
+    while matches!(stream.read(&mut rest).await, Ok(read) if read > 0) {}
+    let _ = closing.send(());
+}
+
+/// Reads a request with its body.
+pub async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
+    let end = loop {
+        if let Some(at) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
+            break at + 4;
+        }
+        if stream.read_buf(buffer).await.ok()? == 0 {
+            return None;
+        }
+    };
+    let head = String::from_utf8(buffer.drain(..end).collect()).expect("text");
+    let mut lines = head.split("\r\n");
+    let line = lines.next()?.to_owned();
+    let pairs = lines.filter_map(|line| line.split_once(": "));
+    let headers: BTreeMap<_, _> =
+        pairs.map(|(name, value)| (name.to_lowercase(), value.to_owned())).collect();
+    let length: usize = headers.get("content-length").map_or(0, |length| length.parse().expect("a number"));
+    while buffer.len() < length {
+        if stream.read_buf(buffer).await.ok()? == 0 {
+            return None;
+        }
+    }
+    let body = buffer.drain(..length).collect();
+    Some(ReceivedRequest { head, line, headers, body, connection: 0 })
+}
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -1,190 +1,173 @@
-//! The servers of one service.
+//! The servers of one service: eligibility, tiers of suitability and the choice by queue length.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use hsq::Counts;
+use hsq::{QueueLengths, ServerIndex};
 use state::{ServerEntry, ServerId};
 
-use crate::server::Server;
-use crate::{Choice, Need, Outcome};
+use crate::criteria::SelectionCriteria;
+use crate::server::{PooledServer, SelectedServer};
 
-/// A server with an idle connection is taken although another one has this many requests less.
-const WARM_DETOUR: u64 = 1;
+/// A server with an idle connection is selected although another one's queue is shorter by this many requests, as
+/// setting up a connection takes longer.
+const IDLE_CONNECTION_QUEUE_ALLOWANCE: u64 = 1;
 
-/// How well a server suits; lower is better.
+/// How well a server suits a request; lower is better. Queue lengths are compared within the best tier only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Suitability {
-    Good,
-    Avoided,
-    Tried,
-    /// It is not known to hold the model.
-    Unlikely,
+enum SuitabilityTier {
+    Healthy,
+    /// Ejected as an outlier.
+    Ejected,
+    /// An earlier attempt of the same request was sent to it.
+    Attempted,
+    /// It lists other models only.
+    ModelNotListed,
 }
 
-/// The servers of one service with their counts.
-#[derive(Debug, Default)]
-pub struct Pool {
-    counts: Counts,
-    service: Option<Arc<str>>,
-    servers: Vec<Server>,
-    /// Where each server stands among them.
+/// The servers of one service with their queue lengths.
+#[derive(Debug)]
+pub(crate) struct ServerPool {
+    service: Arc<str>,
+    queue_lengths: QueueLengths,
+    servers: Vec<PooledServer>,
+    /// The index of each server in `servers`.
     positions: HashMap<ServerId, usize>,
 }
 
-impl Pool {
-    /// Follows a newer list of the servers of this service.
+impl ServerPool {
+    pub(crate) fn new(service: Arc<str>) -> Self {
+        Self { service, queue_lengths: QueueLengths::new(), servers: Vec::new(), positions: HashMap::new() }
+    }
+
+    /// Takes over a newer list of the servers of this service.
     pub(crate) fn update(&mut self, entries: &[&ServerEntry], zone: &str) {
-        self.service = entries.first().map(|entry| Arc::clone(&entry.service));
-        let mut known: HashMap<ServerId, Server> =
+        let mut known: HashMap<ServerId, PooledServer> =
             self.servers.drain(..).map(|server| (Arc::clone(&server.id), server)).collect();
         for entry in entries {
-            let mut server = known.remove(&entry.id).unwrap_or_else(|| Server::new(entry, self.counts.add()));
+            let mut server =
+                known.remove(&entry.id).unwrap_or_else(|| PooledServer::new(entry, self.queue_lengths.add()));
             server.update(entry, zone);
             self.servers.push(server);
         }
-        for gone in known.values() {
-            self.counts.remove(gone.slot);
+        for removed in known.values() {
+            self.queue_lengths.remove(removed.queue);
         }
         let positions = self.servers.iter().enumerate();
-        self.positions = positions.map(|(at, server)| (Arc::clone(&server.id), at)).collect();
-    }
-
-    /// Whether any server may take this request.
-    pub(crate) fn fits(&self, now: Duration, need: &Need<'_>) -> bool {
-        self.servers.iter().any(|server| may_take(server, now, need))
-    }
-
-    /// Chooses the server with the lowest count among the best suited, and counts the send.
-    pub(crate) fn choose(&mut self, now: Duration, need: &Need<'_>) -> Option<Choice> {
-        self.refresh(now);
-        let fitting = || self.servers.iter().filter(|server| may_take(server, now, need));
-        let best = fitting().map(|server| suitability(server, now, need)).min()?;
-        let among = || fitting().filter(|server| suitability(server, now, need) == best);
-        let ranked = |server: &Server| (server.slot, preference(server, need));
-        let lowest = self.counts.lowest_preferring(among().map(ranked))?;
-        let usable = need.idle_usable.unwrap_or_default();
-        let warm = among().filter(|server| server.is_warm(now, usable)).map(ranked);
-        let slot = match self.counts.lowest_preferring(warm) {
-            Some(warm) if self.counts.count(warm) <= self.counts.count(lowest) + WARM_DETOUR => warm,
-            _ => lowest,
-        };
-        self.counts.sent(slot);
-        let service = Arc::clone(self.service.as_ref()?);
-        let chosen = self.servers.iter_mut().find(|server| server.slot == slot)?;
-        chosen.sent();
-        let (id, address) = (Arc::clone(&chosen.id), chosen.address);
-        Some(Choice { id, address, service, version: chosen.versions.of(need.model) })
+        self.positions = positions.map(|(position, server)| (Arc::clone(&server.id), position)).collect();
     }
 
-    /// Places for more requests at the servers that fit.
-    pub(crate) fn room(&self, now: Duration, need: &Need<'_>) -> usize {
-        let fitting = self.servers.iter().filter(|server| may_take(server, now, need));
-        let good = fitting.filter(|server| !server.health.is_avoided(now));
-        good.map(|server| server.room(now) as usize).sum()
+    /// Whether any server may serve this request.
+    pub(crate) fn has_eligible(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
+        self.servers.iter().any(|server| is_eligible(server, now, criteria))
     }
 
-    /// Places at the servers that fit, taken or free.
-    pub(crate) fn places(&self, now: Duration, need: &Need<'_>) -> usize {
-        let fits = |server: &&Server| server.open && server.versions.fits(now, need.model, need.version);
-        let fitting = self.servers.iter().filter(fits).filter(|server| server.versions.may_hold(need.model));
-        fitting.map(|server| server.places() as usize).sum()
+    /// Selects a server and counts the request as in flight there.
+    pub(crate) fn select(
+        &mut self,
+        now: Duration,
+        criteria: &SelectionCriteria<'_>,
+    ) -> Option<SelectedServer> {
+        self.overwrite_unreported_lengths(now);
+        let selected = self.best_server(now, criteria)?;
+        self.queue_lengths.increment(selected);
+        let server = self.servers.iter_mut().find(|server| server.queue == selected)?;
+        server.request_started();
+        Some(SelectedServer {
+            id: Arc::clone(&server.id),
+            address: server.address,
+            service: Arc::clone(&self.service),
+            version: server.versions.get(criteria.model),
+        })
     }
 
-    pub(crate) fn has_room(&self, now: Duration, id: &str) -> bool {
-        self.positions.get(id).is_some_and(|at| self.servers[*at].room(now) > 0)
+    /// Free capacity of the eligible servers that are not ejected, in requests.
+    pub(crate) fn free_capacity(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> usize {
+        let eligible = self.servers.iter().filter(|server| is_eligible(server, now, criteria));
+        let healthy = eligible.filter(|server| !server.outlier.is_ejected(now));
+        healthy.map(|server| server.free_capacity(now) as usize).sum()
     }
 
-    pub(crate) fn finished(&mut self, now: Duration, id: &str, outcome: Outcome) {
-        let Some(server) = self.server_mut(id) else {
-            return;
-        };
-        server.finished(now, matches!(outcome, Outcome::Served | Outcome::Error | Outcome::Full));
-        match outcome {
-            Outcome::Served => server.health.served(),
-            Outcome::Error => server.health.erred(now),
-            Outcome::Full => server.health.full(now),
-            Outcome::Failed => server.health.failed(now),
-            Outcome::Withdrawn => {}
-        }
+    /// Capacity of the servers that list the model and have the version, in requests.
+    pub(crate) fn total_capacity(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> usize {
+        let servers = self.servers.iter().filter(|server| serves(server, now, criteria));
+        let listing = servers.filter(|server| server.versions.may_serve(criteria.model));
+        listing.map(|server| server.capacity() as usize).sum()
     }
 
-    pub(crate) fn reported(&mut self, now: Duration, id: &str, load: u32, slots: u32) {
+    /// Records the load that a server reported: its requests, running or queued, and its slots.
+    pub(crate) fn record_load(&mut self, now: Duration, id: &str, load: u32, slots: u32) {
         let Some(server) = self.server_mut(id) else {
             return;
         };
-        server.reported(now, load, slots);
-        let slot = server.slot;
-        self.counts.report(slot, u64::from(load));
-    }
-
-    pub(crate) fn version_seen(&mut self, id: &str, model: &str, version: u64) {
-        if let Some(server) = self.server_mut(id) {
-            server.versions.seen(model, version);
-        }
-    }
-
-    pub(crate) fn version_refused(&mut self, now: Duration, id: &str, model: &str, version: u64) {
-        if let Some(server) = self.server_mut(id) {
-            server.versions.refused(now, model, version);
-        }
-    }
-
-    pub(crate) fn model_loading(&mut self, now: Duration, id: &str, model: &str) {
-        if let Some(server) = self.server_mut(id) {
-            server.versions.is_loading(now, model);
-        }
+        server.record_load(now, load, slots);
+        let queue = server.queue;
+        self.queue_lengths.overwrite(queue, u64::from(load));
     }
 
-    pub(crate) fn model_runs(&mut self, id: &str, model: &str) {
-        if let Some(server) = self.server_mut(id) {
-            server.versions.runs(model);
-        }
+    pub(crate) fn server_mut(&mut self, id: &str) -> Option<&mut PooledServer> {
+        self.positions.get(id).map(|position| &mut self.servers[*position])
     }
 
-    /// Where a server has told nothing of late, the requests that are held open to it are its report.
-    fn refresh(&mut self, now: Duration) {
+    /// For a server without a fresh report, the requests in flight from here stand in for a report.
+    fn overwrite_unreported_lengths(&mut self, now: Duration) {
         for server in &self.servers {
-            if !server.has_report(now) {
-                self.counts.report(server.slot, u64::from(server.own));
+            if !server.has_fresh_report(now) {
+                self.queue_lengths.overwrite(server.queue, u64::from(server.in_flight));
             }
         }
     }
 
-    fn server_mut(&mut self, id: &str) -> Option<&mut Server> {
-        self.positions.get(id).map(|at| &mut self.servers[*at])
+    fn best_server(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> Option<ServerIndex> {
+        let eligible = || self.servers.iter().filter(|server| is_eligible(server, now, criteria));
+        let best_tier = eligible().map(|server| tier(server, now, criteria)).min()?;
+        let candidates = || eligible().filter(|server| tier(server, now, criteria) == best_tier);
+        let ranked = |server: &PooledServer| (server.queue, preference(server, criteria));
+        let shortest = self.queue_lengths.shortest_preferring(candidates().map(ranked))?;
+        let max_age = criteria.max_idle_connection_age.unwrap_or_default();
+        let connected = candidates().filter(|server| server.has_idle_connection(now, max_age)).map(ranked);
+        let Some(connected) = self.queue_lengths.shortest_preferring(connected) else {
+            return Some(shortest);
+        };
+        let limit = self.queue_lengths.get(shortest) + IDLE_CONNECTION_QUEUE_ALLOWANCE;
+        Some(if self.queue_lengths.get(connected) <= limit { connected } else { shortest })
     }
 }
 
-fn may_take(server: &Server, now: Duration, need: &Need<'_>) -> bool {
-    server.open
-        && server.versions.fits(now, need.model, need.version)
-        && (!need.with_room || has_place(server, now, need))
+/// Whether the server may be selected for the request at all.
+fn is_eligible(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
+    serves(server, now, criteria)
+        && (!criteria.requires_free_capacity || has_free_capacity(server, now, criteria))
+}
+
+/// Whether the server accepts requests and has the version that this one requires.
+fn serves(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
+    server.accepts_requests && server.versions.satisfies(now, criteria.model, criteria.version)
 }
 
-/// Who can wait for a free place does not go to a server that shows other models only.
-fn has_place(server: &Server, now: Duration, need: &Need<'_>) -> bool {
-    server.room(now) > 0 && server.versions.may_hold(need.model)
+/// A request that can wait for free capacity doesn't go to a server that lists other models only.
+fn has_free_capacity(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
+    server.free_capacity(now) > 0 && server.versions.may_serve(criteria.model)
 }
 
-fn suitability(server: &Server, now: Duration, need: &Need<'_>) -> Suitability {
-    if !server.versions.may_hold(need.model) {
-        Suitability::Unlikely
-    } else if need.tried.contains(&server.id) {
-        Suitability::Tried
-    } else if server.health.is_avoided(now) {
-        Suitability::Avoided
+fn tier(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> SuitabilityTier {
+    if !server.versions.may_serve(criteria.model) {
+        SuitabilityTier::ModelNotListed
+    } else if criteria.attempted.contains(&server.id) {
+        SuitabilityTier::Attempted
+    } else if server.outlier.is_ejected(now) {
+        SuitabilityTier::Ejected
     } else {
-        Suitability::Good
+        SuitabilityTier::Healthy
     }
 }
 
-/// Among servers with equal counts, the one that has read the prompt comes first, then those of the own zone.
-fn preference(server: &Server, need: &Need<'_>) -> u8 {
-    match need.favourite {
-        Some(favourite) if *favourite == server.id => 0,
-        _ if server.near => 1,
+/// Breaks ties of queue lengths, lower first: the server whose prefix cache holds the prompt, then the own zone.
+fn preference(server: &PooledServer, criteria: &SelectionCriteria<'_>) -> u8 {
+    match criteria.prefix_cache_server {
+        Some(cached) if *cached == server.id => 0,
+        _ if server.is_in_own_zone => 1,
         _ => 2,
     }
 }
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -1,134 +1,156 @@
-//! What is known of one server.
+//! One server of a pool: its requests in flight, reported load, idle connections, versions and failures.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
+use hsq::ServerIndex;
 use state::{ServerCondition, ServerEntry, ServerId};
 
-use crate::health::Health;
-use crate::versions::Versions;
+use crate::model_versions::ModelVersions;
+use crate::outlier::OutlierDetector;
 
-/// Requests beyond its slots that a server is handed, so that it never waits for the next one.
-const QUEUED_MOST: u32 = 1;
-/// A report of the load says nothing about the requests of others any more after this time.
-const REPORT_KEPT: Duration = Duration::from_millis(1000);
+/// Requests that a server is sent beyond its slots, so that it has the next one at hand when a slot becomes free.
+const MAX_QUEUED_PER_SERVER: u32 = 1;
+/// A load report says nothing about the requests of other senders after this time.
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(1000);
 
-/// A chosen server.
+/// The server that was selected for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Choice {
+pub struct SelectedServer {
     /// Its incarnation.
     pub id: ServerId,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its service.
     pub service: Arc<str>,
-    /// The version of the request's model that it is known to run.
+    /// The version of the request's model that it is known to serve.
     pub version: Option<u64>,
 }
 
-/// How a request at a server ended.
+/// How a request to a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// The server gave a whole answer.
-    Served,
-    /// The server gave an error of its own.
-    Error,
-    /// The server has no place.
-    Full,
-    /// No connection, silence, a cut or bytes that are no answer.
-    Failed,
-    /// The request was withdrawn, which says nothing about the server.
-    Withdrawn,
+pub enum RequestOutcome {
+    /// The server sent a complete response.
+    Success,
+    /// The server sent a complete response with an error of its own.
+    ServerError,
+    /// The server rejected the request for want of capacity.
+    Overloaded,
+    /// No connection, a time-out, a truncated response, or bytes that are no response to the request.
+    Failure,
+    /// The request was canceled, which says nothing about the server.
+    Canceled,
 }
 
+impl RequestOutcome {
+    /// Whether the response was read to its end, so that its connection can be used again.
+    fn leaves_connection_usable(self) -> bool {
+        matches!(self, Self::Success | Self::ServerError | Self::Overloaded)
+    }
+}
+
+/// What is known of one server.
 #[derive(Clone, Debug)]
-pub(crate) struct Server {
+pub(crate) struct PooledServer {
     pub(crate) id: ServerId,
     pub(crate) address: SocketAddr,
-    pub(crate) slot: hsq::Slot,
-    pub(crate) slots: u32,
-    pub(crate) open: bool,
-    pub(crate) near: bool,
-    pub(crate) versions: Versions,
-    pub(crate) health: Health,
-    /// Own requests that are out.
-    pub(crate) own: u32,
+    /// Its index in the pool's queue lengths.
+    pub(crate) queue: ServerIndex,
+    pub(crate) accepts_requests: bool,
+    pub(crate) is_in_own_zone: bool,
+    pub(crate) versions: ModelVersions,
+    pub(crate) outlier: OutlierDetector,
+    /// Requests of this process that are in flight.
+    pub(crate) in_flight: u32,
+    /// Requests that it works on at once.
+    slots: u32,
     /// When each idle connection was used last, oldest first.
-    idle: Vec<Duration>,
-    report: Option<Report>,
+    idle_connections: Vec<Duration>,
+    last_report: Option<LoadReport>,
 }
 
+/// The load that a server reported.
 #[derive(Clone, Copy, Debug)]
-struct Report {
-    at: Duration,
-    of_others: u32,
+struct LoadReport {
+    received_at: Duration,
+    /// Its requests that were not in flight from this process.
+    load_of_others: u32,
 }
 
-impl Server {
-    pub(crate) fn new(entry: &ServerEntry, slot: hsq::Slot) -> Self {
+impl PooledServer {
+    pub(crate) fn new(entry: &ServerEntry, queue: ServerIndex) -> Self {
         Self {
             id: Arc::clone(&entry.id),
             address: entry.address,
-            slot,
+            queue,
+            accepts_requests: false,
+            is_in_own_zone: false,
+            versions: ModelVersions::default(),
+            outlier: OutlierDetector::default(),
+            in_flight: 0,
             slots: entry.slots,
-            open: false,
-            near: false,
-            versions: Versions::default(),
-            health: Health::default(),
-            own: 0,
-            idle: Vec::new(),
-            report: None,
+            idle_connections: Vec::new(),
+            last_report: None,
         }
     }
 
+    /// Takes over what a newer server list says.
     pub(crate) fn update(&mut self, entry: &ServerEntry, zone: &str) {
         self.address = entry.address;
         self.slots = entry.slots;
-        self.open = entry.condition == ServerCondition::Open;
-        self.near = &*entry.zone == zone;
-        self.versions.listed(&entry.models);
+        self.accepts_requests = entry.condition == ServerCondition::Open;
+        self.is_in_own_zone = &*entry.zone == zone;
+        self.versions.record_listed(&entry.models);
     }
 
-    pub(crate) fn reported(&mut self, now: Duration, load: u32, slots: u32) {
+    pub(crate) fn record_load(&mut self, now: Duration, load: u32, slots: u32) {
         if slots > 0 {
             self.slots = slots;
         }
-        self.report = Some(Report { at: now, of_others: load.saturating_sub(self.own) });
+        let load_of_others = load.saturating_sub(self.in_flight);
+        self.last_report = Some(LoadReport { received_at: now, load_of_others });
     }
 
-    /// A request takes the connection that was used last.
-    pub(crate) fn sent(&mut self) {
-        self.own += 1;
-        self.idle.pop();
+    /// Counts a request as in flight. It takes the idle connection that was used last.
+    pub(crate) fn request_started(&mut self) {
+        self.in_flight += 1;
+        self.idle_connections.pop();
     }
 
-    /// A request is over; its connection may be used again if it was read to its end.
-    pub(crate) fn finished(&mut self, now: Duration, is_connection_kept: bool) {
-        self.own = self.own.saturating_sub(1);
-        if is_connection_kept {
-            self.idle.push(now);
+    pub(crate) fn request_finished(&mut self, now: Duration, outcome: RequestOutcome) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        if outcome.leaves_connection_usable() {
+            self.idle_connections.push(now);
+        }
+        match outcome {
+            RequestOutcome::Success => self.outlier.record_success(),
+            RequestOutcome::ServerError => self.outlier.record_error_response(now),
+            RequestOutcome::Overloaded => self.outlier.record_overload(now),
+            RequestOutcome::Failure => self.outlier.record_failure(now),
+            RequestOutcome::Canceled => {}
         }
     }
 
-    /// Whether there is an idle connection that was used within this time.
-    pub(crate) fn is_warm(&self, now: Duration, usable: Duration) -> bool {
-        self.idle.last().is_some_and(|used| now.saturating_sub(*used) < usable)
+    /// Whether there is an idle connection that was used within `max_age`.
+    pub(crate) fn has_idle_connection(&self, now: Duration, max_age: Duration) -> bool {
+        self.idle_connections.last().is_some_and(|used| now.saturating_sub(*used) < max_age)
     }
 
-    /// Whether a report came of late.
-    pub(crate) fn has_report(&self, now: Duration) -> bool {
-        self.report.is_some_and(|report| now.saturating_sub(report.at) < REPORT_KEPT)
+    /// Whether the last load report is recent.
+    pub(crate) fn has_fresh_report(&self, now: Duration) -> bool {
+        self.last_report.is_some_and(|report| now.saturating_sub(report.received_at) < LOAD_REPORT_TTL)
     }
 
-    /// Places for requests, taken or free.
-    pub(crate) fn places(&self) -> u32 {
-        self.slots + QUEUED_MOST
+    /// Requests that the server takes at once.
+    pub(crate) fn capacity(&self) -> u32 {
+        self.slots + MAX_QUEUED_PER_SERVER
     }
 
-    /// Places that are free, as far as is known.
-    pub(crate) fn room(&self, now: Duration) -> u32 {
-        let of_others = self.report.filter(|_| self.has_report(now)).map_or(0, |report| report.of_others);
-        self.places().saturating_sub(self.own + of_others)
+    /// Requests that the server could take now, as far as is known.
+    pub(crate) fn free_capacity(&self, now: Duration) -> u32 {
+        let fresh_report = self.last_report.filter(|_| self.has_fresh_report(now));
+        let load_of_others = fresh_report.map_or(0, |report| report.load_of_others);
+        self.capacity().saturating_sub(self.in_flight + load_of_others)
     }
 }
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use control_plane::{leave_register, operator_routes, Capability};
-use data_plane::{Front, FrontSettings, Sender};
+use data_plane::{Forwarder, Ingress, IngressSettings};
 use error_stack::{Report, ResultExt};
 use register::Member;
 use settings::Settings;
@@ -92,16 +92,16 @@
     Ok(())
 }
 
-/// The front while it serves.
+/// The ingress while it serves.
 struct Serving {
-    front: Front,
+    ingress: Ingress,
     task: Option<tokio::task::JoinHandle<std::io::Result<()>>>,
 }
 
 impl Serving {
     /// Finishes what is held.
     async fn drain(self) {
-        self.front.drain();
+        self.ingress.drain();
         if let Some(task) = self.task {
             let _ = task.await;
         }
@@ -109,32 +109,32 @@
 }
 
 async fn serve_clients(settings: &Settings, control: &Control) -> Result<Serving, Report<RoleError>> {
-    let sender = Sender::new(control.view.subscribe(), settings.zone.as_str().into());
+    let forwarder = Forwarder::new(control.view.subscribe(), settings.zone.as_str().into());
     let (ready, confirmed) = (Arc::clone(&control.view), Arc::clone(&control.view));
-    let front = Front::new(
-        sender,
-        FrontSettings {
+    let ingress = Ingress::new(
+        forwarder,
+        IngressSettings {
             jobs: Arc::new(Jobs::new(control)),
             is_ready: Box::new(move || {
                 ready.confirmed_age().is_some()
                     && ready.servers_age().is_some()
                     && ready.view().configuration.is_some()
             }),
-            is_confirmed: Box::new(move || {
+            is_configuration_confirmed: Box::new(move || {
                 confirmed.confirmed_age().is_some_and(|age| age < CONFIRMED_AGE_MOST)
             }),
-            still_coming: STILL_COMING,
-            grace: settings.timetable.grace().saturating_sub(GRACE_KEPT),
+            accept_while_draining: STILL_COMING,
+            drain_timeout: settings.timetable.grace().saturating_sub(GRACE_KEPT),
         },
     );
     if let Some(address) = settings.posts.ready {
-        let (listener, front) = (bind(address).await?, front.clone());
-        tokio::spawn(async move { front.serve_ready(listener).await });
+        let (listener, ingress) = (bind(address).await?, ingress.clone());
+        tokio::spawn(async move { ingress.serve_ready(listener).await });
     }
     let mut task = None;
     if let Some(address) = settings.posts.front {
-        let (listener, serving) = (bind(address).await?, front.clone());
+        let (listener, serving) = (bind(address).await?, ingress.clone());
         task = Some(tokio::spawn(async move { serving.serve(listener).await }));
     }
-    Ok(Serving { front, task })
+    Ok(Serving { ingress, task })
 }
--- a/crates/rushrudder/src/store.rs
+++ b/crates/rushrudder/src/store.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use control_plane::{leave_stores, Capability, Distribution};
-use data_plane::Sender;
+use data_plane::Forwarder;
 use error_stack::{IntoReport, Report};
 use poem::Route;
 use register::Member;
@@ -36,8 +36,8 @@
     let internal = store.control.listen().await?;
     tokio::spawn(rpc::serve(internal, store.internal_routes()));
     store.start(&settings);
-    let sender = Sender::new(store.control.view.subscribe(), settings.zone.as_str().into());
-    tokio::spawn(run_owned_jobs(owned, sender, RunnerSettings::default()));
+    let forwarder = Forwarder::new(store.control.view.subscribe(), settings.zone.as_str().into());
+    tokio::spawn(run_owned_jobs(owned, forwarder, RunnerSettings::default()));
     log::info!("{} serves", settings.station);
     while signals.next().await == SignalEvent::Reload {
         store.control.reload();
--- a/crates/store-plane/src/runner/end.rs
+++ b/crates/store-plane/src/runner/end.rs
@@ -35,17 +35,17 @@
         }
         job.work[index].refusals = 0;
         match end {
-            ItemOutcome::Whole(progress) if job.accepts(&progress) => {
+            ItemOutcome::Complete(progress) if job.accepts(&progress) => {
                 job.work[index].progress = progress;
                 self.note_run(length);
                 return self.finish_text(key, index);
             }
-            ItemOutcome::Whole(_) => restart(&mut job.work[index]),
+            ItemOutcome::Complete(_) => restart(&mut job.work[index]),
             ItemOutcome::Interrupted(progress) if job.accepts(&progress) => {
                 resume(&mut job.work[index], progress)
             }
             ItemOutcome::Interrupted(_) => restart(&mut job.work[index]),
-            ItemOutcome::Impossible => return job.give_up(index),
+            ItemOutcome::Unprocessable => return job.give_up(index),
             ItemOutcome::Failed => {
                 job.work[index].failures += 1;
                 job.work[index].setbacks += 1;
@@ -102,13 +102,13 @@
         }
         match end {
             RewardOutcome::Graded(grade) => return self.list_graded(key, index, grade),
-            RewardOutcome::Failed { answers } => {
-                job.work[index].reward_failures += answers;
+            RewardOutcome::Failed { internal_errors } => {
+                job.work[index].reward_failures += internal_errors;
                 if job.work[index].reward_failures >= reward_tries(&*self.executor, job, index) {
                     return job.give_up(index);
                 }
             }
-            RewardOutcome::Again | RewardOutcome::NoRoute => {}
+            RewardOutcome::Retryable | RewardOutcome::NoRoute => {}
         }
         job.work[index].setbacks += 1;
         let pause = pause_after(job.work[index].setbacks);
--- a/crates/store-plane/src/runner/owned_jobs.rs
+++ b/crates/store-plane/src/runner/owned_jobs.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use batch::ItemResult;
-use data_plane::Sender;
+use data_plane::Forwarder;
 use tokio::sync::{mpsc, watch};
 
 use crate::runner::ports::{JobLog, JobState, OwnershipLost, RunnableJob};
@@ -38,10 +38,10 @@
 /// Runs the items of all batch jobs that come from `owned` by `sender`, until there can come no more.
 pub async fn run_owned_jobs(
     mut owned: mpsc::UnboundedReceiver<OwnedJob>,
-    sender: Sender,
+    forwarder: Forwarder,
     settings: RunnerSettings,
 ) {
-    let (runner, handle) = Runner::new(Arc::new(SenderExecutor::new(sender)), settings);
+    let (runner, handle) = Runner::new(Arc::new(SenderExecutor::new(forwarder)), settings);
     let forward = async {
         while let Some(job) = owned.recv().await {
             handle.take_over(job.into());
--- a/crates/store-plane/src/runner/sender.rs
+++ b/crates/store-plane/src/runner/sender.rs
@@ -7,7 +7,7 @@
 use batch::RewardRequest;
 use bytes::Bytes;
 use configuration::{Configuration, Route};
-use data_plane::{ItemCall, Sender};
+use data_plane::{Forwarder, ItemRequest};
 
 use crate::runner::ports::{ItemAttempt, ItemExecutor, ItemOutcome, JobAddress, RewardOutcome, RouteTerms};
 
@@ -18,21 +18,21 @@
 /// When an item without a route is looked at again.
 const NO_ROUTE_PAUSE: Duration = Duration::from_millis(500);
 
-/// Carries out requests by the sender of this process.
+/// Carries out requests by the forwarder of this process.
 #[derive(Clone)]
 pub struct SenderExecutor {
-    sender: Sender,
+    forwarder: Forwarder,
 }
 
 impl SenderExecutor {
-    /// An executor that uses `sender`.
+    /// An executor that uses `forwarder`.
     #[must_use]
-    pub fn new(sender: Sender) -> Self {
-        Self { sender }
+    pub fn new(forwarder: Forwarder) -> Self {
+        Self { forwarder }
     }
 
     fn route(&self, host: &str, path: &str) -> Option<Arc<Route>> {
-        find_route(&*self.sender.configuration()?, host, path)
+        find_route(&*self.forwarder.configuration()?, host, path)
     }
 }
 
@@ -49,15 +49,15 @@
 
     fn room(&self, address: &JobAddress) -> usize {
         let Some(route) = self.route(&address.host, &address.path) else { return 0 };
-        self.sender.free_capacity(&route.targets, address.model.as_deref(), address.oldest_version)
+        self.forwarder.free_capacity(&route.targets, address.model.as_deref(), address.oldest_version)
     }
 
     fn places(&self, address: &JobAddress) -> usize {
         let Some(route) = self.route(&address.host, &address.path) else { return 0 };
-        self.sender.total_capacity(&route.targets, address.model.as_deref(), address.oldest_version)
+        self.forwarder.total_capacity(&route.targets, address.model.as_deref(), address.oldest_version)
     }
 
-    /// The sender itself chooses a server with the right version; where there is none, it does not run the item.
+    /// The forwarder itself selects a server with the right version; where there is none, it does not run the item.
     fn can_continue(&self, _address: &JobAddress, _versions: &BTreeSet<u64>) -> bool {
         true
     }
@@ -66,11 +66,11 @@
         let Some(route) = self.route(&attempt.address.host, &attempt.address.path) else {
             return ItemOutcome::NotRun { retry_after: NO_ROUTE_PAUSE };
         };
-        self.sender.run_item(item_call(route, attempt)).await
+        self.forwarder.run_item(item_request(route, attempt)).await
     }
 
     async fn reward(&self, request: RewardRequest, body: Bytes, deadline: Duration) -> RewardOutcome {
-        self.sender.reward(&request.host, &request.path, &request.id, body, deadline).await
+        self.forwarder.call_reward(&request.host, &request.path, &request.id, body, deadline).await
     }
 }
 
@@ -79,9 +79,9 @@
     configuration.route(host, path).cloned()
 }
 
-fn item_call(route: Arc<Route>, attempt: ItemAttempt) -> ItemCall {
+fn item_request(route: Arc<Route>, attempt: ItemAttempt) -> ItemRequest {
     let item = attempt.item();
-    ItemCall {
+    ItemRequest {
         route,
         host: Arc::clone(&attempt.address.host),
         path: item.path.clone(),
--- a/crates/store-plane/tests/runner/carried.rs
+++ b/crates/store-plane/tests/runner/carried.rs
@@ -35,7 +35,7 @@
     paused(async move {
         let script = |_: &_, nth| match nth {
             0 => whole(),
-            _ => ItemOutcome::Whole(progress(&["new"], &[8])),
+            _ => ItemOutcome::Complete(progress(&["new"], &[8])),
         };
         let bench = Bench::start(FakeExecutor::new(script, graded));
         bench.hand_in("first", job_of("a", 1));
--- a/crates/store-plane/tests/runner/runs.rs
+++ b/crates/store-plane/tests/runner/runs.rs
@@ -19,7 +19,7 @@
 #[tokio::test(start_paused = true)]
 async fn given_a_job_when_all_goes_well_then_each_item_is_listed_once_with_text_versions_and_grade() {
     let executor =
-        FakeExecutor::new(|_, _| ItemOutcome::Whole(progress(&["one", "", "three"], &[9, 7])), graded);
+        FakeExecutor::new(|_, _| ItemOutcome::Complete(progress(&["one", "", "three"], &[9, 7])), graded);
     let bench = Bench::start(executor);
 
     let log = bench.hand_in("job", job_of("a", 4));
@@ -167,7 +167,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn given_an_impossible_item_when_run_then_undeliverable_at_once() {
-    let bench = Bench::start(FakeExecutor::new(|_, _| ItemOutcome::Impossible, graded));
+    let bench = Bench::start(FakeExecutor::new(|_, _| ItemOutcome::Unprocessable, graded));
 
     let log = bench.hand_in("job", job_of("a", 1));
     pass(LONG).await;
@@ -192,7 +192,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn given_failing_reward_calls_when_as_many_as_tries_then_undeliverable_after_one_run() {
-    let bench = Bench::start(FakeExecutor::new(|_, _| whole(), |_| RewardOutcome::Failed { answers: 1 }));
+    let bench =
+        Bench::start(FakeExecutor::new(|_, _| whole(), |_| RewardOutcome::Failed { internal_errors: 1 }));
 
     let log = bench.hand_in("job", job_of("a", 1));
     pass(LONG).await;
@@ -202,7 +203,7 @@
     assert_eq!(bench.executor.runs().len(), 1);
 }
 
-#[parameterized(again = { RewardOutcome::Again }, no_route = { RewardOutcome::NoRoute })]
+#[parameterized(again = { RewardOutcome::Retryable }, no_route = { RewardOutcome::NoRoute })]
 fn given_reward_calls_without_verdict_when_many_then_repeated_with_pauses_until_graded(end: RewardOutcome) {
     paused(async move {
         let script = move |nth: usize| if nth < 6 { end.clone() } else { graded(nth) };
@@ -282,7 +283,7 @@
         let script = move |_: &_, nth| {
             let broken = progress(&["wrong"], versions);
             match (nth, is_whole) {
-                (0, true) => ItemOutcome::Whole(broken),
+                (0, true) => ItemOutcome::Complete(broken),
                 (0, false) => ItemOutcome::Interrupted(broken),
                 _ => whole(),
             }
--- a/crates/store-plane/tests/runner/sender.rs
+++ b/crates/store-plane/tests/runner/sender.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use configuration::Configuration;
-use data_plane::Sender;
+use data_plane::Forwarder;
 use state::View;
 use store_plane::runner::ports::{ItemExecutor, JobAddress, RouteTerms};
 use store_plane::runner::sender::SenderExecutor;
@@ -25,7 +25,7 @@
     let configuration = configuration.map(|json| Configuration::parse(json.as_bytes()).expect("it is valid"));
     let view = View { configuration: configuration.map(Arc::new), ..View::default() };
     let (_, view) = watch::channel(Arc::new(view));
-    SenderExecutor::new(Sender::new(view, "zone".into()))
+    SenderExecutor::new(Forwarder::new(view, "zone".into()))
 }
 
 #[tokio::test]
--- a/crates/store-plane/tests/runner/support.rs
+++ b/crates/store-plane/tests/runner/support.rs
@@ -61,7 +61,7 @@
 }
 
 pub fn whole() -> ItemOutcome {
-    ItemOutcome::Whole(progress(&["a", "b"], &[7]))
+    ItemOutcome::Complete(progress(&["a", "b"], &[7]))
 }
 
 impl FakeExecutor {
