--- a/crates/emulator/src/bin/simulate.rs
+++ b/crates/simulator/src/bin/simulate.rs
@@ -5,8 +5,8 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use emulator::simulation::{plan, play, shortest, Broken, Seen, Setup};
 use gumdrop::Options;
+use simulator::simulation::{plan, play, shortest, Broken, Seen, Setup};
 
 /// How often progress is told.
 const PROGRESS_EVERY: Duration = Duration::from_secs(10);
@@ -62,7 +62,7 @@
 
 fn main() -> ExitCode {
     let options = Simulate::parse_args_default_or_exit();
-    if !emulator::IS_SEEDED {
+    if !simulator::IS_SEEDED {
         eprintln!("simulate: built without --cfg tokio_unstable, so that a seed would not name a run; use `cargo simulate`");
         return ExitCode::from(2);
     }
@@ -85,7 +85,7 @@
 
 /// Plays one seed with its log lines.
 fn replay(options: &Simulate, setup: &Setup, count: usize) -> ExitCode {
-    emulator::print_logs(options.log_level);
+    simulator::print_logs(options.log_level);
     let troubles = plan(options.troubles_of.unwrap_or(options.first), setup);
     let troubles = &troubles[..count.min(troubles.len())];
     troubles.iter().for_each(|trouble| println!("{trouble:?}"));
--- a/crates/emulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use emulator::{Fleet, JobCall, OperatorOrder, Reply, Shape};
+use simulator::{Fleet, JobCall, OperatorOrder, Reply, Shape};
 
 /// Within this time any order is acknowledged, once the system has started and while a majority is there.
 pub const CLEAR: Duration = Duration::from_secs(20);
@@ -26,8 +26,8 @@
 impl Story {
     /// The system has started for the first time, and the first configuration is acknowledged.
     pub fn begin(seed: u64, shape: Shape) -> Self {
-        if let Some(level) = std::env::var("EMULATOR_LOG").ok().and_then(|level| level.parse().ok()) {
-            emulator::print_logs(level);
+        if let Some(level) = std::env::var("SIMULATOR_LOG").ok().and_then(|level| level.parse().ok()) {
+            simulator::print_logs(level);
         }
         let fleet = Fleet::start(seed, shape);
         let mut story = Self { fleet, configuration: (0, String::new()), named: 1, jobs: Vec::new() };
@@ -59,7 +59,7 @@
     pub fn change_configuration_elsewhere(&mut self, node: usize) -> u64 {
         let expected = self.configuration.0;
         let body = document(expected + 3);
-        let order = emulator::Request::Operator(OperatorOrder::Put { expected, body: body.clone() });
+        let order = simulator::Request::Operator(OperatorOrder::Put { expected, body: body.clone() });
         let until = self.fleet.now + CLEAR;
         let others: Vec<usize> = self.fleet.nodes().filter(|other| *other != node).collect();
         for other in others.iter().cycle() {
--- a/crates/emulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use emulator::simulation::{plan, play, shortest, Setup};
+use simulator::simulation::{plan, play, shortest, Setup};
 use yare::parameterized;
 
 #[parameterized(
--- a/crates/emulator/tests/stories.rs
+++ b/crates/simulator/tests/stories.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{assert_status, document, Story, CLEAR};
-use emulator::{Fleet, MachineKind, OperatorOrder, Reply, Shape};
+use simulator::{Fleet, MachineKind, OperatorOrder, Reply, Shape};
 use yare::parameterized;
 
 const SEEDS: std::ops::Range<u64> = 0..12;
@@ -301,7 +301,7 @@
     story.fleet.network.cut_off(2, 6);
     story.fleet.run(seconds(2));
     let order = OperatorOrder::Put { expected: 3, body: document(9) };
-    let reply = story.fleet.call(2, emulator::Request::Operator(order));
+    let reply = story.fleet.call(2, simulator::Request::Operator(order));
     assert!(matches!(reply, None | Some(Reply::Status(503))), "{reply:?}");
     story.fleet.network.heal();
 }
@@ -363,9 +363,9 @@
         while story.fleet.now < until {
             // It builds on the version that the node knows, and that the others have left behind.
             let order = OperatorOrder::Put { expected: edition - 3, body: document(edition + 1) };
-            let reply = story.fleet.call(node, emulator::Request::Operator(order));
+            let reply = story.fleet.call(node, simulator::Request::Operator(order));
             assert!(matches!(reply, None | Some(Reply::Status(503))), "seed {seed}: {reply:?}");
-            let reply = story.fleet.call(node, emulator::Request::Operator(OperatorOrder::Read));
+            let reply = story.fleet.call(node, simulator::Request::Operator(OperatorOrder::Read));
             assert!(matches!(reply, None | Some(Reply::Status(503))), "seed {seed}: {reply:?}");
             assert_eq!(story.fleet.fence(node), None, "seed {seed}: it leads");
             let age = story.fleet.confirmed_age(node);
@@ -579,7 +579,7 @@
             let is_there = |fleet: &Fleet| come.iter().all(|machine| fleet.is_running(*machine));
             assert!(story.fleet.run_until(seconds(1), is_there), "seed {seed}");
             // From now on they have time to catch up; meanwhile the operator goes on.
-            let caught_up = story.fleet.now + emulator::catch_up(shape);
+            let caught_up = story.fleet.now + simulator::catch_up(shape);
             story.change_configuration();
             assert!(story.fleet.now <= caught_up, "seed {seed}, step {step}: orders wait for too long");
             story.fleet.run(caught_up - story.fleet.now);
--- a/test.sh
+++ b/test.sh
@@ -23,7 +23,7 @@
 cargo clippy --locked --workspace --all-targets -- -D warnings
 RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps --lib
 cargo build --locked --release
-cargo test --locked --workspace --exclude emulator -- ${known_red[@]+"${known_red[@]}"}
+cargo test --locked --workspace --exclude simulator -- ${known_red[@]+"${known_red[@]}"}
 # Simulated fleets: optimised, and with the draws of the runtime seeded, so that a seed gives the same run each time.
-RUSTFLAGS="--cfg tokio_unstable" cargo test --locked --release -p emulator --target-dir target/simulated -- \
+RUSTFLAGS="--cfg tokio_unstable" cargo test --locked --release -p simulator --target-dir target/simulated -- \
     ${known_red[@]+"${known_red[@]}"}
