--- a/crates/control-plane/src/bootstrap.rs
+++ b/crates/control-plane/src/bootstrap.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::join_all;
 use register::{AcceptorReply, AcceptorRequest, Ballot, Member, ReplyOutcome, Versioned};
-use state::change::{choose_first, first_state, with_store, without_store};
+use state::change::{choose_initial_value, initial_state, with_store, without_store};
 use state::{ControlState, StoreMember};
 use tokio::time::Instant;
 
@@ -58,7 +58,7 @@
         let of = |capability| announced.values().filter(move |a| a.capability == capability);
         let acceptors = of(Capability::Acceptor).map(|a| a.member.clone()).collect();
         let store = |a: &Announcement| StoreMember { member: a.member.clone(), zone: a.zone.clone() };
-        let value = first_state(acceptors, of(Capability::Store).map(store).collect(), machines_lost)?;
+        let value = initial_state(acceptors, of(Capability::Store).map(store).collect(), machines_lost)?;
         Some(Versioned::new(FIRST_BALLOT, Arc::new(value)))
     }
 }
@@ -118,7 +118,7 @@
 async fn form(own: Versioned<ControlState>, view: &ViewCell, client: &rpc::Client) {
     let reads = own.value.acceptors.iter().map(|member| read(client, member));
     let shown: Vec<_> = join_all(reads).await.into_iter().flatten().collect();
-    let Some(first) = choose_first(own, shown) else {
+    let Some(first) = choose_initial_value(own, shown) else {
         log::info!("first value: too few acceptors answer");
         return;
     };
--- a/crates/control-plane/src/control_updates.rs
+++ b/crates/control-plane/src/control_updates.rs
@@ -32,7 +32,7 @@
 
 impl TakenPart {
     fn new(taken: VecDeque<AppliedChange>, edition_held: u64) -> Self {
-        match taken.iter().position(|change| change.edition == edition_held) {
+        match taken.iter().position(|change| change.version == edition_held) {
             Some(held) => {
                 Self::Since { edition: edition_held, changes: taken.into_iter().skip(held + 1).collect() }
             }
@@ -43,7 +43,7 @@
     fn apply(self, held: &ControlState) -> Option<VecDeque<AppliedChange>> {
         match self {
             Self::Whole(taken) => Some(taken),
-            Self::Since { edition, changes } if held.edition == edition => {
+            Self::Since { edition, changes } if held.configuration_version == edition => {
                 let mut taken = held.applied_changes.clone();
                 taken.extend(changes);
                 let surplus = taken.len().saturating_sub(MAX_APPLIED_CHANGES);
@@ -63,7 +63,7 @@
         let configuration = std::mem::take(&mut state.configuration);
         let taken = TakenPart::new(std::mem::take(&mut state.applied_changes), edition_held);
         let part = ConfigurationPart { configuration, taken };
-        let is_held = state.edition == edition_held;
+        let is_held = state.configuration_version == edition_held;
         let rest = Versioned { value: Arc::new(state), ..newest.clone() };
         Self { rest, configuration: (!is_held).then_some(part) }
     }
@@ -77,7 +77,7 @@
                 state.configuration = part.configuration;
                 state.applied_changes = part.taken.apply(held)?;
             }
-            None if held.edition == state.edition => {
+            None if held.configuration_version == state.configuration_version => {
                 state.configuration.clone_from(&held.configuration);
                 state.applied_changes.clone_from(&held.applied_changes);
             }
--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -7,7 +7,9 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use lease::{Candidate, CandidateAction, GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
 use register::{Member, Versioned};
-use state::change::{may_issue_orders_immediately, with_fence, with_order_issuer, LeaderLease, Superseded};
+use state::change::{
+    may_issue_orders_immediately, with_order_issuer, with_raised_fence, LeaderLease, Superseded,
+};
 use state::ControlState;
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
@@ -76,7 +78,7 @@
     /// The fencing token, once no order of another holder can have been sent within the time that must lie between.
     #[must_use]
     pub fn fence_for_orders(&self) -> Option<u64> {
-        self.held()?.order_fence_at(self.now()).filter(|fence| !self.is_outdated(*fence))
+        self.held()?.fence_for_orders_at(self.now()).filter(|fence| !self.is_outdated(*fence))
     }
 
     /// Whether the lease is held, but the register has a higher fencing token than the one it was won with.
@@ -182,7 +184,7 @@
                 }
                 // A station that may send orders at once saves the servers the wait between two holders.
                 candidate.set_defers(!may_issue_orders_immediately(&control, &station));
-                candidate.set_first_grantors(control.has_first_acceptors());
+                candidate.set_first_grantors(control.has_initial_acceptors());
                 ask_all(&mut candidate, began, &control, &client).await;
                 let until = candidate.expires_at();
                 if candidate.holds(began.elapsed()) {
@@ -256,8 +258,9 @@
         let Some(value) = raise_fence(leadership, until, self.proposer, self.station).await else { return };
         let wait = self.wait_before_orders(&value.value).await;
         log::info!("leads with fencing token {}, orders after {} ms", value.value.fence, wait.as_millis());
-        let won = LeaderLease::won(&value.value, self.station, leadership.now(), until, wait, ORDER_TIMEOUT);
-        *leadership.lock() = Some(earlier.map_or(won, |earlier| won.following(earlier)));
+        let won =
+            LeaderLease::acquired(&value.value, self.station, leadership.now(), until, wait, ORDER_TIMEOUT);
+        *leadership.lock() = Some(earlier.map_or(won, |earlier| won.continuing(earlier)));
         leadership.announce_orders();
     }
 
@@ -296,7 +299,7 @@
         if leadership.now() >= until || Instant::now() >= deadline {
             return None;
         }
-        let raise = |state: &ControlState| with_fence(state, station, seen);
+        let raise = |state: &ControlState| with_raised_fence(state, station, seen);
         match proposer.change(deadline, raise).await {
             Ok(value) => return Some(value),
             Err(ChangeFailure::Declined(Superseded)) => {}
--- a/crates/control-plane/src/operator.rs
+++ b/crates/control-plane/src/operator.rs
@@ -8,7 +8,7 @@
 use poem::{get, handler, post, Body, EndpointExt, Request, Response, Route};
 use serde::{Deserialize, Serialize};
 use state::change::{
-    change_digest, with_configuration, with_draining, with_version, ChangeKind, ChangeRejected,
+    change_digest, with_configuration, with_draining, with_target_version, ChangeKind, ChangeRejected,
 };
 use state::{ControlState, DrainState};
 use tokio::time::Instant;
@@ -56,7 +56,7 @@
 #[handler]
 async fn read_configuration(Data(context): Data<&Context>) -> Response {
     match context.proposer.read_newest(Instant::now() + ORDER_TIMEOUT).await {
-        Some(value) if value.value.edition > 0 => match value.value.configuration.text() {
+        Some(value) if value.value.configuration_version > 0 => match value.value.configuration.text() {
             Ok(text) => Response::builder().content_type("application/json").body(text.to_owned()),
             Err(error) => failure(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
         },
@@ -79,7 +79,11 @@
     let done = context.proposer.change(Instant::now() + ORDER_TIMEOUT, decide).await;
     match done {
         Ok(value) => {
-            log::info!("configuration {} taken, revision {}", value.value.edition, value.value.revision);
+            log::info!(
+                "configuration {} taken, revision {}",
+                value.value.configuration_version,
+                value.value.revision
+            );
             StatusCode::OK.into()
         }
         Err(ChangeFailure::Declined(declined)) => decline(&declined),
@@ -101,7 +105,7 @@
         Ok(named) => named,
         Err(why) => return failure(StatusCode::BAD_REQUEST, &why),
     };
-    let decide = |state: &ControlState| with_version(state, &named.model, named.version);
+    let decide = |state: &ControlState| with_target_version(state, &named.model, named.version);
     match context.proposer.change(Instant::now() + ORDER_TIMEOUT, decide).await {
         Ok(_) => {
             log::info!("version {} of {} named", named.version, named.model);
@@ -126,15 +130,15 @@
 async fn read_retire(Path(station): Path<String>, Data(context): Data<&Context>) -> Response {
     // Only goes forward, so the end can be told from what is known here; anything else is asked of a majority.
     let known = context.view.view().control.draining.get(&station).copied();
-    if known == Some(DrainState::Delivered) {
+    if known == Some(DrainState::Drained) {
         return condition("delivered");
     }
     let Some(newest) = context.proposer.read_newest(Instant::now() + ORDER_TIMEOUT).await else {
         return unclear();
     };
     match newest.value.draining.get(&station) {
-        Some(DrainState::Rolling) => condition("rolling"),
-        Some(DrainState::Delivered) => condition("delivered"),
+        Some(DrainState::Draining) => condition("rolling"),
+        Some(DrainState::Drained) => condition("delivered"),
         None => failure(StatusCode::NOT_FOUND, "this machine is not being retired"),
     }
 }
@@ -145,8 +149,8 @@
 
 fn decline(declined: &ChangeRejected) -> Response {
     match declined {
-        ChangeRejected::AlreadyTaken | ChangeRejected::Unchanged => StatusCode::OK.into(),
-        ChangeRejected::OtherVersion(current) => {
+        ChangeRejected::AlreadyApplied | ChangeRejected::Unchanged => StatusCode::OK.into(),
+        ChangeRejected::VersionMismatch(current) => {
             failure(StatusCode::PRECONDITION_FAILED, &format!("version {current} is in place"))
         }
         ChangeRejected::TooOld => failure(
@@ -157,8 +161,8 @@
             failure(StatusCode::SERVICE_UNAVAILABLE, "the present configuration cannot be read here")
         }
         ChangeRejected::Invalid(error) => failure(StatusCode::BAD_REQUEST, &error.to_string()),
-        ChangeRejected::Unknown => failure(StatusCode::NOT_FOUND, "no such store machine"),
-        ChangeRejected::TooFew => failure(StatusCode::CONFLICT, "too few store machines would be left"),
+        ChangeRejected::UnknownMember => failure(StatusCode::NOT_FOUND, "no such store machine"),
+        ChangeRejected::TooFewStores => failure(StatusCode::CONFLICT, "too few store machines would be left"),
     }
 }
 
--- a/crates/control-plane/src/orders.rs
+++ b/crates/control-plane/src/orders.rs
@@ -71,7 +71,7 @@
 }
 
 fn feed(planner: &mut Planner, now: Duration, view: &View) {
-    for (model, version) in &view.control.named_versions {
+    for (model, version) in &view.control.target_versions {
         planner.set_target_version(now, model, *version);
     }
     planner.set_keep(models_to_keep(view));
--- a/crates/control-plane/src/poll.rs
+++ b/crates/control-plane/src/poll.rs
@@ -118,7 +118,7 @@
     let hold = if view.confirmed_age().is_none() { Duration::ZERO } else { HOLD };
     let request = PollRequest {
         ballot,
-        edition: held.control.edition,
+        edition: held.control.configuration_version,
         servers: held.servers.version,
         hold_ms: u32::try_from(hold.as_millis()).unwrap_or(0),
     };
--- a/crates/control-plane/src/upkeep.rs
+++ b/crates/control-plane/src/upkeep.rs
@@ -33,8 +33,10 @@
     client: rpc::Client,
     silence: Duration,
 ) {
-    let nothing =
-        Observation { reachability: Reachability::counting(EVERY, silence), ..Observation::default() };
+    let nothing = Observation {
+        reachability: Reachability::with_replacement_timeout(EVERY, silence),
+        ..Observation::default()
+    };
     let mut observed = nothing.clone();
     let mut last_round = Instant::now();
     let mut told_margin = None;
@@ -64,13 +66,15 @@
     if told.replace(margin) == Some(margin) {
         return;
     }
-    let QuorumMargin { acceptors, answering, further_losses } = margin;
+    let QuorumMargin { acceptors, responding, tolerated_failures: further_losses } = margin;
     match further_losses {
         Some(0) => {
-            log::warn!("quorum: {answering} of {acceptors} acceptors answer, no further loss is borne");
+            log::warn!("quorum: {responding} of {acceptors} acceptors answer, no further loss is borne");
         }
         Some(losses) => {
-            log::info!("quorum: {answering} of {acceptors} acceptors answer, further losses borne: {losses}");
+            log::info!(
+                "quorum: {responding} of {acceptors} acceptors answer, further losses borne: {losses}"
+            );
         }
         None => log::warn!("quorum: no majority of {acceptors} acceptors answers"),
     }
@@ -95,7 +99,7 @@
     observed: &mut Observation,
     last_round: Instant,
 ) {
-    let members = Observation::to_ping(control);
+    let members = Observation::members_to_ping(control);
     let introduction = GossipMessage::of(control);
     let replies =
         join_all(members.iter().map(|member| ping_and_introduce(client, member, &introduction))).await;
@@ -104,7 +108,7 @@
     answers()
         .for_each(|(member, reply)| observed.record_committed_epoch(member.incarnation, reply.settled_epoch));
     let answered: Vec<Member> = answers().map(|(member, _)| member.clone()).collect();
-    observed.reachability.round(control, &answered, last_round.elapsed(), ROUND_MOST);
+    observed.reachability.record_round(control, &answered, last_round.elapsed(), ROUND_MOST);
 }
 
 /// Pings a member. Where its process knows nothing after a restart, the acceptors are introduced to it.
--- a/crates/control-plane/src/version_news.rs
+++ b/crates/control-plane/src/version_news.rs
@@ -38,12 +38,12 @@
         self.due = None;
         let reported = std::mem::take(&mut self.reported);
         let known = Arc::clone(&view.view().servers);
-        let Some(version) = leadership.fence().and_then(|fence| known.version.next_of_holder(fence)) else {
+        let Some(version) = leadership.fence().and_then(|fence| known.version.next_of_leader(fence)) else {
             return;
         };
         let mut newer = state::ServerList { version, ..(*known).clone() };
         newer.raise_versions(&reported);
-        if !newer.shows_same(&known) {
+        if !newer.has_same_servers(&known) {
             view.adopt_servers(newer);
         }
     }
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -125,10 +125,10 @@
     /// It gets a new version where it differs, and where the holder `renews` it or is a new one. Tells whether it did.
     pub fn adopt_reading(&self, mut read: ServerList, at: Instant, fence: Option<u64>, renews: bool) -> bool {
         let known = Arc::clone(&self.view().servers);
-        read.keep_versions(&known);
-        let by_holder = fence.and_then(|fence| known.version.next_of_holder(fence));
+        read.retain_versions(&known);
+        let by_holder = fence.and_then(|fence| known.version.next_of_leader(fence));
         let is_renewed = by_holder.is_some() && (renews || Some(known.version.fence) != fence);
-        let is_new = is_renewed || !known.shows_same(&read);
+        let is_new = is_renewed || !known.has_same_servers(&read);
         if is_new {
             let version = by_holder.unwrap_or_else(|| known.version.next_local(fastrand::u64(..)));
             self.adopt_servers(ServerList { version, ..read });
@@ -150,18 +150,21 @@
 
 /// The configuration of a control state, compiled anew only where it changed.
 fn compile(view: &View, control: &ControlState) -> Option<Arc<Configuration>> {
-    if control.edition == 0 {
+    if control.configuration_version == 0 {
         return None;
     }
-    let unchanged =
-        view.control.edition == control.edition && view.control.configuration == control.configuration;
+    let unchanged = view.control.configuration_version == control.configuration_version
+        && view.control.configuration == control.configuration;
     if unchanged {
         return view.configuration.clone();
     }
     match parse(control) {
         Ok(configuration) => Some(Arc::new(configuration)),
         Err(why) => {
-            log::error!("configuration {} cannot be compiled, the one before stays: {why}", control.edition);
+            log::error!(
+                "configuration {} cannot be compiled, the one before stays: {why}",
+                control.configuration_version
+            );
             view.configuration.clone()
         }
     }
--- a/crates/control-plane/tests/acceptor.rs
+++ b/crates/control-plane/tests/acceptor.rs
@@ -14,7 +14,7 @@
 }
 
 fn next(value: &Versioned<ControlState>, round: u64) -> Versioned<ControlState> {
-    let state = ControlState { edition: round, ..ControlState::clone(&value.value) };
+    let state = ControlState { configuration_version: round, ..ControlState::clone(&value.value) };
     Versioned::new(Ballot { round, proposer: 7 }, Arc::new(state))
 }
 
--- a/crates/control-plane/tests/control_updates.rs
+++ b/crates/control-plane/tests/control_updates.rs
@@ -21,9 +21,9 @@
     ControlState {
         revision: 10 * edition + named,
         configuration: Document::new(incompressible(CONFIGURATION_BYTES)),
-        edition,
-        applied_changes: VecDeque::from([AppliedChange { digest: edition.into(), edition }]),
-        named_versions: BTreeMap::from([("m".to_owned(), named)]),
+        configuration_version: edition,
+        applied_changes: VecDeque::from([AppliedChange { digest: edition.into(), version: edition }]),
+        target_versions: BTreeMap::from([("m".to_owned(), named)]),
         fence: 3,
         ..ControlState::default()
     }
@@ -36,8 +36,8 @@
 #[test]
 fn given_the_same_configuration_when_a_version_is_named_then_the_configuration_is_not_sent() {
     let (held, newest) = (state(5, 1), committed(state(5, 2)));
-    let update = ControlUpdate::new(&newest, held.edition);
-    assert!(newest.value.configuration.packed_bytes() > CONFIGURATION_BYTES / 2);
+    let update = ControlUpdate::new(&newest, held.configuration_version);
+    assert!(newest.value.configuration.compressed_bytes() > CONFIGURATION_BYTES / 2);
     assert!(rpc::encode(&update).len() < CONFIGURATION_BYTES / 20);
     assert_eq!(update.apply(&held), Some(newest));
 }
@@ -45,7 +45,7 @@
 #[test]
 fn given_another_configuration_when_a_value_is_polled_then_it_is_sent_whole() {
     let (held, newest) = (state(5, 1), committed(state(6, 1)));
-    let update = ControlUpdate::new(&newest, held.edition);
+    let update = ControlUpdate::new(&newest, held.configuration_version);
     assert_eq!(update.apply(&ControlState::default()), Some(newest));
 }
 
@@ -53,7 +53,7 @@
 fn changed(times: u64) -> ControlState {
     let newest = (1..=times).rev().take(MAX_APPLIED_CHANGES).collect::<Vec<_>>();
     let taken =
-        newest.into_iter().rev().map(|change| AppliedChange { digest: change.into(), edition: 2 * change });
+        newest.into_iter().rev().map(|change| AppliedChange { digest: change.into(), version: 2 * change });
     ControlState { applied_changes: taken.collect(), ..state(2 * times, 1) }
 }
 
@@ -65,9 +65,9 @@
 )]
 fn given_a_newer_configuration_when_polled_then_only_the_changes_since_are_sent(held: u64, newest: u64) {
     let (held, newest) = (changed(held), committed(changed(newest)));
-    let update = ControlUpdate::new(&newest, held.edition);
-    let bytes = rpc::encode(&update).len() - newest.value.configuration.packed_bytes();
-    let since = (newest.value.edition - held.edition) as usize / 2;
+    let update = ControlUpdate::new(&newest, held.configuration_version);
+    let bytes = rpc::encode(&update).len() - newest.value.configuration.compressed_bytes();
+    let since = (newest.value.configuration_version - held.configuration_version) as usize / 2;
     assert!(bytes < 200 + 25 * since.min(MAX_APPLIED_CHANGES), "{bytes} bytes for {since} changes");
     assert_eq!(update.apply(&held), Some(newest));
 }
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -75,20 +75,20 @@
         acceptors_since: 299,
         standbys: vec![member("d", 4)],
         configuration: Document::new(support::document(9, "r")),
-        edition: 9,
+        configuration_version: 9,
         applied_changes: [
-            AppliedChange { digest: 1 << 100, edition: 8 },
-            AppliedChange { digest: 77, edition: 9 },
+            AppliedChange { digest: 1 << 100, version: 8 },
+            AppliedChange { digest: 77, version: 9 },
         ]
         .into(),
-        named_versions: BTreeMap::from([("m".to_owned(), 3), ("n".to_owned(), 70_000)]),
+        target_versions: BTreeMap::from([("m".to_owned(), 3), ("n".to_owned(), 70_000)]),
         fence: 12,
         fence_owner: Some("a".to_owned()),
         order_issuer: Some("b".to_owned()),
         stores: stores(6, 10),
         joining_stores: vec![store("v9", 90)],
         previous_stores: Some(stores(5, 20)),
-        draining: [("v0".to_owned(), DrainState::Rolling), ("v1".to_owned(), DrainState::Delivered)].into(),
+        draining: [("v0".to_owned(), DrainState::Draining), ("v1".to_owned(), DrainState::Drained)].into(),
     }
 }
 
--- a/crates/control-plane/tests/golden/operator.rs
+++ b/crates/control-plane/tests/golden/operator.rs
@@ -71,7 +71,7 @@
 #[tokio::test]
 async fn given_orders_to_retire_when_answered_then_the_answers_stay() {
     let delivered = |state: ControlState| ControlState {
-        draining: [("gone".to_owned(), DrainState::Delivered)].into(),
+        draining: [("gone".to_owned(), DrainState::Drained)].into(),
         ..state
     };
     let nodes = nodes_with(1, 4, delivered).await;
@@ -88,12 +88,12 @@
 #[tokio::test]
 async fn given_a_state_that_cannot_decide_when_changes_come_then_the_answers_stay() {
     let changes = (0..MAX_APPLIED_CHANGES as u64)
-        .map(|index| AppliedChange { digest: index.into(), edition: 100 + index });
+        .map(|index| AppliedChange { digest: index.into(), version: 100 + index });
     // The digest of a text, with bytes that cannot be unpacked.
     let unreadable: Document =
         rpc::decode(&rpc::encode(&(77_u128, [0xff_u8; 4].as_slice()))).expect("a document");
     let adapt = |state: ControlState| ControlState {
-        edition: 99 + MAX_APPLIED_CHANGES as u64,
+        configuration_version: 99 + MAX_APPLIED_CHANGES as u64,
         configuration: unreadable.clone(),
         applied_changes: changes.clone().collect(),
         ..state
--- a/crates/control-plane/tests/leader.rs
+++ b/crates/control-plane/tests/leader.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use control_plane::{run_leader, Leadership, OrderGap, LEASE_TTL};
-use state::change::with_fence;
+use state::change::with_raised_fence;
 use state::ControlState;
 use support::{nodes, Node};
 use tokio::time::Instant;
@@ -72,7 +72,7 @@
     let fence = until_some(|| first.fence_for_orders()).await;
 
     // What a candidate did before raises were conditional: its lease has ended, and it raises the token all the same.
-    let late = |state: &ControlState| with_fence(state, "late", state.fence);
+    let late = |state: &ControlState| with_raised_fence(state, "late", state.fence);
     let raised = nodes[0].proposer.change(Instant::now() + PATIENCE, late).await.expect("it is raised");
     assert_eq!(raised.value.fence, fence + 1);
     assert_eq!(
--- a/crates/control-plane/tests/operator.rs
+++ b/crates/control-plane/tests/operator.rs
@@ -118,7 +118,7 @@
         assert_eq!(node.post("/api/version-put", &body).await, StatusCode::OK);
     }
     assert_eq!(nodes[0].post("/api/version-put", r#"{"model":"m","edition":2}"#).await, StatusCode::OK);
-    assert_eq!(nodes[2].view.view().control.named_versions["m"], 3);
+    assert_eq!(nodes[2].view.view().control.target_versions["m"], 3);
 }
 
 #[parameterized(empty = { "" }, no_version = { r#"{"model":"m"}"# }, negative = { r#"{"model":"m","edition":-1}"# })]
@@ -133,7 +133,7 @@
     let bodies: Vec<String> = (0..8).map(|model| format!(r#"{{"model":"m{model}","edition":2}}"#)).collect();
     let orders = bodies.iter().enumerate().map(|(at, body)| nodes[at % 3].post("/api/version-put", body));
     assert_eq!(join_all(orders).await, [StatusCode::OK; 8]);
-    let newest = nodes.iter().map(|node| node.view.view().control.named_versions.len()).max();
+    let newest = nodes.iter().map(|node| node.view.view().control.target_versions.len()).max();
     assert_eq!(newest, Some(8));
 }
 
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use poem::http::{HeaderMap, Method, StatusCode};
 use poem::{Body, Endpoint, EndpointExt, Request, Response, Route};
 use register::{AcceptorRequest, Ballot, Incarnation, Member, Versioned};
-use state::change::first_state;
+use state::change::initial_state;
 use state::{ControlState, StoreMember};
 use storage::simulated::SimulatedDisk;
 use storage::{Journal, RingOptions};
@@ -42,7 +42,7 @@
 }
 
 pub fn first(acceptors: Vec<Member>, stores: Vec<StoreMember>) -> Versioned<ControlState> {
-    let state = first_state(acceptors, stores, 1).expect("there are acceptors");
+    let state = initial_state(acceptors, stores, 1).expect("there are acceptors");
     Versioned::new(FIRST, Arc::new(state))
 }
 
--- a/crates/control-plane/tests/view.rs
+++ b/crates/control-plane/tests/view.rs
@@ -25,7 +25,7 @@
 
 fn value(round: u64, edition: u64) -> Versioned<ControlState> {
     let state = ControlState {
-        edition,
+        configuration_version: edition,
         configuration: Document::new(document(edition, "r")),
         ..ControlState::default()
     };
@@ -38,7 +38,7 @@
     view.adopt_control(&value(5, 9));
     for late in [value(4, 7), value(5, 7)] {
         view.adopt_control(&late);
-        assert_eq!(view.view().control.edition, 9);
+        assert_eq!(view.view().control.configuration_version, 9);
     }
     let configuration = view.view().configuration.clone().expect("it is compiled");
     assert_eq!(configuration.edition(), 9);
--- a/crates/simulator/src/simulation/checker.rs
+++ b/crates/simulator/src/simulation/checker.rs
@@ -43,7 +43,7 @@
 
     /// The committed state with this version of the configuration.
     pub(super) fn of_edition(&self, edition: u64) -> Option<&ControlState> {
-        self.by_revision.values().find(|state| state.edition == edition).map(|state| &**state)
+        self.by_revision.values().find(|state| state.configuration_version == edition).map(|state| &**state)
     }
 
     fn look_at(&mut self, fleet: &Fleet, machine: usize) -> Result<(), String> {
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -85,7 +85,7 @@
                 job.seen.len()
             ));
         }
-        let named = fleet.newest_state()?.named_versions.get("m").copied().unwrap_or(1);
+        let named = fleet.newest_state()?.target_versions.get("m").copied().unwrap_or(1);
         let behind = fleet.servers.iter().filter(|server| server.version("m") < named).count();
         (behind > 0).then(|| format!("{behind} servers lack version {named}"))
     }
--- a/crates/simulator/tests/stories.rs
+++ b/crates/simulator/tests/stories.rs
@@ -421,7 +421,7 @@
         }
         story.change_configuration();
     }
-    assert!(story.fleet.state(0).is_some_and(|state| state.edition >= 3600));
+    assert!(story.fleet.state(0).is_some_and(|state| state.configuration_version >= 3600));
     story.go_on();
 }
 
@@ -653,10 +653,10 @@
         let mut story = Story::begin(seed, shape);
         story.fleet.set_link_speed(NARROW_LINK);
         story.put_configuration(IN_FORCE, 1400);
-        let newest = story.fleet.state(0).expect("it knows the state").edition;
+        let newest = story.fleet.state(0).expect("it knows the state").configuration_version;
         let is_known = |fleet: &Fleet| {
             let mut states = fleet.machines().map(|machine| fleet.state(machine));
-            states.all(|state| state.is_some_and(|state| state.edition >= newest))
+            states.all(|state| state.is_some_and(|state| state.configuration_version >= newest))
         };
         assert!(story.fleet.run_until(IN_FORCE, is_known), "seed {seed}: all know it");
         for _ in 0..4 {
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -1,4 +1,4 @@
-//! Changes by the operator and the trainers.
+//! Changes by the operator and the trainers: configuration, versions to roll out, draining of stores.
 
 use configuration::{Configuration, ConfigurationError};
 use xxhash_rust::xxh3::Xxh3;
@@ -6,40 +6,40 @@
 use super::successor;
 use crate::{AppliedChange, ControlState, Document, DrainState, MAX_APPLIED_CHANGES};
 
-/// The version of a model that was never named.
-const FIRST_VERSION: u64 = 1;
+/// The version of a model for which no trainer has named any.
+const INITIAL_MODEL_VERSION: u64 = 1;
 
 /// How a configuration is changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// A whole document takes the place of the one before.
+    /// A complete document replaces the present one.
     Replace,
     /// Named items are added, replaced and removed.
     Patch,
 }
 
-/// Why the committed state declines a change.
+/// Why the committed state rejects a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeRejected {
-    /// It was taken before.
-    AlreadyTaken,
-    /// It builds on another version than this current one.
-    OtherVersion(u64),
-    /// It builds on a version so old that it cannot be told any more whether it was taken.
+    /// This very change was applied before.
+    AlreadyApplied,
+    /// It builds on another version of the configuration than this present one.
+    VersionMismatch(u64),
+    /// It builds on a version so old that it is unknown whether it was applied.
     TooOld,
     /// The present configuration, which it changes, cannot be read.
     Unreadable,
-    /// It is invalid.
+    /// The resulting configuration is invalid.
     Invalid(ConfigurationError),
     /// There is nothing to change.
     Unchanged,
-    /// There is no such machine.
-    Unknown,
-    /// Too few machines would be left.
-    TooFew,
+    /// There is no such store machine.
+    UnknownMember,
+    /// Too few store machines would remain.
+    TooFewStores,
 }
 
-/// A digest of an order's content (XXH3, 128 bits).
+/// A digest (XXH3, 128 bits) that identifies a change of the configuration by its content.
 #[must_use]
 pub fn change_digest(kind: ChangeKind, expected: u64, body: &[u8]) -> u128 {
     let mut hasher = Xxh3::new();
@@ -49,11 +49,11 @@
     hasher.digest128()
 }
 
-/// Changes the configuration on top of version `expected`.
+/// Changes the configuration, if its present version is `expected`. `digest` is the [`change_digest`] of the others.
 ///
 /// # Errors
 ///
-/// [`Declined::AlreadyTaken`] for a change that this state holds already, whatever came after it.
+/// [`ChangeRejected::AlreadyApplied`] for a change that this state contains, whatever was applied after it.
 pub fn with_configuration(
     state: &ControlState,
     kind: ChangeKind,
@@ -61,70 +61,83 @@
     digest: u128,
     body: &[u8],
 ) -> Result<ControlState, ChangeRejected> {
-    if state.applied_changes.iter().any(|taken| taken.digest == digest) {
-        return Err(ChangeRejected::AlreadyTaken);
+    if state.applied_changes.iter().any(|applied| applied.digest == digest) {
+        return Err(ChangeRejected::AlreadyApplied);
     }
-    if expected != state.edition {
-        let is_forgotten = state.forgets_changes_on(expected);
-        return Err(if is_forgotten {
-            ChangeRejected::TooOld
-        } else {
-            ChangeRejected::OtherVersion(state.edition)
-        });
+    if expected != state.configuration_version {
+        return Err(version_mismatch(state, expected));
     }
-    let document = match kind {
-        ChangeKind::Patch => {
-            let present = state.configuration.text().map_err(|_| ChangeRejected::Unreadable)?;
-            configuration::patch(present, body)
-        }
-        ChangeKind::Replace => configuration::replace(state.edition, body),
-    };
-    let document = document.map_err(ChangeRejected::Invalid)?;
+    let document = changed_document(state, kind, body)?;
     let parsed = Configuration::parse(document.as_bytes()).map_err(ChangeRejected::Invalid)?;
     let mut next = successor(state);
-    next.edition = parsed.edition();
+    next.configuration_version = parsed.edition();
     next.configuration = Document::new(document);
-    next.applied_changes.push_back(AppliedChange { digest, edition: next.edition });
+    next.applied_changes.push_back(AppliedChange { digest, version: next.configuration_version });
     while next.applied_changes.len() > MAX_APPLIED_CHANGES {
         next.applied_changes.pop_front();
     }
     Ok(next)
 }
 
-/// Names a version of a model.
+fn version_mismatch(state: &ControlState, expected: u64) -> ChangeRejected {
+    if state.forgets_changes_on(expected) {
+        ChangeRejected::TooOld
+    } else {
+        ChangeRejected::VersionMismatch(state.configuration_version)
+    }
+}
+
+/// The JSON document that a change leads to.
+fn changed_document(state: &ControlState, kind: ChangeKind, body: &[u8]) -> Result<String, ChangeRejected> {
+    let changed = match kind {
+        ChangeKind::Replace => configuration::replace(state.configuration_version, body),
+        ChangeKind::Patch => {
+            let present = state.configuration.text().map_err(|_| ChangeRejected::Unreadable)?;
+            configuration::patch(present, body)
+        }
+    };
+    changed.map_err(ChangeRejected::Invalid)
+}
+
+/// Sets the version of a model to roll out.
 ///
 /// # Errors
 ///
-/// [`Declined::Unchanged`] when this version or a newer one was named.
-pub fn with_version(state: &ControlState, model: &str, version: u64) -> Result<ControlState, ChangeRejected> {
-    if state.named_versions.get(model).copied().unwrap_or(FIRST_VERSION) >= version {
+/// [`ChangeRejected::Unchanged`] when this version or a higher one was named before.
+pub fn with_target_version(
+    state: &ControlState,
+    model: &str,
+    version: u64,
+) -> Result<ControlState, ChangeRejected> {
+    let present = state.target_versions.get(model).copied().unwrap_or(INITIAL_MODEL_VERSION);
+    if present >= version {
         return Err(ChangeRejected::Unchanged);
     }
     let mut next = successor(state);
-    next.named_versions.insert(model.to_owned(), version);
+    next.target_versions.insert(model.to_owned(), version);
     Ok(next)
 }
 
-/// Has a store machine emptied.
+/// Orders a store machine to be drained; the leader then carries it out.
 ///
 /// # Errors
 ///
-/// When it is under way already, no such machine keeps batch jobs, or too few would be left.
-pub fn with_draining(state: &ControlState, station: &str) -> Result<ControlState, ChangeRejected> {
-    if state.draining.contains_key(station) {
+/// When it is being drained already, there is no such store, or too few would remain.
+pub fn with_draining(state: &ControlState, name: &str) -> Result<ControlState, ChangeRejected> {
+    if state.draining.contains_key(name) {
         return Err(ChangeRejected::Unchanged);
     }
     let previous = state.previous_stores.iter().flat_map(|set| &set.members);
     let mut known = state.stores.members.iter().chain(previous);
-    if !known.any(|store| store.member.name == station) {
-        return Err(ChangeRejected::Unknown);
+    if !known.any(|store| store.member.name == name) {
+        return Err(ChangeRejected::UnknownMember);
     }
-    let stays = |of: &str| of != station && !state.draining.contains_key(of);
+    let stays = |other: &str| other != name && !state.draining.contains_key(other);
     let remaining = state.stores.members.iter().filter(|store| stays(&store.member.name)).count();
     if remaining < state.stores.replication_factor {
-        return Err(ChangeRejected::TooFew);
+        return Err(ChangeRejected::TooFewStores);
     }
     let mut next = successor(state);
-    next.draining.insert(station.to_owned(), DrainState::Rolling);
+    next.draining.insert(name.to_owned(), DrainState::Draining);
     Ok(next)
 }
--- a/crates/state/src/control.rs
+++ b/crates/state/src/control.rs
@@ -1,4 +1,7 @@
-//! The value of the replicated register.
+//! The value of the replicated register, and its parts.
+//!
+//! All types here are encoded by position, on disks and between processes: their fields and variants must keep order
+//! and types.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,118 +10,119 @@
 
 use crate::Document;
 
-/// The revision of the first state.
-pub const FIRST_REVISION: u64 = 1;
-/// Changes of the configuration that are remembered, so that a repeated order is acknowledged and not refused. An
-/// order on an older version gets no clear answer.
+/// The revision of the initial state.
+pub const INITIAL_REVISION: u64 = 1;
+/// How many changes of the configuration are remembered, so that a repeated change is acknowledged and not rejected. A
+/// change that builds on a version older than all of these gets no definite answer.
 pub const MAX_APPLIED_CHANGES: usize = 1024;
 
-/// A change of the configuration that was taken, known by its content.
+/// A change of the configuration that was applied, identified by its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedChange {
-    /// Digest of method, expected version and body.
+    /// Digest of method, expected version and body; see [`change_digest`](crate::change::change_digest).
     pub digest: u128,
-    /// The version of the configuration that it made.
-    pub edition: u64,
+    /// The version of the configuration that it produced.
+    pub version: u64,
 }
 
-/// A machine that keeps batch jobs.
+/// A machine that stores batch jobs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreMember {
-    /// Its identity: station, incarnation of its disk and internal address.
+    /// Its identity: name, incarnation of its disk and internal address.
     pub member: Member,
-    /// Its zone, so that copies are spread.
+    /// Its zone. Replicas of a batch job are spread over zones.
     pub zone: String,
 }
 
-/// The machines that keep batch jobs, as of one epoch.
+/// The machines that store batch jobs, as of one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreSet {
     /// Rises with each change of the members.
     pub epoch: u64,
     /// Its members.
     pub members: Vec<StoreMember>,
-    /// How many machines each batch job is kept on (at most; fewer where there are fewer).
+    /// The number of replicas of each batch job; fewer where there are fewer members.
     pub replication_factor: usize,
-    /// How many members there should be; beyond these, one that cannot be reached is removed.
+    /// The intended number of members. An unresponsive member is removed only where there are more.
     pub target_size: usize,
 }
 
-/// How far the emptying of a store machine is.
+/// The progress of draining a store machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainState {
-    /// Its batch jobs are being moved.
-    Rolling,
-    /// Everything that it held is whole elsewhere.
-    Delivered,
+    /// Its batch jobs are being moved to other stores.
+    Draining,
+    /// Every batch job that it stored is complete on other stores.
+    Drained,
 }
 
-/// All that the machines with a disk agree on. Changed as a whole, by compare and swap.
+/// The state that the acceptors agree on. Replaced as one value, by compare and swap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     /// Rises by one with each change.
     pub revision: u64,
-    /// The acceptors of the register.
+    /// The acceptors of the register, which are also the grantors of the leader lease.
     pub acceptors: Vec<Member>,
-    /// How many acceptors there should be.
+    /// The intended number of acceptors.
     pub target_acceptor_count: usize,
-    /// The revision with which the acceptors changed last; [`FIRST_REVISION`] if they never did.
+    /// The revision of the last change of the acceptors; [`INITIAL_REVISION`] if they never changed.
     pub acceptors_since: u64,
-    /// Machines with a disk that wait to take the place of an acceptor that is gone.
+    /// Machines with a disk that are ready to replace a failed acceptor. They have no vote.
     pub standbys: Vec<Member>,
-    /// The operator's configuration in force, as JSON; empty before the first.
+    /// The operator's configuration in force, as JSON; empty before the first one.
     pub configuration: Document,
-    /// Its version; 0 before the first.
-    pub edition: u64,
-    /// The newest changes that were taken, oldest first.
+    /// The version of the configuration; 0 before the first one.
+    pub configuration_version: u64,
+    /// The latest applied changes of the configuration, oldest first; at most [`MAX_APPLIED_CHANGES`].
     pub applied_changes: VecDeque<AppliedChange>,
-    /// The newest version that a trainer has named, by model. A model that is absent has version 1.
-    pub named_versions: BTreeMap<String, u64>,
-    /// The last fencing token that was handed out.
+    /// The version to roll out, by model: the highest that a trainer has named. An absent model has version 1.
+    pub target_versions: BTreeMap<String, u64>,
+    /// The fencing token that was issued last; 0 before the first.
     pub fence: u64,
-    /// The station to which it was handed out.
+    /// The name of the member to which that token was issued.
     pub fence_owner: Option<String>,
-    /// The station that last was free to send orders to servers.
+    /// The name of the member that may have sent orders to servers last.
     pub order_issuer: Option<String>,
-    /// The machines that keep batch jobs.
+    /// The machines that store batch jobs.
     pub stores: StoreSet,
-    /// Machines that wait for the holder of the lease to add them to the store set, or to put them in the place of a
-    /// store that is gone.
+    /// Machines that wait until the leader adds them to the store set, beside the others or in place of a failed one.
     pub joining_stores: Vec<StoreMember>,
-    /// The set before, until all that it kept is whole in the present one.
+    /// The store set before the present one; `Some` until everything that it stored is complete in the present one.
     pub previous_stores: Option<StoreSet>,
-    /// Store machines that the operator wants emptied, by station.
+    /// Store machines that the operator has ordered to be drained, by member name.
     pub draining: BTreeMap<String, DrainState>,
 }
 
 impl ControlState {
-    /// Whether a change on top of this version of the configuration may have been taken and forgotten since.
+    /// Whether a change on top of this version of the configuration may have been applied and dropped from
+    /// [`applied_changes`](Self::applied_changes) since.
     #[must_use]
     pub fn forgets_changes_on(&self, expected: u64) -> bool {
-        let oldest =
-            self.applied_changes.front().filter(|_| self.applied_changes.len() >= MAX_APPLIED_CHANGES);
-        oldest.is_some_and(|oldest| expected < oldest.edition)
+        let is_full = self.applied_changes.len() >= MAX_APPLIED_CHANGES;
+        let oldest = self.applied_changes.front().filter(|_| is_full);
+        oldest.is_some_and(|oldest| expected < oldest.version)
     }
 
-    /// Whether the acceptors are those of the first start.
+    /// Whether the acceptors are those of the initial state.
     #[must_use]
-    pub fn has_first_acceptors(&self) -> bool {
-        self.acceptors_since == FIRST_REVISION
+    pub fn has_initial_acceptors(&self) -> bool {
+        self.acceptors_since == INITIAL_REVISION
     }
 
-    /// Whether there are more stores than wanted, so that one may go without another in its place.
+    /// Whether there are more stores than intended, so that one may leave without a replacement.
     pub(crate) fn has_surplus_store(&self) -> bool {
         self.stores.members.len() > self.stores.target_size.max(self.stores.replication_factor)
     }
 
-    /// Begins a move of the batch jobs to a changed store set. The set before is kept until it has ended.
-    pub(crate) fn move_stores(&mut self, change: impl FnOnce(&mut Vec<StoreMember>)) {
+    /// Starts a migration of the batch jobs to a changed store set. The present set becomes the previous one until the
+    /// migration has finished.
+    pub(crate) fn migrate_stores(&mut self, change: impl FnOnce(&mut Vec<StoreMember>)) {
         self.previous_stores = Some(self.stores.clone());
         self.stores.epoch += 1;
         change(&mut self.stores.members);
     }
 
-    /// Puts others in the place of the acceptors.
+    /// Replaces the acceptors, as of this revision.
     pub(crate) fn set_acceptors(&mut self, acceptors: Vec<Member>) {
         self.standbys.retain(|standby| acceptors.iter().all(|member| member.name != standby.name));
         self.acceptors = acceptors;
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -1,7 +1,7 @@
-//! The text of the operator's configuration: compressed, shared between copies of a state, and known by its digest.
+//! The text of the operator's configuration: compressed, shared between clones, and compared by its digest.
 //!
-//! A control state travels whole in each round of the register, so its largest part must be small on the wire and
-//! cheap to copy and compare. The text is unpacked where it is read.
+//! Each round of the register sends a complete control state, so its largest part must be small on the wire and cheap
+//! to clone and compare. The text is decompressed where it is read.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -14,8 +14,8 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// The longest text that is unpacked.
-const TEXT_BYTES_MOST: u64 = 64 * 1024 * 1024;
+/// Longer texts are not decompressed.
+const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
 
 /// A text that is stored and sent compressed. Clones share it; two are equal if their digests are.
 #[derive(Clone, Default)]
@@ -27,12 +27,13 @@
 struct Content {
     /// XXH3, 128 bits, of the text; 0 of the empty one.
     digest: u128,
-    /// Deflated; empty for the empty text.
-    packed: Bytes,
+    /// The text in deflate format; empty for the empty text.
+    compressed: Bytes,
+    /// The text, once it was decompressed.
     text: OnceLock<String>,
 }
 
-/// The bytes of a document are not those of its text.
+/// The bytes of a document do not decompress to a text with its digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DocumentError;
 
@@ -52,47 +53,47 @@
             return Self::default();
         }
         let digest = xxh3_128(text.as_bytes());
-        let packed = pack(text.as_bytes()).into();
-        Self { content: Arc::new(Content { digest, packed, text: OnceLock::from(text) }) }
+        let compressed = compress(text.as_bytes()).into();
+        Self { content: Arc::new(Content { digest, compressed, text: OnceLock::from(text) }) }
     }
 
-    /// The text; unpacked at the first call.
+    /// The text; decompressed by the first call.
     ///
     /// # Errors
     ///
-    /// When the bytes that were received are not those of a text with the digest that came along.
+    /// When the received bytes do not decompress to a text with the received digest.
     pub fn text(&self) -> Result<&str, DocumentError> {
         if let Some(text) = self.content.text.get() {
             return Ok(text);
         }
-        let text = self.content.unpack()?;
+        let text = self.content.decompress()?;
         Ok(self.content.text.get_or_init(|| text))
     }
 
-    /// How many bytes the text takes where it is stored or sent.
+    /// The size of the compressed text, in bytes.
     #[must_use]
-    pub fn packed_bytes(&self) -> usize {
-        self.content.packed.len()
+    pub fn compressed_bytes(&self) -> usize {
+        self.content.compressed.len()
     }
 }
 
 impl Content {
-    fn unpack(&self) -> Result<String, DocumentError> {
-        if self.packed.is_empty() && self.digest == 0 {
+    fn decompress(&self) -> Result<String, DocumentError> {
+        if self.compressed.is_empty() && self.digest == 0 {
             return Ok(String::new());
         }
         let mut text = String::new();
-        let mut unpacked = DeflateDecoder::new(&*self.packed).take(TEXT_BYTES_MOST);
-        unpacked.read_to_string(&mut text).map_err(|_| DocumentError)?;
-        let is_same = xxh3_128(text.as_bytes()) == self.digest;
-        is_same.then_some(text).ok_or(DocumentError)
+        let mut decoder = DeflateDecoder::new(&*self.compressed).take(MAX_TEXT_BYTES);
+        decoder.read_to_string(&mut text).map_err(|_| DocumentError)?;
+        let is_intact = xxh3_128(text.as_bytes()) == self.digest;
+        is_intact.then_some(text).ok_or(DocumentError)
     }
 }
 
-fn pack(text: &[u8]) -> Vec<u8> {
+fn compress(text: &[u8]) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let written = encoder.write_all(text).and_then(|()| encoder.finish());
-    written.expect("memory can be written to")
+    written.expect("writing to memory does not fail")
 }
 
 impl PartialEq for Document {
@@ -105,19 +106,19 @@
 
 impl fmt::Debug for Document {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Document({:032x}, {} bytes)", self.content.digest, self.packed_bytes())
+        write!(f, "Document({:032x}, {} bytes)", self.content.digest, self.compressed_bytes())
     }
 }
 
 impl Serialize for Document {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        (self.content.digest, &self.content.packed).serialize(serializer)
+        (self.content.digest, &self.content.compressed).serialize(serializer)
     }
 }
 
 impl<'de> Deserialize<'de> for Document {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let (digest, packed) = Deserialize::deserialize(deserializer)?;
-        Ok(Self { content: Arc::new(Content { digest, packed, text: OnceLock::new() }) })
+        let (digest, compressed) = Deserialize::deserialize(deserializer)?;
+        Ok(Self { content: Arc::new(Content { digest, compressed, text: OnceLock::new() }) })
     }
 }
--- a/crates/state/tests/document.rs
+++ b/crates/state/tests/document.rs
@@ -28,7 +28,7 @@
 }
 
 #[parameterized(empty = { String::new() }, short = { "{}".to_owned() }, long = { routes(1400) })]
-fn given_a_document_when_it_is_sent_then_its_text_and_identity_are_the_same(text: String) {
+fn given_a_document_when_sent_then_its_text_and_identity_are_the_same(text: String) {
     let document = Document::new(text.clone());
     let received = decode(&encode(&document)).expect("it can be read");
     assert_eq!(received, document);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn given_a_configuration_of_many_routes_when_it_is_sent_then_it_takes_a_quarter_of_its_length_at_most() {
+fn given_a_configuration_of_many_routes_when_sent_then_it_takes_at_most_a_quarter_of_its_length() {
     let text = routes(1400);
     let bytes = encode(&Document::new(text.clone())).len();
     println!("{} bytes for a text of {}", bytes, text.len());
--- a/crates/state/tests/server_versions.rs
+++ b/crates/state/tests/server_versions.rs
@@ -32,20 +32,20 @@
     reported_older = { 3, 2, 3 },
     reported_same = { 2, 2, 2 },
 )]
-fn given_a_report_when_it_is_joined_to_a_list_then_versions_only_rise(
+fn given_a_report_when_it_is_merged_into_a_list_then_versions_only_rise(
     shown: u64,
     reported: u64,
     joined: u64,
 ) {
-    let mut held = list(vec![server("a", &[("m", shown)]), server("b", &[("m", 1)])]);
-    held.raise_versions(&BTreeMap::from([("a".into(), versions(&[("m", reported), ("other", 9)]))]));
-    assert_eq!(held, list(vec![server("a", &[("m", joined)]), server("b", &[("m", 1)])]));
+    let mut lease = list(vec![server("a", &[("m", shown)]), server("b", &[("m", 1)])]);
+    lease.raise_versions(&BTreeMap::from([("a".into(), versions(&[("m", reported), ("other", 9)]))]));
+    assert_eq!(lease, list(vec![server("a", &[("m", joined)]), server("b", &[("m", 1)])]));
 }
 
 #[test]
-fn given_a_list_that_lags_when_it_is_read_then_what_is_known_of_each_incarnation_is_kept() {
-    let held = list(vec![server("a", &[("m", 3)]), server("b", &[("m", 3)])]);
+fn given_a_lagging_list_when_it_is_read_then_the_known_versions_of_each_incarnation_are_retained() {
+    let lease = list(vec![server("a", &[("m", 3)]), server("b", &[("m", 3)])]);
     let mut read = list(vec![server("a", &[("m", 2)]), server("b2", &[("m", 2)])]);
-    read.keep_versions(&held);
+    read.retain_versions(&lease);
     assert_eq!(read, list(vec![server("a", &[("m", 3)]), server("b2", &[("m", 2)])]));
 }
