--- /dev/null
+++ b/crates/batch/src/replication/log.rs
@@ -0,0 +1,42 @@
+//! Entries of the log of a batch job.
+
+use std::sync::Arc;
+
+use bytes::Bytes;
+use serde::{Deserialize, Serialize};
+
+use super::term::OwnershipTerm;
+use crate::ItemResult;
+
+/// A batch job as it was submitted.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SubmittedJob {
+    /// The `Host` header of the submission.
+    pub host: Arc<str>,
+    /// The path of the submission.
+    pub path: Arc<str>,
+    /// The body as it was received: the JSON of a [`Job`](crate::Job).
+    pub body: Bytes,
+    /// Number of items in the job.
+    pub total: u32,
+}
+
+/// One entry of the log. The first entry of each log is the batch job itself.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Entry {
+    /// The batch job.
+    Job(SubmittedJob),
+    /// A result. Its rank among the results is its position in the listing that trainers read.
+    Result(ItemResult),
+    /// The trainer ended the batch job.
+    End,
+}
+
+/// How far a log goes. The greater of two log ends belongs to the more advanced log.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct LogEnd {
+    /// The term under which the log was last written.
+    pub accepted: OwnershipTerm,
+    /// Number of entries.
+    pub length: usize,
+}
--- /dev/null
+++ b/crates/batch/src/replication/replica_set.rs
@@ -0,0 +1,49 @@
+//! The stores that replicate a batch job, and majorities among them.
+
+use super::term::StoreId;
+
+/// The stores that replicate one batch job.
+///
+/// While the store set changes, a claim needs promises from majorities of both sets; an entry is committed once a
+/// majority of the present set has it.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ReplicaSet {
+    /// Replicas under the present store set.
+    pub present: Vec<StoreId>,
+    /// Replicas under the store set before; empty unless a change of the store set is in progress.
+    pub previous: Vec<StoreId>,
+}
+
+impl ReplicaSet {
+    /// All stores, present ones first. A store that is in both sets comes twice.
+    pub(super) fn iter(&self) -> impl Iterator<Item = StoreId> + '_ {
+        self.present.iter().chain(&self.previous).copied()
+    }
+
+    pub(super) fn is_present(&self, store: StoreId) -> bool {
+        self.present.contains(&store)
+    }
+
+    /// Whether `holds` is true for a majority of the present set.
+    pub(super) fn present_majority(&self, holds: impl Fn(StoreId) -> bool) -> bool {
+        is_majority(&self.present, holds)
+    }
+
+    /// Whether `holds` is true for a majority of the present set and, if there is one, of the previous set.
+    pub(super) fn joint_majority(&self, holds: impl Fn(StoreId) -> bool) -> bool {
+        let previous = self.previous.is_empty() || is_majority(&self.previous, &holds);
+        previous && is_majority(&self.present, &holds)
+    }
+
+    /// The greatest length that a majority of the present set has at least, given the length at each store.
+    pub(super) fn majority_length(&self, length_at: impl Fn(StoreId) -> usize) -> usize {
+        let mut lengths: Vec<usize> = self.present.iter().map(|&store| length_at(store)).collect();
+        lengths.sort_unstable_by_key(|&length| std::cmp::Reverse(length));
+        let majority_index = lengths.len() / 2;
+        lengths.get(majority_index).copied().unwrap_or(0)
+    }
+}
+
+fn is_majority(stores: &[StoreId], holds: impl Fn(StoreId) -> bool) -> bool {
+    stores.iter().filter(|&&store| holds(store)).count() > stores.len() / 2
+}
--- /dev/null
+++ b/crates/batch/src/replication/replicas.rs
@@ -0,0 +1,207 @@
+//! The replicas of all batch jobs that one store keeps, as a state machine without I/O.
+//!
+//! Each change returns the [`Record`]s that make it durable. The caller writes them, in order, before it sends the
+//! reply.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use super::log::{Entry, LogEnd};
+use super::messages::{ReplicaReply, ReplicaRequest};
+use super::record::Record;
+use super::replica_log::ReplicaLog;
+use super::term::OwnershipTerm;
+use crate::JobId;
+
+/// The replicas of all batch jobs that one store keeps.
+#[derive(Clone, Debug, Default)]
+pub struct Replicas {
+    epoch: u64,
+    logs: BTreeMap<JobId, ReplicaLog>,
+}
+
+/// The parameters of [`ReplicaRequest::Append`].
+struct Append {
+    term: OwnershipTerm,
+    adopted: OwnershipTerm,
+    start: usize,
+    entries: Vec<Arc<Entry>>,
+}
+
+impl Replicas {
+    /// Replays the records of a journal, oldest first.
+    pub fn recover(records: impl IntoIterator<Item = Record>) -> Self {
+        let mut replica = Self::default();
+        records.into_iter().for_each(|record| replica.replay(record));
+        replica
+    }
+
+    fn replay(&mut self, record: Record) {
+        match record {
+            Record::Epoch(epoch) => self.epoch = self.epoch.max(epoch),
+            Record::Promise { job, term } => {
+                let log = self.logs.entry(job).or_default();
+                log.promised = log.promised.max(term);
+            }
+            Record::Append { job, term, start, entries } => {
+                let log = self.logs.entry(job).or_default();
+                // Where the records that it builds on were released, a snapshot follows.
+                if start <= log.entries.len() {
+                    log.write(term, start, entries);
+                }
+            }
+            Record::Snapshot { job, promised, accepted, entries } => {
+                self.logs.insert(job, ReplicaLog { promised, accepted, entries });
+            }
+            Record::Delete { job } => {
+                self.logs.remove(&job);
+            }
+        }
+    }
+
+    /// The epoch below which all terms are rejected.
+    #[must_use]
+    pub fn epoch(&self) -> u64 {
+        self.epoch
+    }
+
+    /// Rejects terms of all epochs below `epoch` from now on, once the record is durable. `None` if it does already.
+    pub fn raise_epoch(&mut self, epoch: u64) -> Option<Record> {
+        if epoch <= self.epoch {
+            return None;
+        }
+        self.epoch = epoch;
+        Some(Record::Epoch(epoch))
+    }
+
+    /// The log of a batch job.
+    #[must_use]
+    pub fn log(&self, job: &str) -> Option<&ReplicaLog> {
+        self.logs.get(job)
+    }
+
+    /// The logs of all batch jobs.
+    pub fn logs(&self) -> impl Iterator<Item = (&JobId, &ReplicaLog)> {
+        self.logs.iter()
+    }
+
+    /// A record that replaces all earlier records about a batch job.
+    #[must_use]
+    pub fn snapshot(&self, job: &JobId) -> Record {
+        match self.logs.get(job) {
+            None => Record::Delete { job: Arc::clone(job) },
+            Some(log) => Record::Snapshot {
+                job: Arc::clone(job),
+                promised: log.promised,
+                accepted: log.accepted,
+                entries: log.entries.clone(),
+            },
+        }
+    }
+
+    /// Handles a request of an owner. The reply may be sent once the returned records, and all that were returned
+    /// before, are durable.
+    pub fn handle(&mut self, job: &JobId, request: ReplicaRequest) -> (ReplicaReply, Vec<Record>) {
+        match request {
+            ReplicaRequest::Prepare { term, accepted, length } => {
+                self.handle_prepare(job, term, LogEnd { accepted, length })
+            }
+            ReplicaRequest::Append { term, adopted, start, entries } => {
+                self.handle_append(job, Append { term, adopted, start, entries })
+            }
+            ReplicaRequest::Query => (self.status(job), Vec::new()),
+            ReplicaRequest::Delete { term } => self.handle_delete(job, term),
+        }
+    }
+
+    /// The reply that an empty append at the end of an owner's log of `length` entries would get. Changes nothing.
+    #[must_use]
+    pub fn check_append(&self, job: &str, term: OwnershipTerm, length: usize) -> ReplicaReply {
+        if let Some(rejection) = self.rejection(job, term) {
+            return rejection;
+        }
+        match self.logs.get(job).map(ReplicaLog::end) {
+            Some(end) if end.accepted == term => {
+                ReplicaReply::Appended { term, length: end.length.min(length) }
+            }
+            end => {
+                let LogEnd { accepted, length } = end.unwrap_or_default();
+                ReplicaReply::LogMismatch { term, accepted, length }
+            }
+        }
+    }
+
+    /// The highest term that was promised for a batch job.
+    fn promised(&self, job: &str) -> OwnershipTerm {
+        let promised = self.logs.get(job).map_or(OwnershipTerm::default(), |log| log.promised);
+        promised.max(OwnershipTerm::lowest_of(self.epoch))
+    }
+
+    /// The reply to a request under `term` if a higher one was promised.
+    fn rejection(&self, job: &str, term: OwnershipTerm) -> Option<ReplicaReply> {
+        let promised = self.promised(job);
+        (term < promised).then_some(ReplicaReply::Rejected { promised })
+    }
+
+    fn handle_prepare(
+        &mut self,
+        job: &JobId,
+        term: OwnershipTerm,
+        claimant: LogEnd,
+    ) -> (ReplicaReply, Vec<Record>) {
+        if let Some(rejection) = self.rejection(job, term) {
+            return (rejection, Vec::new());
+        }
+        let log = self.logs.entry(Arc::clone(job)).or_default();
+        let mut records = Vec::new();
+        if term > log.promised {
+            log.promised = term;
+            records.push(Record::Promise { job: Arc::clone(job), term });
+        }
+        let LogEnd { accepted, length } = log.end();
+        let (start, entries) = log.entries_ahead_of(claimant);
+        (ReplicaReply::Promised { term, accepted, length, start, entries }, records)
+    }
+
+    fn handle_append(&mut self, job: &JobId, append: Append) -> (ReplicaReply, Vec<Record>) {
+        let Append { term, adopted, mut start, mut entries } = append;
+        if let Some(rejection) = self.rejection(job, term) {
+            return (rejection, Vec::new());
+        }
+        let log = self.logs.entry(Arc::clone(job)).or_default();
+        let LogEnd { accepted, length } = log.end();
+        let is_same_term = accepted == term;
+        let fits = start <= length && (is_same_term || start == 0 || accepted == adopted);
+        if !fits {
+            return (ReplicaReply::LogMismatch { term, accepted, length }, Vec::new());
+        }
+        if is_same_term {
+            // A delayed or repeated request: under one term, the log only grows.
+            entries.drain(..entries.len().min(length - start));
+            start = length;
+            if entries.is_empty() {
+                return (ReplicaReply::Appended { term, length }, Vec::new());
+            }
+        }
+        log.write(term, start, entries.clone());
+        let length = log.entries.len();
+        let record = Record::Append { job: Arc::clone(job), term, start, entries };
+        (ReplicaReply::Appended { term, length }, vec![record])
+    }
+
+    fn status(&self, job: &str) -> ReplicaReply {
+        let length = self.logs.get(job).map_or(0, |log| log.entries.len());
+        ReplicaReply::Status { promised: self.promised(job), length }
+    }
+
+    fn handle_delete(&mut self, job: &JobId, term: OwnershipTerm) -> (ReplicaReply, Vec<Record>) {
+        if let Some(rejection) = self.rejection(job, term) {
+            return (rejection, Vec::new());
+        }
+        let mut records = Vec::from_iter(self.raise_epoch(term.epoch));
+        if self.logs.remove(job).is_some() {
+            records.push(Record::Delete { job: Arc::clone(job) });
+        }
+        (ReplicaReply::Deleted { term }, records)
+    }
+}
--- /dev/null
+++ b/crates/batch/src/schedule/job_schedule.rs
@@ -0,0 +1,149 @@
+//! The schedule of one batch job: how far its items have come, and which one to start next.
+
+use std::time::Duration;
+
+use super::groups::{group_items, Group, GroupIndex};
+use super::{ItemIndex, ItemPhase};
+use crate::Job;
+
+/// At most one in this many of the wanted groups may be carried over from an earlier batch job.
+const CARRIED_OVER_DIVISOR: usize = 2;
+
+/// The item that a batch job would start next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ItemCandidate {
+    /// The item.
+    pub index: ItemIndex,
+    /// Whether the trainer waits for its group. If not, it may use idle capacity only.
+    pub needed: bool,
+}
+
+/// Tracks the items of one batch job and chooses the next one to start.
+#[derive(Debug)]
+pub struct JobSchedule {
+    groups: Vec<Group>,
+    group_of_item: Vec<GroupIndex>,
+    phases: Vec<ItemPhase>,
+    /// Number of complete groups that the trainer waits for.
+    wanted_groups: usize,
+    complete_groups: usize,
+    /// Number of items in the phase [`ItemPhase::Streaming`].
+    streaming: usize,
+    /// Number of items in the phase [`ItemPhase::Recorded`].
+    recorded: usize,
+}
+
+/// Groups that are not complete, in the order in which they are started.
+struct GroupRanking {
+    groups: Vec<GroupIndex>,
+    /// The trainer waits for this many of the first ones.
+    needed: usize,
+}
+
+impl JobSchedule {
+    /// The schedule of a batch job of which no item was started.
+    #[must_use]
+    pub fn new(job: &Job) -> Self {
+        let (groups, group_of_item) = group_items(job);
+        let wanted_groups = job.wanted_groups.map_or(groups.len(), |wanted| wanted as usize);
+        Self {
+            wanted_groups: wanted_groups.min(groups.len()),
+            groups,
+            group_of_item,
+            phases: vec![ItemPhase::Pending(Duration::ZERO); job.items.len()],
+            complete_groups: 0,
+            streaming: 0,
+            recorded: 0,
+        }
+    }
+
+    /// How far an item has come.
+    #[must_use]
+    pub fn phase(&self, index: ItemIndex) -> ItemPhase {
+        self.phases[index]
+    }
+
+    /// Sets how far an item has come. A recorded item stays recorded.
+    pub fn set_phase(&mut self, index: ItemIndex, phase: ItemPhase) {
+        let before = self.phases[index];
+        if before == ItemPhase::Recorded {
+            return;
+        }
+        self.phases[index] = phase;
+        self.streaming -= usize::from(before == ItemPhase::Streaming);
+        self.streaming += usize::from(phase == ItemPhase::Streaming);
+        let group = &mut self.groups[self.group_of_item[index]];
+        group.on_phase_change(before, phase);
+        if phase == ItemPhase::Recorded {
+            self.recorded += 1;
+            self.complete_groups += usize::from(group.is_complete());
+        }
+    }
+
+    /// Number of items whose text a server generates now.
+    #[must_use]
+    pub fn streaming(&self) -> usize {
+        self.streaming
+    }
+
+    /// Number of groups whose results are all recorded.
+    #[must_use]
+    pub fn complete_groups(&self) -> usize {
+        self.complete_groups
+    }
+
+    /// Whether the results of all items are recorded.
+    #[must_use]
+    pub fn is_finished(&self) -> bool {
+        self.recorded == self.phases.len()
+    }
+
+    /// The item to start next at `now`, if any may start.
+    #[must_use]
+    pub fn next_item(&self, now: Duration) -> Option<ItemCandidate> {
+        let ranking = self.rank_groups();
+        ranking.groups.iter().enumerate().find_map(|(rank, &group)| {
+            let index = self.groups[group].next_item(&self.phases, now)?;
+            Some(ItemCandidate { index, needed: rank < ranking.needed })
+        })
+    }
+
+    /// Number of items that the trainer waits for and whose text is not complete.
+    #[must_use]
+    pub fn needed_remaining(&self) -> usize {
+        let ranking = self.rank_groups();
+        let needed = ranking.groups.iter().take(ranking.needed);
+        needed.map(|&group| self.groups[group].incomplete_texts()).sum()
+    }
+
+    /// The earliest time after `now` at which a pending item may start.
+    #[must_use]
+    pub fn next_retry(&self, now: Duration) -> Option<Duration> {
+        let later = |phase: &ItemPhase| match *phase {
+            ItemPhase::Pending(not_before) if not_before > now => Some(not_before),
+            _ => None,
+        };
+        self.phases.iter().filter_map(later).min()
+    }
+
+    /// Ranks the groups that are not complete. Those that may be carried over from an earlier batch job come first, and
+    /// are needed even if enough other groups are complete.
+    fn rank_groups(&self) -> GroupRanking {
+        let max_carried_over = self.wanted_groups / CARRIED_OVER_DIVISOR;
+        let is_open = |group: &GroupIndex| !self.groups[*group].is_complete();
+        let mut groups: Vec<GroupIndex> = (0..max_carried_over).filter(is_open).collect();
+        let carried_over = groups.len();
+        groups.extend((max_carried_over..self.groups.len()).filter(is_open));
+        groups[carried_over..].sort_by_key(|&group| self.group_rank(group));
+        let needed = self.wanted_groups.saturating_sub(self.complete_groups).max(carried_over);
+        GroupRanking { groups, needed }
+    }
+
+    /// Sort key of a group: started groups first, those nearest to completion before others, then in the order of
+    /// the job.
+    fn group_rank(&self, index: GroupIndex) -> (bool, usize, GroupIndex) {
+        let group = &self.groups[index];
+        let is_started = group.is_started(&self.phases);
+        (!is_started, if is_started { group.incomplete_texts() } else { 0 }, index)
+    }
+}
--- a/crates/batch/tests/golden.rs
+++ b/crates/batch/tests/golden.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use batch::{
-    Ballot, Entry, Item, ItemCondition, ItemResult, Job, JobError, Record, ReplicaReply, ReplicaRequest,
-    RewardRequest, SubmittedJob,
+    Entry, Item, ItemCondition, ItemResult, Job, JobError, OwnershipTerm, Record, ReplicaReply,
+    ReplicaRequest, RewardRequest, SubmittedJob,
 };
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
@@ -43,8 +43,13 @@
     assert_eq!(rpc::decode::<T>(&bytes).as_ref(), Ok(value));
 }
 
-fn ballot(seed: u64) -> Ballot {
-    Ballot { epoch: seed, round: 300 + seed, owner: 70_000 + seed, nonce: 0xfeed_0000_0000_0000 + seed }
+fn term(seed: u64) -> OwnershipTerm {
+    OwnershipTerm {
+        epoch: seed,
+        number: 300 + seed,
+        owner: 70_000 + seed,
+        nonce: 0xfeed_0000_0000_0000 + seed,
+    }
 }
 
 fn handed_in() -> SubmittedJob {
@@ -91,19 +96,19 @@
 }
 
 fn record_promise() -> Record {
-    Record::Promise { job: "job-1".into(), ballot: ballot(1) }
+    Record::Promise { job: "job-1".into(), term: term(1) }
 }
 
 fn record_write() -> Record {
-    Record::Write { job: "job-1".into(), ballot: ballot(2), from: 513, entries: entries() }
+    Record::Append { job: "job-1".into(), term: term(2), start: 513, entries: entries() }
 }
 
 fn record_snapshot() -> Record {
-    Record::Snapshot { job: "job-1".into(), promised: ballot(3), accepted: ballot(2), entries: entries() }
+    Record::Snapshot { job: "job-1".into(), promised: term(3), accepted: term(2), entries: entries() }
 }
 
 fn record_forget() -> Record {
-    Record::Forget { job: "job-1".into() }
+    Record::Delete { job: "job-1".into() }
 }
 
 #[parameterized(
@@ -137,7 +142,7 @@
 
 #[test]
 fn given_parts_of_entries_when_encoded_then_their_bytes_are_golden() {
-    check_encoding("ballot.hex", &ballot(4));
+    check_encoding("ballot.hex", &term(4));
     check_encoding("submitted-job.hex", &handed_in());
     check_encoding("item-result-delivered.hex", &delivered_result());
     check_encoding("item-result-undeliverable.hex", &undeliverable_result());
@@ -146,14 +151,14 @@
 #[parameterized(
     claim = {
         "request-claim.hex",
-        ReplicaRequest::Claim { ballot: ballot(5), accepted: ballot(4), length: 301 },
+        ReplicaRequest::Prepare { term: term(5), accepted: term(4), length: 301 },
     },
     write = {
         "request-write.hex",
-        ReplicaRequest::Write { ballot: ballot(5), base: ballot(3), from: 2, entries: entries() },
+        ReplicaRequest::Append { term: term(5), adopted: term(3), start: 2, entries: entries() },
     },
     query = { "request-query.hex", ReplicaRequest::Query },
-    forget = { "request-forget.hex", ReplicaRequest::Forget { ballot: ballot(6) } },
+    forget = { "request-forget.hex", ReplicaRequest::Delete { term: term(6) } },
 )]
 fn given_a_replica_request_when_encoded_then_its_bytes_are_golden(name: &str, request: ReplicaRequest) {
     check_encoding(name, &request);
@@ -163,31 +168,31 @@
     promised = {
         "reply-promised.hex",
         ReplicaReply::Promised {
-            ballot: ballot(5),
-            accepted: ballot(4),
+            term: term(5),
+            accepted: term(4),
             length: 305,
-            from: 301,
+            start: 301,
             entries: entries(),
         },
     },
-    written = { "reply-written.hex", ReplicaReply::Written { ballot: ballot(5), length: 305 } },
+    written = { "reply-written.hex", ReplicaReply::Appended { term: term(5), length: 305 } },
     behind = {
         "reply-behind.hex",
-        ReplicaReply::Behind { ballot: ballot(5), accepted: ballot(2), length: 17 },
+        ReplicaReply::LogMismatch { term: term(5), accepted: term(2), length: 17 },
     },
-    rejected = { "reply-rejected.hex", ReplicaReply::Rejected { promised: ballot(7) } },
-    holds = { "reply-holds.hex", ReplicaReply::Holds { promised: ballot(7), length: 18 } },
-    forgotten = { "reply-forgotten.hex", ReplicaReply::Forgotten { ballot: ballot(6) } },
+    rejected = { "reply-rejected.hex", ReplicaReply::Rejected { promised: term(7) } },
+    holds = { "reply-holds.hex", ReplicaReply::Status { promised: term(7), length: 18 } },
+    forgotten = { "reply-forgotten.hex", ReplicaReply::Deleted { term: term(6) } },
 )]
 fn given_a_replica_reply_when_encoded_then_its_bytes_are_golden(name: &str, reply: ReplicaReply) {
     check_encoding(name, &reply);
 }
 
 #[parameterized(
-    unreadable = { "job-error-unreadable.hex", JobError::Unreadable("expected value".to_owned()) },
-    empty = { "job-error-empty.hex", JobError::Empty },
-    repeated = { "job-error-repeated.hex", JobError::Repeated("item-1".into()) },
-    bad_body = { "job-error-bad-body.hex", JobError::BadBody("item-2".into()) },
+    unreadable = { "job-error-unreadable.hex", JobError::Malformed("expected value".to_owned()) },
+    empty = { "job-error-empty.hex", JobError::NoItems },
+    repeated = { "job-error-repeated.hex", JobError::DuplicateItem("item-1".into()) },
+    bad_body = { "job-error-bad-body.hex", JobError::InvalidBody("item-2".into()) },
 )]
 fn given_a_job_error_when_encoded_then_its_bytes_are_golden(name: &str, error: JobError) {
     check_encoding(name, &error);
@@ -199,7 +204,7 @@
         step: Some(7),
         model: Some("model-a".into()),
         oldest_version: Some(6),
-        wanted: Some(1),
+        wanted_groups: Some(1),
         items: vec![Item {
             id: "item-1".into(),
             path: "/generate/x".to_owned(),
@@ -227,7 +232,7 @@
         group: None,
         reward: None,
     };
-    Job { step: None, model: None, oldest_version: None, wanted: None, items: vec![item] }
+    Job { step: None, model: None, oldest_version: None, wanted_groups: None, items: vec![item] }
 }
 
 #[parameterized(
--- a/crates/batch/tests/jobs.rs
+++ b/crates/batch/tests/jobs.rs
@@ -20,13 +20,13 @@
 fn given_only_the_needed_fields_when_parsed_then_it_is_taken() {
     let job = Job::parse(br#"{"parcels":[{"id":"a","lane":"/x/1"}]}"#).expect("the job is proper");
 
-    assert_eq!((job.step, job.wanted, job.oldest_version), (None, None, None));
+    assert_eq!((job.step, job.wanted_groups, job.oldest_version), (None, None, None));
 }
 
 #[parameterized(
-    no_items = { r#"{"parcels":[]}"#, JobError::Empty },
-    repeated = { r#"{"parcels":[{"id":"a","lane":"/"},{"id":"a","lane":"/"}]}"#, JobError::Repeated("a".into()) },
-    bad_body = { r#"{"parcels":[{"id":"a","lane":"/","payload":"?"}]}"#, JobError::BadBody("a".into()) },
+    no_items = { r#"{"parcels":[]}"#, JobError::NoItems },
+    repeated = { r#"{"parcels":[{"id":"a","lane":"/"},{"id":"a","lane":"/"}]}"#, JobError::DuplicateItem("a".into()) },
+    bad_body = { r#"{"parcels":[{"id":"a","lane":"/","payload":"?"}]}"#, JobError::InvalidBody("a".into()) },
 )]
 fn given_an_improper_job_when_parsed_then_the_error_tells_why(body: &str, error: JobError) {
     assert_eq!(Job::parse(body.as_bytes()), Err(error));
@@ -34,5 +34,5 @@
 
 #[parameterized(cut = { "{\"parcels\":[" }, other = { "[]" }, empty = { "" })]
 fn given_bytes_that_are_no_job_when_parsed_then_they_are_unreadable(body: &str) {
-    assert!(matches!(Job::parse(body.as_bytes()), Err(JobError::Unreadable(_))));
+    assert!(matches!(Job::parse(body.as_bytes()), Err(JobError::Malformed(_))));
 }
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use batch::{Item, ItemCandidate, ItemIndex, ItemPhase, Job, JobOrder, Outlook, Precedence, Urgency};
+use batch::{Item, ItemCandidate, ItemIndex, ItemPhase, Job, JobForecast, JobSchedule, Precedence, Urgency};
 use yare::parameterized;
 
 const START: Duration = Duration::ZERO;
@@ -27,13 +27,13 @@
 /// Groups of equal size, one after the other.
 fn job(groups: usize, items_each: usize, wanted: Option<u32>) -> Job {
     let items = (0..groups * items_each).map(|id| item(id, Some(id / items_each), 10)).collect();
-    Job { step: None, model: None, oldest_version: None, wanted, items }
+    Job { step: None, model: None, oldest_version: None, wanted_groups: wanted, items }
 }
 
 /// Starts items at `now` until none may start.
-fn start_all(order: &mut JobOrder, now: Duration) -> Vec<ItemCandidate> {
+fn start_all(order: &mut JobSchedule, now: Duration) -> Vec<ItemCandidate> {
     let mut started = Vec::new();
-    while let Some(candidate) = order.next(now) {
+    while let Some(candidate) = order.next_item(now) {
         order.set_phase(candidate.index, ItemPhase::Streaming);
         started.push(candidate);
     }
@@ -44,15 +44,15 @@
     candidates.iter().map(|candidate| candidate.index).collect()
 }
 
-fn list(order: &mut JobOrder, items: impl IntoIterator<Item = ItemIndex>) {
+fn list(order: &mut JobSchedule, items: impl IntoIterator<Item = ItemIndex>) {
     for index in items {
-        order.set_phase(index, ItemPhase::Listed);
+        order.set_phase(index, ItemPhase::Recorded);
     }
 }
 
 #[test]
 fn given_a_fresh_job_when_items_start_then_group_by_group_and_wanted_groups_first() {
-    let mut order = JobOrder::new(&job(4, 2, Some(3)));
+    let mut order = JobSchedule::new(&job(4, 2, Some(3)));
 
     let started = start_all(&mut order, START);
 
@@ -63,7 +63,7 @@
 
 #[test]
 fn given_no_wanted_number_when_items_start_then_all_groups_are_needed() {
-    let mut order = JobOrder::new(&job(3, 2, None));
+    let mut order = JobSchedule::new(&job(3, 2, None));
 
     assert!(start_all(&mut order, START).iter().all(|candidate| candidate.needed));
 }
@@ -72,7 +72,7 @@
 fn given_items_of_one_group_apart_when_they_start_then_together() {
     let mut job = job(2, 2, None);
     job.items = vec![item(0, Some(0), 1), item(1, Some(1), 1), item(2, Some(0), 1), item(3, Some(1), 1)];
-    let mut order = JobOrder::new(&job);
+    let mut order = JobSchedule::new(&job);
 
     assert_eq!(indices(&start_all(&mut order, START)), vec![0, 2, 1, 3]);
 }
@@ -81,48 +81,48 @@
 fn given_items_without_group_when_listed_then_each_is_a_whole_group() {
     let mut job = job(0, 0, Some(1));
     job.items = vec![item(0, None, 1), item(1, None, 1)];
-    let mut order = JobOrder::new(&job);
+    let mut order = JobSchedule::new(&job);
 
     list(&mut order, [1]);
 
     assert_eq!(order.complete_groups(), 1);
-    assert_eq!(order.next(START), Some(ItemCandidate { index: 0, needed: false }));
+    assert_eq!(order.next_item(START), Some(ItemCandidate { index: 0, needed: false }));
 }
 
 #[test]
 fn given_items_of_different_length_when_a_group_starts_then_longest_first() {
     let mut job = job(1, 3, None);
     job.items = vec![item(0, Some(0), 5), item(1, Some(0), 9), item(2, Some(0), 7)];
-    let mut order = JobOrder::new(&job);
+    let mut order = JobSchedule::new(&job);
 
     assert_eq!(indices(&start_all(&mut order, START)), vec![1, 2, 0]);
 }
 
 #[test]
 fn given_a_setback_in_a_begun_group_when_the_next_starts_then_it_precedes_fresh_groups() {
-    let mut order = JobOrder::new(&job(6, 2, None));
+    let mut order = JobSchedule::new(&job(6, 2, None));
     for index in 0..8 {
         order.set_phase(index, ItemPhase::Streaming);
     }
 
-    order.set_phase(7, ItemPhase::Waiting(START));
+    order.set_phase(7, ItemPhase::Pending(START));
 
-    assert_eq!(order.next(START), Some(ItemCandidate { index: 7, needed: true }));
+    assert_eq!(order.next_item(START), Some(ItemCandidate { index: 7, needed: true }));
 }
 
 #[test]
 fn given_two_begun_groups_when_the_next_starts_then_that_with_fewer_unfinished_items() {
-    let mut order = JobOrder::new(&job(4, 3, None));
+    let mut order = JobSchedule::new(&job(4, 3, None));
     list(&mut order, [6, 9, 10]);
 
     list(&mut order, 0..6);
 
-    assert_eq!(order.next(START).map(|candidate| candidate.index), Some(11));
+    assert_eq!(order.next_item(START).map(|candidate| candidate.index), Some(11));
 }
 
 #[test]
 fn given_groups_that_may_be_carried_when_others_are_nearer_to_whole_then_carried_come_first() {
-    let mut order = JobOrder::new(&job(6, 2, Some(4)));
+    let mut order = JobSchedule::new(&job(6, 2, Some(4)));
     list(&mut order, [4, 6, 8]);
 
     let started = start_all(&mut order, START);
@@ -132,7 +132,7 @@
 
 #[test]
 fn given_wanted_groups_are_whole_when_the_first_are_not_then_these_are_still_needed() {
-    let mut order = JobOrder::new(&job(6, 1, Some(2)));
+    let mut order = JobSchedule::new(&job(6, 1, Some(2)));
     list(&mut order, [2, 3]);
 
     let started = start_all(&mut order, START);
@@ -143,35 +143,35 @@
 
 #[test]
 fn given_a_pause_when_it_is_over_then_the_item_may_start() {
-    let mut order = JobOrder::new(&job(1, 1, None));
-    order.set_phase(0, ItemPhase::Waiting(seconds(2)));
+    let mut order = JobSchedule::new(&job(1, 1, None));
+    order.set_phase(0, ItemPhase::Pending(seconds(2)));
 
-    assert_eq!(order.next(seconds(1)), None);
+    assert_eq!(order.next_item(seconds(1)), None);
     assert_eq!(order.next_retry(seconds(1)), Some(seconds(2)));
-    assert_eq!(order.next(seconds(2)).map(|candidate| candidate.index), Some(0));
+    assert_eq!(order.next_item(seconds(2)).map(|candidate| candidate.index), Some(0));
     assert_eq!(order.next_retry(seconds(2)), None);
 }
 
 #[test]
 fn given_a_listed_item_when_it_is_put_back_then_it_stays_listed() {
-    let mut order = JobOrder::new(&job(1, 2, None));
+    let mut order = JobSchedule::new(&job(1, 2, None));
     list(&mut order, [0]);
 
-    order.set_phase(0, ItemPhase::Waiting(START));
+    order.set_phase(0, ItemPhase::Pending(START));
     list(&mut order, [0, 1]);
 
-    assert_eq!(order.phase(0), ItemPhase::Listed);
+    assert_eq!(order.phase(0), ItemPhase::Recorded);
     assert!(order.is_finished());
     assert_eq!(order.complete_groups(), 1);
 }
 
 #[test]
 fn given_streams_when_they_end_then_their_number_falls() {
-    let mut order = JobOrder::new(&job(1, 3, None));
+    let mut order = JobSchedule::new(&job(1, 3, None));
     start_all(&mut order, START);
 
     order.set_phase(0, ItemPhase::Grading);
-    order.set_phase(1, ItemPhase::Waiting(START));
+    order.set_phase(1, ItemPhase::Pending(START));
 
     assert_eq!(order.streaming(), 1);
 }
@@ -184,9 +184,9 @@
 )]
 fn given_an_item_when_ranked_then_by_need_and_due_time(needed: bool, due: u64, urgency: Urgency) {
     let item_finished = Duration::from_millis(9_500);
-    let outlook = Outlook { due: seconds(due), item_finished, ..Outlook::default() };
+    let forecast = JobForecast { due: seconds(due), item_finished, ..JobForecast::default() };
 
-    let precedence = Precedence::new(ItemCandidate { index: 0, needed }, outlook);
+    let precedence = Precedence::new(ItemCandidate { index: 0, needed }, forecast);
 
     assert_eq!(precedence.urgency, urgency);
 }
@@ -194,9 +194,9 @@
 #[test]
 fn given_items_of_several_jobs_when_ranked_then_in_time_then_due_then_fewer_streams() {
     let precedence = |needed, due, streaming| {
-        let outlook =
-            Outlook { due: seconds(due), streaming, item_finished: seconds(5), ..Outlook::default() };
-        Precedence::new(ItemCandidate { index: 0, needed }, outlook)
+        let forecast =
+            JobForecast { due: seconds(due), streaming, item_finished: seconds(5), ..JobForecast::default() };
+        Precedence::new(ItemCandidate { index: 0, needed }, forecast)
     };
 
     let mut ranked =
@@ -212,15 +212,15 @@
 
 #[test]
 fn given_jobs_with_time_enough_when_ranked_then_the_one_with_the_least_left_goes_first() {
-    let precedence = |due, needed_left, all_finished| {
-        let outlook = Outlook {
+    let precedence = |due, needed_remaining, all_finished| {
+        let forecast = JobForecast {
             due: seconds(due),
-            needed_left,
+            needed_remaining,
             item_finished: seconds(1),
             all_finished: seconds(all_finished),
-            ..Outlook::default()
+            ..JobForecast::default()
         };
-        Precedence::new(ItemCandidate { index: 0, needed: true }, outlook)
+        Precedence::new(ItemCandidate { index: 0, needed: true }, forecast)
     };
     let (short, long) = (precedence(12, 40, 3), precedence(8, 160, 6));
     let (late, later) = (precedence(5, 200, 6), precedence(7, 10, 8));
@@ -233,12 +233,12 @@
 
 #[test]
 fn given_a_job_when_groups_become_whole_then_only_the_groups_still_wanted_are_left() {
-    let mut order = JobOrder::new(&job(4, 3, Some(2)));
-    assert_eq!(order.needed_left(), 6);
+    let mut order = JobSchedule::new(&job(4, 3, Some(2)));
+    assert_eq!(order.needed_remaining(), 6);
 
-    (0..3).for_each(|item| order.set_phase(item, ItemPhase::Listed));
-    assert_eq!(order.needed_left(), 3);
+    (0..3).for_each(|item| order.set_phase(item, ItemPhase::Recorded));
+    assert_eq!(order.needed_remaining(), 3);
 
-    (3..6).for_each(|item| order.set_phase(item, ItemPhase::Listed));
-    assert_eq!(order.needed_left(), 0);
+    (3..6).for_each(|item| order.set_phase(item, ItemPhase::Recorded));
+    assert_eq!(order.needed_remaining(), 0);
 }
--- a/crates/batch/tests/world/mod.rs
+++ b/crates/batch/tests/world/mod.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use batch::{
-    Ballot, Entry, JobId, Ownership, OwnershipPhase, Record, Replica, ReplicaReply, ReplicaRequest,
-    ReplicaSet, StoreId, SubmittedJob,
+    Entry, JobId, Ownership, OwnershipPhase, OwnershipTerm, Record, ReplicaReply, ReplicaRequest, ReplicaSet,
+    Replicas, StoreId, SubmittedJob,
 };
 use bytes::Bytes;
 use fastrand::Rng;
@@ -22,25 +22,25 @@
 enum Message {
     Request {
         from: usize,
-        owner: Ballot,
+        owner: OwnershipTerm,
         to: StoreId,
         request: ReplicaRequest,
     },
     Reply {
         to: usize,
-        owner: Ballot,
+        owner: OwnershipTerm,
         from: StoreId,
         reply: ReplicaReply,
     },
     NoReply {
         to: usize,
-        owner: Ballot,
+        owner: OwnershipTerm,
         from: StoreId,
     },
-    /// A heartbeat that tells that all is committed under this ballot.
+    /// A heartbeat that tells that all is committed under this term.
     Settled {
         to: StoreId,
-        ballot: Ballot,
+        term: OwnershipTerm,
     },
 }
 
@@ -51,12 +51,12 @@
 
 struct Machine {
     id: StoreId,
-    replica: Replica,
+    replica: Replicas,
     disk: Vec<Record>,
     pending: Vec<PendingWrite>,
     owner: Option<Ownership>,
     settled: u64,
-    rejected: Ballot,
+    rejected: OwnershipTerm,
     view: View,
 }
 
@@ -79,12 +79,12 @@
     view: View,
     tolerated: usize,
     lost_disks: HashSet<StoreId>,
-    ballots: HashSet<Ballot>,
+    terms: HashSet<OwnershipTerm>,
     next_id: StoreId,
     next_entry: u64,
-    /// What owners could show: content by position, and how much under which ballot.
+    /// What owners could show: content by position, and how much under which term.
     shown: Vec<Arc<Entry>>,
-    shown_by: BTreeMap<Ballot, usize>,
+    shown_by: BTreeMap<OwnershipTerm, usize>,
     pub epochs_moved: usize,
 }
 
@@ -107,7 +107,7 @@
             view: View { epoch: 1, present, previous: Vec::new() },
             tolerated: (members - 1) / 2,
             lost_disks: HashSet::new(),
-            ballots: HashSet::new(),
+            terms: HashSet::new(),
             next_entry: 0,
             shown: Vec::new(),
             shown_by: BTreeMap::new(),
@@ -190,16 +190,16 @@
             return Ok(());
         }
         let log = machine.replica.log(&self.job);
-        let promised = log.map_or(Ballot::default(), |log| log.promised);
-        let highest = promised.max(machine.rejected).max(Ballot::floor(machine.replica.epoch()));
-        let Some(ballot) = Ballot::above(highest, machine.view.epoch, machine.id, nonce) else {
+        let promised = log.map_or(OwnershipTerm::default(), |log| log.promised);
+        let highest = promised.max(machine.rejected).max(OwnershipTerm::lowest_of(machine.replica.epoch()));
+        let Some(term) = OwnershipTerm::above(highest, machine.view.epoch, machine.id, nonce) else {
             return Ok(());
         };
         let copies =
             ReplicaSet { present: machine.view.present.clone(), previous: machine.view.previous.clone() };
-        machine.owner = Some(Ownership::claim(ballot, copies, log));
-        if !self.ballots.insert(ballot) {
-            return Err(Violation::SameBallot(ballot));
+        machine.owner = Some(Ownership::claim(term, copies, log));
+        if !self.terms.insert(term) {
+            return Err(Violation::SameBallot(term));
         }
         Ok(())
     }
@@ -218,9 +218,9 @@
 
     fn send_requests(&mut self, index: usize) {
         let Some(owner) = self.machines[index].owner.as_mut() else { return };
-        let ballot = owner.ballot();
-        for (to, request) in owner.requests(|_| true) {
-            self.network.push(Message::Request { from: index, owner: ballot, to, request });
+        let term = owner.term();
+        for (to, request) in owner.next_requests(|_| true) {
+            self.network.push(Message::Request { from: index, owner: term, to, request });
         }
     }
 
@@ -255,25 +255,25 @@
                 if let ReplicaReply::Rejected { promised } = &reply {
                     machine.rejected = machine.rejected.max(*promised);
                 }
-                if let Some(ownership) = machine.owner.as_mut().filter(|one| one.ballot() == owner) {
-                    ownership.reply(from, reply, Duration::ZERO);
+                if let Some(ownership) = machine.owner.as_mut().filter(|one| one.term() == owner) {
+                    ownership.handle_reply(from, reply, Duration::ZERO);
                 }
             }
             Message::NoReply { to, owner, from } => {
-                let ownership = self.machines[to].owner.as_mut().filter(|one| one.ballot() == owner);
+                let ownership = self.machines[to].owner.as_mut().filter(|one| one.term() == owner);
                 if let Some(ownership) = ownership {
-                    ownership.no_reply(from);
+                    ownership.handle_no_reply(from);
                 }
             }
-            Message::Settled { to, ballot } => {
+            Message::Settled { to, term } => {
                 if let Some(machine) = self.machines.iter_mut().find(|machine| machine.id == to) {
-                    machine.settled = machine.settled.max(ballot.epoch);
+                    machine.settled = machine.settled.max(term.epoch);
                 }
             }
         }
     }
 
-    fn deliver_request(&mut self, from: usize, owner: Ballot, to: StoreId, request: ReplicaRequest) {
+    fn deliver_request(&mut self, from: usize, owner: OwnershipTerm, to: StoreId, request: ReplicaRequest) {
         let fault = self.fault;
         let Some(machine) = self.machines.iter_mut().find(|machine| machine.id == to) else {
             self.network.push(Message::NoReply { to: from, owner, from: to });
@@ -309,10 +309,10 @@
         for write in machine.pending.drain(..).take(survives) {
             machine.disk.extend(write.records);
         }
-        machine.replica = Replica::recover(machine.disk.clone());
+        machine.replica = Replicas::recover(machine.disk.clone());
         machine.owner = None;
         machine.settled = 0;
-        machine.rejected = Ballot::default();
+        machine.rejected = OwnershipTerm::default();
     }
 
     fn lose_disk(&mut self, index: usize) {
@@ -339,7 +339,7 @@
             return;
         }
         for to in owner.replicas().present.clone() {
-            self.network.push(Message::Settled { to, ballot: owner.ballot() });
+            self.network.push(Message::Settled { to, term: owner.term() });
         }
     }
 
@@ -401,10 +401,10 @@
             else {
                 continue;
             };
-            let (ballot, committed) = (owner.ballot(), owner.committed());
-            let earlier = self.shown_by.range(..ballot).map(|(_, length)| *length).max().unwrap_or(0);
+            let (term, committed) = (owner.term(), owner.committed());
+            let earlier = self.shown_by.range(..term).map(|(_, length)| *length).max().unwrap_or(0);
             if committed.len() < earlier {
-                return Err(Violation::Lost { ballot, committed: committed.len(), expected: earlier });
+                return Err(Violation::Lost { term, committed: committed.len(), expected: earlier });
             }
             let pairs = committed.iter().zip(&self.shown);
             if let Some(position) = pairs.into_iter().position(|(one, other)| one != other) {
@@ -413,7 +413,7 @@
             if committed.len() > self.shown.len() {
                 self.shown = committed.to_vec();
             }
-            self.shown_by.insert(ballot, committed.len());
+            self.shown_by.insert(term, committed.len());
         }
         Ok(())
     }
@@ -423,12 +423,12 @@
     fn new(id: StoreId) -> Self {
         Self {
             id,
-            replica: Replica::default(),
+            replica: Replicas::default(),
             disk: Vec::new(),
             pending: Vec::new(),
             owner: None,
             settled: 0,
-            rejected: Ballot::default(),
+            rejected: OwnershipTerm::default(),
             view: View::default(),
         }
     }
@@ -457,7 +457,7 @@
                 Self::Reply { to: *to, owner: *owner, from: *from, reply: reply.clone() }
             }
             Self::NoReply { to, owner, from } => Self::NoReply { to: *to, owner: *owner, from: *from },
-            Self::Settled { to, ballot } => Self::Settled { to: *to, ballot: *ballot },
+            Self::Settled { to, term } => Self::Settled { to: *to, term: *term },
         }
     }
 }
--- a/crates/batch/tests/world/plan.rs
+++ b/crates/batch/tests/world/plan.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use batch::Ballot;
+use batch::OwnershipTerm;
 use fastrand::Rng;
 
 /// What is wrong with the stores on purpose.
@@ -23,19 +23,19 @@
     /// Two contents were committed at one position.
     Changed { position: usize },
     /// A later owner lacks what an earlier one has committed.
-    Lost { ballot: Ballot, committed: usize, expected: usize },
-    /// Two owners have one ballot.
-    SameBallot(Ballot),
+    Lost { term: OwnershipTerm, committed: usize, expected: usize },
+    /// Two owners have one term.
+    SameBallot(OwnershipTerm),
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Changed { position } => write!(f, "position {position} changed"),
-            Self::Lost { ballot, committed, expected } => {
-                write!(f, "the owner of {ballot:?} has {committed} of {expected} committed entries")
+            Self::Lost { term, committed, expected } => {
+                write!(f, "the owner of {term:?} has {committed} of {expected} committed entries")
             }
-            Self::SameBallot(ballot) => write!(f, "{ballot:?} was used twice"),
+            Self::SameBallot(term) => write!(f, "{term:?} was used twice"),
         }
     }
 }
--- a/crates/rushrudder/tests/golden.rs
+++ b/crates/rushrudder/tests/golden.rs
@@ -179,10 +179,10 @@
 
 #[parameterized(
     accepted = { "submit-accepted", SubmitAnswer::Accepted },
-    unreadable = { "submit-unreadable", SubmitAnswer::Invalid(JobError::Unreadable("the cause".into())) },
-    empty = { "submit-empty", SubmitAnswer::Invalid(JobError::Empty) },
-    repeated = { "submit-repeated-item", SubmitAnswer::Invalid(JobError::Repeated("item-1".into())) },
-    bad_body = { "submit-bad-body", SubmitAnswer::Invalid(JobError::BadBody("item-1".into())) },
+    unreadable = { "submit-unreadable", SubmitAnswer::Invalid(JobError::Malformed("the cause".into())) },
+    empty = { "submit-empty", SubmitAnswer::Invalid(JobError::NoItems) },
+    repeated = { "submit-repeated-item", SubmitAnswer::Invalid(JobError::DuplicateItem("item-1".into())) },
+    bad_body = { "submit-bad-body", SubmitAnswer::Invalid(JobError::InvalidBody("item-1".into())) },
     not_taken = { "submit-not-taken", SubmitAnswer::NotTaken },
     unsure = { "submit-unsure", SubmitAnswer::Unsure },
 )]
--- a/crates/store-plane/src/replication/answers.rs
+++ b/crates/store-plane/src/replication/answers.rs
@@ -143,7 +143,7 @@
                 Some(())
             }
             OwnershipPhase::Leading => Some(()),
-            OwnershipPhase::Claiming | OwnershipPhase::Lost(_) => None,
+            OwnershipPhase::Preparing | OwnershipPhase::Superseded(_) => None,
         });
         if proposed.await.is_none() {
             return self.owner_elsewhere(&id).map_or(SubmitReply::NotAccepted, SubmitReply::Elsewhere);
@@ -285,7 +285,7 @@
         let deadline = Instant::now() + QUERY_MOST;
         let mut without = Vec::new();
         while let Ok(Some((store, reply))) = timeout_at(deadline, replies.next()).await {
-            let Some(ReplicaReply::Holds { promised, length }) = reply.map(|reply| reply.reply) else {
+            let Some(ReplicaReply::Status { promised, length }) = reply.map(|reply| reply.reply) else {
                 continue;
             };
             if promised.epoch > view.control.stores.epoch {
--- a/crates/store-plane/src/replication/heartbeat.rs
+++ b/crates/store-plane/src/replication/heartbeat.rs
@@ -36,7 +36,7 @@
             for store in &owned.ownership.replicas().present {
                 let mark = OwnedMark {
                     job: Arc::clone(job),
-                    ballot: owned.ownership.ballot(),
+                    term: owned.ownership.term(),
                     length: owned.ownership.log().len(),
                     established: owned.ownership.is_established(),
                 };
@@ -63,12 +63,12 @@
         for (mark, reply) in beat.jobs.iter().zip(answer.marks) {
             let reply = match reply {
                 None => continue,
-                Some(MarkReply::Has) => ReplicaReply::Written { ballot: mark.ballot, length: mark.length },
+                Some(MarkReply::Has) => ReplicaReply::Appended { term: mark.term, length: mark.length },
                 Some(MarkReply::Other(reply)) => reply,
             };
-            self.with_ownership(&mark.job, mark.ballot, |shared, state| {
+            self.with_ownership(&mark.job, mark.term, |shared, state| {
                 if let Some(owned) = state.owned.get_mut(&mark.job) {
-                    owned.ownership.note(store, reply, shared.time(sent));
+                    owned.ownership.observe_reply(store, reply, shared.time(sent));
                 }
             });
         }
@@ -94,17 +94,17 @@
 
 impl State {
     fn answer_mark(&mut self, mark: &OwnedMark, now: Instant) -> Option<MarkReply> {
-        let reply = self.replica.check(&mark.job, mark.ballot, mark.length);
+        let reply = self.replica.check_append(&mark.job, mark.term, mark.length);
         if !matches!(reply, ReplicaReply::Rejected { .. }) {
             self.heard.insert(Arc::clone(&mark.job), now);
         }
         if mark.established {
-            self.settled.insert(Arc::clone(&mark.job), mark.ballot.epoch);
+            self.settled.insert(Arc::clone(&mark.job), mark.term.epoch);
         }
         if self.undurable.contains_key(&mark.job) || self.tainted.contains(&mark.job) {
             return None;
         }
-        let has_all = ReplicaReply::Written { ballot: mark.ballot, length: mark.length };
+        let has_all = ReplicaReply::Appended { term: mark.term, length: mark.length };
         Some(if reply == has_all { MarkReply::Has } else { MarkReply::Other(reply) })
     }
 }
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use batch::{Ballot, JobError, JobId, ReplicaReply, StoreId};
+use batch::{JobError, JobId, OwnershipTerm, ReplicaReply, StoreId};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
@@ -50,9 +50,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct OwnedMark {
     pub job: JobId,
-    pub ballot: Ballot,
+    pub term: OwnershipTerm,
     pub length: usize,
-    /// Everything that earlier owners may have shown is committed under this ballot.
+    /// Everything that earlier owners may have shown is committed under this term.
     pub established: bool,
 }
 
--- a/crates/store-plane/src/replication/owner.rs
+++ b/crates/store-plane/src/replication/owner.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use batch::{
-    Ballot, Entry, ItemResult, Job, JobId, Ownership, OwnershipPhase, ReplicaReply, ReplicaRequest,
+    Entry, ItemResult, Job, JobId, Ownership, OwnershipPhase, OwnershipTerm, ReplicaReply, ReplicaRequest,
     ReplicaSet, StoreId,
 };
 use state::View;
@@ -16,7 +16,7 @@
 use super::state::{contains, handed_in, has_end, is_of, results, Owned, State};
 use super::store::Shared;
 
-/// The owner in a ballot that only stands for an epoch.
+/// The owner in a term that only stands for an epoch.
 const NOBODY: StoreId = 0;
 /// How long a request to another store may take.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -60,12 +60,12 @@
         copies: ReplicaSet,
     ) -> Option<Ownership> {
         let log = state.replica.log(job);
-        let promised = log.map_or(Ballot::default(), |log| log.promised);
+        let promised = log.map_or(OwnershipTerm::default(), |log| log.promised);
         let rejected = state.rejected.get(job).copied().unwrap_or_default();
-        let highest = promised.max(rejected).max(Ballot::floor(state.replica.epoch()));
+        let highest = promised.max(rejected).max(OwnershipTerm::lowest_of(state.replica.epoch()));
         let epoch = view.control.stores.epoch;
-        let ballot = Ballot::above(highest, epoch, self.id(), fastrand::u64(..))?;
-        Some(Ownership::claim(ballot, copies, log))
+        let term = OwnershipTerm::above(highest, epoch, self.id(), fastrand::u64(..))?;
+        Some(Ownership::claim(term, copies, log))
     }
 
     /// Sends what is to be sent for a batch job that this store owns.
@@ -73,30 +73,36 @@
         let mut guard = self.lock();
         let state = &mut *guard;
         let Some(owned) = state.owned.get_mut(job) else { return };
-        let ballot = owned.ownership.ballot();
+        let term = owned.ownership.term();
         let unreachable = &state.unreachable;
-        let requests = owned.ownership.requests(|store| !unreachable.contains(&store));
+        let requests = owned.ownership.next_requests(|store| !unreachable.contains(&store));
         drop(guard);
         for (store, request) in requests {
             let (shared, job) = (Arc::clone(self), Arc::clone(job));
-            tokio::spawn(async move { shared.deliver(job, ballot, store, request).await });
+            tokio::spawn(async move { shared.deliver(job, term, store, request).await });
         }
     }
 
-    async fn deliver(self: Arc<Self>, job: JobId, ballot: Ballot, store: StoreId, request: ReplicaRequest) {
+    async fn deliver(
+        self: Arc<Self>,
+        job: JobId,
+        term: OwnershipTerm,
+        store: StoreId,
+        request: ReplicaRequest,
+    ) {
         let sent = Instant::now();
         let Some(reply) = self.ask(store, &job, request).await else {
-            self.note_no_reply(&job, ballot, store);
+            self.note_no_reply(&job, term, store);
             return;
         };
-        self.with_ownership(&job, ballot, |shared, state| {
+        self.with_ownership(&job, term, |shared, state| {
             // Counted from now, not from when it was asked: an age must never be more than the truth.
             let now = Instant::now();
             let known_since = now.checked_sub(Duration::from_millis(reply.age_ms)).unwrap_or(now);
             let first_seen = state.first_seen.entry(Arc::clone(&job)).or_insert(known_since);
             *first_seen = (*first_seen).min(known_since);
             if let Some(owned) = state.owned.get_mut(&job) {
-                owned.ownership.reply(store, reply.reply, shared.time(sent));
+                owned.ownership.handle_reply(store, reply.reply, shared.time(sent));
             }
         });
         self.drive(&job);
@@ -104,23 +110,23 @@
 
     /// The store may be asked again. Nobody is told of progress: who waits for it would ask again at once, and a store
     /// that is a member no more gives no reply without any time passing.
-    fn note_no_reply(&self, job: &JobId, ballot: Ballot, store: StoreId) {
+    fn note_no_reply(&self, job: &JobId, term: OwnershipTerm, store: StoreId) {
         let mut state = self.lock();
-        let owned = state.owned.get_mut(job).filter(|owned| owned.ownership.ballot() == ballot);
+        let owned = state.owned.get_mut(job).filter(|owned| owned.ownership.term() == term);
         if let Some(owned) = owned {
-            owned.ownership.no_reply(store);
+            owned.ownership.handle_no_reply(store);
         }
     }
 
-    /// Changes an ownership, if it is still that of `ballot`, and acts on what came of it.
+    /// Changes an ownership, if it is still that of `term`, and acts on what came of it.
     pub fn with_ownership(
         self: &Arc<Self>,
         job: &JobId,
-        ballot: Ballot,
+        term: OwnershipTerm,
         change: impl FnOnce(&Self, &mut State),
     ) {
         let mut state = self.lock();
-        if state.owned.get(job).is_none_or(|owned| owned.ownership.ballot() != ballot) {
+        if state.owned.get(job).is_none_or(|owned| owned.ownership.term() != term) {
             return;
         }
         change(self, &mut state);
@@ -130,7 +136,7 @@
     fn after_change(self: &Arc<Self>, state: &mut State, job: &JobId) {
         let Some(owned) = state.owned.get_mut(job) else { return };
         owned.progress.send_replace(());
-        if let OwnershipPhase::Lost(promised) = owned.ownership.phase() {
+        if let OwnershipPhase::Superseded(promised) = owned.ownership.phase() {
             if promised.owner == NOBODY {
                 // Others know a newer store set; this store claims anew as soon as it does.
                 return;
@@ -200,12 +206,12 @@
         let (reply, durable, age) = {
             let mut state = self.lock();
             let now = Instant::now();
-            let is_owner = matches!(request, ReplicaRequest::Claim { .. } | ReplicaRequest::Write { .. });
+            let is_owner = matches!(request, ReplicaRequest::Prepare { .. } | ReplicaRequest::Append { .. });
             let (reply, durable) = state.handle(job, request, now);
             if is_owner && !matches!(reply, ReplicaReply::Rejected { .. }) {
                 state.heard.insert(Arc::clone(job), now);
             }
-            if matches!(reply, ReplicaReply::Forgotten { .. }) {
+            if matches!(reply, ReplicaReply::Deleted { .. }) {
                 state.forget(job);
             }
             let age = state.first_seen.get(job).map_or(Duration::ZERO, |since| now - *since);
@@ -253,7 +259,7 @@
 }
 
 fn size_of_request(request: &ReplicaRequest) -> u32 {
-    let ReplicaRequest::Write { entries, .. } = request else { return 0 };
+    let ReplicaRequest::Append { entries, .. } = request else { return 0 };
     let sizes = entries.iter().map(|entry| match &**entry {
         Entry::Job(handed_in) => handed_in.body.len(),
         Entry::Result(result) => result.text.len(),
--- a/crates/store-plane/src/replication/state.rs
+++ b/crates/store-plane/src/replication/state.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use batch::{
-    Ballot, Entry, ItemResult, Job, JobId, Ownership, Record, Replica, ReplicaReply, ReplicaRequest, StoreId,
-    SubmittedJob,
+    Entry, ItemResult, Job, JobId, Ownership, OwnershipTerm, Record, ReplicaReply, ReplicaRequest, Replicas,
+    StoreId, SubmittedJob,
 };
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
@@ -28,7 +28,7 @@
 
 /// All that changes.
 pub(super) struct State {
-    pub replica: Replica,
+    pub replica: Replicas,
     /// The process is about to end: it owns nothing any more.
     pub is_leaving: bool,
     pub owned: BTreeMap<JobId, Owned>,
@@ -38,8 +38,8 @@
     pub first_seen: BTreeMap<JobId, Instant>,
     /// Epoch under which the owner of a batch job has committed its log.
     pub settled: BTreeMap<JobId, u64>,
-    /// The highest ballot that a claim was rejected for.
-    pub rejected: BTreeMap<JobId, Ballot>,
+    /// The highest term that a claim was rejected for.
+    pub rejected: BTreeMap<JobId, OwnershipTerm>,
     /// Batch jobs of which a record was lost: they are written whole the next time.
     pub tainted: BTreeSet<JobId>,
     /// Writes on their way to the disk, by batch job.
@@ -62,7 +62,7 @@
         writer: mpsc::UnboundedSender<WriteRequest>,
     ) -> Self {
         let mut state = Self {
-            replica: Replica::default(),
+            replica: Replicas::default(),
             is_leaving: false,
             owned: BTreeMap::new(),
             heard: BTreeMap::new(),
@@ -87,7 +87,7 @@
             state.note_positions(&records, position);
             all.extend(records);
         }
-        state.replica = Replica::recover(all);
+        state.replica = Replicas::recover(all);
         state
     }
 
@@ -96,9 +96,9 @@
         for record in records {
             match record {
                 Record::Epoch(epoch) => self.epoch = self.epoch.max((*epoch, position)),
-                Record::Forget { job } => drop(self.oldest.remove(job)),
+                Record::Delete { job } => drop(self.oldest.remove(job)),
                 Record::Snapshot { job, .. } => drop(self.oldest.insert(Arc::clone(job), position)),
-                Record::Promise { job, .. } | Record::Write { job, .. } => {
+                Record::Promise { job, .. } | Record::Append { job, .. } => {
                     self.oldest.entry(Arc::clone(job)).or_insert(position);
                 }
             }
@@ -152,7 +152,7 @@
     /// What is held of each batch job and who owns it, one line each.
     pub fn describe(&self) -> String {
         let logs = self.replica.logs().map(|(job, log)| {
-            let owned = self.owned.get(job).map(|owned| (owned.ownership.phase(), owned.ownership.ballot()));
+            let owned = self.owned.get(job).map(|owned| (owned.ownership.phase(), owned.ownership.term()));
             let (promised, accepted) = (log.promised, log.accepted);
             let settled = self.settled.get(job);
             let held = log.entries.len();
--- a/crates/store-plane/src/replication/tend.rs
+++ b/crates/store-plane/src/replication/tend.rs
@@ -81,7 +81,7 @@
         let outdated: Vec<JobId> = state
             .owned
             .iter()
-            .filter(|(_, owned)| owned.ownership.ballot().epoch < epoch)
+            .filter(|(_, owned)| owned.ownership.term().epoch < epoch)
             .map(|(job, _)| Arc::clone(job))
             .collect();
         for job in outdated {
@@ -104,11 +104,11 @@
             let since = now - owned.since;
             let lease_lost = !owned.ownership.holds_lease(self.time(now), LEASE_LOST);
             match owned.ownership.phase() {
-                OwnershipPhase::Claiming => since > CLAIM_MOST,
+                OwnershipPhase::Preparing => since > CLAIM_MOST,
                 OwnershipPhase::Leading => {
                     since > LEASE_LOST && (lease_lost || owned.ownership.log().is_empty())
                 }
-                OwnershipPhase::Lost(_) => lease_lost,
+                OwnershipPhase::Superseded(_) => lease_lost,
             }
         };
         let stale: Vec<JobId> =
@@ -198,17 +198,17 @@
     /// has committed it. A store that missed the move to the present store set hears of it in no other way, and would
     /// never count as moved again.
     fn dismiss(self: &Arc<Self>, job: &JobId, from: StoreId) -> bool {
-        let ballot = {
+        let term = {
             let state = self.lock();
             let Some(owned) = state.owned.get(job) else { return false };
             let is_kept_there = owned.ownership.replicas().present.contains(&from);
             if is_kept_there || !owned.ownership.is_established() || owned.ownership.committed().is_empty() {
                 return false;
             }
-            owned.ownership.ballot()
+            owned.ownership.term()
         };
         let (shared, job) = (Arc::clone(self), Arc::clone(job));
-        tokio::spawn(async move { shared.ask(from, &job, ReplicaRequest::Forget { ballot }).await });
+        tokio::spawn(async move { shared.ask(from, &job, ReplicaRequest::Delete { term }).await });
         true
     }
 
@@ -225,7 +225,7 @@
                 has_end(committed) && age > kept || listed_all && age > kept * KEPT_UNENDED
             });
             over.map(|(job, owned)| {
-                let forget = ReplicaRequest::Forget { ballot: owned.ownership.ballot() };
+                let forget = ReplicaRequest::Delete { term: owned.ownership.term() };
                 (Arc::clone(job), owned.ownership.replicas().present.clone(), forget)
             })
             .collect()
--- a/crates/store-plane/src/runner/job.rs
+++ b/crates/store-plane/src/runner/job.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use batch::{
-    Item, ItemCandidate, ItemCondition, ItemIndex, ItemPhase, ItemResult, Job, JobId, JobOrder, Outlook,
-    Precedence,
+    Item, ItemCandidate, ItemCondition, ItemIndex, ItemPhase, ItemResult, Job, JobForecast, JobId,
+    JobSchedule, Precedence,
 };
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
@@ -62,7 +62,7 @@
     pub(crate) id: JobId,
     pub(crate) job: Arc<Job>,
     pub(crate) address: JobAddress,
-    pub(crate) order: JobOrder,
+    pub(crate) order: JobSchedule,
     pub(crate) work: Vec<ItemWork>,
     /// The terms of its route when they were last looked up.
     pub(crate) terms: Option<RouteTerms>,
@@ -85,7 +85,7 @@
         let work = job.items.iter().map(|_| ItemWork::default()).collect();
         Self {
             id,
-            order: JobOrder::new(&job),
+            order: JobSchedule::new(&job),
             job,
             address,
             work,
@@ -102,7 +102,7 @@
         let ids: std::collections::HashSet<&str> = listed.iter().map(|result| &*result.id).collect();
         for (index, item) in self.job.items.iter().enumerate() {
             if ids.contains(&*item.id) {
-                self.order.set_phase(index, ItemPhase::Listed);
+                self.order.set_phase(index, ItemPhase::Recorded);
             }
         }
     }
@@ -139,22 +139,22 @@
         usual_run: Duration,
         places: usize,
     ) -> Option<(Precedence, ItemCandidate)> {
-        let candidate = self.order.next(now)?;
-        let needed_left = self.order.needed_left();
-        let rounds = needed_left as f64 / places.max(1) as f64;
-        let outlook = Outlook {
+        let candidate = self.order.next_item(now)?;
+        let needed_remaining = self.order.needed_remaining();
+        let rounds = needed_remaining as f64 / places.max(1) as f64;
+        let forecast = JobForecast {
             due: (self.taken_over + self.terms?.delivery_due).saturating_sub(self.age),
-            needed_left,
+            needed_remaining,
             streaming: self.order.streaming(),
             item_finished: now + usual_run,
             all_finished: now + usual_run.mul_f64(rounds + TAIL_RUNS),
         };
-        Some((Precedence::new(candidate, outlook), candidate))
+        Some((Precedence::new(candidate, forecast), candidate))
     }
 
     /// Puts an item back until `pause` has passed.
     pub(crate) fn wait(&mut self, index: ItemIndex, now: Duration, pause: Duration) {
-        self.order.set_phase(index, ItemPhase::Waiting(now + pause));
+        self.order.set_phase(index, ItemPhase::Pending(now + pause));
     }
 
     /// Lists a whole text.
@@ -185,7 +185,7 @@
     /// Gives up all items that are not listed.
     pub(crate) fn give_up_rest(&mut self) {
         for index in 0..self.work.len() {
-            if self.order.phase(index) != ItemPhase::Listed {
+            if self.order.phase(index) != ItemPhase::Recorded {
                 self.give_up(index);
             }
         }
@@ -193,7 +193,7 @@
 
     fn list(&mut self, index: ItemIndex, result: ItemResult) {
         self.work[index] = ItemWork::default();
-        self.order.set_phase(index, ItemPhase::Listed);
+        self.order.set_phase(index, ItemPhase::Recorded);
         // The receiver is gone only when the batch job is no longer ours; then nothing may be listed.
         let _ = self.results.send(result);
     }
--- a/crates/store-plane/src/runner/mod.rs
+++ b/crates/store-plane/src/runner/mod.rs
@@ -235,7 +235,7 @@
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let mut ungraded = Vec::new();
         for index in 0..job.work.len() {
-            let waits = matches!(job.order.phase(index), ItemPhase::Waiting(_));
+            let waits = matches!(job.order.phase(index), ItemPhase::Pending(_));
             let Some(kept) = self.kept.find(&job.address, job.item(index)).filter(|_| waits) else {
                 continue;
             };
@@ -276,7 +276,7 @@
         let open = || self.jobs.values().filter(|job| !job.order.is_finished());
         let retries = open().filter_map(|job| job.order.next_retry(now));
         let expiries = open().filter_map(ActiveJob::expiry);
-        let ready = open().any(|job| job.order.next(now).is_some()).then_some(now + ROOM_POLL);
+        let ready = open().any(|job| job.order.next_item(now).is_some()).then_some(now + ROOM_POLL);
         retries.chain(expiries).chain(ready).min()
     }
 }
--- a/crates/store-plane/tests/golden/messages.rs
+++ b/crates/store-plane/tests/golden/messages.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use batch::{
-    Ballot, Entry, ItemCondition, ItemResult, JobError, JobId, ReplicaReply, ReplicaRequest, StoreId,
+    Entry, ItemCondition, ItemResult, JobError, JobId, OwnershipTerm, ReplicaReply, ReplicaRequest, StoreId,
     SubmittedJob,
 };
 use bytes::Bytes;
@@ -47,8 +47,8 @@
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
-fn ballot(round: u64) -> Ballot {
-    Ballot { epoch: 300, round, owner: STORE, nonce: 0x1112_1314_1516_1718 }
+fn term(round: u64) -> OwnershipTerm {
+    OwnershipTerm { epoch: 300, number: round, owner: STORE, nonce: 0x1112_1314_1516_1718 }
 }
 
 fn entries() -> Vec<Arc<Entry>> {
@@ -83,10 +83,10 @@
 #[test]
 fn given_replica_requests_when_encoded_then_as_before() {
     let requests = [
-        ("claim", ReplicaRequest::Claim { ballot: ballot(5), accepted: ballot(4), length: 1000 }),
-        ("write", ReplicaRequest::Write { ballot: ballot(5), base: ballot(4), from: 2, entries: entries() }),
+        ("claim", ReplicaRequest::Prepare { term: term(5), accepted: term(4), length: 1000 }),
+        ("write", ReplicaRequest::Append { term: term(5), adopted: term(4), start: 2, entries: entries() }),
         ("query", ReplicaRequest::Query),
-        ("forget", ReplicaRequest::Forget { ballot: ballot(5) }),
+        ("forget", ReplicaRequest::Delete { term: term(5) }),
     ];
     for (name, request) in requests {
         check(&format!("replicate-{name}"), &call(request));
@@ -95,20 +95,15 @@
 
 #[test]
 fn given_replica_replies_when_encoded_then_as_before() {
-    let promised = ReplicaReply::Promised {
-        ballot: ballot(5),
-        accepted: ballot(4),
-        length: 6,
-        from: 2,
-        entries: entries(),
-    };
+    let promised =
+        ReplicaReply::Promised { term: term(5), accepted: term(4), length: 6, start: 2, entries: entries() };
     let replies = [
         ("promised", promised),
-        ("written", ReplicaReply::Written { ballot: ballot(5), length: 1000 }),
-        ("behind", ReplicaReply::Behind { ballot: ballot(5), accepted: ballot(4), length: 1000 }),
-        ("rejected", ReplicaReply::Rejected { promised: ballot(6) }),
-        ("holds", ReplicaReply::Holds { promised: ballot(6), length: 1000 }),
-        ("forgotten", ReplicaReply::Forgotten { ballot: ballot(5) }),
+        ("written", ReplicaReply::Appended { term: term(5), length: 1000 }),
+        ("behind", ReplicaReply::LogMismatch { term: term(5), accepted: term(4), length: 1000 }),
+        ("rejected", ReplicaReply::Rejected { promised: term(6) }),
+        ("holds", ReplicaReply::Status { promised: term(6), length: 1000 }),
+        ("forgotten", ReplicaReply::Deleted { term: term(5) }),
     ];
     for (name, reply) in replies {
         check(&format!("replicate-reply-{name}"), &ReplicateReply { reply, age_ms: 123_456 });
@@ -125,10 +120,10 @@
 #[test]
 fn given_heartbeats_when_encoded_then_as_before() {
     let mark =
-        |job: &str, established| OwnedMark { job: job.into(), ballot: ballot(5), length: 1000, established };
+        |job: &str, established| OwnedMark { job: job.into(), term: term(5), length: 1000, established };
     check("heartbeat", &Heartbeat { to: STORE, jobs: vec![mark("job-1", true), mark("job-2", false)] });
     check("heartbeat-empty", &Heartbeat { to: STORE, jobs: Vec::new() });
-    let rejected = MarkReply::Other(ReplicaReply::Rejected { promised: ballot(6) });
+    let rejected = MarkReply::Other(ReplicaReply::Rejected { promised: term(6) });
     check("heartbeat-reply", &HeartbeatReply { marks: vec![None, Some(MarkReply::Has), Some(rejected)] });
 }
 
@@ -147,10 +142,10 @@
 fn given_answers_to_submissions_when_encoded_then_as_before() {
     let replies = [
         ("accepted", SubmitReply::Accepted),
-        ("invalid-unreadable", SubmitReply::Invalid(JobError::Unreadable("expected value".to_owned()))),
-        ("invalid-empty", SubmitReply::Invalid(JobError::Empty)),
-        ("invalid-repeated", SubmitReply::Invalid(JobError::Repeated("item-1".into()))),
-        ("invalid-bad-body", SubmitReply::Invalid(JobError::BadBody("item-2".into()))),
+        ("invalid-unreadable", SubmitReply::Invalid(JobError::Malformed("expected value".to_owned()))),
+        ("invalid-empty", SubmitReply::Invalid(JobError::NoItems)),
+        ("invalid-repeated", SubmitReply::Invalid(JobError::DuplicateItem("item-1".into()))),
+        ("invalid-bad-body", SubmitReply::Invalid(JobError::InvalidBody("item-2".into()))),
         ("not-taken", SubmitReply::NotAccepted),
         ("unsure", SubmitReply::Unknown),
         ("elsewhere", SubmitReply::Elsewhere(STORE)),
