--- a/crates/control-plane/src/acceptor.rs
+++ b/crates/control-plane/src/acceptor.rs
@@ -5,8 +5,8 @@
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use register::{
-    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, Confirmation, Incarnation, Member,
-    ReplyOutcome, Verdict, Versioned,
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, AddressedRequest, Ballot, Confirmation,
+    ConfirmationStatus, Incarnation, Member, PendingReply, ReplyOutcome, Versioned,
 };
 use serde::{Deserialize, Serialize};
 use state::ControlState;
@@ -101,18 +101,18 @@
 
     async fn carry_out(
         &self,
-        act: impl FnOnce(&mut Acceptor<ControlState>) -> register::Handled<ControlState>,
+        act: impl FnOnce(&mut Acceptor<ControlState>) -> PendingReply<ControlState>,
     ) -> Option<AcceptorReply<ControlState>> {
         let (reply, state, write) = {
             let mut inner = self.lock();
-            let handled = act(&mut inner.acceptor);
-            if !handled.must_persist {
-                return Some(handled.reply);
+            let pending = act(&mut inner.acceptor);
+            if !pending.must_persist {
+                return Some(pending.reply);
             }
             let state = inner.acceptor.state().clone();
             let (record, whole) = inner.record(&state);
             // Queued under the lock, so that the disk sees the states in the order in which they came about.
-            (handled.reply, state, (self.journal.append(record), whole))
+            (pending.reply, state, (self.journal.append(record), whole))
         };
         let (append, whole) = write;
         match append.await {
@@ -202,13 +202,13 @@
     let (mut confirmation, requests) = Confirmation::start(known);
     let contacts = Arc::clone(proposer.contacts());
     let mut calls: FuturesUnordered<_> =
-        requests.into_iter().map(|(member, request)| ask(client.clone(), member, request)).collect();
-    let mut decided = Verdict::Wait;
+        requests.into_iter().map(|request| ask(client.clone(), request)).collect();
+    let mut status = ConfirmationStatus::Pending;
     while let Some((member, reply)) = calls.next().await {
         let Some(reply) = reply else { continue };
         note_contact(&contacts, &member, &reply);
-        decided = confirmation.on_reply(&member, reply);
-        if !matches!(decided, Verdict::Wait) {
+        status = confirmation.on_reply(&member, reply);
+        if !matches!(status, ConfirmationStatus::Pending) {
             break;
         }
     }
@@ -217,17 +217,17 @@
             reply.iter().for_each(|reply| note_contact(&contacts, &member, reply));
         }
     });
-    match decided {
-        Verdict::Wait => false,
-        Verdict::Confirmed => {
+    match status {
+        ConfirmationStatus::Pending => false,
+        ConfirmationStatus::Confirmed => {
             view.confirm(began);
             true
         }
-        Verdict::Newer(value) => {
+        ConfirmationStatus::Superseded(value) => {
             view.adopt_control(&value);
             false
         }
-        Verdict::Undecided(_) => proposer.settle().await,
+        ConfirmationStatus::Undecided(_) => proposer.settle().await,
     }
 }
 
@@ -240,8 +240,7 @@
 
 async fn ask(
     client: rpc::Client,
-    member: Member,
-    request: AcceptorRequest<ControlState>,
+    AddressedRequest { to: member, request }: AddressedRequest<ControlState>,
 ) -> (Member, Option<AcceptorReply<ControlState>>) {
     let reply = client.call(&member.address, paths::REGISTER, &request, CONFIRM_TIMEOUT).await;
     (member, reply.ok())
--- a/crates/control-plane/src/proposer.rs
+++ b/crates/control-plane/src/proposer.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use register::{AcceptorReply, AcceptorRequest, Ballot, Member, Proposal, ProposalStep, Versioned};
+use register::{AcceptorReply, AddressedRequest, Ballot, Member, Proposal, ProposalStep, Versioned};
 use state::ControlState;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -135,7 +135,7 @@
         let began = Instant::now();
         let mut wanted = None;
         let mut calls = FuturesUnordered::new();
-        calls.extend(requests.into_iter().map(|(member, request)| self.ask(member, request)));
+        calls.extend(requests.into_iter().map(|request| self.ask(request)));
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
             let Ok(Some((member, reply))) = tokio::time::timeout(left, calls.next()).await else {
@@ -145,8 +145,8 @@
             let Some(reply) = reply else { continue };
             match proposal.on_reply(&member, reply) {
                 ProposalStep::Wait => {}
-                ProposalStep::Send(more) => calls.extend(more.into_iter().map(|(m, r)| self.ask(m, r))),
-                ProposalStep::Read(current) => {
+                ProposalStep::Send(more) => calls.extend(more.into_iter().map(|request| self.ask(request))),
+                ProposalStep::Prepared(current) => {
                     let value = match decide(&current.value) {
                         Ok(value) => {
                             wanted = Some(value.clone());
@@ -163,13 +163,13 @@
                         }
                     };
                     let accept = proposal.propose(value);
-                    calls.extend(accept.into_iter().map(|(m, r)| self.ask(m, r)));
+                    calls.extend(accept.into_iter().map(|request| self.ask(request)));
                 }
                 ProposalStep::Committed(value) => {
                     self.view.adopt_control(&value);
                     self.view.confirm(began);
-                    let told = self.spread(proposal.announcements());
-                    if !value.previous.is_empty() {
+                    let told = self.spread(proposal.learn_requests());
+                    if !value.previous_acceptors.is_empty() {
                         wait_for_majority(told, &value.value.acceptors).await;
                     }
                     // The register settles a value that was read in doubt before it takes another.
@@ -194,12 +194,9 @@
 
     /// Tells all acceptors of a committed value. Those that miss it read it when they confirm. The receiver is given
     /// each acceptor that has noted it.
-    fn spread(
-        &self,
-        announcements: Vec<(Member, AcceptorRequest<ControlState>)>,
-    ) -> mpsc::UnboundedReceiver<Member> {
+    fn spread(&self, learn_requests: Vec<AddressedRequest<ControlState>>) -> mpsc::UnboundedReceiver<Member> {
         let (noted, told) = mpsc::unbounded_channel();
-        for (member, request) in announcements {
+        for AddressedRequest { to: member, request } in learn_requests {
             let (client, noted) = (self.client.clone(), noted.clone());
             tokio::spawn(async move {
                 let path = paths::REGISTER;
@@ -220,8 +217,7 @@
 
     async fn ask(
         &self,
-        member: Member,
-        request: AcceptorRequest<ControlState>,
+        AddressedRequest { to: member, request }: AddressedRequest<ControlState>,
     ) -> (Member, Option<AcceptorReply<ControlState>>) {
         let reply = self.client.call(&member.address, paths::REGISTER, &request, CALL_TIMEOUT).await;
         (member, reply.ok())
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -97,7 +97,7 @@
     Versioned {
         ballot: Ballot { round: 400, proposer: u64::MAX },
         value: Arc::new(control_state()),
-        previous: [member("a", 1), member("c", 3)].into(),
+        previous_acceptors: [member("a", 1), member("c", 3)].into(),
         predecessor: Ballot { round: 399, proposer: 17 },
     }
 }
--- a/crates/register/examples/embed.rs
+++ b/crates/register/examples/embed.rs
@@ -1,39 +1,37 @@
 //! The register without the daemons: three acceptors in one process, one change, one confirmation.
 //!
 //! A real program keeps each acceptor on its own machine. It writes [`Acceptor::state`] to a disk and syncs it before
-//! a reply with `must_persist` leaves, and it carries requests and replies over a network.
+//! a reply with `must_persist` is sent, and it carries requests and replies over a network.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 use register::{
-    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Ballot, BallotSource, Confirmation, Incarnation,
-    Member, Proposal, ProposalStep, RegisterValue, Verdict, Versioned,
+    Acceptor, AcceptorReply, AcceptorState, AddressedRequest, Ballot, BallotSource, Confirmation,
+    ConfirmationStatus, Incarnation, Member, Proposal, ProposalStep, RegisterValue, Versioned,
 };
 
 /// What the register holds. A value names its own acceptors.
 #[derive(Clone, Debug)]
-struct Settings {
+struct Document {
     acceptors: Vec<Member>,
     text: String,
 }
 
-impl RegisterValue for Settings {
-    fn members(&self) -> &[Member] {
+impl RegisterValue for Document {
+    fn acceptors(&self) -> &[Member] {
         &self.acceptors
     }
 }
 
-type Request = (Member, AcceptorRequest<Settings>);
-
-/// The acceptors, in place of a network and disks.
+/// The acceptors, with neither a network nor disks.
 struct Cluster {
-    acceptors: Vec<(Incarnation, Acceptor<Settings>)>,
+    acceptors: Vec<(Incarnation, Acceptor<Document>)>,
 }
 
 impl Cluster {
-    /// Acceptors on fresh disks that have taken the first value.
-    fn start(first: &Versioned<Settings>) -> Self {
+    /// Acceptors on fresh disks that have recorded the first value.
+    fn start(first: &Versioned<Document>) -> Self {
         let start = |member: &Member| {
             let mut acceptor = Acceptor::new(AcceptorState::empty(member.incarnation));
             acceptor.initialise(first.clone());
@@ -42,41 +40,42 @@
         Self { acceptors: first.value.acceptors.iter().map(start).collect() }
     }
 
-    /// Lets one acceptor answer; `None` if nobody has that disk.
-    fn call(&mut self, (member, request): Request) -> Option<AcceptorReply<Settings>> {
-        let found = self.acceptors.iter_mut().find(|(incarnation, _)| *incarnation == member.incarnation);
-        let handled = found?.1.handle(request);
-        if handled.must_persist {
-            // Here the state goes to the disk. Without a sync there is no reply.
+    /// Lets one acceptor handle a request; `None` if there is no disk of that incarnation.
+    fn call(&mut self, request: AddressedRequest<Document>) -> Option<AcceptorReply<Document>> {
+        let acceptor =
+            self.acceptors.iter_mut().find(|(incarnation, _)| *incarnation == request.to.incarnation);
+        let pending = acceptor?.1.handle(request.request);
+        if pending.must_persist {
+            // Write `Acceptor::state` to the disk and sync it here. If that fails, send no reply.
         }
-        Some(handled.reply)
+        Some(pending.reply)
     }
 }
 
-/// Changes the text, in two quorum rounds. `None` when a majority is missing or another proposer was first: start
-/// again under a higher ballot.
+/// Changes the text, in two quorum rounds. `None` if a majority is missing or another proposer has a higher ballot:
+/// retry under a new ballot.
 fn change(
     cluster: &mut Cluster,
     ballots: &mut BallotSource,
-    known: &Versioned<Settings>,
+    known: &Versioned<Document>,
     text: &str,
-) -> Option<Versioned<Settings>> {
+) -> Option<Versioned<Document>> {
     ballots.observe(known.ballot);
     let (mut proposal, requests) = Proposal::start(ballots.next_ballot(), known.clone());
     let mut requests = VecDeque::from(requests);
     while let Some(request) = requests.pop_front() {
-        let from = request.0.clone();
+        let from = request.to.clone();
         let Some(reply) = cluster.call(request) else { continue };
         match proposal.on_reply(&from, reply) {
             ProposalStep::Wait => {}
             ProposalStep::Send(more) => requests.extend(more),
-            ProposalStep::Read(current) => {
-                let next = Settings { text: text.to_owned(), ..Settings::clone(&current.value) };
+            ProposalStep::Prepared(current) => {
+                let next = Document { text: text.to_owned(), ..Document::clone(&current.value) };
                 requests.extend(proposal.propose(next));
             }
             ProposalStep::Committed(committed) => {
-                for announcement in proposal.announcements() {
-                    cluster.call(announcement);
+                for request in proposal.learn_requests() {
+                    cluster.call(request);
                 }
                 return Some(committed);
             }
@@ -89,13 +88,14 @@
     None
 }
 
-/// Whether a majority knows of nothing newer.
-fn is_newest(cluster: &mut Cluster, known: &Versioned<Settings>) -> bool {
+/// Whether a majority confirms that nothing newer is committed.
+fn is_newest(cluster: &mut Cluster, known: &Versioned<Document>) -> bool {
     let (mut confirmation, requests) = Confirmation::start(known.clone());
     requests.into_iter().any(|request| {
-        let from = request.0.clone();
+        let from = request.to.clone();
         let reply = cluster.call(request);
-        reply.is_some_and(|reply| matches!(confirmation.on_reply(&from, reply), Verdict::Confirmed))
+        reply
+            .is_some_and(|reply| matches!(confirmation.on_reply(&from, reply), ConfirmationStatus::Confirmed))
     })
 }
 
@@ -106,7 +106,7 @@
         address: format!("192.0.2.{number}:7660"),
     };
     let acceptors = (1..=3).map(member).collect();
-    let first = Settings { acceptors, text: "first".to_owned() };
+    let first = Document { acceptors, text: "first".to_owned() };
     let first = Versioned::new(Ballot { round: 1, proposer: 0 }, Arc::new(first));
 
     let mut cluster = Cluster::start(&first);
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -1,17 +1,19 @@
-//! The part that remembers promises and accepted values.
+//! The acceptor: records promises, accepted values and committed values.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, RegisterValue, ReplyOutcome, Versioned};
 
-/// What an acceptor must not forget.
+/// The durable state of an acceptor.
+///
+/// It is encoded by position (`bincode`) on disk: the fields keep their order and types.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorState<V> {
-    /// The incarnation of its disk.
+    /// Incarnation of the disk that holds this state.
     pub incarnation: Incarnation,
-    /// Nothing below this ballot is accepted any more.
+    /// The highest promised ballot: nothing below it is accepted. Never below the ballot of `accepted`.
     pub promised: Ballot,
-    /// The accepted value with the highest ballot.
+    /// The value that was accepted with the highest ballot. Never older than `committed`.
     pub accepted: Option<Versioned<V>>,
     /// The newest value known to be committed.
     pub committed: Option<Versioned<V>>,
@@ -24,57 +26,59 @@
     }
 }
 
-/// The result of a request.
+/// The reply to a request, and whether it has to wait for the disk.
 #[derive(Clone, Debug)]
-pub struct Handled<V> {
-    /// The answer to send.
+pub struct PendingReply<V> {
+    /// The reply to send.
     pub reply: AcceptorReply<V>,
-    /// Whether [`Acceptor::state`] must be durable before the answer is sent.
+    /// Whether [`Acceptor::state`] must be durable before the reply is sent.
     pub must_persist: bool,
 }
 
 /// An acceptor of the register.
 ///
-/// When the state could not be made durable, the reply must not be sent. The state in memory may stay ahead of
-/// the disk, because every promise and acceptance asks for the whole state to be durable, also a repeated one
-/// (the first may still be on its way to the disk).
+/// If its state cannot be made durable, the reply must not be sent. The state in memory may stay ahead of the disk:
+/// each promise and each acceptance requires that the whole state is durable, also a repeated one, since the write
+/// of the first may still be in flight.
 #[derive(Clone, Debug)]
 pub struct Acceptor<V> {
     state: AcceptorState<V>,
 }
 
 impl<V: RegisterValue> Acceptor<V> {
-    /// Continues from a state that was made durable.
+    /// Creates an acceptor that continues from a durable state.
     pub fn new(state: AcceptorState<V>) -> Self {
         Self { state }
     }
 
-    /// What must be made durable.
+    /// The state to make durable.
     pub fn state(&self) -> &AcceptorState<V> {
         &self.state
     }
 
-    /// Answers a request.
-    pub fn handle(&mut self, request: AcceptorRequest<V>) -> Handled<V> {
-        let (outcome, must_persist) = match request {
+    /// Handles a request.
+    pub fn handle(&mut self, request: AcceptorRequest<V>) -> PendingReply<V> {
+        match request {
             AcceptorRequest::Prepare(ballot) => self.prepare(ballot),
             AcceptorRequest::Accept(proposed) => self.accept(proposed),
-            AcceptorRequest::Learn(committed) => (ReplyOutcome::Learned, self.learn(committed)),
-            AcceptorRequest::Read => (self.current(), false),
-            AcceptorRequest::ReadNewer(known) => (self.newer_than(known), false),
-        };
-        self.handled(outcome, must_persist)
+            AcceptorRequest::Learn(committed) => {
+                let is_changed = self.learn(committed);
+                self.reply(ReplyOutcome::Learned, is_changed)
+            }
+            AcceptorRequest::Read => self.reply(self.current(), false),
+            AcceptorRequest::ReadNewer(known) => self.reply(self.newer_than(known), false),
+        }
     }
 
-    /// Takes the first value of the register, if this disk never promised, accepted or learned anything.
-    /// Answers [`Outcome::Learned`] when the value was taken, else [`Outcome::Current`].
-    pub fn initialise(&mut self, first: Versioned<V>) -> Handled<V> {
+    /// Records the first value of the register, if this disk never promised, accepted or learned anything.
+    ///
+    /// Replies [`ReplyOutcome::Learned`] if the value was recorded, else [`ReplyOutcome::Current`].
+    pub fn initialise(&mut self, first: Versioned<V>) -> PendingReply<V> {
         if !self.is_untouched() {
-            let outcome = self.current();
-            return self.handled(outcome, false);
+            return self.reply(self.current(), false);
         }
-        let changed = self.learn(first);
-        self.handled(ReplyOutcome::Learned, changed)
+        let is_changed = self.learn(first);
+        self.reply(ReplyOutcome::Learned, is_changed)
     }
 
     fn is_untouched(&self) -> bool {
@@ -82,29 +86,32 @@
         state.promised == Ballot::default() && state.accepted.is_none() && state.committed.is_none()
     }
 
-    fn handled(&self, outcome: ReplyOutcome<V>, must_persist: bool) -> Handled<V> {
-        Handled { reply: AcceptorReply { incarnation: self.state.incarnation, outcome }, must_persist }
+    fn reply(&self, outcome: ReplyOutcome<V>, must_persist: bool) -> PendingReply<V> {
+        let reply = AcceptorReply { incarnation: self.state.incarnation, outcome };
+        PendingReply { reply, must_persist }
     }
 
-    fn prepare(&mut self, ballot: Ballot) -> (ReplyOutcome<V>, bool) {
+    fn prepare(&mut self, ballot: Ballot) -> PendingReply<V> {
         if ballot < self.state.promised {
-            return (ReplyOutcome::Rejected(self.state.promised), false);
+            return self.reply(ReplyOutcome::Rejected(self.state.promised), false);
         }
         self.state.promised = ballot;
-        (ReplyOutcome::Promised(self.state.accepted.clone()), true)
+        self.reply(ReplyOutcome::Promised(self.state.accepted.clone()), true)
     }
 
-    fn accept(&mut self, proposed: Versioned<V>) -> (ReplyOutcome<V>, bool) {
+    fn accept(&mut self, proposed: Versioned<V>) -> PendingReply<V> {
         if proposed.ballot < self.state.promised {
-            return (ReplyOutcome::Rejected(self.state.promised), false);
+            return self.reply(ReplyOutcome::Rejected(self.state.promised), false);
         }
         self.state.promised = proposed.ballot;
         self.state.accepted = Some(proposed);
-        (ReplyOutcome::Accepted, true)
+        self.reply(ReplyOutcome::Accepted, true)
     }
 
-    /// Notes a committed value. It is also shown to proposers as accepted, unless a newer one is; this is not a
-    /// vote, for the value has its majorities already.
+    /// Records a committed value and returns whether the state has changed.
+    ///
+    /// The value also becomes the accepted one, unless a newer value was accepted. That is not a vote for it: the
+    /// value has its majorities already.
     fn learn(&mut self, committed: Versioned<V>) -> bool {
         if ballot_of(&self.state.committed) >= Some(committed.ballot) {
             return false;
@@ -127,10 +134,8 @@
     }
 
     fn current(&self) -> ReplyOutcome<V> {
-        ReplyOutcome::Current {
-            accepted: self.state.accepted.clone(),
-            committed: self.state.committed.clone(),
-        }
+        let AcceptorState { accepted, committed, .. } = &self.state;
+        ReplyOutcome::Current { accepted: accepted.clone(), committed: committed.clone() }
     }
 }
 
--- a/crates/register/src/confirmation.rs
+++ b/crates/register/src/confirmation.rs
@@ -1,47 +1,52 @@
-//! Checks that a known committed value is the newest (scrub and read repair).
+//! Checks with one round of reads that a known committed value is the newest (read repair).
 
 use std::collections::HashMap;
 
-use crate::members::majority;
+use crate::quorum::majority;
 use crate::{
-    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome, Versioned,
+    AcceptorReply, AcceptorRequest, AddressedRequest, Ballot, Incarnation, Member, RegisterValue,
+    ReplyOutcome, Versioned,
 };
 
-/// What is known after a reply.
+/// What a confirmation has found after a reply.
 #[derive(Clone, Debug)]
-pub enum Verdict<V> {
+pub enum ConfirmationStatus<V> {
     /// More replies are needed.
-    Wait,
-    /// Nothing newer had been committed when the confirmation started.
+    Pending,
+    /// Nothing newer was committed when the confirmation started.
     Confirmed,
-    /// A newer value is committed: take it, and confirm that one.
-    Newer(Versioned<V>),
-    /// A newer value was accepted somewhere, and may or may not be committed. If it stays so, a proposal that
-    /// changes nothing settles it.
+    /// This newer value is committed: adopt it, and confirm it in turn.
+    Superseded(Versioned<V>),
+    /// A majority has replied, and a value with this newer ballot was accepted somewhere. It may or may not be
+    /// committed. If that does not change, a [`Proposal`](crate::Proposal) that changes nothing decides it.
     Undecided(Ballot),
 }
 
-/// One round of reads at the acceptors of the newest value known to be committed.
+/// One round of reads at the acceptors of a known committed value.
 #[derive(Clone, Debug)]
 pub struct Confirmation<V> {
+    /// The value to confirm; it is committed.
     known: Versioned<V>,
-    shown: HashMap<Incarnation, Shown>,
+    /// The last reply of each acceptor of `known`.
+    replies: HashMap<Incarnation, AcceptorBallots>,
 }
 
-/// What one acceptor showed.
+/// The ballots of one acceptor's values.
 #[derive(Clone, Copy, Debug)]
-struct Shown {
+struct AcceptorBallots {
     accepted: Option<Ballot>,
     committed: Option<Ballot>,
 }
 
 impl<V: RegisterValue> Confirmation<V> {
-    /// Starts to confirm `known`, which must be committed.
-    pub fn start(known: Versioned<V>) -> (Self, Vec<(Member, AcceptorRequest<V>)>) {
+    /// Starts to confirm `known`, which must be committed, and returns the requests to send.
+    pub fn start(known: Versioned<V>) -> (Self, Vec<AddressedRequest<V>>) {
         let request = AcceptorRequest::ReadNewer(known.ballot);
-        let members = known.value.members().iter();
-        let requests = members.map(|member| (member.clone(), request.clone())).collect();
-        (Self { known, shown: HashMap::new() }, requests)
+        let acceptors = known.value.acceptors().iter();
+        let requests = acceptors
+            .map(|member| AddressedRequest { to: member.clone(), request: request.clone() })
+            .collect();
+        (Self { known, replies: HashMap::new() }, requests)
     }
 
     /// The value that is being confirmed.
@@ -49,56 +54,65 @@
         &self.known
     }
 
-    /// Takes a reply to a request of this confirmation.
-    pub fn on_reply(&mut self, from: &Member, reply: AcceptorReply<V>) -> Verdict<V> {
-        if from.incarnation != reply.incarnation || !self.is_member(reply.incarnation) {
-            return Verdict::Wait;
+    /// Handles the reply of `from` to a request of this confirmation.
+    ///
+    /// Replies of another disk at the address of `from`, and of machines that are no acceptors, do not count.
+    pub fn on_reply(&mut self, from: &Member, reply: AcceptorReply<V>) -> ConfirmationStatus<V> {
+        if from.incarnation != reply.incarnation || !self.is_acceptor(reply.incarnation) {
+            return ConfirmationStatus::Pending;
         }
-        let (shown, committed) = match reply.outcome {
+        let (ballots, committed) = match reply.outcome {
             ReplyOutcome::Current { accepted, committed } => {
-                let accepted = accepted.as_ref().map(|accepted| accepted.ballot);
-                let known = committed.as_ref().map(|committed| committed.ballot);
-                (Shown { accepted, committed: known }, committed)
+                let ballots = AcceptorBallots {
+                    accepted: accepted.map(|accepted| accepted.ballot),
+                    committed: committed.as_ref().map(|committed| committed.ballot),
+                };
+                (ballots, committed)
             }
-            ReplyOutcome::NothingNewer { accepted, committed } => (Shown { accepted, committed }, None),
-            _ => return Verdict::Wait,
+            ReplyOutcome::NothingNewer { accepted, committed } => {
+                (AcceptorBallots { accepted, committed }, None)
+            }
+            _ => return ConfirmationStatus::Pending,
         };
-        self.shown.insert(reply.incarnation, shown);
+        self.replies.insert(reply.incarnation, ballots);
         match committed {
-            Some(committed) if committed.ballot > self.known.ballot => Verdict::Newer(committed),
-            _ => self.judge(),
+            Some(committed) if committed.ballot > self.known.ballot => {
+                ConfirmationStatus::Superseded(committed)
+            }
+            _ => self.status(),
         }
     }
 
-    /// Acceptors that answered and don't know the committed value yet: they should be told.
-    pub fn lagging(&self) -> Vec<(Member, AcceptorRequest<V>)> {
-        let members = self.known.value.members().iter();
-        let lagging = members.filter(|member| {
-            let shown = self.shown.get(&member.incarnation);
-            shown.is_some_and(|shown| shown.committed < Some(self.known.ballot))
+    /// Requests that bring acceptors up to date which have replied and do not know the committed value yet.
+    pub fn catch_up_requests(&self) -> Vec<AddressedRequest<V>> {
+        let acceptors = self.known.value.acceptors().iter();
+        let lagging = acceptors.filter(|member| {
+            let reply = self.replies.get(&member.incarnation);
+            reply.is_some_and(|ballots| ballots.committed < Some(self.known.ballot))
         });
-        lagging.map(|member| (member.clone(), AcceptorRequest::Learn(self.known.clone()))).collect()
+        let learn = || AcceptorRequest::Learn(self.known.clone());
+        lagging.map(|member| AddressedRequest { to: member.clone(), request: learn() }).collect()
     }
 
-    fn is_member(&self, incarnation: Incarnation) -> bool {
-        self.known.value.members().iter().any(|member| member.incarnation == incarnation)
+    fn is_acceptor(&self, incarnation: Incarnation) -> bool {
+        self.known.value.acceptors().iter().any(|member| member.incarnation == incarnation)
     }
 
-    /// A successor would have been accepted by a majority that meets every majority of these acceptors. So a
-    /// majority without anything newer confirms, whatever the others show.
-    fn judge(&self) -> Verdict<V> {
-        let needed = majority(self.known.value.members().len());
+    /// A committed successor was accepted by a majority of these acceptors, which shares a member with each of their
+    /// majorities. So a majority that has accepted nothing newer confirms, whatever the others have accepted.
+    fn status(&self) -> ConfirmationStatus<V> {
+        let majority = majority(self.known.value.acceptors().len());
         let known = Some(self.known.ballot);
-        let without_newer = self.shown.values().filter(|shown| shown.accepted <= known).count();
-        if without_newer >= needed {
-            return Verdict::Confirmed;
+        let without_newer = self.replies.values().filter(|ballots| ballots.accepted <= known).count();
+        if without_newer >= majority {
+            return ConfirmationStatus::Confirmed;
         }
-        let newest = self.shown.values().filter_map(|shown| shown.accepted).max();
+        let newest = self.replies.values().filter_map(|ballots| ballots.accepted).max();
         match newest {
-            Some(newest) if self.shown.len() >= needed && newest > self.known.ballot => {
-                Verdict::Undecided(newest)
+            Some(newest) if self.replies.len() >= majority && newest > self.known.ballot => {
+                ConfirmationStatus::Undecided(newest)
             }
-            _ => Verdict::Wait,
+            _ => ConfirmationStatus::Pending,
         }
     }
 }
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -1,32 +1,49 @@
-//! A replicated compare-and-swap register without log or leader (CASPaxos).
-//!
-//! Pure state machines: an [`Acceptor`] answers requests and says when its state must be durable before the
-//! reply leaves; a [`Proposal`] drives one change in two quorum rounds; a [`Confirmation`] checks that a known
-//! committed value is the newest. None of them has I/O, clock or threads.
-//!
-//! # Why a change of the acceptors is safe
-//!
-//! The acceptors change only on top of a value that is known to be committed: one is added, removed, or replaced by
-//! another at a time. A value with other
-//! acceptors than its predecessor names those too ([`Versioned::previous`]), and is committed when a majority of
-//! both sets has accepted it. Who reads a value that is not known to be committed needs promises of both
-//! majorities, and proposes nothing but a value with the same two sets in its place; the set before is needed no more
-//! by who knows that the change is committed ([`Versioned::predecessor`]). So a majority of the acceptors
-//! of each committed value has accepted its successor; a proposer that starts from any committed value sees the
-//! successor, or something newer, and follows the chain to its end.
+//! A replicated compare-and-swap register without a log or a leader (CASPaxos).
+//!
+//! The crate holds the protocol only, as state machines without I/O, clocks or threads; the caller carries
+//! requests and replies over a network and makes the state of its acceptor durable:
+//!
+//! - an [`Acceptor`] handles requests, and says when its state must be durable before the reply is sent;
+//! - a [`Proposal`] makes one change in two quorum rounds, prepare and accept;
+//! - a [`Confirmation`] checks with one round of reads that a known committed value is the newest.
+//!
+//! `examples/embed.rs` connects them in one process. The control plane runs them over HTTP.
+//!
+//! The names are those of the paper: Denis Rystsov, "CASPaxos: Replicated State Machines without logs", 2018.
+//!
+//! # Why changing the acceptors is safe
+//!
+//! Each value names the acceptors that are responsible for it ([`RegisterValue::acceptors`]). The set of acceptors
+//! changes by at most one addition and one removal at a time ([`is_single_step`]), and only on top of a value that
+//! is known to be committed.
+//!
+//! - A value whose acceptors differ from those of its predecessor names the predecessor's acceptors too
+//!   ([`Versioned::previous_acceptors`]). It is committed when a majority of both sets has accepted it.
+//! - A proposer that reads a value which is not known to be committed needs promises from majorities of both sets,
+//!   and proposes nothing but a value with the same two sets in its place.
+//! - Once a proposer knows that the change is committed, it needs the earlier set no longer
+//!   ([`Versioned::predecessor`]).
+//!
+//! So the successor of a committed value was accepted by a majority of that value's acceptors. A proposer that
+//! starts from any committed value sees the successor, or something newer, and follows the chain to its end.
 
 mod acceptor;
-mod ballots;
+mod ballot;
 mod confirmation;
-mod members;
+mod member;
+mod messages;
 mod proposal;
-mod types;
+mod quorum;
+mod reconfiguration;
+mod value;
 
-pub use acceptor::{Acceptor, AcceptorState, Handled};
-pub use ballots::BallotSource;
-pub use confirmation::{Confirmation, Verdict};
-pub use members::{can_change, next_members, same_members, with_member, with_replaced, without_member};
+pub use acceptor::{Acceptor, AcceptorState, PendingReply};
+pub use ballot::{Ballot, BallotSource};
+pub use confirmation::{Confirmation, ConfirmationStatus};
+pub use member::{Incarnation, Member};
+pub use messages::{AcceptorReply, AcceptorRequest, AddressedRequest, ReplyOutcome};
 pub use proposal::{Proposal, ProposalStep};
-pub use types::{
-    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome, Versioned,
+pub use reconfiguration::{
+    is_single_step, next_step, same_members, with_member, with_member_replaced, without_member,
 };
+pub use value::{RegisterValue, Versioned};
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -1,71 +1,81 @@
-//! One change of the register, in two quorum rounds.
+//! The proposer's side of one change: a prepare round and an accept round.
 
 use std::collections::HashSet;
 use std::sync::Arc;
 
-use crate::members::{can_change, has_majority, is_blocked, same_members};
+use crate::quorum::{has_majority, is_majority_impossible};
+use crate::reconfiguration::{is_single_step, same_members};
 use crate::{
-    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome, Versioned,
+    AcceptorReply, AcceptorRequest, AddressedRequest, Ballot, Incarnation, Member, RegisterValue,
+    ReplyOutcome, Versioned,
 };
 
-/// Requests with the acceptors that they go to.
-type Requests<V> = Vec<(Member, AcceptorRequest<V>)>;
-
 /// What to do after a reply.
 #[derive(Clone, Debug)]
 pub enum ProposalStep<V> {
-    /// Nothing: more replies are needed, or this one came late.
+    /// Nothing: more replies are needed, or this one came too late to matter.
     Wait,
-    /// Send these requests too.
-    Send(Vec<(Member, AcceptorRequest<V>)>),
-    /// The promises are given; this is the current value. Go on with [`Proposal::propose`].
-    Read(Versioned<V>),
-    /// The value is committed. It is not the proposed one if [`Proposal::propose`] had to settle the value that
-    /// was read.
+    /// Send these requests as well.
+    Send(Vec<AddressedRequest<V>>),
+    /// The promises are complete, and this is the current value. Continue with [`Proposal::propose`].
+    Prepared(Versioned<V>),
+    /// This value is committed. It is not the proposed one if [`Proposal::propose`] had to propose the value that
+    /// was read once more.
     Committed(Versioned<V>),
-    /// Another proposer has this higher ballot. The value may yet be committed by a later proposal that reads it.
+    /// Another proposer uses this higher ballot. The value may still be committed by a later proposal that reads it.
     Preempted(Ballot),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Phase {
+enum ProposalPhase {
+    /// Collects promises.
     Preparing,
-    Read,
+    /// The promises are complete; the value to propose is awaited.
+    Prepared,
+    /// Collects acceptances.
     Accepting,
-    Done,
+    /// Committed, or preempted by a higher ballot.
+    Finished,
 }
 
 /// A proposal under one ballot.
 ///
-/// Only replies to this proposal's own requests may be handed in: a reply does not name its ballot.
+/// Pass in only replies to this proposal's own requests: a reply does not name the ballot that it answers.
 #[derive(Clone, Debug)]
 pub struct Proposal<V> {
     ballot: Ballot,
+    /// The committed value from which the proposal started.
     base: Versioned<V>,
+    /// The value with the highest ballot that was read so far, at first `base`. Never older than `base`.
     current: Versioned<V>,
+    /// The value that was sent to be accepted. `None` before the accept round, and after a preemption.
     proposed: Option<Versioned<V>>,
-    phase: Phase,
-    asked: Vec<Member>,
+    phase: ProposalPhase,
+    /// The acceptors that were sent a prepare request, each once.
+    prepared_at: Vec<Member>,
     promises: HashSet<Incarnation>,
     acceptances: HashSet<Incarnation>,
-    refusals: HashSet<Incarnation>,
+    /// Acceptors that promised a higher ballot to another proposer.
+    rejections: HashSet<Incarnation>,
 }
 
 impl<V: RegisterValue> Proposal<V> {
     /// Starts from `base`, which must be committed, under a ballot that was never used.
-    pub fn start(ballot: Ballot, base: Versioned<V>) -> (Self, Vec<(Member, AcceptorRequest<V>)>) {
+    ///
+    /// Returns the proposal and the prepare requests to send.
+    pub fn start(ballot: Ballot, base: Versioned<V>) -> (Self, Vec<AddressedRequest<V>>) {
         let mut proposal = Self {
             ballot,
             current: base.clone(),
             base,
             proposed: None,
-            phase: Phase::Preparing,
-            asked: Vec::new(),
+            phase: ProposalPhase::Preparing,
+            prepared_at: Vec::new(),
             promises: HashSet::new(),
             acceptances: HashSet::new(),
-            refusals: HashSet::new(),
+            rejections: HashSet::new(),
         };
-        let requests = proposal.prepare_current();
+        let requests = proposal.prepare_requests();
         (proposal, requests)
     }
 
@@ -74,13 +84,17 @@
         self.ballot
     }
 
-    /// Whether the value that was read is known to be committed. If not, the acceptors can't be changed by this
-    /// proposal; propose the value unchanged first, and start again from the outcome.
+    /// Whether the value that was read is known to be committed.
+    ///
+    /// If not, this proposal cannot change the acceptors: propose the value unchanged, and start again from the
+    /// committed result.
     pub fn is_known_committed(&self) -> bool {
         self.current.ballot == self.base.ballot
     }
 
-    /// Takes a reply to one of this proposal's requests.
+    /// Handles the reply of `from` to one of this proposal's requests.
+    ///
+    /// A reply of another disk at the address of `from` does not count.
     pub fn on_reply(&mut self, from: &Member, reply: AcceptorReply<V>) -> ProposalStep<V> {
         if from.incarnation != reply.incarnation {
             return ProposalStep::Wait;
@@ -88,76 +102,82 @@
         match reply.outcome {
             ReplyOutcome::Promised(accepted) => self.on_promise(reply.incarnation, accepted),
             ReplyOutcome::Accepted => self.on_acceptance(reply.incarnation),
-            ReplyOutcome::Rejected(ballot) => self.on_refusal(reply.incarnation, ballot),
+            ReplyOutcome::Rejected(ballot) => self.on_rejection(reply.incarnation, ballot),
             ReplyOutcome::Learned | ReplyOutcome::Current { .. } | ReplyOutcome::NothingNewer { .. } => {
                 ProposalStep::Wait
             }
         }
     }
 
-    /// Proposes a value in place of the one that was read. Nothing is sent unless the promises are given.
+    /// Proposes a value in place of the one that was read, and returns the accept requests to send.
     ///
-    /// A value with other acceptors is only proposed if the value that was read [is settled](Self::is_settled)
-    /// and [one step](can_change) leads to them; otherwise the value that was read is proposed again unchanged.
-    pub fn propose(&mut self, value: V) -> Vec<(Member, AcceptorRequest<V>)> {
-        if self.phase != Phase::Read {
+    /// Returns nothing unless the last step was [`ProposalStep::Prepared`]. A value with other acceptors is proposed
+    /// only if the value that was read [is known to be committed](Self::is_known_committed) and
+    /// [one step](is_single_step) leads to them; otherwise the value that was read is proposed again unchanged.
+    pub fn propose(&mut self, value: V) -> Vec<AddressedRequest<V>> {
+        if self.phase != ProposalPhase::Prepared {
             return Vec::new();
         }
         let value = if self.may_follow(&value) { Arc::new(value) } else { Arc::clone(&self.current.value) };
-        let (previous, predecessor) = self.previous_of(&value);
-        let proposed = Versioned { ballot: self.ballot, value, previous, predecessor };
-        self.phase = Phase::Accepting;
+        let (previous_acceptors, predecessor) = self.origin_of(&value);
+        let proposed = Versioned { ballot: self.ballot, value, previous_acceptors, predecessor };
+        self.phase = ProposalPhase::Accepting;
         self.proposed = Some(proposed.clone());
-        let members = union(&proposed.previous, proposed.value.members());
-        members.into_iter().map(|member| (member, AcceptorRequest::Accept(proposed.clone()))).collect()
+        requests_to_all(&proposed, AcceptorRequest::Accept)
     }
 
-    /// After [`Step::Committed`]: tells the old and the new acceptors.
-    pub fn announcements(&self) -> Vec<(Member, AcceptorRequest<V>)> {
-        let Some(committed) = self.proposed.as_ref().filter(|_| self.phase == Phase::Done) else {
-            return Vec::new();
-        };
-        let members = union(&committed.previous, committed.value.members());
-        members.into_iter().map(|member| (member, AcceptorRequest::Learn(committed.clone()))).collect()
+    /// After [`ProposalStep::Committed`]: requests that let the previous and the new acceptors learn the value.
+    pub fn learn_requests(&self) -> Vec<AddressedRequest<V>> {
+        match &self.proposed {
+            Some(committed) if self.phase == ProposalPhase::Finished => {
+                requests_to_all(committed, AcceptorRequest::Learn)
+            }
+            _ => Vec::new(),
+        }
     }
 
     fn may_follow(&self, value: &V) -> bool {
-        let current = self.current.value.members();
-        same_members(current, value.members())
-            || (self.is_known_committed() && can_change(current, value.members()))
-    }
-
-    /// The acceptors of the committed value that the proposed one comes from, if others than its own, and the ballot
-    /// of that value. A value that is not settled comes from the same one as what is proposed in its place.
-    fn previous_of(&self, value: &V) -> (Arc<[Member]>, Ballot) {
-        let current = self.current.value.members();
-        if !self.is_known_committed() && self.needs_previous() {
-            (Arc::clone(&self.current.previous), self.current.predecessor)
-        } else if same_members(current, value.members()) {
+        let current = self.current.value.acceptors();
+        same_members(current, value.acceptors())
+            || (self.is_known_committed() && is_single_step(current, value.acceptors()))
+    }
+
+    /// The acceptors of the committed value that `value` is made from, if they differ from its own, and the ballot of
+    /// that committed value.
+    ///
+    /// A value that takes the place of one that is not known to be committed has the same origin as that one.
+    fn origin_of(&self, value: &V) -> (Arc<[Member]>, Ballot) {
+        let current = self.current.value.acceptors();
+        if self.depends_on_previous_acceptors() {
+            (Arc::clone(&self.current.previous_acceptors), self.current.predecessor)
+        } else if same_members(current, value.acceptors()) {
             (Arc::default(), Ballot::default())
         } else {
             (current.into(), self.current.ballot)
         }
     }
 
-    /// Whether the value that was read may come from a change of the acceptors that is not committed yet.
+    /// Whether the value that was read may stem from a change of the acceptors that is not committed yet.
     ///
-    /// It does not if the base is newer than the committed value from which the acceptors were changed: the base then
+    /// It does not if the base is newer than the committed value from which the acceptors were changed: then the base
     /// is that change or comes after it, and has the same acceptors as the value that was read.
-    fn needs_previous(&self) -> bool {
-        self.current.predecessor >= self.base.ballot
+    fn depends_on_previous_acceptors(&self) -> bool {
+        !self.is_known_committed() && self.current.predecessor >= self.base.ballot
     }
 
     fn on_promise(&mut self, from: Incarnation, accepted: Option<Versioned<V>>) -> ProposalStep<V> {
-        if self.phase != Phase::Preparing {
+        if self.phase != ProposalPhase::Preparing {
             return ProposalStep::Wait;
         }
         self.promises.insert(from);
-        let newer = accepted.filter(|accepted| accepted.ballot > self.current.ballot);
-        let requests = newer.map(|newer| self.follow(newer)).unwrap_or_default();
-        if self.is_promised() {
-            self.phase = Phase::Read;
-            return ProposalStep::Read(self.current.clone());
+        let mut requests = Vec::new();
+        if let Some(newer) = accepted.filter(|accepted| accepted.ballot > self.current.ballot) {
+            self.current = newer;
+            requests = self.prepare_requests();
+        }
+        if self.has_all_promises() {
+            self.phase = ProposalPhase::Prepared;
+            return ProposalStep::Prepared(self.current.clone());
         }
         if requests.is_empty() {
             ProposalStep::Wait
@@ -166,77 +186,91 @@
         }
     }
 
-    fn is_promised(&self) -> bool {
-        let is_current_promised = if self.is_known_committed() || !self.needs_previous() {
-            has_majority(self.current.value.members(), &self.promises)
+    /// Whether majorities of all sets of acceptors have promised that may be responsible for the current value.
+    fn has_all_promises(&self) -> bool {
+        let has_current = if self.depends_on_previous_acceptors() {
+            has_both_majorities(&self.current, &self.promises)
         } else {
-            has_majorities(&self.current, &self.promises)
+            has_majority(self.current.value.acceptors(), &self.promises)
         };
-        is_current_promised && has_majority(self.base.value.members(), &self.promises)
-    }
-
-    fn follow(&mut self, newer: Versioned<V>) -> Requests<V> {
-        self.current = newer;
-        self.prepare_current()
+        has_current && has_majority(self.base.value.acceptors(), &self.promises)
     }
 
-    fn prepare_current(&mut self) -> Requests<V> {
+    /// Prepare requests to the acceptors of the current value that were not sent one yet.
+    fn prepare_requests(&mut self) -> Vec<AddressedRequest<V>> {
+        let depends_on_previous = self.depends_on_previous_acceptors();
+        let previous: &[Member] = if depends_on_previous { &self.current.previous_acceptors } else { &[] };
         let mut requests = Vec::new();
-        let is_alone = self.is_known_committed() || !self.needs_previous();
-        let previous: &[Member] = if is_alone { &[] } else { &self.current.previous };
-        for member in union(self.current.value.members(), previous) {
-            let is_asked = self.asked.iter().any(|asked| asked.incarnation == member.incarnation);
-            if !is_asked {
-                self.asked.push(member.clone());
-                requests.push((member, AcceptorRequest::Prepare(self.ballot)));
+        for member in union(self.current.value.acceptors(), previous) {
+            let is_sent = self.prepared_at.iter().any(|sent| sent.incarnation == member.incarnation);
+            if !is_sent {
+                self.prepared_at.push(member.clone());
+                requests
+                    .push(AddressedRequest { to: member, request: AcceptorRequest::Prepare(self.ballot) });
             }
         }
         requests
     }
 
     fn on_acceptance(&mut self, from: Incarnation) -> ProposalStep<V> {
-        if self.phase != Phase::Accepting {
+        if self.phase != ProposalPhase::Accepting {
             return ProposalStep::Wait;
         }
         self.acceptances.insert(from);
         match &self.proposed {
-            Some(proposed) if has_majorities(proposed, &self.acceptances) => {
-                self.phase = Phase::Done;
+            Some(proposed) if has_both_majorities(proposed, &self.acceptances) => {
+                self.phase = ProposalPhase::Finished;
                 ProposalStep::Committed(proposed.clone())
             }
             _ => ProposalStep::Wait,
         }
     }
 
-    fn on_refusal(&mut self, from: Incarnation, ballot: Ballot) -> ProposalStep<V> {
-        if ballot <= self.ballot {
+    fn on_rejection(&mut self, from: Incarnation, promised: Ballot) -> ProposalStep<V> {
+        if promised <= self.ballot {
             return ProposalStep::Wait;
         }
-        self.refusals.insert(from);
-        let is_lost = match (&self.phase, &self.proposed) {
-            (Phase::Preparing, _) => true,
-            (Phase::Accepting, Some(proposed)) => {
-                (!proposed.previous.is_empty() && is_blocked(&proposed.previous, &self.refusals))
-                    || is_blocked(proposed.value.members(), &self.refusals)
-            }
-            _ => false,
-        };
-        if !is_lost {
+        self.rejections.insert(from);
+        if !self.is_preempted() {
             return ProposalStep::Wait;
         }
-        self.phase = Phase::Done;
+        self.phase = ProposalPhase::Finished;
         self.proposed = None;
-        ProposalStep::Preempted(ballot)
+        ProposalStep::Preempted(promised)
     }
+
+    /// Whether the rejections leave no way to go on. A proposal that prepares gives up at the first one, since
+    /// nothing is lost by a higher ballot; one whose value was sent goes on as long as it can be committed.
+    fn is_preempted(&self) -> bool {
+        match (self.phase, &self.proposed) {
+            (ProposalPhase::Preparing, _) => true,
+            (ProposalPhase::Accepting, Some(proposed)) => {
+                let previous = &proposed.previous_acceptors;
+                (!previous.is_empty() && is_majority_impossible(previous, &self.rejections))
+                    || is_majority_impossible(proposed.value.acceptors(), &self.rejections)
+            }
+            _ => false,
+        }
+    }
+}
+
+/// Whether a majority of the value's acceptors is among the votes, and of its previous acceptors, if any.
+fn has_both_majorities<V: RegisterValue>(versioned: &Versioned<V>, votes: &HashSet<Incarnation>) -> bool {
+    let previous = &versioned.previous_acceptors;
+    let has_previous = previous.is_empty() || has_majority(previous, votes);
+    has_previous && has_majority(versioned.value.acceptors(), votes)
 }
 
-/// Whether the votes hold a majority of the value's acceptors, and of those that it was handed over from.
-fn has_majorities<V: RegisterValue>(versioned: &Versioned<V>, votes: &HashSet<Incarnation>) -> bool {
-    let is_handed_over = versioned.previous.is_empty() || has_majority(&versioned.previous, votes);
-    is_handed_over && has_majority(versioned.value.members(), votes)
+/// One request about a value to each of its previous and its own acceptors.
+fn requests_to_all<V: RegisterValue>(
+    versioned: &Versioned<V>,
+    request: impl Fn(Versioned<V>) -> AcceptorRequest<V>,
+) -> Vec<AddressedRequest<V>> {
+    let members = union(&versioned.previous_acceptors, versioned.value.acceptors());
+    members.into_iter().map(|to| AddressedRequest { to, request: request(versioned.clone()) }).collect()
 }
 
-/// The members of both sets, each disk once.
+/// The members of both sets, each incarnation once.
 fn union(left: &[Member], right: &[Member]) -> Vec<Member> {
     let mut members = left.to_vec();
     for member in right {
--- a/crates/register/tests/acceptor.rs
+++ b/crates/register/tests/acceptor.rs
@@ -1,9 +1,11 @@
-//! What an acceptor promises, accepts and learns.
+//! What an acceptor promises, accepts and learns, and what must be durable before it replies.
 
 mod common;
 
 use common::{ballot, members, versioned, History};
-use register::{Acceptor, AcceptorRequest, AcceptorState, Handled, Incarnation, ReplyOutcome, Versioned};
+use register::{
+    Acceptor, AcceptorRequest, AcceptorState, Incarnation, PendingReply, ReplyOutcome, Versioned,
+};
 use yare::parameterized;
 
 fn empty() -> Acceptor<History> {
@@ -18,9 +20,9 @@
     versioned.as_ref().map(|versioned| versioned.ballot.round)
 }
 
-fn is_rejected(handled: &Handled<History>, round: u64) -> bool {
-    matches!(handled.reply.outcome, ReplyOutcome::Rejected(by) if by == ballot(round))
-        && !handled.must_persist
+fn is_rejected(pending: &PendingReply<History>, round: u64) -> bool {
+    matches!(pending.reply.outcome, ReplyOutcome::Rejected(by) if by == ballot(round))
+        && !pending.must_persist
 }
 
 #[test]
@@ -34,17 +36,19 @@
 }
 
 #[test]
-fn given_an_accepted_value_when_prepared_then_it_is_shown() {
+fn given_an_accepted_value_when_prepared_then_it_is_returned() {
     let mut acceptor = empty();
     let accepted = acceptor.handle(AcceptorRequest::Accept(value(3)));
     assert!(matches!(accepted.reply.outcome, ReplyOutcome::Accepted) && accepted.must_persist);
     let promise = acceptor.handle(AcceptorRequest::Prepare(ballot(4)));
-    assert!(matches!(promise.reply.outcome, ReplyOutcome::Promised(shown) if round_of(&shown) == Some(3)));
+    assert!(
+        matches!(promise.reply.outcome, ReplyOutcome::Promised(accepted) if round_of(&accepted) == Some(3))
+    );
     assert!(is_rejected(&acceptor.handle(AcceptorRequest::Accept(value(3))), 4));
 }
 
 #[test]
-fn given_a_request_that_is_still_on_its_way_to_the_disk_when_repeated_then_it_must_be_durable_too() {
+fn given_a_request_whose_write_is_in_flight_when_repeated_then_it_must_be_durable_too() {
     let mut acceptor = empty();
     for _ in 0..2 {
         assert!(acceptor.handle(AcceptorRequest::Prepare(ballot(5))).must_persist);
@@ -65,7 +69,7 @@
     accepted: Option<u64>,
     promised: u64,
     learned: u64,
-    shown: Option<u64>,
+    accepted_after: Option<u64>,
     promised_after: u64,
 ) {
     let mut acceptor = empty();
@@ -73,9 +77,9 @@
         acceptor.handle(AcceptorRequest::Accept(value(round)));
     }
     acceptor.handle(AcceptorRequest::Prepare(ballot(promised)));
-    let handled = acceptor.handle(AcceptorRequest::Learn(value(learned)));
-    assert!(matches!(handled.reply.outcome, ReplyOutcome::Learned) && handled.must_persist);
-    assert_eq!(round_of(&acceptor.state().accepted), shown);
+    let pending = acceptor.handle(AcceptorRequest::Learn(value(learned)));
+    assert!(matches!(pending.reply.outcome, ReplyOutcome::Learned) && pending.must_persist);
+    assert_eq!(round_of(&acceptor.state().accepted), accepted_after);
     assert_eq!(round_of(&acceptor.state().committed), Some(learned));
     assert_eq!(acceptor.state().promised, ballot(promised_after));
     let again = acceptor.handle(AcceptorRequest::Learn(value(learned - 1)));
@@ -90,22 +94,22 @@
     learned = { Some(AcceptorRequest::Learn(value(1))), false },
     only_read = { Some(AcceptorRequest::Read), true },
 )]
-fn given_an_acceptor_when_initialised_then_only_an_untouched_one_takes_the_value(
+fn given_an_acceptor_when_initialised_then_only_an_untouched_one_records_the_value(
     before: Option<AcceptorRequest<History>>,
-    takes: bool,
+    records: bool,
 ) {
     let mut acceptor = empty();
     before.into_iter().for_each(|request| {
         acceptor.handle(request);
     });
-    let handled = acceptor.initialise(value(0));
-    assert_eq!(matches!(handled.reply.outcome, ReplyOutcome::Learned), takes);
-    assert_eq!(handled.must_persist, takes);
+    let pending = acceptor.initialise(value(0));
+    assert_eq!(matches!(pending.reply.outcome, ReplyOutcome::Learned), records);
+    assert_eq!(pending.must_persist, records);
     assert!(!acceptor.initialise(value(0)).must_persist);
 }
 
 #[test]
-fn given_a_durable_state_when_continued_then_nothing_is_forgotten() {
+fn given_a_durable_state_when_restarted_then_nothing_is_forgotten() {
     let mut acceptor = empty();
     acceptor.handle(AcceptorRequest::Accept(value(3)));
     acceptor.handle(AcceptorRequest::Prepare(ballot(8)));
@@ -127,9 +131,9 @@
     let mut acceptor = empty();
     acceptor.handle(AcceptorRequest::Learn(value(2)));
     acceptor.handle(AcceptorRequest::Accept(value(3)));
-    let handled = acceptor.handle(AcceptorRequest::ReadNewer(ballot(known)));
-    assert!(!handled.must_persist);
-    match handled.reply.outcome {
+    let pending = acceptor.handle(AcceptorRequest::ReadNewer(ballot(known)));
+    assert!(!pending.must_persist);
+    match pending.reply.outcome {
         ReplyOutcome::Current { accepted, committed } => {
             assert!(sends);
             assert_eq!((round_of(&accepted), round_of(&committed)), (Some(3), Some(2)));
--- a/crates/register/tests/common/mod.rs
+++ b/crates/register/tests/common/mod.rs
@@ -2,26 +2,27 @@
 #![allow(dead_code, reason = "each test program uses some of the helpers")]
 
 pub mod oracle;
-pub mod world;
+pub mod simulation;
 
 use std::sync::Arc;
 
 use register::{
-    AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome, Versioned,
+    AcceptorReply, AcceptorRequest, AddressedRequest, Ballot, Incarnation, Member, RegisterValue,
+    ReplyOutcome, Versioned,
 };
 
-/// A value that remembers all changes that led to it.
+/// A value that records all changes that led to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
     /// The changes, oldest first.
     pub changes: Vec<u32>,
     /// The acceptors.
-    pub members: Vec<Member>,
+    pub acceptors: Vec<Member>,
 }
 
 impl RegisterValue for History {
-    fn members(&self) -> &[Member] {
-        &self.members
+    fn acceptors(&self) -> &[Member] {
+        &self.acceptors
     }
 }
 
@@ -34,8 +35,8 @@
     }
 
     /// The value with one more change, and other acceptors.
-    pub fn with_members(&self, change: u32, members: Vec<Member>) -> Self {
-        Self { members, ..self.with_change(change) }
+    pub fn with_acceptors(&self, change: u32, acceptors: Vec<Member>) -> Self {
+        Self { acceptors, ..self.with_change(change) }
     }
 
     /// Whether this value came before the other one, or is the same.
@@ -44,35 +45,47 @@
     }
 }
 
-/// A message of a proposer to an acceptor.
-pub type Request = (Member, AcceptorRequest<History>);
+/// A request of a proposer to an acceptor.
+pub type Request = AddressedRequest<History>;
 
-/// The machine of this number, with its disk of that incarnation.
-pub fn member_of(station: usize, incarnation: u64) -> Member {
+/// The machine of this number, with a disk of that incarnation.
+pub fn member_with_disk(machine: usize, incarnation: u64) -> Member {
     Member {
-        name: format!("station-{station}"),
+        name: format!("machine-{machine}"),
         incarnation: Incarnation(incarnation),
-        address: format!("address-{station}"),
+        address: format!("address-{machine}"),
     }
 }
 
 /// The machine of this number with its first disk.
-pub fn member(station: usize) -> Member {
-    member_of(station, station as u64 + 1)
+pub fn member(machine: usize) -> Member {
+    member_with_disk(machine, first_incarnation(machine).0)
 }
 
 /// The machines of these numbers with their first disks.
-pub fn members(stations: &[usize]) -> Vec<Member> {
-    stations.iter().map(|station| member(*station)).collect()
+pub fn members(machines: &[usize]) -> Vec<Member> {
+    machines.iter().map(|machine| member(*machine)).collect()
 }
 
+/// The incarnation of a machine's first disk.
+pub fn first_incarnation(machine: usize) -> Incarnation {
+    Incarnation(machine as u64 + 1)
+}
+
+/// The number of a member's machine.
+pub fn machine_of(member: &Member) -> usize {
+    let number = member.name.strip_prefix("machine-").and_then(|number| number.parse().ok());
+    number.expect("the name ends with the number of the machine")
+}
+
+/// The ballot of this round.
 pub fn ballot(round: u64) -> Ballot {
     Ballot { round, proposer: 1 }
 }
 
 /// A value under the ballot of this round.
-pub fn versioned(round: u64, changes: &[u32], members: Vec<Member>) -> Versioned<History> {
-    Versioned::new(ballot(round), Arc::new(History { changes: changes.to_vec(), members }))
+pub fn versioned(round: u64, changes: &[u32], acceptors: Vec<Member>) -> Versioned<History> {
+    Versioned::new(ballot(round), Arc::new(History { changes: changes.to_vec(), acceptors }))
 }
 
 /// The reply of a member.
@@ -80,7 +93,15 @@
     AcceptorReply { incarnation: from.incarnation, outcome }
 }
 
-/// The numbers of the machines that requests go to.
+/// The names of the machines to which requests go.
 pub fn receivers(requests: &[Request]) -> Vec<&str> {
-    requests.iter().map(|(member, _)| member.name.as_str()).collect()
+    requests.iter().map(|request| request.to.name.as_str()).collect()
+}
+
+/// The value that a request asks to accept, if it is such a request.
+pub fn accept_value(request: &Request) -> Option<&Versioned<History>> {
+    match &request.request {
+        AcceptorRequest::Accept(proposed) => Some(proposed),
+        _ => None,
+    }
 }
--- a/crates/register/tests/common/oracle.rs
+++ b/crates/register/tests/common/oracle.rs
@@ -1,4 +1,4 @@
-//! Watches all proposals and acceptances, and says when the register is broken.
+//! Observes all proposals and acceptances, and reports when the register is broken.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,13 +6,14 @@
 
 use super::History;
 
-/// Knows everything that happened.
+/// Checks the safety of the register against everything that happened.
 #[derive(Clone, Debug, Default)]
 pub struct Oracle {
     proposed: HashMap<Ballot, Proposed>,
+    /// The values that majorities have accepted, in the order in which that happened.
     chosen: Vec<Versioned<History>>,
-    /// The first way in which the register was broken.
-    pub fault: Option<String>,
+    /// The first violation that was found.
+    pub violation: Option<String>,
 }
 
 #[derive(Clone, Debug)]
@@ -23,7 +24,7 @@
 }
 
 impl Oracle {
-    /// The register starts with this value.
+    /// The oracle of a register that starts with this value.
     pub fn new(first: Versioned<History>) -> Self {
         Self { chosen: vec![first], ..Self::default() }
     }
@@ -38,15 +39,15 @@
         self.chosen.iter().max_by_key(|chosen| chosen.ballot).expect("the first value")
     }
 
-    /// A proposer sends a value.
+    /// A proposer sends a value to be accepted.
     pub fn on_propose(&mut self, value: Versioned<History>) {
         for chosen in &self.chosen {
-            check_order(chosen, &value, &mut self.fault);
+            check_order(chosen, &value, &mut self.violation);
         }
         let ballot = value.ballot;
         let proposed = Proposed { value, durable_at: HashSet::new(), is_chosen: false };
         if self.proposed.insert(ballot, proposed).is_some() {
-            self.note(format!("{ballot:?} was used twice"));
+            self.record_violation(format!("{ballot:?} was used twice"));
         }
     }
 
@@ -56,14 +57,14 @@
             return;
         };
         proposed.durable_at.insert(acceptor);
-        let previous = &proposed.value.previous;
+        let previous = &proposed.value.previous_acceptors;
         let is_chosen = (previous.is_empty() || is_majority(previous, &proposed.durable_at))
-            && is_majority(proposed.value.value.members(), &proposed.durable_at);
+            && is_majority(proposed.value.value.acceptors(), &proposed.durable_at);
         if is_chosen && !proposed.is_chosen {
             proposed.is_chosen = true;
             let chosen = proposed.value.clone();
             for other in self.proposed.values() {
-                check_order(&chosen, &other.value, &mut self.fault);
+                check_order(&chosen, &other.value, &mut self.violation);
             }
             self.chosen.push(chosen);
         }
@@ -72,31 +73,31 @@
     /// A proposer takes this value as committed.
     pub fn on_committed(&mut self, value: &Versioned<History>) {
         if !self.chosen.contains(value) {
-            self.note(format!("{value:?} was taken as committed and is not"));
+            self.record_violation(format!("{value:?} was taken as committed and is not"));
         }
     }
 
     /// A proposer takes the value of this ballot as the newest; `newest_before` was chosen when it asked.
     pub fn on_confirmed(&mut self, known: Ballot, newest_before: Ballot) {
         if known < newest_before {
-            self.note(format!("{known:?} was confirmed after {newest_before:?} was committed"));
+            self.record_violation(format!("{known:?} was confirmed after {newest_before:?} was committed"));
         }
     }
 
-    fn note(&mut self, fault: String) {
-        self.fault.get_or_insert(fault);
+    fn record_violation(&mut self, violation: String) {
+        self.violation.get_or_insert(violation);
     }
 }
 
-/// Any value with a higher ballot than a chosen one comes from it.
-fn check_order(chosen: &Versioned<History>, other: &Versioned<History>, fault: &mut Option<String>) {
+/// Each value with a higher ballot than a chosen one must descend from it.
+fn check_order(chosen: &Versioned<History>, other: &Versioned<History>, violation: &mut Option<String>) {
     let is_derived = chosen.value.is_prefix_of(&other.value);
     if other.ballot > chosen.ballot && !is_derived {
-        fault.get_or_insert(format!("{other:?} does not follow {chosen:?}, which is committed"));
+        violation.get_or_insert(format!("{other:?} does not follow {chosen:?}, which is committed"));
     }
 }
 
 fn is_majority(members: &[Member], votes: &HashSet<Incarnation>) -> bool {
-    let given = members.iter().filter(|member| votes.contains(&member.incarnation)).count();
-    2 * given > members.len()
+    let count = members.iter().filter(|member| votes.contains(&member.incarnation)).count();
+    2 * count > members.len()
 }
--- /dev/null
+++ b/crates/register/tests/common/simulation/machine.rs
@@ -0,0 +1,119 @@
+//! Machines with their acceptors and disks.
+
+use std::collections::VecDeque;
+
+use register::{
+    Acceptor, AcceptorRequest, AcceptorState, Ballot, Incarnation, Member, RegisterValue, ReplyOutcome,
+    Versioned,
+};
+
+use super::network::{Message, Payload, TaskId};
+use super::{SeededFault, Simulation};
+use crate::common::{first_incarnation, machine_of, History};
+
+/// A state in flight to the disk.
+struct PendingWrite {
+    state: AcceptorState<History>,
+    /// Whether the state was changed by an acceptance.
+    is_acceptance: bool,
+    /// Sent when the state is durable.
+    reply: Option<Message>,
+}
+
+/// A machine that may be an acceptor.
+pub struct Machine {
+    /// `None` while the machine is down.
+    acceptor: Option<Acceptor<History>>,
+    /// What is on the disk.
+    pub durable: AcceptorState<History>,
+    /// Oldest first.
+    writes: VecDeque<PendingWrite>,
+}
+
+impl Machine {
+    /// The machine of this number with its first disk, on which the first value may be.
+    pub fn new(number: usize, first: Option<&Versioned<History>>) -> Self {
+        let mut acceptor = Acceptor::new(AcceptorState::empty(first_incarnation(number)));
+        if let Some(first) = first {
+            acceptor.initialise(first.clone());
+        }
+        let durable = acceptor.state().clone();
+        Self { acceptor: Some(acceptor), durable, writes: VecDeque::new() }
+    }
+}
+
+impl Simulation {
+    pub(super) fn on_request(&mut self, task: TaskId, member: Member, request: AcceptorRequest<History>) {
+        let machine = &mut self.machines[machine_of(&member)];
+        let Some(acceptor) = machine.acceptor.as_mut() else {
+            return;
+        };
+        let pending = acceptor.handle(request);
+        let is_acceptance = matches!(pending.reply.outcome, ReplyOutcome::Accepted);
+        let message = Message { task, member, payload: Payload::Reply(pending.reply) };
+        if !pending.must_persist {
+            self.network.push(message);
+            return;
+        }
+        let state = acceptor.state().clone();
+        if self.fault == SeededFault::ReplyBeforeDurable {
+            machine.writes.push_back(PendingWrite { state, is_acceptance, reply: None });
+            self.network.push(message);
+        } else {
+            machine.writes.push_back(PendingWrite { state, is_acceptance, reply: Some(message) });
+        }
+    }
+
+    /// The oldest write of some machine becomes durable.
+    pub(super) fn finish_write(&mut self) {
+        let picked = self.pick_machine();
+        let machine = &mut self.machines[picked];
+        let Some(write) = machine.writes.pop_front() else {
+            return;
+        };
+        machine.durable = write.state;
+        if write.is_acceptance {
+            let ballot = machine.durable.accepted.as_ref().expect("a value was accepted").ballot;
+            self.oracle.on_durable(ballot, machine.durable.incarnation);
+        }
+        self.network.extend(write.reply);
+    }
+
+    /// A machine goes down or comes back with what was durable.
+    pub(super) fn restart_machine(&mut self) {
+        let picked = self.pick_machine();
+        let machine = &mut self.machines[picked];
+        machine.writes.clear();
+        if machine.acceptor.take().is_some() && self.random.u8(..4) == 0 {
+            return;
+        }
+        let mut state = machine.durable.clone();
+        match self.fault {
+            SeededFault::ForgottenPromise => state.promised = Ballot::default(),
+            SeededFault::ForgottenValue => state.accepted = state.committed.clone(),
+            _ => {}
+        }
+        machine.acceptor = Some(Acceptor::new(state));
+    }
+
+    pub(super) fn lose_disk(&mut self) {
+        let picked = self.pick_machine();
+        if self.keeps_majority && !self.has_majority_without(self.machines[picked].durable.incarnation) {
+            return;
+        }
+        self.next_incarnation += 1;
+        let durable = AcceptorState::empty(Incarnation(self.next_incarnation));
+        let acceptor = Some(Acceptor::new(durable.clone()));
+        self.machines[picked] = Machine { acceptor, durable, writes: VecDeque::new() };
+    }
+
+    /// Whether a majority of the newest value's acceptors still has its disks, also if this one is lost.
+    fn has_majority_without(&self, lost: Incarnation) -> bool {
+        let acceptors = self.oracle.newest_chosen().value.acceptors();
+        let has_disk = |member: &&Member| {
+            let machine = &self.machines[machine_of(member)];
+            machine.durable.incarnation == member.incarnation && member.incarnation != lost
+        };
+        2 * acceptors.iter().filter(has_disk).count() > acceptors.len()
+    }
+}
--- /dev/null
+++ b/crates/register/tests/common/simulation/mod.rs
@@ -0,0 +1,126 @@
+//! Machines, proposers and an unreliable network, driven by a random number generator.
+//!
+//! [`Simulation`] owns everything and draws what happens next; `machine` holds what happens to machines and their
+//! disks, `proposer` what proposers do, `network` the messages in flight.
+
+mod machine;
+mod network;
+mod proposer;
+
+use fastrand::Rng;
+use register::Ballot;
+
+use super::oracle::Oracle;
+use super::{members, versioned};
+use machine::Machine;
+use network::Message;
+use proposer::Proposer;
+
+/// A mistake in the use of the register that the oracle must find.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SeededFault {
+    /// No mistake.
+    None,
+    /// An acceptor forgets its promise when it restarts.
+    ForgottenPromise,
+    /// An acceptor forgets what it accepted when it restarts.
+    ForgottenValue,
+    /// A reply is sent before the state is durable.
+    ReplyBeforeDurable,
+    /// Replies count whatever disk they come from.
+    AnyIncarnation,
+    /// A proposal starts from a value that is accepted somewhere, but not known to be committed.
+    UncommittedBase,
+}
+
+/// The size of a simulation.
+#[derive(Clone, Copy, Debug)]
+pub struct ClusterSize {
+    /// Machines that are acceptors at first.
+    pub acceptors: usize,
+    /// Further machines, which may become acceptors.
+    pub spares: usize,
+    /// Number of proposers.
+    pub proposers: usize,
+}
+
+/// A cluster in which messages are lost, repeated and reordered, and machines restart and lose their disks.
+pub struct Simulation {
+    random: Rng,
+    fault: SeededFault,
+    /// Whether disks are lost only as long as a majority of the acceptors keeps theirs.
+    keeps_majority: bool,
+    /// Whether most changes are changes of the acceptors.
+    changes_acceptors_often: bool,
+    machines: Vec<Machine>,
+    proposers: Vec<Proposer>,
+    network: Vec<Message>,
+    next_change: u32,
+    next_incarnation: u64,
+    /// Observes what happens.
+    pub oracle: Oracle,
+    /// Confirmations so far.
+    pub confirmations: usize,
+    /// Changes of the acceptors so far.
+    pub acceptor_changes: usize,
+}
+
+impl Simulation {
+    /// A cluster whose first value is at all first acceptors.
+    pub fn new(seed: u64, size: ClusterSize, fault: SeededFault) -> Self {
+        let acceptors: Vec<_> = (0..size.acceptors).collect();
+        let first = versioned(0, &[], members(&acceptors));
+        let machine = |number: usize| Machine::new(number, (number < size.acceptors).then_some(&first));
+        let proposer = |number: usize| Proposer::new(number as u64 + 1, first.clone());
+        Self {
+            random: Rng::with_seed(seed),
+            fault,
+            keeps_majority: !seed.is_multiple_of(4),
+            changes_acceptors_often: seed.is_multiple_of(2),
+            machines: (0..size.acceptors + size.spares).map(machine).collect(),
+            proposers: (0..size.proposers).map(proposer).collect(),
+            network: Vec::new(),
+            next_change: 1,
+            next_incarnation: 100,
+            oracle: Oracle::new(first.clone()),
+            confirmations: 0,
+            acceptor_changes: 0,
+        }
+    }
+
+    /// Lets random events happen until the oracle finds a violation.
+    pub fn run(&mut self, steps: usize) {
+        for _ in 0..steps {
+            self.step();
+            if self.oracle.violation.is_some() {
+                return;
+            }
+        }
+    }
+
+    fn step(&mut self) {
+        match self.random.u32(..1000) {
+            0..550 => self.deliver_message(),
+            550..565 => self.drop_message(),
+            565..595 => self.duplicate_message(),
+            595..850 => self.finish_write(),
+            850..950 => self.start_task(),
+            950..970 => self.restart_machine(),
+            970..971 => self.lose_disk(),
+            971..985 => self.restart_proposer(),
+            _ => self.learn_somewhere(),
+        }
+    }
+
+    fn pick_machine(&mut self) -> usize {
+        self.random.usize(..self.machines.len())
+    }
+
+    fn pick_proposer(&mut self) -> usize {
+        self.random.usize(..self.proposers.len())
+    }
+
+    fn newest_chosen_ballot(&self) -> Ballot {
+        self.oracle.newest_chosen().ballot
+    }
+}
--- a/crates/register/tests/confirmation.rs
+++ b/crates/register/tests/confirmation.rs
@@ -2,20 +2,20 @@
 
 mod common;
 
-use common::{member, member_of, members, receivers, reply, versioned, History};
-use register::{Confirmation, Member, ReplyOutcome, Verdict, Versioned};
+use common::{member, member_with_disk, members, receivers, reply, versioned, History};
+use register::{Confirmation, ConfirmationStatus, Member, ReplyOutcome, Versioned};
 use yare::parameterized;
 
 fn value(round: u64) -> Versioned<History> {
     versioned(round, &[round as u32], members(&[0, 1, 2]))
 }
 
-fn show(
+fn reply_values(
     confirmation: &mut Confirmation<History>,
     from: &Member,
     accepted: Option<u64>,
     committed: Option<u64>,
-) -> Verdict<History> {
+) -> ConfirmationStatus<History> {
     let outcome = ReplyOutcome::Current { accepted: accepted.map(value), committed: committed.map(value) };
     confirmation.on_reply(from, reply(from, outcome))
 }
@@ -32,59 +32,71 @@
 ) {
     let (mut confirmation, requests) = Confirmation::start(value(5));
     assert_eq!(requests.len(), 3);
-    assert!(matches!(show(&mut confirmation, &member(0), first.0, first.1), Verdict::Wait));
-    assert!(matches!(show(&mut confirmation, &member(0), first.0, first.1), Verdict::Wait));
-    assert!(matches!(show(&mut confirmation, &member(2), second.0, second.1), Verdict::Confirmed));
+    assert!(matches!(
+        reply_values(&mut confirmation, &member(0), first.0, first.1),
+        ConfirmationStatus::Pending
+    ));
+    assert!(matches!(
+        reply_values(&mut confirmation, &member(0), first.0, first.1),
+        ConfirmationStatus::Pending
+    ));
+    assert!(matches!(
+        reply_values(&mut confirmation, &member(2), second.0, second.1),
+        ConfirmationStatus::Confirmed
+    ));
 }
 
 #[test]
-fn given_acceptors_that_show_ballots_only_when_read_then_the_value_is_confirmed() {
+fn given_acceptors_that_reply_ballots_only_when_read_then_the_value_is_confirmed() {
     let (mut confirmation, _) = Confirmation::start(value(5));
     let ballots = |accepted: u64, committed: u64| ReplyOutcome::NothingNewer {
         accepted: Some(value(accepted).ballot),
         committed: Some(value(committed).ballot),
     };
     let first = confirmation.on_reply(&member(0), reply(&member(0), ballots(5, 5)));
-    assert!(matches!(first, Verdict::Wait));
+    assert!(matches!(first, ConfirmationStatus::Pending));
     let second = confirmation.on_reply(&member(1), reply(&member(1), ballots(4, 4)));
-    assert!(matches!(second, Verdict::Confirmed));
-    assert_eq!(receivers(&confirmation.lagging()), ["station-1"]);
+    assert!(matches!(second, ConfirmationStatus::Confirmed));
+    assert_eq!(receivers(&confirmation.catch_up_requests()), ["machine-1"]);
 }
 
 #[test]
-fn given_a_newer_committed_value_when_shown_then_it_is_taken_at_once() {
+fn given_a_newer_committed_value_when_read_then_it_supersedes_at_once() {
     let (mut confirmation, _) = Confirmation::start(value(5));
-    let verdict = show(&mut confirmation, &member(1), Some(8), Some(7));
-    assert!(matches!(verdict, Verdict::Newer(newer) if newer == value(7)));
+    let status = reply_values(&mut confirmation, &member(1), Some(8), Some(7));
+    assert!(matches!(status, ConfirmationStatus::Superseded(newer) if newer == value(7)));
 }
 
 #[test]
 fn given_a_newer_accepted_value_when_a_majority_answered_then_it_is_undecided() {
     let (mut confirmation, _) = Confirmation::start(value(5));
-    assert!(matches!(show(&mut confirmation, &member(1), Some(8), Some(5)), Verdict::Wait));
-    let verdict = show(&mut confirmation, &member(0), Some(5), Some(5));
-    assert!(matches!(verdict, Verdict::Undecided(by) if by == value(8).ballot));
-    let verdict = show(&mut confirmation, &member(2), Some(5), Some(5));
-    assert!(matches!(verdict, Verdict::Confirmed), "a majority has nothing newer");
+    assert!(matches!(
+        reply_values(&mut confirmation, &member(1), Some(8), Some(5)),
+        ConfirmationStatus::Pending
+    ));
+    let status = reply_values(&mut confirmation, &member(0), Some(5), Some(5));
+    assert!(matches!(status, ConfirmationStatus::Undecided(by) if by == value(8).ballot));
+    let status = reply_values(&mut confirmation, &member(2), Some(5), Some(5));
+    assert!(matches!(status, ConfirmationStatus::Confirmed), "a majority has nothing newer");
 }
 
 #[test]
 fn given_replies_of_others_when_read_then_they_do_not_count() {
     let (mut confirmation, _) = Confirmation::start(value(5));
-    show(&mut confirmation, &member(0), Some(5), Some(5));
-    let replaced = member_of(1, 99);
-    assert!(matches!(show(&mut confirmation, &replaced, None, None), Verdict::Wait));
-    assert!(matches!(show(&mut confirmation, &member(4), None, None), Verdict::Wait));
+    reply_values(&mut confirmation, &member(0), Some(5), Some(5));
+    let replaced = member_with_disk(1, 99);
+    assert!(matches!(reply_values(&mut confirmation, &replaced, None, None), ConfirmationStatus::Pending));
+    assert!(matches!(reply_values(&mut confirmation, &member(4), None, None), ConfirmationStatus::Pending));
     let outcome = ReplyOutcome::Current { accepted: None, committed: None };
-    let verdict = confirmation.on_reply(&member(1), reply(&replaced, outcome));
-    assert!(matches!(verdict, Verdict::Wait));
+    let status = confirmation.on_reply(&member(1), reply(&replaced, outcome));
+    assert!(matches!(status, ConfirmationStatus::Pending));
 }
 
 #[test]
-fn given_acceptors_that_lag_when_read_then_they_are_told() {
+fn given_acceptors_that_lag_when_read_then_they_are_sent_the_value() {
     let (mut confirmation, _) = Confirmation::start(value(5));
-    show(&mut confirmation, &member(0), Some(5), Some(5));
-    show(&mut confirmation, &member(1), Some(5), Some(4));
-    show(&mut confirmation, &member(2), None, None);
-    assert_eq!(receivers(&confirmation.lagging()), ["station-1", "station-2"]);
+    reply_values(&mut confirmation, &member(0), Some(5), Some(5));
+    reply_values(&mut confirmation, &member(1), Some(5), Some(4));
+    reply_values(&mut confirmation, &member(2), None, None);
+    assert_eq!(receivers(&confirmation.catch_up_requests()), ["machine-1", "machine-2"]);
 }
--- a/crates/register/tests/golden.rs
+++ b/crates/register/tests/golden.rs
@@ -34,7 +34,7 @@
     Versioned {
         ballot: ballot(round),
         value: Arc::new(ExampleValue { text: format!("value of round {round}") }),
-        previous: Arc::from([member(1), member(2)]),
+        previous_acceptors: Arc::from([member(1), member(2)]),
         predecessor: ballot(round - 1),
     }
 }
--- a/crates/register/tests/lost_disk.rs
+++ b/crates/register/tests/lost_disk.rs
@@ -1,53 +1,53 @@
-//! A change is broken off at any point, and one machine loses its disk: the others settle what was begun, and the
-//! machine becomes an acceptor again.
+//! A change is interrupted at any point, and one machine loses its disk: the others complete or discard the change, and
+//! the machine becomes an acceptor again.
 
 mod common;
 
-use common::{member_of, members, versioned, History, Request};
+use common::{machine_of, member_with_disk, members, versioned, History, Request};
 use fastrand::Rng;
 use register::{
-    next_members, same_members, with_member, with_replaced, without_member, Acceptor, AcceptorState,
+    next_step, same_members, with_member, with_member_replaced, without_member, Acceptor, AcceptorState,
     BallotSource, Incarnation, Member, Proposal, ProposalStep, RegisterValue, Versioned,
 };
 use yare::parameterized;
 
-/// Proposals that a recovery may take.
-const PROPOSALS: usize = 12;
+/// Proposals that a recovery may take at most.
+const MAX_PROPOSALS: usize = 12;
 /// Incarnation of the new disk.
 const NEW_DISK: u64 = 100;
 
-/// Machines that answer at once, as long as requests are let through.
+/// Machines that reply at once, until a number of requests was handled.
 struct Cluster {
     random: Rng,
     acceptors: Vec<Acceptor<History>>,
-    /// Requests that are still let through.
-    budget: usize,
+    /// Requests that are still handled; further ones are lost.
+    request_budget: usize,
 }
 
 impl Cluster {
     fn new(seed: u64, machines: usize, first: &Versioned<History>) -> Self {
-        let acceptors = (0..machines as u64).map(|station| {
-            let mut acceptor = Acceptor::new(AcceptorState::empty(Incarnation(station + 1)));
-            if first.value.members().iter().any(|member| member.incarnation == Incarnation(station + 1)) {
+        let acceptors = (0..machines as u64).map(|machine| {
+            let mut acceptor = Acceptor::new(AcceptorState::empty(Incarnation(machine + 1)));
+            if first.value.acceptors().iter().any(|member| member.incarnation == Incarnation(machine + 1)) {
                 acceptor.initialise(first.clone());
             }
             acceptor
         });
-        Self { random: Rng::with_seed(seed), acceptors: acceptors.collect(), budget: usize::MAX }
+        Self { random: Rng::with_seed(seed), acceptors: acceptors.collect(), request_budget: usize::MAX }
     }
 
-    fn lose_disk(&mut self, station: usize) {
-        self.acceptors[station] = Acceptor::new(AcceptorState::empty(Incarnation(NEW_DISK)));
+    fn lose_disk(&mut self, machine: usize) {
+        self.acceptors[machine] = Acceptor::new(AcceptorState::empty(Incarnation(NEW_DISK)));
     }
 
-    /// The newest value that some machine knows to be committed.
+    /// The newest value that any machine knows to be committed.
     fn known(&self) -> Versioned<History> {
         let committed = self.acceptors.iter().filter_map(|acceptor| acceptor.state().committed.clone());
         committed.max_by_key(|committed| committed.ballot).expect("some machine kept a value")
     }
 
-    /// Runs a proposal; the change sees the current value, and whether it is settled.
-    fn run(
+    /// Runs a proposal; the change sees the current value, and whether it is known to be committed.
+    fn run_proposal(
         &mut self,
         ballots: &mut BallotSource,
         change: impl Fn(&History, bool) -> History,
@@ -55,13 +55,13 @@
         let base = self.known();
         ballots.observe(base.ballot);
         let (mut proposal, mut requests) = Proposal::start(ballots.next_ballot(), base);
-        while let Some((member, request)) = self.pick(&mut requests) {
-            let station: usize = member.name.trim_start_matches("station-").parse().expect("a number");
-            let reply = self.acceptors[station].handle(request).reply;
-            match proposal.on_reply(&member, reply) {
+        while let Some(Request { to, request }) = self.pick(&mut requests) {
+            let machine = machine_of(&to);
+            let reply = self.acceptors[machine].handle(request).reply;
+            match proposal.on_reply(&to, reply) {
                 ProposalStep::Wait => {}
                 ProposalStep::Send(more) => requests.extend(more),
-                ProposalStep::Read(current) => {
+                ProposalStep::Prepared(current) => {
                     let value = change(&current.value, proposal.is_known_committed());
                     requests.extend(proposal.propose(value));
                 }
@@ -70,7 +70,7 @@
                     return None;
                 }
                 ProposalStep::Committed(value) => {
-                    self.announce(&proposal);
+                    self.send_learn_requests(&proposal);
                     return Some(value);
                 }
             }
@@ -79,26 +79,26 @@
     }
 
     fn pick(&mut self, requests: &mut Vec<Request>) -> Option<Request> {
-        if requests.is_empty() || self.budget == 0 {
+        if requests.is_empty() || self.request_budget == 0 {
             return None;
         }
-        self.budget -= 1;
+        self.request_budget -= 1;
         Some(requests.swap_remove(self.random.usize(..requests.len())))
     }
 
-    fn announce(&mut self, proposal: &Proposal<History>) {
-        for (member, request) in proposal.announcements() {
-            if self.budget == 0 {
+    fn send_learn_requests(&mut self, proposal: &Proposal<History>) {
+        for Request { to, request } in proposal.learn_requests() {
+            if self.request_budget == 0 {
                 return;
             }
-            self.budget -= 1;
-            let station: usize = member.name.trim_start_matches("station-").parse().expect("a number");
-            self.acceptors[station].handle(request);
+            self.request_budget -= 1;
+            let machine = machine_of(&to);
+            self.acceptors[machine].handle(request);
         }
     }
 }
 
-/// The change that is broken off.
+/// The change that is interrupted.
 #[derive(Clone, Copy)]
 enum Change {
     Plain,
@@ -109,20 +109,21 @@
 
 impl Change {
     fn apply(self, current: &History) -> History {
-        let present = current.members();
+        let present = current.acceptors();
         match self {
             Self::Plain => current.with_change(1),
-            Self::Add => current.with_members(1, with_member(present, member_of(3, 4))),
-            Self::Remove => current.with_members(1, without_member(present, Incarnation(4))),
-            Self::Replace => current.with_members(1, with_replaced(present, Incarnation(2), member_of(3, 4))),
+            Self::Add => current.with_acceptors(1, with_member(present, member_with_disk(3, 4))),
+            Self::Remove => current.with_acceptors(1, without_member(present, Incarnation(4))),
+            Self::Replace => current
+                .with_acceptors(1, with_member_replaced(present, Incarnation(2), member_with_disk(3, 4))),
         }
     }
 }
 
 /// The members with the new disk of that machine in place of its old one.
-fn with_new_disk(present: &[Member], station: usize) -> Vec<Member> {
-    let others = without_member(present, Incarnation(station as u64 + 1));
-    with_member(&others, member_of(station, NEW_DISK))
+fn with_new_disk(present: &[Member], machine: usize) -> Vec<Member> {
+    let others = without_member(present, Incarnation(machine as u64 + 1));
+    with_member(&others, member_with_disk(machine, NEW_DISK))
 }
 
 #[parameterized(
@@ -133,33 +134,33 @@
     replaced = { &[0, 1, 2], Change::Replace },
     removed_of_five = { &[0, 1, 2, 3, 4], Change::Remove },
 )]
-fn given_a_broken_off_change_when_a_disk_is_lost_then_the_machine_joins_again(
-    first_members: &[usize],
+fn given_an_interrupted_change_when_a_disk_is_lost_then_the_machine_joins_again(
+    first_acceptors: &[usize],
     change: Change,
 ) {
     for seed in 0..40 {
-        for budget in 0..=18 {
-            for lost in 0..first_members.len() {
-                recover(seed, budget, lost, first_members, change);
+        for request_budget in 0..=18 {
+            for lost in 0..first_acceptors.len() {
+                recover(seed, request_budget, lost, first_acceptors, change);
             }
         }
     }
 }
 
-fn recover(seed: u64, budget: usize, lost: usize, first_members: &[usize], change: Change) {
-    let first = versioned(0, &[], members(first_members));
+fn recover(seed: u64, request_budget: usize, lost: usize, first_acceptors: &[usize], change: Change) {
+    let first = versioned(0, &[], members(first_acceptors));
     let mut cluster = Cluster::new(seed, 5, &first);
-    cluster.budget = budget;
-    let acknowledged = cluster.run(&mut BallotSource::new(1), |current, _| change.apply(current));
-    cluster.budget = usize::MAX;
+    cluster.request_budget = request_budget;
+    let acknowledged = cluster.run_proposal(&mut BallotSource::new(1), |current, _| change.apply(current));
+    cluster.request_budget = usize::MAX;
     cluster.lose_disk(lost);
     let mut ballots = BallotSource::new(2);
-    let context = format!("seed {seed}, budget {budget}, lost {lost}");
-    for _ in 0..PROPOSALS {
-        let committed = cluster.run(&mut ballots, |current, is_settled| {
-            let wanted = with_new_disk(current.members(), lost);
-            match next_members(current.members(), &wanted) {
-                Some(step) if is_settled => current.with_members(2, step),
+    let context = format!("seed {seed}, request_budget {request_budget}, lost {lost}");
+    for _ in 0..MAX_PROPOSALS {
+        let committed = cluster.run_proposal(&mut ballots, |current, is_known_committed| {
+            let target = with_new_disk(current.acceptors(), lost);
+            match next_step(current.acceptors(), &target) {
+                Some(step) if is_known_committed => current.with_acceptors(2, step),
                 _ => current.clone(),
             }
         });
@@ -169,7 +170,7 @@
         if let Some(acknowledged) = &acknowledged {
             assert!(acknowledged.value.is_prefix_of(&committed.value), "{context}");
         }
-        let present = committed.value.members();
+        let present = committed.value.acceptors();
         if same_members(present, &with_new_disk(present, lost)) {
             return;
         }
--- a/crates/register/tests/members.rs
+++ b/crates/register/tests/members.rs
@@ -1,9 +1,9 @@
-//! Changes of the acceptors.
+//! Changes of the set of acceptors, and ballots.
 
 mod common;
 
-use common::{member, member_of, members};
-use register::{can_change, next_members, same_members, with_member, without_member, Ballot, BallotSource};
+use common::{member, member_with_disk, members};
+use register::{is_single_step, next_step, same_members, with_member, without_member, Ballot, BallotSource};
 use yare::parameterized;
 
 #[parameterized(
@@ -18,48 +18,52 @@
     none_left = { &[0], &[], false },
     twice = { &[0, 1], &[0, 1, 1], false },
 )]
-fn given_two_sets_when_compared_then_one_step_is_told(from: &[usize], to: &[usize], allowed: bool) {
-    assert_eq!(can_change(&members(from), &members(to)), allowed);
+fn given_two_sets_when_compared_then_single_steps_are_recognized(
+    from: &[usize],
+    to: &[usize],
+    allowed: bool,
+) {
+    assert_eq!(is_single_step(&members(from), &members(to)), allowed);
 }
 
 #[test]
 fn given_a_replaced_disk_when_stepped_then_the_new_one_takes_the_place_of_the_old_one_at_once() {
     let current = members(&[0, 1, 2]);
-    let wanted = vec![member(0), member(1), member_of(2, 30)];
-    let step = next_members(&current, &wanted).expect("a step");
-    assert!(can_change(&current, &step));
-    assert!(same_members(&step, &wanted));
-    assert_eq!(next_members(&step, &wanted), None);
+    let target = vec![member(0), member(1), member_with_disk(2, 30)];
+    let step = next_step(&current, &target).expect("a step");
+    assert!(is_single_step(&current, &step));
+    assert!(same_members(&step, &target));
+    assert_eq!(next_step(&step, &target), None);
 }
 
 #[test]
 fn given_more_to_add_than_to_remove_when_stepped_then_each_step_is_allowed_and_the_set_never_shrinks_first() {
-    let wanted = members(&[0, 3, 4, 5]);
+    let target = members(&[0, 3, 4, 5]);
     let mut current = members(&[0, 1, 2]);
     let mut sizes = Vec::new();
-    while let Some(step) = next_members(&current, &wanted) {
-        assert!(can_change(&current, &step));
+    while let Some(step) = next_step(&current, &target) {
+        assert!(is_single_step(&current, &step));
         sizes.push(step.len());
         current = step;
     }
-    assert!(same_members(&current, &wanted));
+    assert!(same_members(&current, &target));
     assert_eq!(sizes, [3, 3, 4]);
 }
 
 #[test]
-fn given_one_acceptor_when_none_is_wanted_then_it_stays() {
-    assert_eq!(next_members(&members(&[0]), &[]), None);
+fn given_one_acceptor_when_the_target_is_empty_then_it_stays() {
+    assert_eq!(next_step(&members(&[0]), &[]), None);
 }
 
 #[test]
-fn given_members_when_one_is_added_or_removed_then_each_stands_once() {
+fn given_members_when_one_is_added_or_removed_then_each_is_named_once() {
     let current = members(&[0, 1]);
     assert_eq!(with_member(&current, member(1)), current);
     assert_eq!(without_member(&current, member(0).incarnation), members(&[1]));
 }
 
 #[test]
-fn given_seen_ballots_when_drawn_then_the_next_is_above_all_of_them() {
+fn given_observed_ballots_when_the_next_is_issued_then_the_next_is_above_all_of_them() {
     let mut ballots = BallotSource::new(4);
     ballots.observe(Ballot { round: 8, proposer: 9 });
     ballots.observe(Ballot { round: 3, proposer: 9 });
--- a/crates/register/tests/proposal.rs
+++ b/crates/register/tests/proposal.rs
@@ -1,11 +1,11 @@
-//! The rounds of a proposal.
+//! The prepare and accept rounds of a proposal.
 
 mod common;
 
 use std::sync::Arc;
 
-use common::{ballot, member, member_of, members, receivers, reply, versioned, History};
-use register::{AcceptorRequest, Proposal, ProposalStep, ReplyOutcome, Versioned};
+use common::{accept_value, ballot, member, member_with_disk, members, receivers, reply, versioned, History};
+use register::{Proposal, ProposalStep, ReplyOutcome, Versioned};
 use yare::parameterized;
 
 fn start(base: &Versioned<History>) -> Proposal<History> {
@@ -14,22 +14,22 @@
 
 fn promise(
     proposal: &mut Proposal<History>,
-    station: usize,
-    shown: Option<Versioned<History>>,
+    machine: usize,
+    accepted: Option<Versioned<History>>,
 ) -> ProposalStep<History> {
-    proposal.on_reply(&member(station), reply(&member(station), ReplyOutcome::Promised(shown)))
+    proposal.on_reply(&member(machine), reply(&member(machine), ReplyOutcome::Promised(accepted)))
 }
 
-fn accept(proposal: &mut Proposal<History>, station: usize) -> ProposalStep<History> {
-    proposal.on_reply(&member(station), reply(&member(station), ReplyOutcome::Accepted))
+fn accept(proposal: &mut Proposal<History>, machine: usize) -> ProposalStep<History> {
+    proposal.on_reply(&member(machine), reply(&member(machine), ReplyOutcome::Accepted))
 }
 
-fn reject(proposal: &mut Proposal<History>, station: usize, round: u64) -> ProposalStep<History> {
-    proposal.on_reply(&member(station), reply(&member(station), ReplyOutcome::Rejected(ballot(round))))
+fn reject(proposal: &mut Proposal<History>, machine: usize, round: u64) -> ProposalStep<History> {
+    proposal.on_reply(&member(machine), reply(&member(machine), ReplyOutcome::Rejected(ballot(round))))
 }
 
-/// A proposal that has read a settled value of three acceptors.
-fn read_settled() -> (Proposal<History>, Versioned<History>) {
+/// A proposal that has read a committed value of three acceptors.
+fn read_committed() -> (Proposal<History>, Versioned<History>) {
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let mut proposal = start(&base);
     promise(&mut proposal, 0, Some(base.clone()));
@@ -41,21 +41,21 @@
 fn given_three_acceptors_when_two_answer_each_round_then_the_value_is_committed() {
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let (mut proposal, requests) = Proposal::start(ballot(10), base.clone());
-    assert_eq!(receivers(&requests), ["station-0", "station-1", "station-2"]);
+    assert_eq!(receivers(&requests), ["machine-0", "machine-1", "machine-2"]);
     assert!(matches!(promise(&mut proposal, 0, Some(base.clone())), ProposalStep::Wait));
     let step = promise(&mut proposal, 2, Some(base.clone()));
-    assert!(matches!(step, ProposalStep::Read(read) if read == base));
+    assert!(matches!(step, ProposalStep::Prepared(read) if read == base));
     assert!(proposal.is_known_committed());
     let requests = proposal.propose(base.value.with_change(2));
     assert_eq!(requests.len(), 3);
-    assert!(requests.iter().all(|(_, request)| matches!(request, AcceptorRequest::Accept(_))));
+    assert!(requests.iter().all(|request| accept_value(request).is_some()));
     assert!(matches!(accept(&mut proposal, 1), ProposalStep::Wait));
     assert!(matches!(promise(&mut proposal, 1, None), ProposalStep::Wait));
     let step = accept(&mut proposal, 2);
     assert!(
         matches!(step, ProposalStep::Committed(done) if done.value.changes == [1, 2] && done.ballot == ballot(10))
     );
-    assert_eq!(proposal.announcements().len(), 3);
+    assert_eq!(proposal.learn_requests().len(), 3);
 }
 
 #[test]
@@ -77,7 +77,7 @@
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let mut proposal = start(&base);
     promise(&mut proposal, 0, None);
-    let replaced = member_of(1, 99);
+    let replaced = member_with_disk(1, 99);
     let step = proposal.on_reply(&member(1), reply(&replaced, ReplyOutcome::Promised(None)));
     assert!(matches!(step, ProposalStep::Wait));
     let step = proposal.on_reply(&replaced, reply(&replaced, ReplyOutcome::Promised(None)));
@@ -97,24 +97,24 @@
     let mut proposal = start(&base);
     let step = promise(&mut proposal, 2, Some(newer.clone()));
     assert!(
-        matches!(step, ProposalStep::Send(requests) if receivers(&requests) == ["station-3", "station-4"])
+        matches!(step, ProposalStep::Send(requests) if receivers(&requests) == ["machine-3", "machine-4"])
     );
     assert!(matches!(promise(&mut proposal, second, None), ProposalStep::Wait));
     let step = promise(&mut proposal, third, None);
-    assert!(matches!(step, ProposalStep::Read(read) if read == newer));
+    assert!(matches!(step, ProposalStep::Prepared(read) if read == newer));
     assert!(!proposal.is_known_committed());
 }
 
 #[test]
-fn given_an_unsettled_value_when_other_acceptors_are_proposed_then_it_is_settled_instead() {
+fn given_an_undecided_value_when_other_acceptors_are_proposed_then_it_is_proposed_again_instead() {
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let newer = versioned(5, &[1, 2], members(&[0, 1, 2]));
     let mut proposal = start(&base);
     promise(&mut proposal, 0, Some(newer.clone()));
     promise(&mut proposal, 1, None);
-    let requests = proposal.propose(newer.value.with_members(3, members(&[0, 1, 2, 3])));
-    let is_unchanged = |request: &AcceptorRequest<History>| matches!(request, AcceptorRequest::Accept(sent) if sent.value == newer.value);
-    assert!(requests.iter().all(|(_, request)| is_unchanged(request)));
+    let requests = proposal.propose(newer.value.with_acceptors(3, members(&[0, 1, 2, 3])));
+    let is_unchanged = |request| accept_value(request).is_some_and(|sent| sent.value == newer.value);
+    assert!(requests.iter().all(is_unchanged));
     accept(&mut proposal, 0);
     let step = accept(&mut proposal, 1);
     assert!(matches!(step, ProposalStep::Committed(done) if done.value == newer.value));
@@ -126,30 +126,30 @@
     all_but_the_new_one = { &[0, 1, 2], true },
 )]
 fn given_an_added_acceptor_when_accepted_then_both_majorities_count(accepting: &[usize], commits: bool) {
-    let (mut proposal, base) = read_settled();
-    let requests = proposal.propose(base.value.with_members(2, members(&[0, 1, 2, 3])));
+    let (mut proposal, base) = read_committed();
+    let requests = proposal.propose(base.value.with_acceptors(2, members(&[0, 1, 2, 3])));
     assert_eq!(requests.len(), 4);
-    let steps = accepting.iter().map(|station| accept(&mut proposal, *station));
+    let steps = accepting.iter().map(|machine| accept(&mut proposal, *machine));
     let committed = steps.filter(|step| matches!(step, ProposalStep::Committed(_))).count();
     assert_eq!(committed, usize::from(commits));
 }
 
 #[test]
-fn given_a_removed_acceptor_when_committed_then_it_is_told_too() {
-    let (mut proposal, base) = read_settled();
-    proposal.propose(base.value.with_members(2, members(&[0, 1])));
+fn given_a_removed_acceptor_when_committed_then_it_learns_it_too() {
+    let (mut proposal, base) = read_committed();
+    proposal.propose(base.value.with_acceptors(2, members(&[0, 1])));
     accept(&mut proposal, 0);
     accept(&mut proposal, 1);
-    assert_eq!(receivers(&proposal.announcements()), ["station-0", "station-1", "station-2"]);
+    assert_eq!(receivers(&proposal.learn_requests()), ["machine-0", "machine-1", "machine-2"]);
 }
 
 #[test]
 fn given_two_replaced_acceptors_when_proposed_then_the_value_stays() {
-    let (mut proposal, base) = read_settled();
-    let requests = proposal.propose(base.value.with_members(2, members(&[0, 3, 4])));
+    let (mut proposal, base) = read_committed();
+    let requests = proposal.propose(base.value.with_acceptors(2, members(&[0, 3, 4])));
     assert!(requests
         .iter()
-        .all(|(_, request)| matches!(request, AcceptorRequest::Accept(sent) if sent.value == base.value)));
+        .all(|request| accept_value(request).is_some_and(|sent| sent.value == base.value)));
 }
 
 #[test]
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn given_one_refusal_when_accepting_then_the_others_may_still_commit() {
-    let (mut proposal, base) = read_settled();
+fn given_one_rejection_when_accepting_then_the_others_may_still_commit() {
+    let (mut proposal, base) = read_committed();
     proposal.propose(base.value.with_change(2));
     assert!(matches!(reject(&mut proposal, 0, 12), ProposalStep::Wait));
     accept(&mut proposal, 1);
@@ -171,14 +171,14 @@
 }
 
 #[test]
-fn given_a_majority_of_refusals_when_accepting_then_the_proposal_is_preempted() {
-    let (mut proposal, base) = read_settled();
+fn given_a_majority_of_rejections_when_accepting_then_the_proposal_is_preempted() {
+    let (mut proposal, base) = read_committed();
     proposal.propose(base.value.with_change(2));
     accept(&mut proposal, 1);
     assert!(matches!(reject(&mut proposal, 0, 12), ProposalStep::Wait));
     assert!(matches!(reject(&mut proposal, 2, 12), ProposalStep::Preempted(_)));
     assert!(matches!(accept(&mut proposal, 2), ProposalStep::Wait));
-    assert!(proposal.announcements().is_empty());
+    assert!(proposal.learn_requests().is_empty());
 }
 
 #[test]
@@ -191,25 +191,31 @@
 }
 
 /// A removal that only the remaining acceptor has accepted.
-fn unsettled_removal() -> (Versioned<History>, Versioned<History>) {
+fn undecided_removal() -> (Versioned<History>, Versioned<History>) {
     let base = versioned(1, &[1], members(&[0, 1]));
     let removal = versioned(5, &[1, 2], members(&[1]));
-    let removal = Versioned { previous: members(&[0, 1]).into(), predecessor: base.ballot, ..removal };
+    let removal =
+        Versioned { previous_acceptors: members(&[0, 1]).into(), predecessor: base.ballot, ..removal };
     (base, removal)
 }
 
 #[test]
-fn given_a_change_on_an_unsettled_removal_when_the_removal_is_known_then_the_removed_is_needed_no_more() {
-    let (_, removal) = unsettled_removal();
+fn given_a_change_on_an_undecided_removal_when_the_removal_is_known_then_the_removed_is_no_longer_needed() {
+    let (_, removal) = undecided_removal();
     let change = versioned(7, &[1, 2, 3], members(&[1]));
-    let change =
-        Versioned { previous: Arc::clone(&removal.previous), predecessor: removal.predecessor, ..change };
+    let change = Versioned {
+        previous_acceptors: Arc::clone(&removal.previous_acceptors),
+        predecessor: removal.predecessor,
+        ..change
+    };
     let mut proposal = start(&removal);
     let step = promise(&mut proposal, 1, Some(change.clone()));
-    assert!(matches!(step, ProposalStep::Read(read) if read == change));
+    assert!(matches!(step, ProposalStep::Prepared(read) if read == change));
     let requests = proposal.propose(change.value.with_change(4));
-    assert_eq!(receivers(&requests), ["station-1"]);
-    assert!(matches!(accept(&mut proposal, 1), ProposalStep::Committed(done) if done.previous.is_empty()));
+    assert_eq!(receivers(&requests), ["machine-1"]);
+    assert!(
+        matches!(accept(&mut proposal, 1), ProposalStep::Committed(done) if done.previous_acceptors.is_empty())
+    );
 }
 
 #[test]
@@ -218,45 +224,46 @@
     let base = versioned(1, &[1], members(&[1]));
     let added = versioned(3, &[1, 2], members(&[0, 1]));
     let removal = versioned(5, &[1, 2, 3], members(&[1]));
-    let removal = Versioned { previous: members(&[0, 1]).into(), predecessor: added.ballot, ..removal };
+    let removal =
+        Versioned { previous_acceptors: members(&[0, 1]).into(), predecessor: added.ballot, ..removal };
     let mut proposal = start(&base);
     let step = promise(&mut proposal, 1, Some(removal));
-    assert!(matches!(step, ProposalStep::Send(requests) if receivers(&requests) == ["station-0"]));
+    assert!(matches!(step, ProposalStep::Send(requests) if receivers(&requests) == ["machine-0"]));
 }
 
 #[test]
-fn given_an_unsettled_removal_when_settled_then_the_acceptors_before_it_must_accept_too() {
-    let (base, removal) = unsettled_removal();
+fn given_an_undecided_removal_when_proposed_again_then_the_acceptors_before_it_must_accept_too() {
+    let (base, removal) = undecided_removal();
     let mut proposal = start(&base);
     promise(&mut proposal, 0, Some(base.clone()));
     let step = promise(&mut proposal, 1, Some(removal.clone()));
-    assert!(matches!(step, ProposalStep::Read(read) if read == removal));
+    assert!(matches!(step, ProposalStep::Prepared(read) if read == removal));
     let requests = proposal.propose(removal.value.with_change(3));
-    assert_eq!(receivers(&requests), ["station-0", "station-1"]);
+    assert_eq!(receivers(&requests), ["machine-0", "machine-1"]);
     assert!(matches!(accept(&mut proposal, 1), ProposalStep::Wait));
     let step = accept(&mut proposal, 0);
-    assert!(matches!(step, ProposalStep::Committed(done) if done.previous == removal.previous));
+    assert!(
+        matches!(step, ProposalStep::Committed(done) if done.previous_acceptors == removal.previous_acceptors)
+    );
 }
 
 #[test]
-fn given_an_unsettled_removal_when_read_from_an_older_value_then_the_acceptors_before_it_must_promise_too() {
-    let (_, removal) = unsettled_removal();
+fn given_an_undecided_removal_when_read_from_an_older_value_then_the_acceptors_before_it_must_promise_too() {
+    let (_, removal) = undecided_removal();
     let mut proposal = start(&versioned(0, &[], members(&[1])));
     let step = promise(&mut proposal, 1, Some(removal.clone()));
-    assert!(matches!(step, ProposalStep::Send(requests) if receivers(&requests) == ["station-0"]));
-    assert!(matches!(promise(&mut proposal, 0, None), ProposalStep::Read(read) if read == removal));
+    assert!(matches!(step, ProposalStep::Send(requests) if receivers(&requests) == ["machine-0"]));
+    assert!(matches!(promise(&mut proposal, 0, None), ProposalStep::Prepared(read) if read == removal));
 }
 
 #[test]
-fn given_a_settled_value_when_changed_then_the_acceptors_before_are_named_only_if_they_differ() {
+fn given_a_committed_value_when_changed_then_the_acceptors_before_are_named_only_if_they_differ() {
     let previous_of = |value: History| {
-        let (mut proposal, _) = read_settled();
-        match &proposal.propose(value)[0].1 {
-            AcceptorRequest::Accept(sent) => sent.previous.to_vec(),
-            other => panic!("{other:?}"),
-        }
+        let (mut proposal, _) = read_committed();
+        let requests = proposal.propose(value);
+        accept_value(&requests[0]).expect("an accept request").previous_acceptors.to_vec()
     };
-    let (_, base) = read_settled();
+    let (_, base) = read_committed();
     assert_eq!(previous_of(base.value.with_change(2)), []);
-    assert_eq!(previous_of(base.value.with_members(2, members(&[0, 1]))), members(&[0, 1, 2]));
+    assert_eq!(previous_of(base.value.with_acceptors(2, members(&[0, 1]))), members(&[0, 1, 2]));
 }
--- a/crates/register/tests/random_exploration.rs
+++ b/crates/register/tests/random_exploration.rs
@@ -5,57 +5,57 @@
 
 use std::ops::Range;
 
-use common::world::{Fault, Shape, World};
+use common::simulation::{ClusterSize, SeededFault, Simulation};
 use yare::parameterized;
 
 const STEPS: usize = 4000;
 
-fn world(seed: u64, shape: Shape, fault: Fault) -> World {
-    let mut world = World::new(seed, shape, fault);
-    world.run(STEPS);
-    world
+fn simulate(seed: u64, size: ClusterSize, fault: SeededFault) -> Simulation {
+    let mut simulation = Simulation::new(seed, size, fault);
+    simulation.run(STEPS);
+    simulation
 }
 
 #[parameterized(
-    three = { Shape { acceptors: 3, spares: 0, proposers: 2 }, 0..1500 },
-    three_and_a_spare = { Shape { acceptors: 3, spares: 1, proposers: 2 }, 0..1500 },
-    three_and_two_spares = { Shape { acceptors: 3, spares: 2, proposers: 3 }, 0..1500 },
-    four = { Shape { acceptors: 4, spares: 1, proposers: 3 }, 0..1500 },
-    two_and_a_spare = { Shape { acceptors: 2, spares: 1, proposers: 2 }, 0..1500 },
-    five = { Shape { acceptors: 5, spares: 0, proposers: 3 }, 0..1500 },
-    one_and_three_spares = { Shape { acceptors: 1, spares: 3, proposers: 2 }, 0..1500 },
+    three = { ClusterSize { acceptors: 3, spares: 0, proposers: 2 }, 0..1500 },
+    three_and_a_spare = { ClusterSize { acceptors: 3, spares: 1, proposers: 2 }, 0..1500 },
+    three_and_two_spares = { ClusterSize { acceptors: 3, spares: 2, proposers: 3 }, 0..1500 },
+    four = { ClusterSize { acceptors: 4, spares: 1, proposers: 3 }, 0..1500 },
+    two_and_a_spare = { ClusterSize { acceptors: 2, spares: 1, proposers: 2 }, 0..1500 },
+    five = { ClusterSize { acceptors: 5, spares: 0, proposers: 3 }, 0..1500 },
+    one_and_three_spares = { ClusterSize { acceptors: 1, spares: 3, proposers: 2 }, 0..1500 },
 )]
-fn given_any_trouble_when_values_are_committed_then_each_follows_the_one_before(
-    shape: Shape,
+fn given_any_faults_when_values_are_committed_then_each_follows_the_one_before(
+    size: ClusterSize,
     seeds: Range<u64>,
 ) {
-    let (mut chosen, mut confirmations, mut member_changes) = (0, 0, 0);
+    let (mut chosen, mut confirmations, mut acceptor_changes) = (0, 0, 0);
     for seed in seeds.clone() {
-        let world = world(seed, shape, Fault::Nothing);
-        if let Some(fault) = &world.oracle.fault {
-            panic!("seed {seed}: {fault}");
+        let simulation = simulate(seed, size, SeededFault::None);
+        if let Some(violation) = &simulation.oracle.violation {
+            panic!("seed {seed}: {violation}");
         }
-        chosen += world.oracle.chosen_count();
-        confirmations += world.confirmations;
-        member_changes += world.member_changes;
+        chosen += simulation.oracle.chosen_count();
+        confirmations += simulation.confirmations;
+        acceptor_changes += simulation.acceptor_changes;
     }
-    println!("{shape:?} chosen={chosen} confirmations={confirmations} member_changes={member_changes}");
-    let worlds = seeds.count();
-    assert!(chosen > 3 * worlds, "the exploration gets somewhere: {chosen} in {worlds} worlds");
-    assert!(confirmations > worlds / 2, "values are confirmed: {confirmations} in {worlds} worlds");
-    assert!(member_changes > worlds / 2, "acceptors change: {member_changes} in {worlds} worlds");
+    println!("{size:?} chosen={chosen} confirmations={confirmations} acceptor_changes={acceptor_changes}");
+    let runs = seeds.count();
+    assert!(chosen > 3 * runs, "the exploration gets somewhere: {chosen} in {runs} runs");
+    assert!(confirmations > runs / 2, "values are confirmed: {confirmations} in {runs} runs");
+    assert!(acceptor_changes > runs / 2, "acceptors change: {acceptor_changes} in {runs} runs");
 }
 
 #[parameterized(
-    forgotten_promise = { Fault::ForgottenPromise },
-    forgotten_value = { Fault::ForgottenValue },
-    reply_before_durable = { Fault::ReplyBeforeDurable },
-    any_incarnation = { Fault::AnyIncarnation },
-    uncommitted_base = { Fault::UncommittedBase },
+    forgotten_promise = { SeededFault::ForgottenPromise },
+    forgotten_value = { SeededFault::ForgottenValue },
+    reply_before_durable = { SeededFault::ReplyBeforeDurable },
+    any_incarnation = { SeededFault::AnyIncarnation },
+    uncommitted_base = { SeededFault::UncommittedBase },
 )]
-fn given_a_seeded_fault_when_explored_then_it_is_found(fault: Fault) {
-    let shape = Shape { acceptors: 3, spares: 2, proposers: 3 };
-    let found = (0..20_000).find(|seed| world(*seed, shape, fault).oracle.fault.is_some());
+fn given_a_seeded_fault_when_explored_then_it_is_found(fault: SeededFault) {
+    let size = ClusterSize { acceptors: 3, spares: 2, proposers: 3 };
+    let found = (0..20_000).find(|seed| simulate(*seed, size, fault).oracle.violation.is_some());
     println!("{fault:?}: first seed {found:?}");
     assert!(found.is_some());
 }
--- a/crates/simulator/src/fleet/looks.rs
+++ b/crates/simulator/src/fleet/looks.rs
@@ -139,7 +139,9 @@
             }
             if let Some(acceptor) = process.acceptor() {
                 let of = |value: Option<Versioned<ControlState>>| {
-                    value.map(|v| (v.ballot, v.value.revision, v.value.acceptors.clone(), v.previous.clone()))
+                    value.map(|v| {
+                        (v.ballot, v.value.revision, v.value.acceptors.clone(), v.previous_acceptors.clone())
+                    })
                 };
                 log::info!(
                     "accepted {:?}, committed {:?}",
--- a/crates/state/src/change/acceptors.rs
+++ b/crates/state/src/change/acceptors.rs
@@ -1,6 +1,6 @@
 //! Membership of the register: acceptors and their standbys.
 
-use register::{with_member, with_replaced, Incarnation, Member};
+use register::{with_member, with_member_replaced, Incarnation, Member};
 
 use super::{successor, AlreadyMember, StillRequired};
 use crate::ControlState;
@@ -24,7 +24,7 @@
         return Err(NoVacancy);
     }
     let acceptors = match vacancy(state, member, failed)? {
-        Vacancy::Replace(former) => with_replaced(&state.acceptors, former, member.clone()),
+        Vacancy::Replace(former) => with_member_replaced(&state.acceptors, former, member.clone()),
         Vacancy::Add => with_member(&state.acceptors, member.clone()),
     };
     let mut next = successor(state);
@@ -81,6 +81,6 @@
         return Err(StillRequired);
     }
     let mut next = successor(state);
-    next.set_acceptors(with_replaced(&state.acceptors, member.incarnation, standby.clone()));
+    next.set_acceptors(with_member_replaced(&state.acceptors, member.incarnation, standby.clone()));
     Ok(next)
 }
--- a/crates/state/src/control.rs
+++ b/crates/state/src/control.rs
@@ -131,7 +131,7 @@
 }
 
 impl RegisterValue for ControlState {
-    fn members(&self) -> &[Member] {
+    fn acceptors(&self) -> &[Member] {
         &self.acceptors
     }
 }
