--- a/crates/data-plane/src/batch/item.rs
+++ b/crates/data-plane/src/batch/item.rs
@@ -17,14 +17,14 @@
 use crate::request::UpstreamRequest;
 use crate::selection::InFlightRequest;
 use crate::streaming::{EventParser, StreamEvent};
-use crate::upstream::{Attempt, AttemptError, AttemptOptions, ExecutionStatus, UpstreamResponse};
+use crate::upstream::{AttemptError, AttemptOptions, ExecutionStatus, UpstreamAttempt, UpstreamResponse};
 
 /// When an item may be sent again if no server names a time.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// A server that sends nothing for this long between two events is given up; before the first event it has longer, see
 /// [`AttemptOptions`].
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Delay before an item with invalid headers is tried again; its owner gives it up when its shelf life ends.
+/// Delay before an item with invalid headers is tried again; its owner gives it up once that is due.
 const INVALID_HEADERS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// One run of an item.
@@ -48,8 +48,6 @@
     pub oldest_version: u64,
     /// Its group, whose items share their prompt.
     pub group: Option<Arc<str>>,
-    /// Its length in tokens.
-    pub tokens: u64,
     /// What earlier runs collected of its text.
     pub progress: ItemProgress,
     /// When the run ends at the latest.
@@ -91,7 +89,7 @@
             last_event_id: item.progress.last_event_id,
             idle_timeout: Some(EVENT_TIMEOUT),
         };
-        match (Attempt { in_flight, request: &request, options }).send().await {
+        match (UpstreamAttempt { in_flight, request: &request, options }).send().await {
             Ok(upstream) => item_outcome(item, upstream, known_version).await,
             Err(error) => error_outcome(item, error),
         }
--- a/crates/data-plane/src/forwarding/buffered.rs
+++ b/crates/data-plane/src/forwarding/buffered.rs
@@ -13,7 +13,7 @@
 use crate::forwarding::retry::RetryState;
 use crate::request::UpstreamRequest;
 use crate::response::ClientResponse;
-use crate::upstream::{Attempt, AttemptError, AttemptOptions};
+use crate::upstream::{AttemptError, AttemptOptions, UpstreamAttempt};
 
 /// A hedged request is sent when this part of the route's latency target has passed without a response.
 const HEDGE_DELAY_FACTOR: f64 = 0.6;
@@ -85,14 +85,16 @@
 
     /// Starts an attempt at one more server, if one may be made.
     fn start_attempt(&mut self) {
-        // A server gets the request again only if no other may have free capacity or respond yet.
+        // When every server has had the request, it is repeated at one of them only if none has rejected it and none
+        // is at work on it.
         let may_repeat_server = !self.retry.has_rejections() && self.attempts.is_empty();
         let Some(in_flight) = self.retry.next_attempt(may_repeat_server) else {
             return;
         };
         let (request, deadline) = (Arc::clone(&self.retry.request), self.retry.deadline);
         self.attempts.push(Box::pin(async move {
-            let attempt = Attempt { in_flight, request: &request, options: AttemptOptions::until(deadline) };
+            let attempt =
+                UpstreamAttempt { in_flight, request: &request, options: AttemptOptions::until(deadline) };
             buffer_response(attempt.send().await?).await
         }));
     }
--- a/crates/data-plane/src/forwarding/retry.rs
+++ b/crates/data-plane/src/forwarding/retry.rs
@@ -14,14 +14,17 @@
 use crate::selection::{InFlightRequest, ServerSelector};
 use crate::upstream::{AttemptError, ExecutionStatus};
 
-/// No further attempt is made after more rejections than this.
+/// No further attempt is made after more rejections than this, so that overload isn't amplified by retries.
 const MAX_REJECTIONS: usize = 6;
 /// When a client may retry if the servers name no time.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The longest time that a client is asked to wait before a retry, as other servers may have free capacity sooner.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// The attempts of one request.
+/// The attempts of one request of a client.
+///
+/// Invariant: at most [`Self::max_executions`] attempts may have run at a server. Attempts that are known not to have run
+/// (rejections) don't count, but are limited themselves.
 pub(crate) struct RetryState {
     pub(crate) selector: ServerSelector,
     pub(crate) route: Arc<Route>,
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Servers that may have run the request, attempts in flight included.
+    /// Attempts that may have run, those in flight included.
     fn executions(&self) -> usize {
         self.attempted.len() - self.rejections()
     }
--- a/crates/data-plane/src/ingress/lifecycle.rs
+++ b/crates/data-plane/src/ingress/lifecycle.rs
@@ -26,10 +26,10 @@
 /// Serves requests of clients. Clones serve the same node.
 #[derive(Clone)]
 pub struct Ingress {
-    shared: Arc<Shared>,
+    shared: Arc<IngressShared>,
 }
 
-struct Shared {
+struct IngressShared {
     forwarder: Forwarder,
     settings: IngressSettings,
     draining: watch::Sender<bool>,
@@ -40,7 +40,7 @@
     #[must_use]
     pub fn new(forwarder: Forwarder, settings: IngressSettings) -> Self {
         let draining = watch::Sender::new(false);
-        Self { shared: Arc::new(Shared { forwarder, settings, draining }) }
+        Self { shared: Arc::new(IngressShared { forwarder, settings, draining }) }
     }
 
     /// Starts graceful shutdown: the node isn't ready any more, accepts connections for a while yet, and finishes the
--- a/crates/data-plane/src/selection/selector.rs
+++ b/crates/data-plane/src/selection/selector.rs
@@ -16,10 +16,10 @@
 /// Selects servers. Clones share everything.
 #[derive(Clone)]
 pub(crate) struct ServerSelector {
-    shared: Arc<Shared>,
+    shared: Arc<SelectorShared>,
 }
 
-struct Shared {
+struct SelectorShared {
     view: watch::Receiver<Arc<View>>,
     /// The origin of the times that the dispatcher is handed.
     started: Instant,
@@ -46,7 +46,7 @@
             affinity: PrefixAffinity::default(),
             servers: Arc::default(),
         };
-        Self { shared: Arc::new(Shared { view, started: Instant::now(), state: Mutex::new(state) }) }
+        Self { shared: Arc::new(SelectorShared { view, started: Instant::now(), state: Mutex::new(state) }) }
     }
 
     /// The configuration in force; `None` until the control plane has supplied one.
--- a/crates/data-plane/src/streaming/event_parser.rs
+++ b/crates/data-plane/src/streaming/event_parser.rs
@@ -27,6 +27,18 @@
 }
 
 /// Splits a stream into events. Bytes may be pushed in chunks of any size.
+///
+/// ```
+/// use data_plane::EventParser;
+///
+/// let mut parser = EventParser::default();
+/// parser.push(b"id: 1\ndata: to");
+/// assert_eq!(parser.next_event(), None);
+/// parser.push(b"ken\n\nid: 2");
+/// let event = parser.next_event().expect("a complete event");
+/// assert_eq!((event.id, &event.data[..]), (Some(1), &b"token"[..]));
+/// assert!(parser.has_partial());
+/// ```
 #[derive(Debug, Default)]
 pub struct EventParser {
     buffer: BytesMut,
--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -15,7 +15,7 @@
 use crate::request::UpstreamRequest;
 use crate::response::{chunk_stream, ChunkSource, ClientResponse, ResponseBody};
 use crate::streaming::event_parser::EventParser;
-use crate::upstream::{Attempt, AttemptOptions, UpstreamResponse};
+use crate::upstream::{AttemptOptions, UpstreamAttempt, UpstreamResponse};
 
 impl Forwarder {
     /// Forwards a request for a stream. If its route allows it, the stream is resumed at another server when one
@@ -79,7 +79,7 @@
                 last_event_id: self.last_event_id,
                 ..AttemptOptions::until(self.retry.deadline)
             };
-            let attempt = Attempt { in_flight, request: &self.retry.request, options };
+            let attempt = UpstreamAttempt { in_flight, request: &self.retry.request, options };
             match attempt.send().await {
                 Ok(upstream) => return Some(upstream),
                 Err(error) => self.retry.record_error(error),
--- a/crates/data-plane/src/upstream/attempt.rs
+++ b/crates/data-plane/src/upstream/attempt.rs
@@ -26,13 +26,13 @@
 const HEAD_TIMEOUT_FACTOR: u32 = 2;
 
 /// One attempt of a request at the server that was selected for it.
-pub(crate) struct Attempt<'a> {
+pub(crate) struct UpstreamAttempt<'a> {
     pub(crate) in_flight: InFlightRequest,
     pub(crate) request: &'a UpstreamRequest,
     pub(crate) options: AttemptOptions,
 }
 
-impl Attempt<'_> {
+impl UpstreamAttempt<'_> {
     /// Sends the request and waits for the head of a valid response.
     ///
     /// # Errors
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -98,7 +98,6 @@
         model: Some("m".into()),
         oldest_version: 3,
         group: Some("group1".into()),
-        tokens: 11,
         progress,
         deadline: Instant::now() + LONG,
     }
--- a/crates/data-plane/tests/items.rs
+++ b/crates/data-plane/tests/items.rs
@@ -31,7 +31,6 @@
         model: Some("m".into()),
         oldest_version: 3,
         group: None,
-        tokens: 11,
         progress,
         deadline: Instant::now() + LONG,
     }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -38,8 +38,7 @@
         }
         self.pools.retain(|service, _| by_service.contains_key(service));
         for (service, entries) in by_service {
-            let pool =
-                self.pools.entry(Arc::clone(service)).or_insert_with(|| ServerPool::new(Arc::clone(service)));
+            let pool = self.pools.entry(Arc::clone(service)).or_default();
             pool.update(&entries, &self.zone);
         }
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -10,6 +10,42 @@
 //!    this request has not been sent to, and that are not ejected as outliers.
 //! 3. Of these, the server with the shortest queue is selected (see [`hsq`]); an idle connection, a warm prefix cache
 //!    and the own zone break near ties.
+//!
+//! ```
+//! use std::time::Duration;
+//!
+//! use configuration::Target;
+//! use dispatch::{Dispatcher, RequestOutcome, SelectionCriteria, VersionRequirement};
+//! use state::{ServerCondition, ServerEntry, ServerList};
+//!
+//! let server = ServerEntry {
+//!     id: "server-1".into(),
+//!     service: "generation".into(),
+//!     address: ([127, 0, 0, 1], 8000).into(),
+//!     zone: "zone-a".into(),
+//!     slots: 4,
+//!     condition: ServerCondition::Open,
+//!     warm_up_ms: 0,
+//!     models: [("model".into(), 3)].into(),
+//! };
+//! let mut dispatcher = Dispatcher::new("zone-a".into());
+//! dispatcher.update(&ServerList { servers: vec![server], ..ServerList::default() });
+//!
+//! let targets = [Target { service: "generation".into(), weight: 1 }];
+//! let criteria = SelectionCriteria {
+//!     targets: &targets,
+//!     model: Some("model"),
+//!     version: VersionRequirement::AtLeast(2),
+//!     attempted: &[],
+//!     prefix_cache_server: None,
+//!     requires_free_capacity: true,
+//!     max_idle_connection_age: None,
+//! };
+//! let now = Duration::from_secs(1);
+//! let selected = dispatcher.select(now, &criteria).expect("the only server is eligible");
+//! assert_eq!(selected.version, Some(3));
+//! dispatcher.request_finished(now, &selected.id, RequestOutcome::Success);
+//! ```
 
 mod criteria;
 mod dispatcher;
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -27,9 +27,8 @@
 }
 
 /// The servers of one service with their queue lengths.
-#[derive(Debug)]
+#[derive(Debug, Default)]
 pub(crate) struct ServerPool {
-    service: Arc<str>,
     queue_lengths: QueueLengths,
     servers: Vec<PooledServer>,
     /// The index of each server in `servers`.
@@ -37,10 +36,6 @@
 }
 
 impl ServerPool {
-    pub(crate) fn new(service: Arc<str>) -> Self {
-        Self { service, queue_lengths: QueueLengths::new(), servers: Vec::new(), positions: HashMap::new() }
-    }
-
     /// Takes over a newer list of the servers of this service.
     pub(crate) fn update(&mut self, entries: &[&ServerEntry], zone: &str) {
         let mut known: HashMap<ServerId, PooledServer> =
@@ -77,7 +72,6 @@
         Some(SelectedServer {
             id: Arc::clone(&server.id),
             address: server.address,
-            service: Arc::clone(&self.service),
             version: server.versions.get(criteria.model),
         })
     }
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -22,8 +22,6 @@
     pub id: ServerId,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its service.
-    pub service: Arc<str>,
     /// The version of the request's model that it is known to serve.
     pub version: Option<u64>,
 }
--- a/crates/store-plane/src/runner/sender.rs
+++ b/crates/store-plane/src/runner/sender.rs
@@ -90,7 +90,6 @@
         model: attempt.address.model.clone(),
         oldest_version: attempt.address.oldest_version,
         group: item.group.clone(),
-        tokens: item.tokens,
         body: attempt.body,
         progress: attempt.progress,
         deadline: attempt.deadline,
