--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,28 +1,33 @@
-//! Changes as the operator sends them, applied to the text of the document.
+//! Changes of the document: [`replace`] and [`patch`].
 //!
-//! Items that a change doesn't touch keep their text, also fields that this program doesn't know.
+//! Both work on the JSON text. Items that a change does not name keep their text byte for byte, with fields that this
+//! program does not know.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-use crate::compile::Configuration;
+use crate::configuration::Configuration;
 use crate::error::ConfigurationError;
 
-/// The fields of a document with their text, by name.
+/// The top-level fields of a document: name to JSON text.
 type Fields = BTreeMap<String, Box<RawValue>>;
 
+/// A change of named items.
 #[derive(Deserialize)]
 struct Patch {
+    /// The version of the new document.
     edition: u64,
+    /// Items to add or replace, by list; or new values of fields that are no lists.
     #[serde(rename = "loadIn", default)]
-    load: Option<Fields>,
-    #[serde(default)]
-    strike: Option<BTreeMap<String, Vec<String>>>,
+    upserts: Option<Fields>,
+    /// Names of items to remove, by list.
+    #[serde(rename = "strike", default)]
+    removals: Option<BTreeMap<String, Vec<String>>>,
 }
 
-/// An item of a list, with its text.
+/// An item of a list, with its JSON text.
 struct Item {
     name: String,
     text: Box<RawValue>,
@@ -33,76 +38,76 @@
     name: String,
 }
 
-/// Checks a whole document that the operator puts in place of the current one, and gives its text.
+/// Checks a document that replaces the current one, and returns its text unchanged.
 ///
 /// # Errors
 ///
-/// When it is invalid, or its version is not above `current_edition`.
+/// When the document is invalid, or its version is not above `current_edition`.
 pub fn replace(current_edition: u64, body: &[u8]) -> Result<String, ConfigurationError> {
     let configuration = Configuration::parse(body)?;
-    refuse_old_version(configuration.edition(), current_edition)?;
-    String::from_utf8(body.to_vec())
-        .map_err(|error| ConfigurationError::Unreadable { field: ".".to_owned(), cause: error.to_string() })
+    check_newer(configuration.edition(), current_edition)?;
+    String::from_utf8(body.to_vec()).map_err(|error| ConfigurationError::malformed_document(&error))
 }
 
-/// Applies a change of named items to the current document, and gives the text of the new one.
+/// Applies a change of named items to the current document, and returns the text of the new one.
 ///
-/// Names are struck first; then items replace those of their name, in their place, or are added at the end.
+/// Items are removed first. Then each item of the change replaces the item of its name, at the same position, or is
+/// appended. Fields of the new document are sorted by name.
 ///
 /// # Errors
 ///
-/// When the change cannot be read, its version is not above the current one, or the new document is invalid.
+/// When the change is malformed, its version is not above the current one, or the new document is invalid.
 pub fn patch(current_document: &str, body: &[u8]) -> Result<String, ConfigurationError> {
-    let patch: Patch = read(body)?;
-    let current: Fields = read(current_document.as_bytes())?;
-    let current_edition: u64 = current.get("edition").map_or(Ok(0), |text| read(text.get().as_bytes()))?;
-    refuse_old_version(patch.edition, current_edition)?;
+    let patch: Patch = parse(body)?;
+    let current: Fields = parse(current_document.as_bytes())?;
+    let current_edition: u64 = current.get("edition").map_or(Ok(0), |text| parse(text.get().as_bytes()))?;
+    check_newer(patch.edition, current_edition)?;
     let document = apply(current, patch)?;
     Configuration::parse(document.as_bytes())?;
     Ok(document)
 }
 
-fn refuse_old_version(edition: u64, current: u64) -> Result<(), ConfigurationError> {
+fn check_newer(edition: u64, current: u64) -> Result<(), ConfigurationError> {
     if edition <= current {
-        return Err(ConfigurationError::OldVersion { edition, current });
+        return Err(ConfigurationError::StaleEdition { edition, current });
     }
     Ok(())
 }
 
-fn read<'de, T: Deserialize<'de>>(json: &'de [u8]) -> Result<T, ConfigurationError> {
-    serde_json::from_slice(json).map_err(|error| ConfigurationError::whole_unreadable(&error))
+fn parse<'de, T: Deserialize<'de>>(json: &'de [u8]) -> Result<T, ConfigurationError> {
+    serde_json::from_slice(json).map_err(|error| ConfigurationError::malformed_document(&error))
 }
 
 fn apply(mut document: Fields, patch: Patch) -> Result<String, ConfigurationError> {
-    document.insert("edition".to_owned(), text_of(&patch.edition)?);
-    for (list, names) in patch.strike.unwrap_or_default() {
-        strike(&mut document, &list, &names)?;
+    document.insert("edition".to_owned(), to_json(&patch.edition)?);
+    for (list, names) in patch.removals.unwrap_or_default() {
+        remove_items(&mut document, &list, &names)?;
     }
-    for (field, value) in patch.load.unwrap_or_default() {
-        load(&mut document, field, value)?;
+    for (field, value) in patch.upserts.unwrap_or_default() {
+        upsert(&mut document, field, value)?;
     }
-    Ok(text_of(&document)?.get().to_owned())
+    Ok(to_json(&document)?.get().to_owned())
 }
 
-fn strike(document: &mut Fields, list: &str, names: &[String]) -> Result<(), ConfigurationError> {
+fn remove_items(document: &mut Fields, list: &str, names: &[String]) -> Result<(), ConfigurationError> {
     let Some(text) = document.get_mut(list) else { return Ok(()) };
-    let mut items = read_items(list, text)?;
+    let mut items = parse_items(list, text)?;
     items.retain(|item| !names.contains(&item.name));
     *text = write_items(&items)?;
     Ok(())
 }
 
-/// Merges a list by name; any other value takes the place of the field's.
-fn load(document: &mut Fields, field: String, value: Box<RawValue>) -> Result<(), ConfigurationError> {
+/// Merges a list by the names of its items; any other value replaces that of the field.
+fn upsert(document: &mut Fields, field: String, value: Box<RawValue>) -> Result<(), ConfigurationError> {
     if !value.get().starts_with('[') {
         document.insert(field, value);
         return Ok(());
     }
     let mut items = match document.get(&field) {
-        Some(text) => read_items(&field, text)?,
+        Some(text) => parse_items(&field, text)?,
         None => Vec::new(),
     };
-    for item in read_items(&field, &value)? {
+    for item in parse_items(&field, &value)? {
         match items.iter_mut().find(|earlier| earlier.name == item.name) {
             Some(earlier) => *earlier = item,
             None => items.push(item),
@@ -112,26 +117,26 @@
     Ok(())
 }
 
-fn read_items(list: &str, text: &RawValue) -> Result<Vec<Item>, ConfigurationError> {
-    let texts: Vec<Box<RawValue>> =
-        serde_json::from_str(text.get()).map_err(|error| item_error(list, &error))?;
-    texts.into_iter().map(|text| read_item(list, text)).collect()
+fn parse_items(list: &str, text: &RawValue) -> Result<Vec<Item>, ConfigurationError> {
+    let items: Vec<Box<RawValue>> =
+        serde_json::from_str(text.get()).map_err(|error| list_error(list, &error))?;
+    items.into_iter().map(|item| parse_item(list, item)).collect()
 }
 
-fn read_item(list: &str, text: Box<RawValue>) -> Result<Item, ConfigurationError> {
-    let ItemName { name } = serde_json::from_str(text.get()).map_err(|error| item_error(list, &error))?;
+fn parse_item(list: &str, text: Box<RawValue>) -> Result<Item, ConfigurationError> {
+    let ItemName { name } = serde_json::from_str(text.get()).map_err(|error| list_error(list, &error))?;
     Ok(Item { name, text })
 }
 
-fn item_error(list: &str, error: &serde_json::Error) -> ConfigurationError {
-    ConfigurationError::Unreadable { field: list.to_owned(), cause: error.to_string() }
+fn list_error(list: &str, error: &serde_json::Error) -> ConfigurationError {
+    ConfigurationError::Malformed { field: list.to_owned(), cause: error.to_string() }
 }
 
 fn write_items(items: &[Item]) -> Result<Box<RawValue>, ConfigurationError> {
-    let texts: Vec<&RawValue> = items.iter().map(|item| &*item.text).collect();
-    text_of(&texts)
+    let items: Vec<&RawValue> = items.iter().map(|item| &*item.text).collect();
+    to_json(&items)
 }
 
-fn text_of<T: Serialize>(value: &T) -> Result<Box<RawValue>, ConfigurationError> {
-    serde_json::value::to_raw_value(value).map_err(|error| ConfigurationError::whole_unreadable(&error))
+fn to_json<T: Serialize>(value: &T) -> Result<Box<RawValue>, ConfigurationError> {
+    serde_json::value::to_raw_value(value).map_err(|error| ConfigurationError::malformed_document(&error))
 }
--- a/crates/configuration/src/document.rs
+++ b/crates/configuration/src/document/mod.rs
@@ -1,16 +1,18 @@
-//! The document as the operator writes it.
+//! The operator's document as JSON.
 //!
-//! Unknown fields are skipped and may be null; figures may be written with a fraction.
+//! Unknown fields are ignored, and optional fields may be null.
+//!
+//! Errors of `validator` name the Rust fields of [`Document`] and its items, and operators read them: `routes`,
+//! `services`, `name`, `host` and `prefix` may not be renamed.
 
-use std::time::Duration;
+mod values;
 
-use serde::de::Error;
-use serde::{Deserialize, Deserializer};
-use serde_json::Value;
+use serde::Deserialize;
 use validator::Validate;
 
-/// A share, rank or count of the operator's may not be above this.
-const COUNT_MOST: f64 = u32::MAX as f64;
+use crate::error::{ConfigurationError, DOCUMENT_ROOT};
+
+pub(crate) use values::{Count, Flag, Milliseconds, Seconds};
 
 #[derive(Deserialize, Validate)]
 pub(crate) struct Document {
@@ -24,6 +26,29 @@
     pub(crate) limits: Option<LimitsDocument>,
 }
 
+impl Document {
+    /// Parses a document and checks each of its fields by itself.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigurationError::Malformed`] or [`ConfigurationError::Invalid`].
+    pub(crate) fn parse(json: &[u8]) -> Result<Self, ConfigurationError> {
+        let mut deserializer = serde_json::Deserializer::from_slice(json);
+        let document: Self = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
+            ConfigurationError::Malformed {
+                field: error.path().to_string(),
+                cause: error.inner().to_string(),
+            }
+        })?;
+        deserializer.end().map_err(|error| ConfigurationError::malformed_document(&error))?;
+        document.validate().map_err(|errors| ConfigurationError::Invalid {
+            field: DOCUMENT_ROOT.to_owned(),
+            cause: errors.to_string(),
+        })?;
+        Ok(document)
+    }
+}
+
 #[derive(Deserialize, Validate)]
 pub(crate) struct RouteDocument {
     #[validate(length(min = 1, message = "name is empty"))]
@@ -38,15 +63,16 @@
     #[serde(rename = "expiryMs", default)]
     pub(crate) timeout: Option<Milliseconds>,
     #[serde(rename = "dueMs", default)]
-    pub(crate) aim: Option<Milliseconds>,
+    pub(crate) latency_target: Option<Milliseconds>,
     #[serde(default)]
     pub(crate) urgency: Option<Count>,
+    /// The only service. Ignored where there is a split.
     #[serde(rename = "postalLine", default)]
     pub(crate) service: Option<String>,
     #[serde(default)]
     pub(crate) split: Option<Vec<TargetDocument>>,
-    #[serde(default)]
-    pub(crate) tries: Option<Count>,
+    #[serde(rename = "tries", default)]
+    pub(crate) max_attempts: Option<Count>,
     #[serde(default)]
     pub(crate) resume: Flag,
     #[serde(rename = "singleEdition", default)]
@@ -56,14 +82,15 @@
     #[serde(rename = "shelfLifeS", default)]
     pub(crate) shelf_life: Option<Seconds>,
     #[serde(rename = "sameCarrier", default)]
-    pub(crate) same_server: Flag,
+    pub(crate) prefix_affinity: Flag,
 }
 
 #[derive(Deserialize)]
 pub(crate) struct TargetDocument {
     #[serde(rename = "postalLine")]
     pub(crate) service: String,
-    pub(crate) share: Count,
+    #[serde(rename = "share")]
+    pub(crate) weight: Count,
 }
 
 #[derive(Deserialize, Validate)]
@@ -73,7 +100,7 @@
     #[serde(rename = "healthPath", default)]
     pub(crate) health_path: Option<String>,
     #[serde(rename = "berthCap", default)]
-    pub(crate) connections_most: Option<Count>,
+    pub(crate) max_connections: Option<Count>,
     #[serde(default)]
     pub(crate) engine: Option<EngineDocument>,
 }
@@ -85,11 +112,11 @@
     #[serde(rename = "cacheTokens", default)]
     pub(crate) cache_tokens: Option<f64>,
     #[serde(rename = "cacheBytes", default)]
-    pub(crate) cache_bytes: Option<f64>,
+    pub(crate) cache_bytes_per_token: Option<f64>,
     #[serde(rename = "linkMbps", default)]
     pub(crate) link_mbps: Option<f64>,
-    #[serde(default)]
-    pub(crate) stride: Option<f64>,
+    #[serde(rename = "stride", default)]
+    pub(crate) progress_interval_tokens: Option<f64>,
     #[serde(default)]
     pub(crate) models: Option<Vec<ModelDocument>>,
 }
@@ -108,59 +135,5 @@
     #[serde(rename = "labelMs", default)]
     pub(crate) head_timeout: Option<Milliseconds>,
     #[serde(rename = "idleMs", default)]
-    pub(crate) idle: Option<Milliseconds>,
-}
-
-/// A time in milliseconds.
-#[derive(Clone, Copy)]
-pub(crate) struct Milliseconds(pub(crate) Duration);
-
-/// A time in seconds.
-#[derive(Clone, Copy)]
-pub(crate) struct Seconds(pub(crate) Duration);
-
-/// A whole number from 0.
-#[derive(Clone, Copy)]
-pub(crate) struct Count(pub(crate) u32);
-
-/// A mark: set unless it is absent, null, false, 0 or empty.
-#[derive(Clone, Copy, Default)]
-pub(crate) struct Flag(pub(crate) bool);
-
-impl<'de> Deserialize<'de> for Milliseconds {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let figure = f64::deserialize(deserializer)?;
-        Duration::try_from_secs_f64(figure / 1000.0).map(Self).map_err(D::Error::custom)
-    }
-}
-
-impl<'de> Deserialize<'de> for Seconds {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let figure = f64::deserialize(deserializer)?;
-        Duration::try_from_secs_f64(figure).map(Self).map_err(D::Error::custom)
-    }
-}
-
-impl<'de> Deserialize<'de> for Count {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let figure = f64::deserialize(deserializer)?;
-        if figure.fract() != 0.0 || !(0.0..=COUNT_MOST).contains(&figure) {
-            return Err(D::Error::custom(format!("{figure} is no whole number from 0 to {COUNT_MOST}")));
-        }
-        Ok(Self(figure as u32))
-    }
-}
-
-impl<'de> Deserialize<'de> for Flag {
-    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        let set = match Value::deserialize(deserializer)? {
-            Value::Null => false,
-            Value::Bool(flag) => flag,
-            Value::Number(number) => number.as_f64() != Some(0.0),
-            Value::String(text) => !text.is_empty(),
-            Value::Array(items) => !items.is_empty(),
-            Value::Object(_) => true,
-        };
-        Ok(Self(set))
-    }
+    pub(crate) idle_timeout: Option<Milliseconds>,
 }
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,32 +1,34 @@
-//! Why a configuration is refused.
+//! Why a configuration is rejected, and how the operator is answered.
 
 use std::fmt;
 
-/// The status of an answer that refuses an invalid configuration.
+/// The status of a response that rejects a configuration.
 const BAD_REQUEST: u16 = 400;
+/// The path of the whole document, where an error concerns no single field.
+pub(crate) const DOCUMENT_ROOT: &str = ".";
 
-/// Why a configuration is refused. Fields are named as the operator writes them.
+/// Why a configuration is rejected. Fields are named as in the operator's JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationError {
-    /// The text is cut short, is no JSON, lacks a field, or a field has another type.
-    Unreadable {
-        /// Path of the field, `.` for the whole document.
+    /// The text is incomplete or no JSON, lacks a field, or a field has another type.
+    Malformed {
+        /// Path of the field, `.` for the entire document.
         field: String,
-        /// What the reader found.
+        /// The parser's error.
         cause: String,
     },
-    /// A field has a value that it may not have.
-    Unusable {
-        /// Path of the field.
+    /// A field has a value that fails a check.
+    Invalid {
+        /// Path of the field, `.` for the entire document.
         field: String,
-        /// What is wrong with it.
+        /// The check that failed.
         cause: String,
     },
     /// The version is not above the current one.
-    OldVersion {
+    StaleEdition {
         /// The version of the change.
         edition: u64,
-        /// The version in force.
+        /// The current version.
         current: u64,
     },
     /// A route names a service that the document lacks.
@@ -36,25 +38,25 @@
         /// The service.
         service: String,
     },
-    /// Two routes share host and prefix.
-    SamePlace {
+    /// Two routes have the same host and prefix.
+    DuplicatePrefix {
         /// The first route.
         first: String,
         /// The second route.
         second: String,
     },
-    /// The weights of a route add up to 0.
-    NoWeight {
+    /// All weights of a route are 0.
+    ZeroWeights {
         /// The route.
         route: String,
     },
     /// The time-out of a route is 0.
-    NoTimeout {
+    ZeroTimeout {
         /// The route.
         route: String,
     },
-    /// Two items of a list share a name.
-    SameName {
+    /// Two items of a list have the same name.
+    DuplicateName {
         /// The list.
         list: &'static str,
         /// The name.
@@ -63,27 +65,28 @@
 }
 
 impl ConfigurationError {
-    pub(crate) fn whole_unreadable(error: &serde_json::Error) -> Self {
-        Self::Unreadable { field: ".".to_owned(), cause: error.to_string() }
+    /// The error of a parser that knows no field.
+    pub(crate) fn malformed_document(error: &impl fmt::Display) -> Self {
+        Self::Malformed { field: DOCUMENT_ROOT.to_owned(), cause: error.to_string() }
     }
 
-    /// The status for the answer to the operator.
+    /// The HTTP status of the response to the operator.
     #[must_use]
     pub fn status(&self) -> u16 {
         BAD_REQUEST
     }
 
-    /// The path of the field at fault, as the operator writes it.
+    /// The path of the field at fault, with names as in the JSON; `.` for the entire document.
     #[must_use]
     pub fn field(&self) -> String {
         match self {
-            Self::Unreadable { field, .. } | Self::Unusable { field, .. } => field.clone(),
-            Self::OldVersion { .. } => "edition".to_owned(),
+            Self::Malformed { field, .. } | Self::Invalid { field, .. } => field.clone(),
+            Self::StaleEdition { .. } => "edition".to_owned(),
             Self::UnknownService { route, .. } => format!("routes[{route}].postalLine"),
-            Self::SamePlace { second, .. } => format!("routes[{second}].lanePrefix"),
-            Self::NoWeight { route } => format!("routes[{route}].split"),
-            Self::NoTimeout { route } => format!("routes[{route}].expiryMs"),
-            Self::SameName { list, .. } => format!("{list}[].name"),
+            Self::DuplicatePrefix { second, .. } => format!("routes[{second}].lanePrefix"),
+            Self::ZeroWeights { route } => format!("routes[{route}].split"),
+            Self::ZeroTimeout { route } => format!("routes[{route}].expiryMs"),
+            Self::DuplicateName { list, .. } => format!("{list}[].name"),
         }
     }
 }
@@ -92,15 +95,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: ", self.field())?;
         match self {
-            Self::Unreadable { cause, .. } | Self::Unusable { cause, .. } => f.write_str(cause),
-            Self::OldVersion { edition, current } => {
+            Self::Malformed { cause, .. } | Self::Invalid { cause, .. } => f.write_str(cause),
+            Self::StaleEdition { edition, current } => {
                 write!(f, "{edition} is not above the current {current}")
             }
             Self::UnknownService { service, .. } => write!(f, "the service {service} does not exist"),
-            Self::SamePlace { first, .. } => write!(f, "host and prefix are those of route {first}"),
-            Self::NoWeight { .. } => f.write_str("the weights add up to 0"),
-            Self::NoTimeout { .. } => f.write_str("the time-out is 0"),
-            Self::SameName { name, .. } => write!(f, "{name} is the name of two items"),
+            Self::DuplicatePrefix { first, .. } => write!(f, "host and prefix are those of route {first}"),
+            Self::ZeroWeights { .. } => f.write_str("the weights add up to 0"),
+            Self::ZeroTimeout { .. } => f.write_str("the time-out is 0"),
+            Self::DuplicateName { name, .. } => write!(f, "{name} is the name of two items"),
         }
     }
 }
--- a/crates/configuration/src/host.rs
+++ b/crates/configuration/src/host.rs
@@ -1,4 +1,4 @@
-//! Host names as requests and routes write them.
+//! Host names in the forms that requests and routes use.
 
 use std::borrow::Cow;
 
@@ -14,7 +14,7 @@
 
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
-        Some((name, port)) if is_port(port) && !is_cut_address(name) => name,
+        Some((name, port)) if is_port(port) && !is_ipv6_fragment(name) => name,
         _ => host,
     }
 }
@@ -23,7 +23,7 @@
     text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// Whether the colon stood inside an IPv6 address and not in front of a port.
-fn is_cut_address(name: &str) -> bool {
+/// Whether the text before the last colon is the beginning of a bare IPv6 address, so that no port follows.
+fn is_ipv6_fragment(name: &str) -> bool {
     name.contains(':') && !name.ends_with(']')
 }
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -1,30 +1,30 @@
-//! Routes: where a request goes and what it may ask for.
+//! Routes: which requests go to which services, and how they are treated.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What may be repeated, and how the answer comes.
+/// How the requests of a route are executed and answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Requests may run more than once.
+    /// Requests are idempotent: one attempt may run on several servers.
     Safe,
-    /// Requests run at most once for each try.
+    /// Requests run at most once per attempt of the client.
     Unsafe,
-    /// Answers are series of events.
+    /// Responses are event streams.
     Stream,
-    /// Requests are batch jobs of a trainer.
+    /// Requests submit batch jobs of a trainer.
     Rollout,
-    /// Requests are batch jobs.
+    /// Requests submit batch jobs.
     Batch,
-    /// A word that this program doesn't know; such requests run at most once for each try.
+    /// A keyword that this program does not know; treated like [`RouteKind::Unsafe`].
     Other(Arc<str>),
 }
 
 impl RouteKind {
-    /// The kind that the operator's word names.
+    /// The kind that a keyword of the operator's document stands for.
     #[must_use]
-    pub fn from_keyword(word: &str) -> Self {
-        match word {
+    pub fn from_keyword(keyword: &str) -> Self {
+        match keyword {
             "safe" => Self::Safe,
             "unsafe" => Self::Unsafe,
             "stream" => Self::Stream,
@@ -34,52 +34,52 @@
         }
     }
 
-    /// Whether requests of this kind hand in batch jobs.
+    /// Whether requests of this kind submit batch jobs.
     #[must_use]
     pub fn takes_batch_jobs(&self) -> bool {
         matches!(self, Self::Rollout | Self::Batch)
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a fraction of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The service's name.
+    /// `postalLine`: name of the service.
     pub service: Arc<str>,
-    /// Its weight among the targets; the weights of a route add up to more than 0.
+    /// `share`: weight among the targets of the route; at least one weight of a route is above 0.
     pub weight: u32,
 }
 
 /// A route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// `name`: its name, unique among the routes.
     pub name: Arc<str>,
-    /// The host of its requests, in lower case and without a port.
+    /// `depot`: host of its requests, in lower case and without a port.
     pub host: Arc<str>,
-    /// How the paths of its requests begin.
+    /// `lanePrefix`: prefix of the paths of its requests, unique among the routes of a host.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// `kind`: how its requests are executed and answered.
     pub kind: RouteKind,
-    /// The longest time that a try is held.
+    /// `expiryMs`: a client's attempt has to be answered within this time; above 0.
     pub timeout: Duration,
-    /// The time within which an answer earns its full worth.
+    /// `dueMs`: the time within which a response has its full value; the time-out by default.
     pub latency_target: Duration,
-    /// Its rank; 0 is highest.
+    /// `urgency`: priority; 0 is the highest.
     pub urgency: u32,
-    /// Where its requests go.
+    /// `postalLine` or `split`: the services that receive its requests.
     pub targets: Vec<Target>,
-    /// The most servers that one try may go to.
+    /// `tries`: servers that one attempt of a client may run on; at least 1.
     pub max_attempts: u32,
-    /// Whether a stream may be taken up again after a cut.
+    /// `resume`: whether an interrupted stream may be resumed on another server.
     pub resume: bool,
-    /// Whether one weight version has to make the whole text of a result.
+    /// `singleEdition`: whether one weight version has to generate the entire text of a result.
     pub single_version: bool,
-    /// How long after the first send of a batch job all its results are due.
+    /// `deliveryDueMs`: time from the submission of a batch job until all its results are due.
     pub delivery_due: Option<Duration>,
-    /// How long after the first send of a batch job its items may be given up.
+    /// `shelfLifeS`: time from the submission of a batch job after which its items may be abandoned.
     pub shelf_life: Option<Duration>,
-    /// Whether requests that share parts of their prompt gain from the same server.
+    /// `sameCarrier`: whether requests that share a prompt prefix gain from the same server's prefix cache.
     pub prefix_affinity: bool,
 }
 
--- a/crates/configuration/src/service.rs
+++ b/crates/configuration/src/service.rs
@@ -1,58 +1,33 @@
-//! Services, and what clients may send.
+//! Services: groups of servers that do the same work.
 
 use std::sync::Arc;
-use std::time::Duration;
 
-/// How the language model servers of a service work.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Engine {
-    /// Requests that a server works on at once; 0 if it is not told.
-    pub slots: u32,
-    /// Tokens that its memory holds; 0 if it is not told.
-    pub cache_tokens: u64,
-    /// Bytes of a token in the cache; 0 if it is not told.
-    pub cache_bytes: u64,
-    /// Speed of a server's link for its cache, in Mbit/s; 0 if it is not told.
-    pub link_mbps: f64,
-    /// Tokens that a stream gets between two reports of its progress; 0 if it is not told.
-    pub stride: u64,
-    /// The models that the servers have.
-    pub models: Vec<Arc<str>>,
-}
-
-/// A service: servers that can do the same work.
+/// A service: servers of which each can answer the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// `name`: its name, unique among the services.
     pub name: Arc<str>,
-    /// The path of its health check, where it has one.
+    /// `healthPath`: path of the health check; `None` where its servers have none.
     pub health_path: Option<Arc<str>>,
-    /// Connections that a server takes from all callers together, where the operator tells it.
-    pub connections_most: Option<u32>,
-    /// How its language model servers work; `None` for other servers.
+    /// `berthCap`: connections that a server accepts from all callers together; `None` if not given.
+    pub max_connections: Option<u32>,
+    /// `engine`: how its language model servers work; `None` for other servers.
     pub engine: Option<Engine>,
 }
 
-/// What a client may send, and how long it may take.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ConfigurationLimits {
-    /// Largest head of a request.
-    pub head_bytes: u64,
-    /// Largest body of a request.
-    pub body_bytes: u64,
-    /// Longest time for the head of a request.
-    pub head_timeout: Duration,
-    /// Longest time that a connection may rest.
-    pub idle: Duration,
-}
-
-impl Default for ConfigurationLimits {
-    fn default() -> Self {
-        Self {
-            head_bytes: 16 * 1024,
-            body_bytes: 32 * 1024 * 1024,
-            head_timeout: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
-        }
-    }
+/// Capacity of the language model servers of a service. Numbers that the operator does not give are 0.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Engine {
+    /// `berths`: requests that a server processes at once.
+    pub slots: u32,
+    /// `cacheTokens`: size of a server's KV cache, in tokens.
+    pub cache_tokens: u64,
+    /// `cacheBytes`: size of one token in the KV cache, in bytes.
+    pub cache_bytes_per_token: u64,
+    /// `linkMbps`: bandwidth of a server's link for transfers of its KV cache, in Mbit/s.
+    pub link_mbps: f64,
+    /// `stride`: tokens between two progress reports of a stream.
+    pub progress_interval_tokens: u64,
+    /// `models`: names of the models that the servers have.
+    pub models: Vec<Arc<str>>,
 }
--- a/crates/configuration/tests/change.rs
+++ b/crates/configuration/tests/change.rs
@@ -20,7 +20,7 @@
 #[parameterized(same = { 7 }, newer = { 8 })]
 fn given_a_version_not_above_the_current_when_put_then_it_is_refused(current: u64) {
     let refused = replace(current, DOCUMENT.as_bytes()).expect_err("old");
-    assert_eq!(refused, ConfigurationError::OldVersion { edition: 7, current });
+    assert_eq!(refused, ConfigurationError::StaleEdition { edition: 7, current });
     assert_eq!(refused.field(), "edition");
 }
 
--- a/crates/configuration/tests/golden.rs
+++ b/crates/configuration/tests/golden.rs
@@ -59,12 +59,12 @@
     render! {
         "service" => service.name,
         "healthPath" => service.health_path,
-        "berthCap" => service.connections_most,
+        "berthCap" => service.max_connections,
         "engine.berths" => engine.map(|engine| engine.slots),
         "engine.cacheTokens" => engine.map(|engine| engine.cache_tokens),
-        "engine.cacheBytes" => engine.map(|engine| engine.cache_bytes),
+        "engine.cacheBytes" => engine.map(|engine| engine.cache_bytes_per_token),
         "engine.linkMbps" => engine.map(|engine| engine.link_mbps),
-        "engine.stride" => engine.map(|engine| engine.stride),
+        "engine.stride" => engine.map(|engine| engine.progress_interval_tokens),
         "engine.models" => engine.map(|engine| &engine.models),
     }
 }
@@ -80,7 +80,7 @@
         "limits.labelBytes" => limits.head_bytes,
         "limits.parcelBytes" => limits.body_bytes,
         "limits.labelMs" => limits.head_timeout,
-        "limits.idleMs" => limits.idle,
+        "limits.idleMs" => limits.idle_timeout,
     };
     [routes.join("\n"), services.join("\n"), rest].join("\n")
 }
@@ -112,15 +112,18 @@
     vec![
         (
             "cut short",
-            ConfigurationError::Unreadable { field: text("routes[0].depot"), cause: text("the cause") },
+            ConfigurationError::Malformed { field: text("routes[0].depot"), cause: text("the cause") },
         ),
-        ("unusable", ConfigurationError::Unusable { field: text("."), cause: text("the cause") }),
-        ("old version", ConfigurationError::OldVersion { edition: 7, current: 8 }),
+        ("unusable", ConfigurationError::Invalid { field: text("."), cause: text("the cause") }),
+        ("old version", ConfigurationError::StaleEdition { edition: 7, current: 8 }),
         ("unknown service", ConfigurationError::UnknownService { route: text("r"), service: text("s") }),
-        ("same host and prefix", ConfigurationError::SamePlace { first: text("r-1"), second: text("r-2") }),
-        ("no weight", ConfigurationError::NoWeight { route: text("r") }),
-        ("no time-out", ConfigurationError::NoTimeout { route: text("r") }),
-        ("same name", ConfigurationError::SameName { list: "routes", name: text("r") }),
+        (
+            "same host and prefix",
+            ConfigurationError::DuplicatePrefix { first: text("r-1"), second: text("r-2") },
+        ),
+        ("no weight", ConfigurationError::ZeroWeights { route: text("r") }),
+        ("no time-out", ConfigurationError::ZeroTimeout { route: text("r") }),
+        ("same name", ConfigurationError::DuplicateName { list: "routes", name: text("r") }),
     ]
 }
 
--- a/crates/configuration/tests/parse.rs
+++ b/crates/configuration/tests/parse.rs
@@ -29,13 +29,13 @@
     assert_eq!(shares, [90, 10]);
     assert_eq!(configuration.routes()[1].latency_target, Duration::from_micros(150_500));
     let service = configuration.service("huvo11a").expect("it is in the document");
-    assert_eq!(service.connections_most, Some(150));
+    assert_eq!(service.max_connections, Some(150));
     let engine = service.engine.as_ref().expect("it has an engine");
-    assert_eq!((engine.slots, engine.cache_tokens, engine.stride), (8, 73_133, 42));
+    assert_eq!((engine.slots, engine.cache_tokens, engine.progress_interval_tokens), (8, 73_133, 42));
     assert_eq!(&*engine.models[0], "daka510000");
     assert_eq!(configuration.service("wuno96b").and_then(|service| service.engine.as_ref()), None);
     assert_eq!(configuration.limits().body_bytes, 33_554_432);
-    assert_eq!(configuration.limits().idle, Duration::from_secs(15));
+    assert_eq!(configuration.limits().idle_timeout, Duration::from_secs(15));
 }
 
 #[parameterized(
@@ -65,7 +65,7 @@
 fn given_any_cut_of_the_text_when_parsed_then_it_is_refused() {
     for length in 0..DOCUMENT.len() {
         let refused = Configuration::parse(&DOCUMENT.as_bytes()[..length]).expect_err("cut short");
-        assert!(matches!(refused, ConfigurationError::Unreadable { .. }), "cut at {length}: {refused}");
+        assert!(matches!(refused, ConfigurationError::Malformed { .. }), "cut at {length}: {refused}");
     }
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn given_an_empty_name_when_parsed_then_the_error_names_the_field() {
     let refused = Configuration::parse(DOCUMENT.replace("r-first", "").as_bytes()).expect_err("invalid");
-    assert!(matches!(refused, ConfigurationError::Unusable { .. }), "{refused}");
+    assert!(matches!(refused, ConfigurationError::Invalid { .. }), "{refused}");
     assert!(refused.to_string().contains("routes[0].name"), "{refused}");
 }
 
@@ -122,7 +122,7 @@
     assert!(Configuration::parse(text.as_bytes()).is_ok(), "one weight above 0 is enough");
     let text = text.replace(r#""share":10"#, r#""share":0"#);
     let refused = Configuration::parse(text.as_bytes()).expect_err("invalid");
-    assert_eq!(refused, ConfigurationError::NoWeight { route: "r-first".to_owned() });
+    assert_eq!(refused, ConfigurationError::ZeroWeights { route: "r-first".to_owned() });
 }
 
 #[test]
--- a/crates/data-plane/src/ingress/lifecycle.rs
+++ b/crates/data-plane/src/ingress/lifecycle.rs
@@ -101,7 +101,7 @@
     /// The idle timeout of a new connection.
     fn idle_timeout(&self) -> Duration {
         let configuration = self.shared.forwarder.configuration();
-        let limit = configuration.map_or(Duration::ZERO, |configuration| configuration.limits().idle);
+        let limit = configuration.map_or(Duration::ZERO, |configuration| configuration.limits().idle_timeout);
         limit.mul_f64(IDLE_TIMEOUT_FACTOR).max(MIN_IDLE_TIMEOUT)
     }
 }
--- a/crates/local-fleet/tests/files.rs
+++ b/crates/local-fleet/tests/files.rs
@@ -7,21 +7,21 @@
     ClientLimits, ConfigurationFile, ConfigurationPatch, Fault, FaultKind, Layout, Names, RouteEntry,
     RouteRemovals, RouteUpdates, ServiceEntry, SettingsFile,
 };
-use settings::Settings;
+use settings::NodeSettings;
 use yare::parameterized;
 
 fn layout(nodes: u8, stores: u8) -> Layout {
     Layout { subnet: 7, nodes, stores, plain_servers: 1, engines: 1 }
 }
 
-fn read(file: &SettingsFile) -> Settings {
-    Settings::parse(&file.to_toml().expect("text")).expect("settings that are in order")
+fn read(file: &SettingsFile) -> NodeSettings {
+    NodeSettings::parse(&file.to_toml().expect("text")).expect("settings that are in order")
 }
 
 #[test]
 fn given_the_settings_of_a_node_when_read_then_it_has_addresses_seeds_and_a_disk() {
     let settings = read(&SettingsFile::node(&layout(4, 3), 1, Path::new("files")));
-    assert_eq!(settings.station, "counter-zone-b-2");
+    assert_eq!(settings.machine_name, "counter-zone-b-2");
     assert_eq!(settings.seeds, ["127.10.7.1:8146", "127.10.7.2:8146", "127.10.7.3:8146"]);
     assert_eq!(settings.data_dir.as_deref(), Some(Path::new("files/data")));
     assert!(settings.first_start);
@@ -43,8 +43,8 @@
     tolerated_failures: u32,
 ) {
     let settings = read(&SettingsFile::store(&layout(nodes, stores), 0, Path::new("files")));
-    assert_eq!(settings.station, "vault-zone-a-1");
-    assert_eq!(u64::from(settings.withstand.machines), u64::from(tolerated_failures));
+    assert_eq!(settings.machine_name, "vault-zone-a-1");
+    assert_eq!(u64::from(settings.fault_tolerance.machines), u64::from(tolerated_failures));
 }
 
 fn configuration(names: &Names) -> ConfigurationFile {
--- a/crates/local-fleet/tests/golden.rs
+++ b/crates/local-fleet/tests/golden.rs
@@ -143,14 +143,14 @@
 fn given_a_node_when_its_settings_are_written_then_the_file_is_as_before(name: &str, node: u8) {
     let file = SettingsFile::node(&layout(), node, Path::new("files"));
     let text = assert_golden(name, &file.to_toml().expect("TOML"));
-    assert_eq!(settings::Settings::parse(&text).expect("settings").station, file.name());
+    assert_eq!(settings::NodeSettings::parse(&text).expect("settings").machine_name, file.name());
 }
 
 #[test]
 fn given_a_store_when_its_settings_are_written_then_the_file_is_as_before() {
     let file = SettingsFile::store(&layout(), 2, Path::new("files"));
     let text = assert_golden("settings-store.toml", &file.to_toml().expect("TOML"));
-    assert_eq!(settings::Settings::parse(&text).expect("settings").station, file.name());
+    assert_eq!(settings::NodeSettings::parse(&text).expect("settings").machine_name, file.name());
 }
 
 #[test]
--- a/crates/rushrudder/src/local.rs
+++ b/crates/rushrudder/src/cli/local.rs
@@ -1,4 +1,4 @@
-//! `local`: a small fleet on this machine, with stand-ins of everything around it.
+//! `local`: a small fleet of real processes on this machine, with stand-ins for the platform, the servers and trainers.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,47 +8,47 @@
 
 use rushrudder::signals::Signals;
 
-use crate::logging;
+use super::{logging, EXIT_USAGE};
 
 /// Options of `local`.
 #[derive(Debug, Options)]
 pub struct LocalCommand {
     /// Print this help.
-    pub help: bool,
+    help: bool,
     /// Traffic nodes; the first three have a disk.
     #[options(default = "3")]
-    pub nodes: u8,
+    nodes: u8,
     /// Stores of batch jobs.
     #[options(default = "3")]
-    pub stores: u8,
+    stores: u8,
     /// Training steps.
     #[options(default = "5")]
-    pub steps: u64,
+    steps: u64,
     /// Every so many texts of a model server, one is cut; 0: none.
-    #[options(short = "c", long = "cut-every", default = "0")]
-    pub truncate_every: u64,
+    #[options(short = "c", long = "cut-every", meta = "CUT-EVERY", default = "0")]
+    truncate_every: u64,
     /// Let a text be made by several versions of the weights.
-    pub mixed_versions: bool,
+    mixed_versions: bool,
     /// A trouble, STEP:kill|wipe|stop:PROCESS or STEP:kill-all; may be given again.
     #[options(short = "t", long = "trouble", meta = "TROUBLE")]
-    pub faults: Vec<Fault>,
+    faults: Vec<Fault>,
     /// Files of the processes (default: a folder for temporary files).
     #[options(meta = "DIRECTORY")]
-    pub directory: Option<PathBuf>,
+    directory: Option<PathBuf>,
     /// Third part of all addresses, 127.10.SUBNET.x.
     #[options(default = "1")]
-    pub subnet: u8,
+    subnet: u8,
     /// Print the report as JSON.
-    pub json: bool,
+    json: bool,
     /// Least level that is logged: error, warn, info, debug or trace.
     #[options(default = "error")]
-    pub log_level: log::LevelFilter,
+    log_level: log::LevelFilter,
 }
 
-/// Runs a fleet; fails unless every step is done and no rule is broken.
-pub fn run(command: LocalCommand) -> ExitCode {
+/// Runs a fleet and prints its report. Fails unless every training step is done and no rule is broken.
+pub fn run(command: &LocalCommand) -> ExitCode {
     logging::start(command.log_level);
-    match run_fleet(&command) {
+    match run_fleet(command) {
         Ok(report) => {
             print_report(&report, command.json);
             if report.is_clean() {
@@ -59,7 +59,7 @@
         }
         Err(error) => {
             eprintln!("local: {error}");
-            ExitCode::from(2)
+            ExitCode::from(EXIT_USAGE)
         }
     }
 }
@@ -70,7 +70,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut signals = Signals::listen().map_err(|_| LocalError::Interrupted)?;
-        // When the run is dropped, its processes end.
+        // Dropping the run ends its processes.
         tokio::select! {
             ended = local_fleet::run(options, |line| eprintln!("{line}")) => ended,
             _ = signals.next() => Err(LocalError::Interrupted),
--- /dev/null
+++ b/crates/rushrudder/src/cli/logging.rs
@@ -0,0 +1,31 @@
+//! Logs: one event a line on standard error, in logfmt.
+
+use error_stack::{AttachmentKind, FrameKind, Report};
+use log::LevelFilter;
+use logforth::append::Stderr;
+use logforth::layout::LogfmtLayout;
+
+/// Starts logging at this level.
+pub fn start(level: LevelFilter) {
+    let stderr = Stderr::default().with_layout(LogfmtLayout::default());
+    logforth::core::builder().dispatch(|dispatch| dispatch.append(stderr)).apply();
+    logforth::bridge::log::setup();
+    log::set_max_level(level);
+}
+
+/// A report as one line: the error, then each of its causes, separated by colons.
+///
+/// The `Debug` form of a report is a tree of several lines with escape codes of a terminal, and its `Display` form
+/// lacks the causes.
+pub fn single_line<Error>(report: &Report<Error>) -> String {
+    let texts: Vec<String> = report.frames().filter_map(|frame| text_of(frame.kind())).collect();
+    texts.join(": ").lines().collect::<Vec<_>>().join(" ")
+}
+
+fn text_of(kind: FrameKind<'_>) -> Option<String> {
+    match kind {
+        FrameKind::Context(error) => Some(error.to_string()),
+        FrameKind::Attachment(AttachmentKind::Printable(attachment)) => Some(attachment.to_string()),
+        FrameKind::Attachment(_) => None,
+    }
+}
--- a/crates/rushrudder/src/lib.rs
+++ b/crates/rushrudder/src/lib.rs
@@ -1,8 +1,11 @@
-//! The roles of the system, assembled from the libraries of the planes.
+//! The roles of the system, assembled from the crates of the planes.
+//!
+//! [`node::TrafficNode`] and [`store::BatchStore`] both contain a [`control::ControlPlane`]. The program runs them over
+//! sockets; the simulator runs them with its own [`control::OutboundClients`].
 
 pub mod control;
 mod error;
-pub mod jobs;
+pub mod job_api;
 pub mod node;
 pub mod signals;
 pub mod store;
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -1,140 +1,150 @@
-//! The role of a traffic node.
+//! The role of a traffic node: it serves clients, trainers and the operator, and with a disk it is an acceptor.
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_plane::{leave_register, operator_routes, Capability};
+use control_plane::{leave_register, operator_routes, Capability, ViewCell};
 use data_plane::{Forwarder, Ingress, IngressSettings};
-use error_stack::{Report, ResultExt};
+use error_stack::Report;
 use register::Member;
-use settings::Settings;
-use tokio::net::TcpListener;
+use settings::NodeSettings;
+use tokio::task::JoinHandle;
 
-use crate::control::{member, open_disk, Control, Disk, Edges};
-use crate::jobs::Jobs;
+use crate::control::{listen_at, local_member, ControlPlane, OutboundClients, RecoveredDisk};
+use crate::job_api::JobApi;
 use crate::signals::{SignalEvent, Signals};
 use crate::RoleError;
 
-/// The journal of an acceptor: few records, each the whole state.
-const JOURNAL: storage::RingOptions = storage::RingOptions { segment_bytes: 2 * 1024 * 1024, segments: 8 };
-/// A path without route is answered 404 while the configuration was confirmed within this time.
-const CONFIRMED_AGE_MOST: Duration = Duration::from_millis(1900);
-/// After the end was asked for, new connections still come until the platform has seen two misses.
-const STILL_COMING: Duration = Duration::from_millis(2500);
-/// How much of the platform's grace is kept back for the end of the process.
-const GRACE_KEPT: Duration = Duration::from_millis(400);
-
-/// Serves as a traffic node until the platform ends it.
-pub async fn run(settings: Settings) -> Result<(), Report<RoleError>> {
+/// The journal of an acceptor is small: it holds few records, each with the whole state.
+const JOURNAL_OPTIONS: storage::RingOptions =
+    storage::RingOptions { segment_bytes: 2 * 1024 * 1024, segments: 8 };
+/// A path without a route is answered with 404 only while the configuration was confirmed within this time. Otherwise
+/// a newer configuration may have the route.
+const MAX_CONFIRMED_AGE: Duration = Duration::from_millis(1900);
+/// After SIGTERM, new connections are accepted for this long: the platform sends clients here until it has seen two
+/// failed readiness checks.
+const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2500);
+/// How much of the platform's termination grace period is reserved for the exit of the process.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+
+/// Serves as a traffic node until the platform ends it, then shuts down gracefully.
+///
+/// # Errors
+///
+/// When the process cannot start: its disk cannot be opened, or it cannot listen at one of its addresses.
+pub async fn run(settings: NodeSettings) -> Result<(), Report<RoleError>> {
     let mut signals = Signals::listen()?;
-    let disk = open_disk(&settings, JOURNAL)?;
-    let node = Node::new(&settings, disk, Edges::sockets(&settings));
-    let control = &node.control;
-    let internal = control.listen().await?;
-    tokio::spawn(rpc::serve(internal, control.internal_routes()));
+    let disk = RecoveredDisk::open(&settings, JOURNAL_OPTIONS)?;
+    let node = TrafficNode::new(&settings, disk, OutboundClients::http(&settings));
+    let internal_listener = node.control.listen().await?;
+    tokio::spawn(rpc::serve(internal_listener, node.control.internal_routes()));
     node.start(&settings);
     serve_operator(&settings, &node).await?;
-    let front = serve_clients(&settings, control).await?;
-    log::info!("{} serves", settings.station);
+    let client_server = ClientServer::start(&settings, &node.control).await?;
+    log::info!("{} serves", settings.machine_name);
     while signals.next().await == SignalEvent::Reload {
-        control.reload();
+        node.control.reload_settings();
     }
-    log::info!("{} ends", settings.station);
-    tokio::join!(node.resign(), front.drain());
+    log::info!("{} shuts down", settings.machine_name);
+    tokio::join!(node.resign(), client_server.drain());
     Ok(())
 }
 
-/// The parts of a traffic node that agree with other processes; those that carry requests are apart.
-pub struct Node {
+/// A traffic node without the parts that carry clients' requests.
+pub struct TrafficNode {
     /// Its control plane.
-    pub control: Control,
+    pub control: ControlPlane,
+    /// This process as an acceptor, where it has a disk.
     member: Option<Member>,
 }
 
-impl Node {
-    /// A node; one with a disk has an acceptor.
-    pub fn new(settings: &Settings, disk: Option<Disk>, edges: Edges) -> Self {
-        let member = disk.as_ref().map(|disk| member(settings, disk.incarnation));
-        Self { control: Control::new(settings, disk, edges), member }
+impl TrafficNode {
+    /// A node. With a disk it has an acceptor.
+    pub fn new(settings: &NodeSettings, disk: Option<RecoveredDisk>, clients: OutboundClients) -> Self {
+        let member = disk.as_ref().map(|disk| local_member(settings, disk.incarnation));
+        Self { control: ControlPlane::new(settings, disk, clients), member }
     }
 
-    /// The operator's interface.
+    /// Starts the tasks of the control plane.
+    pub fn start(&self, settings: &NodeSettings) {
+        self.control.start(settings, self.member.clone(), Capability::Acceptor);
+    }
+
+    /// The endpoints for the operator.
     pub fn operator_routes(&self) -> impl poem::Endpoint {
         operator_routes(Arc::clone(&self.control.view), Arc::clone(&self.control.proposer))
     }
 
-    /// Gives the lease back and leaves the register to another that came in this one's place, before the process ends.
+    /// Releases the leader lease and lets a standby replace this acceptor, before the process ends.
     pub async fn resign(&self) {
         self.control.stop_joining();
         self.control.distribution.set_leaving();
         self.control.leadership.resign().await;
         if let Some(member) = &self.member {
-            let Control { view, proposer, client, .. } = &self.control;
-            leave_register(member, view, proposer, client).await;
+            let ControlPlane { view, proposer, clients, .. } = &self.control;
+            leave_register(member, view, proposer, &clients.rpc).await;
         }
     }
-
-    /// Starts the tasks.
-    pub fn start(&self, settings: &Settings) {
-        self.control.start(settings, self.member.clone(), Capability::Acceptor);
-    }
-}
-
-async fn bind(address: SocketAddr) -> Result<TcpListener, Report<RoleError>> {
-    TcpListener::bind(address).await.change_context(RoleError).attach_with(|| address.to_string())
 }
 
-async fn serve_operator(settings: &Settings, node: &Node) -> Result<(), Report<RoleError>> {
-    let Some(address) = settings.posts.control else { return Ok(()) };
-    let listener = bind(address).await?;
+async fn serve_operator(settings: &NodeSettings, node: &TrafficNode) -> Result<(), Report<RoleError>> {
+    let Some(address) = settings.listen_addresses.control else { return Ok(()) };
+    let listener = listen_at(address).await?;
     tokio::spawn(rpc::serve(listener, node.operator_routes()));
     Ok(())
 }
 
-/// The ingress while it serves.
-struct Serving {
+/// The part of a traffic node that carries clients' requests.
+struct ClientServer {
     ingress: Ingress,
-    task: Option<tokio::task::JoinHandle<std::io::Result<()>>>,
+    /// Serves the clients' connections; `None` where the settings have no address for clients.
+    connections: Option<JoinHandle<std::io::Result<()>>>,
 }
 
-impl Serving {
-    /// Finishes what is held.
+impl ClientServer {
+    /// Listens for readiness checks and for clients.
+    async fn start(settings: &NodeSettings, control: &ControlPlane) -> Result<Self, Report<RoleError>> {
+        let forwarder = Forwarder::new(control.view.subscribe(), settings.zone.as_str().into());
+        let ingress = Ingress::new(forwarder, ingress_settings(settings, control));
+        if let Some(address) = settings.listen_addresses.readiness {
+            let (listener, ingress) = (listen_at(address).await?, ingress.clone());
+            tokio::spawn(async move { ingress.serve_ready(listener).await });
+        }
+        let mut connections = None;
+        if let Some(address) = settings.listen_addresses.client {
+            let (listener, ingress) = (listen_at(address).await?, ingress.clone());
+            connections = Some(tokio::spawn(async move { ingress.serve(listener).await }));
+        }
+        Ok(Self { ingress, connections })
+    }
+
+    /// Finishes the requests in flight.
     async fn drain(self) {
         self.ingress.drain();
-        if let Some(task) = self.task {
-            let _ = task.await;
+        if let Some(connections) = self.connections {
+            // The process ends next; an error of the listener changes nothing.
+            let _ = connections.await;
         }
     }
 }
 
-async fn serve_clients(settings: &Settings, control: &Control) -> Result<Serving, Report<RoleError>> {
-    let forwarder = Forwarder::new(control.view.subscribe(), settings.zone.as_str().into());
-    let (ready, confirmed) = (Arc::clone(&control.view), Arc::clone(&control.view));
-    let ingress = Ingress::new(
-        forwarder,
-        IngressSettings {
-            jobs: Arc::new(Jobs::new(control)),
-            is_ready: Box::new(move || {
-                ready.confirmed_age().is_some()
-                    && ready.servers_age().is_some()
-                    && ready.view().configuration.is_some()
-            }),
-            is_configuration_confirmed: Box::new(move || {
-                confirmed.confirmed_age().is_some_and(|age| age < CONFIRMED_AGE_MOST)
-            }),
-            accept_while_draining: STILL_COMING,
-            drain_timeout: settings.timetable.grace().saturating_sub(GRACE_KEPT),
-        },
-    );
-    if let Some(address) = settings.posts.ready {
-        let (listener, ingress) = (bind(address).await?, ingress.clone());
-        tokio::spawn(async move { ingress.serve_ready(listener).await });
-    }
-    let mut task = None;
-    if let Some(address) = settings.posts.front {
-        let (listener, serving) = (bind(address).await?, ingress.clone());
-        task = Some(tokio::spawn(async move { serving.serve(listener).await }));
+fn ingress_settings(settings: &NodeSettings, control: &ControlPlane) -> IngressSettings {
+    let (ready_view, confirmed_view) = (Arc::clone(&control.view), Arc::clone(&control.view));
+    IngressSettings {
+        jobs: Arc::new(JobApi::new(control)),
+        is_ready: Box::new(move || is_ready(&ready_view)),
+        is_configuration_confirmed: Box::new(move || is_recently_confirmed(&confirmed_view)),
+        accept_while_draining: ACCEPT_WHILE_DRAINING,
+        drain_timeout: settings.timing_rules.termination_grace_period().saturating_sub(EXIT_MARGIN),
     }
-    Ok(Serving { ingress, task })
+}
+
+/// Whether the process has a confirmed control state, a list of servers and a configuration.
+fn is_ready(view: &ViewCell) -> bool {
+    view.confirmed_age().is_some() && view.servers_age().is_some() && view.view().configuration.is_some()
+}
+
+/// Whether a majority confirmed recently that the configuration is the newest.
+fn is_recently_confirmed(view: &ViewCell) -> bool {
+    view.confirmed_age().is_some_and(|age| age < MAX_CONFIRMED_AGE)
 }
--- a/crates/rushrudder/src/signals.rs
+++ b/crates/rushrudder/src/signals.rs
@@ -5,7 +5,7 @@
 
 use crate::RoleError;
 
-/// What the platform tells by signals.
+/// Receives the signals by which the platform controls a process.
 pub struct Signals {
     terminate: Signal,
     reload: Signal,
@@ -14,17 +14,21 @@
 /// A signal that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalEvent {
-    /// End in good order.
+    /// SIGTERM: shut down gracefully.
     Terminate,
-    /// Read the settings file again.
+    /// SIGHUP: reload the settings file.
     Reload,
 }
 
 impl Signals {
-    /// Listens for signals.
+    /// Registers for SIGTERM and SIGHUP, which no longer end the process from then on.
+    ///
+    /// # Errors
+    ///
+    /// [`RoleError::Signals`] when the operating system declines.
     pub fn listen() -> Result<Self, Report<RoleError>> {
-        let terminate = signal(SignalKind::terminate()).change_context(RoleError)?;
-        let reload = signal(SignalKind::hangup()).change_context(RoleError)?;
+        let terminate = signal(SignalKind::terminate()).change_context(RoleError::Signals)?;
+        let reload = signal(SignalKind::hangup()).change_context(RoleError::Signals)?;
         Ok(Self { terminate, reload })
     }
 
--- a/crates/rushrudder/src/store.rs
+++ b/crates/rushrudder/src/store.rs
@@ -1,4 +1,4 @@
-//! The role of a store of batch jobs.
+//! The role of a store: it replicates batch jobs on disk and runs the items of those that it owns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,68 +8,80 @@
 use error_stack::{IntoReport, Report};
 use poem::Route;
 use register::Member;
-use settings::Settings;
+use settings::NodeSettings;
 use store_plane::runner::owned_jobs::run_owned_jobs;
 use store_plane::runner::RunnerSettings;
 use store_plane::{JobStore, OwnedJob, StoreLimits};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use crate::control::{member, open_disk, Control, Disk, Edges};
+use crate::control::{local_member, ControlPlane, OutboundClients, RecoveredDisk};
 use crate::signals::{SignalEvent, Signals};
 use crate::RoleError;
 
 /// Bytes of a segment of the journal.
 const SEGMENT_BYTES: u64 = 16 * 1024 * 1024;
-/// Segments at most; fewer where the disk is small.
-const SEGMENTS_MOST: u64 = 20;
-/// After its batch jobs were handed over, a store still answers for this long: successors read its copies.
-const LAST_ANSWERS: Duration = Duration::from_millis(600);
-/// How often the progress of a move to a new store set is looked at.
-const MOVE_LOOK_EVERY: Duration = Duration::from_millis(300);
+/// Segments of the journal on a small disk.
+const MIN_SEGMENTS: u64 = 3;
+/// Segments of the journal on a large disk.
+const MAX_SEGMENTS: u64 = 20;
+/// After its batch jobs were handed over, a store still answers for this long: new owners read its replicas.
+const ANSWER_AFTER_HANDOVER: Duration = Duration::from_millis(600);
+/// Interval at which the progress of a migration to a new store set is read.
+const MIGRATION_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Serves as a store until the platform ends it.
-pub async fn run(settings: Settings) -> Result<(), Report<RoleError>> {
+/// Serves as a store until the platform ends it, then shuts down gracefully.
+///
+/// # Errors
+///
+/// When the process cannot start: it has no data directory, its disk cannot be opened, or it cannot listen at its
+/// internal address.
+pub async fn run(settings: NodeSettings) -> Result<(), Report<RoleError>> {
     let mut signals = Signals::listen()?;
-    let disk = open_disk(&settings, journal_options(&settings))?;
-    let disk = disk.ok_or_else(|| RoleError.into_report().attach("a store needs dataDir in its settings"))?;
-    let (store, owned) = Store::new(&settings, disk, Edges::sockets(&settings));
-    let internal = store.control.listen().await?;
-    tokio::spawn(rpc::serve(internal, store.internal_routes()));
+    let disk = RecoveredDisk::open(&settings, journal_options(&settings))?;
+    let disk = disk.ok_or_else(|| RoleError::MissingDataDir.into_report())?;
+    let (store, owned_jobs) = BatchStore::new(&settings, disk, OutboundClients::http(&settings));
+    let internal_listener = store.control.listen().await?;
+    tokio::spawn(rpc::serve(internal_listener, store.internal_routes()));
     store.start(&settings);
     let forwarder = Forwarder::new(store.control.view.subscribe(), settings.zone.as_str().into());
-    tokio::spawn(run_owned_jobs(owned, forwarder, RunnerSettings::default()));
-    log::info!("{} serves", settings.station);
+    tokio::spawn(run_owned_jobs(owned_jobs, forwarder, RunnerSettings::default()));
+    log::info!("{} serves", settings.machine_name);
     while signals.next().await == SignalEvent::Reload {
-        store.control.reload();
+        store.control.reload_settings();
     }
-    log::info!("{} ends", settings.station);
+    log::info!("{} shuts down", settings.machine_name);
     store.resign().await;
     Ok(())
 }
 
-/// The parts of a store that keep batch jobs and agree with other processes; those that run items are apart.
-pub struct Store {
+/// A store without the part that runs items.
+pub struct BatchStore {
     /// Its control plane.
-    pub control: Control,
+    pub control: ControlPlane,
     /// Its batch jobs.
     pub jobs: JobStore,
+    /// This process as a store.
     member: Member,
 }
 
-impl Store {
-    /// A store with what its disk held. The receiver is handed each batch job whose items are to be run here.
-    pub fn new(settings: &Settings, disk: Disk, edges: Edges) -> (Self, UnboundedReceiver<OwnedJob>) {
-        let member = member(settings, disk.incarnation);
-        let control = Control::new(settings, None, edges);
-        let (jobs, owned) = JobStore::open(
+impl BatchStore {
+    /// A store with what its disk recovered. The receiver gets each batch job whose items are to run here.
+    pub fn new(
+        settings: &NodeSettings,
+        disk: RecoveredDisk,
+        clients: OutboundClients,
+    ) -> (Self, UnboundedReceiver<OwnedJob>) {
+        let member = local_member(settings, disk.incarnation);
+        let control = ControlPlane::new(settings, None, clients);
+        let (jobs, owned_jobs) = JobStore::open(
             member.clone(),
             Arc::new(disk.journal),
             disk.records.into_iter().map(|(position, bytes)| (position.0, bytes)),
-            control.client.clone(),
+            control.clients.rpc.clone(),
             control.view.subscribe(),
-            StoreLimits { result_retention: settings.timetable.status() },
+            StoreLimits { result_retention: settings.timing_rules.result_retention() },
         );
-        (Self { control, jobs, member }, owned)
+        (Self { control, jobs, member }, owned_jobs)
     }
 
     /// The endpoints for other processes.
@@ -77,35 +89,36 @@
         self.control.internal_routes().nest_no_strip("/batch", self.jobs.endpoint())
     }
 
-    /// Starts the tasks.
-    pub fn start(&self, settings: &Settings) {
+    /// Starts the tasks of the control plane and of replication.
+    pub fn start(&self, settings: &NodeSettings) {
         self.control.start(settings, Some(self.member.clone()), Capability::Store);
         tokio::spawn(self.jobs.clone().run());
-        tokio::spawn(report_moves(self.jobs.clone(), Arc::clone(&self.control.distribution)));
+        tokio::spawn(report_migration(self.jobs.clone(), Arc::clone(&self.control.distribution)));
     }
 
-    /// Hands all batch jobs over, before the process ends.
+    /// Hands all batch jobs over to other stores, before the process ends.
     pub async fn resign(&self) {
         self.control.stop_joining();
         self.control.distribution.set_leaving();
         leave_stores(&self.member, &self.control.view, &self.control.proposer).await;
         self.jobs.hand_over_jobs().await;
-        tokio::time::sleep(LAST_ANSWERS).await;
+        tokio::time::sleep(ANSWER_AFTER_HANDOVER).await;
     }
 }
 
-fn journal_options(settings: &Settings) -> storage::RingOptions {
-    // A part of the disk stays free for what is written anew while old segments are still in use.
-    let fitting = settings.limits.disk_bytes() * 4 / 5 / SEGMENT_BYTES;
-    let segments = fitting.clamp(3, SEGMENTS_MOST);
-    storage::RingOptions { segment_bytes: SEGMENT_BYTES, segments: usize::try_from(segments).unwrap_or(3) }
+fn journal_options(settings: &NodeSettings) -> storage::RingOptions {
+    // A fifth of the disk stays free for records that are rewritten while their old segments are still in use.
+    let fitting_segments = settings.resource_limits.disk_bytes() * 4 / 5 / SEGMENT_BYTES;
+    let segments = fitting_segments.clamp(MIN_SEGMENTS, MAX_SEGMENTS);
+    let segments = usize::try_from(segments).expect("it is at most MAX_SEGMENTS");
+    storage::RingOptions { segment_bytes: SEGMENT_BYTES, segments }
 }
 
-/// Tells the leader, by its pings, how far this store has moved its batch jobs.
-async fn report_moves(store: JobStore, distribution: Arc<Distribution>) {
+/// Reports to the leader, in answers to its pings, the epoch of the store set to which this store has migrated.
+async fn report_migration(store: JobStore, distribution: Arc<Distribution>) {
     distribution.set_committed_epoch(0);
     loop {
-        tokio::time::sleep(MOVE_LOOK_EVERY).await;
+        tokio::time::sleep(MIGRATION_POLL_INTERVAL).await;
         let migration = store.migration_status();
         distribution.set_committed_epoch(if migration.is_complete { migration.epoch } else { 0 });
     }
--- a/crates/rushrudder/tests/golden.rs
+++ b/crates/rushrudder/tests/golden.rs
@@ -14,10 +14,10 @@
 use poem::{Body, Request, Response};
 use register::{Ballot, Incarnation, Member, Versioned};
 use rpc::{CallError, Transport};
-use rushrudder::control::{Control, Edges};
-use rushrudder::jobs::Jobs;
+use rushrudder::control::{ControlPlane, OutboundClients};
+use rushrudder::job_api::JobApi;
 use serde::{Deserialize, Serialize};
-use settings::Settings;
+use settings::NodeSettings;
 use state::{ControlState, StoreMember, StoreSet};
 use store_plane::ResultPage;
 use yare::parameterized;
@@ -128,11 +128,11 @@
     }
 }
 
-fn control(store: &Arc<OneStore>) -> Control {
-    let settings = Settings::parse(SETTINGS).expect("valid");
+fn control(store: &Arc<OneStore>) -> ControlPlane {
+    let settings = NodeSettings::parse(SETTINGS).expect("valid");
     let transport: Arc<dyn Transport> = Arc::<OneStore>::clone(store);
-    let edges = Edges { client: rpc::Client::over(transport), ..Edges::sockets(&settings) };
-    let control = Control::new(&settings, None, edges);
+    let clients = OutboundClients { rpc: rpc::Client::over(transport), ..OutboundClients::http(&settings) };
+    let control = ControlPlane::new(&settings, None, clients);
     let member =
         Member { name: "store-1".into(), incarnation: Incarnation(STORE), address: STORE_ADDRESS.into() };
     let members = vec![StoreMember { member, zone: "a".into() }];
@@ -154,7 +154,7 @@
 /// The answer of a node to a call while its only store answers with `answer`, and the first call to that store.
 async fn exchange(answer: Result<Vec<u8>, CallError>, request: Request) -> String {
     let store = Arc::new(OneStore { answer, calls: std::sync::Mutex::default() });
-    let response = Jobs::new(&control(&store)).handle(request).await;
+    let response = JobApi::new(&control(&store)).handle(request).await;
     let answered = render_response(response).await;
     let calls = store.calls.lock().expect("not poisoned");
     let call = calls.first().map_or("no store was asked", String::as_str);
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-use settings::Settings;
+use settings::NodeSettings;
 use yare::parameterized;
 
 fn golden_path(name: &str) -> PathBuf {
@@ -30,9 +30,9 @@
     }};
 }
 
-fn render_process(settings: &Settings) -> String {
+fn render_process(settings: &NodeSettings) -> String {
     render! {
-        "station" => settings.station,
+        "station" => settings.machine_name,
         "role" => settings.role,
         "machineClass" => settings.machine_class,
         "serves" => settings.serves,
@@ -42,75 +42,75 @@
         "ip" => settings.ip,
         "zone" => settings.zone,
         "region" => settings.region,
-        "innerPorts" => settings.inner_ports,
+        "innerPorts" => settings.internal_ports,
         "ip and first of innerPorts" => settings.internal_address(),
         "seedStations" => settings.seeds,
         "firstStart" => settings.first_start,
         "countsForQuorum" => settings.counts_for_quorum,
         "dataDir" => settings.data_dir,
-        "beatMs" => settings.beat(),
+        "beatMs" => settings.heartbeat_interval(),
         "contracts" => settings.contracts,
         "contracts has base" => settings.has_contract("base"),
         "zones" => settings.zones,
     }
 }
 
-fn render_sections(settings: &Settings) -> String {
+fn render_sections(settings: &NodeSettings) -> String {
     render! {
-        "posts.front" => settings.posts.front,
-        "posts.readyPost" => settings.posts.ready,
-        "posts.controlPost" => settings.posts.control,
-        "limits.cpuShare" => settings.limits.cpu_share,
-        "limits.cores" => settings.limits.cores,
-        "limits.memoryMb" => settings.limits.memory_mb,
-        "limits.memoryMb in bytes" => settings.limits.memory_bytes(),
-        "limits.fileHandles" => settings.limits.file_handles,
-        "limits.linkMbps" => settings.limits.link_mbps,
-        "limits.diskMb" => settings.limits.disk_mb,
-        "limits.diskMb in bytes" => settings.limits.disk_bytes(),
-        "withstand.machines" => settings.withstand.machines,
-        "withstand.zones" => settings.withstand.zones,
-        "withstand.regions" => settings.withstand.regions,
-        "cloud.address" => settings.cloud.as_ref().map(|cloud| &cloud.address),
-        "cloud.perS" => settings.cloud.as_ref().map(|cloud| cloud.per_s),
-        "cloud.lagMs" => settings.cloud.as_ref().map(|cloud| cloud.lag()),
+        "posts.front" => settings.listen_addresses.client,
+        "posts.readyPost" => settings.listen_addresses.readiness,
+        "posts.controlPost" => settings.listen_addresses.control,
+        "limits.cpuShare" => settings.resource_limits.cpu_share,
+        "limits.cores" => settings.resource_limits.cpu_speed_factor,
+        "limits.memoryMb" => settings.resource_limits.memory_mb,
+        "limits.memoryMb in bytes" => settings.resource_limits.memory_bytes(),
+        "limits.fileHandles" => settings.resource_limits.max_open_files,
+        "limits.linkMbps" => settings.resource_limits.link_mbps,
+        "limits.diskMb" => settings.resource_limits.disk_mb,
+        "limits.diskMb in bytes" => settings.resource_limits.disk_bytes(),
+        "withstand.machines" => settings.fault_tolerance.machines,
+        "withstand.zones" => settings.fault_tolerance.zones,
+        "withstand.regions" => settings.fault_tolerance.regions,
+        "cloud.address" => settings.platform_list.as_ref().map(|cloud| &cloud.address),
+        "cloud.perS" => settings.platform_list.as_ref().map(|cloud| cloud.max_calls_per_second),
+        "cloud.lagMs" => settings.platform_list.as_ref().map(|cloud| cloud.lag()),
     }
 }
 
-fn render_timetable(settings: &Settings) -> String {
-    let timetable = &settings.timetable;
+fn render_timing_rules(settings: &NodeSettings) -> String {
+    let rules = &settings.timing_rules;
     render! {
-        "timetable.seedLagS" => timetable.seed_lag(),
-        "timetable.reuseAfterS" => timetable.reuse_after(),
-        "timetable.touchMs" => timetable.touch(),
-        "timetable.receiptMs" => timetable.receipt(),
-        "timetable.catchUpS" => timetable.catch_up(),
-        "two fifths of timetable.catchUpS" => timetable.member_silence(),
-        "timetable.drainMs" => timetable.drain(),
-        "timetable.graceS" => timetable.grace(),
-        "timetable.lostMs" => timetable.lost(),
-        "timetable.inForceMs" => timetable.in_force(),
-        "timetable.backMs" => timetable.back(),
-        "timetable.stretchMs" => timetable.stretch(),
-        "timetable.recoverS" => timetable.recover(),
-        "timetable.pass_ms" => timetable.pass(),
-        "timetable.again_s" => timetable.again(),
-        "timetable.finishS" => timetable.finish(),
-        "timetable.statusS" => timetable.status(),
-        "timetable.recallMs" => timetable.recall(),
-        "timetable.settleMs" => timetable.settle(),
-        "timetable.leaseMs" => timetable.lease(),
-        "timetable.thawMs" => timetable.thaw(),
-        "timetable.quotaOver" => timetable.quota_over(),
-        "timetable.fenceChecked" => timetable.fence_checked(),
+        "timetable.seedLagS" => rules.node_list_lag(),
+        "timetable.reuseAfterS" => rules.address_reuse_delay(),
+        "timetable.touchMs" => rules.stabilization_period(),
+        "timetable.receiptMs" => rules.acknowledgement_timeout(),
+        "timetable.catchUpS" => rules.rejoin_period(),
+        "two fifths of timetable.catchUpS" => rules.member_failure_timeout(),
+        "timetable.drainMs" => rules.drain_timeout(),
+        "timetable.graceS" => rules.termination_grace_period(),
+        "timetable.lostMs" => rules.request_acceptance_delay(),
+        "timetable.inForceMs" => rules.configuration_propagation_timeout(),
+        "timetable.backMs" => rules.configuration_regression_tolerance(),
+        "timetable.stretchMs" => rules.unstable_core_extension(),
+        "timetable.recoverS" => rules.recovery_timeout(),
+        "timetable.pass_ms" => rules.event_forwarding_timeout(),
+        "timetable.again_s" => rules.again(),
+        "timetable.finishS" => rules.batch_completion_extension(),
+        "timetable.statusS" => rules.result_retention(),
+        "timetable.recallMs" => rules.cancellation_timeout(),
+        "timetable.settleMs" => rules.batch_job_propagation_timeout(),
+        "timetable.leaseMs" => rules.leader_handover_interval(),
+        "timetable.thawMs" => rules.resume_tolerance(),
+        "timetable.quotaOver" => rules.quota_overshoot(),
+        "timetable.fenceChecked" => rules.servers_check_fencing(),
     }
 }
 
 #[parameterized(full = { "settings-full" }, defaults = { "settings-defaults" })]
 fn given_a_settings_file_when_read_then_each_field_has_its_golden_value(name: &str) {
     let file = golden_path(&format!("{name}.toml"));
-    let settings = Settings::load(&file).expect("the golden file is valid");
+    let settings = NodeSettings::load(&file).expect("the golden file is valid");
     let rendered =
-        [render_process(&settings), render_sections(&settings), render_timetable(&settings)].concat();
+        [render_process(&settings), render_sections(&settings), render_timing_rules(&settings)].concat();
     assert_golden(&format!("{name}.txt"), &rendered);
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use settings::{Settings, SettingsError};
+use settings::{NodeSettings, SettingsError};
 use yare::parameterized;
 
 const FILE: &str = r#"
@@ -66,55 +66,56 @@
 
 #[test]
 fn given_the_example_when_read_then_every_figure_is_there() {
-    let settings = Settings::parse(FILE).expect("the example is valid");
-    assert_eq!(settings.station, "counter-bandung-a-1");
+    let settings = NodeSettings::parse(FILE).expect("the example is valid");
+    assert_eq!(settings.machine_name, "counter-bandung-a-1");
     assert!(settings.serves_clients() && settings.serves_control() && !settings.serves_store());
-    assert_eq!(settings.inner_ports, (7660, 7675));
+    assert_eq!(settings.internal_ports, (7660, 7675));
     assert_eq!(settings.internal_address(), "10.1.0.12:7660");
     assert_eq!(settings.seeds.len(), 3);
     assert!(settings.first_start && settings.counts_for_quorum);
     assert_eq!(settings.data_dir.as_deref(), Some(Path::new("/data/my-counter")));
     assert!(settings.has_contract("drain") && !settings.has_contract("other"));
     assert_eq!(settings.zones.len(), 2);
-    assert_eq!(settings.posts.front.map(|address| address.port()), Some(8144));
-    assert_eq!(settings.posts.control.map(|address| address.port()), Some(8146));
-    assert_eq!(settings.limits.memory_bytes(), 260_000_000);
-    assert_eq!(settings.withstand.machines, 1);
-    assert_eq!(settings.timetable.catch_up(), Duration::from_millis(4800));
-    assert_eq!(settings.timetable.lease(), Duration::from_millis(2500));
-    assert_eq!(settings.timetable.again(), Duration::ZERO);
-    assert_eq!(settings.beat(), Duration::from_millis(1200));
-    let cloud = settings.cloud.expect("it is in the file");
+    assert_eq!(settings.listen_addresses.client.map(|address| address.port()), Some(8144));
+    assert_eq!(settings.listen_addresses.control.map(|address| address.port()), Some(8146));
+    assert_eq!(settings.resource_limits.memory_bytes(), 260_000_000);
+    assert_eq!(settings.fault_tolerance.machines, 1);
+    assert_eq!(settings.timing_rules.rejoin_period(), Duration::from_millis(4800));
+    assert_eq!(settings.timing_rules.leader_handover_interval(), Duration::from_millis(2500));
+    assert_eq!(settings.timing_rules.again(), Duration::ZERO);
+    assert_eq!(settings.heartbeat_interval(), Duration::from_millis(1200));
+    let cloud = settings.platform_list.expect("it is in the file");
     assert_eq!(cloud.lag(), Duration::from_millis(800));
-    assert!((cloud.per_s - 44.0).abs() < f64::EPSILON);
+    assert!((cloud.max_calls_per_second - 44.0).abs() < f64::EPSILON);
 }
 
 #[test]
 fn given_only_the_needed_fields_when_read_then_defaults_hold() {
-    let settings = Settings::parse(LEAST).expect("valid");
+    let settings = NodeSettings::parse(LEAST).expect("valid");
     assert_eq!(settings.data_dir, None);
-    assert_eq!(settings.cloud, None);
-    assert_eq!(settings.posts.front, None);
+    assert_eq!(settings.platform_list, None);
+    assert_eq!(settings.listen_addresses.client, None);
     assert!(!settings.first_start);
-    assert_eq!(settings.timetable.lease(), Duration::from_secs(3));
-    assert_eq!(settings.timetable.drain(), Duration::from_secs(3));
-    assert_eq!(settings.timetable.thaw(), Duration::from_millis(300));
-    assert!(!settings.timetable.fence_checked());
+    assert_eq!(settings.timing_rules.leader_handover_interval(), Duration::from_secs(3));
+    assert_eq!(settings.timing_rules.drain_timeout(), Duration::from_secs(3));
+    assert_eq!(settings.timing_rules.resume_tolerance(), Duration::from_millis(300));
+    assert!(!settings.timing_rules.servers_check_fencing());
 }
 
 #[test]
 fn given_empty_sections_when_read_then_defaults_hold() {
     let text = format!("{LEAST}\n[posts]\n[limits]\n[withstand]\n[timetable]\n[cloud]\naddress = \"a:1\"\n");
-    let settings = Settings::parse(&text).expect("valid");
-    assert!(settings.limits.cpu_share > 0.0);
-    assert!(settings.cloud.expect("it is in the file").per_s > 0.0);
+    let settings = NodeSettings::parse(&text).expect("valid");
+    assert!(settings.resource_limits.cpu_share > 0.0);
+    assert!(settings.platform_list.expect("it is in the file").max_calls_per_second > 0.0);
 }
 
 #[test]
 fn given_empty_texts_when_read_then_they_count_as_absent() {
-    let settings = Settings::parse(&format!("{LEAST}\ndataDir = \"\"\nposts.front = \"\"\n")).expect("valid");
+    let settings =
+        NodeSettings::parse(&format!("{LEAST}\ndataDir = \"\"\nposts.front = \"\"\n")).expect("valid");
     assert_eq!(settings.data_dir, None);
-    assert_eq!(settings.posts.front, None);
+    assert_eq!(settings.listen_addresses.client, None);
 }
 
 #[parameterized(
@@ -130,13 +131,42 @@
     no_rate = { "station", "cloud.address = \"a:1\"\ncloud.perS = 0\nstation", "perS" },
 )]
 fn given_one_fault_when_read_then_the_error_names_the_field(good: &str, bad: &str, field: &str) {
-    let refused = Settings::parse(&LEAST.replacen(good, bad, 1)).expect_err("invalid");
+    let refused = NodeSettings::parse(&LEAST.replacen(good, bad, 1)).expect_err("invalid");
     assert!(refused.to_string().contains(field), "{refused}");
+    assert_eq!(refused.to_string().lines().count(), 1, "{refused}");
+}
+
+#[parameterized(
+    malformed = {
+        "ip = \"10.1.0.12\"", "ip = 5",
+        "the settings cannot be read: line 3 (ip = 5): invalid type: integer `5`, expected a string"
+    },
+    no_toml = {
+        "ip = \"10.1.0.12\"", "ip = ",
+        "the settings cannot be read: line 3 (ip =): string values must be quoted, expected literal string"
+    },
+    missing = { "station = \"s\"", "", "the settings cannot be read: missing field `station`" },
+    missing_in_section = {
+        "[7660,7675]", "[7660,7675]\n[cloud]\nperS = 2", "the settings cannot be read: line 5 ([cloud]): missing field `address`"
+    },
+    invalid = {
+        "[7660,7675]", "[7675,7660]", "the settings cannot be used: innerPorts is no range of ports"
+    },
+    two_invalid = {
+        "[7660,7675]",
+        "[7660,7675]\ntimetable.leaseMs = -1\ntimetable.touchMs = -1",
+        "the settings cannot be used: timetable.leaseMs is below 0; \
+         timetable.touchMs is below 0"
+    },
+)]
+fn given_a_faulty_file_when_read_then_the_error_says_where_and_why(good: &str, bad: &str, expected: &str) {
+    let error = NodeSettings::parse(&LEAST.replacen(good, bad, 1)).expect_err("invalid");
+    assert_eq!(error.to_string(), expected);
 }
 
 #[test]
 fn given_no_file_when_loaded_then_the_error_names_the_path() {
-    let refused = Settings::load(Path::new("no/such/file.toml")).expect_err("it is not there");
-    assert!(matches!(refused, SettingsError::File { .. }));
+    let refused = NodeSettings::load(Path::new("no/such/file.toml")).expect_err("it is not there");
+    assert!(matches!(refused, SettingsError::FileUnreadable { .. }));
     assert!(refused.to_string().contains("no/such/file.toml"));
 }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use fastrand::Rng;
-use settings::Settings;
+use settings::NodeSettings;
 use storage::simulated::SimulatedDisk;
 use tokio::sync::oneshot;
 
@@ -240,7 +240,7 @@
         }
     }
 
-    fn settings_of(&self, index: usize) -> Settings {
+    fn settings_of(&self, index: usize) -> NodeSettings {
         let machine = &self.machines[index];
         // The platform names nodes that are there when it writes the file.
         let is_present = |node: &usize| !self.is_store(*node) && !self.machines[*node].is_removed;
@@ -263,7 +263,7 @@
             self.shape.machines_lost,
             catch_up(self.shape).as_secs_f64(),
         );
-        Settings::parse(&text).expect("the settings are proper")
+        NodeSettings::parse(&text).expect("the settings are proper")
     }
 
     /// What the clock of a machine shows since its process began.
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -12,11 +12,11 @@
 use poem::http::Method;
 use poem::{Endpoint, EndpointExt, Response};
 use register::{Incarnation, Versioned};
-use rushrudder::control::{Control, Disk, Edges};
-use rushrudder::jobs::Jobs;
-use rushrudder::node::Node;
-use rushrudder::store::Store;
-use settings::Settings;
+use rushrudder::control::{ControlPlane, OutboundClients, RecoveredDisk};
+use rushrudder::job_api::JobApi;
+use rushrudder::node::TrafficNode;
+use rushrudder::store::BatchStore;
+use settings::NodeSettings;
 use state::ControlState;
 use storage::simulated::SimulatedDisk;
 use storage::{Journal, RingOptions};
@@ -40,7 +40,7 @@
 /// What a machine starts a process with.
 pub(crate) struct Boot<'a> {
     pub(crate) machine: usize,
-    pub(crate) settings: &'a Settings,
+    pub(crate) settings: &'a NodeSettings,
     pub(crate) disk: &'a SimulatedDisk,
     pub(crate) pace: &'a DiskPace,
     pub(crate) wire: &'a Wire,
@@ -51,12 +51,12 @@
 /// The parts of a role that others call.
 #[derive(Clone)]
 enum Role {
-    Node { node: Arc<Node>, operator: Arc<BoxEndpoint<'static, Response>>, jobs: Arc<Jobs> },
-    Store(Arc<Store>),
+    Node { node: Arc<TrafficNode>, operator: Arc<BoxEndpoint<'static, Response>>, jobs: Arc<JobApi> },
+    Store(Arc<BatchStore>),
 }
 
 impl Role {
-    fn control(&self) -> &Control {
+    fn control(&self) -> &ControlPlane {
         match self {
             Self::Node { node, .. } => &node.control,
             Self::Store(store) => &store.control,
@@ -83,9 +83,9 @@
         let runtime = runtime(boot.seed);
         let wire = boot.wire.clone();
         let transport = Arc::new(SimulatedTransport { wire: wire.clone(), machine: boot.machine });
-        let edges = Edges {
-            client: rpc::Client::over(Arc::clone(&transport) as Arc<dyn rpc::Transport>),
-            list: Some(Arc::clone(&transport) as Arc<dyn control_plane::ListSource>),
+        let clients = OutboundClients {
+            rpc: rpc::Client::over(Arc::clone(&transport) as Arc<dyn rpc::Transport>),
+            server_list: Some(Arc::clone(&transport) as Arc<dyn control_plane::ListSource>),
             servers: transport,
         };
         let (began, started) = runtime.block_on(async {
@@ -93,8 +93,8 @@
             let disk = if has_disk { Some(open_disk(boot)?) } else { None };
             let began = Instant::now();
             let started = match disk {
-                Some(disk) if boot.settings.serves_store() => start_store(boot, disk, edges),
-                disk => start_node(boot, disk, edges),
+                Some(disk) if boot.settings.serves_store() => start_store(boot, disk, clients),
+                disk => start_node(boot, disk, clients),
             };
             Some((began, started))
         })?;
@@ -154,8 +154,8 @@
     }
 
     /// Lets the process read its settings again, as the platform asks for by SIGHUP.
-    pub(crate) fn reload(&self, settings: &Settings) {
-        self.role.control().adopt_settings(settings);
+    pub(crate) fn reload(&self, settings: &NodeSettings) {
+        self.role.control().apply_settings(settings);
     }
 
     /// Whether it has ended after it was told to.
@@ -218,33 +218,37 @@
     incarnation: Option<Incarnation>,
 }
 
-fn start_node(boot: &Boot<'_>, disk: Option<Disk>, edges: Edges) -> Started {
+fn start_node(boot: &Boot<'_>, disk: Option<RecoveredDisk>, clients: OutboundClients) -> Started {
     let incarnation = disk.as_ref().map(|disk| disk.incarnation);
-    let node = Node::new(boot.settings, disk, edges);
+    let node = TrafficNode::new(boot.settings, disk, clients);
     node.start(boot.settings);
     let internal = node.control.internal_routes().map_to_response().boxed();
     let operator = Arc::new(node.operator_routes().map_to_response().boxed());
-    let jobs = Arc::new(Jobs::new(&node.control));
+    let jobs = Arc::new(JobApi::new(&node.control));
     Started { internal, role: Role::Node { node: Arc::new(node), operator, jobs }, incarnation }
 }
 
-fn start_store(boot: &Boot<'_>, disk: Disk, edges: Edges) -> Started {
+fn start_store(boot: &Boot<'_>, disk: RecoveredDisk, clients: OutboundClients) -> Started {
     let incarnation = Some(disk.incarnation);
-    let (store, owned) = Store::new(boot.settings, disk, edges);
+    let (store, owned) = BatchStore::new(boot.settings, disk, clients);
     store.start(boot.settings);
     tokio::spawn(run_jobs(owned));
     let internal = store.internal_routes().map_to_response().boxed();
     Started { internal, role: Role::Store(Arc::new(store)), incarnation }
 }
 
-fn open_disk(boot: &Boot<'_>) -> Option<Disk> {
+fn open_disk(boot: &Boot<'_>) -> Option<RecoveredDisk> {
     let options = if boot.settings.serves_store() { STORE_RING } else { NODE_RING };
     let pace = boot.pace.clone();
     let opened =
         Journal::open_paced(boot.disk.file_system(), Path::new("/data"), options, move || pace.wait());
     let (journal, recovered, writing) = opened.ok()?;
     tokio::spawn(writing);
-    Some(Disk { journal, records: recovered.records, incarnation: Incarnation(recovered.incarnation) })
+    Some(RecoveredDisk {
+        journal,
+        records: recovered.records,
+        incarnation: Incarnation(recovered.incarnation),
+    })
 }
 
 async fn answer(internal: &BoxEndpoint<'static, Response>, path: &str, body: Bytes) -> Outcome {
--- a/crates/simulator/src/requests.rs
+++ b/crates/simulator/src/requests.rs
@@ -6,7 +6,7 @@
 use poem::endpoint::BoxEndpoint;
 use poem::http::Method;
 use poem::{Body, Endpoint, Response};
-use rushrudder::jobs::Jobs;
+use rushrudder::job_api::JobApi;
 use serde::Deserialize;
 
 /// An order of the operator or of a trainer.
@@ -92,7 +92,7 @@
 /// Carries a request out at the interfaces of a node.
 pub(crate) async fn carry_out(
     operator: &BoxEndpoint<'static, Response>,
-    jobs: &Jobs,
+    jobs: &JobApi,
     request: Request,
 ) -> Reply {
     match request {
