--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -10,12 +10,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use balancer::net::config::{load_report, List, Phase};
 use balancer::net::discovery::{self, Subscriber};
-use balancer::net::list::Decoder;
+use balancer::net::list::{ListDecoder, ListedMember, ServerList};
+use balancer::net::load_report::parse_load_report;
 use balancer::{
-    wire, AttemptEnd, AttemptOutcome, Availability, Balancer, BalancerAction, BalancerEvent, ClientRequest,
-    DecisionSettings, EndpointUpdate, LoadReport, RequestId, ServerEntry, ServerId,
+    wire, AttemptEnd, AttemptOutcome, Balancer, BalancerAction, BalancerEvent, ClientRequest,
+    DecisionSettings, EndpointUpdate, LoadReport, RequestId, ServerId,
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -156,8 +156,8 @@
     crew: Rc<Crew>,
     number: usize,
     region: usize,
-    wanted: Notify,
-    moved: Notify,
+    update_requested: Notify,
+    discovery_moved: Notify,
     started: Instant,
     revision: Cell<Option<u64>>,
     over: Cell<bool>,
@@ -179,8 +179,8 @@
             crew: Rc::clone(crew),
             number,
             region: size.region(zone),
-            wanted: Notify::new(),
-            moved: Notify::new(),
+            update_requested: Notify::new(),
+            discovery_moved: Notify::new(),
             started: Instant::now(),
             revision: Cell::new(None),
             over: Cell::new(false),
@@ -189,7 +189,7 @@
             last_request: Cell::new(0),
         });
         // As the real node does where lists are pushed.
-        node.wanted.notify_one();
+        node.update_requested.notify_one();
         Ok(node)
     }
 
@@ -202,7 +202,7 @@
     async fn follow(self: Rc<Self>) {
         let known = {
             let _permit = self.crew.starting.acquire().await;
-            discovery::first(&self).await
+            discovery::fetch_initial(&self).await
         };
         discovery::follow(self, known).await;
     }
@@ -268,7 +268,7 @@
                 }
                 BalancerAction::Reject { request, .. } => self.answer(request, |tally| tally.refused += 1),
                 BalancerAction::Fail { request } => self.answer(request, |tally| tally.failed += 1),
-                BalancerAction::Subscribe => self.wanted.notify_one(),
+                BalancerAction::Subscribe => self.update_requested.notify_one(),
                 BalancerAction::SetTimer { timer, after_ms } => {
                     let node = Rc::clone(self);
                     let after = Duration::try_from_secs_f64(after_ms / 1000.0).unwrap_or_default();
@@ -401,7 +401,8 @@
         if whole && idle.len() < IDLE_MOST {
             idle.push(sender);
         }
-        let report = head.headers.get("x-load").and_then(|load| load.to_str().ok()).and_then(load_report);
+        let report =
+            head.headers.get("x-load").and_then(|load| load.to_str().ok()).and_then(parse_load_report);
         let outcome = match head.status {
             _ if !whole => AttemptOutcome::Reset,
             StatusCode::OK => AttemptOutcome::Served,
@@ -433,29 +434,18 @@
 /// # Errors
 ///
 /// Where it is none.
-pub fn read_list(body: &[u8]) -> Result<List, String> {
-    let mut decoder = Decoder::new(usize::MAX);
+pub fn read_list(body: &[u8]) -> Result<ServerList, String> {
+    let mut decoder = ListDecoder::new(usize::MAX);
     decoder.feed(body).and_then(|()| decoder.finish()).map_err(|error| format!("a list: {error}"))
 }
 
 /// A list as the decisions take it.
 #[must_use]
-pub fn listing(list: &List, zones: &[String]) -> EndpointUpdate {
-    let entry = |member: &balancer::net::config::Member| {
-        Some(ServerEntry {
-            server: ServerId(catalogue::number(&member.id)?),
-            availability: match member.phase {
-                Phase::Active => Availability::Ready,
-                Phase::Leaving => Availability::Draining,
-                Phase::Left => Availability::Removed,
-            },
-            started_at: Some(member.up_since_ms).filter(|at| *at > 0.0),
-            cell: member.cell,
-            zone: zones.iter().position(|zone| *zone == member.locality).unwrap_or(zones.len()),
-            kind: 0,
-            weight: member.size,
-            key: wire::key(&member.id),
-        })
+pub fn listing(list: &ServerList, zones: &[String]) -> EndpointUpdate {
+    let entry = |member: &ListedMember| {
+        let server = ServerId(catalogue::number(&member.id)?);
+        let zone = zones.iter().position(|zone| *zone == member.locality).unwrap_or(zones.len());
+        Some(member.to_entry(server, zone, 0, wire::key(&member.id)))
     };
     let entries = list.members.iter().filter_map(entry).collect();
     if list.complete {
@@ -466,15 +456,15 @@
 }
 
 impl Subscriber for HollowNode {
-    fn wanted(&self) -> &Notify {
-        &self.wanted
+    fn update_requested(&self) -> &Notify {
+        &self.update_requested
     }
 
-    fn moved(&self) -> &Notify {
-        &self.moved
+    fn discovery_moved(&self) -> &Notify {
+        &self.discovery_moved
     }
 
-    fn discovery(&self) -> SocketAddr {
+    fn discovery_address(&self) -> SocketAddr {
         self.crew.plan.agents[self.region]
     }
 
@@ -486,7 +476,7 @@
         Duration::try_from_secs_f64(self.crew.plan.settings.drain_grace_ms / 1000.0).unwrap_or_default()
     }
 
-    fn listed(self: &Rc<Self>, list: List) {
+    fn apply(self: &Rc<Self>, list: ServerList) {
         if self.over.get() {
             return;
         }
@@ -515,7 +505,7 @@
         self.carry_out(actions);
     }
 
-    fn list_failed(self: &Rc<Self>) {
+    fn unavailable(self: &Rc<Self>) {
         lock(&self.crew.tally).failed_calls += 1;
         self.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
     }
--- a/fleet/src/slopes.rs
+++ b/fleet/src/slopes.rs
@@ -10,8 +10,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use balancer::net::config::{Config, List, Names};
-use balancer::net::discovery::{first, Subscriber};
+use balancer::net::config::{Config, SettingNames};
+use balancer::net::discovery::{fetch_initial, Subscriber};
+use balancer::net::list::ServerList;
 use balancer::net::node::Node;
 use balancer::{
     wire, AttemptEnd, AttemptOutcome, Balancer, BalancerAction, BalancerEvent, ClientRequest,
@@ -286,8 +287,8 @@
     settings
 }
 
-fn read(body: &[u8]) -> Result<List, SlopesError> {
-    read_list(body).map_err(SlopesError::Broken)
+fn read(body: &[u8]) -> Result<ServerList, SlopesError> {
+    read_list(body).map_err(|error| SlopesError::Broken(error.to_string()))
 }
 
 fn entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
@@ -307,9 +308,9 @@
 }
 
 /// A real node's configuration, with nothing to talk to.
-fn config(size: Size, seed: u64, known: List) -> Config {
+fn config(size: Size, seed: u64, known: ServerList) -> Config {
     let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
-    let names = Names {
+    let names = SettingNames {
         classes: vec!["all".into()],
         tenants: Vec::new(),
         zones: zone_names(size),
@@ -320,14 +321,14 @@
         listen: nowhere,
         discovery: nowhere,
         seed,
-        sockets: 1024,
-        list_most: 48 << 20,
-        known,
+        max_sockets: 1024,
+        max_list_bytes: 48 << 20,
+        initial_list: known,
         settings: settings(size.nodes),
         names,
-        conn_idle: Duration::from_secs(60),
+        idle_timeout: Duration::from_secs(60),
         dial_timeout: Duration::from_millis(400),
-        most_held: usize::MAX,
+        max_pending: usize::MAX,
     }
 }
 
@@ -439,7 +440,7 @@
         let body = Catalogue::unheard(size).whole().body;
         self.memory(servers * STATE_BYTES, |seed| {
             let config = config(size, seed, read(&body)?);
-            Node::start(config).map(State::Node).map_err(SlopesError::Broken)
+            Node::start(config).map(State::Node).map_err(|error| SlopesError::Broken(error.to_string()))
         })
     }
 
@@ -449,7 +450,7 @@
         let measure = |_| {
             let config = config(size, self.seed, read(&body)?);
             let begun = Instant::now();
-            let node = Node::start(config).map_err(SlopesError::Broken)?;
+            let node = Node::start(config).map_err(|error| SlopesError::Broken(error.to_string()))?;
             let time = begun.elapsed();
             drop(node);
             Ok(micros(time))
@@ -559,9 +560,9 @@
         let values = on_loop(async move {
             let mut values = Vec::new();
             for _ in 0..repeats {
-                let reader = Rc::new(Reader { address, wanted: Notify::new(), read: false.into() });
+                let reader = Rc::new(Reader { address, update_requested: Notify::new(), read: false.into() });
                 let (begun, cpu) = (Instant::now(), thread_time());
-                let connection = first(&reader).await;
+                let connection = fetch_initial(&reader).await;
                 if reader.read.get() {
                     values.push((micros(thread_time() - cpu), micros(begun.elapsed())));
                 } else {
@@ -755,20 +756,20 @@
 /// Reads one list.
 struct Reader {
     address: SocketAddr,
-    wanted: Notify,
+    update_requested: Notify,
     read: std::cell::Cell<bool>,
 }
 
 impl Subscriber for Reader {
-    fn wanted(&self) -> &Notify {
-        &self.wanted
+    fn update_requested(&self) -> &Notify {
+        &self.update_requested
     }
 
-    fn moved(&self) -> &Notify {
-        &self.wanted
+    fn discovery_moved(&self) -> &Notify {
+        &self.update_requested
     }
 
-    fn discovery(&self) -> SocketAddr {
+    fn discovery_address(&self) -> SocketAddr {
         self.address
     }
 
@@ -781,12 +782,12 @@
         Duration::from_secs(8)
     }
 
-    fn listed(self: &Rc<Self>, list: List) {
+    fn apply(self: &Rc<Self>, list: ServerList) {
         black_box(&list);
         self.read.set(true);
     }
 
-    fn list_failed(self: &Rc<Self>) {}
+    fn unavailable(self: &Rc<Self>) {}
 }
 
 /// A plain client of discovery, for what is measured at discovery's end.
--- a/fleet/tests/catalogue.rs
+++ b/fleet/tests/catalogue.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use balancer::net::config::List;
-use balancer::net::discovery::{first, follow, Subscriber};
+use balancer::net::discovery::{fetch_initial, follow, Subscriber};
+use balancer::net::list::ServerList;
 use fleet::catalogue::{name, number, Catalogue, Phase, Reach, Size};
 use fleet::discovery::{serve, Ask};
 use fleet::world::{listen, World};
@@ -21,7 +21,7 @@
     Catalogue::new(SIZE, (1..=4).map(address).collect(), log_most)
 }
 
-fn read(body: &[u8]) -> List {
+fn read(body: &[u8]) -> ServerList {
     fleet::node::read_list(body).expect("a list of the protocol")
 }
 
@@ -48,7 +48,8 @@
     catalogue.set_phase(&[7], Phase::Leaving);
     catalogue.set_reach(&[7], Reach::Gone);
     catalogue.set_phase(&[7], Phase::Left);
-    let told = |list: &List| list.members.iter().map(|m| (m.id.clone(), m.phase as u8)).collect::<Vec<_>>();
+    let told =
+        |list: &ServerList| list.members.iter().map(|m| (m.id.clone(), m.phase as u8)).collect::<Vec<_>>();
     let list = read(&catalogue.since(1).body);
     assert!(!list.complete);
     assert_eq!(list.revision, 4);
@@ -102,15 +103,15 @@
 }
 
 impl Subscriber for Listener {
-    fn wanted(&self) -> &Notify {
+    fn update_requested(&self) -> &Notify {
         &self.wanted
     }
 
-    fn moved(&self) -> &Notify {
+    fn discovery_moved(&self) -> &Notify {
         &self.moved
     }
 
-    fn discovery(&self) -> SocketAddr {
+    fn discovery_address(&self) -> SocketAddr {
         self.address
     }
 
@@ -122,7 +123,7 @@
         Duration::from_secs(8)
     }
 
-    fn listed(self: &Rc<Self>, list: List) {
+    fn apply(self: &Rc<Self>, list: ServerList) {
         let before = self.revision.replace(Some(list.revision));
         // Waits that end without news are of no interest here.
         if before != Some(list.revision) {
@@ -132,7 +133,7 @@
         }
     }
 
-    fn list_failed(self: &Rc<Self>) {
+    fn unavailable(self: &Rc<Self>) {
         self.told.send(None).expect("the test listens");
         self.wanted.notify_one();
     }
@@ -149,7 +150,7 @@
         let (told, mut hears) = mpsc::unbounded_channel();
         let (wanted, moved) = (Notify::new(), Notify::new());
         let listener = Rc::new(Listener { address, wanted, moved, revision: Cell::new(None), told });
-        let connection = first(&listener).await;
+        let connection = fetch_initial(&listener).await;
         assert!(connection.is_some());
         assert_eq!(hears.recv().await, Some(Some((1, true, 20))));
         listener.wanted.notify_one();
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -198,6 +198,11 @@
         self.classes.iter().map(|c| c.latency_target_ms).sum::<f64>() / self.classes.len() as f64
     }
 
+    /// The longest deadline of any class, in milliseconds.
+    pub(crate) fn longest_deadline_ms(&self) -> f64 {
+        self.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max)
+    }
+
     /// Checks that every figure is in range.
     ///
     /// # Errors
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,54 +1,85 @@
-//! One real node: starts, serves until SIGTERM, answers what it has taken, and ends. SIGHUP makes it read its
-//! configuration again.
+//! A node on sockets: starts, serves until SIGTERM, answers the requests it has admitted, and ends. SIGHUP makes it
+//! read its configuration again.
 
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::rc::Rc;
 
 use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::LocalSet;
 
-use balancer::net::{config::Config, discovery, frontend, node::Node};
+use balancer::net::config::Config;
+use balancer::net::config_error::ConfigError;
+use balancer::net::node::{Node, NodeError};
+use balancer::net::{discovery, frontend};
+
+/// Why the node cannot start.
+enum StartError {
+    Runtime(io::Error),
+    Signal { name: &'static str, source: io::Error },
+    Config(ConfigError),
+    Node(NodeError),
+    Listen { address: SocketAddr, source: io::Error },
+}
+
+impl fmt::Display for StartError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Runtime(source) => write!(f, "cannot start the event loop: {source}"),
+            Self::Signal { name, source } => write!(f, "cannot hear {name}: {source}"),
+            Self::Config(error) => error.fmt(f),
+            Self::Node(error) => error.fmt(f),
+            Self::Listen { address, source } => {
+                write!(f, "`GW_LISTEN`: cannot listen on {address}: {source}")
+            }
+        }
+    }
+}
 
 fn main() -> ExitCode {
     match start() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("balancer-node: {}", balancer::wire::one_line(&why));
+        Err(error) => {
+            eprintln!("balancer-node: {}", balancer::wire::one_line(&error.to_string()));
             ExitCode::FAILURE
         }
     }
 }
 
-fn start() -> Result<(), String> {
+fn start() -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| format!("cannot start the event loop: {error}"))?;
-    LocalSet::new().block_on(&runtime, serve())
+    LocalSet::new().block_on(&runtime.map_err(StartError::Runtime)?, serve())
 }
 
-async fn serve() -> Result<(), String> {
+async fn serve() -> Result<(), StartError> {
     // Before all else: from here on neither signal ends the program by itself.
-    let hear = |kind, name| signal(kind).map_err(|error| format!("cannot hear {name}: {error}"));
-    let mut stop = hear(SignalKind::terminate(), "SIGTERM")?;
-    let mut reload = hear(SignalKind::hangup(), "SIGHUP")?;
-    let config = Config::from_env()?;
-    let listen = config.listen;
-    let node = Node::start(config)?;
-    // Before the first client comes: where a server has begun to drain, nothing may be sent to it.
-    let known = discovery::first(&node).await;
-    let listener = TcpListener::bind(listen).await;
-    let listener = listener.map_err(|error| format!("`GW_LISTEN`: cannot listen on {listen}: {error}"))?;
-    tokio::task::spawn_local(discovery::follow(Rc::clone(&node), known));
-    tokio::task::spawn_local(Rc::clone(&node).reap());
+    let mut terminate = on_signal(SignalKind::terminate(), "SIGTERM")?;
+    let mut hangup = on_signal(SignalKind::hangup(), "SIGHUP")?;
+    let config = Config::from_env().map_err(StartError::Config)?;
+    let address = config.listen;
+    let node = Node::start(config).map_err(StartError::Node)?;
+    // Before the first client comes: nothing may be sent to a server that has begun to drain.
+    let connection = discovery::fetch_initial(&node).await;
+    let listener = TcpListener::bind(address).await;
+    let listener = listener.map_err(|source| StartError::Listen { address, source })?;
+    tokio::task::spawn_local(discovery::follow(Rc::clone(&node), connection));
+    tokio::task::spawn_local(Rc::clone(&node).close_idle_connections());
     let reloaded = Rc::clone(&node);
     tokio::task::spawn_local(async move {
-        while reload.recv().await.is_some() {
+        while hangup.recv().await.is_some() {
             reloaded.reload().await;
         }
     });
     frontend::run(node, listener, async move {
-        stop.recv().await;
+        terminate.recv().await;
     })
     .await;
     Ok(())
 }
+
+fn on_signal(kind: SignalKind, name: &'static str) -> Result<Signal, StartError> {
+    signal(kind).map_err(|source| StartError::Signal { name, source })
+}
--- /dev/null
+++ b/src/net/frontend/api.rs
@@ -0,0 +1,156 @@
+//! The answer to one request of a client.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::header::RETRY_AFTER;
+use hyper::http::request;
+use hyper::{Method, Request, Response, StatusCode};
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
+use tokio::time::{timeout, timeout_at, Instant};
+
+use super::client_socket::ClientSocket;
+use super::connections::ConnectionSlot;
+use super::request::{forwarded, read_body, read_head, RequestHead};
+use crate::net::node::{AdmissionError, FinalAnswer, Node};
+use crate::net::socket::{has_left, left, Socket};
+use crate::net::upstream::ForwardedRequest;
+use crate::RequestId;
+
+/// Taken off a client's deadline: its request and the answer are under way for a part of that.
+const TRANSIT_MARGIN: Duration = Duration::from_millis(10);
+/// How often a client that waits for its answer is checked beside what readiness reports: half of the 0.1 s in which
+/// an attempt may still begin once it has left. Not every event loop reports an end behind unread input.
+const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// An answer to a client.
+pub(super) type ClientResponse = Response<Full<Bytes>>;
+
+/// Answers a request, whose body must have come by `body_by`.
+pub(super) async fn answer(
+    node: &Rc<Node>,
+    slot: &ConnectionSlot,
+    socket: &ClientSocket,
+    request: Request<Incoming>,
+    body_by: Instant,
+) -> ClientResponse {
+    let draining = slot.connections.draining.get();
+    match request.uri().path() {
+        "/api" => {
+            let rejecting = || slot.connections.rejecting.get();
+            api(node, socket, request, body_by, rejecting).await.unwrap_or_else(|response| response)
+        }
+        "/_health" if draining => text(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
+        "/_health" => text(StatusCode::OK, "ready\n"),
+        _ => text(StatusCode::NOT_FOUND, "no such path\n"),
+    }
+}
+
+/// An answer of one line.
+pub(super) fn text(status: StatusCode, line: &'static str) -> ClientResponse {
+    let mut response = Response::new(Full::from(line));
+    *response.status_mut() = status;
+    response
+}
+
+fn rejection(retry_after_ms: Option<f64>) -> ClientResponse {
+    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+    if let Some(ms) = retry_after_ms {
+        let seconds = format!("{:.3}", ms / 1000.0).parse().expect("digits");
+        response.headers_mut().insert(RETRY_AFTER, seconds);
+    }
+    response
+}
+
+/// Reports to the node that the client has left, unless it has been answered: hyper drops the service's future then.
+struct PendingAnswer {
+    node: Rc<Node>,
+    id: RequestId,
+}
+
+impl Drop for PendingAnswer {
+    fn drop(&mut self) {
+        self.node.client_gone(self.id);
+    }
+}
+
+/// Completes once the client has left: hyper sees that only while nothing stands unread behind its request.
+async fn client_left(stream: &TcpStream) {
+    while timeout(DISCONNECT_POLL_INTERVAL, left(stream)).await.is_err() && !has_left(stream).await {}
+}
+
+/// Forwards a request and waits for its final answer. `Err` is an answer that is given without forwarding.
+async fn api(
+    node: &Rc<Node>,
+    socket: &ClientSocket,
+    request: Request<Incoming>,
+    body_by: Instant,
+    rejecting: impl Fn() -> bool,
+) -> Result<ClientResponse, ClientResponse> {
+    // The deadline counts from when the request came, not from when the one before it on its connection was answered.
+    let arrived_at = socket.last_read_at();
+    let (head, body) = request.into_parts();
+    let (RequestHead { deadline, mut request }, body) = read(node, arrived_at, &head, body, body_by).await?;
+    let target = forwarded(head.uri, &head.headers);
+    let (uri, headers) = target.ok_or_else(|| text(StatusCode::BAD_REQUEST, "a bad target\n"))?;
+    let expires_at = arrived_at + deadline.saturating_sub(TRANSIT_MARGIN).max(deadline / 2);
+    let budget = expires_at.saturating_duration_since(Instant::now());
+    let max_retry_after_ms = node.config.settings.max_retry_after_ms;
+    // Near the end of the node no time is left to learn how an attempt would end.
+    if budget.is_zero() || rejecting() {
+        return Err(rejection(max_retry_after_ms));
+    }
+    request.budget_ms = budget.as_secs_f64() * 1000.0;
+    // A client that left while its request lay unread gets no answer, and nothing is sent to a server.
+    if has_left(socket.stream()).await {
+        return Err(text(StatusCode::BAD_REQUEST, "the client has left\n"));
+    }
+    let forward = ForwardedRequest { method: head.method, uri, headers, body, expires_at };
+    let (answer, answered) = oneshot::channel();
+    let admitted = node.take(forward, request, answer).map_err(|error| match error {
+        // A bound of the settings, not a decision: how long it lasts is unknown.
+        AdmissionError::Full => rejection(max_retry_after_ms),
+        AdmissionError::DuplicateId => text(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
+    });
+    let _pending = PendingAnswer { node: Rc::clone(node), id: admitted? };
+    // The time-out answers a request that the decisions would leave without an answer.
+    let answer = tokio::select! {
+        biased;
+        answer = timeout_at(expires_at + TRANSIT_MARGIN / 2, answered) => answer,
+        () = client_left(socket.stream()) => {
+            return Err(text(StatusCode::BAD_REQUEST, "the client has left\n"));
+        }
+    };
+    Ok(match answer {
+        Ok(Ok(FinalAnswer::Served(body))) => Response::new(Full::new(body)),
+        Ok(Ok(FinalAnswer::Rejected(retry_after_ms))) => rejection(retry_after_ms),
+        Ok(Ok(FinalAnswer::Failed) | Err(_)) => text(StatusCode::BAD_GATEWAY, "failed\n"),
+        Err(_) => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+    })
+}
+
+/// Reads a request: its body to the end, so that the client sees the answer also where its head is invalid.
+async fn read(
+    node: &Node,
+    arrived_at: Instant,
+    head: &request::Parts,
+    body: Incoming,
+    body_by: Instant,
+) -> Result<(RequestHead, Bytes), ClientResponse> {
+    let checked = read_head(&node.config, &head.method, &head.headers);
+    let body_by = checked.as_ref().map_or(body_by, |checked| body_by.min(arrived_at + checked.deadline));
+    let body = match timeout_at(body_by, read_body(body)).await {
+        Ok(Ok(body)) => body,
+        Ok(Err(status)) => return Err(text(status, "the body is broken or too long\n")),
+        Err(_) => return Err(text(StatusCode::REQUEST_TIMEOUT, "the body does not come\n")),
+    };
+    let checked = checked.map_err(|invalid| text(StatusCode::BAD_REQUEST, invalid.0))?;
+    if head.method == Method::GET && !body.is_empty() {
+        return Err(text(StatusCode::BAD_REQUEST, "GET has no body\n"));
+    }
+    Ok((checked, body))
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,9 +1,14 @@
-//! The real node: sockets turned into events, actions carried out on sockets.
+//! The node on sockets: turns what happens there into events, and carries out the actions of the decisions.
+//!
+//! [`frontend`] serves clients, [`upstream`] holds the connections to servers, and [`discovery`] follows the list of
+//! servers. [`node::Node`] stands between them and the decisions, and owns the pending requests.
 
 pub mod config;
+pub mod config_error;
 pub mod discovery;
 pub mod frontend;
 pub mod list;
+pub mod load_report;
 pub mod node;
 mod socket;
 pub mod upstream;
--- /dev/null
+++ b/src/net/node/endpoints.rs
@@ -0,0 +1,118 @@
+//! The servers that discovery lists: their numbers, and what a new list changes.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+use crate::net::config::SettingNames;
+use crate::net::list::{ListedMember, UnreadableEntries};
+use crate::net::upstream::Upstream;
+use crate::{wire, Availability, ServerEntry, ServerId};
+
+/// A server as the last list that named it described it.
+struct ListedServer {
+    entry: ServerEntry,
+    address: SocketAddr,
+    /// The number of that list.
+    named_in: u64,
+}
+
+/// The servers that are listed, by their ids in the list. Its methods return entries for the decisions.
+#[derive(Default)]
+pub(super) struct ServerDirectory {
+    servers: RefCell<HashMap<String, ListedServer>>,
+    /// Numbers are never reused: what was sent to a server that has been removed may end late.
+    last_server: Cell<usize>,
+    /// Lists that have begun to come.
+    lists: Cell<u64>,
+}
+
+impl ServerDirectory {
+    /// A list begins to come.
+    pub(super) fn list_started(&self) {
+        self.lists.set(self.lists.get() + 1);
+    }
+
+    /// Notes that the list names a server; whether it describes it as it is known.
+    pub(super) fn is_unchanged(&self, member: &ListedMember, names: &SettingNames) -> bool {
+        let mut servers = self.servers.borrow_mut();
+        let Some(known) = servers.get_mut(&member.id) else { return false };
+        known.named_in = self.lists.get();
+        known.address == member.host_port
+            && known.entry == entry(member, known.entry.server, known.entry.key, names)
+    }
+
+    /// Takes members of a list, and numbers servers that are new.
+    pub(super) fn update(
+        &self,
+        members: Vec<ListedMember>,
+        names: &SettingNames,
+        upstream: &Upstream,
+    ) -> Vec<ServerEntry> {
+        let mut servers = self.servers.borrow_mut();
+        let mut changes = Vec::with_capacity(members.len());
+        for member in members {
+            let next = ServerId(self.last_server.get() + 1);
+            let known = servers.get(&member.id).map(|known| known.entry.server);
+            let entry = entry(&member, known.unwrap_or(next), wire::key(&member.id), names);
+            if entry.availability == Availability::Removed {
+                let removed = servers.remove(&member.id);
+                changes.extend(removed.map(|server| remove(&server.entry, upstream)));
+                continue;
+            }
+            self.last_server.set(self.last_server.get().max(entry.server.0));
+            let (address, ready) = (member.host_port, entry.availability == Availability::Ready);
+            upstream.update(entry.server, address, entry.started_at, ready);
+            let named_in = self.lists.get();
+            servers.insert(member.id, ListedServer { entry: entry.clone(), address, named_in });
+            changes.push(entry);
+        }
+        changes
+    }
+
+    /// Takes entries that cannot be read. What such a server is ready for is unknown: it finishes its work, and gets
+    /// nothing new.
+    pub(super) fn drain_unreadable(
+        &self,
+        unreadable: &UnreadableEntries,
+        upstream: &Upstream,
+    ) -> Vec<ServerEntry> {
+        let mut servers = self.servers.borrow_mut();
+        let mut changes = Vec::new();
+        for id in &unreadable.ids {
+            let Some(known) = servers.get_mut(id) else { continue };
+            known.named_in = self.lists.get();
+            if known.entry.availability == Availability::Ready {
+                known.entry.availability = Availability::Draining;
+                upstream.update(known.entry.server, known.address, known.entry.started_at, false);
+                changes.push(known.entry.clone());
+            }
+        }
+        changes
+    }
+
+    /// Removes servers that a complete list has not named, `max` of them at most.
+    pub(super) fn remove_unlisted(&self, max: usize, upstream: &Upstream) -> Vec<ServerEntry> {
+        let mut changes = Vec::new();
+        self.servers.borrow_mut().retain(|_, server| {
+            let stays = server.named_in == self.lists.get() || changes.len() >= max;
+            if !stays {
+                changes.push(remove(&server.entry, upstream));
+            }
+            stays
+        });
+        changes
+    }
+}
+
+/// The entry of a listed server. A zone or kind that the settings do not name gets the index after the last.
+fn entry(member: &ListedMember, server: ServerId, key: u64, names: &SettingNames) -> ServerEntry {
+    let index = |names: &[String], name: &String| names.iter().position(|n| n == name).unwrap_or(names.len());
+    let zone = index(&names.zones, &member.locality);
+    member.to_entry(server, zone, index(&names.kinds, &member.flavor), key)
+}
+
+fn remove(entry: &ServerEntry, upstream: &Upstream) -> ServerEntry {
+    upstream.remove(entry.server);
+    ServerEntry { availability: Availability::Removed, ..entry.clone() }
+}
--- /dev/null
+++ b/src/net/node/mod.rs
@@ -0,0 +1,268 @@
+//! The node itself: it feeds the decisions what happens, and carries out their actions.
+
+mod endpoints;
+mod requests;
+mod subscriber;
+
+use std::cell::{Cell, RefCell};
+use std::fmt;
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, SystemTimeError, UNIX_EPOCH};
+
+use tokio::sync::{oneshot, Notify};
+use tokio::time::{sleep, Instant};
+
+use self::endpoints::ServerDirectory;
+use self::requests::RequestTable;
+use super::config::Config;
+use super::list::ServerList;
+use super::upstream::{self, ForwardedRequest, ServerReply, Upstream};
+use crate::{
+    wire, AttemptEnd, Balancer, BalancerAction, BalancerEvent, ClientRequest, DiscoveryMode, EndpointUpdate,
+    RequestId, ServerId, SettingsError,
+};
+
+pub use self::requests::{AdmissionError, FinalAnswer};
+
+/// Idle connections are checked no more often than this.
+const MIN_IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Idle connections are checked so many times within their time-out.
+const IDLE_CHECKS_PER_TIMEOUT: u32 = 20;
+
+/// Why a node cannot start.
+#[derive(Debug)]
+pub enum NodeError {
+    /// The settings of the decisions are out of range.
+    Settings(SettingsError),
+    /// The clock of the machine is before 1970.
+    Clock(SystemTimeError),
+}
+
+impl fmt::Display for NodeError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Settings(error) => write!(f, "`settings`: {error}"),
+            Self::Clock(error) => write!(f, "the clock: {error}"),
+        }
+    }
+}
+
+impl std::error::Error for NodeError {}
+
+/// Unix time that never runs backwards: starts of servers are listed in it.
+struct Clock {
+    started: Instant,
+    started_unix_ms: f64,
+}
+
+impl Clock {
+    fn start() -> Result<Self, SystemTimeError> {
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH)?;
+        Ok(Self { started: Instant::now(), started_unix_ms: unix.as_secs_f64() * 1000.0 })
+    }
+
+    /// Unix time in milliseconds.
+    fn now_ms(&self) -> f64 {
+        self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
+    }
+}
+
+/// One node; all of its parts share it.
+pub struct Node {
+    /// What it was configured with at its start.
+    pub config: Config,
+    upstream: Upstream,
+    balancer: RefCell<Balancer>,
+    requests: RequestTable,
+    servers: ServerDirectory,
+    /// The version of the list that is known, where the present discovery gave it.
+    revision: Cell<Option<u64>>,
+    /// Whether the log has said why no list comes.
+    failure_logged: Cell<bool>,
+    /// Raised when the decisions want the changes of the list.
+    update_requested: Notify,
+    discovery: Cell<SocketAddr>,
+    /// Raised when the address of discovery has changed.
+    discovery_moved: Notify,
+    /// This node's position where all nodes call discovery at once, from 0 to 1.
+    spread_position: f64,
+    clock: Clock,
+}
+
+impl Node {
+    /// Starts a node with the list of its configuration.
+    ///
+    /// # Errors
+    ///
+    /// The settings are out of range, or the machine's clock is before 1970.
+    pub fn start(mut config: Config) -> Result<Rc<Self>, NodeError> {
+        let balancer = Balancer::new(config.settings.clone(), config.seed).map_err(NodeError::Settings)?;
+        let initial_list = std::mem::replace(&mut config.initial_list, ServerList::empty());
+        let node = Rc::new(Self {
+            upstream: Upstream::new(&config),
+            balancer: RefCell::new(balancer),
+            requests: RequestTable::default(),
+            servers: ServerDirectory::default(),
+            // The version of a list from before the start means nothing to a discovery that has moved since.
+            revision: Cell::new(None),
+            failure_logged: Cell::new(false),
+            update_requested: Notify::new(),
+            discovery: Cell::new(config.discovery),
+            discovery_moved: Notify::new(),
+            spread_position: fastrand::Rng::with_seed(!config.seed).f64(),
+            clock: Clock::start().map_err(NodeError::Clock)?,
+            config,
+        });
+        let entries = node.changes(initial_list);
+        node.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
+        if node.config.settings.discovery == DiscoveryMode::Push {
+            // The decisions expect such lists unasked; on sockets they come to a long poll as well.
+            node.update_requested.notify_one();
+        }
+        Ok(node)
+    }
+
+    fn handle(self: &Rc<Self>, event: BalancerEvent) {
+        let mut actions = Vec::new();
+        self.balancer.borrow_mut().handle(self.clock.now_ms(), event, &mut actions);
+        for action in actions {
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(self: &Rc<Self>, action: BalancerAction) {
+        match action {
+            BalancerAction::Send { request, server, within_ms } => self.send(request, server, within_ms),
+            BalancerAction::Probe { server } => self.probe(server),
+            BalancerAction::Cancel { request, attempt } => self.requests.cancel(request, attempt),
+            BalancerAction::Reject { request, retry_after_ms } => {
+                self.requests.answer(request, FinalAnswer::Rejected(retry_after_ms));
+            }
+            BalancerAction::Fail { request } => self.requests.answer(request, FinalAnswer::Failed),
+            BalancerAction::Subscribe => self.update_requested.notify_one(),
+            BalancerAction::SetTimer { timer, after_ms } => self.set_timer(timer, after_ms),
+            BalancerAction::Log(line) => self.log(&line),
+        }
+    }
+
+    fn send(self: &Rc<Self>, request: RequestId, server: ServerId, within_ms: Option<f64>) {
+        let Some(attempt) = self.requests.start_attempt(request) else { return };
+        let send_by = within_ms.map(|ms| Instant::now() + duration(ms));
+        let node = Rc::clone(self);
+        tokio::task::spawn_local(async move {
+            let started = Instant::now();
+            let (forward, state) = (&attempt.forward, &attempt.state);
+            let cancelled = attempt.cancelled;
+            let reply = upstream::attempt(&node.upstream, server, forward, send_by, state, cancelled).await;
+            node.attempt_ended(request, attempt.index, started.elapsed(), reply);
+        });
+    }
+
+    fn probe(self: &Rc<Self>, server: ServerId) {
+        let node = Rc::clone(self);
+        tokio::task::spawn_local(async move {
+            let ServerReply { outcome, report, .. } = upstream::probe(&node.upstream, server).await;
+            node.handle(BalancerEvent::ProbeEnded { server, outcome, report });
+        });
+    }
+
+    fn set_timer(self: &Rc<Self>, timer: u64, after_ms: f64) {
+        let node = Rc::clone(self);
+        tokio::task::spawn_local(async move {
+            sleep(duration(after_ms)).await;
+            node.handle(BalancerEvent::TimerFired(timer));
+        });
+    }
+
+    fn log(&self, line: &str) {
+        // A log that cannot be written must not end the node, as `eprintln` would.
+        let _ = writeln!(io::stderr(), "{}: {}", self.config.name, wire::one_line(line));
+    }
+
+    /// Reads the configuration again for the address of discovery; all else takes effect at the next start. One that
+    /// cannot be read changes nothing.
+    pub async fn reload(&self) {
+        match tokio::task::spawn_blocking(Config::from_env).await {
+            Ok(Ok(config)) if config.discovery != self.discovery.get() => {
+                self.discovery.set(config.discovery);
+                // Its versions need not be those of the old one.
+                self.revision.set(None);
+                self.discovery_moved.notify_one();
+                self.log(&format!("discovery is now at {}", config.discovery));
+            }
+            Ok(Ok(_)) => {}
+            Ok(Err(error)) => self.log(&format!("the configuration stays as it was: {error}")),
+            Err(_) => self.log("the configuration stays as it was: reading it failed"),
+        }
+    }
+
+    /// Admits a request. Its final answer comes through `answer`.
+    ///
+    /// # Errors
+    ///
+    /// Too many are pending, or one of the same id.
+    pub fn take(
+        self: &Rc<Self>,
+        forward: ForwardedRequest,
+        request: ClientRequest,
+        answer: oneshot::Sender<FinalAnswer>,
+    ) -> Result<RequestId, AdmissionError> {
+        let id = self.requests.admit(forward, answer, self.config.max_pending)?;
+        self.handle(BalancerEvent::RequestArrived(ClientRequest { id, ..request }));
+        Ok(id)
+    }
+
+    /// The client has left, or its time is up: no answer is needed any more. What has not been sent yet never is, also
+    /// where the decisions may not cancel an attempt: that concerns servers, and they know nothing of it.
+    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+        if self.requests.abandon(id) {
+            self.handle(BalancerEvent::ClientDisconnected(id));
+            self.requests.remove_if_finished(id);
+        }
+    }
+
+    /// The node ends before its pending requests could: each client gets its final answer now.
+    pub fn fail_all(self: &Rc<Self>) {
+        for id in self.requests.unanswered() {
+            self.requests.answer(id, FinalAnswer::Failed);
+            self.handle(BalancerEvent::ClientDisconnected(id));
+        }
+    }
+
+    /// Requests that still wait for an answer or for the end of an attempt.
+    pub fn pending(&self) -> usize {
+        self.requests.len()
+    }
+
+    fn attempt_ended(self: &Rc<Self>, id: RequestId, attempt: usize, elapsed: Duration, reply: ServerReply) {
+        self.requests.attempt_ended(id, attempt);
+        if let Some(body) = reply.body {
+            self.requests.answer(id, FinalAnswer::Served(body));
+        }
+        self.handle(BalancerEvent::AttemptEnded(AttemptEnd {
+            request: id,
+            attempt,
+            elapsed_ms: elapsed.as_secs_f64() * 1000.0,
+            outcome: reply.outcome,
+            complete: self.requests.is_answered(id),
+            report: reply.report,
+        }));
+        self.requests.remove_if_finished(id);
+    }
+
+    /// Closes idle connections before the servers do, for as long as the node runs.
+    pub async fn close_idle_connections(self: Rc<Self>) {
+        let interval = (self.config.idle_timeout / IDLE_CHECKS_PER_TIMEOUT).max(MIN_IDLE_CHECK_INTERVAL);
+        loop {
+            sleep(interval).await;
+            self.upstream.close_idle();
+        }
+    }
+}
+
+/// A time in milliseconds; one that is negative or out of range is zero.
+fn duration(ms: f64) -> Duration {
+    Duration::try_from_secs_f64(ms / 1000.0).unwrap_or_default()
+}
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -17,8 +17,8 @@
     /// The socket itself.
     fn stream(&self) -> &TcpStream;
 
-    /// These bytes have come and go to hyper next.
-    fn came(&self, _bytes: &[u8]) {}
+    /// These bytes were received and go to hyper next.
+    fn received(&self, _bytes: &[u8]) {}
 }
 
 /// Whether something has come that nobody has read: bytes, an end or an error. The socket itself is looked at:
@@ -62,7 +62,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Poll::Ready(Err(error)),
                 Ok(n) => {
-                    self.0.came(&unfilled[..n]);
+                    self.0.received(&unfilled[..n]);
                     buf.advance(n);
                     return Poll::Ready(Ok(()));
                 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use balancer::net::discovery::{self, Subscriber};
-use balancer::net::list::{Decoder, List, ListError};
+use balancer::net::list::{ListDecoder, ListError, ServerList};
 use net::*;
 use serde_json::{json, Value};
 use tokio::sync::Notify;
@@ -238,13 +238,13 @@
 }
 
 impl Subscriber for Follower {
-    fn wanted(&self) -> &Notify {
+    fn update_requested(&self) -> &Notify {
         &self.wanted
     }
-    fn moved(&self) -> &Notify {
+    fn discovery_moved(&self) -> &Notify {
         &self.moved
     }
-    fn discovery(&self) -> SocketAddr {
+    fn discovery_address(&self) -> SocketAddr {
         self.discovery
     }
     fn revision(&self) -> Option<u64> {
@@ -253,11 +253,11 @@
     fn drain_grace(&self) -> Duration {
         Duration::from_secs(20)
     }
-    fn listed(self: &Rc<Self>, list: List) {
+    fn apply(self: &Rc<Self>, list: ServerList) {
         self.revision.set(Some(list.revision));
     }
-    fn list_failed(self: &Rc<Self>) {}
-    fn place_in_spread(&self) -> f64 {
+    fn unavailable(self: &Rc<Self>) {}
+    fn spread_position(&self) -> f64 {
         self.place
     }
 }
@@ -290,8 +290,8 @@
 
 // ---- The decoder
 
-fn decode(text: &[u8], piece: usize, most: usize) -> Result<List, ListError> {
-    let mut decoder = Decoder::new(most);
+fn decode(text: &[u8], piece: usize, most: usize) -> Result<ServerList, ListError> {
+    let mut decoder = ListDecoder::new(most);
     text.chunks(piece).try_for_each(|piece| decoder.feed(piece))?;
     decoder.finish()
 }
@@ -309,14 +309,14 @@
             let list = decode(text.as_bytes(), piece, 1 << 20).expect("a list");
             let ids: Vec<_> = list.members.iter().map(|member| member.id.as_str()).collect();
             assert_eq!((list.revision, list.complete, ids), (41, true, vec!["a \"[{,\\ 7"]));
-            assert_eq!((list.unread.nameless, list.unread.ids.len()), (2, 0));
+            assert_eq!((list.unreadable.nameless, list.unreadable.ids.len()), (2, 0));
         }
         let end = text.trim_end().len();
         for cut in 0..end {
             assert!(decode(&text.as_bytes()[..cut], 5, 1 << 20).is_err(), "cut at {cut} of {text}");
         }
         assert!(decode(format!("{text}]").as_bytes(), 5, 1 << 20).is_err());
-        assert_eq!(decode(text.as_bytes(), 5, 2_000).err(), Some(ListError::TooLong));
+        assert_eq!(decode(text.as_bytes(), 5, 2_000).err(), Some(ListError::TooLarge));
     }
     let none = |text: &str| decode(text.as_bytes(), 5, 1 << 20).is_err();
     assert!(none("[]") && none("{}") && none(r#"{"revision":1,"complete":true,"members":3}"#));
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -9,8 +9,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use balancer::net::config::{load_report, Config};
-use balancer::net::list::{Decoder, Phase};
+use balancer::net::config::Config;
+use balancer::net::list::{ListDecoder, MemberPhase};
+use balancer::net::load_report::parse_load_report;
 use balancer::wire::{Dialect, Line, Member};
 use balancer::*;
 use net::{config, list, member, request, Exchange, Message, Node, Server, OK};
@@ -255,8 +256,11 @@
     let address = |text: &str| text.parse::<SocketAddr>().expect("an address");
     assert_eq!(config.name, "node-7");
     assert_eq!((config.listen, config.discovery), (address("127.0.0.1:8001"), address("127.0.0.1:8003")));
-    assert_eq!((config.seed, config.sockets, config.list_most), (0x8c1f_30d2_7a5b_e964, 256, 50 << 20));
-    assert_eq!((config.known.revision, config.known.members.len()), (41, 1));
+    assert_eq!(
+        (config.seed, config.max_sockets, config.max_list_bytes),
+        (0x8c1f_30d2_7a5b_e964, 256, 50 << 20)
+    );
+    assert_eq!((config.initial_list.revision, config.initial_list.members.len()), (41, 1));
     assert_eq!(config.settings.max_retry_after_ms, Some(350.0));
     assert_eq!(config.settings.classes[0].deadline_ms, 900.0);
     assert_eq!(config.names.classes, ["read"]);
@@ -265,22 +269,22 @@
         (config.names.zones, config.names.kinds),
         (vec!["a".into(), "b".into()], vec!["m".to_owned()])
     );
-    assert_eq!(config.conn_idle, Duration::from_millis(20_500));
+    assert_eq!(config.idle_timeout, Duration::from_millis(20_500));
     assert_eq!(config.dial_timeout, Duration::from_millis(250));
-    assert_eq!(config.most_held, 1_000);
+    assert_eq!(config.max_pending, 1_000);
 
     std::env::set_var("GW_CONFIG", path("config-minimal.json"));
     let config = Config::from_env().expect("a configuration");
-    assert_eq!((config.discovery, config.list_most), (address("127.0.0.1:8002"), 96 << 20));
+    assert_eq!((config.discovery, config.max_list_bytes), (address("127.0.0.1:8002"), 96 << 20));
     assert_eq!(config.settings.max_retry_after_ms, Some(900.0));
-    assert_eq!((config.most_held, config.known.revision), (usize::MAX, 0));
-    assert_eq!(config.conn_idle, Duration::from_secs(24 * 3600));
+    assert_eq!((config.max_pending, config.initial_list.revision), (usize::MAX, 0));
+    assert_eq!(config.idle_timeout, Duration::from_secs(24 * 3600));
     assert_eq!(config.dial_timeout, Duration::from_millis(900));
 }
 
 #[test]
 fn a_list_is_read_from_its_json() {
-    let mut decoder = Decoder::new(1 << 20);
+    let mut decoder = ListDecoder::new(1 << 20);
     decoder.feed(read_golden("list.json").as_bytes()).expect("sound");
     let list = decoder.finish().expect("a list");
     assert_eq!((list.revision, list.complete, list.entries), (41, false, 5));
@@ -291,8 +295,8 @@
     assert_eq!((first.locality.as_str(), first.flavor.as_str(), first.cell), ("a", "m", 3));
     assert_eq!((first.size, first.up_since_ms), (1.5, 1_700_000_000_123.0));
     let phases: Vec<_> = list.members.iter().map(|member| member.phase).collect();
-    assert!(phases == [Phase::Active, Phase::Leaving, Phase::Left]);
-    assert_eq!((list.unread.ids.as_slice(), list.unread.nameless), (&["s3".to_owned()][..], 1));
+    assert!(phases == [MemberPhase::Active, MemberPhase::Leaving, MemberPhase::Left]);
+    assert_eq!((list.unreadable.ids.as_slice(), list.unreadable.nameless), (&["s3".to_owned()][..], 1));
 }
 
 #[test]
@@ -307,7 +311,7 @@
         None,
         None,
     ];
-    let read: Vec<_> = read_golden("load-reports.txt").lines().map(load_report).collect();
+    let read: Vec<_> = read_golden("load-reports.txt").lines().map(parse_load_report).collect();
     assert_eq!(read, expected);
 }
 
