--- a/src/bin/balancer-simhost.rs
+++ b/src/bin/balancer-simhost.rs
@@ -1,93 +1,119 @@
-//! Drives balancers over the text wire on standard input and output, one for each instance.
+//! Drives balancers over the text protocol on standard input and output, one for each instance.
+//!
+//! The host sends batches of lines; each batch is answered with the actions it leads to and a line `NEXT`. Errors of
+//! the protocol end the program with one line on standard error.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 use std::io::{self, BufRead, Write};
 use std::panic::{self, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use balancer::wire::{one_line, Dialect, Line, Member, WireError};
+use balancer::wire::{one_line, Dialect, Line, RosterMember, Rosters, WireError, ROSTERS};
 use balancer::{Balancer, BalancerAction};
 
-/// One instance: its balancer and the names only it has been told.
+/// One instance: its balancer, and the names that only it was given.
 struct Instance {
     balancer: Balancer,
     dialect: Dialect,
 }
 
+/// A list whose entries are arriving.
+struct PartialRoster {
+    number: usize,
+    /// Entries that it will have.
+    length: usize,
+    members: Vec<RosterMember>,
+}
+
+/// All instances, and what they share.
 #[derive(Default)]
-struct Adapter {
+struct SimulatedHost {
+    /// Time of the simulated clock, in milliseconds.
     now: f64,
     instances: BTreeMap<String, Instance>,
-    lists: [Option<Vec<Member>>; 16],
-    /// The list being read: its number, the entries due and those read so far.
-    reading: Option<(usize, usize, Vec<Member>)>,
-    passed_over: BTreeSet<String>,
+    rosters: Rosters,
+    partial_roster: Option<PartialRoster>,
+    /// Messages and instances that have been reported as ignored.
+    ignored: BTreeSet<String>,
     reply: String,
     actions: Vec<BalancerAction>,
 }
 
-enum Step {
-    More,
+#[derive(PartialEq)]
+enum Progress {
+    WithinBatch,
     EndOfBatch,
 }
 
-impl Adapter {
-    fn line(&mut self, text: &str) -> Result<Step, WireError> {
-        if let Some((number, due, mut members)) = self.reading.take() {
-            members.push(Member::parse(text)?);
-            if members.len() < due {
-                self.reading = Some((number, due, members));
-            } else {
-                self.lists[number] = Some(members);
-            }
-            return Ok(Step::More);
+impl SimulatedHost {
+    fn take_line(&mut self, text: &str) -> Result<Progress, WireError> {
+        if let Some(roster) = self.partial_roster.take() {
+            self.take_roster_member(roster, text)?;
+            return Ok(Progress::WithinBatch);
+        }
+        // A blank line separates batches.
+        if text.is_empty() {
+            return Ok(Progress::WithinBatch);
         }
         let line = Line::parse(text)?;
         match line.message {
-            "CLOCK" => self.now = line.need_figure("wall_ms")?,
+            "CLOCK" => self.now = line.number("wall_ms")?,
             "EOB" => {
                 self.reply.push_str("NEXT\n");
-                return Ok(Step::EndOfBatch);
-            }
-            "CENSUS" => self.census(&line)?,
-            "BOOT" => {
-                let mut dialect = Dialect::default();
-                let settings = dialect.settings(line.text("facts")?)?;
-                let seed = line.whole("seed")?.unwrap_or(0);
-                let balancer = Balancer::new(settings, seed).map_err(|e| WireError::other(&e))?;
-                self.instances.insert(line.text("node")?.to_owned(), Instance { balancer, dialect });
+                return Ok(Progress::EndOfBatch);
             }
+            "CENSUS" => self.start_roster(&line)?,
+            "BOOT" => self.start_instance(&line)?,
             "TEARDOWN" => drop(self.instances.remove(line.text("node")?)),
             "REGISTRY" | "CALL" | "ACK_FIRST" | "ENDED" | "HANGUP" | "FIRED" | "HEALTH" => {
-                self.event(&line)?
+                self.handle_event(&line)?;
             }
-            "FROM_PEER" => {} // peers tell a balancer nothing
-            other => self.note(other, "passed over an unknown message"),
+            "FROM_PEER" => {} // balancers exchange no messages
+            other => self.ignore(other, "passed over an unknown message"),
         }
-        Ok(Step::More)
+        Ok(Progress::WithinBatch)
+    }
+
+    fn start_instance(&mut self, line: &Line<'_>) -> Result<(), WireError> {
+        let mut dialect = Dialect::default();
+        let settings = dialect.settings(line.text("facts")?)?;
+        let seed = line.optional_integer("seed")?.unwrap_or(0);
+        let balancer = Balancer::new(settings, seed).map_err(|error| WireError::other(&error))?;
+        self.instances.insert(line.text("node")?.to_owned(), Instance { balancer, dialect });
+        Ok(())
     }
 
-    fn census(&mut self, line: &Line<'_>) -> Result<(), WireError> {
-        let need = |name| line.whole(name)?.map_or_else(|| line.text(name).map(|_| 0), Ok);
-        let (number, due) = (need("roster_id")? as usize, need("hosts")? as usize);
-        if number >= self.lists.len() {
-            return Err(WireError::other(&format!("`roster_id={number}` is out of range")));
+    fn start_roster(&mut self, line: &Line<'_>) -> Result<(), WireError> {
+        let (number, length) = (line.integer("roster_id")? as usize, line.integer("hosts")? as usize);
+        if number >= ROSTERS {
+            return Err(WireError::malformed("roster_id", &number.to_string(), "is out of range"));
         }
-        if due == 0 {
-            self.lists[number] = Some(Vec::new());
+        if length == 0 {
+            self.rosters[number] = Some(Vec::new());
         } else {
-            self.reading = Some((number, due, Vec::new()));
+            self.partial_roster = Some(PartialRoster { number, length, members: Vec::new() });
         }
         Ok(())
     }
 
-    fn event(&mut self, line: &Line<'_>) -> Result<(), WireError> {
+    fn take_roster_member(&mut self, mut roster: PartialRoster, text: &str) -> Result<(), WireError> {
+        roster.members.push(RosterMember::parse(text)?);
+        if roster.members.len() < roster.length {
+            self.partial_roster = Some(roster);
+        } else {
+            self.rosters[roster.number] = Some(roster.members);
+        }
+        Ok(())
+    }
+
+    fn handle_event(&mut self, line: &Line<'_>) -> Result<(), WireError> {
         let node = line.text("node")?;
         let Some(instance) = self.instances.get_mut(node) else {
-            self.note(node, "passed over a message to an instance that is not running");
+            self.ignore(node, "passed over a message to an instance that is not running");
             return Ok(());
         };
-        let Some(event) = instance.dialect.event(line, &self.lists)? else {
+        let Some(event) = instance.dialect.event(line, &self.rosters)? else {
             return Ok(());
         };
         let (now, actions) = (self.now, &mut self.actions);
@@ -104,47 +130,61 @@
         Ok(())
     }
 
-    fn note(&mut self, what: &str, why: &str) {
-        if self.passed_over.insert(what.to_owned()) {
-            eprintln!("balancer-simhost: {why}: {}", one_line(what));
+    /// Reports once that messages of a kind, or to an instance, are ignored.
+    fn ignore(&mut self, what: &str, reason: &str) {
+        if self.ignored.insert(what.to_owned()) {
+            eprintln!("balancer-simhost: {reason}: {}", one_line(what));
+        }
+    }
+}
+
+/// Why the program ends before its input does.
+enum HostError {
+    Read(io::Error),
+    Reply(io::Error),
+    Line { message: String, error: WireError },
+}
+
+impl fmt::Display for HostError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Read(error) => error.fmt(f),
+            Self::Reply(error) => write!(f, "cannot reply: {error}"),
+            Self::Line { message, error } => write!(f, "{message}: {error}"),
         }
     }
 }
 
 fn main() -> ExitCode {
-    let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
-    let mut adapter = Adapter::default();
-    let (mut text, mut number) = (String::new(), 0_u64);
+    let mut line_number = 0;
+    match run(&mut io::stdin().lock(), &mut io::stdout().lock(), &mut line_number) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("balancer-simhost: line {line_number}: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Answers batches until the input ends; `line_number` is that of the line read last.
+fn run(input: &mut impl BufRead, output: &mut impl Write, line_number: &mut u64) -> Result<(), HostError> {
+    let mut host = SimulatedHost::default();
+    let mut text = String::new();
     loop {
         text.clear();
-        number += 1;
-        match input.read_line(&mut text) {
-            Ok(0) => return ExitCode::SUCCESS,
-            Ok(_) => {}
-            Err(error) => {
-                eprintln!("balancer-simhost: line {number}: {error}");
-                return ExitCode::FAILURE;
-            }
+        *line_number += 1;
+        if input.read_line(&mut text).map_err(HostError::Read)? == 0 {
+            return Ok(());
         }
         let line = text.trim_end_matches(['\n', '\r']);
-        // A blank line sets batches apart.
-        let step =
-            if line.is_empty() && adapter.reading.is_none() { Ok(Step::More) } else { adapter.line(line) };
-        match step {
-            Ok(Step::More) => {}
-            Ok(Step::EndOfBatch) => {
-                let written = output.write_all(adapter.reply.as_bytes()).and_then(|()| output.flush());
-                if let Err(error) = written {
-                    eprintln!("balancer-simhost: line {number}: cannot reply: {error}");
-                    return ExitCode::FAILURE;
-                }
-                adapter.reply.clear();
-            }
-            Err(error) => {
-                let message = line.split(' ').next().unwrap_or_default();
-                eprintln!("balancer-simhost: line {number}: {message}: {error}");
-                return ExitCode::FAILURE;
-            }
+        let progress = host.take_line(line).map_err(|error| {
+            let message = line.split(' ').next().unwrap_or_default().to_owned();
+            HostError::Line { message, error }
+        })?;
+        if progress == Progress::EndOfBatch {
+            let written = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
+            written.map_err(HostError::Reply)?;
+            host.reply.clear();
         }
     }
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -12,7 +12,7 @@
 use balancer::net::config::Config;
 use balancer::net::list::{ListDecoder, MemberPhase};
 use balancer::net::load_report::parse_load_report;
-use balancer::wire::{Dialect, Line, Member};
+use balancer::wire::{Dialect, Line, RosterMember, Rosters};
 use balancer::*;
 use net::{config, list, member, request, Exchange, Message, Node, Server, OK};
 use serde_json::json;
@@ -44,10 +44,10 @@
 }
 
 /// The lists of the golden file, each under the number that its line names.
-fn rosters() -> [Option<Vec<Member>>; 16] {
+fn rosters() -> Rosters {
     let members = read_golden("wire-members.txt");
-    let members = members.lines().map(|line| Member::parse(line).expect("an entry")).collect();
-    let mut lists: [Option<Vec<Member>>; 16] = Default::default();
+    let members = members.lines().map(|line| RosterMember::parse(line).expect("an entry")).collect();
+    let mut lists = Rosters::default();
     lists[3] = Some(members);
     lists
 }
