--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -18,14 +18,14 @@
 pub struct Job {
     /// The training step that the job belongs to.
     pub step: Option<u64>,
-    /// The model that generates the texts; any if absent.
+    /// The model that generates the output; any model if absent.
     pub model: Option<Arc<str>>,
     /// The oldest version of the weights that may generate any part of a text.
     #[serde(rename = "oldestEdition")]
     pub oldest_version: Option<u64>,
-    /// How many complete groups the trainer waits for; all of them if absent.
+    /// How many complete groups the trainer requires; all of them if absent.
     #[serde(rename = "wanted")]
-    pub wanted_groups: Option<u32>,
+    pub required_groups: Option<u32>,
     /// The items; groups that are carried over from an earlier batch job come first.
     #[serde(rename = "parcels")]
     pub items: Vec<Item>,
--- a/crates/batch/src/replication/log.rs
+++ b/crates/batch/src/replication/log.rs
@@ -26,7 +26,7 @@
 pub enum Entry {
     /// The batch job.
     Job(SubmittedJob),
-    /// A result. Its rank among the results is its position in the listing that trainers read.
+    /// A result. Its rank among the results is its position in the list of results that trainers read.
     Result(ItemResult),
     /// The trainer ended the batch job.
     End,
--- a/crates/batch/src/replication/ownership.rs
+++ b/crates/batch/src/replication/ownership.rs
@@ -49,7 +49,7 @@
 }
 
 impl PromisedLog {
-    /// Whether the entries, put behind the first `start` ones of a log that ends at `base`, make up the whole log.
+    /// Whether the entries, put behind the first `start` ones of a log that ends at `base`, make up the complete log.
     fn completes(&self, base: LogEnd) -> bool {
         let is_prefix_known =
             self.start == 0 || (self.end.accepted == base.accepted && self.start <= base.length);
@@ -103,8 +103,8 @@
         &self.log[..self.committed]
     }
 
-    /// Whether it leads, and the whole adopted log is committed under its term. Only then does the committed part
-    /// include everything that earlier owners may have shown to trainers.
+    /// Whether it leads, and the complete adopted log is committed under its term. Only then does the committed part
+    /// include everything that earlier owners may have returned to trainers.
     #[must_use]
     pub fn is_established(&self) -> bool {
         self.phase == OwnershipPhase::Leading && self.committed >= self.adopted.length
--- a/crates/batch/src/replication/peer_progress.rs
+++ b/crates/batch/src/replication/peer_progress.rs
@@ -1,11 +1,11 @@
-//! What an owner knows of one replica.
+//! The progress of one replica, from the point of view of the owner.
 
 use std::time::Duration;
 
 use super::log::LogEnd;
 use super::term::OwnershipTerm;
 
-/// Progress of one replica, as its owner knows it.
+/// The last reported state of one replica.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerProgress {
     /// It promised the owner's term.
--- a/crates/batch/src/replication/record.rs
+++ b/crates/batch/src/replication/record.rs
@@ -39,7 +39,7 @@
         promised: OwnershipTerm,
         /// The term under which the log was last written.
         accepted: OwnershipTerm,
-        /// The whole log.
+        /// The complete log.
         entries: Vec<Arc<Entry>>,
     },
     /// The batch job is deleted.
--- a/crates/batch/src/replication/term.rs
+++ b/crates/batch/src/replication/term.rs
@@ -16,7 +16,7 @@
     pub number: u64,
     /// The store that claims the batch job.
     pub owner: StoreId,
-    /// Random number of the claim, which tells apart claims of one store before and after a restart.
+    /// Random number of the claim, which distinguishes claims of one store before and after a restart.
     pub nonce: u64,
 }
 
--- a/crates/batch/src/schedule/groups.rs
+++ b/crates/batch/src/schedule/groups.rs
@@ -18,15 +18,15 @@
     items: Vec<ItemIndex>,
     /// Number of items whose result is not recorded.
     unrecorded: usize,
-    /// Number of items whose text is not complete.
-    incomplete_texts: usize,
+    /// Number of items whose output is not complete.
+    ungenerated_items: usize,
 }
 
 impl Group {
     fn add(&mut self, item: ItemIndex) {
         self.items.push(item);
         self.unrecorded += 1;
-        self.incomplete_texts += 1;
+        self.ungenerated_items += 1;
     }
 
     /// Whether all its results are recorded.
@@ -34,15 +34,15 @@
         self.unrecorded == 0
     }
 
-    /// Number of items whose text is not complete.
-    pub fn incomplete_texts(&self) -> usize {
-        self.incomplete_texts
+    /// Number of items whose output is not complete.
+    pub fn ungenerated_items(&self) -> usize {
+        self.ungenerated_items
     }
 
     /// Updates the counts after an item of the group went from one phase to another.
     pub fn on_phase_change(&mut self, before: ItemPhase, after: ItemPhase) {
-        self.incomplete_texts += usize::from(before.has_complete_text());
-        self.incomplete_texts -= usize::from(after.has_complete_text());
+        self.ungenerated_items += usize::from(before.is_generated());
+        self.ungenerated_items -= usize::from(after.is_generated());
         self.unrecorded -= usize::from(after == ItemPhase::Recorded);
     }
 
--- a/crates/batch/src/schedule/job_schedule.rs
+++ b/crates/batch/src/schedule/job_schedule.rs
@@ -6,7 +6,7 @@
 use super::{ItemIndex, ItemPhase};
 use crate::Job;
 
-/// At most one in this many of the wanted groups may be carried over from an earlier batch job.
+/// At most one in this many of the required groups may be carried over from an earlier batch job.
 const CARRIED_OVER_DIVISOR: usize = 2;
 
 /// The item that a batch job would start next.
@@ -24,8 +24,8 @@
     groups: Vec<Group>,
     group_of_item: Vec<GroupIndex>,
     phases: Vec<ItemPhase>,
-    /// Number of complete groups that the trainer waits for.
-    wanted_groups: usize,
+    /// Number of complete groups that the trainer requires.
+    required_groups: usize,
     complete_groups: usize,
     /// Number of items in the phase [`ItemPhase::Streaming`].
     streaming: usize,
@@ -45,9 +45,9 @@
     #[must_use]
     pub fn new(job: &Job) -> Self {
         let (groups, group_of_item) = group_items(job);
-        let wanted_groups = job.wanted_groups.map_or(groups.len(), |wanted| wanted as usize);
+        let required_groups = job.required_groups.map_or(groups.len(), |required| required as usize);
         Self {
-            wanted_groups: wanted_groups.min(groups.len()),
+            required_groups: required_groups.min(groups.len()),
             groups,
             group_of_item,
             phases: vec![ItemPhase::Pending(Duration::ZERO); job.items.len()],
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Number of items whose text a server generates now.
+    /// Number of items whose output a server generates now.
     #[must_use]
     pub fn streaming(&self) -> usize {
         self.streaming
@@ -108,12 +108,12 @@
         })
     }
 
-    /// Number of items that the trainer waits for and whose text is not complete.
+    /// Number of items that the trainer waits for and whose output is not complete.
     #[must_use]
     pub fn needed_remaining(&self) -> usize {
         let ranking = self.rank_groups();
         let needed = ranking.groups.iter().take(ranking.needed);
-        needed.map(|&group| self.groups[group].incomplete_texts()).sum()
+        needed.map(|&group| self.groups[group].ungenerated_items()).sum()
     }
 
     /// The earliest time after `now` at which a pending item may start.
@@ -129,13 +129,13 @@
     /// Ranks the groups that are not complete. Those that may be carried over from an earlier batch job come first, and
     /// are needed even if enough other groups are complete.
     fn rank_groups(&self) -> GroupRanking {
-        let max_carried_over = self.wanted_groups / CARRIED_OVER_DIVISOR;
+        let max_carried_over = self.required_groups / CARRIED_OVER_DIVISOR;
         let is_open = |group: &GroupIndex| !self.groups[*group].is_complete();
         let mut groups: Vec<GroupIndex> = (0..max_carried_over).filter(is_open).collect();
         let carried_over = groups.len();
         groups.extend((max_carried_over..self.groups.len()).filter(is_open));
         groups[carried_over..].sort_by_key(|&group| self.group_rank(group));
-        let needed = self.wanted_groups.saturating_sub(self.complete_groups).max(carried_over);
+        let needed = self.required_groups.saturating_sub(self.complete_groups).max(carried_over);
         GroupRanking { groups, needed }
     }
 
@@ -144,6 +144,6 @@
     fn group_rank(&self, index: GroupIndex) -> (bool, usize, GroupIndex) {
         let group = &self.groups[index];
         let is_started = group.is_started(&self.phases);
-        (!is_started, if is_started { group.incomplete_texts() } else { 0 }, index)
+        (!is_started, if is_started { group.ungenerated_items() } else { 0 }, index)
     }
 }
--- a/crates/batch/src/schedule/mod.rs
+++ b/crates/batch/src/schedule/mod.rs
@@ -29,7 +29,7 @@
 }
 
 impl ItemPhase {
-    fn has_complete_text(self) -> bool {
+    fn is_generated(self) -> bool {
         matches!(self, Self::Grading | Self::Recorded)
     }
 }
--- a/crates/batch/src/schedule/precedence.rs
+++ b/crates/batch/src/schedule/precedence.rs
@@ -23,7 +23,7 @@
 pub struct JobForecast {
     /// When the batch job is due.
     pub due: Duration,
-    /// Number of items that the trainer waits for and whose text is not complete.
+    /// Number of items that the trainer waits for and whose output is not complete.
     pub needed_remaining: usize,
     /// Number of items that are streaming already.
     pub streaming: usize,
--- /dev/null
+++ b/crates/batch/tests/cluster/checker.rs
@@ -0,0 +1,72 @@
+//! The invariants of the replicated log.
+
+use std::collections::{BTreeMap, HashSet};
+use std::fmt;
+use std::sync::Arc;
+
+use batch::{Entry, Ownership, OwnershipTerm};
+
+/// A broken invariant.
+#[derive(Debug)]
+pub enum Violation {
+    /// Two contents were committed at one position.
+    Changed { position: usize },
+    /// A later owner lacks what an earlier one has committed.
+    Lost { term: OwnershipTerm, committed: usize, expected: usize },
+    /// Two owners have one term.
+    DuplicateTerm(OwnershipTerm),
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Changed { position } => write!(f, "position {position} changed"),
+            Self::Lost { term, committed, expected } => {
+                write!(f, "the owner of {term:?} has {committed} of {expected} committed entries")
+            }
+            Self::DuplicateTerm(term) => write!(f, "{term:?} was used twice"),
+        }
+    }
+}
+
+/// Remembers what owners could expose to trainers, and compares it with what later ones could.
+#[derive(Default)]
+pub struct Checker {
+    terms: HashSet<OwnershipTerm>,
+    /// Committed entries by position.
+    exposed: Vec<Arc<Entry>>,
+    /// Number of entries that the owner of each term has exposed.
+    exposed_by_term: BTreeMap<OwnershipTerm, usize>,
+}
+
+impl Checker {
+    /// Number of committed entries.
+    pub fn committed(&self) -> usize {
+        self.exposed.len()
+    }
+
+    pub fn check_claim(&mut self, term: OwnershipTerm) -> Result<(), Violation> {
+        match self.terms.insert(term) {
+            true => Ok(()),
+            false => Err(Violation::DuplicateTerm(term)),
+        }
+    }
+
+    /// Checks what an established owner could expose now.
+    pub fn check_owner(&mut self, owner: &Ownership) -> Result<(), Violation> {
+        let (term, committed) = (owner.term(), owner.committed());
+        let expected = self.exposed_by_term.range(..term).map(|(_, length)| *length).max().unwrap_or(0);
+        if committed.len() < expected {
+            return Err(Violation::Lost { term, committed: committed.len(), expected });
+        }
+        let mut pairs = committed.iter().zip(&self.exposed);
+        if let Some(position) = pairs.position(|(one, other)| one != other) {
+            return Err(Violation::Changed { position });
+        }
+        if committed.len() > self.exposed.len() {
+            self.exposed = committed.to_vec();
+        }
+        self.exposed_by_term.insert(term, committed.len());
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/batch/tests/cluster/message.rs
@@ -0,0 +1,42 @@
+//! Messages between the machines of the simulated cluster.
+
+use batch::{OwnershipTerm, ReplicaReply, ReplicaRequest, StoreId};
+
+/// A message in flight. Machines that own a job are named by index, replicas by the identity of their disk.
+#[derive(Clone)]
+pub enum Message {
+    Request {
+        from: usize,
+        owner: OwnershipTerm,
+        to: StoreId,
+        request: ReplicaRequest,
+    },
+    Reply {
+        to: usize,
+        owner: OwnershipTerm,
+        from: StoreId,
+        reply: ReplicaReply,
+    },
+    /// The request or its reply was lost.
+    NoReply {
+        to: usize,
+        owner: OwnershipTerm,
+        from: StoreId,
+    },
+    /// A heartbeat of an owner that has everything committed under its term.
+    Committed {
+        to: StoreId,
+        term: OwnershipTerm,
+    },
+}
+
+impl Message {
+    /// What the sender of a request learns if this message is lost; `None` for a heartbeat.
+    pub fn lost(self) -> Option<Self> {
+        match self {
+            Self::Request { from, owner, to, .. } => Some(Self::NoReply { to: from, owner, from: to }),
+            Self::Reply { to, owner, from, .. } => Some(Self::NoReply { to, owner, from }),
+            Self::NoReply { .. } | Self::Committed { .. } => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/batch/tests/cluster/store_set.rs
@@ -0,0 +1,65 @@
+//! Changes of the store set: lost disks, replaced members, and the end of a change.
+
+use batch::StoreId;
+
+use super::faults::Fault;
+use super::machine::Machine;
+use super::Cluster;
+
+impl Cluster {
+    /// Replaces the disk of a machine by an empty one, unless too many of a set have lost theirs.
+    pub(super) fn lose_disk(&mut self, index: usize) {
+        let id = self.machines[index].id;
+        let is_tolerated = |set: &Vec<StoreId>| {
+            let lost = set.iter().filter(|store| self.lost_disks.contains(store)).count();
+            !set.contains(&id) || lost < self.max_lost_disks
+        };
+        let replicas = &self.view.replicas;
+        if !is_tolerated(&replicas.present) || !is_tolerated(&replicas.previous) {
+            return;
+        }
+        let view = self.machines[index].view.clone();
+        let next = if self.fault == Fault::KeepsIdentityWithoutDisk { id } else { self.next_id };
+        self.next_id += 1;
+        self.lost_disks.insert(id);
+        self.machines[index] = Machine { view, ..Machine::new(next) };
+    }
+
+    /// Ends the change of the store set that is in progress if it may be ended; otherwise begins one.
+    pub(super) fn change_store_set(&mut self) {
+        if self.view.replicas.previous.is_empty() {
+            self.begin_change();
+        } else if self.is_migrated() {
+            self.view.replicas.previous.clear();
+            self.completed_changes += 1;
+        }
+    }
+
+    fn is_migrated(&self) -> bool {
+        let previous = &self.view.replicas.previous;
+        let has_migrated = |store: &&StoreId| {
+            let mut machines = self.machines.iter().filter(|machine| machine.id == **store);
+            machines.any(|machine| machine.has_migrated(&self.job, self.view.epoch))
+        };
+        let migrated = previous.iter().filter(has_migrated).count();
+        migrated + self.max_lost_disks >= previous.len()
+    }
+
+    /// A member that lost its disk is replaced; without one, some member by some other store.
+    fn begin_change(&mut self) {
+        let present = &self.view.replicas.present;
+        let is_alive = |id: &StoreId| self.machines.iter().any(|machine| machine.id == *id);
+        let lost = present.iter().position(|id| !is_alive(id));
+        let ids = self.machines.iter().map(|machine| machine.id);
+        let candidates: Vec<StoreId> = ids.filter(|id| !present.contains(id)).collect();
+        if candidates.is_empty() {
+            return;
+        }
+        let replaced = lost.unwrap_or_else(|| self.random.usize(..present.len()));
+        let replacement = candidates[self.random.usize(..candidates.len())];
+        let replicas = &mut self.view.replicas;
+        replicas.previous = replicas.present.clone();
+        replicas.present[replaced] = replacement;
+        self.view.epoch += 1;
+    }
+}
--- a/crates/batch/tests/golden.rs
+++ b/crates/batch/tests/golden.rs
@@ -52,7 +52,7 @@
     }
 }
 
-fn handed_in() -> SubmittedJob {
+fn submitted_job() -> SubmittedJob {
     SubmittedJob {
         host: "trainer.example".into(),
         path: "/batches/generate".into(),
@@ -83,7 +83,7 @@
 
 fn entries() -> Vec<Arc<Entry>> {
     let entries = [
-        Entry::Job(handed_in()),
+        Entry::Job(submitted_job()),
         Entry::Result(delivered_result()),
         Entry::Result(undeliverable_result()),
         Entry::End,
@@ -131,7 +131,7 @@
 }
 
 #[parameterized(
-    job = { "entry-job.hex", Entry::Job(handed_in()) },
+    job = { "entry-job.hex", Entry::Job(submitted_job()) },
     result_delivered = { "entry-result-delivered.hex", Entry::Result(delivered_result()) },
     result_undeliverable = { "entry-result-undeliverable.hex", Entry::Result(undeliverable_result()) },
     end = { "entry-end.hex", Entry::End },
@@ -143,7 +143,7 @@
 #[test]
 fn given_parts_of_entries_when_encoded_then_their_bytes_are_golden() {
     check_encoding("ballot.hex", &term(4));
-    check_encoding("submitted-job.hex", &handed_in());
+    check_encoding("submitted-job.hex", &submitted_job());
     check_encoding("item-result-delivered.hex", &delivered_result());
     check_encoding("item-result-undeliverable.hex", &undeliverable_result());
 }
@@ -204,7 +204,7 @@
         step: Some(7),
         model: Some("model-a".into()),
         oldest_version: Some(6),
-        wanted_groups: Some(1),
+        required_groups: Some(1),
         items: vec![Item {
             id: "item-1".into(),
             path: "/generate/x".to_owned(),
@@ -232,7 +232,7 @@
         group: None,
         reward: None,
     };
-    Job { step: None, model: None, oldest_version: None, wanted_groups: None, items: vec![item] }
+    Job { step: None, model: None, oldest_version: None, required_groups: None, items: vec![item] }
 }
 
 #[parameterized(
--- a/crates/batch/tests/jobs.rs
+++ b/crates/batch/tests/jobs.rs
@@ -1,15 +1,15 @@
-//! Batch jobs as trainers hand them in.
+//! Parsing and validation of submitted batch jobs.
 
 use batch::{Job, JobError};
 use yare::parameterized;
 
-const GOOD: &str = r#"{"step":7,"model":"m","oldestEdition":6,"wanted":1,"parcels":[{"id":"a","lane":"/x/1",
+const VALID_JOB: &str = r#"{"step":7,"model":"m","oldestEdition":6,"wanted":1,"parcels":[{"id":"a","lane":"/x/1",
     "envelope":{"Model":"m"},"payload":"q83vEjRWeJA=","tokens":940,"bundle":"g1",
     "scorer":{"id":"r","depot":"h.example","lane":"/y/2","payload":"3q2+7w=="}}]}"#;
 
 #[test]
-fn given_a_proper_job_when_parsed_then_bodies_decode() {
-    let job = Job::parse(GOOD.as_bytes()).expect("the job is proper");
+fn given_a_valid_job_when_parsed_then_bodies_decode() {
+    let job = Job::parse(VALID_JOB.as_bytes()).expect("the job is valid");
 
     assert_eq!(job.items[0].decoded_body(), [0xab, 0xcd, 0xef, 0x12, 0x34, 0x56, 0x78, 0x90]);
     let reward = job.items[0].reward.as_ref().expect("the item has a reward call");
@@ -17,10 +17,10 @@
 }
 
 #[test]
-fn given_only_the_needed_fields_when_parsed_then_it_is_taken() {
-    let job = Job::parse(br#"{"parcels":[{"id":"a","lane":"/x/1"}]}"#).expect("the job is proper");
+fn given_only_the_required_fields_when_parsed_then_it_is_accepted() {
+    let job = Job::parse(br#"{"parcels":[{"id":"a","lane":"/x/1"}]}"#).expect("the job is valid");
 
-    assert_eq!((job.step, job.wanted_groups, job.oldest_version), (None, None, None));
+    assert_eq!((job.step, job.required_groups, job.oldest_version), (None, None, None));
 }
 
 #[parameterized(
@@ -28,11 +28,11 @@
     repeated = { r#"{"parcels":[{"id":"a","lane":"/"},{"id":"a","lane":"/"}]}"#, JobError::DuplicateItem("a".into()) },
     bad_body = { r#"{"parcels":[{"id":"a","lane":"/","payload":"?"}]}"#, JobError::InvalidBody("a".into()) },
 )]
-fn given_an_improper_job_when_parsed_then_the_error_tells_why(body: &str, error: JobError) {
+fn given_an_invalid_job_when_parsed_then_the_error_names_the_cause(body: &str, error: JobError) {
     assert_eq!(Job::parse(body.as_bytes()), Err(error));
 }
 
 #[parameterized(cut = { "{\"parcels\":[" }, other = { "[]" }, empty = { "" })]
-fn given_bytes_that_are_no_job_when_parsed_then_they_are_unreadable(body: &str) {
+fn given_bytes_that_are_no_job_when_parsed_then_they_are_malformed(body: &str) {
     assert!(matches!(Job::parse(body.as_bytes()), Err(JobError::Malformed(_))));
 }
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! The order in which items of batch jobs are run.
+//! The order in which items of batch jobs are started.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,16 +25,16 @@
 }
 
 /// Groups of equal size, one after the other.
-fn job(groups: usize, items_each: usize, wanted: Option<u32>) -> Job {
+fn job(groups: usize, items_each: usize, required: Option<u32>) -> Job {
     let items = (0..groups * items_each).map(|id| item(id, Some(id / items_each), 10)).collect();
-    Job { step: None, model: None, oldest_version: None, wanted_groups: wanted, items }
+    Job { step: None, model: None, oldest_version: None, required_groups: required, items }
 }
 
 /// Starts items at `now` until none may start.
-fn start_all(order: &mut JobSchedule, now: Duration) -> Vec<ItemCandidate> {
+fn start_all(schedule: &mut JobSchedule, now: Duration) -> Vec<ItemCandidate> {
     let mut started = Vec::new();
-    while let Some(candidate) = order.next_item(now) {
-        order.set_phase(candidate.index, ItemPhase::Streaming);
+    while let Some(candidate) = schedule.next_item(now) {
+        schedule.set_phase(candidate.index, ItemPhase::Streaming);
         started.push(candidate);
     }
     started
@@ -44,17 +44,17 @@
     candidates.iter().map(|candidate| candidate.index).collect()
 }
 
-fn list(order: &mut JobSchedule, items: impl IntoIterator<Item = ItemIndex>) {
+fn record(schedule: &mut JobSchedule, items: impl IntoIterator<Item = ItemIndex>) {
     for index in items {
-        order.set_phase(index, ItemPhase::Recorded);
+        schedule.set_phase(index, ItemPhase::Recorded);
     }
 }
 
 #[test]
-fn given_a_fresh_job_when_items_start_then_group_by_group_and_wanted_groups_first() {
-    let mut order = JobSchedule::new(&job(4, 2, Some(3)));
+fn given_a_fresh_job_when_items_start_then_group_by_group_and_required_groups_first() {
+    let mut schedule = JobSchedule::new(&job(4, 2, Some(3)));
 
-    let started = start_all(&mut order, START);
+    let started = start_all(&mut schedule, START);
 
     assert_eq!(indices(&started), vec![0, 1, 2, 3, 4, 5, 6, 7]);
     let needed: Vec<bool> = started.iter().map(|candidate| candidate.needed).collect();
@@ -62,118 +62,118 @@
 }
 
 #[test]
-fn given_no_wanted_number_when_items_start_then_all_groups_are_needed() {
-    let mut order = JobSchedule::new(&job(3, 2, None));
+fn given_no_required_number_when_items_start_then_all_groups_are_needed() {
+    let mut schedule = JobSchedule::new(&job(3, 2, None));
 
-    assert!(start_all(&mut order, START).iter().all(|candidate| candidate.needed));
+    assert!(start_all(&mut schedule, START).iter().all(|candidate| candidate.needed));
 }
 
 #[test]
 fn given_items_of_one_group_apart_when_they_start_then_together() {
     let mut job = job(2, 2, None);
     job.items = vec![item(0, Some(0), 1), item(1, Some(1), 1), item(2, Some(0), 1), item(3, Some(1), 1)];
-    let mut order = JobSchedule::new(&job);
+    let mut schedule = JobSchedule::new(&job);
 
-    assert_eq!(indices(&start_all(&mut order, START)), vec![0, 2, 1, 3]);
+    assert_eq!(indices(&start_all(&mut schedule, START)), vec![0, 2, 1, 3]);
 }
 
 #[test]
-fn given_items_without_group_when_listed_then_each_is_a_whole_group() {
+fn given_items_without_group_when_recorded_then_each_is_a_complete_group() {
     let mut job = job(0, 0, Some(1));
     job.items = vec![item(0, None, 1), item(1, None, 1)];
-    let mut order = JobSchedule::new(&job);
+    let mut schedule = JobSchedule::new(&job);
 
-    list(&mut order, [1]);
+    record(&mut schedule, [1]);
 
-    assert_eq!(order.complete_groups(), 1);
-    assert_eq!(order.next_item(START), Some(ItemCandidate { index: 0, needed: false }));
+    assert_eq!(schedule.complete_groups(), 1);
+    assert_eq!(schedule.next_item(START), Some(ItemCandidate { index: 0, needed: false }));
 }
 
 #[test]
 fn given_items_of_different_length_when_a_group_starts_then_longest_first() {
     let mut job = job(1, 3, None);
     job.items = vec![item(0, Some(0), 5), item(1, Some(0), 9), item(2, Some(0), 7)];
-    let mut order = JobSchedule::new(&job);
+    let mut schedule = JobSchedule::new(&job);
 
-    assert_eq!(indices(&start_all(&mut order, START)), vec![1, 2, 0]);
+    assert_eq!(indices(&start_all(&mut schedule, START)), vec![1, 2, 0]);
 }
 
 #[test]
-fn given_a_setback_in_a_begun_group_when_the_next_starts_then_it_precedes_fresh_groups() {
-    let mut order = JobSchedule::new(&job(6, 2, None));
+fn given_a_failed_item_in_a_started_group_when_the_next_starts_then_it_precedes_fresh_groups() {
+    let mut schedule = JobSchedule::new(&job(6, 2, None));
     for index in 0..8 {
-        order.set_phase(index, ItemPhase::Streaming);
+        schedule.set_phase(index, ItemPhase::Streaming);
     }
 
-    order.set_phase(7, ItemPhase::Pending(START));
+    schedule.set_phase(7, ItemPhase::Pending(START));
 
-    assert_eq!(order.next_item(START), Some(ItemCandidate { index: 7, needed: true }));
+    assert_eq!(schedule.next_item(START), Some(ItemCandidate { index: 7, needed: true }));
 }
 
 #[test]
-fn given_two_begun_groups_when_the_next_starts_then_that_with_fewer_unfinished_items() {
-    let mut order = JobSchedule::new(&job(4, 3, None));
-    list(&mut order, [6, 9, 10]);
+fn given_two_started_groups_when_the_next_starts_then_that_with_fewer_unfinished_items() {
+    let mut schedule = JobSchedule::new(&job(4, 3, None));
+    record(&mut schedule, [6, 9, 10]);
 
-    list(&mut order, 0..6);
+    record(&mut schedule, 0..6);
 
-    assert_eq!(order.next_item(START).map(|candidate| candidate.index), Some(11));
+    assert_eq!(schedule.next_item(START).map(|candidate| candidate.index), Some(11));
 }
 
 #[test]
-fn given_groups_that_may_be_carried_when_others_are_nearer_to_whole_then_carried_come_first() {
-    let mut order = JobSchedule::new(&job(6, 2, Some(4)));
-    list(&mut order, [4, 6, 8]);
+fn given_groups_that_may_be_carried_over_when_others_are_nearer_to_completion_then_carried_over_come_first() {
+    let mut schedule = JobSchedule::new(&job(6, 2, Some(4)));
+    record(&mut schedule, [4, 6, 8]);
 
-    let started = start_all(&mut order, START);
+    let started = start_all(&mut schedule, START);
 
     assert_eq!(indices(&started)[..4], [0, 1, 2, 3]);
 }
 
 #[test]
-fn given_wanted_groups_are_whole_when_the_first_are_not_then_these_are_still_needed() {
-    let mut order = JobSchedule::new(&job(6, 1, Some(2)));
-    list(&mut order, [2, 3]);
+fn given_required_groups_are_complete_when_the_first_are_not_then_these_are_still_needed() {
+    let mut schedule = JobSchedule::new(&job(6, 1, Some(2)));
+    record(&mut schedule, [2, 3]);
 
-    let started = start_all(&mut order, START);
+    let started = start_all(&mut schedule, START);
 
     assert_eq!(started[0], ItemCandidate { index: 0, needed: true });
     assert!(started[1..].iter().all(|candidate| !candidate.needed));
 }
 
 #[test]
-fn given_a_pause_when_it_is_over_then_the_item_may_start() {
-    let mut order = JobSchedule::new(&job(1, 1, None));
-    order.set_phase(0, ItemPhase::Pending(seconds(2)));
+fn given_a_backoff_when_it_is_over_then_the_item_may_start() {
+    let mut schedule = JobSchedule::new(&job(1, 1, None));
+    schedule.set_phase(0, ItemPhase::Pending(seconds(2)));
 
-    assert_eq!(order.next_item(seconds(1)), None);
-    assert_eq!(order.next_retry(seconds(1)), Some(seconds(2)));
-    assert_eq!(order.next_item(seconds(2)).map(|candidate| candidate.index), Some(0));
-    assert_eq!(order.next_retry(seconds(2)), None);
+    assert_eq!(schedule.next_item(seconds(1)), None);
+    assert_eq!(schedule.next_retry(seconds(1)), Some(seconds(2)));
+    assert_eq!(schedule.next_item(seconds(2)).map(|candidate| candidate.index), Some(0));
+    assert_eq!(schedule.next_retry(seconds(2)), None);
 }
 
 #[test]
-fn given_a_listed_item_when_it_is_put_back_then_it_stays_listed() {
-    let mut order = JobSchedule::new(&job(1, 2, None));
-    list(&mut order, [0]);
+fn given_a_recorded_item_when_set_pending_then_it_stays_recorded() {
+    let mut schedule = JobSchedule::new(&job(1, 2, None));
+    record(&mut schedule, [0]);
 
-    order.set_phase(0, ItemPhase::Pending(START));
-    list(&mut order, [0, 1]);
+    schedule.set_phase(0, ItemPhase::Pending(START));
+    record(&mut schedule, [0, 1]);
 
-    assert_eq!(order.phase(0), ItemPhase::Recorded);
-    assert!(order.is_finished());
-    assert_eq!(order.complete_groups(), 1);
+    assert_eq!(schedule.phase(0), ItemPhase::Recorded);
+    assert!(schedule.is_finished());
+    assert_eq!(schedule.complete_groups(), 1);
 }
 
 #[test]
 fn given_streams_when_they_end_then_their_number_falls() {
-    let mut order = JobSchedule::new(&job(1, 3, None));
-    start_all(&mut order, START);
+    let mut schedule = JobSchedule::new(&job(1, 3, None));
+    start_all(&mut schedule, START);
 
-    order.set_phase(0, ItemPhase::Grading);
-    order.set_phase(1, ItemPhase::Pending(START));
+    schedule.set_phase(0, ItemPhase::Grading);
+    schedule.set_phase(1, ItemPhase::Pending(START));
 
-    assert_eq!(order.streaming(), 1);
+    assert_eq!(schedule.streaming(), 1);
 }
 
 #[parameterized(
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn given_jobs_with_time_enough_when_ranked_then_the_one_with_the_least_left_goes_first() {
+fn given_jobs_with_time_enough_when_ranked_then_the_one_with_the_fewest_remaining_goes_first() {
     let precedence = |due, needed_remaining, all_finished| {
         let forecast = JobForecast {
             due: seconds(due),
@@ -232,13 +232,13 @@
 }
 
 #[test]
-fn given_a_job_when_groups_become_whole_then_only_the_groups_still_wanted_are_left() {
-    let mut order = JobSchedule::new(&job(4, 3, Some(2)));
-    assert_eq!(order.needed_remaining(), 6);
+fn given_a_job_when_groups_become_complete_then_only_the_groups_still_required_remain() {
+    let mut schedule = JobSchedule::new(&job(4, 3, Some(2)));
+    assert_eq!(schedule.needed_remaining(), 6);
 
-    (0..3).for_each(|item| order.set_phase(item, ItemPhase::Recorded));
-    assert_eq!(order.needed_remaining(), 3);
+    (0..3).for_each(|item| schedule.set_phase(item, ItemPhase::Recorded));
+    assert_eq!(schedule.needed_remaining(), 3);
 
-    (3..6).for_each(|item| order.set_phase(item, ItemPhase::Recorded));
-    assert_eq!(order.needed_remaining(), 0);
+    (3..6).for_each(|item| schedule.set_phase(item, ItemPhase::Recorded));
+    assert_eq!(schedule.needed_remaining(), 0);
 }
--- a/crates/local-fleet/src/trainer/step_plan.rs
+++ b/crates/local-fleet/src/trainer/step_plan.rs
@@ -96,7 +96,7 @@
             step: Some(step),
             model: Some(template.model.as_str().into()),
             oldest_version: Some(oldest_version),
-            wanted_groups: u32::try_from(template.required_groups).ok(),
+            required_groups: u32::try_from(template.required_groups).ok(),
             items,
         };
         Self { id: random_request_id(), job, groups, carried_groups, expectations }
--- a/crates/store-plane/tests/runner/fleet.rs
+++ b/crates/store-plane/tests/runner/fleet.rs
@@ -15,7 +15,7 @@
 fn trainers_job(name: &str, groups: usize, wanted: u32) -> Job {
     let items =
         (0..groups * GROUP_SIZE).map(|n| item(&format!("{name}-{n}"), &format!("{}", n / GROUP_SIZE)));
-    Job { wanted_groups: Some(wanted), ..job(items.collect()) }
+    Job { required_groups: Some(wanted), ..job(items.collect()) }
 }
 
 fn whole_groups(job: &Job, log: &FakeLog) -> usize {
@@ -44,7 +44,7 @@
     pass(Duration::from_millis(6_500)).await;
 
     for (job, log) in jobs.iter().zip(&logs) {
-        let wanted = job.wanted_groups.unwrap_or_default() as usize;
+        let wanted = job.required_groups.unwrap_or_default() as usize;
         assert!(whole_groups(job, log) >= wanted, "{} of {wanted} groups", whole_groups(job, log));
     }
 }
--- a/crates/store-plane/tests/runner/runs.rs
+++ b/crates/store-plane/tests/runner/runs.rs
@@ -133,7 +133,7 @@
 async fn given_wanted_groups_started_when_little_room_is_left_then_items_of_others_wait() {
     let bench = Bench::start(FakeExecutor::reliable().with_slots(3));
     let mut wanted_one = job_of("a", 6);
-    wanted_one.wanted_groups = Some(1);
+    wanted_one.required_groups = Some(1);
 
     bench.hand_in("job", wanted_one);
     pass(RUN / 2).await;
@@ -145,7 +145,7 @@
 async fn given_wanted_groups_started_when_half_of_the_slots_are_taken_then_items_of_others_wait() {
     let bench = Bench::start(FakeExecutor::reliable().with_slots(20));
     let mut wanted_one = job_of("a", 40);
-    wanted_one.wanted_groups = Some(1);
+    wanted_one.required_groups = Some(1);
     bench.hand_in("job", wanted_one);
     pass(RUN / 2).await;
     assert_eq!(bench.executor.runs().len(), 10);
--- a/crates/store-plane/tests/runner/support.rs
+++ b/crates/store-plane/tests/runner/support.rs
@@ -244,7 +244,7 @@
 }
 
 pub fn job(items: Vec<Item>) -> Job {
-    Job { step: Some(1), model: Some("model".into()), oldest_version: Some(6), wanted_groups: None, items }
+    Job { step: Some(1), model: Some("model".into()), oldest_version: Some(6), required_groups: None, items }
 }
 
 /// Items `NAME-0`, `NAME-1` and so on, two a group.
