--- a/crates/store-plane/src/lib.rs
+++ b/crates/store-plane/src/lib.rs
@@ -5,6 +5,6 @@
 
 pub use replication::{
     replicas_of, Appended, BodyOutcome, EndOutcome, JobClient, JobState, JobStore, JournalFailed,
-    MigrationStatus, OwnedJob, OwnershipLost, ReadOutcome, RecordJournal, ResultPage, StoreLimits,
-    SubmitOutcome, MIGRATION_STATUS_PATH,
+    MigrationStatus, OwnedJob, OwnershipLost, ReadOutcome, RecordJournal, ReplicatedLog, ResultPage,
+    StoreLimits, SubmitOutcome, MIGRATION_STATUS_PATH,
 };
--- /dev/null
+++ b/crates/store-plane/src/replication/handover.rs
@@ -0,0 +1,45 @@
+//! Hand-over: a store that is about to exit passes its ownerships on, instead of letting other stores time out.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::{JobId, StoreId};
+use futures_util::future::join_all;
+
+use super::messages::{AddressedRequest, TakeoverRequest, TAKE_OVER_PATH};
+use super::node::StoreNode;
+use super::placement::replica_ids;
+
+/// Timeout of the call to one successor.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(400);
+
+impl StoreNode {
+    /// Gives up every batch job that this store owns, owns none from now on, and asks the next replica of each to take
+    /// it over.
+    pub async fn hand_over_jobs(&self) {
+        let jobs = self.lock().ownerships.drain();
+        log::info!("handing over {} batch jobs", jobs.len());
+        let view = self.current_view();
+        let successors = |job: &JobId| -> Vec<StoreId> {
+            let mut replicas = replica_ids(&view.control.stores, job);
+            replicas.retain(|store| *store != self.id());
+            replicas
+        };
+        join_all(jobs.iter().map(|job| self.hand_over(job, successors(job)))).await;
+    }
+
+    /// Calls one successor after the other, until one has acknowledged.
+    async fn hand_over(&self, job: &JobId, successors: Vec<StoreId>) {
+        for store in successors {
+            let Some(address) = self.address_of(store) else { continue };
+            let request = TakeoverRequest { from: self.id(), is_from_owner: true };
+            let request = AddressedRequest { to: store, job: Arc::clone(job), request };
+            let acknowledged: Result<(), _> =
+                self.rpc.call(&address, TAKE_OVER_PATH, &request, HAND_OVER_TIMEOUT).await;
+            if acknowledged.is_ok() {
+                return;
+            }
+        }
+        log::warn!("no store acknowledged the hand-over of batch job {job}");
+    }
+}
--- a/crates/store-plane/src/replication/heartbeat.rs
+++ b/crates/store-plane/src/replication/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Owners tell the other stores what they own, one message for each pair of stores.
+//! Heartbeats: an owner renews its leases by one message for each pair of stores, and learns what replicas lack.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,104 +7,119 @@
 use batch::{OwnershipPhase, ReplicaReply, StoreId};
 use tokio::time::Instant;
 
-use super::messages::{Heartbeat, HeartbeatReply, MarkReply, OwnedMark, HEARTBEAT_PATH};
-use super::state::State;
-use super::store::Shared;
+use super::messages::{Heartbeat, HeartbeatReply, JobHeartbeat, JobHeartbeatReply, HEARTBEAT_PATH};
+use super::node::StoreNode;
+use super::state::ReplicationState;
 
-/// How long a heartbeat may take.
+/// Timeout of a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
 
-impl Shared {
-    /// Sends a heartbeat to each store that has a part in something that this one owns, or that did not answer.
-    pub(super) fn send_heartbeats(self: &Arc<Self>) {
-        for (store, jobs) in self.heartbeats() {
-            let shared = Arc::clone(self);
-            tokio::spawn(async move { shared.beat(store, jobs).await });
+impl StoreNode {
+    /// Sends a heartbeat to each store that keeps a batch job that this one owns, and to each unreachable one, except
+    /// where the last heartbeat is still in flight.
+    pub fn send_heartbeats(self: &Arc<Self>) {
+        let due = self.lock().heartbeats_due();
+        for (store, jobs) in due {
+            let node = Arc::clone(self);
+            tokio::spawn(async move { node.send_heartbeat(store, jobs).await });
         }
     }
 
-    fn heartbeats(&self) -> BTreeMap<StoreId, Vec<OwnedMark>> {
-        let mut state = self.lock();
-        let mut beats: BTreeMap<StoreId, Vec<OwnedMark>> = BTreeMap::new();
-        for store in &state.unreachable {
-            beats.insert(*store, Vec::new());
-        }
-        for (job, owned) in &state.owned {
-            if owned.ownership.phase() != OwnershipPhase::Leading {
-                continue;
-            }
-            for store in &owned.ownership.replicas().present {
-                let mark = OwnedMark {
-                    job: Arc::clone(job),
-                    term: owned.ownership.term(),
-                    length: owned.ownership.log().len(),
-                    established: owned.ownership.is_established(),
-                };
-                beats.entry(*store).or_default().push(mark);
-            }
-        }
-        beats.retain(|store, _| state.beating.insert(*store));
-        beats
-    }
-
-    async fn beat(self: Arc<Self>, store: StoreId, jobs: Vec<OwnedMark>) {
+    async fn send_heartbeat(self: Arc<Self>, store: StoreId, jobs: Vec<JobHeartbeat>) {
         let sent = Instant::now();
-        let beat = Heartbeat { to: store, jobs };
-        let answer =
-            if store == self.id() { Some(self.answer_heartbeat(&beat)) } else { self.call(&beat).await };
-        let mut state = self.lock();
-        state.beating.remove(&store);
-        match &answer {
-            Some(_) => state.unreachable.remove(&store),
-            None => state.unreachable.insert(store),
+        let heartbeat = Heartbeat { to: store, jobs };
+        let answer = if store == self.id() {
+            Some(self.answer_heartbeat(&heartbeat))
+        } else {
+            self.call_heartbeat(&heartbeat).await
         };
-        drop(state);
+        self.lock().peers.finish_heartbeat(store, answer.is_some());
         let Some(answer) = answer else { return };
-        for (mark, reply) in beat.jobs.iter().zip(answer.marks) {
-            let reply = match reply {
-                None => continue,
-                Some(MarkReply::Has) => ReplicaReply::Appended { term: mark.term, length: mark.length },
-                Some(MarkReply::Other(reply)) => reply,
-            };
-            self.with_ownership(&mark.job, mark.term, |shared, state| {
-                if let Some(owned) = state.owned.get_mut(&mark.job) {
-                    owned.ownership.observe_reply(store, reply, shared.time(sent));
-                }
-            });
+        for (job, reply) in heartbeat.jobs.iter().zip(answer.replies) {
+            let Some(reply) = reply else { continue };
+            self.on_heartbeat_reply(store, job, reply, sent);
         }
     }
 
-    async fn call(&self, beat: &Heartbeat) -> Option<HeartbeatReply> {
-        let Some(address) = self.address_of(beat.to) else {
-            // It is a member no more: there is nobody to reach.
-            self.lock().unreachable.remove(&beat.to);
+    fn on_heartbeat_reply(
+        self: &Arc<Self>,
+        store: StoreId,
+        heartbeat: &JobHeartbeat,
+        reply: JobHeartbeatReply,
+        sent: Instant,
+    ) {
+        let reply = match reply {
+            JobHeartbeatReply::UpToDate => heartbeat.up_to_date(),
+            JobHeartbeatReply::Replica(reply) => reply,
+        };
+        self.with_ownership(&heartbeat.job, heartbeat.term, |node, state| {
+            if let Some(owned) = state.ownerships.get_mut(&heartbeat.job) {
+                owned.ownership.observe_reply(store, reply, node.lease_time(sent));
+            }
+        });
+    }
+
+    async fn call_heartbeat(&self, heartbeat: &Heartbeat) -> Option<HeartbeatReply> {
+        let Some(address) = self.address_of(heartbeat.to) else {
+            // The store is no longer a member: there is nobody to reach.
+            self.lock().peers.set_reachable(heartbeat.to, true);
             return None;
         };
-        self.rpc.call(&address, HEARTBEAT_PATH, beat, HEARTBEAT_TIMEOUT).await.ok()
+        self.rpc.call(&address, HEARTBEAT_PATH, heartbeat, HEARTBEAT_TIMEOUT).await.ok()
     }
 
     /// Answers the heartbeat of an owner.
-    pub(super) fn answer_heartbeat(&self, beat: &Heartbeat) -> HeartbeatReply {
+    pub fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
         let mut state = self.lock();
         let now = Instant::now();
-        let marks = beat.jobs.iter().map(|mark| state.answer_mark(mark, now)).collect();
-        HeartbeatReply { marks }
+        let replies = heartbeat.jobs.iter().map(|job| state.answer_heartbeat_of(job, now)).collect();
+        HeartbeatReply { replies }
     }
 }
 
-impl State {
-    fn answer_mark(&mut self, mark: &OwnedMark, now: Instant) -> Option<MarkReply> {
-        let reply = self.replica.check_append(&mark.job, mark.term, mark.length);
+impl ReplicationState {
+    /// The heartbeats to send now, which are in flight from now on.
+    fn heartbeats_due(&mut self) -> BTreeMap<StoreId, Vec<JobHeartbeat>> {
+        let mut heartbeats: BTreeMap<StoreId, Vec<JobHeartbeat>> =
+            self.peers.unreachable().map(|store| (store, Vec::new())).collect();
+        for (job, owned) in self.ownerships.iter() {
+            if owned.ownership.phase() != OwnershipPhase::Leading {
+                continue;
+            }
+            for store in &owned.ownership.replicas().present {
+                let heartbeat = JobHeartbeat {
+                    job: Arc::clone(job),
+                    term: owned.ownership.term(),
+                    length: owned.ownership.log().len(),
+                    is_established: owned.ownership.is_established(),
+                };
+                heartbeats.entry(*store).or_default().push(heartbeat);
+            }
+        }
+        heartbeats.retain(|store, _| self.peers.start_heartbeat(*store));
+        heartbeats
+    }
+
+    /// Answers the part of a heartbeat about one batch job; `None` while its records are not durable.
+    fn answer_heartbeat_of(&mut self, heartbeat: &JobHeartbeat, now: Instant) -> Option<JobHeartbeatReply> {
+        let reply = self.replica.check_append(&heartbeat.job, heartbeat.term, heartbeat.length);
         if !matches!(reply, ReplicaReply::Rejected { .. }) {
-            self.heard.insert(Arc::clone(&mark.job), now);
+            self.jobs.record_owner_contact(&heartbeat.job, now);
         }
-        if mark.established {
-            self.settled.insert(Arc::clone(&mark.job), mark.term.epoch);
+        if heartbeat.is_established {
+            self.jobs.record_committed_epoch(&heartbeat.job, heartbeat.term.epoch);
         }
-        if self.undurable.contains_key(&mark.job) || self.tainted.contains(&mark.job) {
+        if !self.durability.is_durable(&heartbeat.job) {
             return None;
         }
-        let has_all = ReplicaReply::Appended { term: mark.term, length: mark.length };
-        Some(if reply == has_all { MarkReply::Has } else { MarkReply::Other(reply) })
+        let is_up_to_date = reply == heartbeat.up_to_date();
+        Some(if is_up_to_date { JobHeartbeatReply::UpToDate } else { JobHeartbeatReply::Replica(reply) })
+    }
+}
+
+impl JobHeartbeat {
+    /// The reply of a replica that has the complete log.
+    fn up_to_date(&self) -> ReplicaReply {
+        ReplicaReply::Appended { term: self.term, length: self.length }
     }
 }
--- a/crates/store-plane/src/replication/journal.rs
+++ b/crates/store-plane/src/replication/journal.rs
@@ -1,4 +1,4 @@
-//! What the replication needs of a disk.
+//! What the replication needs of a disk: an append-only ring of records.
 
 use std::fmt;
 use std::future::Future;
@@ -19,7 +19,7 @@
 /// The future of an append: the record's position, once it is durable.
 pub type Appended = Pin<Box<dyn Future<Output = Result<u64, JournalFailed>> + Send>>;
 
-/// A ring of records on a disk. Positions rise.
+/// A ring of records on a disk. Positions increase.
 pub trait RecordJournal: Send + Sync + 'static {
     /// Appends a record, in the order of the calls; ready when it is durable.
     fn append(&self, record: Vec<u8>) -> Appended;
@@ -36,7 +36,7 @@
         let appended = Self::append(self, record);
         Box::pin(async move {
             appended.await.map(|position| position.0).map_err(|error| {
-                log::error!("the journal of batch jobs: {error}");
+                log::error!("failed to append to the journal of batch jobs: {error}");
                 JournalFailed
             })
         })
--- /dev/null
+++ b/crates/store-plane/src/replication/maintenance/migration.rs
@@ -0,0 +1,106 @@
+//! Migration of batch jobs to a new store set: owners claim them again, replicas that are left out pass them on.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::{JobId, Record, ReplicaRequest, StoreId};
+use state::View;
+
+use super::super::messages::{AddressedRequest, MigrationStatus, TakeoverRequest, TAKE_OVER_PATH};
+use super::super::node::StoreNode;
+use super::super::placement::replica_ids;
+use super::super::state::ReplicationState;
+use super::MAX_CLAIMS_PER_ROUND;
+
+/// Timeout of a request to take over.
+const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(500);
+
+impl StoreNode {
+    /// Rejects owners of older epochs from now on, and claims what this store owns again under the present store set.
+    pub fn adopt_store_set(self: &Arc<Self>, view: &View) {
+        let epoch = view.control.stores.epoch;
+        let mut state = self.lock();
+        state.replica.raise_epoch(epoch);
+        if state.replica.epoch() > state.durability.epoch() {
+            let record = Record::Epoch(state.replica.epoch());
+            drop(state.durability.persist(vec![record]));
+        }
+        for job in state.ownerships.jobs_where(|owned| owned.ownership.term().epoch < epoch) {
+            self.claim_again(&mut state, view, &job);
+        }
+    }
+
+    fn claim_again(&self, state: &mut ReplicationState, view: &View, job: &JobId) {
+        let replicas = self.replica_set(view, job);
+        let claim = replicas.and_then(|replicas| self.new_claim(state, view, job, replicas));
+        match (claim, state.ownerships.get_mut(job)) {
+            (Some(claim), Some(owned)) => owned.claim_again(claim),
+            _ => state.ownerships.release(job),
+        }
+    }
+
+    /// Where this store holds a batch job of an older store set and is no replica any more, asks a present replica to
+    /// take the batch job over.
+    pub fn notify_new_replicas(self: &Arc<Self>, view: &View) {
+        let requests = self.takeover_requests(&self.lock(), view);
+        for (job, store) in requests {
+            let node = Arc::clone(self);
+            tokio::spawn(async move {
+                let address = node.address_of(store)?;
+                let request = TakeoverRequest { from: node.id(), is_from_owner: false };
+                let request = AddressedRequest { to: store, job, request };
+                node.rpc.call::<_, ()>(&address, TAKE_OVER_PATH, &request, TAKE_OVER_TIMEOUT).await.ok()
+            });
+        }
+    }
+
+    fn takeover_requests(&self, state: &ReplicationState, view: &View) -> Vec<(JobId, StoreId)> {
+        let epoch = view.control.stores.epoch;
+        let left_out = state.replica.logs().filter(|(job, log)| {
+            !log.entries.is_empty() && log.accepted.epoch < epoch && self.rank(view, job).is_none()
+        });
+        let requests = left_out.take(MAX_CLAIMS_PER_ROUND).filter_map(|(job, _)| {
+            let replicas = replica_ids(&view.control.stores, job);
+            let chosen = replicas.get(fastrand::usize(..replicas.len().max(1)))?;
+            Some((Arc::clone(job), *chosen))
+        });
+        requests.collect()
+    }
+
+    /// Lets a store that is no replica any more drop its log, if this store owns the batch job and has committed it.
+    /// A store that missed the migration learns of it in no other way, and would never report its own as complete.
+    pub fn dismiss_replica(self: &Arc<Self>, job: &JobId, from: StoreId) -> bool {
+        let term = {
+            let state = self.lock();
+            let Some(owned) = state.ownerships.get(job) else { return false };
+            let is_replica = owned.ownership.replicas().present.contains(&from);
+            if is_replica || !owned.ownership.is_established() || owned.ownership.committed().is_empty() {
+                return false;
+            }
+            owned.ownership.term()
+        };
+        let (node, job) = (Arc::clone(self), Arc::clone(job));
+        tokio::spawn(async move { node.send_request(from, &job, ReplicaRequest::Delete { term }).await });
+        true
+    }
+
+    /// How far the migration to the present store set is.
+    pub fn migration_status(&self) -> MigrationStatus {
+        let epoch = self.current_view().control.stores.epoch;
+        let state = self.lock();
+        let is_complete = state.durability.epoch() >= epoch && state.is_migrated(epoch);
+        MigrationStatus { store: self.id(), epoch: state.durability.epoch(), is_complete }
+    }
+}
+
+impl ReplicationState {
+    /// Whether all logs that this store holds are committed under `epoch` or a later one.
+    fn is_migrated(&self, epoch: u64) -> bool {
+        let is_committed = |job: &JobId| {
+            let is_owned = self.ownerships.get(job).is_some_and(|owned| owned.ownership.is_established());
+            is_owned || self.jobs.get(job).committed_epoch.is_some_and(|committed| committed >= epoch)
+        };
+        let mut logs = self.replica.logs();
+        logs.all(|(job, log)| log.entries.is_empty() || (log.accepted.epoch >= epoch && is_committed(job)))
+    }
+}
--- /dev/null
+++ b/crates/store-plane/src/replication/maintenance/mod.rs
@@ -0,0 +1,58 @@
+//! Background maintenance of a store, one round at each tick and whenever the store set changes.
+
+mod compaction;
+mod migration;
+mod retention;
+mod takeover;
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::time::MissedTickBehavior;
+
+use super::node::StoreNode;
+
+/// Time between two rounds, and thus between two heartbeats of an owner.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(300);
+/// Batch jobs that are claimed, or passed on to other stores, in one round; more would only slow each other.
+const MAX_CLAIMS_PER_ROUND: usize = 16;
+
+impl StoreNode {
+    /// Does the maintenance until dropped.
+    pub async fn run_maintenance(self: &Arc<Self>) {
+        let mut view = self.view.clone();
+        let mut ticks = tokio::time::interval(MAINTENANCE_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut is_view_open = true;
+        loop {
+            tokio::select! {
+                biased;
+                _ = ticks.tick() => {}
+                changed = view.changed(), if is_view_open => {
+                    is_view_open = changed.is_ok();
+                    if self.lock().replica.epoch() >= self.current_view().control.stores.epoch {
+                        continue;
+                    }
+                }
+            }
+            self.run_round();
+        }
+    }
+
+    fn run_round(self: &Arc<Self>) {
+        let view = self.current_view();
+        self.adopt_store_set(&view);
+        self.release_stale_ownerships();
+        self.send_heartbeats();
+        self.drive_all();
+        self.take_over_expired(&view);
+        self.notify_new_replicas(&view);
+        self.drop_expired();
+        self.compact();
+    }
+
+    fn drive_all(self: &Arc<Self>) {
+        let jobs = self.lock().ownerships.jobs_where(|_| true);
+        jobs.iter().for_each(|job| self.drive(job));
+    }
+}
--- /dev/null
+++ b/crates/store-plane/src/replication/maintenance/retention.rs
@@ -0,0 +1,57 @@
+//! Retention: drops batch jobs whose results need no longer be readable.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::{JobId, ReplicaRequest, StoreId};
+use tokio::time::Instant;
+
+use super::super::node::StoreNode;
+use super::super::state::{OwnedEntry, ReplicationState};
+
+/// An ended batch job is retained longer than results must be readable by this part of that time.
+const RETENTION_MARGIN_DIVISOR: u32 = 2;
+/// A batch job with all results that nobody ended is retained this many times as long.
+const UNENDED_RETENTION_FACTOR: u32 = 8;
+
+/// A batch job to drop.
+struct ExpiredJob {
+    job: JobId,
+    replicas: Vec<StoreId>,
+    delete: ReplicaRequest,
+}
+
+impl StoreNode {
+    /// Gives up expired batch jobs, and lets their replicas drop them.
+    pub fn drop_expired(self: &Arc<Self>) {
+        let result_retention = self.limits.result_retention;
+        let retention = result_retention + result_retention / RETENTION_MARGIN_DIVISOR;
+        let expired = self.lock().expired_jobs(retention);
+        for ExpiredJob { job, replicas, delete } in expired {
+            self.lock().ownerships.release(&job);
+            for store in replicas {
+                let (node, job, delete) = (Arc::clone(self), Arc::clone(&job), delete.clone());
+                tokio::spawn(async move { node.send_request(store, &job, delete).await });
+            }
+        }
+    }
+}
+
+impl ReplicationState {
+    fn expired_jobs(&self, retention: Duration) -> Vec<ExpiredJob> {
+        let now = Instant::now();
+        let owned_jobs = self.ownerships.iter();
+        let expired = owned_jobs.filter(|(job, owned)| is_expired(owned, self.jobs.age(job, now), retention));
+        let to_drop = expired.map(|(job, owned)| ExpiredJob {
+            job: Arc::clone(job),
+            replicas: owned.ownership.replicas().present.clone(),
+            delete: ReplicaRequest::Delete { term: owned.ownership.term() },
+        });
+        to_drop.collect()
+    }
+}
+
+fn is_expired(owned: &OwnedEntry, age: Duration, retention: Duration) -> bool {
+    let is_ended_and_old = owned.is_ended() && age > retention;
+    is_ended_and_old || (owned.has_all_results() && age > retention * UNENDED_RETENTION_FACTOR)
+}
--- /dev/null
+++ b/crates/store-plane/src/replication/maintenance/takeover.rs
@@ -0,0 +1,95 @@
+//! Take-over: claims batch jobs whose owner failed or handed them over, and gives up ownerships that lost their lease.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::{JobId, OwnershipPhase};
+use state::View;
+use tokio::time::Instant;
+
+use super::super::messages::TakeoverRequest;
+use super::super::node::StoreNode;
+use super::super::placement::replica_ids;
+use super::super::state::{OwnedEntry, ReplicationState, OWNER_TIMEOUT};
+use super::MAX_CLAIMS_PER_ROUND;
+
+/// Each replica waits this much longer than the one before it, so that usually one claims a batch job.
+const TAKEOVER_STAGGER: Duration = Duration::from_millis(350);
+/// A claim that has not won after this time is given up.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
+/// An owner that no majority has acknowledged for this long gives up its ownership.
+const LEASE_TIMEOUT: Duration = Duration::from_secs(3);
+
+impl StoreNode {
+    /// Gives up claims that have not won, and ownerships whose lease has expired.
+    pub fn release_stale_ownerships(&self) {
+        let now = Instant::now();
+        let mut state = self.lock();
+        for job in state.ownerships.jobs_where(|owned| self.is_stale(owned, now)) {
+            // Delays the next claim of this store, so that another one can win.
+            state.jobs.record_owner_contact(&job, now);
+            state.ownerships.release(&job);
+        }
+    }
+
+    fn is_stale(&self, owned: &OwnedEntry, now: Instant) -> bool {
+        let since_claim = now - owned.claimed_at;
+        let is_lease_expired = !owned.ownership.holds_lease(self.lease_time(now), LEASE_TIMEOUT);
+        match owned.ownership.phase() {
+            OwnershipPhase::Preparing => since_claim > CLAIM_TIMEOUT,
+            OwnershipPhase::Leading => {
+                since_claim > LEASE_TIMEOUT && (is_lease_expired || owned.is_leading_empty_log())
+            }
+            OwnershipPhase::Superseded(_) => is_lease_expired,
+        }
+    }
+
+    /// Claims batch jobs whose owner has timed out.
+    pub fn take_over_expired(self: &Arc<Self>, view: &View) {
+        let expired = self.jobs_with_expired_owner(&self.lock(), view);
+        for job in expired {
+            self.acquire(&job);
+        }
+    }
+
+    fn jobs_with_expired_owner(&self, state: &ReplicationState, view: &View) -> Vec<JobId> {
+        let now = Instant::now();
+        let logs = state.replica.logs().filter(|(_, log)| !log.entries.is_empty());
+        let unowned = logs.filter(|(job, _)| !state.ownerships.contains(job));
+        let expired = unowned.filter(|(job, log)| {
+            let is_own_of_earlier_run =
+                log.promised.owner == self.id() && state.jobs.get(job).owner_last_contact.is_none();
+            is_own_of_earlier_run
+                || self.rank(view, job).is_some_and(|rank| {
+                    let timeout = OWNER_TIMEOUT + TAKEOVER_STAGGER * rank;
+                    state.jobs.time_since_owner_contact(job, self.started, now) > timeout
+                })
+        });
+        expired.map(|(job, _)| Arc::clone(job)).take(MAX_CLAIMS_PER_ROUND).collect()
+    }
+
+    /// The position of this store among the replicas of a batch job; `None` if it is none of them.
+    pub fn rank(&self, view: &View, job: &str) -> Option<u32> {
+        let replicas = replica_ids(&view.control.stores, job);
+        let rank = replicas.iter().position(|store| *store == self.id())?;
+        u32::try_from(rank).ok()
+    }
+
+    /// Another store asks this one to take a batch job over.
+    pub fn on_takeover_request(self: &Arc<Self>, job: &JobId, request: TakeoverRequest) {
+        if !request.is_from_owner && self.dismiss_replica(job, request.from) {
+            return;
+        }
+        let has_live_owner = {
+            let mut state = self.lock();
+            let owner = state.replica.log(job).map(|log| log.promised.owner);
+            if request.is_from_owner && owner == Some(request.from) {
+                state.jobs.clear_owner_contact(job);
+            }
+            state.jobs.has_live_owner(job)
+        };
+        if !has_live_owner {
+            self.acquire(job);
+        }
+    }
+}
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -1,4 +1,7 @@
 //! Messages between stores, and from traffic nodes to stores.
+//!
+//! They are encoded by `bincode`, which goes by position: the order and the types of fields and variants are part of the
+//! protocol between releases, while their names are not. `tests/golden/` holds the encoded forms.
 
 use std::sync::Arc;
 
@@ -13,86 +16,97 @@
 pub(super) const READ_PATH: &str = "/batch/read";
 pub(super) const BODY_PATH: &str = "/batch/body";
 pub(super) const END_PATH: &str = "/batch/end";
-/// Where a store tells if it has moved its batch jobs to the present store set; the request is `()`.
+/// Where a store reports its [`MigrationStatus`]; the request is `()`.
 pub const MIGRATION_STATUS_PATH: &str = "/batch/moved";
 
-/// A call for one store; another incarnation at its address refuses it.
+/// A request to one incarnation of a store; another incarnation at the same address rejects it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct Call<T> {
+pub(super) struct AddressedRequest<T> {
     pub to: StoreId,
     pub job: JobId,
     pub request: T,
 }
 
+/// The answer to a [`batch::ReplicaRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ReplicateReply {
     pub reply: ReplicaReply,
-    /// How long the store has known the batch job.
+    /// How long the store has known the batch job, in milliseconds.
     pub age_ms: u64,
 }
 
-/// A store is asked to own a batch job.
+/// Asks a store to own a batch job.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(super) struct TakeOver {
-    /// Who asks.
+pub(super) struct TakeoverRequest {
+    /// The store that asks.
     pub from: StoreId,
-    /// Whether the one who asks owned it and gives it up. Otherwise it holds a copy that it is not to keep any more.
-    pub resigned: bool,
+    /// Whether that store owned the batch job and gave it up. Otherwise it holds a log and is no replica any more.
+    pub is_from_owner: bool,
 }
 
-/// An owner tells another store which batch jobs it owns.
+/// An owner reports to another store which batch jobs it owns.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Heartbeat {
     pub to: StoreId,
-    pub jobs: Vec<OwnedMark>,
+    pub jobs: Vec<JobHeartbeat>,
 }
 
+/// The part of a heartbeat about one batch job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct OwnedMark {
+pub(super) struct JobHeartbeat {
     pub job: JobId,
+    /// The term of the ownership.
     pub term: OwnershipTerm,
+    /// The length of the owner's log.
     pub length: usize,
-    /// Everything that earlier owners may have shown is committed under this term.
-    pub established: bool,
+    /// Everything that earlier owners may have exposed is committed under this term.
+    pub is_established: bool,
 }
 
-/// Answers to the marks of a heartbeat, in order; `None` where a write is still on its way to the disk.
+/// Answers to the parts of a heartbeat, in the same order; `None` where records are not durable yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct HeartbeatReply {
-    pub marks: Vec<Option<MarkReply>>,
+    pub replies: Vec<Option<JobHeartbeatReply>>,
 }
 
+/// The answer to a [`JobHeartbeat`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) enum MarkReply {
-    /// The store has all of it.
-    Has,
-    /// Something else.
-    Other(ReplicaReply),
+pub(super) enum JobHeartbeatReply {
+    /// The store has the complete log.
+    UpToDate,
+    /// Any other state of the store's log.
+    Replica(ReplicaReply),
 }
 
-/// A batch job as it comes from a traffic node.
+/// A batch job as a traffic node passes it on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Submission {
     pub host: Arc<str>,
     pub path: Arc<str>,
     pub body: Bytes,
-    /// How long the caller waits.
-    pub wait_ms: u64,
+    /// When the caller times out, in milliseconds from the start of its call.
+    pub timeout_ms: u64,
 }
 
+/// The answer to a [`Submission`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum SubmitReply {
     Accepted,
     Invalid(JobError),
+    /// The store sent nothing of the batch job to any store.
     NotAccepted,
+    /// The batch job may have been accepted.
     Unknown,
-    Elsewhere(StoreId),
+    /// Another store owns the batch job.
+    Redirect(StoreId),
 }
 
+/// Asks for results from position `after` on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ReadRequest {
     pub after: u64,
-    pub hold_ms: u64,
+    /// How long to wait for a result if there is none yet, in milliseconds.
+    pub long_poll_ms: u64,
 }
 
 /// Results of a batch job from some position on.
@@ -108,20 +122,22 @@
 
 /// The answer of a store about a batch job that it may own.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) enum Answer<T> {
-    Is(T),
+pub(super) enum OwnerReply<T> {
+    Success(T),
     NoSuchJob,
+    /// Nothing could be determined; the request may be sent again.
     Unknown,
-    Elsewhere(StoreId),
+    /// Another store owns the batch job, or is likely to know its owner.
+    Redirect(StoreId),
 }
 
-/// Whether a store has moved its batch jobs.
+/// How far a store has migrated its batch jobs to the present store set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MigrationStatus {
     /// The store.
     pub store: StoreId,
-    /// It refuses all owners of older epochs, durably.
+    /// The store durably rejects all owners of older epochs.
     pub epoch: u64,
-    /// All that it holds is committed under that epoch.
+    /// All that the store holds is committed under that epoch.
     pub is_complete: bool,
 }
--- /dev/null
+++ b/crates/store-plane/src/replication/ownership.rs
@@ -0,0 +1,248 @@
+//! Driving the ownerships of a store: claims, requests to the replicas, the start of the runner, results.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::{
+    Entry, ItemResult, Job, JobId, Ownership, OwnershipPhase, OwnershipTerm, ReplicaRequest, ReplicaSet,
+    StoreId,
+};
+use futures_util::future::BoxFuture;
+use state::View;
+use tokio::time::Instant;
+
+use super::log_entries::{belongs_to, contains, is_ended, results, submitted_job};
+use super::messages::ReplicateReply;
+use super::node::StoreNode;
+use super::owned_job::{JobOwner, JobState, OwnedJob, OwnershipLost, ReplicatedLog};
+use super::state::{OwnedEntry, ReplicationState, NO_OWNER};
+
+impl StoreNode {
+    /// Claims a batch job unless this store owns or claims it already. `false` if it cannot own it: it is not one of
+    /// the replicas, it is draining, or its store set is outdated.
+    pub fn acquire(self: &Arc<Self>, job: &JobId) -> bool {
+        let view = self.current_view();
+        let Some(replicas) = self.replica_set(&view, job) else { return false };
+        let mut state = self.lock();
+        if state.ownerships.contains(job) {
+            return true;
+        }
+        if state.ownerships.is_draining() {
+            return false;
+        }
+        let Some(claim) = self.new_claim(&state, &view, job, replicas) else { return false };
+        state.ownerships.insert(job, claim);
+        state.jobs.record_known(job, Instant::now());
+        drop(state);
+        self.drive(job);
+        true
+    }
+
+    /// A claim with a term above all that this store knows of; `None` if its store set is outdated.
+    pub fn new_claim(
+        &self,
+        state: &ReplicationState,
+        view: &View,
+        job: &JobId,
+        replicas: ReplicaSet,
+    ) -> Option<Ownership> {
+        let log = state.replica.log(job);
+        let promised = log.map_or(OwnershipTerm::default(), |log| log.promised);
+        let rejection = state.jobs.get(job).highest_rejection.unwrap_or_default();
+        let highest = promised.max(rejection).max(OwnershipTerm::lowest_of(state.replica.epoch()));
+        let epoch = view.control.stores.epoch;
+        let term = OwnershipTerm::above(highest, epoch, self.id(), fastrand::u64(..))?;
+        Some(Ownership::claim(term, replicas, log))
+    }
+
+    /// Sends the requests that are due for a batch job that this store owns or claims.
+    pub fn drive(self: &Arc<Self>, job: &JobId) {
+        let mut guard = self.lock();
+        let state = &mut *guard;
+        let Some(owned) = state.ownerships.get_mut(job) else { return };
+        let term = owned.ownership.term();
+        let requests = owned.ownership.next_requests(|store| state.peers.is_reachable(store));
+        drop(guard);
+        for (store, request) in requests {
+            let (node, job) = (Arc::clone(self), Arc::clone(job));
+            tokio::spawn(async move { node.deliver(job, term, store, request).await });
+        }
+    }
+
+    async fn deliver(
+        self: Arc<Self>,
+        job: JobId,
+        term: OwnershipTerm,
+        store: StoreId,
+        request: ReplicaRequest,
+    ) {
+        let sent = Instant::now();
+        let Some(reply) = self.send_request(store, &job, request).await else {
+            self.on_no_reply(&job, term, store);
+            return;
+        };
+        self.on_reply(&job, term, store, reply, sent);
+        self.drive(&job);
+    }
+
+    fn on_reply(
+        self: &Arc<Self>,
+        job: &JobId,
+        term: OwnershipTerm,
+        store: StoreId,
+        reply: ReplicateReply,
+        sent: Instant,
+    ) {
+        self.with_ownership(job, term, |node, state| {
+            // Counted from now, not from when the request was sent: an age must never be more than the truth.
+            let now = Instant::now();
+            let known_since = now.checked_sub(Duration::from_millis(reply.age_ms)).unwrap_or(now);
+            state.jobs.record_known_since(job, known_since);
+            if let Some(owned) = state.ownerships.get_mut(job) {
+                owned.ownership.handle_reply(store, reply.reply, node.lease_time(sent));
+            }
+        });
+    }
+
+    /// The store may be sent the request again. This does not notify of progress: whoever waits for it would send at
+    /// once, and a store that is no longer a member fails to reply without any time passing.
+    fn on_no_reply(&self, job: &JobId, term: OwnershipTerm, store: StoreId) {
+        let mut state = self.lock();
+        let owned = state.ownerships.get_mut(job).filter(|owned| owned.ownership.term() == term);
+        if let Some(owned) = owned {
+            owned.ownership.handle_no_reply(store);
+        }
+    }
+
+    /// Changes an ownership, if it is still that of `term`, and acts on its new phase.
+    pub fn with_ownership(
+        self: &Arc<Self>,
+        job: &JobId,
+        term: OwnershipTerm,
+        change: impl FnOnce(&Self, &mut ReplicationState),
+    ) {
+        let mut state = self.lock();
+        if state.ownerships.get(job).is_none_or(|owned| owned.ownership.term() != term) {
+            return;
+        }
+        change(self, &mut state);
+        self.after_change(&mut state, job);
+    }
+
+    fn after_change(self: &Arc<Self>, state: &mut ReplicationState, job: &JobId) {
+        let Some(owned) = state.ownerships.get_mut(job) else { return };
+        owned.progress.send_replace(());
+        if let OwnershipPhase::Superseded(promised) = owned.ownership.phase() {
+            on_ownership_lost(state, job, promised);
+        } else if owned.is_ended() {
+            // No item runs any more; the parsed form takes more memory than the log.
+            owned.job = None;
+            owned.state.send_replace(JobState::Ended);
+        } else if owned.job.is_none() && owned.ownership.is_established() {
+            self.start_runner(state, job);
+        }
+    }
+
+    /// Hands a batch job whose log is committed under the present ownership to the runner, unless all items have
+    /// results.
+    fn start_runner(self: &Arc<Self>, state: &mut ReplicationState, id: &JobId) {
+        let Some(owned) = state.ownerships.get_mut(id) else { return };
+        let committed = owned.ownership.committed();
+        let Some(submitted) = submitted_job(committed) else { return };
+        let Ok(job) = Job::parse(&submitted.body) else { return };
+        let job = Arc::new(job);
+        owned.job = Some(Arc::clone(&job));
+        let committed_results: Vec<ItemResult> = results(committed).cloned().collect();
+        if is_ended(owned.ownership.log()) {
+            owned.state.send_replace(JobState::Ended);
+        }
+        if committed_results.len() >= job.items.len() {
+            return;
+        }
+        let log = ReplicatedLog {
+            job: Arc::clone(id),
+            token: owned.token,
+            state: owned.state.subscribe(),
+            owner: Arc::clone(self) as Arc<dyn JobOwner>,
+        };
+        let owned_job = OwnedJob {
+            id: Arc::clone(id),
+            job,
+            host: Arc::clone(&submitted.host),
+            path: Arc::clone(&submitted.path),
+            age: state.jobs.age(id, Instant::now()),
+            committed_results,
+            log,
+        };
+        // Without a runner, the process is about to exit.
+        let _ = self.owned_jobs.send(owned_job);
+    }
+
+    /// Appends results until all are committed or have become superfluous.
+    async fn append_until_committed(
+        self: Arc<Self>,
+        job: JobId,
+        token: u64,
+        results: Vec<ItemResult>,
+    ) -> Result<(), OwnershipLost> {
+        let mut entries: Vec<Arc<Entry>> =
+            results.into_iter().map(|result| Arc::new(Entry::Result(result))).collect();
+        loop {
+            let mut progress = {
+                let mut state = self.lock();
+                let owned = state.ownerships.get_mut(&job).filter(|owned| owned.token == token);
+                let owned = owned.ok_or(OwnershipLost)?;
+                let progress = owned.progress.subscribe();
+                if !append_uncommitted(owned, &mut entries)? {
+                    return Ok(());
+                }
+                progress
+            };
+            self.drive(&job);
+            progress.changed().await.map_err(|_| OwnershipLost)?;
+        }
+    }
+}
+
+impl JobOwner for StoreNode {
+    fn id(&self) -> StoreId {
+        Self::id(self)
+    }
+
+    fn append_results(
+        self: Arc<Self>,
+        job: JobId,
+        token: u64,
+        results: Vec<ItemResult>,
+    ) -> BoxFuture<'static, Result<(), OwnershipLost>> {
+        Box::pin(self.append_until_committed(job, token, results))
+    }
+}
+
+/// Another store was promised a higher term.
+fn on_ownership_lost(state: &mut ReplicationState, job: &JobId, promised: OwnershipTerm) {
+    if promised.owner == NO_OWNER {
+        // Others have a newer store set; this store claims the batch job again as soon as it has it too.
+        return;
+    }
+    state.jobs.record_rejection(job, promised);
+    state.jobs.record_owner_contact(job, Instant::now());
+    state.ownerships.release(job);
+}
+
+/// Removes committed entries from `entries` and appends the others; `false` if none is left.
+fn append_uncommitted(owned: &mut OwnedEntry, entries: &mut Vec<Arc<Entry>>) -> Result<bool, OwnershipLost> {
+    let committed = owned.ownership.committed();
+    entries.retain(|entry| !contains(committed, entry));
+    entries.retain(|entry| owned.job.as_ref().is_none_or(|job| belongs_to(job, entry)));
+    if entries.is_empty() {
+        return Ok(false);
+    }
+    if is_ended(committed) {
+        return Err(OwnershipLost);
+    }
+    if !is_ended(owned.ownership.log()) {
+        owned.append_missing(entries);
+    }
+    Ok(true)
+}
--- /dev/null
+++ b/crates/store-plane/src/replication/server/mod.rs
@@ -0,0 +1,97 @@
+//! What a store answers to other stores and to traffic nodes.
+
+mod ownership_status;
+mod results;
+mod submit;
+
+use std::future::Future;
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::JobId;
+use poem::{post, Route};
+
+use super::messages::{
+    AddressedRequest, Heartbeat, TakeoverRequest, BODY_PATH, END_PATH, HEARTBEAT_PATH, MIGRATION_STATUS_PATH,
+    READ_PATH, REPLICATE_PATH, SUBMIT_PATH, TAKE_OVER_PATH,
+};
+use super::node::StoreNode;
+
+/// How long an answer waits for the ownership of its batch job to be established.
+const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(450);
+/// How long an answer waits for an entry to be committed; after that the outcome is reported as unknown.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(700);
+
+/// The endpoints for other processes.
+pub(super) fn endpoint(node: &Arc<StoreNode>) -> Route {
+    let replicate =
+        addressed_handler(node, |node, job, request| async move { node.replicate(&job, request).await });
+    let heartbeat = handler(node, |node, heartbeat: Heartbeat| async move {
+        (heartbeat.to == node.id()).then(|| node.answer_heartbeat(&heartbeat))
+    });
+    let take_over = addressed_handler(node, |node, job, request: TakeoverRequest| async move {
+        node.on_takeover_request(&job, request);
+        Some(())
+    });
+    let submit =
+        addressed_handler(
+            node,
+            |node, job, submission| async move { Some(node.submit(job, submission).await) },
+        );
+    let read =
+        addressed_handler(node, |node, job, request| async move { Some(node.read(&job, request).await) });
+    let body =
+        addressed_handler(
+            node,
+            |node, job, item: String| async move { Some(node.item_body(&job, &item).await) },
+        );
+    let end = addressed_handler(node, |node, job, ()| async move { Some(node.end(&job).await) });
+    let migration_status = handler(node, |node, ()| async move { Some(node.migration_status()) });
+    Route::new()
+        .at(REPLICATE_PATH, post(replicate))
+        .at(HEARTBEAT_PATH, post(heartbeat))
+        .at(TAKE_OVER_PATH, post(take_over))
+        .at(SUBMIT_PATH, post(submit))
+        .at(READ_PATH, post(read))
+        .at(BODY_PATH, post(body))
+        .at(END_PATH, post(end))
+        .at(MIGRATION_STATUS_PATH, post(migration_status))
+}
+
+/// An endpoint that answers requests by an async method of the store; `None` is a failure of the call.
+fn handler<Request, Reply, Method, Answering>(
+    node: &Arc<StoreNode>,
+    method: Method,
+) -> impl poem::Endpoint<Output = poem::Response>
+where
+    Request: serde::de::DeserializeOwned + Send + 'static,
+    Reply: serde::Serialize + Send + 'static,
+    Method: Fn(Arc<StoreNode>, Request) -> Answering + Send + Sync + 'static,
+    Answering: Future<Output = Option<Reply>> + Send + 'static,
+{
+    let node = Arc::clone(node);
+    rpc::handler(move |request: Request| method(Arc::clone(&node), request))
+}
+
+/// As [`handler`], for requests that only the incarnation of the store carries out that they are addressed to.
+fn addressed_handler<Request, Reply, Method, Answering>(
+    node: &Arc<StoreNode>,
+    method: Method,
+) -> impl poem::Endpoint<Output = poem::Response>
+where
+    Request: serde::de::DeserializeOwned + Send + 'static,
+    Reply: serde::Serialize + Send + 'static,
+    Method: Fn(Arc<StoreNode>, JobId, Request) -> Answering + Send + Sync + 'static,
+    Answering: Future<Output = Option<Reply>> + Send + 'static,
+{
+    handler(node, move |node, request: AddressedRequest<Request>| {
+        let is_addressee = request.to == node.id();
+        let answering = is_addressee.then(|| method(node, request.job, request.request));
+        async move {
+            match answering {
+                Some(answering) => answering.await,
+                None => None,
+            }
+        }
+    })
+}
--- /dev/null
+++ b/crates/store-plane/src/replication/server/submit.rs
@@ -0,0 +1,60 @@
+//! Submission of batch jobs.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::{Entry, Job, JobError, JobId, OwnershipPhase, SubmittedJob};
+use tokio::time::Instant;
+
+use super::super::messages::{Submission, SubmitReply};
+use super::super::node::StoreNode;
+use super::super::state::OwnedEntry;
+use super::{COMMIT_TIMEOUT, OWNERSHIP_TIMEOUT};
+
+/// An answer leaves this long before the caller times out.
+const REPLY_MARGIN: Duration = Duration::from_millis(120);
+
+impl StoreNode {
+    /// Takes a batch job. `NotAccepted` only if this call sent nothing of it to any store.
+    pub(super) async fn submit(self: &Arc<Self>, id: JobId, submission: Submission) -> SubmitReply {
+        let timeout = Duration::from_millis(submission.timeout_ms).saturating_sub(REPLY_MARGIN);
+        let commit_deadline = Instant::now() + timeout.min(OWNERSHIP_TIMEOUT + COMMIT_TIMEOUT);
+        let append_deadline = Instant::now() + (timeout / 2).min(OWNERSHIP_TIMEOUT);
+        let entry = match validate(submission) {
+            Ok(submitted) => Arc::new(Entry::Job(submitted)),
+            Err(error) => return SubmitReply::Invalid(error),
+        };
+        if let Err(owner) = self.acquire_unless_owned_elsewhere(&id) {
+            return owner.map_or(SubmitReply::NotAccepted, SubmitReply::Redirect);
+        }
+        let append = |owned: &mut OwnedEntry| append_first(owned, &entry);
+        if self.wait_for_ownership(&id, append_deadline, append).await.is_none() {
+            let owner = self.live_owner_elsewhere(&id);
+            return owner.map_or(SubmitReply::NotAccepted, SubmitReply::Redirect);
+        }
+        self.drive(&id);
+        let is_committed = |owned: &mut OwnedEntry| {
+            (owned.ownership.is_established() && !owned.ownership.committed().is_empty()).then_some(())
+        };
+        match self.wait_for_ownership(&id, commit_deadline, is_committed).await {
+            Some(()) => SubmitReply::Accepted,
+            None => SubmitReply::Unknown,
+        }
+    }
+}
+
+/// Checks that the body is a batch job, which is kept as it came.
+fn validate(submission: Submission) -> Result<SubmittedJob, JobError> {
+    let job = Job::parse(&submission.body)?;
+    let total = u32::try_from(job.items.len()).unwrap_or(u32::MAX);
+    let Submission { host, path, body, .. } = submission;
+    Ok(SubmittedJob { host, path, body, total })
+}
+
+/// Appends the batch job to its log unless the log has it already; `None` while this store doesn't lead.
+fn append_first(owned: &mut OwnedEntry, entry: &Arc<Entry>) -> Option<()> {
+    if owned.is_leading_empty_log() {
+        owned.ownership.append([Arc::clone(entry)]);
+    }
+    (owned.ownership.phase() == OwnershipPhase::Leading).then_some(())
+}
--- /dev/null
+++ b/crates/store-plane/src/replication/state/job_status.rs
@@ -0,0 +1,93 @@
+//! What a store knows about each batch job besides its log, mostly from messages of other stores.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use batch::{JobId, OwnershipTerm};
+use tokio::time::Instant;
+
+/// An owner that made no contact for this long is considered failed.
+pub(crate) const OWNER_TIMEOUT: Duration = Duration::from_millis(700);
+
+/// What is known about one batch job.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct JobStatus {
+    /// When another store last acted as the owner.
+    pub owner_last_contact: Option<Instant>,
+    /// Since when the batch job exists, as far as this process and the stores that it called know.
+    pub known_since: Option<Instant>,
+    /// The epoch under which the owner last reported its log as committed.
+    pub committed_epoch: Option<u64>,
+    /// The highest term in favour of which a claim of this store was rejected.
+    pub highest_rejection: Option<OwnershipTerm>,
+}
+
+/// The status of all batch jobs; those of which nothing is known have no entry.
+#[derive(Default)]
+pub(crate) struct JobStatusTable {
+    jobs: BTreeMap<JobId, JobStatus>,
+}
+
+impl JobStatusTable {
+    /// The status of a batch job; the default if nothing is known.
+    pub fn get(&self, job: &str) -> JobStatus {
+        self.jobs.get(job).copied().unwrap_or_default()
+    }
+
+    fn entry(&mut self, job: &JobId) -> &mut JobStatus {
+        self.jobs.entry(Arc::clone(job)).or_default()
+    }
+
+    /// Another store has acted as the owner.
+    pub fn record_owner_contact(&mut self, job: &JobId, now: Instant) {
+        self.entry(job).owner_last_contact = Some(now);
+    }
+
+    /// The owner has handed the batch job over.
+    pub fn clear_owner_contact(&mut self, job: &JobId) {
+        self.entry(job).owner_last_contact = None;
+    }
+
+    /// Whether another store has acted as the owner within [`OWNER_TIMEOUT`].
+    pub fn has_live_owner(&self, job: &str) -> bool {
+        self.get(job).owner_last_contact.is_some_and(|contact| contact.elapsed() < OWNER_TIMEOUT)
+    }
+
+    /// The time since the last contact of an owner, or since `started` if there was none.
+    pub fn time_since_owner_contact(&self, job: &str, started: Instant, now: Instant) -> Duration {
+        now.saturating_duration_since(self.get(job).owner_last_contact.unwrap_or(started))
+    }
+
+    /// The batch job is known from now on, unless it already was.
+    pub fn record_known(&mut self, job: &JobId, now: Instant) {
+        self.entry(job).known_since.get_or_insert(now);
+    }
+
+    /// Another store has known the batch job since this time.
+    pub fn record_known_since(&mut self, job: &JobId, since: Instant) {
+        let known_since = self.entry(job).known_since.get_or_insert(since);
+        *known_since = (*known_since).min(since);
+    }
+
+    /// How long the batch job has been known at `now`; never more than the time since its submission.
+    pub fn age(&self, job: &str, now: Instant) -> Duration {
+        self.get(job).known_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
+    }
+
+    /// The owner has committed its log under this epoch.
+    pub fn record_committed_epoch(&mut self, job: &JobId, epoch: u64) {
+        self.entry(job).committed_epoch = Some(epoch);
+    }
+
+    /// A claim of this store was rejected in favour of a term.
+    pub fn record_rejection(&mut self, job: &JobId, promised: OwnershipTerm) {
+        let status = self.entry(job);
+        status.highest_rejection = status.highest_rejection.max(Some(promised));
+    }
+
+    /// Removes what is known about a batch job that the replica has dropped.
+    pub fn forget(&mut self, job: &str) {
+        self.jobs.remove(job);
+    }
+}
--- /dev/null
+++ b/crates/store-plane/src/replication/state/mod.rs
@@ -0,0 +1,104 @@
+//! What a store keeps in memory about batch jobs, split by who writes it.
+//!
+//! - [`OwnershipTable`]: batch jobs that this store owns or claims; written by `ownership` and `maintenance`.
+//! - [`JobStatusTable`]: what other stores reported about batch jobs; written where their messages arrive.
+//! - [`Durability`]: the way of records to the disk; written by `writer`, and where records are queued.
+//! - [`PeerLiveness`]: which stores answer; written by `heartbeat` and where calls fail.
+
+mod durability;
+mod job_status;
+mod ownership_table;
+mod peer_liveness;
+
+use batch::{JobId, Record, ReplicaReply, ReplicaRequest, Replicas, StoreId};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::Instant;
+
+pub(super) use durability::{Durability, WriteRequest};
+pub(super) use job_status::{JobStatusTable, OWNER_TIMEOUT};
+pub(super) use ownership_table::{OwnedEntry, OwnershipTable};
+pub(super) use peer_liveness::PeerLiveness;
+
+/// The owner in a term that only stands for an epoch; no store has this id.
+pub(super) const NO_OWNER: StoreId = 0;
+
+/// Mutable state of a store, guarded by the mutex of [`super::node::StoreNode`].
+pub(super) struct ReplicationState {
+    /// The replicated logs that this store holds, as the requests of owners left them. Ahead of the disk while writes
+    /// are pending; a reply leaves only after the records it depends on are durable.
+    pub replica: Replicas,
+    pub ownerships: OwnershipTable,
+    pub jobs: JobStatusTable,
+    pub durability: Durability,
+    pub peers: PeerLiveness,
+}
+
+impl ReplicationState {
+    /// The state that the records of the journal describe, oldest first, each with its position. Later records are
+    /// sent to `write_queue`. Records that cannot be decoded are logged and skipped.
+    pub fn recover(
+        recovered: impl IntoIterator<Item = (u64, Vec<u8>)>,
+        write_queue: mpsc::UnboundedSender<WriteRequest>,
+    ) -> Self {
+        let mut durability = Durability::new(write_queue);
+        let mut all_records = Vec::new();
+        for (position, bytes) in recovered {
+            let Ok(records) = rpc::decode::<Vec<Record>>(&bytes) else {
+                log::error!("batch jobs: failed to decode the journal record at position {position}");
+                continue;
+            };
+            durability.record_positions(&records, position);
+            all_records.extend(records);
+        }
+        Self {
+            replica: Replicas::recover(all_records),
+            ownerships: OwnershipTable::default(),
+            jobs: JobStatusTable::default(),
+            durability,
+            peers: PeerLiveness::default(),
+        }
+    }
+
+    /// Carries out the request of an owner. The reply may only be sent once the receiver, if there is one, reports
+    /// that the records are durable; it is closed if they were lost.
+    pub fn handle(
+        &mut self,
+        job: &JobId,
+        request: ReplicaRequest,
+        now: Instant,
+    ) -> (ReplicaReply, Option<oneshot::Receiver<()>>) {
+        if request != ReplicaRequest::Query {
+            self.jobs.record_known(job, now);
+        }
+        let (reply, mut records) = self.replica.handle(job, request);
+        if self.durability.take_records_lost(job) {
+            // The reply may depend on a record that was lost.
+            records = vec![Record::Epoch(self.replica.epoch()), self.replica.snapshot(job)];
+        }
+        let must_wait = !records.is_empty() || self.durability.has_pending_writes(job);
+        let durable = must_wait.then(|| self.durability.persist(records));
+        (reply, durable)
+    }
+
+    /// One line for each batch job: its log, and the ownership of this store if it has one.
+    pub fn describe(&self) -> String {
+        let logs = self.replica.logs().map(|(job, log)| {
+            let owned = self.ownerships.get(job);
+            let owned = owned.map(|owned| (owned.ownership.phase(), owned.ownership.term()));
+            let (promised, accepted) = (log.promised, log.accepted);
+            let committed_epoch = self.jobs.get(job).committed_epoch;
+            let length = log.entries.len();
+            format!(
+                "{job}: {length} entries, promised {promised:?}, accepted {accepted:?}, \
+                 committed epoch {committed_epoch:?}, ownership {owned:?}"
+            )
+        });
+        logs.collect::<Vec<_>>().join("\n")
+    }
+
+    /// Whether this store holds entries of a batch job, or owns or claims it.
+    pub fn is_known(&self, job: &JobId) -> bool {
+        let has_entries = self.replica.log(job).is_some_and(|log| !log.entries.is_empty());
+        has_entries || self.ownerships.contains(job)
+    }
+}
--- /dev/null
+++ b/crates/store-plane/src/replication/state/ownership_table.rs
@@ -0,0 +1,137 @@
+//! The batch jobs that a store owns or claims.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use batch::{Entry, Job, JobId, Ownership, OwnershipPhase};
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+use super::super::log_entries::{contains, is_ended, results};
+use super::super::owned_job::JobState;
+
+/// A batch job that this store owns or claims.
+pub(crate) struct OwnedEntry {
+    /// Distinguishes this ownership from earlier ones of this process; stays the same when the batch job is claimed
+    /// again under a new store set.
+    pub token: u64,
+    /// The protocol's state of the ownership.
+    pub ownership: Ownership,
+    /// When the present claim was made.
+    pub claimed_at: Instant,
+    /// The parsed batch job, while the runner has it.
+    pub job: Option<Arc<Job>>,
+    /// Tells the runner whether to run items.
+    pub state: watch::Sender<JobState>,
+    /// Notified of each change of the ownership.
+    pub progress: watch::Sender<()>,
+}
+
+impl OwnedEntry {
+    fn new(token: u64, ownership: Ownership) -> Self {
+        Self {
+            token,
+            ownership,
+            claimed_at: Instant::now(),
+            job: None,
+            state: watch::Sender::new(JobState::Open),
+            progress: watch::Sender::new(()),
+        }
+    }
+
+    /// Replaces the ownership by a claim under a new store set.
+    pub fn claim_again(&mut self, claim: Ownership) {
+        self.ownership = claim;
+        self.claimed_at = Instant::now();
+        self.progress.send_replace(());
+    }
+
+    /// Appends those entries that the log lacks, if the ownership is established.
+    pub fn append_missing(&mut self, entries: &[Arc<Entry>]) {
+        if !self.ownership.is_established() {
+            return;
+        }
+        for entry in entries {
+            if !contains(self.ownership.log(), entry) {
+                self.ownership.append([Arc::clone(entry)]);
+            }
+        }
+    }
+
+    /// Whether this store leads and the log has no entry: nobody knows the batch job, or it is being submitted.
+    pub fn is_leading_empty_log(&self) -> bool {
+        self.ownership.phase() == OwnershipPhase::Leading && self.ownership.log().is_empty()
+    }
+
+    /// Whether the trainer's end of the batch job is committed.
+    pub fn is_ended(&self) -> bool {
+        is_ended(self.ownership.committed())
+    }
+
+    /// Whether each item of the batch job has a committed result; `false` while it isn't parsed.
+    pub fn has_all_results(&self) -> bool {
+        let committed = results(self.ownership.committed()).count();
+        self.job.as_ref().is_some_and(|job| committed >= job.items.len())
+    }
+}
+
+/// All batch jobs that this store owns or claims.
+#[derive(Default)]
+pub(crate) struct OwnershipTable {
+    entries: BTreeMap<JobId, OwnedEntry>,
+    last_token: u64,
+    /// The process is shutting down: nothing is owned any more.
+    is_draining: bool,
+}
+
+impl OwnershipTable {
+    pub fn is_draining(&self) -> bool {
+        self.is_draining
+    }
+
+    pub fn contains(&self, job: &str) -> bool {
+        self.entries.contains_key(job)
+    }
+
+    pub fn get(&self, job: &str) -> Option<&OwnedEntry> {
+        self.entries.get(job)
+    }
+
+    pub fn get_mut(&mut self, job: &str) -> Option<&mut OwnedEntry> {
+        self.entries.get_mut(job)
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = (&JobId, &OwnedEntry)> {
+        self.entries.iter()
+    }
+
+    /// The batch jobs whose entry satisfies a condition.
+    pub fn jobs_where(&self, condition: impl Fn(&OwnedEntry) -> bool) -> Vec<JobId> {
+        let matching = self.entries.iter().filter(|(_, owned)| condition(owned));
+        matching.map(|(job, _)| Arc::clone(job)).collect()
+    }
+
+    /// Begins to own a batch job by a claim.
+    pub fn insert(&mut self, job: &JobId, claim: Ownership) {
+        self.last_token += 1;
+        self.entries.insert(Arc::clone(job), OwnedEntry::new(self.last_token, claim));
+    }
+
+    /// Gives up an ownership and notifies the runner.
+    pub fn release(&mut self, job: &str) {
+        if let Some(owned) = self.entries.remove(job) {
+            owned.state.send_replace(JobState::OwnershipLost);
+            owned.progress.send_replace(());
+        }
+    }
+
+    /// Gives up all ownerships, and accepts no new one from now on. Returns the batch jobs.
+    pub fn drain(&mut self) -> Vec<JobId> {
+        self.is_draining = true;
+        let jobs: Vec<JobId> = self.entries.keys().cloned().collect();
+        for job in &jobs {
+            self.release(job);
+        }
+        jobs
+    }
+}
--- a/crates/store-plane/src/replication/store.rs
+++ b/crates/store-plane/src/replication/store.rs
@@ -1,146 +1,77 @@
-//! The handle of a store's part in keeping batch jobs, and what its parts share.
+//! The public handle of a store of batch jobs.
 
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::Duration;
+use std::sync::{Arc, Mutex, PoisonError};
 
-use batch::{Record, ReplicaSet, StoreId};
 use register::Member;
-use state::{StoreSet, View};
+use state::View;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
 use super::journal::RecordJournal;
 use super::messages::MigrationStatus;
-use super::owned::OwnedJob;
-use super::replicas::replicas_of;
-use super::state::State;
-use super::writer::{self, WriteRequest};
-
-/// Times that the operators' sheet gives.
-#[derive(Clone, Copy, Debug)]
-pub struct StoreLimits {
-    /// Results can be read for this long after the batch job was handed in.
-    pub result_retention: Duration,
-}
-
-/// What all parts of a store share.
-pub(super) struct Shared {
-    pub me: Member,
-    pub rpc: rpc::Client,
-    pub view: watch::Receiver<Arc<View>>,
-    pub limits: StoreLimits,
-    pub started: Instant,
-    pub journal: Arc<dyn RecordJournal>,
-    pub owned_jobs: mpsc::UnboundedSender<OwnedJob>,
-    state: Mutex<State>,
-}
-
-/// A store's part in keeping batch jobs. Clones share it.
+use super::node::StoreNode;
+use super::owned_job::OwnedJob;
+use super::server;
+use super::state::{ReplicationState, WriteRequest};
+use super::store_limits::StoreLimits;
+use super::writer::JournalWriter;
+
+/// A store of batch jobs. Clones share it.
 #[derive(Clone)]
 pub struct JobStore {
-    pub(super) shared: Arc<Shared>,
-    queue: Arc<Mutex<Option<mpsc::UnboundedReceiver<WriteRequest>>>>,
+    node: Arc<StoreNode>,
+    /// Taken by [`Self::run`].
+    write_queue: Arc<Mutex<Option<mpsc::UnboundedReceiver<WriteRequest>>>>,
 }
 
 impl JobStore {
-    /// A store that holds what the records of its journal say, oldest first. The receiver is handed each batch
-    /// job whose items are to be run here. Nothing is done before [`Self::run`].
+    /// A store that holds what the records of its journal say, oldest first, each with its position. The receiver is
+    /// sent each batch job whose items are to be run here. Nothing is done before [`Self::run`].
     pub fn open(
-        me: Member,
+        member: Member,
         journal: Arc<dyn RecordJournal>,
         recovered: impl IntoIterator<Item = (u64, Vec<u8>)>,
         rpc: rpc::Client,
         view: watch::Receiver<Arc<View>>,
         limits: StoreLimits,
     ) -> (Self, mpsc::UnboundedReceiver<OwnedJob>) {
-        let (owned_jobs, handed_out) = mpsc::unbounded_channel();
-        let (writer, queue) = mpsc::unbounded_channel();
-        let state = State::recover(recovered, writer);
-        let state = Mutex::new(state);
+        let (owned_jobs, owned_jobs_receiver) = mpsc::unbounded_channel();
+        let (write_queue_sender, write_queue) = mpsc::unbounded_channel();
+        let state = Mutex::new(ReplicationState::recover(recovered, write_queue_sender));
         let started = Instant::now();
-        let shared = Shared { me, rpc, view, limits, started, journal, owned_jobs, state };
-        let queue = Arc::new(Mutex::new(Some(queue)));
-        (Self { shared: Arc::new(shared), queue }, handed_out)
+        let node = StoreNode { member, rpc, view, limits, started, journal, owned_jobs, state };
+        let write_queue = Arc::new(Mutex::new(Some(write_queue)));
+        (Self { node: Arc::new(node), write_queue }, owned_jobs_receiver)
     }
 
-    /// How far this store has moved its batch jobs to the present store set.
+    /// How far this store has migrated its batch jobs to the present store set.
     #[must_use]
     pub fn migration_status(&self) -> MigrationStatus {
-        self.shared.migration_status()
+        self.node.migration_status()
     }
 
-    /// What is held of each batch job and who owns it, for logs.
+    /// The log and the owner of each batch job, one line each, for people to read.
     #[must_use]
     pub fn describe(&self) -> String {
-        self.shared.lock().describe()
-    }
-
-    /// Hands all batch jobs over to other stores, before the process ends. It goes on keeping its copies.
-    pub async fn hand_over_jobs(&self) {
-        self.shared.hand_over_jobs().await;
-    }
-
-    /// Writes records, takes over batch jobs whose owner is silent, renews ownership, moves batch jobs to new
-    /// store sets. Runs until dropped.
-    pub async fn run(self) {
-        let queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner).take();
-        let Some(queue) = queue else { return };
-        let journal = Arc::clone(&self.shared.journal);
-        let writing = writer::run(Arc::clone(&self.shared), journal, queue);
-        tokio::join!(writing, self.shared.tend());
-    }
-}
-
-impl Shared {
-    pub fn id(&self) -> StoreId {
-        self.me.incarnation.0
-    }
-
-    pub fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// The time that ownerships count in.
-    pub fn time(&self, at: Instant) -> Duration {
-        at.saturating_duration_since(self.started)
+        self.node.lock().describe()
     }
 
-    pub fn view(&self) -> Arc<View> {
-        Arc::clone(&self.view.borrow())
+    /// The endpoints for the other stores and for traffic nodes.
+    pub fn endpoint(&self) -> poem::Route {
+        server::endpoint(&self.node)
     }
 
-    pub fn address_of(&self, store: StoreId) -> Option<String> {
-        let view = self.view();
-        let sets = [Some(&view.control.stores), view.control.previous_stores.as_ref()];
-        let mut members = sets.into_iter().flatten().flat_map(|set| &set.members);
-        let found = members.find(|one| one.member.incarnation.0 == store);
-        found.map(|one| one.member.address.clone())
-    }
-
-    pub fn write_done(&self, records: &[Record], position: Option<u64>) {
-        let mut state = self.lock();
-        state.settle_write(records);
-        if let Some(position) = position {
-            state.note_positions(records, position);
-        }
-    }
-
-    /// Takes note of lost records; `lost` collects them while nothing more can be queued.
-    pub fn writes_failed(&self, lost: impl FnOnce() -> Vec<Record>) {
-        let mut state = self.lock();
-        let records = lost();
-        state.settle_write(&records);
-        let jobs = records.iter().filter_map(|record| record.job().cloned());
-        state.tainted.extend(jobs);
+    /// Hands all owned batch jobs over to other stores, before the process ends. Replicas go on to be served.
+    pub async fn hand_over_jobs(&self) {
+        self.node.hand_over_jobs().await;
     }
 
-    /// The stores that an owner under the present view asks; `None` if this store doesn't keep the batch job.
-    pub fn copies(&self, view: &View, job: &str) -> Option<ReplicaSet> {
-        let ids = |set: &StoreSet| -> Vec<StoreId> {
-            replicas_of(set, job).iter().map(|store| store.member.incarnation.0).collect()
-        };
-        let present = ids(&view.control.stores);
-        let previous = view.control.previous_stores.as_ref().map(ids).unwrap_or_default();
-        present.contains(&self.id()).then_some(ReplicaSet { present, previous })
+    /// Writes records to the journal and does the background maintenance: takes over batch jobs whose owner failed,
+    /// renews leases, migrates batch jobs to new store sets. Runs until dropped; a second call returns at once.
+    pub async fn run(self) {
+        let write_queue = self.write_queue.lock().unwrap_or_else(PoisonError::into_inner).take();
+        let Some(write_queue) = write_queue else { return };
+        let writer = JournalWriter::new(Arc::clone(&self.node), write_queue);
+        tokio::join!(writer.run(), self.node.run_maintenance());
     }
 }
--- a/crates/store-plane/src/replication/writer.rs
+++ b/crates/store-plane/src/replication/writer.rs
@@ -1,69 +1,78 @@
-//! Makes records durable in order, several at once.
+//! Makes queued records durable in their order, several at once.
 
 use std::sync::Arc;
 
-use batch::Record;
 use futures_util::future::join_all;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::mpsc;
 
-use super::journal::RecordJournal;
-use super::store::Shared;
+use super::node::StoreNode;
+use super::state::WriteRequest;
 
-/// Requests that go to the disk together at most.
-const BATCH_MOST: usize = 256;
+/// Requests that are appended to the journal at once.
+const MAX_BATCH_LENGTH: usize = 256;
 
-/// Records to be made durable as one; `done` is told when they, and all before them, are. Dropped when that failed.
-pub(super) struct WriteRequest {
-    pub records: Vec<Record>,
-    pub done: oneshot::Sender<()>,
+/// The task that takes requests from the write queue.
+pub(super) struct JournalWriter {
+    node: Arc<StoreNode>,
+    queue: mpsc::UnboundedReceiver<WriteRequest>,
 }
 
-/// Writes until the store is dropped. After a failure, nothing that was queued behind it is acknowledged: those
-/// records may build on the lost ones. The batch jobs concerned are written whole the next time.
-pub(super) async fn run(
-    shared: Arc<Shared>,
-    journal: Arc<dyn RecordJournal>,
-    mut queue: mpsc::UnboundedReceiver<WriteRequest>,
-) {
-    let mut requests = Vec::with_capacity(BATCH_MOST);
-    while queue.recv_many(&mut requests, BATCH_MOST).await > 0 {
-        let durable = write(&shared, &*journal, &requests).await;
-        let mut failed = requests.split_off(durable);
-        for request in requests.drain(..) {
-            let _ = request.done.send(());
+impl JournalWriter {
+    pub fn new(node: Arc<StoreNode>, queue: mpsc::UnboundedReceiver<WriteRequest>) -> Self {
+        Self { node, queue }
+    }
+
+    /// Writes until the store is dropped.
+    pub async fn run(mut self) {
+        let mut requests = Vec::with_capacity(MAX_BATCH_LENGTH);
+        while self.queue.recv_many(&mut requests, MAX_BATCH_LENGTH).await > 0 {
+            let durable = self.write(&requests).await;
+            let failed = requests.split_off(durable);
+            for request in requests.drain(..) {
+                // The receiver is gone if nobody waits for the write.
+                let _ = request.done.send(());
+            }
+            if !failed.is_empty() {
+                self.drop_failed(failed);
+            }
         }
-        if !failed.is_empty() {
-            shared.writes_failed(|| {
-                while let Ok(request) = queue.try_recv() {
-                    failed.push(request);
+    }
+
+    /// Appends all requests; returns how many of the first are durable.
+    async fn write(&self, requests: &[WriteRequest]) -> usize {
+        let append = |request: &WriteRequest| {
+            let encoded = (!request.records.is_empty()).then(|| rpc::encode(&request.records));
+            let appended = encoded.map(|record| self.node.journal.append(record));
+            async move {
+                match appended {
+                    Some(appended) => appended.await.map(Some),
+                    None => Ok(None),
                 }
-                failed.into_iter().flat_map(|request| request.records).collect()
-            });
+            }
+        };
+        let outcomes = join_all(requests.iter().map(append)).await;
+        for (index, (request, outcome)) in requests.iter().zip(outcomes).enumerate() {
+            match outcome {
+                Ok(position) => self.node.lock().durability.on_durable(&request.records, position),
+                Err(failed) => {
+                    log::error!("batch jobs: {failed}");
+                    return index;
+                }
+            }
         }
+        requests.len()
     }
-}
 
-/// Writes all requests; returns how many of the first are durable.
-async fn write(shared: &Shared, journal: &dyn RecordJournal, requests: &[WriteRequest]) -> usize {
-    let append = |request: &WriteRequest| {
-        let encoded = (!request.records.is_empty()).then(|| rpc::encode(&request.records));
-        let appended = encoded.map(|record| journal.append(record));
-        async move {
-            match appended {
-                Some(appended) => appended.await.map(Some),
-                None => Ok(None),
-            }
+    /// After a failure, nothing that was queued behind it is acknowledged either, since those records may build on the
+    /// lost ones. The next write of each batch job concerned is a snapshot.
+    fn drop_failed(&mut self, mut failed: Vec<WriteRequest>) {
+        // While the lock is held, nothing more can be queued.
+        let mut state = self.node.lock();
+        while let Ok(request) = self.queue.try_recv() {
+            failed.push(request);
         }
-    };
-    let outcomes = join_all(requests.iter().map(append)).await;
-    for (index, (request, outcome)) in requests.iter().zip(outcomes).enumerate() {
-        match outcome {
-            Ok(position) => shared.write_done(&request.records, position),
-            Err(failed) => {
-                log::error!("batch jobs: {failed}");
-                return index;
-            }
+        for request in &failed {
+            state.durability.on_lost(&request.records);
         }
     }
-    requests.len()
 }
--- a/crates/store-plane/src/runner/mod.rs
+++ b/crates/store-plane/src/runner/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::runner::job::{append_results, ActiveJob, HandIn, TaskGuard};
 use crate::runner::ports::{
-    ItemExecutor, ItemOutcome, JobAddress, JobLog, JobState, RewardOutcome, RunnableJob,
+    ItemExecutor, ItemOutcome, JobAddress, JobLog, JobState, OwnedJob, RewardOutcome,
 };
 use crate::runner::start::UnseenStarts;
 use crate::runner::texts::{KeptText, KeptTexts};
@@ -66,7 +66,7 @@
 
 /// What the task that holds the state is told.
 pub(crate) enum Event<Log> {
-    TakenOver(RunnableJob<Log>),
+    TakenOver(OwnedJob<Log>),
     Streamed { key: JobKey, index: ItemIndex, end: ItemOutcome, length: Duration },
     Graded { key: JobKey, index: ItemIndex, end: RewardOutcome },
     Closed { key: JobKey },
@@ -86,7 +86,7 @@
 
 impl<Log> RunnerHandle<Log> {
     /// Runs a batch job until its log says that it is no longer open.
-    pub fn take_over(&self, job: RunnableJob<Log>) {
+    pub fn take_over(&self, job: OwnedJob<Log>) {
         // Without a runner the process is about to end.
         let _ = self.events.send(Event::TakenOver(job));
     }
@@ -165,7 +165,7 @@
         }
     }
 
-    fn take_over(&mut self, taken: RunnableJob<Log>) {
+    fn take_over(&mut self, taken: OwnedJob<Log>) {
         self.close_earlier(&taken.id);
         let log = Arc::new(taken.log);
         if *log.state().borrow() != JobState::Open {
--- a/crates/store-plane/src/runner/ports.rs
+++ b/crates/store-plane/src/runner/ports.rs
@@ -5,12 +5,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::{Item, ItemResult, Job, JobId, RewardRequest};
+use batch::{Item, ItemResult, Job, RewardRequest};
 use bytes::Bytes;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-pub use crate::replication::{JobState, OwnershipLost};
+pub use crate::replication::{JobState, OwnedJob, OwnershipLost};
 pub use data_plane::{ItemOutcome, ItemProgress, RewardOutcome};
 
 /// What the route of a batch job demands of its items.
@@ -98,22 +98,3 @@
     /// Whether the batch job may still be run.
     fn state(&self) -> watch::Receiver<JobState>;
 }
-
-/// A batch job to run.
-#[derive(Debug)]
-pub struct RunnableJob<Log> {
-    /// Its identity.
-    pub id: JobId,
-    /// The batch job.
-    pub job: Arc<Job>,
-    /// The host that it was handed in for.
-    pub host: Arc<str>,
-    /// The path that it was handed in at.
-    pub path: Arc<str>,
-    /// How long ago it was handed in.
-    pub age: Duration,
-    /// Results that earlier owners have listed.
-    pub committed_results: Vec<ItemResult>,
-    /// Its log.
-    pub log: Log,
-}
--- a/crates/store-plane/tests/golden/messages.rs
+++ b/crates/store-plane/tests/golden/messages.rs
@@ -16,8 +16,8 @@
 use serde::Serialize;
 
 use super::messages::{
-    Answer, Call, Heartbeat, HeartbeatReply, MarkReply, MigrationStatus, OwnedMark, ReadRequest,
-    ReplicateReply, ResultPage, Submission, SubmitReply, TakeOver,
+    AddressedRequest, Heartbeat, HeartbeatReply, JobHeartbeat, JobHeartbeatReply, MigrationStatus,
+    OwnerReply, ReadRequest, ReplicateReply, ResultPage, Submission, SubmitReply, TakeoverRequest,
 };
 
 const BYTES_PER_LINE: usize = 32;
@@ -76,8 +76,8 @@
     entries.into_iter().map(Arc::new).collect()
 }
 
-fn call<T>(request: T) -> Call<T> {
-    Call { to: STORE, job: JobId::from("job-1"), request }
+fn call<T>(request: T) -> AddressedRequest<T> {
+    AddressedRequest { to: STORE, job: JobId::from("job-1"), request }
 }
 
 #[test]
@@ -112,19 +112,26 @@
 
 #[test]
 fn given_requests_to_take_over_when_encoded_then_as_before() {
-    check("take-over-resigned", &call(TakeOver { from: 300, resigned: true }));
-    check("take-over-left", &call(TakeOver { from: 301, resigned: false }));
+    check("take-over-resigned", &call(TakeoverRequest { from: 300, is_from_owner: true }));
+    check("take-over-left", &call(TakeoverRequest { from: 301, is_from_owner: false }));
     check("take-over-reply", &());
 }
 
 #[test]
 fn given_heartbeats_when_encoded_then_as_before() {
-    let mark =
-        |job: &str, established| OwnedMark { job: job.into(), term: term(5), length: 1000, established };
+    let mark = |job: &str, is_established| JobHeartbeat {
+        job: job.into(),
+        term: term(5),
+        length: 1000,
+        is_established,
+    };
     check("heartbeat", &Heartbeat { to: STORE, jobs: vec![mark("job-1", true), mark("job-2", false)] });
     check("heartbeat-empty", &Heartbeat { to: STORE, jobs: Vec::new() });
-    let rejected = MarkReply::Other(ReplicaReply::Rejected { promised: term(6) });
-    check("heartbeat-reply", &HeartbeatReply { marks: vec![None, Some(MarkReply::Has), Some(rejected)] });
+    let rejected = JobHeartbeatReply::Replica(ReplicaReply::Rejected { promised: term(6) });
+    check(
+        "heartbeat-reply",
+        &HeartbeatReply { replies: vec![None, Some(JobHeartbeatReply::UpToDate), Some(rejected)] },
+    );
 }
 
 #[test]
@@ -133,7 +140,7 @@
         host: "texts.example".into(),
         path: "/jobs/1".into(),
         body: Bytes::from_static(b"{\"parcels\":[]}"),
-        wait_ms: 1200,
+        timeout_ms: 1200,
     };
     check("submit", &call(submission));
 }
@@ -148,7 +155,7 @@
         ("invalid-bad-body", SubmitReply::Invalid(JobError::InvalidBody("item-2".into()))),
         ("not-taken", SubmitReply::NotAccepted),
         ("unsure", SubmitReply::Unknown),
-        ("elsewhere", SubmitReply::Elsewhere(STORE)),
+        ("elsewhere", SubmitReply::Redirect(STORE)),
     ];
     for (name, reply) in replies {
         check(&format!("submit-reply-{name}"), &reply);
@@ -158,30 +165,30 @@
 #[test]
 fn given_reads_of_results_when_encoded_then_as_before() {
     let deliveries = Bytes::from_static(b"[{\"id\":\"item-1\"}]");
-    check("read", &call(ReadRequest { after: 300, hold_ms: 70_000 }));
-    check("read-reply-is", &Answer::Is(ResultPage { total: 70_000, next: 301, deliveries }));
-    check("read-reply-no-such-job", &Answer::<ResultPage>::NoSuchJob);
-    check("read-reply-unsure", &Answer::<ResultPage>::Unknown);
-    check("read-reply-elsewhere", &Answer::<ResultPage>::Elsewhere(STORE));
+    check("read", &call(ReadRequest { after: 300, long_poll_ms: 70_000 }));
+    check("read-reply-is", &OwnerReply::Success(ResultPage { total: 70_000, next: 301, deliveries }));
+    check("read-reply-no-such-job", &OwnerReply::<ResultPage>::NoSuchJob);
+    check("read-reply-unsure", &OwnerReply::<ResultPage>::Unknown);
+    check("read-reply-elsewhere", &OwnerReply::<ResultPage>::Redirect(STORE));
 }
 
 #[test]
 fn given_reads_of_a_body_when_encoded_then_as_before() {
     check("body", &call("item-1".to_owned()));
-    check("body-reply-is", &Answer::Is(Some(Bytes::from_static(b"hello"))));
-    check("body-reply-no-such-item", &Answer::<Option<Bytes>>::Is(None));
-    check("body-reply-no-such-job", &Answer::<Option<Bytes>>::NoSuchJob);
-    check("body-reply-unsure", &Answer::<Option<Bytes>>::Unknown);
-    check("body-reply-elsewhere", &Answer::<Option<Bytes>>::Elsewhere(STORE));
+    check("body-reply-is", &OwnerReply::Success(Some(Bytes::from_static(b"hello"))));
+    check("body-reply-no-such-item", &OwnerReply::<Option<Bytes>>::Success(None));
+    check("body-reply-no-such-job", &OwnerReply::<Option<Bytes>>::NoSuchJob);
+    check("body-reply-unsure", &OwnerReply::<Option<Bytes>>::Unknown);
+    check("body-reply-elsewhere", &OwnerReply::<Option<Bytes>>::Redirect(STORE));
 }
 
 #[test]
 fn given_the_end_of_a_batch_job_when_encoded_then_as_before() {
     check("end", &call(()));
-    check("end-reply-is", &Answer::Is(()));
-    check("end-reply-no-such-job", &Answer::<()>::NoSuchJob);
-    check("end-reply-unsure", &Answer::<()>::Unknown);
-    check("end-reply-elsewhere", &Answer::<()>::Elsewhere(STORE));
+    check("end-reply-is", &OwnerReply::Success(()));
+    check("end-reply-no-such-job", &OwnerReply::<()>::NoSuchJob);
+    check("end-reply-unsure", &OwnerReply::<()>::Unknown);
+    check("end-reply-elsewhere", &OwnerReply::<()>::Redirect(STORE));
 }
 
 #[test]
--- a/crates/store-plane/tests/runner/support.rs
+++ b/crates/store-plane/tests/runner/support.rs
@@ -8,8 +8,8 @@
 use batch::{Item, ItemResult, Job, RewardRequest};
 use bytes::Bytes;
 use store_plane::runner::ports::{
-    ItemAttempt, ItemExecutor, ItemOutcome, ItemProgress, JobAddress, JobLog, JobState, OwnershipLost,
-    RewardOutcome, RouteTerms, RunnableJob,
+    ItemAttempt, ItemExecutor, ItemOutcome, ItemProgress, JobAddress, JobLog, JobState, OwnedJob,
+    OwnershipLost, RewardOutcome, RouteTerms,
 };
 use store_plane::runner::{Runner, RunnerHandle, RunnerSettings};
 use tokio::sync::watch;
@@ -284,7 +284,7 @@
         listed: Vec<ItemResult>,
         log: FakeLog,
     ) -> FakeLog {
-        self.handle.take_over(RunnableJob {
+        self.handle.take_over(OwnedJob {
             id: id.into(),
             job: Arc::new(job),
             host: "texts.example".into(),
