--- a/crates/data-plane/tests/items.rs
+++ b/crates/data-plane/tests/items.rs
@@ -47,8 +47,8 @@
 async fn run(script: Reaction, path: &str, before: ItemProgress) -> (ItemOutcome, FakeServer) {
     let server = FakeServer::start("a", move |_, _| script.clone()).await;
     let (forwarder, _changes) = forwarder(&[&server]);
-    let end = forwarder.run_item(item(&forwarder, path, before)).await;
-    (end, server)
+    let outcome = forwarder.run_item(item(&forwarder, path, before)).await;
+    (outcome, server)
 }
 
 const VERSION_3: &str = "Weight-Editions: 3\r\n";
@@ -56,8 +56,8 @@
 #[tokio::test]
 async fn given_a_complete_stream_when_an_item_runs_then_its_text_is_complete_and_the_request_is_right() {
     let text = stream_text(VERSION_3, &[&event(1), &event(2)], true);
-    let (end, server) = run(Reaction::Write(text), "/rollout/3/x?y=1", ItemProgress::default()).await;
-    assert_eq!(end, ItemOutcome::Complete(progress(&[1, 2], &[3])));
+    let (outcome, server) = run(Reaction::Write(text), "/rollout/3/x?y=1", ItemProgress::default()).await;
+    assert_eq!(outcome, ItemOutcome::Complete(progress(&[1, 2], &[3])));
     let received = &server.received()[0];
     assert_eq!(received.line, "POST /rollout/3/x?y=1 HTTP/1.1");
     assert_eq!(received.body, b"\x00body");
@@ -71,8 +71,8 @@
 #[tokio::test]
 async fn given_a_single_version_route_when_an_item_runs_then_the_servers_version_is_expected() {
     let text = stream_text(VERSION_3, &[&event(1)], true);
-    let (end, server) = run(Reaction::Write(text), "/single/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemOutcome::Complete(progress(&[1], &[3])));
+    let (outcome, server) = run(Reaction::Write(text), "/single/x", ItemProgress::default()).await;
+    assert_eq!(outcome, ItemOutcome::Complete(progress(&[1], &[3])));
     assert_eq!(server.received()[0].header("expect-version"), "3");
 }
 
@@ -84,22 +84,22 @@
 #[test_macro(tokio::test)]
 async fn given_a_stream_that_is_cut_off_when_an_item_runs_then_complete_events_are_kept(chunks: &[&str]) {
     let truncated = Reaction::WriteAndClose(stream_text(VERSION_3, chunks, false));
-    let (end, _) = run(truncated, "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemOutcome::Interrupted(progress(&[1], &[3])));
+    let (outcome, _) = run(truncated, "/rollout/x", ItemProgress::default()).await;
+    assert_eq!(outcome, ItemOutcome::Interrupted(progress(&[1], &[3])));
 }
 
 #[tokio::test]
 async fn given_a_proper_end_within_an_event_when_an_item_runs_then_it_is_not_complete() {
     let text = stream_text(VERSION_3, &[&event(1), "id: 2\nda"], true);
-    let (end, _) = run(Reaction::Write(text), "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemOutcome::Interrupted(progress(&[1], &[3])));
+    let (outcome, _) = run(Reaction::Write(text), "/rollout/x", ItemProgress::default()).await;
+    assert_eq!(outcome, ItemOutcome::Interrupted(progress(&[1], &[3])));
 }
 
 #[tokio::test]
 async fn given_progress_when_an_item_runs_then_it_continues_after_its_last_event() {
     let text = stream_text(VERSION_3, &[&event(3)], true);
-    let (end, server) = run(Reaction::Write(text), "/rollout/x", progress(&[1, 2], &[3])).await;
-    assert_eq!(end, ItemOutcome::Complete(progress(&[1, 2, 3], &[3])));
+    let (outcome, server) = run(Reaction::Write(text), "/rollout/x", progress(&[1, 2], &[3])).await;
+    assert_eq!(outcome, ItemOutcome::Complete(progress(&[1, 2, 3], &[3])));
     assert_eq!(server.received()[0].header("last-event-id"), "2");
 }
 
@@ -107,31 +107,31 @@
 #[test_macro(tokio::test)]
 async fn given_an_event_that_does_not_follow_when_an_item_runs_then_it_is_rejected(id: u64) {
     let text = stream_text(VERSION_3, &[&event(id)], true);
-    let (end, _) = run(Reaction::Write(text), "/rollout/x", progress(&[1, 2], &[3])).await;
-    assert_eq!(end, ItemOutcome::Interrupted(progress(&[1, 2], &[3])));
+    let (outcome, _) = run(Reaction::Write(text), "/rollout/x", progress(&[1, 2], &[3])).await;
+    assert_eq!(outcome, ItemOutcome::Interrupted(progress(&[1, 2], &[3])));
 }
 
 #[tokio::test]
 async fn given_a_change_of_version_when_an_item_runs_then_both_versions_are_recorded() {
     let second = format!("weight-editions: 4\n{}", event(2));
     let text = stream_text(VERSION_3, &[&event(1), &second, &event(3)], true);
-    let (end, _) = run(Reaction::Write(text), "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemOutcome::Complete(progress(&[1, 2, 3], &[3, 4])));
+    let (outcome, _) = run(Reaction::Write(text), "/rollout/x", ItemProgress::default()).await;
+    assert_eq!(outcome, ItemOutcome::Complete(progress(&[1, 2, 3], &[3, 4])));
 }
 
 #[tokio::test]
 async fn given_a_single_version_route_when_the_version_changes_midway_then_nothing_is_kept() {
     let second = format!("weight-editions: 4\n{}", event(2));
     let text = stream_text(VERSION_3, &[&event(1), &second], true);
-    let (end, _) = run(Reaction::Write(text), "/single/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemOutcome::Interrupted(ItemProgress::default()));
+    let (outcome, _) = run(Reaction::Write(text), "/single/x", ItemProgress::default()).await;
+    assert_eq!(outcome, ItemOutcome::Interrupted(ItemProgress::default()));
 }
 
 #[tokio::test]
 async fn given_a_version_that_is_too_old_when_an_item_runs_then_its_events_are_rejected() {
     let text = stream_text("Weight-Editions: 2\r\n", &[&event(1)], true);
-    let (end, _) = run(Reaction::Write(text), "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, ItemOutcome::Interrupted(ItemProgress::default()));
+    let (outcome, _) = run(Reaction::Write(text), "/rollout/x", ItemProgress::default()).await;
+    assert_eq!(outcome, ItemOutcome::Interrupted(ItemProgress::default()));
 }
 
 #[parameterized(
@@ -145,8 +145,8 @@
 )]
 #[test_macro(tokio::test)]
 async fn given_no_text_when_an_item_runs_then_the_outcome_says_why(script: Reaction, expected: ItemOutcome) {
-    let (end, _) = run(script, "/rollout/x", ItemProgress::default()).await;
-    assert_eq!(end, expected);
+    let (outcome, _) = run(script, "/rollout/x", ItemProgress::default()).await;
+    assert_eq!(outcome, expected);
 }
 
 #[tokio::test]
@@ -163,8 +163,8 @@
 #[tokio::test]
 async fn given_an_unreachable_server_when_an_item_runs_then_it_has_not_run() {
     let (forwarder, _changes) = forwarder_to(vec![support::entry("a", unused_address().await, "s")]);
-    let end = forwarder.run_item(item(&forwarder, "/rollout/x", ItemProgress::default())).await;
-    assert!(matches!(end, ItemOutcome::NotRun { .. }), "{end:?}");
+    let outcome = forwarder.run_item(item(&forwarder, "/rollout/x", ItemProgress::default())).await;
+    assert!(matches!(outcome, ItemOutcome::NotRun { .. }), "{outcome:?}");
 }
 
 #[tokio::test]
@@ -172,12 +172,12 @@
     let begun = stream_text(VERSION_3, &[&event(1)], false);
     let server = FakeServer::start("a", move |_, _| Reaction::WriteAndHang(begun.clone())).await;
     let (forwarder, _changes) = forwarder(&[&server]);
-    let call = item(&forwarder, "/rollout/x", ItemProgress::default());
-    let targets = call.route.targets.clone();
+    let request = item(&forwarder, "/rollout/x", ItemProgress::default());
+    let targets = request.route.targets.clone();
     let free_capacity = forwarder.free_capacity(&targets, Some("m"), 3);
     let running = tokio::spawn({
         let forwarder = forwarder.clone();
-        async move { forwarder.run_item(call).await }
+        async move { forwarder.run_item(request).await }
     });
     while server.received().is_empty() {
         tokio::task::yield_now().await;
@@ -240,10 +240,10 @@
     let text = stream_text(&loaded, &[&event(1)], true);
     let server = FakeServer::start("a", move |_, _| Reaction::Write(text.clone())).await;
     let (forwarder, _changes) = forwarder(&[&server]);
-    let call = item(&forwarder, "/rollout/x", ItemProgress::default());
-    let targets = call.route.targets.clone();
+    let request = item(&forwarder, "/rollout/x", ItemProgress::default());
+    let targets = request.route.targets.clone();
     let free_capacity = forwarder.free_capacity(&targets, Some("m"), 3);
-    assert!(matches!(forwarder.run_item(call).await, ItemOutcome::Complete(_)));
+    assert!(matches!(forwarder.run_item(request).await, ItemOutcome::Complete(_)));
     // One of the four was the item itself.
     assert_eq!(forwarder.free_capacity(&targets, Some("m"), 3), free_capacity - 3);
 }
@@ -253,10 +253,10 @@
     let text = stream_text("Weight-Editions: 5\r\n", &[&event(1)], true);
     let server = FakeServer::start("a", move |_, _| Reaction::Write(text.clone())).await;
     let (forwarder, _changes) = forwarder(&[&server]);
-    let call = item(&forwarder, "/rollout/x", ItemProgress::default());
-    let targets = call.route.targets.clone();
+    let request = item(&forwarder, "/rollout/x", ItemProgress::default());
+    let targets = request.route.targets.clone();
     assert_eq!(forwarder.free_capacity(&targets, Some("m"), 5), 0);
-    assert!(matches!(forwarder.run_item(call).await, ItemOutcome::Complete(_)));
+    assert!(matches!(forwarder.run_item(request).await, ItemOutcome::Complete(_)));
     assert!(forwarder.free_capacity(&targets, Some("m"), 5) > 0);
 }
 
@@ -265,8 +265,8 @@
     let server = FakeServer::start("a", |_, _| response(421, "", "")).await;
     let (forwarder, _changes) = forwarder(&[&server]);
     for _ in 0..2 {
-        let end = forwarder.run_item(item(&forwarder, "/single/x", ItemProgress::default())).await;
-        assert!(matches!(end, ItemOutcome::NotRun { .. }));
+        let outcome = forwarder.run_item(item(&forwarder, "/single/x", ItemProgress::default())).await;
+        assert!(matches!(outcome, ItemOutcome::NotRun { .. }));
     }
     assert_eq!(server.received().len(), 1);
 }
--- a/crates/dispatch/tests/selection.rs
+++ b/crates/dispatch/tests/selection.rs
@@ -93,8 +93,8 @@
     dispatcher.record_load(NOW, "a", 1, 0, 4);
     dispatcher.record_load(NOW, "b", 3, 0, 4);
     let targets = targets(&[("s", 1)]);
-    let sends: Vec<_> = (0..2).filter_map(|_| dispatcher.select(NOW, &criteria(&targets, &[]))).collect();
-    assert!(sends.iter().all(|server| &*server.id == "a"));
+    let selected: Vec<_> = (0..2).filter_map(|_| dispatcher.select(NOW, &criteria(&targets, &[]))).collect();
+    assert!(selected.iter().all(|server| &*server.id == "a"));
 }
 
 #[test]
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn given_tried_servers_when_selecting_then_they_come_last() {
+fn given_attempted_servers_when_selecting_then_they_come_last() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     let targets = targets(&[("s", 1)]);
     let attempted = [ServerId::from("a")];
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn given_a_server_that_loads_a_model_when_another_model_is_wanted_then_it_is_selected() {
+fn given_a_server_that_loads_a_model_when_another_model_is_requested_then_it_is_selected() {
     let entry = ServerEntry { models: [("m".into(), 1), ("n".into(), 1)].into(), ..entry("a", "s") };
     let mut dispatcher = dispatcher(vec![entry]);
     let targets = targets(&[("s", 1)]);
@@ -384,7 +384,7 @@
         SelectionCriteria { model: Some("m"), version, requires_free_capacity, ..criteria(&targets, &[]) };
     assert_eq!(dispatcher.free_capacity(NOW, &criteria), free_capacity);
     assert_eq!(dispatcher.total_capacity(NOW, &criteria), 5);
-    let sends: Vec<_> = (0..6).filter_map(|_| dispatcher.select(NOW, &criteria)).collect();
-    assert!(sends.iter().all(|server| &*server.id == "a"));
-    assert_eq!(sends.len(), if requires_free_capacity { 5 } else { 6 });
+    let selected: Vec<_> = (0..6).filter_map(|_| dispatcher.select(NOW, &criteria)).collect();
+    assert!(selected.iter().all(|server| &*server.id == "a"));
+    assert_eq!(selected.len(), if requires_free_capacity { 5 } else { 6 });
 }
