--- a/crates/control-plane/src/leader.rs
+++ b/crates/control-plane/src/leader.rs
@@ -161,7 +161,7 @@
             continue;
         }
         match candidate.next_action(began.elapsed()) {
-            CandidateAction::Wait(until) => {
+            CandidateAction::WaitUntil(until) => {
                 let now = began.elapsed();
                 let order_wait = leadership
                     .held()
@@ -175,19 +175,19 @@
                     leadership.announce_orders();
                 }
             }
-            CandidateAction::GiveUp => give_up(&mut candidate, began, &view, &client).await,
-            CandidateAction::Ask => {
+            CandidateAction::AbandonRound => give_up(&mut candidate, began, &view, &client).await,
+            CandidateAction::StartRound => {
                 let control = Arc::clone(&view.view().control);
                 if !control.acceptors.iter().any(|member| member.name == station) {
                     tokio::time::sleep(LEASE_TTL / 4).await;
                     continue;
                 }
                 // A station that may send orders at once saves the servers the wait between two holders.
-                candidate.set_defers(!may_issue_orders_immediately(&control, &station));
-                candidate.set_first_grantors(control.has_initial_acceptors());
+                candidate.set_deferring(!may_issue_orders_immediately(&control, &station));
+                candidate.set_bootstrap_grantors(control.has_initial_acceptors());
                 ask_all(&mut candidate, began, &control, &client).await;
                 let until = candidate.expires_at();
-                if candidate.holds(began.elapsed()) {
+                if candidate.holds_lease(began.elapsed()) {
                     let winner = Winner { station: &station, proposer: &proposer, client: &client, gap };
                     winner.hold(&leadership, until).await;
                     note_order_holder(&leadership, &proposer, &station).await;
@@ -201,7 +201,7 @@
 async fn ask_all(candidate: &mut Candidate, began: Instant, control: &ControlState, client: &rpc::Client) {
     let acceptors = &control.acceptors;
     let held_before = candidate.expires_at();
-    let request = candidate.begin(began.elapsed(), control.revision, &grantors_of(control));
+    let request = candidate.start_round(began.elapsed(), control.revision, &grantors_of(control));
     let mut calls: FuturesUnordered<_> =
         acceptors.iter().map(|member| ask(client, member.clone(), request.clone())).collect();
     while let Some((member, reply)) = calls.next().await {
@@ -215,7 +215,7 @@
 }
 
 async fn give_up(candidate: &mut Candidate, began: Instant, view: &ViewCell, client: &rpc::Client) {
-    let Some(release) = candidate.give_up(began.elapsed()) else { return };
+    let Some(release) = candidate.abandon_round(began.elapsed()) else { return };
     let (view, client) = (view.view(), client.clone());
     tokio::spawn(async move { tell_all(release, &view.control.acceptors, &client).await });
 }
--- a/crates/control-plane/tests/core_service.rs
+++ b/crates/control-plane/tests/core_service.rs
@@ -51,6 +51,6 @@
             revision: known.value.revision,
             grantors: vec![GrantorId(incarnation.0), GrantorId(2)],
         };
-        assert_eq!(matches!(core.grant(&request), LeaseReply::Held { .. }), is_refused);
+        assert_eq!(matches!(core.grant(&request), LeaseReply::Rejected { .. }), is_refused);
     });
 }
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -1,114 +1,98 @@
-//! The side that asks.
+//! The candidate: wins the lease in rounds of requests to all grantors, and renews it.
 
-use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use fastrand::Rng;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::round::Round;
 use crate::{GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
 
-/// A lease is held for its ttl less one part in this many, for clocks that run apart.
-const MARGIN_PART: u32 = 10;
-/// A holder renews after one part in this many of the ttl.
-const RENEW_PART: u32 = 3;
-/// A round without a majority is given up after one part in this many of the ttl.
-const ROUND_PART: u32 = 6;
-/// A clock that goes back by more than one part in this many of the ttl can't be trusted: the lease is dropped.
-const CLOCK_PART: u32 = 20;
-/// A candidate that was refused tries again after up to one part in this many of the ttl, drawn at random.
-const JITTER_PART: u32 = 4;
-/// A candidate that defers waits for one more part in this many of the ttl: as long as others draw at most.
-const DEFER_PART: u32 = JITTER_PART;
-
-/// What a candidate should do now.
+// All times of a candidate are fractions of the TTL.
+
+/// The lease is held for this fraction less than its TTL, since clocks run at different speeds.
+const SAFETY_MARGIN_DIVISOR: u32 = 10;
+/// A holder renews after this fraction of the TTL.
+const RENEWAL_DIVISOR: u32 = 3;
+/// A round that is not won is abandoned after this fraction of the TTL.
+const ROUND_TIMEOUT_DIVISOR: u32 = 6;
+/// A clock that goes back by more than this fraction of the TTL cannot be trusted, and the lease is dropped.
+const MAX_CLOCK_STEP_BACK_DIVISOR: u32 = 20;
+/// A rejected candidate retries after a random part of this fraction of the TTL.
+const MAX_RETRY_JITTER_DIVISOR: u32 = 4;
+/// A deferring candidate waits for this fraction of the TTL in addition: for the longest jitter of the others.
+const DEFERRAL_DIVISOR: u32 = MAX_RETRY_JITTER_DIVISOR;
+
+/// What the caller of a candidate has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateAction {
-    /// Start a round: [`Candidate::begin`], and send the request to all grantors.
-    Ask,
-    /// The round is lost: [`Candidate::give_up`], and send the release, if any, to all grantors.
-    GiveUp,
-    /// Nothing, until this moment or the next reply.
-    Wait(Duration),
+    /// Call [`Candidate::start_round`], and send the request to all grantors.
+    StartRound,
+    /// The round is lost: call [`Candidate::abandon_round`], and send the release, if any, to all grantors.
+    AbandonRound,
+    /// Wait until this time or the next reply, whichever comes first.
+    WaitUntil(Duration),
 }
 
-/// A process that wants the lease.
+/// A process that competes for the lease.
 #[derive(Clone, Debug)]
 pub struct Candidate {
+    /// Unique to one run of the process.
     name: String,
     ttl: Duration,
+    /// Number of the newest round.
     term: u64,
-    clock: Duration,
-    held_until: Duration,
-    next_round: Duration,
+    /// The latest time that was passed in.
+    latest_now: Duration,
+    /// The lease is held before this time.
+    expires_at: Duration,
+    next_round_at: Duration,
+    /// The round in progress, or the last one if it was won.
     round: Option<Round>,
     random: Rng,
-    defers: bool,
-    has_first_grantors: bool,
-}
-
-#[derive(Clone, Debug)]
-struct Round {
-    asked_at: Duration,
-    grantors: Vec<GrantorId>,
-    granted: BTreeSet<GrantorId>,
-    refused: BTreeMap<GrantorId, Refusal>,
-    /// The lease was held when this round began, or the grantors are the first ones, or have been the committed ones
-    /// for one ttl.
-    is_settled: bool,
-}
-
-#[derive(Clone, Debug)]
-struct Refusal {
-    holder: String,
-    remaining: Duration,
+    is_deferring: bool,
+    has_bootstrap_grantors: bool,
 }
 
 impl Candidate {
-    /// A candidate whose `name` no other process has, nor an earlier life of this one.
+    /// Creates a candidate. No other process may have its `name`, nor may an earlier run of this one have had it.
     pub fn new(name: impl Into<String>, ttl: Duration) -> Self {
         let name = name.into();
-        // Candidates with other names draw other pauses.
+        // Seeded by the name, so that candidates draw different jitters.
         let random = Rng::with_seed(xxh3_64(name.as_bytes()));
         Self {
             name,
             ttl,
             term: 0,
-            clock: Duration::ZERO,
-            held_until: Duration::ZERO,
-            next_round: Duration::ZERO,
+            latest_now: Duration::ZERO,
+            expires_at: Duration::ZERO,
+            next_round_at: Duration::ZERO,
             round: None,
             random,
-            defers: false,
-            has_first_grantors: false,
+            is_deferring: false,
+            has_bootstrap_grantors: false,
         }
     }
 
-    /// Whether another candidate, should it come back in time, is to win the lease first. It only delays the round
+    /// Sets whether other candidates are to win the lease before this one. A deferring candidate only waits longer
     /// after the end of another holder's lease.
-    pub fn set_defers(&mut self, defers: bool) {
-        self.defers = defers;
+    pub fn set_deferring(&mut self, is_deferring: bool) {
+        self.is_deferring = is_deferring;
     }
 
-    /// Whether the grantors of the next rounds are those of the first start: no lease can have been won with others
-    /// before, so that nothing has to be waited for.
-    pub fn set_first_grantors(&mut self, has_first_grantors: bool) {
-        self.has_first_grantors = has_first_grantors;
+    /// Sets whether the grantors of the next rounds are those of the cluster's first start. No lease can have been won
+    /// with others before, so there is no need to wait until the grantors have been committed for one TTL.
+    pub fn set_bootstrap_grantors(&mut self, has_bootstrap_grantors: bool) {
+        self.has_bootstrap_grantors = has_bootstrap_grantors;
     }
 
-    /// Starts a round at these grantors, the acceptors of the register as of `revision`; replies to earlier
-    /// rounds count no more.
-    pub fn begin(&mut self, now: Duration, revision: u64, grantors: &[GrantorId]) -> LeaseRequest {
+    /// Starts a round at these grantors, the acceptors of the register as of `revision`, and returns the request to
+    /// send to each. Replies to earlier rounds no longer count.
+    pub fn start_round(&mut self, now: Duration, revision: u64, grantors: &[GrantorId]) -> LeaseRequest {
         self.advance(now);
         self.term += 1;
-        let is_settled = self.has_first_grantors || self.holds(now);
-        self.round = Some(Round {
-            asked_at: now,
-            grantors: grantors.to_vec(),
-            granted: BTreeSet::new(),
-            refused: BTreeMap::new(),
-            is_settled,
-        });
+        let are_grantors_stable = self.has_bootstrap_grantors || self.holds_lease(now);
+        self.round = Some(Round::new(now, grantors, are_grantors_stable));
         LeaseRequest {
             holder: self.name.clone(),
             term: self.term,
@@ -118,43 +102,32 @@
         }
     }
 
-    /// Takes a reply to the request of this term.
+    /// Handles the reply of a grantor to the request of this term.
     pub fn on_reply(&mut self, term: u64, from: GrantorId, reply: &LeaseReply) {
-        let Some(round) = self.round.as_mut().filter(|_| term == self.term) else {
+        if term != self.term {
             return;
-        };
-        if !round.grantors.contains(&from) {
-            return;
-        }
-        match reply {
-            LeaseReply::Granted { settled_ms } => {
-                round.granted.insert(from);
-                round.is_settled |= Duration::from_millis(*settled_ms) >= self.ttl;
-            }
-            LeaseReply::Held { holder, remaining_ms } => {
-                let remaining = Duration::from_millis(*remaining_ms);
-                round.refused.insert(from, Refusal { holder: holder.clone(), remaining });
-            }
         }
+        let Some(round) = &mut self.round else { return };
+        round.record(from, reply, self.ttl);
         if round.is_won() {
-            let held_until = round.asked_at + self.ttl - self.ttl / MARGIN_PART;
-            let next_round = round.asked_at + self.ttl / RENEW_PART;
-            self.held_until = self.held_until.max(held_until);
-            self.next_round = self.next_round.max(next_round);
+            let expires_at = round.started_at() + self.ttl - self.ttl / SAFETY_MARGIN_DIVISOR;
+            let next_round_at = round.started_at() + self.ttl / RENEWAL_DIVISOR;
+            self.expires_at = self.expires_at.max(expires_at);
+            self.next_round_at = self.next_round_at.max(next_round_at);
         }
     }
 
     /// Whether this candidate holds the lease.
-    pub fn holds(&self, now: Duration) -> bool {
-        !self.has_gone_back(now) && now.max(self.clock) < self.held_until
+    pub fn holds_lease(&self, now: Duration) -> bool {
+        !self.has_clock_stepped_back(now) && now.max(self.latest_now) < self.expires_at
     }
 
-    /// When the lease ends, if it is not renewed.
+    /// When the lease expires, if it is not renewed.
     pub fn expires_at(&self) -> Duration {
-        self.held_until
+        self.expires_at
     }
 
-    /// The present round.
+    /// The number of the newest round.
     pub fn term(&self) -> u64 {
         self.term
     }
@@ -164,34 +137,36 @@
         self.advance(now);
         match &self.round {
             Some(round) if !round.is_won() => {
-                let gives_up_at = round.asked_at + self.ttl / ROUND_PART;
-                if round.is_lost() || self.clock >= gives_up_at {
-                    CandidateAction::GiveUp
+                let deadline = round.started_at() + self.ttl / ROUND_TIMEOUT_DIVISOR;
+                if round.is_lost() || self.latest_now >= deadline {
+                    CandidateAction::AbandonRound
                 } else {
-                    CandidateAction::Wait(gives_up_at)
+                    CandidateAction::WaitUntil(deadline)
                 }
             }
-            _ if self.clock >= self.next_round => CandidateAction::Ask,
-            _ => CandidateAction::Wait(self.next_round),
+            _ if self.latest_now >= self.next_round_at => CandidateAction::StartRound,
+            _ => CandidateAction::WaitUntil(self.next_round_at),
         }
     }
 
-    /// Ends the present round without the lease. Unless an earlier round still holds it, the grants of this
-    /// round are given back, so that candidates that split the votes don't block each other for a whole ttl.
-    pub fn give_up(&mut self, now: Duration) -> Option<LeaseRelease> {
+    /// Ends the present round without the lease.
+    ///
+    /// Unless the lease of an earlier round is still held, returns the release of this round's grants, so that
+    /// candidates that split the votes do not block each other for a whole TTL.
+    pub fn abandon_round(&mut self, now: Duration) -> Option<LeaseRelease> {
         self.advance(now);
         let round = self.round.take()?;
-        let is_held = self.holds(now);
-        self.next_round = self.clock + self.pause(&round, is_held);
-        (!is_held).then(|| self.release())
+        let is_holder = self.holds_lease(now);
+        self.next_round_at = self.latest_now + self.retry_delay(&round, is_holder);
+        (!is_holder).then(|| self.release())
     }
 
-    /// Steps down at once.
+    /// Steps down at once, and returns the release to send to all grantors.
     pub fn resign(&mut self, now: Duration) -> LeaseRelease {
         self.advance(now);
         self.round = None;
-        self.held_until = Duration::ZERO;
-        self.next_round = self.clock + self.ttl;
+        self.expires_at = Duration::ZERO;
+        self.next_round_at = self.latest_now + self.ttl;
         self.release()
     }
 
@@ -199,59 +174,41 @@
         LeaseRelease { holder: self.name.clone(), term: self.term }
     }
 
-    /// A holder tries again soon, and so does a candidate after a split vote. Where another one holds a majority,
-    /// the next round waits for its lease to end. Each draws its own moment.
-    fn pause(&mut self, round: &Round, is_held: bool) -> Duration {
-        let jitter = self.draw(self.ttl / JITTER_PART);
-        if is_held {
+    /// How long to wait after a lost round. A holder retries soon, and so does a candidate after a split vote. Where
+    /// another candidate was granted a majority, the next round waits until its lease expires. The jitter spreads the
+    /// retries of candidates.
+    fn retry_delay(&mut self, lost: &Round, is_holder: bool) -> Duration {
+        let jitter = self.random_below(self.ttl / MAX_RETRY_JITTER_DIVISOR);
+        if is_holder {
             return jitter / 2;
         }
-        match round.majority_refusal() {
-            Some(remaining) if self.defers => remaining.min(self.ttl) + self.ttl / DEFER_PART + jitter,
+        match lost.majority_holder_remaining() {
+            Some(remaining) if self.is_deferring => {
+                remaining.min(self.ttl) + self.ttl / DEFERRAL_DIVISOR + jitter
+            }
             Some(remaining) => remaining.min(self.ttl) + jitter,
             None => jitter,
         }
     }
 
     /// A random duration below `limit`.
-    fn draw(&mut self, limit: Duration) -> Duration {
+    fn random_below(&mut self, limit: Duration) -> Duration {
         let limit = (limit.as_micros() as u64).max(1);
         Duration::from_micros(self.random.u64(..limit))
     }
 
+    /// Records the time. After a step back of the clock nothing that was timed with it counts any more.
     fn advance(&mut self, now: Duration) {
-        if self.has_gone_back(now) {
-            self.clock = now;
+        if self.has_clock_stepped_back(now) {
+            self.latest_now = now;
             self.round = None;
-            self.held_until = Duration::ZERO;
-            self.next_round = now + self.ttl;
+            self.expires_at = Duration::ZERO;
+            self.next_round_at = now + self.ttl;
         }
-        self.clock = self.clock.max(now);
-    }
-
-    fn has_gone_back(&self, now: Duration) -> bool {
-        now + self.ttl / CLOCK_PART < self.clock
-    }
-}
-
-impl Round {
-    fn is_won(&self) -> bool {
-        self.is_settled && !self.grantors.is_empty() && self.granted.len() > self.grantors.len() / 2
-    }
-
-    fn is_lost(&self) -> bool {
-        let open = self.grantors.iter().filter(|grantor| !self.refused.contains_key(grantor)).count();
-        open <= self.grantors.len() / 2
+        self.latest_now = self.latest_now.max(now);
     }
 
-    /// For how long a majority is lent to one other holder.
-    fn majority_refusal(&self) -> Option<Duration> {
-        let refusals = || self.refused.values();
-        let of = |holder: &str| refusals().filter(|refusal| refusal.holder == holder).count();
-        let holder = refusals().map(|refusal| &refusal.holder).max_by_key(|holder| of(holder))?;
-        let has_majority = of(holder) > self.grantors.len() / 2;
-        let remaining =
-            refusals().filter(|refusal| refusal.holder == *holder).map(|refusal| refusal.remaining);
-        remaining.max().filter(|_| has_majority)
+    fn has_clock_stepped_back(&self, now: Duration) -> bool {
+        now + self.ttl / MAX_CLOCK_STEP_BACK_DIVISOR < self.latest_now
     }
 }
--- a/crates/lease/src/grantor.rs
+++ b/crates/lease/src/grantor.rs
@@ -1,118 +1,133 @@
-//! The side that lends itself.
+//! The grantor: grants the lease to one holder at a time.
 
 use std::time::Duration;
 
 use crate::{GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
 
-/// One of the grantors. Keeps its state in memory only.
+/// One of the grantors. Its state is kept in memory only.
 #[derive(Clone, Debug)]
 pub struct Grantor {
     id: GrantorId,
+    /// Longest duration of a grant.
     ttl: Duration,
-    silent_until: Duration,
+    /// Nothing is granted before this time: a grant from before a restart may still be valid.
+    grants_from: Duration,
+    /// The newest grant, which may have expired.
     grant: Option<Grant>,
-    grantors: Vec<GrantorId>,
-    /// Candidates that know an older state may count on grantors that are no more.
-    least_revision: u64,
-    settled: Option<Settled>,
+    /// The newest set of grantors that was observed, committed or not.
+    observed_grantors: Vec<GrantorId>,
+    /// Revision in which that set was first observed. Candidates that know an older revision are rejected: they may
+    /// count on grantors that were removed.
+    min_revision: u64,
+    committed: Option<CommittedGrantors>,
 }
 
 /// A set of grantors that is known to be committed.
 #[derive(Clone, Debug)]
-struct Settled {
+struct CommittedGrantors {
+    /// The newest revision with this set.
     revision: u64,
+    /// In ascending order.
     grantors: Vec<GrantorId>,
-    since: Duration,
+    known_since: Duration,
 }
 
 #[derive(Clone, Debug)]
 struct Grant {
     holder: String,
+    /// The newest round of the holder.
     term: u64,
-    ends: Duration,
+    expires_at: Duration,
 }
 
 impl Grantor {
-    /// A grantor that grants nothing for one `ttl` after `now`, for it may have forgotten a grant that it gave
-    /// in an earlier life. Start it anew when its acceptor becomes a member.
+    /// Creates a grantor that grants nothing for one `ttl` after `now`, since it may have forgotten a grant from
+    /// before a restart. Create a new one when its acceptor becomes a member.
     pub fn new(id: GrantorId, now: Duration, ttl: Duration) -> Self {
         Self {
             id,
             ttl,
-            silent_until: now + ttl,
+            grants_from: now + ttl,
             grant: None,
-            grantors: Vec::new(),
-            least_revision: 0,
-            settled: None,
+            observed_grantors: Vec::new(),
+            min_revision: 0,
+            committed: None,
         }
     }
 
-    /// Takes note of the grantors as of a revision. Call it when the acceptor of this machine accepts or learns a
-    /// value, before that is answered: so a majority knows of a change before it is committed.
+    /// Records the grantors as of a revision that is committed or not.
+    ///
+    /// Call it when the acceptor of this machine accepts or learns a value, before it replies: then a majority knows
+    /// of a change before the change is committed.
     pub fn observe(&mut self, revision: u64, grantors: &[GrantorId]) {
-        if revision > self.least_revision && self.grantors != grantors {
-            self.least_revision = revision;
-            self.grantors = grantors.to_vec();
+        if revision > self.min_revision && self.observed_grantors != grantors {
+            self.min_revision = revision;
+            self.observed_grantors = grantors.to_vec();
         }
     }
 
-    /// Takes note of the grantors of a committed state, as soon as this process knows that it is committed.
+    /// Records the grantors of a committed revision, as soon as this process knows that it is committed.
     pub fn learn(&mut self, now: Duration, revision: u64, grantors: &[GrantorId]) {
         let grantors = sorted(grantors);
-        match &mut self.settled {
-            Some(settled) if settled.revision >= revision => {}
-            Some(settled) if settled.grantors == grantors => settled.revision = revision,
-            settled => *settled = Some(Settled { revision, grantors, since: now }),
+        match &mut self.committed {
+            Some(committed) if committed.revision >= revision => {}
+            Some(committed) if committed.grantors == grantors => committed.revision = revision,
+            committed => *committed = Some(CommittedGrantors { revision, grantors, known_since: now }),
         }
     }
 
-    /// For how long these have been known as the committed grantors.
-    fn settled_for(&self, now: Duration, grantors: &[GrantorId]) -> Duration {
-        let settled = self.settled.as_ref().filter(|settled| settled.grantors == sorted(grantors));
-        settled.map_or(Duration::ZERO, |settled| now.saturating_sub(settled.since))
-    }
-
-    /// Answers a request. Nothing longer than the `ttl` of this grantor is granted, and nothing to a candidate that
-    /// asks another grantor, such as a former one at the same address whose disk was lost.
+    /// Handles a request.
+    ///
+    /// Rejects grants longer than the TTL of this grantor, and candidates that ask another grantor, such as one at
+    /// the same address whose disk was lost.
     pub fn handle(&mut self, now: Duration, request: &LeaseRequest) -> LeaseReply {
-        if now < self.silent_until {
-            return held("", self.silent_until - now);
+        if now < self.grants_from {
+            return rejected("", self.grants_from - now);
         }
-        let asked = Duration::from_millis(request.ttl_ms);
-        let is_meant = request.grantors.contains(&self.id);
-        if !is_meant || asked > self.ttl || request.revision < self.least_revision {
-            return held("", Duration::ZERO);
+        let requested_ttl = Duration::from_millis(request.ttl_ms);
+        let is_addressed = request.grantors.contains(&self.id);
+        if !is_addressed || requested_ttl > self.ttl || request.revision < self.min_revision {
+            return rejected("", Duration::ZERO);
         }
-        let other = self.grant.as_ref().filter(|grant| grant.holder != request.holder && now < grant.ends);
-        if let Some(other) = other {
-            return held(&other.holder, other.ends - now);
+        if let Some(grant) = self.valid_grant(now).filter(|grant| grant.holder != request.holder) {
+            return rejected(&grant.holder, grant.expires_at - now);
         }
-        self.extend(request, now + asked);
-        let settled_ms = self.settled_for(now, &request.grantors).as_millis() as u64;
-        LeaseReply::Granted { settled_ms }
+        self.record_grant(request, now + requested_ttl);
+        let committed_for_ms = self.committed_for(now, &request.grantors).as_millis() as u64;
+        LeaseReply::Granted { committed_for_ms }
     }
 
-    /// Ends the grant of a candidate that gives it back.
+    /// Ends the grant of a candidate that releases it, unless the grant belongs to a later round.
     pub fn release(&mut self, release: &LeaseRelease) {
-        let is_given_back = |grant: &Grant| grant.holder == release.holder && grant.term <= release.term;
-        if self.grant.as_ref().is_some_and(is_given_back) {
+        let is_released = |grant: &Grant| grant.holder == release.holder && grant.term <= release.term;
+        if self.grant.as_ref().is_some_and(is_released) {
             self.grant = None;
         }
     }
 
-    /// Who has the grant, if anybody.
+    /// The holder of the grant, if there is a valid one.
     pub fn holder(&self, now: Duration) -> Option<&str> {
-        self.grant.as_ref().filter(|grant| now < grant.ends).map(|grant| grant.holder.as_str())
+        self.valid_grant(now).map(|grant| grant.holder.as_str())
     }
 
-    /// A request that was overtaken by a later one of the same holder takes nothing back.
-    fn extend(&mut self, request: &LeaseRequest, ends: Duration) {
+    fn valid_grant(&self, now: Duration) -> Option<&Grant> {
+        self.grant.as_ref().filter(|grant| now < grant.expires_at)
+    }
+
+    /// Grants or renews the lease. A request that arrives after a later one of the same holder shortens nothing.
+    fn record_grant(&mut self, request: &LeaseRequest, expires_at: Duration) {
         let own = self.grant.take().filter(|grant| grant.holder == request.holder);
-        let (term, ends) = match own {
-            Some(grant) => (grant.term.max(request.term), grant.ends.max(ends)),
-            None => (request.term, ends),
+        let (term, expires_at) = match own {
+            Some(grant) => (grant.term.max(request.term), grant.expires_at.max(expires_at)),
+            None => (request.term, expires_at),
         };
-        self.grant = Some(Grant { holder: request.holder.clone(), term, ends });
+        self.grant = Some(Grant { holder: request.holder.clone(), term, expires_at });
+    }
+
+    /// For how long these have been known as the committed grantors; zero if they are not.
+    fn committed_for(&self, now: Duration, grantors: &[GrantorId]) -> Duration {
+        let committed = self.committed.as_ref().filter(|committed| committed.grantors == sorted(grantors));
+        committed.map_or(Duration::ZERO, |committed| now.saturating_sub(committed.known_since))
     }
 }
 
@@ -122,6 +137,6 @@
     grantors
 }
 
-fn held(holder: &str, remaining: Duration) -> LeaseReply {
-    LeaseReply::Held { holder: holder.to_owned(), remaining_ms: remaining.as_millis() as u64 }
+fn rejected(holder: &str, remaining: Duration) -> LeaseReply {
+    LeaseReply::Rejected { holder: holder.to_owned(), remaining_ms: remaining.as_millis() as u64 }
 }
--- a/crates/lease/tests/golden.rs
+++ b/crates/lease/tests/golden.rs
@@ -22,9 +22,9 @@
 }
 
 #[parameterized(
-    granted = { "reply_granted.hex", LeaseReply::Granted { settled_ms: 1700 } },
-    held = { "reply_held.hex", LeaseReply::Held { holder: "machine-2/8f".to_owned(), remaining_ms: 900 } },
-    held_by_nobody = { "reply_held_by_nobody.hex", LeaseReply::Held { holder: String::new(), remaining_ms: 0 } },
+    granted = { "reply_granted.hex", LeaseReply::Granted { committed_for_ms: 1700 } },
+    rejected = { "reply_held.hex", LeaseReply::Rejected { holder: "machine-2/8f".to_owned(), remaining_ms: 900 } },
+    rejected_without_holder = { "reply_held_by_nobody.hex", LeaseReply::Rejected { holder: String::new(), remaining_ms: 0 } },
 )]
 fn given_a_reply_when_encoded_then_it_is_as_before(name: &str, reply: LeaseReply) {
     assert_golden(name, &reply);
--- a/crates/lease/tests/random_exploration.rs
+++ b/crates/lease/tests/random_exploration.rs
@@ -1,83 +1,83 @@
-//! Candidates and grantors in random trouble: never do two hold the lease at once.
+//! Candidates and grantors under random faults: never do two candidates hold the lease at once.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Fault, Trouble, World};
+use common::{Faults, SeededFault, Simulation};
 use yare::parameterized;
 
-const CALM: Trouble = Trouble {
+const NO_FAULTS: Faults = Faults {
     restarts: false,
     freezes: false,
     bad_network: false,
     clock_jumps: false,
-    changes: false,
+    grantor_changes: false,
     lost_disks: false,
-    fault: Fault::Nothing,
+    seeded: SeededFault::None,
 };
-const ALL: Trouble = Trouble {
+const ALL_FAULTS: Faults = Faults {
     restarts: true,
     freezes: true,
     bad_network: true,
     clock_jumps: true,
-    changes: true,
+    grantor_changes: true,
     lost_disks: true,
-    fault: Fault::Nothing,
+    seeded: SeededFault::None,
 };
 const LENGTH: Duration = Duration::from_secs(120);
 
 #[parameterized(
-    calm = { 5, 3, CALM, 90 },
-    restarts = { 5, 3, Trouble { restarts: true, ..CALM }, 75 },
-    freezes = { 5, 3, Trouble { freezes: true, ..CALM }, 85 },
-    bad_network = { 5, 3, Trouble { bad_network: true, ..CALM }, 85 },
-    clock_jumps = { 5, 3, Trouble { clock_jumps: true, ..CALM }, 75 },
-    changes = { 6, 3, Trouble { changes: true, ..CALM }, 85 },
-    lost_disks = { 6, 3, Trouble { changes: true, lost_disks: true, ..CALM }, 85 },
-    all = { 6, 4, ALL, 35 },
-    one_machine = { 1, 1, Trouble { changes: false, ..ALL }, 5 },
+    no_faults = { 5, 3, NO_FAULTS, 90 },
+    restarts = { 5, 3, Faults { restarts: true, ..NO_FAULTS }, 75 },
+    freezes = { 5, 3, Faults { freezes: true, ..NO_FAULTS }, 85 },
+    bad_network = { 5, 3, Faults { bad_network: true, ..NO_FAULTS }, 85 },
+    clock_jumps = { 5, 3, Faults { clock_jumps: true, ..NO_FAULTS }, 75 },
+    grantor_changes = { 6, 3, Faults { grantor_changes: true, ..NO_FAULTS }, 85 },
+    lost_disks = { 6, 3, Faults { grantor_changes: true, lost_disks: true, ..NO_FAULTS }, 85 },
+    all = { 6, 4, ALL_FAULTS, 35 },
+    one_machine = { 1, 1, Faults { grantor_changes: false, ..ALL_FAULTS }, 5 },
 )]
-fn given_trouble_when_candidates_compete_then_at_most_one_holds(
+fn given_faults_when_candidates_compete_then_at_most_one_holds_the_lease(
     machines: usize,
     members: usize,
-    trouble: Trouble,
-    least_percent: u32,
+    faults: Faults,
+    min_percent: u32,
 ) {
     let (mut held, mut ticks) = (0, 0);
     for seed in 0..20 {
-        let mut world = World::new(seed, machines, members, trouble);
-        world.run(LENGTH);
-        assert_eq!(world.doubled_at, None, "seed {seed}");
-        held += world.held_ticks;
-        ticks += world.ticks;
+        let mut simulation = Simulation::new(seed, machines, members, faults);
+        simulation.run(LENGTH);
+        assert_eq!(simulation.two_holders_at, None, "seed {seed}");
+        held += simulation.held_ticks;
+        ticks += simulation.ticks;
     }
-    println!("{trouble:?}: held for {held} of {ticks} ticks");
-    assert!(held > ticks / 100 * least_percent, "the lease is held: {held} of {ticks}");
+    println!("{faults:?}: held for {held} of {ticks} ticks");
+    assert!(held > ticks / 100 * min_percent, "the lease is held: {held} of {ticks}");
 }
 
 #[test]
-fn given_many_candidates_when_they_start_together_then_one_soon_holds() {
+fn given_many_candidates_when_they_start_together_then_one_soon_holds_the_lease() {
     for seed in 0..60 {
-        let mut world = World::new(seed, 9, 3, CALM);
-        world.run(Duration::from_secs(8));
-        assert!(world.held_ticks > 100, "seed {seed}: held for {} ticks", world.held_ticks);
+        let mut simulation = Simulation::new(seed, 9, 3, NO_FAULTS);
+        simulation.run(Duration::from_secs(8));
+        assert!(simulation.held_ticks > 100, "seed {seed}: held for {} ticks", simulation.held_ticks);
     }
 }
 
 #[parameterized(
-    no_silence_after_a_restart = { Fault::NoSilence },
-    replies_of_any_round = { Fault::AnyTerm },
-    requests_of_any_revision = { Fault::AnyRevision },
-    new_grantors = { Fault::NewGrantors },
-    shared_names = { Fault::SharedName },
+    grants_after_restart = { SeededFault::GrantsAfterRestart },
+    replies_of_any_term = { SeededFault::AnyTerm },
+    requests_of_any_revision = { SeededFault::AnyRevision },
+    new_grantors = { SeededFault::NewGrantors },
+    shared_names = { SeededFault::SharedName },
 )]
-fn given_a_seeded_fault_when_explored_then_it_is_found(fault: Fault) {
+fn given_a_seeded_fault_when_explored_then_it_is_found(seeded: SeededFault) {
     let found = (0..500).find(|seed| {
-        let mut world = World::new(*seed, 6, 3, Trouble { fault, ..ALL });
-        world.run(LENGTH);
-        world.doubled_at.is_some()
+        let mut simulation = Simulation::new(*seed, 6, 3, Faults { seeded, ..ALL_FAULTS });
+        simulation.run(LENGTH);
+        simulation.two_holders_at.is_some()
     });
-    println!("{fault:?}: first seed {found:?}");
+    println!("{seeded:?}: first seed {found:?}");
     assert!(found.is_some());
 }
