--- a/crates/control-plane/src/order_desk.rs
+++ b/crates/control-plane/src/order_desk.rs
@@ -64,7 +64,7 @@
 
     /// Takes note that a call of the present term goes out now; `None` where there is no term.
     pub fn begin(&mut self, action: &RolloutAction) -> Option<CallTag> {
-        let tag = CallTag { fence: self.fence()?, is_order: matches!(action, RolloutAction::Order(_)) };
+        let tag = CallTag { fence: self.fence()?, is_order: matches!(action, RolloutAction::SendOrder(_)) };
         if tag.is_order {
             self.under_way.push(tag.fence);
         }
--- a/crates/control-plane/src/orders.rs
+++ b/crates/control-plane/src/orders.rs
@@ -37,8 +37,8 @@
         let mut actions = Vec::new();
         if let Some(planner) = desk.planner() {
             feed(planner, now, &views.borrow_and_update());
-            actions = planner.decide(now);
-            let next = planner.next_wake(now).into_iter().chain(news.due()).min();
+            actions = planner.next_actions(now);
+            let next = planner.next_wakeup(now).into_iter().chain(news.due()).min();
             wake = next.map_or(wake, |at| at.saturating_sub(now).min(wake));
         }
         for action in actions {
@@ -74,13 +74,13 @@
     for (model, version) in &view.control.target_versions {
         planner.set_target_version(now, model, *version);
     }
-    planner.set_keep(models_to_keep(view));
+    planner.set_in_place_models(models_to_keep(view));
     planner.set_servers(view.servers.servers.iter().filter(|server| !server.models.is_empty()).map(
         |server| rollout::RolloutServer {
             id: Arc::clone(&server.id),
             address: server.address,
             zone: Arc::clone(&server.zone),
-            closing: server.condition == ServerCondition::Closing,
+            is_closing: server.condition == ServerCondition::Closing,
             models: server.models.clone(),
         },
     ));
@@ -107,8 +107,8 @@
 ) -> BoxFuture<'static, CallOutcome> {
     let calls = Arc::clone(calls);
     match action {
-        RolloutAction::Order(order) => Box::pin(send_order(calls, order, station.to_owned(), fence)),
-        RolloutAction::Ask(ask) => Box::pin(send_ask(calls, ask)),
+        RolloutAction::SendOrder(order) => Box::pin(send_order(calls, order, station.to_owned(), fence)),
+        RolloutAction::RequestReport(ask) => Box::pin(send_ask(calls, ask)),
     }
 }
 
--- a/crates/control-plane/src/server_calls.rs
+++ b/crates/control-plane/src/server_calls.rs
@@ -65,8 +65,8 @@
                 .body(body);
             match call.send().await {
                 Ok(answer) => OrderReply::from_status(answer.status().as_u16()),
-                Err(error) if error.is_connect() => OrderReply::NotTaken,
-                Err(_) => OrderReply::Unclear,
+                Err(error) if error.is_connect() => OrderReply::NotAccepted,
+                Err(_) => OrderReply::Indeterminate,
             }
         })
     }
--- a/crates/control-plane/tests/golden/server_calls.rs
+++ b/crates/control-plane/tests/golden/server_calls.rs
@@ -6,7 +6,7 @@
 use poem::endpoint::make;
 use poem::http::HeaderMap;
 use poem::{Request, Route};
-use rollout::{Method, OrderReply, ReportRequest, VersionOrder};
+use rollout::{OrderReply, ReportRequest, UpdateMethod, VersionOrder};
 use tokio::net::TcpListener;
 
 use super::check_text;
@@ -42,8 +42,13 @@
     tokio::spawn(rpc::serve(listener, Route::new().at("/*", server)));
 
     let calls = HttpServerCalls::new();
-    let order =
-        VersionOrder { server: "s-1".into(), address, model: "m".into(), version: 3, method: Method::Hold };
+    let order = VersionOrder {
+        server: "s-1".into(),
+        address,
+        model: "m".into(),
+        version: 3,
+        method: UpdateMethod::Drain,
+    };
     let body = serde_json::to_string(&order.body("a", 12)).expect("it is serialized");
     assert_eq!(calls.order(&order, body).await, OrderReply::from_status(200));
     let report = calls.report(&ReportRequest { server: "s-1".into(), address }).await.expect("it reports");
--- a/crates/control-plane/tests/order_desk.rs
+++ b/crates/control-plane/tests/order_desk.rs
@@ -20,10 +20,10 @@
         id: SERVER.into(),
         address: ([127, 0, 0, 1], 1).into(),
         zone: "z".into(),
-        closing: false,
+        is_closing: false,
         models: [("m".into(), 1)].into(),
     }]);
-    planner.decide(now)
+    planner.next_actions(now)
 }
 
 /// Everything that is wanted goes out.
@@ -44,18 +44,18 @@
     desk.follow(Some(1));
     let asked = send(&mut desk, at(0));
     assert!(
-        matches!(&asked[..], [(_, RolloutAction::Ask(_))]),
+        matches!(&asked[..], [(_, RolloutAction::RequestReport(_))]),
         "a server is asked before its first order: {asked:?}"
     );
     desk.finish(at(10), asked[0].0, &report());
     let ordered = send(&mut desk, at(600));
-    assert!(matches!(&ordered[..], [(_, RolloutAction::Order(_))]), "{ordered:?}");
+    assert!(matches!(&ordered[..], [(_, RolloutAction::SendOrder(_))]), "{ordered:?}");
     (desk, ordered[0].0)
 }
 
 #[parameterized(
-    answered = { OrderReply::Taken },
-    without_clear_answer = { OrderReply::Unclear },
+    answered = { OrderReply::Accepted },
+    without_clear_answer = { OrderReply::Indeterminate },
 )]
 fn given_an_order_under_way_when_another_term_begins_then_nothing_goes_out_before_it_has_ended(
     answer: OrderReply,
@@ -65,7 +65,10 @@
     desk.follow(Some(2));
     assert!(wanted(&mut desk, at(700)).is_empty(), "an order with the old token may still arrive");
     desk.finish(at(900), tag, &CallOutcome::Answered(SERVER.into(), answer));
-    assert!(matches!(&wanted(&mut desk, at(900))[..], [RolloutAction::Ask(_)]), "the new term asks first");
+    assert!(
+        matches!(&wanted(&mut desk, at(900))[..], [RolloutAction::RequestReport(_)]),
+        "the new term asks first"
+    );
 }
 
 #[test]
@@ -75,7 +78,7 @@
     desk.finish(at(700), tag, &CallOutcome::Answered(SERVER.into(), OrderReply::Fenced));
     let asked = send(&mut desk, at(700));
     assert!(
-        matches!(&asked[..], [(_, RolloutAction::Ask(_))]),
+        matches!(&asked[..], [(_, RolloutAction::RequestReport(_))]),
         "it was not the present token that was refused: {asked:?}"
     );
 }
@@ -91,5 +94,5 @@
     desk.finish(at(200), earlier, &report());
     assert!(wanted(&mut desk, at(700)).is_empty(), "its own question has no answer yet");
     desk.finish(at(700), present, &report());
-    assert!(matches!(&wanted(&mut desk, at(1300))[..], [RolloutAction::Order(_)]));
+    assert!(matches!(&wanted(&mut desk, at(1300))[..], [RolloutAction::SendOrder(_)]));
 }
--- a/crates/rollout/src/planner.rs
+++ b/crates/rollout/src/planner.rs
@@ -1,234 +1,239 @@
-//! Which server gets which order next.
+//! The planner: which server gets which order next.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::member::{Goal, Member};
-use crate::types::{
-    Method, ModelName, OrderReply, Pacing, ReportRequest, RolloutAction, RolloutServer, ServerId,
-    VersionOrder,
-};
+use crate::actions::{OrderReply, ReportRequest, RolloutAction, UpdateMethod, VersionOrder};
+use crate::pacing::Pacing;
+use crate::server::{ModelName, RolloutServer, ServerId};
+use crate::server_progress::{LoadGoal, ServerProgress};
 use crate::wire::ServerReport;
 
-/// The newest version of a model that was named.
+/// The version of a model that all servers are to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Named {
+struct TargetVersion {
     version: u64,
-    /// When the planner learned of it; what was named first is brought out first.
+    /// When the planner learned of it; older targets are rolled out first.
     since: Duration,
 }
 
-/// Brings the servers to the named versions. One planner serves one term of a holder of the leader lease.
+/// Brings the servers to the target versions. One planner serves one term of a holder of the leader lease.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     pacing: Pacing,
-    named: BTreeMap<ModelName, Named>,
-    keep: BTreeSet<ModelName>,
-    members: BTreeMap<ServerId, Member>,
-    superseded: bool,
+    targets: BTreeMap<ModelName, TargetVersion>,
+    in_place_models: BTreeSet<ModelName>,
+    servers: BTreeMap<ServerId, ServerProgress>,
+    /// Set when a server has seen a higher fencing token, and never cleared.
+    is_superseded: bool,
 }
 
 impl Planner {
-    /// A planner that knows nothing yet.
+    /// A planner without servers and target versions.
     #[must_use]
     pub fn new(pacing: Pacing) -> Self {
         Self { pacing, ..Self::default() }
     }
 
-    /// The version of a model that the register holds as named. Lower versions than before change nothing.
+    /// Sets the version of a model that the register names. Versions that are not higher than before are ignored.
     pub fn set_target_version(&mut self, now: Duration, model: &str, version: u64) {
-        match self.named.get_mut(model) {
-            Some(named) if named.version >= version => {}
-            Some(named) => *named = Named { version, since: now },
+        match self.targets.get_mut(model) {
+            Some(target) if target.version >= version => {}
+            Some(target) => *target = TargetVersion { version, since: now },
             None => {
-                self.named.insert(model.into(), Named { version, since: now });
+                self.targets.insert(model.into(), TargetVersion { version, since: now });
             }
         }
     }
 
-    /// The models whose requests may go on under a new version: no route that uses them wants one version.
-    pub fn set_keep(&mut self, models: BTreeSet<ModelName>) {
-        self.keep = models;
+    /// Sets the models whose running requests may continue with a new version, because no route that uses them
+    /// requires a single version per request.
+    pub fn set_in_place_models(&mut self, models: BTreeSet<ModelName>) {
+        self.in_place_models = models;
     }
 
-    /// The servers, as a newer list shows them; those that it lacks are forgotten.
+    /// Sets the servers that the newest list shows. The progress of servers that it lacks is dropped.
     pub fn set_servers(&mut self, servers: impl IntoIterator<Item = RolloutServer>) {
-        let mut earlier = std::mem::take(&mut self.members);
+        let mut earlier = std::mem::take(&mut self.servers);
         for server in servers {
             let id = ServerId::clone(&server.id);
-            let member = match earlier.remove(&id) {
-                Some(mut member) => {
-                    member.listed(server);
-                    member
+            let progress = match earlier.remove(&id) {
+                Some(mut progress) => {
+                    progress.update_listing(server);
+                    progress
                 }
-                None => Member::new(server, &self.pacing),
+                None => ServerProgress::new(server, &self.pacing),
             };
-            self.members.insert(id, member);
+            self.servers.insert(id, progress);
         }
     }
 
-    /// A version was seen in an answer of the server.
+    /// Records a version that was seen in a response of the server.
     pub fn on_version_observed(&mut self, server: &str, model: &str, version: u64) {
-        if let Some(member) = self.members.get_mut(server) {
-            member.has_version(&model.into(), version);
+        if let Some(progress) = self.servers.get_mut(server) {
+            progress.record_version(&model.into(), version);
         }
     }
 
-    /// How many requests run at the server, as far as the caller knows; idle servers go first.
+    /// Sets how many requests run at the server, as far as the caller knows; idle servers are ordered first.
     pub fn set_running(&mut self, server: &str, running: u64) {
-        if let Some(member) = self.members.get_mut(server) {
-            member.running = running;
+        if let Some(progress) = self.servers.get_mut(server) {
+            progress.running = running;
         }
     }
 
-    /// The outcome of an order.
-    pub fn on_order_reply(&mut self, now: Duration, server: &str, answer: OrderReply) {
-        if answer == OrderReply::Fenced {
-            self.superseded = true;
+    /// Handles the outcome of an order.
+    pub fn on_order_reply(&mut self, now: Duration, server: &str, reply: OrderReply) {
+        if reply == OrderReply::Fenced {
+            self.is_superseded = true;
         }
-        if let Some(member) = self.members.get_mut(server) {
-            member.answered(now, answer, &self.pacing);
+        if let Some(progress) = self.servers.get_mut(server) {
+            progress.on_order_reply(now, reply);
         }
     }
 
-    /// The report that a server was asked for.
+    /// Handles the report of a server.
     pub fn on_report(&mut self, now: Duration, server: &str, report: &ServerReport) {
-        if let Some(member) = self.members.get_mut(server) {
-            member.reported(now, report, &self.pacing);
+        if let Some(progress) = self.servers.get_mut(server) {
+            progress.on_report(now, report);
         }
     }
 
-    /// A server that was asked for its report gave none.
+    /// Handles a failed request for the report of a server.
     pub fn on_report_failure(&mut self, now: Duration, server: &str) {
-        if let Some(member) = self.members.get_mut(server) {
-            member.not_reported(now, &self.pacing);
+        if let Some(progress) = self.servers.get_mut(server) {
+            progress.on_report_failure(now);
         }
     }
 
-    /// Whether a server has seen a higher fencing token: the term is over, and no more orders are given.
+    /// Whether a server has seen a higher fencing token: the term has ended, and no more orders are given.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
-        self.superseded
+        self.is_superseded
     }
 
     /// The version of the model that the server is known to have.
     #[must_use]
     pub fn version(&self, server: &str, model: &str) -> Option<u64> {
-        self.members.get(server)?.version(model)
+        self.servers.get(server)?.version(model)
     }
 
-    /// Whether every open server is known to have the newest named version of each of its models.
+    /// Whether every server that is not closing is known to have the target version of each of its models.
     #[must_use]
     pub fn is_converged(&self) -> bool {
-        let mut open = self.members.values().filter(|member| !member.server.closing);
-        !open.any(|member| self.wanted(member).is_some())
+        self.open_servers().all(|progress| self.next_goal(progress).is_none())
     }
 
-    /// The calls to make now. Each is told once; the caller reports its outcome.
-    pub fn decide(&mut self, now: Duration) -> Vec<RolloutAction> {
-        if self.superseded {
+    /// The calls to make now. Each is returned once; the caller passes in its outcome.
+    pub fn next_actions(&mut self, now: Duration) -> Vec<RolloutAction> {
+        if self.is_superseded {
             return Vec::new();
         }
-        for member in self.members.values_mut() {
-            member.expire_calls(now, &self.pacing);
+        for progress in self.servers.values_mut() {
+            progress.expire_calls(now);
         }
-        self.look_at_unseen(now);
-        let mut actions = self.due_asks(now);
-        while let Some(order) = self.next_order(now) {
-            actions.push(RolloutAction::Order(order));
+        self.schedule_first_reports(now);
+        let mut actions = self.take_due_reports(now);
+        while let Some(order) = self.take_next_order(now) {
+            actions.push(RolloutAction::SendOrder(order));
         }
         actions
     }
 
-    /// When [`Planner::decide`] has something to do next if nothing is heard before.
+    /// When to call [`Planner::next_actions`] again if nothing happens before; `None` if there is nothing to wait for.
     #[must_use]
-    pub fn next_wake(&self, now: Duration) -> Option<Duration> {
-        if self.superseded {
+    pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
+        if self.is_superseded {
             return None;
         }
-        let timers = self.members.values().filter_map(|member| member.next_timer(now, &self.pacing));
-        timers.chain(self.next_place(now)).min()
+        let deadlines = self.servers.values().filter_map(|progress| progress.next_deadline(now));
+        deadlines.chain(self.next_load_end(now)).min()
     }
 
-    /// When a server that waits for its turn may get its order, since another has loaded for long enough.
-    fn next_place(&self, now: Duration) -> Option<Duration> {
-        self.best_candidate(now)?;
-        let ends = self.members.values().filter_map(|member| member.loads_until(&self.pacing));
+    /// When the next load is expected to end, if a server waits for that to get its order.
+    fn next_load_end(&self, now: Duration) -> Option<Duration> {
+        self.next_candidate(now)?;
+        let ends = self.servers.values().filter_map(ServerProgress::loading_until);
         ends.filter(|end| *end > now).min()
     }
 
-    /// Servers that are to get their first order of this term are asked for a report before.
-    fn look_at_unseen(&mut self, now: Duration) {
-        let behind: Vec<ServerId> = self
-            .members
-            .iter()
-            .filter(|(_, member)| member.is_unseen() && self.wanted(member).is_some())
-            .map(|(id, _)| ServerId::clone(id))
-            .collect();
-        for id in behind {
-            if let Some(member) = self.members.get_mut(&id) {
-                member.want_report(now);
+    /// Servers that are to get their first order of this term have to report before.
+    fn schedule_first_reports(&mut self, now: Duration) {
+        let needs_report =
+            |progress: &ServerProgress| progress.needs_first_report() && self.next_goal(progress).is_some();
+        let servers = self.servers.iter().filter(|(_, progress)| needs_report(progress));
+        let ids: Vec<ServerId> = servers.map(|(id, _)| ServerId::clone(id)).collect();
+        for id in ids {
+            if let Some(progress) = self.servers.get_mut(&id) {
+                progress.ensure_report(now);
             }
         }
     }
 
-    fn due_asks(&mut self, now: Duration) -> Vec<RolloutAction> {
-        let mut asks = Vec::new();
-        for (id, member) in &mut self.members {
-            if member.takes_ask(now) {
-                let ask = ReportRequest { server: ServerId::clone(id), address: member.server.address };
-                asks.push(RolloutAction::Ask(ask));
+    fn take_due_reports(&mut self, now: Duration) -> Vec<RolloutAction> {
+        let mut actions = Vec::new();
+        for (id, progress) in &mut self.servers {
+            if progress.take_due_report(now) {
+                let address = progress.server.address;
+                let request = ReportRequest { server: ServerId::clone(id), address };
+                actions.push(RolloutAction::RequestReport(request));
             }
         }
-        asks
+        actions
     }
 
     /// The next order, if a server may get one; it counts as sent.
-    fn next_order(&mut self, now: Duration) -> Option<VersionOrder> {
-        let loading = self.members.values().filter(|member| member.loads(now, &self.pacing)).count();
-        if loading >= self.loading_most() {
+    fn take_next_order(&mut self, now: Duration) -> Option<VersionOrder> {
+        let loading = self.servers.values().filter(|progress| progress.is_loading(now)).count();
+        if loading >= self.max_concurrent_loads() {
             return None;
         }
-        let (id, goal) = self.best_candidate(now)?;
-        let member = self.members.get_mut(&id)?;
-        member.order_sent(now, goal.clone());
+        let (id, goal) = self.next_candidate(now)?;
+        let progress = self.servers.get_mut(&id)?;
+        progress.on_order_sent(now, goal.clone());
         Some(VersionOrder {
             server: id,
-            address: member.server.address,
+            address: progress.server.address,
             model: goal.model,
             version: goal.version,
             method: goal.method,
         })
     }
 
-    /// How many servers may load at once.
-    fn loading_most(&self) -> usize {
-        let open = self.members.values().filter(|member| !member.server.closing).count();
-        self.pacing.at_once.max(open.div_ceil(self.pacing.one_in))
+    fn max_concurrent_loads(&self) -> usize {
+        let share = self.open_servers().count().div_ceil(self.pacing.servers_per_load);
+        self.pacing.min_concurrent_loads.max(share)
+    }
+
+    fn open_servers(&self) -> impl Iterator<Item = &ServerProgress> {
+        self.servers.values().filter(|progress| !progress.server.is_closing)
     }
 
-    /// Idle servers go first, then those of the zone in which the fewest load.
-    fn best_candidate(&self, now: Duration) -> Option<(ServerId, Goal)> {
-        let candidates = self.members.iter().filter(|(_, member)| member.takes_order(now));
-        let wanted = candidates.filter_map(|(id, member)| Some((id, member, self.wanted(member)?)));
-        let best =
-            wanted.min_by_key(|(_, member, _)| (member.running, self.loading_in(&member.server.zone, now)));
-        best.map(|(id, _, goal)| (ServerId::clone(id), goal))
+    /// The server to order next: the one with the fewest running requests, and among equals one of the zone in which
+    /// the fewest servers load.
+    fn next_candidate(&self, now: Duration) -> Option<(ServerId, LoadGoal)> {
+        let available = self.servers.iter().filter(|(_, progress)| progress.can_take_order(now));
+        let candidates =
+            available.filter_map(|(id, progress)| Some((id, progress, self.next_goal(progress)?)));
+        let (id, _, goal) = candidates.min_by_key(|(_, progress, _)| {
+            (progress.running, self.loading_in_zone(&progress.server.zone, now))
+        })?;
+        Some((ServerId::clone(id), goal))
     }
 
-    fn loading_in(&self, zone: &str, now: Duration) -> usize {
-        let of_zone = self.members.values().filter(|member| &*member.server.zone == zone);
-        of_zone.filter(|member| member.loads(now, &self.pacing)).count()
+    fn loading_in_zone(&self, zone: &str, now: Duration) -> usize {
+        let in_zone = self.servers.values().filter(|progress| &*progress.server.zone == zone);
+        in_zone.filter(|progress| progress.is_loading(now)).count()
     }
 
-    /// What the server has to load next: of the models that it is behind with, the one that was named first.
-    fn wanted(&self, member: &Member) -> Option<Goal> {
-        let behind = self
-            .named
-            .iter()
-            .filter(|(model, named)| member.version(model).is_some_and(|version| version < named.version));
-        let (model, named) = behind.min_by_key(|(_, named)| named.since)?;
-        let method = if self.keep.contains(model) { Method::Keep } else { Method::Hold };
-        Some(Goal { model: ModelName::clone(model), version: named.version, method })
+    /// What the server has to load next: of the models whose target version it lacks, the one with the oldest target.
+    fn next_goal(&self, progress: &ServerProgress) -> Option<LoadGoal> {
+        let behind = self.targets.iter().filter(|(model, target)| {
+            progress.version(model).is_some_and(|version| version < target.version)
+        });
+        let (model, target) = behind.min_by_key(|(_, target)| target.since)?;
+        let is_in_place = self.in_place_models.contains(model);
+        let method = if is_in_place { UpdateMethod::InPlace } else { UpdateMethod::Drain };
+        Some(LoadGoal { model: ModelName::clone(model), version: target.version, method })
     }
 }
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,12 +1,13 @@
-//! Bodies of the calls to a server.
+//! JSON bodies of calls to a server.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::types::{Method, ModelName, VersionOrder};
+use crate::actions::{UpdateMethod, VersionOrder};
+use crate::server::ModelName;
 
-/// The word for an order to load a version.
+/// The kind of an order that loads a version.
 const LOAD_VERSION: &str = "edition";
 
 /// A model in a report.
@@ -19,28 +20,28 @@
     pub version: u64,
 }
 
-/// What a server tells about itself. Its values are some hundred milliseconds old.
+/// The report of a server about itself. Its values are some hundred milliseconds old.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct ServerReport {
-    /// Its models.
+    /// The models that it runs.
     #[serde(default)]
     pub models: Vec<ModelReport>,
-    /// Whether an order is under way.
+    /// Whether it carries out an order.
     #[serde(default)]
     pub occupied: bool,
-    /// Orders that it has taken since its start.
+    /// Number of orders that it has accepted since its start.
     #[serde(rename = "callCount", default)]
-    pub orders_taken: u64,
-    /// Requests that wait.
+    pub orders_accepted: u64,
+    /// Number of queued requests.
     #[serde(rename = "queuedCount", default)]
     pub queued: u64,
-    /// Requests that run.
+    /// Number of running requests.
     #[serde(rename = "inTransit", default)]
     pub running: u64,
 }
 
 impl ServerReport {
-    /// The versions by model.
+    /// The version of each model.
     #[must_use]
     pub fn versions(&self) -> BTreeMap<ModelName, u64> {
         self.models.iter().map(|model| (ModelName::clone(&model.name), model.version)).collect()
@@ -54,22 +55,23 @@
     model: &'a str,
     #[serde(rename = "edition")]
     version: u64,
-    method: Method,
+    method: UpdateMethod,
     holder: &'a str,
-    fence: u64,
+    #[serde(rename = "fence")]
+    fencing_token: u64,
 }
 
 impl VersionOrder {
-    /// The body, as sent by the holder of the leader lease with its fencing token.
+    /// The body of the order, sent by the holder of the leader lease with its fencing token.
     #[must_use]
-    pub fn body<'a>(&'a self, holder: &'a str, fence: u64) -> OrderBody<'a> {
+    pub fn body<'a>(&'a self, holder: &'a str, fencing_token: u64) -> OrderBody<'a> {
         OrderBody {
             order: LOAD_VERSION,
             model: &self.model,
             version: self.version,
             method: self.method,
             holder,
-            fence,
+            fencing_token,
         }
     }
 }
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rollout::{
-    Method, ModelReport, OrderReply, Pacing, Planner, RolloutAction, RolloutServer, ServerReport,
+    ModelReport, OrderReply, Pacing, Planner, RolloutAction, RolloutServer, ServerReport, UpdateMethod,
     VersionOrder,
 };
 
@@ -17,11 +17,11 @@
 /// How much the list lags behind the servers.
 const LIST_LAG: Duration = Duration::from_millis(1000);
 /// How often the list is read.
-const LIST_PERIOD: Duration = Duration::from_millis(1000);
+const LIST_INTERVAL: Duration = Duration::from_millis(1000);
 /// How old the values of a report are.
 const REPORT_LAG: Duration = Duration::from_millis(200);
 /// How long a call takes.
-const CALL: Duration = Duration::from_millis(4);
+const CALL_LATENCY: Duration = Duration::from_millis(4);
 
 pub fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -31,19 +31,19 @@
     SocketAddr::from(([10, 0, 0, index as u8], 8080))
 }
 
-/// What happens to calls of a server.
+/// What happens to the calls to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum CallFault {
     None,
-    /// Calls are carried out, and their answers are lost.
-    AnswersLost,
-    /// Calls get no answer and are not carried out.
-    Dark,
+    /// Calls are handled, and their replies are lost.
+    RepliesLost,
+    /// Calls are not handled.
+    Unresponsive,
 }
 
-/// What was true of a server from some moment on.
+/// The state of a server from some time on.
 #[derive(Clone, Debug)]
-struct Moment {
+struct ServerSnapshot {
     at: Duration,
     versions: BTreeMap<Arc<str>, u64>,
     occupied: bool,
@@ -53,15 +53,15 @@
     pub id: Arc<str>,
     pub index: usize,
     pub zone: Arc<str>,
-    pub closing: bool,
-    pub fault: Fault,
+    pub is_closing: bool,
+    pub fault: CallFault,
     /// When the requests that run will have ended.
     pub busy_until: Duration,
-    history: Vec<Moment>,
+    history: Vec<ServerSnapshot>,
     loading: Option<(Arc<str>, u64, Duration)>,
-    pub orders_taken: Vec<(Arc<str>, u64)>,
-    pub orders_seen: usize,
-    pub reports_asked: usize,
+    pub orders_accepted: Vec<(Arc<str>, u64)>,
+    pub orders_received: usize,
+    pub reports_requested: usize,
 }
 
 impl FleetServer {
@@ -71,19 +71,19 @@
             id: format!("i-{index}").into(),
             index,
             zone: zone.into(),
-            closing: false,
-            fault: Fault::None,
+            is_closing: false,
+            fault: CallFault::None,
             busy_until: Duration::ZERO,
-            history: vec![Moment { at: Duration::ZERO, versions, occupied: false }],
+            history: vec![ServerSnapshot { at: Duration::ZERO, versions, occupied: false }],
             loading: None,
-            orders_taken: Vec::new(),
-            orders_seen: 0,
-            reports_asked: 0,
+            orders_accepted: Vec::new(),
+            orders_received: 0,
+            reports_requested: 0,
         }
     }
 
-    fn moment(&self, at: Duration) -> &Moment {
-        let found = self.history.iter().rev().find(|moment| moment.at <= at);
+    fn snapshot(&self, at: Duration) -> &ServerSnapshot {
+        let found = self.history.iter().rev().find(|snapshot| snapshot.at <= at);
         found.unwrap_or(&self.history[0])
     }
 
@@ -96,70 +96,70 @@
             let (model, version, until) = self.loading.take().expect("just seen");
             let mut versions = self.history.last().expect("never empty").versions.clone();
             versions.insert(model, version);
-            self.history.push(Moment { at: until, versions, occupied: false });
+            self.history.push(ServerSnapshot { at: until, versions, occupied: false });
         }
     }
 
-    fn take(&mut self, now: Duration, order: &VersionOrder) -> OrderReply {
+    fn handle_order(&mut self, now: Duration, order: &VersionOrder) -> OrderReply {
         if self.loading.is_some() {
             return OrderReply::Busy;
         }
         if self.version(&order.model) >= order.version {
-            return OrderReply::Holds;
+            return OrderReply::AlreadyLoaded;
         }
-        let start = if order.method == Method::Hold { now.max(self.busy_until) } else { now };
+        let start = if order.method == UpdateMethod::Drain { now.max(self.busy_until) } else { now };
         self.loading = Some((Arc::clone(&order.model), order.version, start + LOAD));
         let versions = self.history.last().expect("never empty").versions.clone();
-        self.history.push(Moment { at: now, versions, occupied: true });
-        self.orders_taken.push((Arc::clone(&order.model), order.version));
-        OrderReply::Taken
+        self.history.push(ServerSnapshot { at: now, versions, occupied: true });
+        self.orders_accepted.push((Arc::clone(&order.model), order.version));
+        OrderReply::Accepted
     }
 
     fn report(&self, now: Duration) -> ServerReport {
-        let moment = self.moment(now.saturating_sub(REPORT_LAG));
-        let models = moment.versions.iter();
+        let snapshot = self.snapshot(now.saturating_sub(REPORT_LAG));
+        let models = snapshot.versions.iter();
         ServerReport {
             models: models
                 .map(|(name, version)| ModelReport { name: Arc::clone(name), version: *version })
                 .collect(),
-            occupied: moment.occupied,
-            orders_taken: self.orders_taken.len() as u64,
+            occupied: snapshot.occupied,
+            orders_accepted: self.orders_accepted.len() as u64,
             queued: 0,
             running: u64::from(now < self.busy_until),
         }
     }
 
-    fn listed(&self, now: Duration) -> RolloutServer {
+    fn listing(&self, now: Duration) -> RolloutServer {
         RolloutServer {
             id: Arc::clone(&self.id),
             address: address(self.index),
             zone: Arc::clone(&self.zone),
-            closing: self.closing,
-            models: self.moment(now.saturating_sub(LIST_LAG)).versions.clone(),
+            is_closing: self.is_closing,
+            models: self.snapshot(now.saturating_sub(LIST_LAG)).versions.clone(),
         }
     }
 }
 
-/// An outcome on its way to the planner.
-enum Event {
-    Answered(Arc<str>, OrderReply),
-    Reported(Arc<str>, ServerReport),
-    NotReported(Arc<str>),
-    List,
+/// An outcome in flight to the planner.
+enum FleetEvent {
+    OrderReply(Arc<str>, OrderReply),
+    Report(Arc<str>, ServerReport),
+    ReportFailure(Arc<str>),
+    ListDue,
 }
 
 /// Servers, a planner, and the calls between them.
-pub struct Fleet {
+pub struct ServerFleet {
     pub now: Duration,
     pub planner: Planner,
     pub servers: Vec<FleetServer>,
     pub orders: Vec<(Duration, VersionOrder)>,
-    pub most_loading: usize,
-    named: BTreeMap<Arc<str>, u64>,
-    events: Vec<(Duration, Event)>,
+    pub max_loading: usize,
+    targets: BTreeMap<Arc<str>, u64>,
+    events: Vec<(Duration, FleetEvent)>,
 }
 
-impl Fleet {
+impl ServerFleet {
     pub fn new(count: usize) -> Self {
         let zones = ["a", "b", "c"];
         let start = [(MODEL, 1), (OTHER_MODEL, 1)];
@@ -169,36 +169,36 @@
             planner: Planner::new(Pacing::default()),
             servers,
             orders: Vec::new(),
-            most_loading: 0,
-            named: BTreeMap::new(),
+            max_loading: 0,
+            targets: BTreeMap::new(),
             events: Vec::new(),
         };
         fleet.read_list();
         fleet
     }
 
-    pub fn name(&mut self, model: &str, version: u64) {
-        self.named.insert(model.into(), version);
+    pub fn set_target(&mut self, model: &str, version: u64) {
+        self.targets.insert(model.into(), version);
         self.planner.set_target_version(self.now, model, version);
     }
 
-    pub fn keep(&mut self, models: &[&str]) {
+    pub fn set_in_place(&mut self, models: &[&str]) {
         let models: BTreeSet<Arc<str>> = models.iter().map(|model| Arc::from(*model)).collect();
-        self.planner.set_keep(models);
+        self.planner.set_in_place_models(models);
     }
 
-    /// The holder of the lease changes: its successor knows nothing of what was sent, and starts after a pause
+    /// The holder of the lease changes: its successor does not know what was sent, and starts after a pause
     /// (leases of two holders are `leaseMs` apart at least).
     pub fn replace_planner(&mut self, pause: Duration) {
         self.now += pause;
         let now = self.now;
         self.servers.iter_mut().for_each(|server| server.advance(now));
         self.planner = Planner::new(Pacing::default());
-        self.events.retain(|(_, event)| matches!(event, Event::List));
-        for (model, version) in self.named.clone() {
+        self.events.retain(|(_, event)| matches!(event, FleetEvent::ListDue));
+        for (model, version) in self.targets.clone() {
             self.planner.set_target_version(self.now, &model, version);
         }
-        self.show_list();
+        self.pass_list();
     }
 
     /// The server crashes and comes back as a new incarnation with the versions that it had.
@@ -207,19 +207,19 @@
         let server = &mut self.servers[index];
         server.id = format!("{}'", server.id).into();
         server.loading = None;
-        server.fault = Fault::None;
-        server.history = vec![Moment { at: Duration::ZERO, versions, occupied: false }];
+        server.fault = CallFault::None;
+        server.history = vec![ServerSnapshot { at: Duration::ZERO, versions, occupied: false }];
     }
 
     pub fn all_have(&self, model: &str, version: u64) -> bool {
-        self.servers.iter().filter(|server| !server.closing).all(|server| server.version(model) == version)
+        self.servers.iter().filter(|server| !server.is_closing).all(|server| server.version(model) == version)
     }
 
-    /// Lets time pass until the moment given.
+    /// Lets time pass until `end`.
     pub fn run_until(&mut self, end: Duration) {
         loop {
             self.act();
-            let wake = self.planner.next_wake(self.now);
+            let wake = self.planner.next_wakeup(self.now);
             assert!(wake.is_none_or(|wake| wake > self.now), "a wake-up that is due was left over");
             let event = self.events.iter().map(|(at, _)| *at).min();
             let next = [wake, event].into_iter().flatten().min().unwrap_or(end).min(end);
@@ -233,51 +233,51 @@
     }
 
     fn act(&mut self) {
-        for action in self.planner.decide(self.now) {
+        for action in self.planner.next_actions(self.now) {
             match action {
-                RolloutAction::Order(order) => self.order(order),
-                RolloutAction::Ask(ask) => self.ask(&ask.server),
+                RolloutAction::SendOrder(order) => self.send_order(order),
+                RolloutAction::RequestReport(request) => self.send_report_request(&request.server),
             }
         }
     }
 
-    fn order(&mut self, order: VersionOrder) {
+    fn send_order(&mut self, order: VersionOrder) {
         assert_eq!(
-            self.named.get(&order.model),
+            self.targets.get(&order.model),
             Some(&order.version),
-            "only the newest named version is ordered"
+            "only the newest target version is ordered"
         );
-        let arrival = self.now + CALL;
-        let answer = match self.servers.iter_mut().find(|server| server.index == usize::from(octet(&order))) {
-            Some(server) if server.fault == Fault::Dark => OrderReply::Unclear,
-            Some(server) if server.id != order.server => OrderReply::OtherServer,
+        let arrival = self.now + CALL_LATENCY;
+        let reply = match self.servers.iter_mut().find(|server| server.index == usize::from(octet(&order))) {
+            Some(server) if server.fault == CallFault::Unresponsive => OrderReply::Indeterminate,
+            Some(server) if server.id != order.server => OrderReply::WrongServer,
             Some(server) => {
-                server.orders_seen += 1;
-                let answer = server.take(arrival, &order);
-                if server.fault == Fault::AnswersLost {
-                    OrderReply::Unclear
+                server.orders_received += 1;
+                let reply = server.handle_order(arrival, &order);
+                if server.fault == CallFault::RepliesLost {
+                    OrderReply::Indeterminate
                 } else {
-                    answer
+                    reply
                 }
             }
-            None => OrderReply::NotTaken,
+            None => OrderReply::NotAccepted,
         };
         let loading = self.servers.iter().filter(|server| server.loading.is_some()).count();
-        self.most_loading = self.most_loading.max(loading);
-        self.events.push((arrival + CALL, Event::Answered(Arc::clone(&order.server), answer)));
+        self.max_loading = self.max_loading.max(loading);
+        self.events.push((arrival + CALL_LATENCY, FleetEvent::OrderReply(Arc::clone(&order.server), reply)));
         self.orders.push((self.now, order));
     }
 
-    fn ask(&mut self, id: &Arc<str>) {
-        let arrival = self.now + CALL;
+    fn send_report_request(&mut self, id: &Arc<str>) {
+        let arrival = self.now + CALL_LATENCY;
         let event = match self.servers.iter_mut().find(|server| server.id == *id) {
-            Some(server) if server.fault == Fault::None => {
-                server.reports_asked += 1;
-                Event::Reported(Arc::clone(id), server.report(arrival))
+            Some(server) if server.fault == CallFault::None => {
+                server.reports_requested += 1;
+                FleetEvent::Report(Arc::clone(id), server.report(arrival))
             }
-            _ => Event::NotReported(Arc::clone(id)),
+            _ => FleetEvent::ReportFailure(Arc::clone(id)),
         };
-        self.events.push((arrival + CALL, event));
+        self.events.push((arrival + CALL_LATENCY, event));
     }
 
     fn deliver(&mut self) {
@@ -285,21 +285,21 @@
         self.events = later;
         for (_, event) in due {
             match event {
-                Event::Answered(id, answer) => self.planner.on_order_reply(self.now, &id, answer),
-                Event::Reported(id, report) => self.planner.on_report(self.now, &id, &report),
-                Event::NotReported(id) => self.planner.on_report_failure(self.now, &id),
-                Event::List => self.read_list(),
+                FleetEvent::OrderReply(id, reply) => self.planner.on_order_reply(self.now, &id, reply),
+                FleetEvent::Report(id, report) => self.planner.on_report(self.now, &id, &report),
+                FleetEvent::ReportFailure(id) => self.planner.on_report_failure(self.now, &id),
+                FleetEvent::ListDue => self.read_list(),
             }
         }
     }
 
     fn read_list(&mut self) {
-        self.show_list();
-        self.events.push((self.now + LIST_PERIOD, Event::List));
+        self.pass_list();
+        self.events.push((self.now + LIST_INTERVAL, FleetEvent::ListDue));
     }
 
-    fn show_list(&mut self) {
-        let listed: Vec<RolloutServer> = self.servers.iter().map(|server| server.listed(self.now)).collect();
+    fn pass_list(&mut self) {
+        let listed: Vec<RolloutServer> = self.servers.iter().map(|server| server.listing(self.now)).collect();
         self.planner.set_servers(listed);
     }
 }
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -2,14 +2,14 @@
 
 use std::path::Path;
 
-use rollout::{Method, ModelReport, ServerReport, VersionOrder};
+use rollout::{ModelReport, ServerReport, UpdateMethod, VersionOrder};
 use yare::parameterized;
 
 #[parameterized(
-    hold = { "order_hold.json", Method::Hold },
-    keep = { "order_keep.json", Method::Keep },
+    drain = { "order_hold.json", UpdateMethod::Drain },
+    in_place = { "order_keep.json", UpdateMethod::InPlace },
 )]
-fn given_an_order_when_written_then_it_is_as_before(name: &str, method: Method) {
+fn given_an_order_when_written_then_it_is_as_before(name: &str, method: UpdateMethod) {
     let order = VersionOrder {
         server: "i-1".into(),
         address: ([10, 0, 0, 1], 80).into(),
@@ -30,7 +30,7 @@
             ModelReport { name: "daka510001".into(), version: 1 },
         ],
         occupied: true,
-        orders_taken: 2,
+        orders_accepted: 2,
         queued: 5,
         running: 12,
     };
--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -1,9 +1,9 @@
-//! The bodies of calls to a server.
+//! The bodies of calls to a server, and the outcomes of their statuses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use rollout::{Method, OrderReply, ServerReport, VersionOrder};
+use rollout::{OrderReply, ServerReport, UpdateMethod, VersionOrder};
 use yare::parameterized;
 
 #[test]
@@ -13,7 +13,7 @@
         address: ([10, 0, 0, 1], 80).into(),
         model: "daka510000".into(),
         version: 2,
-        method: Method::Hold,
+        method: UpdateMethod::Drain,
     };
     let body = serde_json::to_string(&order.body("node-7", 41)).expect("it can be written");
     let expected = r#"{"order":"edition","model":"daka510000","edition":2,"method":"hold","holder":"node-7","fence":41}"#;
@@ -21,18 +21,18 @@
 }
 
 #[test]
-fn given_a_report_when_read_then_its_figures_are_there() {
+fn given_a_report_when_read_then_its_values_are_there() {
     let text = r#"{"leg":"both","models":[{"name":"daka510000","edition":1,"adapters":[]}],"occupied":true,"callCount":2,"queuedCount":1,"inTransit":12,"cacheUsed":41000,"cacheTotal":90000,"handles":0}"#;
     let report: ServerReport = serde_json::from_str(text).expect("it can be read");
     assert_eq!(report.versions(), BTreeMap::from([(Arc::from("daka510000"), 1)]));
     assert!(report.occupied);
-    assert_eq!((report.orders_taken, report.queued, report.running), (2, 1, 12));
+    assert_eq!((report.orders_accepted, report.queued, report.running), (2, 1, 12));
 }
 
 #[parameterized(
-    taken = { 202, OrderReply::Taken }, holds = { 200, OrderReply::Holds }, busy = { 409, OrderReply::Busy },
-    fenced = { 412, OrderReply::Fenced }, unknown = { 400, OrderReply::Unknown }, other = { 421, OrderReply::OtherServer },
-    failure = { 500, OrderReply::Unclear },
+    accepted = { 202, OrderReply::Accepted }, already_loaded = { 200, OrderReply::AlreadyLoaded }, busy = { 409, OrderReply::Busy },
+    fenced = { 412, OrderReply::Fenced }, invalid = { 400, OrderReply::Invalid }, wrong_server = { 421, OrderReply::WrongServer },
+    failure = { 500, OrderReply::Indeterminate },
 )]
 fn given_a_status_when_read_then_it_is_the_outcome(status: u16, expected: OrderReply) {
     assert_eq!(OrderReply::from_status(status), expected);
--- a/crates/simulator/src/transport.rs
+++ b/crates/simulator/src/transport.rs
@@ -147,8 +147,8 @@
             let to = Endpoint::Server(model_server::index_of(order.address));
             match self.call_external(to, ORDER_PATH, body.into()).await {
                 Ok((status, _)) => OrderReply::from_status(status),
-                Err(error) if error.may_have_run() => OrderReply::Unclear,
-                Err(_) => OrderReply::NotTaken,
+                Err(error) if error.may_have_run() => OrderReply::Indeterminate,
+                Err(_) => OrderReply::NotAccepted,
             }
         })
     }
