--- /dev/null
+++ b/crates/node-emulator/src/build.rs
@@ -0,0 +1,164 @@
+//! Builds of this program that are measured side by side: each measure is a process of its own, which tells its figure
+//! in its report.
+
+use std::env;
+use std::fs::{self, File};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use crate::quantity::Quantity;
+
+/// A measure that takes longer is ended.
+const MEASURE_TIMEOUT: Duration = Duration::from_secs(120);
+
+/// A build could not be measured.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {name} at {size}: {source}", binary.display())]
+pub struct BuildError {
+    binary: PathBuf,
+    name: String,
+    size: usize,
+    source: MeasureError,
+}
+
+/// Why one measure of a build failed.
+#[derive(Debug, thiserror::Error)]
+enum MeasureError {
+    #[error("no temporary folder: {0}")]
+    Folder(io::Error),
+    #[error("cannot be run: {0}")]
+    Start(io::Error),
+    #[error("its end cannot be seen: {0}")]
+    Wait(io::Error),
+    #[error("took over {} s", MEASURE_TIMEOUT.as_secs())]
+    TimedOut,
+    #[error("{status}: {last_line}")]
+    Failed { status: ExitStatus, last_line: String },
+    #[error("no report: {0}")]
+    NoReport(io::Error),
+    #[error("a bad report: {0}")]
+    BadReport(serde_json::Error),
+    #[error("its report does not have the quantity")]
+    NoQuantity,
+}
+
+/// What a build's report tells of one quantity at one size.
+#[derive(Debug)]
+pub struct BuildMeasurement {
+    /// `None` where it could not be had.
+    pub value: Option<f64>,
+    /// The commit that is checked out where the binary lies, or `unknown`.
+    pub commit: String,
+    /// Whether files differed from it.
+    pub modified: bool,
+}
+
+/// A binary of this program.
+pub struct Build {
+    binary: PathBuf,
+    folder: PathBuf,
+}
+
+impl Build {
+    /// The one that runs.
+    ///
+    /// # Errors
+    ///
+    /// Where the system does not tell its path.
+    pub fn this() -> io::Result<Self> {
+        Self::at(&env::current_exe()?)
+    }
+
+    /// The one at `path`.
+    ///
+    /// # Errors
+    ///
+    /// Where nothing is there.
+    pub fn at(path: &Path) -> io::Result<Self> {
+        let binary = path.canonicalize().map_err(|error| {
+            io::Error::new(error.kind(), format!("cannot run the build {}: {error}", path.display()))
+        })?;
+        let folder = binary.parent().unwrap_or(Path::new("/")).to_owned();
+        Ok(Self { binary, folder })
+    }
+
+    /// Measures a quantity at one size, once.
+    ///
+    /// # Errors
+    ///
+    /// Where the binary cannot be run, fails, takes over two minutes, or its report does not have the quantity.
+    pub fn measure(
+        &self,
+        quantity: Quantity,
+        size: usize,
+        seed: u64,
+        memory_mb: u64,
+    ) -> Result<BuildMeasurement, BuildError> {
+        self.run(quantity, size, seed, memory_mb).map_err(|source| BuildError {
+            binary: self.binary.clone(),
+            name: quantity.name(),
+            size,
+            source,
+        })
+    }
+
+    fn run(
+        &self,
+        quantity: Quantity,
+        size: usize,
+        seed: u64,
+        memory_mb: u64,
+    ) -> Result<BuildMeasurement, MeasureError> {
+        let folder = tempfile::tempdir().map_err(MeasureError::Folder)?;
+        let log = File::create(folder.path().join("log")).map_err(MeasureError::Folder)?;
+        let report = folder.path().join("report.json");
+        let mut command = Command::new(&self.binary);
+        command.args(["--log-level", "warn", "--memory-mb", &memory_mb.to_string(), "slopes"]);
+        command.args(["--quantity", &quantity.name(), "--sizes", &size.to_string(), "--repeats", "1"]);
+        command.args(["--seed", &seed.to_string(), "--report"]).arg(&report);
+        // Its report has the commit of the folder that it runs in.
+        command.current_dir(&self.folder).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        let status = wait(&mut command.spawn().map_err(MeasureError::Start)?)?;
+        if !status.success() {
+            let log = fs::read_to_string(folder.path().join("log")).unwrap_or_default();
+            let last_line = log.lines().next_back().unwrap_or_default().to_owned();
+            return Err(MeasureError::Failed { status, last_line });
+        }
+        let text = fs::read_to_string(&report).map_err(MeasureError::NoReport)?;
+        let report = serde_json::from_str(&text).map_err(MeasureError::BadReport)?;
+        find_measurement(&report, &quantity.name(), size).ok_or(MeasureError::NoQuantity)
+    }
+}
+
+/// Waits for a process, which is killed at the time-out.
+fn wait(child: &mut Child) -> Result<ExitStatus, MeasureError> {
+    let started = Instant::now();
+    loop {
+        match child.try_wait() {
+            Ok(Some(status)) => return Ok(status),
+            Ok(None) if started.elapsed() < MEASURE_TIMEOUT => thread::sleep(Duration::from_millis(2)),
+            unfinished => {
+                // It fails where the process has ended meanwhile.
+                let _ = child.kill();
+                let _ = child.wait();
+                return Err(unfinished.map_or_else(MeasureError::Wait, |_| MeasureError::TimedOut));
+            }
+        }
+    }
+}
+
+fn find_measurement(report: &Value, name: &str, size: usize) -> Option<BuildMeasurement> {
+    let slope = report["results"].as_array()?.iter().find(|slope| slope["quantity"] == name)?;
+    let point = slope["points"].as_array()?.iter().find(|point| point["size"] == size)?;
+    let value = match point.get("value")? {
+        Value::Null => None,
+        value => Some(value.as_f64()?),
+    };
+    let commit = report["commit"].as_str()?.to_owned();
+    Some(BuildMeasurement { value, commit, modified: report["modified"].as_bool()? })
+}
--- a/fleet/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -148,7 +148,7 @@
     log_most: usize,
     /// The latest version whose changes are no longer in the log.
     forgotten: u64,
-    whole: Option<Answer>,
+    complete: Option<Answer>,
     /// Answers since earlier versions, as of the newest.
     changes: HashMap<u64, Answer>,
 }
@@ -175,7 +175,7 @@
             log: VecDeque::new(),
             log_most,
             forgotten: 1,
-            whole: None,
+            complete: None,
             changes: HashMap::new(),
         }
     }
@@ -292,30 +292,30 @@
             let Some((dropped, _)) = self.log.pop_front() else { break };
             self.forgotten = dropped;
         }
-        self.whole = None;
+        self.complete = None;
         self.changes.clear();
     }
 
     // ---- Answers
 
     /// The whole list: made once for each version.
-    pub fn whole(&mut self) -> Answer {
-        if let Some(whole) = &self.whole {
-            return whole.clone();
+    pub fn complete(&mut self) -> Answer {
+        if let Some(complete) = &self.complete {
+            return complete.clone();
         }
         // Those that left stand in no slot, but for machines that are gone and not replaced.
         let mut listed: BTreeSet<usize> = self.slots.iter().copied().collect();
         listed.extend((0..self.servers.len()).filter(|at| self.servers[*at].phase == Phase::Leaving));
         listed.retain(|at| self.servers[*at].phase != Phase::Left);
-        let whole = self.answer(true, listed);
-        self.whole = Some(whole.clone());
-        whole
+        let complete = self.answer(true, listed);
+        self.complete = Some(complete.clone());
+        complete
     }
 
     /// What changed since a version: the whole list where that is unknown or the log no longer reaches back to it.
     pub fn since(&mut self, revision: u64) -> Answer {
         if revision > self.revision() || revision < self.forgotten {
-            return self.whole();
+            return self.complete();
         }
         if let Some(answer) = self.changes.get(&revision) {
             return answer.clone();
--- a/fleet/src/tally.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -61,7 +61,7 @@
 
 /// Counts and times of some nodes.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct NodeCounters {
     /// From a version's coming to be until a node held it or a later one.
     pub lag: Times,
     /// From a node's start until it held a list.
@@ -79,7 +79,7 @@
     /// Answers of discovery that were read.
     pub lists: u64,
     /// Whole lists among them.
-    pub whole_lists: u64,
+    pub complete_lists: u64,
     /// Calls to discovery that failed or were silent.
     pub failed_calls: u64,
     /// Node starts.
@@ -98,7 +98,7 @@
     pub probes: u64,
 }
 
-impl Tally {
+impl NodeCounters {
     /// A node has gone from one version to a newer one. `published` tells when a version came to be.
     pub fn advanced(&mut self, now: Instant, from: u64, to: u64, published: impl Fn(u64) -> Option<Instant>) {
         let since = |version| published(version).map(|at| now.saturating_duration_since(at));
@@ -129,7 +129,7 @@
         }
         self.behind += other.behind;
         self.lists += other.lists;
-        self.whole_lists += other.whole_lists;
+        self.complete_lists += other.complete_lists;
         self.failed_calls += other.failed_calls;
         self.starts += other.starts;
         self.requests += other.requests;
--- a/fleet/src/discovery.rs
+++ b/crates/node-emulator/src/discovery.rs
@@ -19,7 +19,7 @@
 use crate::world::{accept, World};
 
 /// No watch waits longer.
-const WAIT_MOST: Duration = Duration::from_secs(60);
+const MAX_LONG_POLL: Duration = Duration::from_secs(60);
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
                 _ => return Err(StatusCode::BAD_REQUEST),
             }
         }
-        let wait = Duration::from_millis(wait_ms).min(WAIT_MOST);
+        let wait = Duration::from_millis(wait_ms).min(MAX_LONG_POLL);
         Ok(since.map_or(Self::Whole, |revision| Self::Since { revision, wait }))
     }
 }
@@ -99,16 +99,16 @@
         let _ = timeout(wait, world.newest().wait_for(|newest| *newest != revision)).await;
     }
     // An agent that is silent leaves the call open: the client gives up, and this future is dropped.
-    world.heard(region).await;
+    world.wait_until_answering(region).await;
     let mut catalogue = world.catalogue();
     let answer = match ask {
-        Ask::Whole => catalogue.whole(),
+        Ask::Whole => catalogue.complete(),
         Ask::Since { revision, .. } => catalogue.since(revision),
     };
     drop(catalogue);
     let count = match answer.members {
-        _ if answer.complete => &world.counts.whole_lists,
-        0 => &world.counts.no_news,
+        _ if answer.complete => &world.counts.complete_lists,
+        0 => &world.counts.unchanged,
         _ => &world.counts.changes,
     };
     count.fetch_add(1, Relaxed);
--- a/fleet/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod build;
 pub mod catalogue;
+pub mod counters;
 pub mod discovery;
 pub mod fit;
 pub mod node;
@@ -17,7 +18,6 @@
 pub mod server;
 pub mod slopes;
 pub mod steps;
-pub mod tally;
 pub mod traffic;
 pub mod usage;
 pub mod world;
--- a/fleet/src/main.rs
+++ b/crates/node-emulator/src/main.rs
@@ -1,15 +1,15 @@
-//! `fleet`: measures single quantities against size, and plays scenarios of the whole fleet.
+//! `node-emulator`: measures single quantities against size, and plays scenarios of the whole fleet.
 
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use fleet::quantity::Quantity;
-use fleet::report::{self, Report};
-use fleet::scenario::Scenario;
-use fleet::usage::{self, Memory};
-use fleet::{play, slopes};
+use node_emulator::quantity::Quantity;
+use node_emulator::report::{self, Report};
+use node_emulator::scenario::Scenario;
+use node_emulator::usage::{self, Memory};
+use node_emulator::{play, slopes};
 use tracing::Level;
 
 /// A model of the fleet that the node serves in.
@@ -99,7 +99,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("fleet: {error}");
+            eprintln!("node-emulator: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/node-emulator/src/node/thread.rs
@@ -0,0 +1,119 @@
+//! What the hollow nodes of one thread share: connections, counters and the plan.
+
+use super::{lock, KnownVersions, Plan, SharedCounters};
+use crate::catalogue::{self};
+use crate::world::World;
+use balancer::net::load_report::parse_load_report;
+use balancer::{AttemptOutcome, LoadReport, ServerId};
+use bytes::Bytes;
+use http_body_util::{BodyExt, Empty, Limited};
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::StatusCode;
+use hyper_util::rt::TokioIo;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+use tokio::sync::{watch, Semaphore};
+use tokio::time::timeout;
+
+/// How often a thread sees how late it is.
+pub(super) const LATENESS_INTERVAL: Duration = Duration::from_millis(50);
+
+/// An answer of a hollow server is no longer than this.
+pub(super) const MAX_ANSWER_BYTES: usize = 1 << 10;
+
+/// Idle connections kept to the servers of one rack, for all nodes of a thread.
+pub(super) const MAX_IDLE_CONNECTIONS: usize = 32;
+
+/// The nodes of one thread and what they share.
+pub(super) struct NodeThread {
+    pub(super) plan: Arc<Plan>,
+    pub(super) world: Arc<World>,
+    pub(super) zones: Vec<String>,
+    pub(super) counters: SharedCounters,
+    pub(super) idle: RefCell<HashMap<SocketAddr, Vec<SendRequest<Empty<Bytes>>>>>,
+    /// Raised for good when clients come.
+    pub(super) open: watch::Receiver<bool>,
+    /// Versions held by the nodes that run, for who waits until all have the newest.
+    pub(super) held: Arc<KnownVersions>,
+    pub(super) starting: Semaphore,
+}
+
+impl NodeThread {
+    pub(super) async fn measure_lateness(self: Rc<Self>) {
+        loop {
+            let due = Instant::now() + LATENESS_INTERVAL;
+            tokio::time::sleep_until(due.into()).await;
+            lock(&self.counters).late.add(due.elapsed());
+        }
+    }
+
+    /// The longest that an attempt may take.
+    pub(super) fn longest(&self) -> Duration {
+        let longest = self.plan.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
+        Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default()
+    }
+
+    pub(super) async fn call(
+        &self,
+        server: ServerId,
+        region: usize,
+        path: &str,
+    ) -> (AttemptOutcome, Option<LoadReport>) {
+        let call = self.exchange(server, region, path);
+        timeout(self.longest(), call).await.unwrap_or((AttemptOutcome::TimedOut, None))
+    }
+
+    pub(super) async fn exchange(
+        &self,
+        server: ServerId,
+        region: usize,
+        path: &str,
+    ) -> (AttemptOutcome, Option<LoadReport>) {
+        let Some(address) = self.world.catalogue().address(server.0) else {
+            return (AttemptOutcome::Unreachable, None);
+        };
+        let Some(mut sender) = self.connection(address).await else {
+            return (AttemptOutcome::Unreachable, None);
+        };
+        let request = hyper::Request::get(path).header("Host", catalogue::name(server.0));
+        let request = request.header("X-From", region).body(Empty::new()).expect("a sound request");
+        let Ok(response) = sender.send_request(request).await else { return (AttemptOutcome::Reset, None) };
+        let (head, body) = response.into_parts();
+        let complete = Limited::new(body, MAX_ANSWER_BYTES).collect().await.is_ok();
+        let mut idle = self.idle.borrow_mut();
+        let idle = idle.entry(address).or_default();
+        if complete && idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(sender);
+        }
+        let report =
+            head.headers.get("x-load").and_then(|load| load.to_str().ok()).and_then(parse_load_report);
+        let outcome = match head.status {
+            _ if !complete => AttemptOutcome::Reset,
+            StatusCode::OK => AttemptOutcome::Served,
+            // Stands for a refused connection.
+            StatusCode::GONE => AttemptOutcome::Unreachable,
+            _ => AttemptOutcome::Error,
+        };
+        (outcome, report)
+    }
+
+    pub(super) async fn connection(&self, address: SocketAddr) -> Option<SendRequest<Empty<Bytes>>> {
+        loop {
+            let kept = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
+            let Some(mut kept) = kept else { break };
+            if kept.ready().await.is_ok() {
+                return Some(kept);
+            }
+        }
+        let stream = TcpStream::connect(address).await.ok()?;
+        stream.set_nodelay(true).ok()?;
+        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
+        tokio::task::spawn_local(connection);
+        Some(sender)
+    }
+}
--- /dev/null
+++ b/crates/node-emulator/src/play/running_fleet.rs
@@ -0,0 +1,170 @@
+//! All threads of a play, from their start to their end.
+
+use super::{Options, PlayError};
+use crate::catalogue::Catalogue;
+use crate::counters::NodeCounters;
+use crate::node::{self, Command, KnownVersions, Plan, SharedCounters};
+use crate::scenario::Scenario;
+use crate::world::{self, World};
+use crate::{discovery, server};
+use balancer::DecisionSettings;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::sync::{Arc, Mutex};
+use std::thread::{self, JoinHandle};
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+use tokio::task::LocalSet;
+
+/// Second byte of the loopback addresses of discovery's agents, and of the racks.
+const AGENT_NETWORK: u8 = 10;
+const RACK_NETWORK: u8 = 20;
+
+/// All threads of a play.
+pub(super) struct RunningFleet {
+    pub(super) world: Arc<World>,
+    pub(super) known_versions: Arc<KnownVersions>,
+    /// One for each thread of nodes.
+    pub(super) counters: Vec<SharedCounters>,
+    commands: Vec<mpsc::UnboundedSender<Command>>,
+    /// Raised for good when clients begin to send.
+    pub(super) open: watch::Sender<bool>,
+    /// Raised when the threads are to end.
+    over: watch::Sender<bool>,
+    threads: Vec<JoinHandle<io::Result<()>>>,
+}
+
+pub(super) fn runtime() -> io::Result<tokio::runtime::Runtime> {
+    tokio::runtime::Builder::new_current_thread().enable_all().build()
+}
+
+/// Listeners at the first addresses of a network.
+fn listeners(network: u8, count: usize) -> io::Result<Vec<TcpListener>> {
+    let listener = |index: usize| {
+        let [.., third, fourth] = (index as u32 + 1).to_be_bytes();
+        world::listen(Ipv4Addr::new(127, network, third, fourth))
+    };
+    (0..count).map(listener).collect()
+}
+
+fn addresses(listeners: &[TcpListener]) -> io::Result<Vec<SocketAddr>> {
+    listeners.iter().map(TcpListener::local_addr).collect()
+}
+
+impl RunningFleet {
+    /// Starts discovery, the servers and all nodes of a scenario.
+    pub(super) fn start(
+        scenario: &Scenario,
+        settings: DecisionSettings,
+        options: Options,
+    ) -> Result<Self, PlayError> {
+        let size = scenario.size;
+        let agents = listeners(AGENT_NETWORK, size.regions)?;
+        let racks = listeners(RACK_NETWORK, size.racks)?;
+        let catalogue = Catalogue::new(size, addresses(&racks)?, scenario.load.log_entries);
+        let plan = Plan {
+            size,
+            seed: scenario.seed,
+            agents: addresses(&agents)?,
+            settings,
+            requests_per_s: scenario.load.requests_per_s / size.nodes as f64,
+        };
+        let mut fleet = Self {
+            world: Arc::new(World::new(catalogue)),
+            known_versions: Arc::new(KnownVersions::new(size.nodes)),
+            counters: Vec::new(),
+            commands: Vec::new(),
+            open: watch::Sender::new(false),
+            over: watch::Sender::new(false),
+            threads: Vec::new(),
+        };
+        fleet.spawn_discovery(agents)?;
+        fleet.spawn_servers(racks, Duration::from_secs_f64(scenario.load.service_ms / 1000.0))?;
+        let plan = Arc::new(plan);
+        for thread in 0..options.node_threads.clamp(1, size.nodes) {
+            fleet.spawn_nodes(thread, &plan)?;
+        }
+        (0..size.nodes).for_each(|number| fleet.start_node(number));
+        Ok(fleet)
+    }
+
+    fn spawn_discovery(&mut self, agents: Vec<TcpListener>) -> io::Result<()> {
+        let world = Arc::clone(&self.world);
+        self.spawn("discovery-0", move || async move {
+            for (region, listener) in agents.into_iter().enumerate() {
+                tokio::task::spawn_local(discovery::serve(listener, Arc::clone(&world), region));
+            }
+            std::future::pending().await
+        })
+    }
+
+    fn spawn_servers(&mut self, racks: Vec<TcpListener>, service_time: Duration) -> io::Result<()> {
+        let world = Arc::clone(&self.world);
+        self.spawn("server-0", move || async move {
+            for listener in racks {
+                tokio::task::spawn_local(server::serve(listener, Arc::clone(&world), service_time));
+            }
+            std::future::pending().await
+        })
+    }
+
+    fn spawn_nodes(&mut self, thread: usize, plan: &Arc<Plan>) -> io::Result<()> {
+        let counters: SharedCounters = Arc::new(Mutex::new(NodeCounters::default()));
+        let (commands, received) = mpsc::unbounded_channel();
+        let (plan, world) = (Arc::clone(plan), Arc::clone(&self.world));
+        let (known_versions, open) = (Arc::clone(&self.known_versions), self.open.subscribe());
+        self.counters.push(Arc::clone(&counters));
+        self.commands.push(commands);
+        self.spawn(&format!("node-{thread}"), move || {
+            node::run(plan, world, counters, known_versions, open, received)
+        })
+    }
+
+    /// A thread with an event loop of its own, until the play is over.
+    fn spawn<F: std::future::Future<Output = ()>>(
+        &mut self,
+        name: &str,
+        work: impl FnOnce() -> F + Send + 'static,
+    ) -> io::Result<()> {
+        let mut over = self.over.subscribe();
+        let thread = thread::Builder::new().name(name.to_owned()).spawn(move || {
+            let runtime = runtime()?;
+            LocalSet::new().block_on(&runtime, async move {
+                tokio::select! {
+                    () = work() => {}
+                    _ = over.wait_for(|over| *over) => {}
+                }
+            });
+            Ok(())
+        })?;
+        self.threads.push(thread);
+        Ok(())
+    }
+
+    /// Starts a node, after ending it where it runs.
+    pub(super) fn start_node(&self, number: usize) {
+        // It fails where the thread has panicked, which the end of the play reports.
+        let _ = self.commands[number % self.commands.len()].send(Command::Start(number));
+    }
+
+    /// Ends all threads.
+    pub(super) fn end(self) -> Result<(), PlayError> {
+        self.over.send_replace(true);
+        drop(self.commands);
+        for thread in self.threads {
+            thread.join().map_err(|_| PlayError::Panicked)??;
+        }
+        Ok(())
+    }
+
+    /// Nodes that have no list yet.
+    pub(super) fn without_list(&self) -> usize {
+        self.known_versions.versions().filter(|version| *version == 0).count()
+    }
+
+    /// Nodes that are not on the newest version.
+    pub(super) fn behind(&self) -> usize {
+        let newest = self.world.catalogue().revision();
+        self.known_versions.versions().filter(|version| *version < newest).count()
+    }
+}
--- /dev/null
+++ b/crates/node-emulator/src/play/table.rs
@@ -0,0 +1,91 @@
+//! The table that a play ends with.
+
+use super::results::{Played, Results};
+use crate::counters::Summary;
+use crate::scenario::Scenario;
+use std::fmt::Write as _;
+
+/// Rows of a name and a value.
+#[derive(Default)]
+struct Table(String);
+
+impl Table {
+    fn row(&mut self, name: &str, value: impl std::fmt::Display) {
+        // Writing to a string does not fail.
+        let _ = writeln!(self.0, "{name:<28} {value}");
+    }
+}
+
+/// The short table that a play ends with.
+#[must_use]
+pub fn table(scenario: &Scenario, played: &Played) -> String {
+    let mut table = Table::default();
+    add_course(&mut table, scenario, &played.results);
+    add_requests(&mut table, &played.results);
+    add_resources(&mut table, played);
+    table.0
+}
+
+fn times(s: &Summary) -> String {
+    format!("p50 {:.1}  p99 {:.1}  max {:.1} ms  ({})", s.p50_ms, s.p99_ms, s.max_ms, s.count)
+}
+
+fn add_course(table: &mut Table, scenario: &Scenario, r: &Results) {
+    let size = scenario.size;
+    table.row("scenario", format!("{} (seed {})", scenario.name, scenario.seed));
+    table.row("nodes, servers, services", format!("{}, {}, {}", size.nodes, size.servers, size.services));
+    table.row("first lists, play", format!("{:.1} s, {:.1} s", r.start_seconds, r.seconds));
+    table.row("steps, versions", format!("{}, {} ({} reached)", r.steps, r.versions, r.versions_reached));
+    table.row("a node on a version", times(&r.node_lag));
+    table.row("all nodes on a version", times(&r.all_nodes_lag));
+    table.row("nodes behind at the end", r.nodes_behind_at_end);
+    table.row("on an old version", format!("{:.1} node seconds", r.node_seconds_behind));
+    table.row("decisions take a list", times(&r.take_list));
+    table.row("decisions take a request", times(&r.take_request));
+    table.row("node threads wake late by", times(&r.late));
+    let a = &r.answers;
+    let (complete, changes, unchanged) = (a.complete_lists, a.change_answers, a.no_news_answers);
+    table.row(
+        "answers of discovery",
+        format!("{complete} whole lists, {changes} changes, {unchanged} no news"),
+    );
+    table.row("failed calls to it", r.failed_calls);
+    if r.node_starts > 0 {
+        table.row("node starts, first list", format!("{}, {}", r.node_starts, times(&r.restart)));
+    }
+}
+
+fn add_requests(table: &mut Table, r: &Results) {
+    table.row(
+        "requests",
+        format!("{}: {} served, {} refused, {} failed", r.requests, r.served, r.refused, r.failed),
+    );
+    let a = &r.answers;
+    let (left, draining, silent) = (a.sends_to_left, a.sends_to_draining, a.sends_to_silent);
+    table.row(
+        "sends",
+        format!("{}: {left} to left, {draining} to draining, {silent} to silent servers", r.sends),
+    );
+}
+
+fn add_resources(table: &mut Table, played: &Played) {
+    for (role, sums) in &played.traffic {
+        let (received, sent) = (sums.received_bytes, sums.sent_bytes);
+        let (messages, connections) = (sums.messages, sums.connections);
+        table.row(
+            &format!("{role}: bytes in, out"),
+            format!("{received}, {sent}; {messages} messages, {connections} new connections"),
+        );
+    }
+    for (role, seconds) in &played.cpu_seconds {
+        table.row(&format!("{role}: processor"), format!("{seconds:.2} s"));
+    }
+    let r = &played.results;
+    let (bytes, core) = (r.control_bytes_per_node_s, r.core_percent_per_node);
+    table.row("for one node", format!("{bytes:.0} bytes/s from discovery, {core:.3}% of a core"));
+    let mib = |bytes: u64| bytes >> 20;
+    table.row(
+        "memory",
+        format!("{} MiB, {} at the peak", mib(played.memory.resident), mib(played.memory.peak)),
+    );
+}
--- /dev/null
+++ b/crates/node-emulator/src/play/timeline.rs
@@ -0,0 +1,157 @@
+//! The course of a play: the first lists, the steps at their times, and the wait until all nodes have caught up.
+
+use super::results::{count_since, since, Played, Results};
+use super::running_fleet::RunningFleet;
+use super::{Options, PlayError};
+use crate::counters::NodeCounters;
+use crate::node::lock;
+use crate::scenario::Scenario;
+use crate::steps::{steps, Timed};
+use crate::traffic::Sums;
+use crate::usage::{self, Memory};
+use crate::world::CountSums;
+use std::collections::{BTreeMap, HashMap};
+use std::time::{Duration, Instant};
+use tokio::time::{sleep, sleep_until, Interval};
+
+/// Progress is logged this often.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
+/// How often the play checks whether all nodes have a list, or the newest one.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Readings at the begin of a play, when all nodes have a list.
+struct StartReadings {
+    cpu_seconds: BTreeMap<String, f64>,
+    traffic: BTreeMap<String, Sums>,
+    answers: CountSums,
+    revision: u64,
+}
+
+/// A play that runs.
+struct Run<'a> {
+    fleet: &'a RunningFleet,
+    scenario: &'a Scenario,
+    began_at: tokio::time::Instant,
+    progress: Interval,
+    steps_done: usize,
+}
+
+impl RunningFleet {
+    /// Plays a scenario to its end.
+    pub(super) async fn run(&self, scenario: &Scenario, options: Options) -> Result<Played, PlayError> {
+        let started_at = Instant::now();
+        self.wait_for_first_lists(scenario, options).await?;
+        let start_seconds = started_at.elapsed().as_secs_f64();
+        tracing::info!(nodes = scenario.size.nodes, start_seconds, "all nodes have a list");
+        // The start has its own figures; the play's begin here.
+        self.counters.iter().for_each(|counters| *lock(counters) = NodeCounters::default());
+        let readings = StartReadings {
+            cpu_seconds: usage::seconds_by_role(),
+            traffic: self.traffic(),
+            answers: self.world.counts.sums(),
+            revision: self.world.catalogue().revision(),
+        };
+        let steps = steps(scenario);
+        let mut run = Run::begin(self, scenario);
+        run.carry_out(&steps).await;
+        run.wait_for_newest_version().await;
+        let seconds = run.began_at.elapsed().as_secs_f64();
+        Ok(self.finish(scenario, &readings, (start_seconds, seconds), &steps))
+    }
+
+    async fn wait_for_first_lists(&self, scenario: &Scenario, options: Options) -> Result<(), PlayError> {
+        let started_at = Instant::now();
+        let mut reported_at = started_at;
+        loop {
+            let (without, nodes) = (self.without_list(), scenario.size.nodes);
+            let within_s = options.start_most_s;
+            if started_at.elapsed() >= Duration::from_secs(within_s) {
+                let complete_lists = self.world.counts.sums().complete_lists;
+                let sent_bytes = self.world.discovery.sums().sent_bytes;
+                return Err(PlayError::NeverListed { without, nodes, within_s, complete_lists, sent_bytes });
+            }
+            if without == 0 {
+                return Ok(());
+            }
+            if reported_at.elapsed() > PROGRESS_INTERVAL {
+                reported_at = Instant::now();
+                tracing::info!(without, nodes, "waiting for the first lists");
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+
+    /// Puts together what the play measured.
+    fn finish(
+        &self,
+        scenario: &Scenario,
+        start: &StartReadings,
+        (start_seconds, seconds): (f64, f64),
+        steps: &[Timed],
+    ) -> Played {
+        let memory = Memory::now();
+        let cpu_seconds = since(&usage::seconds_by_role(), &start.cpu_seconds);
+        let traffic: BTreeMap<_, _> = self.traffic();
+        let traffic: BTreeMap<_, _> =
+            traffic.iter().map(|(role, sums)| (role.clone(), sums.since(start.traffic[role]))).collect();
+        let answers = count_since(self.world.counts.sums(), start.answers);
+        let mut counters = NodeCounters::default();
+        self.counters.iter().for_each(|of_thread| counters.merge(&lock(of_thread)));
+        let times = (start_seconds, seconds);
+        let results = self.results(&counters, start.revision, times, steps, answers);
+        let nodes = scenario.size.nodes as f64;
+        let results = Results {
+            control_bytes_per_node_s: traffic["discovery"].sent_bytes as f64 / nodes / seconds,
+            core_percent_per_node: 100.0 * cpu_seconds.get("node").copied().unwrap_or(0.0) / nodes / seconds,
+            ..results
+        };
+        Played { results, cpu_seconds, traffic, memory }
+    }
+}
+
+impl<'a> Run<'a> {
+    /// Lets clients send.
+    fn begin(fleet: &'a RunningFleet, scenario: &'a Scenario) -> Self {
+        let began_at = tokio::time::Instant::now();
+        fleet.open.send_replace(true);
+        let progress = tokio::time::interval_at(began_at + PROGRESS_INTERVAL, PROGRESS_INTERVAL);
+        Self { fleet, scenario, began_at, progress, steps_done: 0 }
+    }
+
+    fn ends_at(&self) -> tokio::time::Instant {
+        self.began_at + Duration::from_secs_f64(self.scenario.duration_s)
+    }
+
+    fn log_progress(&self) {
+        let (at_s, behind) = (self.began_at.elapsed().as_secs(), self.fleet.behind());
+        tracing::info!(at_s, of_s = self.scenario.duration_s, steps = self.steps_done, behind, "playing");
+    }
+
+    /// Carries out the steps at their times, until the end of the play.
+    async fn carry_out(&mut self, steps: &[Timed]) {
+        let mut batches = HashMap::new();
+        loop {
+            let next = steps.get(self.steps_done);
+            let due = next.map_or(self.ends_at(), |(at, _)| (self.began_at + *at).min(self.ends_at()));
+            tokio::select! {
+                () = sleep_until(due) => {
+                    let Some((_, step)) = next else { return };
+                    self.fleet.carry_out(step, &mut batches);
+                    self.steps_done += 1;
+                }
+                _ = self.progress.tick() => self.log_progress(),
+            }
+        }
+    }
+
+    /// Waits until all nodes have the newest version, at most as long as the scenario allows.
+    async fn wait_for_newest_version(&mut self) {
+        let until = self.ends_at() + Duration::from_secs_f64(self.scenario.settle_s);
+        while self.fleet.behind() > 0 && tokio::time::Instant::now() < until {
+            tokio::select! {
+                () = sleep(POLL_INTERVAL) => {}
+                _ = self.progress.tick() => self.log_progress(),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/node-emulator/src/scenario/check.rs
@@ -0,0 +1,117 @@
+//! Checks a scenario file, and finds the line and key of a fault.
+
+use super::event::check_event;
+use super::file::{RawLoad, RawScenario, RawSize};
+use super::{Load, Scenario};
+use crate::catalogue::Size;
+use std::ops::Range;
+use toml::Spanned;
+
+/// Nodes have so long to come to the newest version after the play, where the scenario says nothing.
+pub(super) const SETTLE_S: f64 = 30.0;
+
+/// Each region has an address of its own.
+pub(super) const MAX_REGIONS: usize = 250;
+
+/// A play is no longer than a day, in seconds.
+pub(super) const LONGEST_S: f64 = 86_400.0;
+
+/// No size is larger.
+pub(super) const MAX_SIZE: usize = 1_000_000;
+
+/// A fault at a place of the text.
+pub(super) struct Fault {
+    pub(super) at: Range<usize>,
+    pub(super) key: String,
+    pub(super) why: String,
+}
+
+pub(super) fn fault<T>(at: Range<usize>, key: &str, why: impl Into<String>) -> Result<T, Fault> {
+    Err(Fault { at, key: key.into(), why: why.into() })
+}
+
+pub(super) fn line_of(text: &str, at: usize) -> usize {
+    1 + text.bytes().take(at).filter(|byte| *byte == b'\n').count()
+}
+
+/// What the TOML reader has to say. It names a key only where that is missing or unknown; otherwise the key is the
+/// one of the line.
+pub(super) fn toml_fault(text: &str, error: &toml::de::Error) -> Fault {
+    let at = error.span().unwrap_or(0..0);
+    let why = error.message().to_owned();
+    let named = ["missing field `", "unknown field `", "duplicate key `"].iter();
+    let mut named = named.filter_map(|before| why.split_once(before)?.1.split_once('`')).map(|(key, _)| key);
+    let line = text.lines().nth(line_of(text, at.start) - 1).unwrap_or_default();
+    let of_line = line.split_once('=').map_or(line, |(key, _)| key).trim();
+    let key = named.next_back().unwrap_or(of_line).to_owned();
+    Fault { at, key, why }
+}
+
+pub(super) fn check_scenario(raw: RawScenario) -> Result<Scenario, Fault> {
+    let name = raw.name.get_ref();
+    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    if name.is_empty() || name.len() > 64 || !name.chars().all(plain) {
+        return fault(raw.name.span(), "name", "must be 1 to 64 letters, digits, `-` or `_`");
+    }
+    let duration_s = within(&raw.duration_s, "duration_s", 0.1, LONGEST_S)?;
+    let settle_s = raw.settle_s.as_ref();
+    let settle_s = settle_s.map_or(Ok(SETTLE_S), |value| within(value, "settle_s", 0.0, LONGEST_S))?;
+    let size = check_size(&raw.size)?;
+    let load = check_load(&raw.load)?;
+    let events = raw.event.into_iter().map(|event| check_event(event, size, duration_s));
+    Ok(Scenario {
+        name: raw.name.into_inner(),
+        seed: raw.seed,
+        duration_s,
+        settle_s,
+        size,
+        load,
+        events: events.collect::<Result<_, _>>()?,
+    })
+}
+
+pub(super) fn check_size(raw: &RawSize) -> Result<Size, Fault> {
+    let count = |value: &Spanned<usize>, key, least: usize, why: &str, most: usize| match *value.get_ref() {
+        n if n < least || n == 0 => fault(value.span(), key, format!("must be at least {why}")),
+        n if n > most => fault(value.span(), key, format!("must be {most} at most")),
+        n => Ok(n),
+    };
+    let regions = count(&raw.regions, "size.regions", 1, "1", MAX_REGIONS)?;
+    let zones = count(&raw.zones, "size.zones", regions, "the number of regions", MAX_SIZE)?;
+    let racks = count(&raw.racks, "size.racks", zones, "the number of zones", 1 << 16)?;
+    let services = count(&raw.services, "size.services", 1, "1", MAX_SIZE)?;
+    let least = racks.max(services);
+    let servers =
+        count(&raw.servers, "size.servers", least, "the number of racks and of services", MAX_SIZE)?;
+    let nodes = count(&raw.nodes, "size.nodes", 1, "1", MAX_SIZE)?;
+    Ok(Size { regions, zones, racks, services, servers, nodes })
+}
+
+pub(super) fn check_load(raw: &RawLoad) -> Result<Load, Fault> {
+    let figure = |value: &Option<Spanned<f64>>, key, usual: f64, least, most| {
+        value.as_ref().map_or(Ok(usual), |value| within(value, key, least, most))
+    };
+    let complete = |value: &Option<Spanned<usize>>, key, usual: usize| match value {
+        Some(value) if *value.get_ref() == 0 || *value.get_ref() > MAX_SIZE => {
+            fault(value.span(), key, format!("must be 1 to {MAX_SIZE}"))
+        }
+        value => Ok(value.as_ref().map_or(usual, |value| *value.get_ref())),
+    };
+    Ok(Load {
+        requests_per_s: figure(&raw.requests_per_s, "load.requests_per_s", 0.0, 0.0, 1e6)?,
+        service_ms: figure(&raw.service_ms, "load.service_ms", 5.0, 0.0, 60_000.0)?,
+        aim_ms: figure(&raw.aim_ms, "load.aim_ms", 80.0, 1.0, 60_000.0)?,
+        deadline_ms: figure(&raw.deadline_ms, "load.deadline_ms", 400.0, 1.0, 60_000.0)?,
+        drain_grace_ms: figure(&raw.drain_grace_ms, "load.drain_grace_ms", 2_000.0, 0.0, 60_000.0)?,
+        max_attempts: complete(&raw.max_attempts, "load.max_attempts", 3)?,
+        log_entries: complete(&raw.log_entries, "load.log_entries", 65_536)?,
+    })
+}
+
+pub(super) fn within(value: &Spanned<f64>, key: &str, least: f64, most: f64) -> Result<f64, Fault> {
+    let figure = *value.get_ref();
+    if figure.is_finite() && (least..=most).contains(&figure) {
+        return Ok(figure);
+    }
+    fault(value.span(), key, format!("must be {least} to {most}"))
+}
--- a/fleet/src/server.rs
+++ b/crates/node-emulator/src/server.rs
@@ -37,12 +37,12 @@
 }
 
 /// A request that a server holds.
-struct Held<'a> {
+struct InFlightRequest<'a> {
     world: &'a World,
     number: usize,
 }
 
-impl<'a> Held<'a> {
+impl<'a> InFlightRequest<'a> {
     fn new(world: &'a World, number: usize) -> Self {
         if let Some(server) = world.catalogue().server(number) {
             server.in_flight += 1;
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for InFlightRequest<'_> {
     fn drop(&mut self) {
         if let Some(server) = self.world.catalogue().server(self.number) {
             server.in_flight = server.in_flight.saturating_sub(1);
@@ -73,11 +73,11 @@
     };
     match world.reach(from, number) {
         Reach::Gone => {
-            world.counts.to_left.fetch_add(1, Relaxed);
+            world.counts.to_removed.fetch_add(1, Relaxed);
             return Ok(respond(StatusCode::GONE, None));
         }
         Reach::Silent => {
-            world.counts.to_silent.fetch_add(1, Relaxed);
+            world.counts.to_unresponsive.fetch_add(1, Relaxed);
             // Until the client gives up: then this future is dropped.
             std::future::pending::<()>().await;
         }
@@ -87,11 +87,11 @@
     if draining {
         world.counts.to_draining.fetch_add(1, Relaxed);
     }
-    let held = Held::new(world, number);
+    let in_flight_request = InFlightRequest::new(world, number);
     if request.uri().path() != "/_load" {
         tokio::time::sleep(service_time).await;
     }
-    drop(held);
+    drop(in_flight_request);
     let in_flight = world.catalogue().server(number).map_or(0, |server| server.in_flight);
     Ok(respond(StatusCode::OK, Some(in_flight)))
 }
--- /dev/null
+++ b/crates/node-emulator/src/slopes/decisions.rs
@@ -0,0 +1,185 @@
+//! Times of the decisions by size, and the servers that a node connects to.
+
+use super::bench::Bench;
+use super::model::{balancer, config, entries, fleet, nodes, read, MAX_NODES};
+use super::{micros, SlopesError};
+use crate::catalogue::Catalogue;
+use balancer::net::node::Node;
+use balancer::{
+    wire, AttemptEnd, AttemptOutcome, Balancer, BalancerAction, BalancerEvent, ClientRequest, EndpointUpdate,
+    LoadReport, RequestId,
+};
+use serde::Deserialize as _;
+use serde_json::json;
+use std::collections::HashSet;
+use std::hint::black_box;
+use std::time::Instant;
+
+/// Requests at one node in a second: 120,000 over 2,000 nodes.
+pub(super) const REQUESTS_A_SECOND: f64 = 60.0;
+
+/// Requests of a minute: a connection that is not used for as long is closed.
+pub(super) const REQUESTS_A_MINUTE: u64 = 3_600;
+
+pub(super) fn tenant_start(tenants: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
+    let parties: Vec<_> =
+        (0..tenants).map(|i| json!({ "name": format!("tenant-{i}"), "quota_per_s": 10.0 })).collect();
+    let classes = json!([{ "name": "all", "aim_ms": 80.0, "deadline_ms": 400.0, "effect": "safe" }]);
+    let text = json!({ "classes": classes, "parties": parties }).to_string();
+    let measure = |_| {
+        let begun = Instant::now();
+        let facts = serde_json::Value::deserialize(&mut serde_json::Deserializer::from_str(&text));
+        let facts = facts.map_err(|error| SlopesError::Broken(error.to_string()))?;
+        let settings = wire::read_settings(&facts).map_err(|error| SlopesError::Broken(error.to_string()))?;
+        let balancer = Balancer::new(settings, 1).map_err(|error| SlopesError::Broken(error.to_string()))?;
+        let time = begun.elapsed();
+        drop(black_box(balancer));
+        Ok(micros(time))
+    };
+    (0..repeats).map(measure).collect()
+}
+
+impl Bench {
+    pub(super) fn node_start(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
+        let size = fleet(servers);
+        let body = Catalogue::unheard(size).complete().body;
+        let measure = |_| {
+            let config = config(size, self.seed, read(&body)?);
+            let begun = Instant::now();
+            let node = Node::start(config).map_err(|error| SlopesError::Broken(error.to_string()))?;
+            let time = begun.elapsed();
+            drop(node);
+            Ok(micros(time))
+        };
+        (0..repeats).map(measure).collect()
+    }
+
+    pub(super) fn whole_list(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
+        let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
+        let mut balancer = balancer(nodes(servers), self.seed)?;
+        let mut actions = Vec::new();
+        // The first list builds what the later ones replace.
+        balancer.handle(
+            0.0,
+            BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
+            &mut actions,
+        );
+        let mut measure = || {
+            let event = BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone()));
+            let begun = Instant::now();
+            balancer.handle(1_000.0, event, &mut actions);
+            micros(begun.elapsed())
+        };
+        Ok((0..repeats).map(|_| measure()).collect())
+    }
+
+    pub(super) fn one_change(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
+        let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
+        let mut random = fastrand::Rng::with_seed(self.seed);
+        let mut balancer = balancer(nodes(servers), self.seed)?;
+        let mut actions = Vec::new();
+        balancer.handle(
+            0.0,
+            BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
+            &mut actions,
+        );
+        // In turn a server begins to drain, and is back.
+        let mut measure = |_| {
+            let mut changed = entries[random.usize(..entries.len())].clone();
+            let back = changed.clone();
+            changed.availability = balancer::Availability::Draining;
+            let begun = Instant::now();
+            balancer.handle(
+                1_000.0,
+                BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![changed])),
+                &mut actions,
+            );
+            balancer.handle(
+                1_000.0,
+                BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![back])),
+                &mut actions,
+            );
+            micros(begun.elapsed()) / 2.0
+        };
+        Ok((0..repeats * 4).map(&mut measure).collect())
+    }
+
+    pub(super) fn request(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
+        let mut service = Service::new(servers, nodes(servers), self.seed)?;
+        let mut next = 0;
+        let mut run = |requests: u64| {
+            let begun = Instant::now();
+            for _ in 0..requests {
+                next += 1;
+                black_box(service.serve(next, next as f64 * 1000.0 / REQUESTS_A_SECOND));
+            }
+            micros(begun.elapsed()) / requests as f64
+        };
+        run(500);
+        Ok((0..repeats).map(|_| run(500)).collect())
+    }
+
+    /// Servers that a node sends to within a minute, its requests spread over services at random.
+    pub(super) fn connections(&self, services: usize, servers: usize) -> Result<f64, SlopesError> {
+        let mut random = fastrand::Rng::with_seed(self.seed);
+        let nodes = if services == 1 { nodes(servers) } else { MAX_NODES };
+        let service = |i| Service::new(servers, nodes, self.seed + i as u64);
+        let mut all = (0..services).map(service).collect::<Result<Vec<_>, _>>()?;
+        let mut met = HashSet::new();
+        for request in 1..=REQUESTS_A_MINUTE {
+            let at = random.usize(0..services);
+            let server = all[at].serve(request, request as f64 * 1000.0 / REQUESTS_A_SECOND);
+            met.extend(server.map(|server| (at, server)));
+        }
+        Ok(met.len() as f64)
+    }
+}
+
+/// The servers of one service and the decisions of a node about them.
+pub(super) struct Service {
+    pub(super) balancer: Balancer,
+    pub(super) random: fastrand::Rng,
+    pub(super) actions: Vec<BalancerAction>,
+}
+
+impl Service {
+    pub(super) fn new(servers: usize, nodes: usize, seed: u64) -> Result<Self, SlopesError> {
+        let mut balancer = balancer(nodes, seed)?;
+        let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
+        balancer.handle(
+            0.0,
+            BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries)),
+            &mut Vec::new(),
+        );
+        Ok(Self { balancer, random: fastrand::Rng::with_seed(!seed), actions: Vec::new() })
+    }
+
+    /// A request that comes at `now` to servers that hold one to three requests each, and take the longer the more:
+    /// where it was sent.
+    pub(super) fn serve(&mut self, id: u64, now: f64) -> Option<usize> {
+        let request = RequestId(id);
+        self.actions.clear();
+        self.balancer.handle(
+            now,
+            BalancerEvent::RequestArrived(ClientRequest::new(request, 0, 400.0)),
+            &mut self.actions,
+        );
+        let sent = self.actions.iter().find_map(|action| match action {
+            BalancerAction::Send { server, .. } => Some(server.0),
+            _ => None,
+        })?;
+        let held = f64::from(self.random.u8(1..=3));
+        let elapsed_ms = 5.0 * held * (0.5 + self.random.f64());
+        let report = Some(LoadReport { in_flight: Some(held), queued: None });
+        let attempt_end = AttemptEnd {
+            request,
+            attempt: 0,
+            elapsed_ms,
+            outcome: AttemptOutcome::Served,
+            complete: true,
+            report,
+        };
+        self.balancer.handle(now + elapsed_ms, BalancerEvent::AttemptEnded(attempt_end), &mut self.actions);
+        Some(sent)
+    }
+}
--- /dev/null
+++ b/crates/node-emulator/src/slopes/model.rs
@@ -0,0 +1,80 @@
+//! The fleets of a given size that are measured, and what their nodes are configured with.
+
+use super::SlopesError;
+use crate::catalogue::{zone_names, Catalogue, Size, KIND};
+use crate::node::{listing, read_list};
+use balancer::net::config::{Config, SettingNames};
+use balancer::net::list::ServerList;
+use balancer::{Balancer, DecisionSettings, EndpointUpdate, Idempotency, RequestClass, ServerEntry};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::time::Duration;
+
+/// The nodes of the whole fleet; smaller fleets have three nodes for two servers, as the bench's do.
+pub(super) const MAX_NODES: usize = 2_000;
+
+/// Servers of a service, on average.
+pub(super) const SERVERS_A_SERVICE: usize = 32;
+
+/// A fleet of so many servers of a single service, its other sizes in proportion.
+pub(super) fn fleet(servers: usize) -> Size {
+    let zones = 10.min(servers);
+    Size {
+        regions: 4.min(zones),
+        zones,
+        racks: (servers / 50).max(zones),
+        services: (servers / SERVERS_A_SERVICE).max(1),
+        servers,
+        nodes: nodes(servers),
+    }
+}
+
+pub(super) fn nodes(servers: usize) -> usize {
+    (servers * 3 / 2).clamp(1, MAX_NODES)
+}
+
+pub(super) fn settings(nodes: usize) -> DecisionSettings {
+    let mut settings = DecisionSettings::new(vec![RequestClass::new(80.0, 400.0, Idempotency::Safe)]);
+    settings.nodes = nodes;
+    settings
+}
+
+pub(super) fn read(body: &[u8]) -> Result<ServerList, SlopesError> {
+    read_list(body).map_err(|error| SlopesError::Broken(format!("a list: {error}")))
+}
+
+pub(super) fn entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
+    let list = read(&catalogue.complete().body)?;
+    match listing(&list, &zone_names(catalogue.size())) {
+        EndpointUpdate::Snapshot(entries) => Ok(entries),
+        _ => Err(SlopesError::Broken("the whole list is not whole".into())),
+    }
+}
+
+pub(super) fn balancer(nodes: usize, seed: u64) -> Result<Balancer, SlopesError> {
+    Balancer::new(settings(nodes), seed).map_err(|error| SlopesError::Broken(error.to_string()))
+}
+
+/// A real node's configuration, with nothing to talk to.
+pub(super) fn config(size: Size, seed: u64, known: ServerList) -> Config {
+    let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    let names = SettingNames {
+        classes: vec!["all".into()],
+        tenants: Vec::new(),
+        zones: zone_names(size),
+        kinds: vec![KIND.into()],
+    };
+    Config {
+        name: "hollow".into(),
+        listen: nowhere,
+        discovery: nowhere,
+        seed,
+        max_sockets: 1024,
+        max_list_bytes: 48 << 20,
+        initial_list: known,
+        settings: settings(size.nodes),
+        names,
+        idle_timeout: Duration::from_secs(60),
+        dial_timeout: Duration::from_millis(400),
+        max_pending: usize::MAX,
+    }
+}
--- a/fleet/src/steps.rs
+++ b/crates/node-emulator/src/steps.rs
@@ -49,14 +49,14 @@
         weight: f64,
     },
     /// A region is cut off or joined again.
-    Cut {
+    Partition {
         /// Which.
         region: usize,
         /// Cut off, or joined.
-        cut: bool,
+        partitioned: bool,
     },
     /// The agents of all regions fall silent, or answer again.
-    Heard(bool),
+    DiscoveryAnswering(bool),
     /// Nodes are restarted.
     RestartNodes(Vec<usize>),
 }
@@ -94,16 +94,7 @@
         match *kind {
             Kind::OrdinaryDay { for_s, speed } => self.ordinary_day(at, for_s, speed),
             Kind::RollingReplacement { part, batches, over_s, drain_s } => {
-                let mut slots: Vec<usize> = (0..size.servers).collect();
-                self.random.shuffle(&mut slots);
-                slots.truncate((part * size.servers as f64).round() as usize);
-                let each = slots.len().div_ceil(batches).max(1);
-                for (i, slots) in slots.chunks(each).enumerate() {
-                    let begins = at + over_s * i as f64 / batches as f64;
-                    self.push(begins, Step::Replace { batch: self.batch, slots: slots.to_vec() });
-                    self.push(begins + drain_s, Step::Retire { batch: self.batch });
-                    self.batch += 1;
-                }
+                self.rolling_replacement(at, part, batches, over_s, drain_s);
             }
             Kind::RackLost { rack, noticed_s, for_s } => {
                 self.lose(at, &size.slots(|of| of == rack), noticed_s, for_s);
@@ -112,8 +103,8 @@
                 self.lose(at, &size.slots(|rack| size.zone(rack) == zone), noticed_s, for_s);
             }
             Kind::RegionCut { region, for_s } => {
-                self.push(at, Step::Cut { region, cut: true });
-                self.push(at + for_s, Step::Cut { region, cut: false });
+                self.push(at, Step::Partition { region, partitioned: true });
+                self.push(at + for_s, Step::Partition { region, partitioned: false });
             }
             Kind::RestartNodes { region, over_s } => {
                 let nodes = (0..size.nodes).filter(|node| size.region(size.zone(*node)) == region);
@@ -129,12 +120,26 @@
                 }
             }
             Kind::DiscoverySilent { for_s } => {
-                self.push(at, Step::Heard(false));
-                self.push(at + for_s, Step::Heard(true));
+                self.push(at, Step::DiscoveryAnswering(false));
+                self.push(at + for_s, Step::DiscoveryAnswering(true));
             }
         }
     }
 
+    fn rolling_replacement(&mut self, at: f64, part: f64, batches: usize, over_s: f64, drain_s: f64) {
+        let size = self.scenario.size;
+        let mut slots: Vec<usize> = (0..size.servers).collect();
+        self.random.shuffle(&mut slots);
+        slots.truncate((part * size.servers as f64).round() as usize);
+        let each = slots.len().div_ceil(batches).max(1);
+        for (i, slots) in slots.chunks(each).enumerate() {
+            let begins = at + over_s * i as f64 / batches as f64;
+            self.push(begins, Step::Replace { batch: self.batch, slots: slots.to_vec() });
+            self.push(begins + drain_s, Step::Retire { batch: self.batch });
+            self.batch += 1;
+        }
+    }
+
     fn weigh(&mut self, at: f64) {
         let service = self.random.usize(0..self.scenario.size.services);
         let weight = 0.5 + f64::from(self.random.u8(0..=10)) / 10.0;
--- a/fleet/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -19,9 +19,9 @@
 /// The state of a region.
 struct Region {
     /// Whether its agent of discovery answers.
-    heard: watch::Sender<bool>,
+    answering: watch::Sender<bool>,
     /// Whether it is cut off from the other regions.
-    cut: AtomicBool,
+    partitioned: AtomicBool,
 }
 
 /// Shared by all threads of a play.
@@ -43,24 +43,25 @@
 #[derive(Debug, Default)]
 pub struct Counts {
     /// Whole lists sent.
-    pub whole_lists: AtomicU64,
+    pub complete_lists: AtomicU64,
     /// Answers that told changes.
     pub changes: AtomicU64,
     /// Answers that there are none.
-    pub no_news: AtomicU64,
+    pub unchanged: AtomicU64,
     /// Requests that came to servers that had left.
-    pub to_left: AtomicU64,
+    pub to_removed: AtomicU64,
     /// Requests that came to draining servers.
     pub to_draining: AtomicU64,
     /// Requests to machines that say nothing.
-    pub to_silent: AtomicU64,
+    pub to_unresponsive: AtomicU64,
 }
 
 /// A reading of [`Counts`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CountSums {
     /// Whole lists sent.
-    pub whole_lists: u64,
+    #[serde(rename = "whole_lists")]
+    pub complete_lists: u64,
     /// Answers that told changes.
     pub change_answers: u64,
     /// Answers that there are none.
@@ -78,12 +79,12 @@
     #[must_use]
     pub fn sums(&self) -> CountSums {
         CountSums {
-            whole_lists: self.whole_lists.load(Relaxed),
+            complete_lists: self.complete_lists.load(Relaxed),
             change_answers: self.changes.load(Relaxed),
-            no_news_answers: self.no_news.load(Relaxed),
-            sends_to_left: self.to_left.load(Relaxed),
+            no_news_answers: self.unchanged.load(Relaxed),
+            sends_to_left: self.to_removed.load(Relaxed),
             sends_to_draining: self.to_draining.load(Relaxed),
-            sends_to_silent: self.to_silent.load(Relaxed),
+            sends_to_silent: self.to_unresponsive.load(Relaxed),
         }
     }
 }
@@ -92,7 +93,7 @@
     /// A world in which all is well.
     #[must_use]
     pub fn new(catalogue: Catalogue) -> Self {
-        let region = |_| Region { heard: watch::Sender::new(true), cut: AtomicBool::new(false) };
+        let region = |_| Region { answering: watch::Sender::new(true), partitioned: AtomicBool::new(false) };
         Self {
             newest: watch::Sender::new(catalogue.revision()),
             regions: (0..catalogue.size().regions).map(region).collect(),
@@ -135,20 +136,20 @@
     }
 
     /// Lets the agents of a region fall silent, or answer again.
-    pub fn set_heard(&self, region: usize, heard: bool) {
-        self.regions[region].heard.send_replace(heard);
+    pub fn set_discovery_answering(&self, region: usize, answering: bool) {
+        self.regions[region].answering.send_replace(answering);
     }
 
     /// Waits until the agent of a region answers.
-    pub async fn heard(&self, region: usize) {
+    pub async fn wait_until_answering(&self, region: usize) {
         // The sender lives as long as the world.
-        let _ = self.regions[region].heard.subscribe().wait_for(|heard| *heard).await;
+        let _ = self.regions[region].answering.subscribe().wait_for(|answering| *answering).await;
     }
 
     /// Cuts a region off from the others, its agent of discovery included, or joins it again.
-    pub fn set_cut(&self, region: usize, cut: bool) {
-        self.regions[region].cut.store(cut, Relaxed);
-        self.set_heard(region, !cut);
+    pub fn set_partitioned(&self, region: usize, partitioned: bool) {
+        self.regions[region].partitioned.store(partitioned, Relaxed);
+        self.set_discovery_answering(region, !partitioned);
     }
 
     /// What becomes of a request from a region to a server.
@@ -156,7 +157,8 @@
     pub fn reach(&self, from: usize, number: usize) -> Reach {
         let mut catalogue = self.catalogue();
         let Some(region) = catalogue.region(number) else { return Reach::Gone };
-        let cut = |region: usize| self.regions.get(region).is_some_and(|region| region.cut.load(Relaxed));
+        let cut =
+            |region: usize| self.regions.get(region).is_some_and(|region| region.partitioned.load(Relaxed));
         if from != region && (cut(from) || cut(region)) {
             return Reach::Silent;
         }
--- a/fleet/tests/catalogue.rs
+++ b/crates/node-emulator/tests/catalogue.rs
@@ -8,9 +8,9 @@
 
 use balancer::net::discovery::{fetch_initial, follow, Subscriber};
 use balancer::net::list::ServerList;
-use fleet::catalogue::{name, number, Catalogue, Phase, Reach, Size};
-use fleet::discovery::{serve, Ask};
-use fleet::world::{listen, World};
+use node_emulator::catalogue::{name, number, Catalogue, Phase, Reach, Size};
+use node_emulator::discovery::{serve, Ask};
+use node_emulator::world::{listen, World};
 use tokio::sync::{mpsc, Notify};
 use tokio::task::LocalSet;
 
@@ -22,13 +22,13 @@
 }
 
 fn read(body: &[u8]) -> ServerList {
-    fleet::node::read_list(body).expect("a list of the protocol")
+    node_emulator::node::read_list(body).expect("a list of the protocol")
 }
 
 #[test]
 fn the_whole_list_names_every_server_once_and_is_made_once_a_version() {
     let mut catalogue = catalogue(100);
-    let whole = catalogue.whole();
+    let whole = catalogue.complete();
     let list = read(&whole.body);
     assert!(list.complete && whole.complete);
     assert_eq!((list.revision, list.members.len()), (1, 20));
@@ -36,9 +36,9 @@
     assert_eq!(numbers, (0..20).map(Some).collect::<Vec<_>>());
     assert_eq!((list.members[6].locality.as_str(), list.members[6].cell), ("region0-zone2", 2));
     assert_eq!(list.members[6].host_port, "127.20.0.3:8081".parse().expect("an address"));
-    assert_eq!(catalogue.whole().body.as_ptr(), whole.body.as_ptr(), "the same bytes are sent again");
+    assert_eq!(catalogue.complete().body.as_ptr(), whole.body.as_ptr(), "the same bytes are sent again");
     catalogue.weigh(0, 2.0);
-    assert_eq!(read(&catalogue.whole().body).revision, 2);
+    assert_eq!(read(&catalogue.complete().body).revision, 2);
 }
 
 #[test]
@@ -57,7 +57,7 @@
     assert_eq!(told(&read(&catalogue.since(3).body)), [(name(7), 2)]);
     assert_eq!(catalogue.since(4).members, 0);
     // The list itself no longer has what left.
-    let whole = read(&catalogue.whole().body);
+    let whole = read(&catalogue.complete().body);
     assert_eq!(whole.members.len(), 20);
     assert!(whole.members.iter().all(|member| member.id != name(7)));
 }
@@ -158,13 +158,13 @@
         world.change(|catalogue| catalogue.restart(&[3], 1_000));
         assert_eq!(hears.recv().await, Some(Some((2, false, 1))));
         // The agents of another region do not concern it; its own says nothing until it is back.
-        world.set_heard(0, false);
+        world.set_discovery_answering(0, false);
         world.change(|catalogue| catalogue.restart(&[4], 1_000));
         assert_eq!(hears.recv().await, Some(Some((3, false, 1))));
-        world.set_heard(1, false);
+        world.set_discovery_answering(1, false);
         world.change(|catalogue| catalogue.restart(&[5, 6], 1_000));
         assert_eq!(hears.recv().await, Some(None), "a silent call fails");
-        world.set_heard(1, true);
+        world.set_discovery_answering(1, true);
         while hears.recv().await != Some(Some((4, false, 2))) {}
         // More changes in one version than the log holds: the whole list.
         world.change(|catalogue| catalogue.restart(&[0, 1, 2, 3, 4, 5], 2_000));
--- a/fleet/tests/commands.rs
+++ b/crates/node-emulator/tests/commands.rs
@@ -59,8 +59,8 @@
 for_s = 0.5
 "#;
 
-fn fleet(folder: &Path, arguments: &[&str]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_fleet"));
+fn emulator(folder: &Path, arguments: &[&str]) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_node-emulator"));
     // No repository round the folder is meant.
     command.env("GIT_CEILING_DIRECTORIES", folder.parent().expect("it is no root")).env_remove("GIT_DIR");
     command.current_dir(folder).args(arguments).output().expect("it runs")
@@ -78,7 +78,7 @@
 fn a_play_of_all_events_ends_with_all_nodes_on_the_newest_version() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("all.toml"), ALL).expect("written");
-    let run = fleet(folder.path(), &["--log-format", "json", "play", "all.toml", "--node-threads", "2"]);
+    let run = emulator(folder.path(), &["--log-format", "json", "play", "all.toml", "--node-threads", "2"]);
     assert!(run.status.success(), "{}", text(&run.stderr));
     for line in text(&run.stderr).lines() {
         assert!(serde_json::from_str::<Value>(line).is_ok_and(|line| line["level"].is_string()), "{line}");
@@ -125,7 +125,7 @@
 fn slopes_have_their_points_in_order_and_their_lines() {
     let folder = tempfile::tempdir().expect("a folder");
     let arguments = ["slopes", "--sizes", "20,40,80,160", "--repeats", "2", "--report", "out/slopes.json"];
-    let run = fleet(folder.path(), &arguments);
+    let run = emulator(folder.path(), &arguments);
     assert!(run.status.success(), "{}", text(&run.stderr));
     let report = report(&folder.path().join("out/slopes.json"));
     let slopes = report["results"].as_array().expect("slopes");
@@ -161,7 +161,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let slopes = ["slopes", "--quantity", "request", "--quantity", "list-bytes", "--sizes", "40,80"];
     let baseline = |binary| [&slopes[..], &["--repeats", "3", "--baseline", binary]].concat();
-    let run = fleet(folder.path(), &baseline(env!("CARGO_BIN_EXE_fleet")));
+    let run = emulator(folder.path(), &baseline(env!("CARGO_BIN_EXE_node-emulator")));
     assert!(run.status.success(), "{}", text(&run.stderr));
     let report = report(&folder.path().join("logs/slopes.json"));
     let told = report["results"].as_array().expect("slopes");
@@ -183,11 +183,11 @@
     for (binary, why) in
         [("none", "cannot run the build none"), ("/bin/false", "request at 40: exit status: 1")]
     {
-        let run = fleet(folder.path(), &baseline(binary));
+        let run = emulator(folder.path(), &baseline(binary));
         assert_eq!(run.status.code(), Some(1));
         assert!(text(&run.stderr).contains(why), "{}", text(&run.stderr));
     }
-    let run = fleet(folder.path(), &baseline("/bin/true"));
+    let run = emulator(folder.path(), &baseline("/bin/true"));
     assert!(text(&run.stderr).contains("request at 40: no report"), "{}", text(&run.stderr));
     assert_eq!(std::fs::read(folder.path().join("logs/slopes.json")).expect("a report"), kept);
 }
@@ -202,7 +202,7 @@
     write("large.toml", "servers = 40\nnodes = 12", "servers = 1000000\nnodes = 1000000");
     write("sound.toml", "", "");
     let cases: [(&[&str], &str); 7] = [
-        (&["play", "bad.toml"], "fleet: bad.toml:24: `rack`: there are 4, numbered from 0"),
+        (&["play", "bad.toml"], "node-emulator: bad.toml:24: `rack`: there are 4, numbered from 0"),
         (&["play", "none.toml"], "cannot read the scenario none.toml"),
         (&["play", "large.toml"], "and 12288 are allowed (--memory-mb)"),
         (
@@ -214,7 +214,7 @@
         (&["slopes", "--quantity", "list-bytes", "--sizes", "4,1000000000"], "and 12288 are allowed"),
     ];
     for (arguments, why) in cases {
-        let run = fleet(folder.path(), arguments);
+        let run = emulator(folder.path(), arguments);
         assert_eq!(run.status.code(), Some(1), "{arguments:?}");
         assert!(text(&run.stderr).contains(why), "{arguments:?}: {}", text(&run.stderr));
         assert!(run.stdout.is_empty());
--- a/fleet/tests/report.rs
+++ b/crates/node-emulator/tests/report.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use fleet::fit::fit;
-use fleet::report::Report;
-use fleet::usage::Memory;
+use node_emulator::fit::fit;
+use node_emulator::report::Report;
+use node_emulator::usage::Memory;
 use serde::ser::Error as _;
 use serde::{Serialize, Serializer};
 
--- a/fleet/tests/scenario.rs
+++ b/crates/node-emulator/tests/scenario.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use fleet::scenario::Scenario;
-use fleet::steps::{steps, Step};
+use node_emulator::scenario::Scenario;
+use node_emulator::steps::{steps, Step};
 
 const SOUND: &str = r#"name = "test"
 seed = 7
