--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -3,128 +3,137 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How patient a detector is.
+/// When a detector suspects a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Timing {
+pub struct DetectorTiming {
     /// Time between two heartbeats of a peer.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// Heartbeats that a peer may miss in a row before it is suspected.
-    pub missed_most: u32,
-    /// Longest time between two ticks of the detector; after a longer one its own process was frozen.
-    pub tick_gap_most: Duration,
+    pub max_missed_heartbeats: u32,
+    /// Longest time between two ticks of the detector. After a longer one its own process was frozen.
+    pub max_tick_gap: Duration,
 }
 
-impl Timing {
-    /// How long a peer may be silent.
+impl DetectorTiming {
+    /// How long after its last heartbeat a peer is suspected.
     #[must_use]
     pub fn failure_timeout(&self) -> Duration {
-        self.beat * (self.missed_most + 1)
+        self.heartbeat_interval * (self.max_missed_heartbeats + 1)
+    }
+
+    /// The failure timeout but for one heartbeat: from then on a peer counts as unresponsive.
+    fn unresponsive_timeout(&self) -> Duration {
+        self.failure_timeout().saturating_sub(self.heartbeat_interval)
     }
 }
 
-impl Default for Timing {
+impl Default for DetectorTiming {
     fn default() -> Self {
-        Self { beat: Duration::from_millis(300), missed_most: 4, tick_gap_most: Duration::from_millis(900) }
+        Self {
+            heartbeat_interval: Duration::from_millis(300),
+            max_missed_heartbeats: 4,
+            max_tick_gap: Duration::from_millis(900),
+        }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    record_heartbeat: Duration,
-    suspected: bool,
+    last_heartbeat: Duration,
+    is_suspected: bool,
 }
 
-/// Judges which peers have failed, from their heartbeats and its own ticks. Times are steady and given by the
+/// Suspects peers that have failed, by their heartbeats and its own ticks. Times are monotonic and passed in by the
 /// caller.
 ///
-/// Silence proves little if the cause is likely here:
-/// - after a gap in its own ticks, this process was frozen, and all timers start anew;
-/// - while all peers are silent, this machine is cut off, and nobody is suspected;
-/// - while more than half of the peers are silent, they get twice the time, and no more than half of them are
-///   suspected at one tick.
+/// Missing heartbeats prove little if the cause is probably local:
+/// - after a gap in its own ticks, this process was frozen, and all timers restart;
+/// - while all peers are unresponsive, this machine is partitioned from them, and none is suspected;
+/// - while more than half of the peers are unresponsive, the timeout doubles, and each tick suspects at most half of
+///   them.
 #[derive(Clone, Debug)]
 pub struct Detector {
-    timing: Timing,
+    timing: DetectorTiming,
     peers: BTreeMap<String, Peer>,
-    ticked: Option<Duration>,
+    last_tick: Option<Duration>,
 }
 
 impl Detector {
-    /// A detector without peers.
+    /// Creates a detector without peers.
     #[must_use]
-    pub fn new(timing: Timing) -> Self {
-        Self { timing, peers: BTreeMap::new(), ticked: None }
+    pub fn new(timing: DetectorTiming) -> Self {
+        Self { timing, peers: BTreeMap::new(), last_tick: None }
     }
 
-    /// Sets the peers to watch. New ones start as if they had just been heard; others keep their state.
+    /// Sets the peers to watch. The timers of new ones start now; others keep their state.
     pub fn set_peers<Name: AsRef<str>>(&mut self, now: Duration, peers: impl IntoIterator<Item = Name>) {
         let mut earlier = std::mem::take(&mut self.peers);
         for name in peers {
             let name = name.as_ref();
-            let peer = earlier.remove(name).unwrap_or(Peer { record_heartbeat: now, suspected: false });
+            let peer = earlier.remove(name).unwrap_or(Peer { last_heartbeat: now, is_suspected: false });
             self.peers.insert(name.to_owned(), peer);
         }
     }
 
-    /// A heartbeat came; it ends a suspicion.
+    /// Records a heartbeat of a peer, which is no longer suspected then.
     pub fn record_heartbeat(&mut self, now: Duration, peer: &str) {
         if let Some(peer) = self.peers.get_mut(peer) {
-            peer.record_heartbeat = peer.record_heartbeat.max(now);
-            peer.suspected = false;
+            peer.last_heartbeat = peer.last_heartbeat.max(now);
+            peer.is_suspected = false;
         }
     }
 
-    /// Judges all peers; to be called once a heartbeat or more often. Tells those that are newly suspected.
+    /// Checks all peers, and returns those that are suspected from now on. To be called once each heartbeat interval
+    /// or more often.
     pub fn tick(&mut self, now: Duration) -> Vec<String> {
-        let last = self.ticked.replace(now);
-        if last.is_some_and(|last| now.saturating_sub(last) > self.timing.tick_gap_most) {
+        let last_tick = self.last_tick.replace(now);
+        if last_tick.is_some_and(|last_tick| now.saturating_sub(last_tick) > self.timing.max_tick_gap) {
             self.restart_timers(now);
             return Vec::new();
         }
-        let failed = self.failed(now);
+        let failed = self.newly_failed(now);
         for name in &failed {
             if let Some(peer) = self.peers.get_mut(name) {
-                peer.suspected = true;
+                peer.is_suspected = true;
             }
         }
         failed
     }
 
-    /// Whether a peer is suspected. One that isn't watched is not.
+    /// Whether a peer is suspected. One that is not watched is not.
     #[must_use]
     pub fn is_suspected(&self, peer: &str) -> bool {
-        self.peers.get(peer).is_some_and(|peer| peer.suspected)
+        self.peers.get(peer).is_some_and(|peer| peer.is_suspected)
     }
 
     /// The peers that are suspected.
     pub fn suspected(&self) -> impl Iterator<Item = &str> {
-        self.peers.iter().filter(|(_, peer)| peer.suspected).map(|(name, _)| name.as_str())
+        self.peers.iter().filter(|(_, peer)| peer.is_suspected).map(|(name, _)| name.as_str())
     }
 
-    /// The peers that are to be suspected from now on.
-    fn failed(&self, now: Duration) -> Vec<String> {
-        let watched = self.peers.values().filter(|peer| !peer.suspected).count();
-        let quiet =
-            self.silent_for(now, self.timing.failure_timeout().saturating_sub(self.timing.beat)).count();
-        if quiet == watched && watched > 1 {
+    fn newly_failed(&self, now: Duration) -> Vec<String> {
+        let trusted = self.peers.values().filter(|peer| !peer.is_suspected).count();
+        let unresponsive = self.unresponsive_for(now, self.timing.unresponsive_timeout()).count();
+        if unresponsive == trusted && trusted > 1 {
             return Vec::new();
         }
-        if quiet * 2 <= watched || watched == 1 {
-            return self.silent_for(now, self.timing.failure_timeout()).map(str::to_owned).collect();
+        let timeout = self.timing.failure_timeout();
+        if unresponsive * 2 <= trusted || trusted == 1 {
+            return self.unresponsive_for(now, timeout).map(str::to_owned).collect();
         }
-        self.silent_for(now, self.timing.failure_timeout() * 2).take(watched / 2).map(str::to_owned).collect()
+        self.unresponsive_for(now, timeout * 2).take(trusted / 2).map(str::to_owned).collect()
     }
 
-    /// The peers that have been silent for longer and are not suspected yet.
-    fn silent_for(&self, now: Duration, silence: Duration) -> impl Iterator<Item = &str> {
-        let silent =
-            move |peer: &Peer| !peer.suspected && now.saturating_sub(peer.record_heartbeat) > silence;
-        self.peers.iter().filter(move |(_, peer)| silent(peer)).map(|(name, _)| name.as_str())
+    /// The peers whose last heartbeat is longer ago than the timeout, and that are not suspected yet.
+    fn unresponsive_for(&self, now: Duration, timeout: Duration) -> impl Iterator<Item = &str> {
+        let is_unresponsive =
+            move |peer: &Peer| !peer.is_suspected && now.saturating_sub(peer.last_heartbeat) > timeout;
+        self.peers.iter().filter(move |(_, peer)| is_unresponsive(peer)).map(|(name, _)| name.as_str())
     }
 
     fn restart_timers(&mut self, now: Duration) {
         for peer in self.peers.values_mut() {
-            peer.record_heartbeat = now;
+            peer.last_heartbeat = now;
         }
     }
 }
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -1,34 +1,35 @@
-//! A hash that is the same in all processes and all versions of the program.
+//! Hashes that are the same in all processes and all versions of the program.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Hashes bytes (XXH3).
+/// Hashes bytes (XXH3, 64 bits).
 #[must_use]
 pub fn hash(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// The score of a member for a key; the highest ranks first.
+/// The score of a member for a key; the member with the highest score ranks first.
 ///
-/// This is FNV-1a with a finalizer, not [`hash`]: the batch jobs of a deployment have one order of owners, which this
-/// score draws, and another draw costs one deployment a tenth of its worth and gives it to the next. Another hash has
-/// to wait until owners are spread.
+/// This is FNV-1a with a finalizer, not [`hash`]: the score fixes the order of the owners of a deployment's batch jobs.
+/// With another hash single deployments would gain or lose up to a tenth of their value by the luck of the order, so a
+/// change has to wait until owners are spread evenly.
 #[must_use]
 pub fn rendezvous_score(member: &str, key: &str) -> u64 {
-    const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0000_0100_0000_01b3;
-    let bytes = member.bytes().chain(std::iter::once(0)).chain(key.bytes());
-    finish(bytes.fold(OFFSET, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(PRIME)))
+    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+    let separator = 0;
+    let bytes = member.bytes().chain(std::iter::once(separator)).chain(key.bytes());
+    mix(bytes.fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)))
 }
 
-/// Mixes all bits of a sum into each bit of the result.
-fn finish(sum: u64) -> u64 {
-    let mixed = (sum ^ (sum >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
-    let mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
-    mixed ^ (mixed >> 33)
+/// The finalizer of MurmurHash3: each bit of the input affects all bits of the result.
+fn mix(hash: u64) -> u64 {
+    let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
+    let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
+    hash ^ (hash >> 33)
 }
 
 /// The score of a member for a key, both hashed.
-pub(crate) fn score(key: u64, member: u64) -> u64 {
+pub(crate) fn hashed_score(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,15 @@
-//! Who exists, and who monitors whom, by rendezvous hashing.
+//! Placement by rendezvous hashing, and failure detection by heartbeats.
 //!
-//! [`rendezvous`] ranks members for a key (copies of batch jobs by their [`rendezvous_score`]), [`monitors`] and [`monitored_by`] spread the work of watching, and
-//! [`Detector`] judges silence. Nothing here does I/O or reads a clock.
+//! - [`rendezvous_score`] orders the replicas of batch jobs; the store plane calls it.
+//! - [`rendezvous`] ranks members for a key, [`monitors`] and [`monitored_by`] spread the work of monitoring peers, and
+//!   [`Detector`] suspects peers whose heartbeats are missing. No service of this workspace calls them at present.
+//!
+//! Nothing here does I/O or reads a clock.
 
 mod detector;
 mod hash;
 mod placement;
 
-pub use detector::{Detector, Timing};
+pub use detector::{Detector, DetectorTiming};
 pub use hash::{hash, rendezvous_score};
 pub use placement::{monitored_by, monitors, rendezvous};
--- a/crates/membership/src/placement.rs
+++ b/crates/membership/src/placement.rs
@@ -1,41 +1,45 @@
 //! Placement by rendezvous hashing.
 //!
-//! All processes that know the same members agree on every ranking. When a member joins or leaves, only the
-//! places that it takes or held change.
+//! All processes that know the same members agree on every ranking. When a member joins or leaves, only the positions
+//! that it takes or held change.
 
 use std::cmp::Reverse;
 
-use crate::hash::{hash, score};
+use crate::hash::{hash, hashed_score};
 
-/// Sets the keys of monitoring apart from all others.
+/// Makes the keys of monitoring differ from all others.
 const MONITOR_KEY: u64 = 0x6d6f_6e69_746f_7231;
 
-/// The first `count` members for the key, best first. The order of `members` doesn't matter.
+/// The first `count` members for the key, best first. The order of `members` does not matter.
 #[must_use]
 pub fn rendezvous<'a, Name: AsRef<str>>(key: &[u8], members: &'a [Name], count: usize) -> Vec<&'a Name> {
     ranking(hash(key), members.iter(), count)
 }
 
-/// The peers that monitor `of`: `count` of the members, or all where there are fewer.
+/// The peers that monitor `peer`: `count` of the other members, or all of them if there are fewer.
 #[must_use]
-pub fn monitors<'a, Name: AsRef<str>>(of: &str, members: &'a [Name], count: usize) -> Vec<&'a Name> {
-    let peers = members.iter().filter(|peer| peer.as_ref() != of);
-    ranking(hash(of.as_bytes()) ^ MONITOR_KEY, peers, count)
+pub fn monitors<'a, Name: AsRef<str>>(peer: &str, members: &'a [Name], count: usize) -> Vec<&'a Name> {
+    let others = members.iter().filter(|member| member.as_ref() != peer);
+    ranking(monitor_key(peer), others, count)
 }
 
 /// The peers that `monitor` monitors: those that have it among their [`monitors`].
 #[must_use]
 pub fn monitored_by<'a, Name: AsRef<str>>(monitor: &str, members: &'a [Name], count: usize) -> Vec<&'a Name> {
-    let peers = members.iter().filter(|peer| peer.as_ref() != monitor);
-    peers.filter(|peer| is_monitor(monitor, peer.as_ref(), members, count)).collect()
+    let others = members.iter().filter(|member| member.as_ref() != monitor);
+    others.filter(|peer| is_monitor(monitor, peer.as_ref(), members, count)).collect()
 }
 
-/// Whether fewer than `count` members stand before `monitor` in the ranking for `of`.
-fn is_monitor<Name: AsRef<str>>(monitor: &str, of: &str, members: &[Name], count: usize) -> bool {
-    let key = hash(of.as_bytes()) ^ MONITOR_KEY;
-    let own = rank(key, monitor);
-    let peers = members.iter().map(AsRef::as_ref).filter(|peer| *peer != of && *peer != monitor);
-    peers.filter(|peer| rank(key, peer) < own).take(count).count() < count
+/// Whether fewer than `count` members rank before `monitor` for `peer`.
+fn is_monitor<Name: AsRef<str>>(monitor: &str, peer: &str, members: &[Name], count: usize) -> bool {
+    let key = monitor_key(peer);
+    let own_rank = rank(key, monitor);
+    let others = members.iter().map(AsRef::as_ref).filter(|member| *member != peer && *member != monitor);
+    others.filter(|member| rank(key, member) < own_rank).take(count).count() < count
+}
+
+fn monitor_key(peer: &str) -> u64 {
+    hash(peer.as_bytes()) ^ MONITOR_KEY
 }
 
 fn ranking<'a, Name: AsRef<str>>(
@@ -54,5 +58,5 @@
 
 /// Lower is better; names break ties.
 fn rank(key: u64, member: &str) -> (Reverse<u64>, &str) {
-    (Reverse(score(key, hash(member.as_bytes()))), member)
+    (Reverse(hashed_score(key, hash(member.as_bytes()))), member)
 }
--- a/crates/membership/tests/detector.rs
+++ b/crates/membership/tests/detector.rs
@@ -1,27 +1,31 @@
-//! Stories of failure detection.
+//! Failure detection by heartbeats, with frozen observers and partitions.
 
 use std::time::Duration;
 
-use membership::{Detector, Timing};
+use membership::{Detector, DetectorTiming};
 use yare::parameterized;
 
+/// Time between two ticks, in milliseconds.
 const TICK: u64 = 100;
-const TIMING: Timing =
-    Timing { beat: Duration::from_millis(300), missed_most: 4, tick_gap_most: Duration::from_millis(900) };
+const TIMING: DetectorTiming = DetectorTiming {
+    heartbeat_interval: Duration::from_millis(300),
+    max_missed_heartbeats: 4,
+    max_tick_gap: Duration::from_millis(900),
+};
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// Peers that beat, each with its own phase, and a detector that ticks.
-struct Story {
+/// Peers that send heartbeats, each with its own phase, and a detector that ticks.
+struct Simulation {
     now: u64,
     detector: Detector,
     names: Vec<String>,
     alive: Vec<bool>,
 }
 
-impl Story {
+impl Simulation {
     fn new(peers: usize) -> Self {
         let names: Vec<String> = (0..peers).map(|index| format!("peer-{index}")).collect();
         let mut detector = Detector::new(TIMING);
@@ -29,13 +33,13 @@
         Self { now: 0, detector, alive: vec![true; peers], names }
     }
 
-    /// Lets time pass; tells who is newly suspected, and when.
+    /// Lets time pass; returns the peers that are newly suspected, and when.
     fn run(&mut self, milliseconds: u64) -> Vec<(u64, String)> {
         let end = self.now + milliseconds;
         let mut suspected = Vec::new();
         while self.now < end {
             self.now += TICK;
-            self.beat();
+            self.send_heartbeats();
             let new = self.detector.tick(ms(self.now));
             suspected.extend(new.into_iter().map(|name| (self.now, name)));
         }
@@ -47,7 +51,7 @@
         self.now += milliseconds;
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         for (index, name) in self.names.iter().enumerate() {
             let phase = index as u64 % 3 * TICK;
             if self.alive[index] && (self.now + phase).is_multiple_of(300) {
@@ -58,68 +62,68 @@
 }
 
 #[test]
-fn given_all_beat_when_time_passes_then_nobody_is_suspected() {
-    assert_eq!(Story::new(5).run(60_000), []);
+fn given_all_peers_alive_when_time_passes_then_none_is_suspected() {
+    assert_eq!(Simulation::new(5).run(60_000), []);
 }
 
 #[parameterized(one = { 1 }, three = { 3 }, many = { 8 })]
-fn given_a_peer_falls_silent_when_it_missed_several_beats_then_it_alone_is_suspected(peers: usize) {
-    let mut story = Story::new(peers);
-    story.run(3000);
-    story.alive[0] = false;
-    assert_eq!(story.run(1200), [], "a few missed beats are nothing");
-    let suspected = story.run(1200);
+fn given_a_peer_fails_when_it_missed_several_heartbeats_then_it_alone_is_suspected(peers: usize) {
+    let mut simulation = Simulation::new(peers);
+    simulation.run(3000);
+    simulation.alive[0] = false;
+    assert_eq!(simulation.run(1200), [], "a few missed heartbeats are tolerated");
+    let suspected = simulation.run(1200);
     assert_eq!(suspected.len(), 1);
     assert_eq!(suspected[0].1, "peer-0");
-    assert!(story.detector.is_suspected("peer-0"));
-    assert_eq!(story.run(20_000), [], "it is told once");
+    assert!(simulation.detector.is_suspected("peer-0"));
+    assert_eq!(simulation.run(20_000), [], "it is reported once");
 }
 
 #[test]
-fn given_a_suspected_peer_when_it_beats_again_then_it_is_trusted() {
-    let mut story = Story::new(4);
-    story.alive[1] = false;
-    story.run(5000);
-    assert_eq!(story.detector.suspected().collect::<Vec<_>>(), ["peer-1"]);
-    story.alive[1] = true;
-    assert_eq!(story.run(1000), []);
-    assert_eq!(story.detector.suspected().count(), 0);
+fn given_a_suspected_peer_when_its_heartbeats_resume_then_it_is_trusted() {
+    let mut simulation = Simulation::new(4);
+    simulation.alive[1] = false;
+    simulation.run(5000);
+    assert_eq!(simulation.detector.suspected().collect::<Vec<_>>(), ["peer-1"]);
+    simulation.alive[1] = true;
+    assert_eq!(simulation.run(1000), []);
+    assert_eq!(simulation.detector.suspected().count(), 0);
 }
 
 #[parameterized(short = { 1500 }, middle = { 3500 }, long = { 60_000 })]
 fn given_the_observer_is_frozen_when_it_wakes_then_it_gives_no_false_alarm(milliseconds: u64) {
-    let mut story = Story::new(5);
-    story.run(3000);
-    story.freeze(milliseconds);
-    assert_eq!(story.run(10_000), []);
+    let mut simulation = Simulation::new(5);
+    simulation.run(3000);
+    simulation.freeze(milliseconds);
+    assert_eq!(simulation.run(10_000), []);
 }
 
 #[test]
 fn given_a_peer_fails_while_the_observer_is_frozen_when_it_wakes_then_the_peer_is_suspected_later() {
-    let mut story = Story::new(5);
-    story.run(3000);
-    story.alive[2] = false;
-    story.freeze(5000);
-    let woken = story.now;
-    let suspected = story.run(10_000);
+    let mut simulation = Simulation::new(5);
+    simulation.run(3000);
+    simulation.alive[2] = false;
+    simulation.freeze(5000);
+    let woken = simulation.now;
+    let suspected = simulation.run(10_000);
     assert_eq!(suspected.len(), 1);
-    assert!(suspected[0].0 >= woken + 1500, "the timers start anew");
+    assert!(suspected[0].0 >= woken + 1500, "the timers restart");
 }
 
 #[parameterized(two = { 2 }, three = { 3 }, eight = { 8 })]
-fn given_all_peers_fall_silent_at_once_when_time_passes_then_nobody_is_suspected(peers: usize) {
-    let mut story = Story::new(peers);
-    story.run(3000);
-    story.alive.fill(false);
-    assert_eq!(story.run(60_000), []);
+fn given_all_peers_unresponsive_at_once_when_time_passes_then_none_is_suspected(peers: usize) {
+    let mut simulation = Simulation::new(peers);
+    simulation.run(3000);
+    simulation.alive.fill(false);
+    assert_eq!(simulation.run(60_000), []);
 }
 
 #[test]
-fn given_most_peers_fall_silent_when_time_passes_then_no_more_than_half_are_suspected_at_once() {
-    let mut story = Story::new(6);
-    story.run(3000);
-    story.alive[..4].fill(false);
-    let suspected = story.run(20_000);
+fn given_most_peers_unresponsive_when_time_passes_then_no_more_than_half_are_suspected_at_once() {
+    let mut simulation = Simulation::new(6);
+    simulation.run(3000);
+    simulation.alive[..4].fill(false);
+    let suspected = simulation.run(20_000);
     assert_eq!(suspected.len(), 4, "in the end all are found");
     assert!(suspected[0].0 >= 3000 + 3000 - 300, "after twice the time");
     let first = suspected.iter().filter(|(at, _)| *at == suspected[0].0).count();
@@ -128,25 +132,25 @@
 
 #[test]
 fn given_peers_fail_one_after_the_other_when_time_passes_then_each_is_found() {
-    let mut story = Story::new(3);
+    let mut simulation = Simulation::new(3);
     for index in 0..3 {
-        story.alive[index] = false;
-        let suspected = story.run(10_000);
+        simulation.alive[index] = false;
+        let suspected = simulation.run(10_000);
         assert_eq!(suspected.len(), 1);
-        assert_eq!(suspected[0].1, story.names[index]);
+        assert_eq!(suspected[0].1, simulation.names[index]);
     }
 }
 
 #[test]
-fn given_new_peers_when_set_then_they_start_as_heard_and_others_keep_their_state() {
-    let mut story = Story::new(4);
-    story.alive[0] = false;
-    story.run(5000);
-    story.names.push("peer-new".to_owned());
-    story.alive.push(true);
-    story.detector.set_peers(ms(story.now), &story.names);
-    assert!(story.detector.is_suspected("peer-0"));
-    assert_eq!(story.run(10_000), []);
-    story.detector.set_peers(ms(story.now), &story.names[1..]);
-    assert!(!story.detector.is_suspected("peer-0"), "who isn't watched isn't suspected");
+fn given_new_peers_when_set_then_their_timers_start_now_and_others_keep_their_state() {
+    let mut simulation = Simulation::new(4);
+    simulation.alive[0] = false;
+    simulation.run(5000);
+    simulation.names.push("peer-new".to_owned());
+    simulation.alive.push(true);
+    simulation.detector.set_peers(ms(simulation.now), &simulation.names);
+    assert!(simulation.detector.is_suspected("peer-0"));
+    assert_eq!(simulation.run(10_000), []);
+    simulation.detector.set_peers(ms(simulation.now), &simulation.names[1..]);
+    assert!(!simulation.detector.is_suspected("peer-0"), "a peer that is not watched is not suspected");
 }
--- a/crates/membership/tests/placement.rs
+++ b/crates/membership/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Stories of placement and of who monitors whom.
+//! Placement, and which peer monitors which.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 const KEYS: u64 = 20_000;
 
-fn stations(count: usize) -> Vec<String> {
+fn member_names(count: usize) -> Vec<String> {
     (0..count).map(|index| format!("vault-bandung-{}-{index}", index % 3)).collect()
 }
 
@@ -26,7 +26,7 @@
 #[test]
 fn given_members_in_any_order_when_ranked_then_the_ranking_is_the_same() {
     let mut random = fastrand::Rng::with_seed(1);
-    let members = stations(9);
+    let members = member_names(9);
     let mut shuffled = members.clone();
     for index in 0..100 {
         random.shuffle(&mut shuffled);
@@ -36,7 +36,7 @@
 
 #[test]
 fn given_a_ranking_when_taken_longer_then_the_shorter_is_its_start() {
-    let members = stations(9);
+    let members = member_names(9);
     for index in 0..100 {
         let all = rendezvous(&key(index), &members, 20);
         assert_eq!(all.len(), 9);
@@ -46,17 +46,17 @@
 }
 
 #[parameterized(few = { 3, 1 }, some = { 7, 2 }, many = { 40, 4 })]
-fn given_many_keys_when_placed_then_all_members_hold_alike(count: usize, copies: usize) {
-    let members = stations(count);
-    let mut held = vec![0_u64; count];
+fn given_many_keys_when_placed_then_all_members_get_equal_shares(count: usize, replicas: usize) {
+    let members = member_names(count);
+    let mut placed = vec![0_u64; count];
     for index in 0..KEYS {
-        for member in rendezvous(&key(index), &members, copies) {
-            let place = members.iter().position(|name| name == member).expect("a member");
-            held[place] += 1;
+        for member in rendezvous(&key(index), &members, replicas) {
+            let position = members.iter().position(|name| name == member).expect("a member");
+            placed[position] += 1;
         }
     }
-    let mean = (KEYS * copies as u64) as f64 / count as f64;
-    for share in held {
+    let mean = (KEYS * replicas as u64) as f64 / count as f64;
+    for share in placed {
         let deviation = (share as f64 - mean).abs() / mean;
         assert!(deviation < 0.12, "{share} against a mean of {mean}");
     }
@@ -64,13 +64,13 @@
 
 #[test]
 fn given_a_member_leaves_when_ranked_again_then_the_others_keep_their_order() {
-    let members = stations(8);
+    let members = member_names(8);
     for leaver in 0..members.len() {
         let mut rest = members.clone();
-        let gone = rest.remove(leaver);
+        let removed = rest.remove(leaver);
         for index in 0..200 {
             let mut before = rendezvous(&key(index), &members, 8);
-            before.retain(|member| **member != gone);
+            before.retain(|member| **member != removed);
             assert_eq!(before, rendezvous(&key(index), &rest, 8));
         }
     }
@@ -78,8 +78,8 @@
 
 #[test]
 fn given_a_member_joins_when_placed_again_then_only_its_fair_share_moves() {
-    let before = stations(9);
-    let after = stations(10);
+    let before = member_names(9);
+    let after = member_names(10);
     let mut moved = 0;
     for index in 0..KEYS {
         let old = rendezvous(&key(index), &before, 1)[0];
@@ -95,35 +95,35 @@
 
 #[parameterized(small = { 11 }, middle = { 100 }, large = { 400 })]
 fn given_a_growing_fleet_when_monitored_then_the_work_of_a_member_stays_the_same(count: usize) {
-    let members = stations(count);
-    let mut most = 0;
+    let members = member_names(count);
+    let mut max_monitored = 0;
     let mut sum = 0;
     for member in &members {
-        let watchers = monitors(member, &members, 3);
-        assert_eq!(watchers.len(), 3);
-        assert!(!watchers.contains(&member));
-        let watched = monitored_by(member, &members, 3);
-        most = most.max(watched.len());
-        sum += watched.len();
+        let monitoring = monitors(member, &members, 3);
+        assert_eq!(monitoring.len(), 3);
+        assert!(!monitoring.contains(&member));
+        let monitored = monitored_by(member, &members, 3);
+        max_monitored = max_monitored.max(monitored.len());
+        sum += monitored.len();
     }
     assert_eq!(sum, count * 3);
-    assert!(most <= 12, "{most} peers for one member");
+    assert!(max_monitored <= 12, "{max_monitored} peers for one member");
 }
 
 #[test]
 fn given_both_directions_when_compared_then_they_agree() {
-    let members = stations(17);
+    let members = member_names(17);
     for member in &members {
         for other in &members {
-            let watches = monitors(member, &members, 3).contains(&other);
-            assert_eq!(watches, monitored_by(other, &members, 3).contains(&member));
+            let is_monitored = monitors(member, &members, 3).contains(&other);
+            assert_eq!(is_monitored, monitored_by(other, &members, 3).contains(&member));
         }
     }
 }
 
 #[parameterized(alone = { 1, 0 }, pair = { 2, 1 }, three = { 3, 2 })]
 fn given_few_members_when_monitored_then_all_others_do_it(count: usize, expected: usize) {
-    let members = stations(count);
+    let members = member_names(count);
     assert_eq!(monitors(&members[0], &members, 3).len(), expected);
     assert_eq!(monitored_by(&members[0], &members, 3).len(), expected);
 }
