--- /dev/null
+++ b/crates/control-plane/src/consensus/acceptor_service.rs
@@ -0,0 +1,118 @@
+//! The acceptor of the register on a machine with a disk.
+
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+use register::{
+    Acceptor, AcceptorReply, AcceptorRequest, AcceptorState, Incarnation, PendingReply, ReplyOutcome,
+    Versioned,
+};
+use state::ControlState;
+use storage::{Journal, Position};
+
+use super::acceptor_journal::{recover, EncodedRecord, PersistedState};
+
+/// Replies to requests to the acceptor, each after what it changed is durable.
+pub struct AcceptorService {
+    inner: Mutex<Inner>,
+    journal: Journal,
+    incarnation: Incarnation,
+}
+
+struct Inner {
+    /// The acceptor in memory, which may be ahead of the disk.
+    acceptor: Acceptor<ControlState>,
+    persisted: PersistedState,
+}
+
+impl AcceptorService {
+    /// The acceptor that wrote these records of the journal.
+    #[must_use]
+    pub fn new(journal: Journal, incarnation: Incarnation, records: &[(Position, Vec<u8>)]) -> Arc<Self> {
+        let state = recover(incarnation, records);
+        let persisted = PersistedState::recovered(state.clone());
+        let inner = Inner { acceptor: Acceptor::new(state), persisted };
+        Arc::new(Self { inner: Mutex::new(inner), journal, incarnation })
+    }
+
+    /// The newest value known here to be committed, and durable.
+    #[must_use]
+    pub fn committed(&self) -> Option<Versioned<ControlState>> {
+        self.lock().persisted.durable().committed.clone()
+    }
+
+    /// The value accepted last, and durable.
+    #[must_use]
+    pub fn accepted(&self) -> Option<Versioned<ControlState>> {
+        self.lock().persisted.durable().accepted.clone()
+    }
+
+    /// Whether any value was ever accepted here.
+    #[must_use]
+    pub fn is_initialized(&self) -> bool {
+        self.lock().acceptor.state().accepted.is_some()
+    }
+
+    /// Accepts the initial value, durably, unless this acceptor has a value already. Returns the value that it has then;
+    /// `None` where it could not be made durable.
+    pub async fn initialize(&self, initial: Versioned<ControlState>) -> Option<Versioned<ControlState>> {
+        self.apply(|acceptor| acceptor.initialise(initial)).await?;
+        self.accepted()
+    }
+
+    /// Replies to a request; `None` where the change could not be made durable.
+    pub async fn handle(
+        &self,
+        request: AcceptorRequest<ControlState>,
+    ) -> Option<AcceptorReply<ControlState>> {
+        if matches!(request, AcceptorRequest::Read) {
+            return Some(self.durable_reply());
+        }
+        self.apply(|acceptor| acceptor.handle(request)).await
+    }
+
+    /// The reply to a read, which must not contain anything that a crash could still undo.
+    fn durable_reply(&self) -> AcceptorReply<ControlState> {
+        let inner = self.lock();
+        let AcceptorState { accepted, committed, .. } = inner.persisted.durable().clone();
+        AcceptorReply {
+            incarnation: self.incarnation,
+            outcome: ReplyOutcome::Current { accepted, committed },
+        }
+    }
+
+    /// Applies an operation to the acceptor and waits until its effect is durable.
+    async fn apply(
+        &self,
+        operation: impl FnOnce(&mut Acceptor<ControlState>) -> PendingReply<ControlState>,
+    ) -> Option<AcceptorReply<ControlState>> {
+        let (reply, state, append, is_complete) = {
+            let mut inner = self.lock();
+            let PendingReply { reply, must_persist } = operation(&mut inner.acceptor);
+            if !must_persist {
+                return Some(reply);
+            }
+            let state = inner.acceptor.state().clone();
+            let EncodedRecord { bytes, is_complete } = inner.persisted.next_record(&state);
+            // Queued under the lock, so that the journal has the states in the order in which they arose.
+            (reply, state, self.journal.append(bytes), is_complete)
+        };
+        match append.await {
+            Ok(position) => {
+                if is_complete {
+                    self.journal.release(position);
+                }
+                self.lock().persisted.record_durable(state);
+                Some(reply)
+            }
+            Err(error) => {
+                log::warn!("the acceptor's state cannot be written: {error}");
+                self.lock().persisted.record_failed_write();
+                None
+            }
+        }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/consensus/confirmation.rs
@@ -0,0 +1,98 @@
+//! One round that confirms with a majority of the acceptors that the known committed value is the newest.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use futures_util::future::BoxFuture;
+use futures_util::stream::{FuturesUnordered, StreamExt};
+use register::{AcceptorReply, AddressedRequest, Confirmation, ConfirmationStatus, Member, Versioned};
+use state::ControlState;
+use tokio::time::Instant;
+
+use crate::{paths, AcceptorContacts, ViewCell};
+
+/// How long one acceptor may take to reply.
+const CALL_TIMEOUT: Duration = Duration::from_millis(350);
+
+/// The reply of one acceptor; `None` if none came in time.
+type Reply = (Member, Option<AcceptorReply<ControlState>>);
+type PendingCalls = FuturesUnordered<BoxFuture<'static, Reply>>;
+
+/// The result of a round.
+pub(super) enum ConfirmationResult {
+    /// A majority has confirmed the value as the newest.
+    Confirmed,
+    /// A newer value is committed and was adopted, or no majority has replied.
+    NotConfirmed,
+    /// A newer value is accepted somewhere and may or may not be committed.
+    Undecided,
+}
+
+/// Asks all acceptors once whether `known` is the newest value, until a majority has decided that. The view adopts the
+/// result, as of `started_at`; replies that come later still count as contacts.
+pub(super) async fn confirm_once(
+    view: &ViewCell,
+    client: &rpc::Client,
+    contacts: &Arc<AcceptorContacts>,
+    known: Versioned<ControlState>,
+    started_at: Instant,
+) -> ConfirmationResult {
+    let (mut confirmation, requests) = Confirmation::start(known);
+    let mut calls: PendingCalls = requests.into_iter().map(|request| call(client.clone(), request)).collect();
+    let status = collect_replies(&mut confirmation, &mut calls, contacts).await;
+    tokio::spawn(record_late_replies(calls, Arc::clone(contacts)));
+    match status {
+        ConfirmationStatus::Pending => ConfirmationResult::NotConfirmed,
+        ConfirmationStatus::Confirmed => {
+            view.confirm(started_at);
+            ConfirmationResult::Confirmed
+        }
+        ConfirmationStatus::Superseded(value) => {
+            view.adopt_control(&value);
+            ConfirmationResult::NotConfirmed
+        }
+        ConfirmationStatus::Undecided(_) => ConfirmationResult::Undecided,
+    }
+}
+
+/// The status after the first replies that decide it; [`ConfirmationStatus::Pending`] where all of them do not.
+async fn collect_replies(
+    confirmation: &mut Confirmation<ControlState>,
+    calls: &mut PendingCalls,
+    contacts: &AcceptorContacts,
+) -> ConfirmationStatus<ControlState> {
+    while let Some((member, reply)) = calls.next().await {
+        let Some(reply) = reply else { continue };
+        record_contact(contacts, &member, &reply);
+        let status = confirmation.on_reply(&member, reply);
+        if !matches!(status, ConfirmationStatus::Pending) {
+            return status;
+        }
+    }
+    ConfirmationStatus::Pending
+}
+
+async fn record_late_replies(mut calls: PendingCalls, contacts: Arc<AcceptorContacts>) {
+    while let Some((member, reply)) = calls.next().await {
+        if let Some(reply) = reply {
+            record_contact(&contacts, &member, &reply);
+        }
+    }
+}
+
+/// A reply counts for the acceptor itself only, not for another disk at its address.
+fn record_contact(contacts: &AcceptorContacts, member: &Member, reply: &AcceptorReply<ControlState>) {
+    if reply.incarnation == member.incarnation {
+        contacts.record_contact(member.incarnation);
+    }
+}
+
+fn call(
+    client: rpc::Client,
+    AddressedRequest { to: member, request }: AddressedRequest<ControlState>,
+) -> BoxFuture<'static, Reply> {
+    Box::pin(async move {
+        let reply = client.call(&member.address, paths::REGISTER, &request, CALL_TIMEOUT).await;
+        (member, reply.ok())
+    })
+}
--- /dev/null
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -0,0 +1,19 @@
+//! Agreement on the control state: the register's acceptor on this machine, and proposals to all acceptors.
+//!
+//! Owns the journal of the acceptor, which [`AcceptorService`] alone writes, and the ballots of this process, which
+//! [`Proposer`] alone issues. Other modules change the control state only by [`Proposer::change`], with one of the pure
+//! functions of [`state::change`]. The protocol itself is in the crate `register`; here are its I/O, time-outs and
+//! retries.
+
+mod acceptor_journal;
+mod acceptor_membership;
+mod acceptor_service;
+mod confirmation;
+mod proposal_attempt;
+mod proposer;
+mod read_repair;
+
+pub use acceptor_membership::AcceptorMembership;
+pub use acceptor_service::AcceptorService;
+pub use proposer::{ChangeFailure, Proposer};
+pub use read_repair::run_read_repair;
--- a/crates/control-plane/src/platform.rs
+++ b/crates/control-plane/src/discovery/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers.
+//! The platform's list of servers, read page by page over HTTP.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,17 +10,19 @@
 use serde::Deserialize;
 use state::{ServerCondition, ServerEntry, ServerList, ServerListVersion};
 
+/// How long a new connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long one page may take.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
-/// More pages than this are no list. Guards against a platform that never ends one.
-const PAGES_MOST: usize = 400;
+/// A list with more pages is rejected: a protection against a platform that returns a next page for ever.
+const MAX_PAGES: usize = 400;
 
 /// Why the list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
-    /// More calls than the platform takes.
+    /// The platform's rate limit was exceeded.
     TooManyCalls,
-    /// No answer, or none that is a list.
+    /// No answer, or none that is a list; with the cause.
     Unreadable(String),
 }
 
@@ -35,9 +37,12 @@
 
 impl std::error::Error for PlatformError {}
 
+/// One page of the list.
 #[derive(Deserialize)]
 struct Page {
-    carriers: Vec<PageEntry>,
+    #[serde(rename = "carriers")]
+    servers: Vec<PageEntry>,
+    /// The key of the next page; `None` on the last one.
     #[serde(default)]
     next: Option<String>,
 }
@@ -50,11 +55,11 @@
     address: SocketAddr,
     #[serde(default)]
     zone: Arc<str>,
-    #[serde(rename = "berths", default = "one")]
+    #[serde(rename = "berths", default = "default_slots")]
     slots: u32,
     condition: ServerCondition,
     #[serde(rename = "coldMs", default)]
-    cold_ms: f64,
+    warm_up_ms: f64,
     #[serde(default)]
     models: Vec<PageModel>,
 }
@@ -66,7 +71,7 @@
     version: u64,
 }
 
-fn one() -> u32 {
+fn default_slots() -> u32 {
     1
 }
 
@@ -80,23 +85,23 @@
             zone: entry.zone,
             slots: entry.slots,
             condition: entry.condition,
-            warm_up_ms: entry.cold_ms.max(0.0) as u64,
+            warm_up_ms: entry.warm_up_ms.max(0.0) as u64,
             models,
         }
     }
 }
 
-/// Where the list of servers is read.
+/// A source of the server list.
 pub trait ListSource: Send + Sync {
-    /// Reads the whole list and gives it this version.
+    /// Reads the complete list and gives it this version.
     ///
     /// # Errors
     ///
-    /// When a part of it is refused or cannot be read; half a list is none.
+    /// When any part of it is refused or cannot be read; a partial list is never returned.
     fn read(&self, version: ServerListVersion) -> BoxFuture<'_, Result<ServerList, PlatformError>>;
 }
 
-/// Reads the platform's list.
+/// Reads the platform's list over HTTP.
 #[derive(Clone)]
 pub struct Platform {
     http: reqwest::Client,
@@ -117,25 +122,17 @@
     /// When the HTTP client cannot be set up, which takes no I/O.
     #[must_use]
     pub fn new(address: String) -> Self {
-        let http = reqwest::Client::builder()
-            .connect_timeout(Duration::from_millis(500))
-            .tcp_nodelay(true)
-            .no_proxy()
-            .retry(reqwest::retry::never())
-            .redirect(reqwest::redirect::Policy::none())
-            .build()
-            .expect("the HTTP client is set up without I/O");
-        Self { http, address }
+        Self { http: rpc::http_client(CONNECT_TIMEOUT), address }
     }
 
     async fn read_pages(&self, version: ServerListVersion) -> Result<ServerList, PlatformError> {
         let mut servers: Vec<ServerEntry> = Vec::new();
-        let mut leaf: Option<String> = None;
-        for _ in 0..PAGES_MOST {
-            let page = self.page(leaf.as_deref()).await?;
-            servers.extend(page.carriers.into_iter().map(ServerEntry::from));
-            leaf = page.next;
-            if leaf.is_none() {
+        let mut page_key: Option<String> = None;
+        for _ in 0..MAX_PAGES {
+            let page = self.read_page(page_key.as_deref()).await?;
+            servers.extend(page.servers.into_iter().map(ServerEntry::from));
+            page_key = page.next;
+            if page_key.is_none() {
                 servers.sort_by(|a, b| a.id.cmp(&b.id));
                 servers.dedup_by(|a, b| a.id == b.id);
                 return Ok(ServerList { version, servers });
@@ -144,19 +141,19 @@
         Err(PlatformError::Unreadable("it has no last page".into()))
     }
 
-    async fn page(&self, leaf: Option<&str>) -> Result<Page, PlatformError> {
+    async fn read_page(&self, key: Option<&str>) -> Result<Page, PlatformError> {
         let unreadable = |error: reqwest::Error| PlatformError::Unreadable(error.to_string());
-        let url = match leaf {
-            Some(leaf) => format!("http://{}/carriers?leaf={leaf}", self.address),
+        let url = match key {
+            Some(key) => format!("http://{}/carriers?leaf={key}", self.address),
             None => format!("http://{}/carriers", self.address),
         };
-        let answer = self.http.get(url).timeout(PAGE_TIMEOUT).send().await.map_err(unreadable)?;
-        match answer.status().as_u16() {
+        let response = self.http.get(url).timeout(PAGE_TIMEOUT).send().await.map_err(unreadable)?;
+        match response.status().as_u16() {
             200 => {}
             429 => return Err(PlatformError::TooManyCalls),
             status => return Err(PlatformError::Unreadable(format!("status {status}"))),
         }
-        let body = answer.bytes().await.map_err(unreadable)?;
+        let body = response.bytes().await.map_err(unreadable)?;
         serde_json::from_slice(&body).map_err(|error| PlatformError::Unreadable(error.to_string()))
     }
 }
--- /dev/null
+++ b/crates/control-plane/src/discovery/store_membership.rs
@@ -0,0 +1,75 @@
+//! How a store machine joins the store set after the first start, and how it leaves.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use state::change::{with_store, without_store};
+use state::{ControlState, StoreMember};
+use tokio::time::Instant;
+
+use crate::{Proposer, ViewCell};
+
+/// The pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// How long one proposal to join is retried.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How long leaving may take.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(1000);
+
+/// The membership of this machine in the store set.
+pub struct StoreMembership {
+    /// This machine.
+    pub member: StoreMember,
+    /// The state that the process acts on.
+    pub view: Arc<ViewCell>,
+    /// Changes of the register.
+    pub proposer: Arc<Proposer>,
+}
+
+impl StoreMembership {
+    /// Registers this machine for the store set whenever it is not part of it, unless the operator has it drained. Runs
+    /// for as long as the process does.
+    pub async fn run(&self) {
+        let mut views = self.view.subscribe();
+        loop {
+            let known = views.borrow_and_update().control.clone();
+            if self.view.committed().is_none() {
+                tokio::time::sleep(RETRY_PAUSE).await;
+                continue;
+            }
+            if with_store(&known, &self.member).is_err() {
+                if views.changed().await.is_err() {
+                    return;
+                }
+                continue;
+            }
+            self.join().await;
+            tokio::time::sleep(RETRY_PAUSE).await;
+        }
+    }
+
+    async fn join(&self) {
+        let decide = |state: &ControlState| with_store(state, &self.member);
+        let Ok(value) = self.proposer.change(Instant::now() + JOIN_TIMEOUT, decide).await else { return };
+        let stores = &value.value.stores;
+        if stores.members.contains(&self.member) {
+            log::info!("rejoined the stores of epoch {}, without its former disk", stores.epoch);
+        } else {
+            log::info!("waits to become one of the stores");
+        }
+    }
+
+    /// Leaves the store set before the process shuts down gracefully, if there are more stores than intended: another
+    /// one has replaced this machine, and its batch jobs are to become complete without it as soon as it has stopped.
+    pub async fn leave(&self) {
+        let member = &self.member.member;
+        if without_store(&self.view.view().control, member).is_err() {
+            return;
+        }
+        let decide = |state: &ControlState| without_store(state, member);
+        match self.proposer.change(Instant::now() + LEAVE_TIMEOUT, decide).await {
+            Ok(value) => log::info!("left the stores of epoch {}", value.value.stores.epoch),
+            Err(_) => log::warn!("has not left the stores: the leader removes it once it is unresponsive"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/distribution/control_update.rs
@@ -0,0 +1,94 @@
+//! Updates of the control state: the configuration, its largest part, is included only where it changed.
+
+use std::collections::VecDeque;
+use std::sync::Arc;
+
+use register::Versioned;
+use serde::{Deserialize, Serialize};
+use state::{AppliedChange, ControlState, Document, MAX_APPLIED_CHANGES};
+
+/// A newer committed value, relative to the configuration that its receiver has.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ControlUpdate {
+    /// The value, without the fields in [`ConfigurationPart`].
+    rest: Versioned<ControlState>,
+    /// `None` where the receiver has this version of the configuration.
+    configuration: Option<ConfigurationPart>,
+}
+
+/// The fields of the control state that change only with the version of the configuration.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+struct ConfigurationPart {
+    configuration: Document,
+    applied_changes: AppliedChangesPart,
+}
+
+/// The applied changes: all, or those since the version that the receiver has.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+enum AppliedChangesPart {
+    Complete(VecDeque<AppliedChange>),
+    Since { version: u64, changes: Vec<AppliedChange> },
+}
+
+impl AppliedChangesPart {
+    fn new(changes: VecDeque<AppliedChange>, receiver_version: u64) -> Self {
+        match changes.iter().position(|change| change.version == receiver_version) {
+            Some(known) => Self::Since {
+                version: receiver_version,
+                changes: changes.into_iter().skip(known + 1).collect(),
+            },
+            None => Self::Complete(changes),
+        }
+    }
+
+    fn apply(self, present: &ControlState) -> Option<VecDeque<AppliedChange>> {
+        match self {
+            Self::Complete(changes) => Some(changes),
+            Self::Since { version, changes } if present.configuration_version == version => {
+                let mut applied = present.applied_changes.clone();
+                applied.extend(changes);
+                let surplus = applied.len().saturating_sub(MAX_APPLIED_CHANGES);
+                applied.drain(..surplus);
+                Some(applied)
+            }
+            Self::Since { .. } => None,
+        }
+    }
+}
+
+impl ControlUpdate {
+    /// What a process needs to have `newest`, if it has the version `receiver_version` of the configuration.
+    #[must_use]
+    pub fn new(newest: &Versioned<ControlState>, receiver_version: u64) -> Self {
+        let mut state = ControlState::clone(&newest.value);
+        let part = ConfigurationPart {
+            configuration: std::mem::take(&mut state.configuration),
+            applied_changes: AppliedChangesPart::new(
+                std::mem::take(&mut state.applied_changes),
+                receiver_version,
+            ),
+        };
+        let has_configuration = state.configuration_version == receiver_version;
+        let rest = Versioned { value: Arc::new(state), ..newest.clone() };
+        Self { rest, configuration: (!has_configuration).then_some(part) }
+    }
+
+    /// The newest value; `None` where the update is relative to another version of the configuration than that of the
+    /// `present` state.
+    #[must_use]
+    pub fn apply(self, present: &ControlState) -> Option<Versioned<ControlState>> {
+        let mut state = Arc::unwrap_or_clone(self.rest.value);
+        match self.configuration {
+            Some(part) => {
+                state.configuration = part.configuration;
+                state.applied_changes = part.applied_changes.apply(present)?;
+            }
+            None if present.configuration_version == state.configuration_version => {
+                state.configuration.clone_from(&present.configuration);
+                state.applied_changes.clone_from(&present.applied_changes);
+            }
+            None => return None,
+        }
+        Some(Versioned { value: Arc::new(state), ..self.rest })
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/distribution/mod.rs
@@ -0,0 +1,17 @@
+//! How every process receives the newest control state and server list: a long poll of a process that has them.
+//!
+//! Owns the messages of the poll and the updates in them. [`Poller`] is one of the writers of the view; [`PollService`]
+//! only reads it. Updates contain what the receiver lacks: the configuration only where its version changed, and only
+//! the servers that differ from a list that the receiver has.
+
+mod control_update;
+mod messages;
+mod poll_service;
+mod poller;
+mod server_update;
+
+pub use control_update::ControlUpdate;
+pub use messages::{PollReply, PollRequest};
+pub use poll_service::PollService;
+pub use poller::Poller;
+pub use server_update::{RecentLists, ServerChanges, ServerUpdate};
--- /dev/null
+++ b/crates/control-plane/src/distribution/poller.rs
@@ -0,0 +1,147 @@
+//! The polling side of the long poll, and the choice of the peer to poll.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+use super::messages::{PollReply, PollRequest, MAX_CONFIRMED_AGE, NO_BALLOT};
+use crate::{paths, AcceptorGossip, Leadership, ViewCell};
+
+/// How long a peer may delay its reply.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(450);
+/// How much longer the reply may take to arrive.
+const REPLY_GRACE: Duration = Duration::from_millis(300);
+/// The pause after a poll that failed or whose peer is not fresh.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// A process that finds no fresh peer logs a warning after this time, and again each time that it has passed.
+const WARN_INTERVAL: Duration = Duration::from_secs(3);
+/// Seeds and gossiped acceptors are polled beside the known acceptors when the last confirmation is older than this.
+const FALLBACK_AFTER: Duration = MAX_CONFIRMED_AGE.saturating_mul(4);
+/// Processes that do not poll the leader first start at a random peer out of this many.
+const MAX_START_INDEX: usize = 1024;
+
+/// Polls one peer after the other, and stays with one that is fresh.
+pub struct Poller {
+    /// Where replies are adopted.
+    pub view: Arc<ViewCell>,
+    /// Internal calls.
+    pub client: rpc::Client,
+    /// The internal addresses of the seeds, as configured now; polled until the acceptors are known.
+    pub seeds: watch::Receiver<Vec<String>>,
+    /// The acceptors that other processes have sent; polled like seeds.
+    pub gossip: Arc<AcceptorGossip>,
+    /// The internal address of this process, which is not polled.
+    pub own_address: String,
+    /// Of a process that may lead: it polls the leader first, and nobody while it is the leader itself.
+    pub leadership: Option<Arc<Leadership>>,
+}
+
+impl Poller {
+    /// Polls for as long as the process runs.
+    pub async fn run(self) {
+        let mut next_peer: usize = if self.may_lead() { 0 } else { fastrand::usize(..MAX_START_INDEX) };
+        let mut known_leader = None;
+        let mut search = PeerSearch::start();
+        loop {
+            if self.is_leader() {
+                next_peer = 0;
+                search = PeerSearch::start();
+                tokio::time::sleep(LONG_POLL_TIMEOUT).await;
+                continue;
+            }
+            let leader = self.view.view().control.fence_owner.clone();
+            if self.may_lead() && leader != known_leader {
+                (next_peer, known_leader) = (0, leader);
+            }
+            let peers = self.peers();
+            let Some(peer) = peers.get(next_peer % peers.len().max(1)) else {
+                tokio::time::sleep(LONG_POLL_TIMEOUT).await;
+                continue;
+            };
+            if self.poll(peer).await.is_some_and(|reply| reply.is_fresh()) {
+                search = PeerSearch::start();
+            } else {
+                next_peer += 1;
+                search.warn_if_long(&self.view, &peers);
+                tokio::time::sleep(RETRY_PAUSE).await;
+            }
+        }
+    }
+
+    fn may_lead(&self) -> bool {
+        self.leadership.is_some()
+    }
+
+    fn is_leader(&self) -> bool {
+        self.leadership.as_ref().is_some_and(|leadership| leadership.fence().is_some())
+    }
+
+    /// The acceptors, where wanted the leader first. Gossiped acceptors and seeds too where no acceptor is known or
+    /// nothing was confirmed recently.
+    fn peers(&self) -> Vec<String> {
+        let control = &self.view.view().control;
+        let mut acceptors: Vec<_> = control.acceptors.iter().collect();
+        if self.may_lead() {
+            acceptors.sort_by_key(|member| control.fence_owner.as_deref() != Some(&*member.name));
+        }
+        let addresses = acceptors.into_iter().map(|member| member.address.clone());
+        let mut peers: Vec<String> = addresses.filter(|address| *address != self.own_address).collect();
+        let is_out_of_contact = self.view.confirmed_age().is_none_or(|age| age > FALLBACK_AFTER);
+        if peers.is_empty() || is_out_of_contact {
+            let mut others = self.gossip.acceptors();
+            others.extend(self.seeds.borrow().iter().cloned());
+            for other in others {
+                if other != self.own_address && !peers.contains(&other) {
+                    peers.push(other);
+                }
+            }
+        }
+        peers
+    }
+
+    /// Polls a peer once and adopts what is newer.
+    async fn poll(&self, peer: &str) -> Option<PollReply> {
+        let view = self.view.view();
+        // The first reply is needed at once.
+        let max_wait = if self.view.confirmed_age().is_none() { Duration::ZERO } else { LONG_POLL_TIMEOUT };
+        let request = PollRequest {
+            ballot: self.view.committed().map_or(NO_BALLOT, |value| value.ballot),
+            configuration_version: view.control.configuration_version,
+            servers: view.servers.version,
+            max_wait_ms: u32::try_from(max_wait.as_millis()).unwrap_or(0),
+        };
+        let timeout = max_wait + REPLY_GRACE;
+        let reply: PollReply = self.client.call(peer, paths::POLL, &request, timeout).await.ok()?;
+        reply.apply_to(&self.view, Instant::now());
+        Some(reply)
+    }
+}
+
+/// The search for a fresh peer.
+struct PeerSearch {
+    started_at: Instant,
+    warned_at: Instant,
+}
+
+impl PeerSearch {
+    fn start() -> Self {
+        let now = Instant::now();
+        Self { started_at: now, warned_at: now }
+    }
+
+    /// Logs from time to time that the search takes long, so that a process without contact to the others is visible.
+    fn warn_if_long(&mut self, view: &ViewCell, peers: &[String]) {
+        if self.warned_at.elapsed() < WARN_INTERVAL {
+            return;
+        }
+        self.warned_at = Instant::now();
+        log::warn!(
+            "for {} ms no peer has reported a confirmed state and a fresh list; {} acceptors are known, polled are {}",
+            self.started_at.elapsed().as_millis(),
+            view.view().control.acceptors.len(),
+            peers.join(" ")
+        );
+    }
+}
--- a/crates/control-plane/src/server_updates.rs
+++ b/crates/control-plane/src/distribution/server_update.rs
@@ -1,4 +1,4 @@
-//! Updates of the list of servers: whole, or only what changed since a list that the receiver holds.
+//! Updates of the server list: complete, or only the changes since a list that the receiver has.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,44 +6,44 @@
 use serde::{Deserialize, Serialize};
 use state::{ServerEntry, ServerId, ServerList, ServerListVersion};
 
-/// How many lists are remembered, to tell what changed since.
-const LISTS_KEPT: usize = 12;
+/// How many lists are remembered to compute changes from.
+const MAX_RECENT_LISTS: usize = 12;
 
-/// What makes the list that a process holds the newest one.
+/// Turns the list that a process has into the newest one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerUpdate {
     /// The newest list.
-    Whole(ServerList),
-    /// What changed since an earlier list.
+    Complete(ServerList),
+    /// The changes since an earlier list.
     Changes(ServerChanges),
 }
 
-/// What changed between two lists.
+/// The changes between two lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerChanges {
     /// The version of the list that the changes apply to.
     pub base: ServerListVersion,
-    /// The version of the list that they lead to.
+    /// The version of the list that results.
     pub version: ServerListVersion,
     /// Servers that are new or differ.
     pub changed: Vec<ServerEntry>,
-    /// Servers that are gone.
+    /// Servers that are no longer listed.
     pub removed: Vec<ServerId>,
 }
 
 impl ServerUpdate {
-    /// The newest list; `None` where the changes do not apply to the list that is `held`.
+    /// The newest list; `None` where the changes do not apply to the `present` list.
     #[must_use]
-    pub fn apply(self, held: &ServerList) -> Option<ServerList> {
+    pub fn apply(self, present: &ServerList) -> Option<ServerList> {
         match self {
-            Self::Whole(list) => Some(list),
-            Self::Changes(changes) => (changes.base == held.version).then(|| changes.apply(held)),
+            Self::Complete(list) => Some(list),
+            Self::Changes(changes) => (changes.base == present.version).then(|| changes.apply(present)),
         }
     }
 }
 
 impl ServerChanges {
-    /// What changed from `base` to `newest`.
+    /// The changes from `base` to `newest`.
     #[must_use]
     pub fn between(base: &ServerList, newest: &ServerList) -> Self {
         let changed = newest.servers.iter().filter(|server| find(base, &server.id) != Some(*server));
@@ -56,10 +56,10 @@
         }
     }
 
-    fn apply(self, held: &ServerList) -> ServerList {
+    fn apply(self, present: &ServerList) -> ServerList {
         let is_replaced =
             |id: &ServerId| self.removed.contains(id) || self.changed.iter().any(|new| new.id == *id);
-        let kept = held.servers.iter().filter(|server| !is_replaced(&server.id)).cloned();
+        let kept = present.servers.iter().filter(|server| !is_replaced(&server.id)).cloned();
         let mut servers: Vec<ServerEntry> = kept.collect();
         servers.extend(self.changed);
         servers.sort_by(|a, b| a.id.cmp(&b.id));
@@ -68,28 +68,34 @@
 }
 
 fn find<'a>(list: &'a ServerList, id: &ServerId) -> Option<&'a ServerEntry> {
-    let at = list.servers.binary_search_by(|server| server.id.cmp(id)).ok()?;
-    list.servers.get(at)
+    let index = list.servers.binary_search_by(|server| server.id.cmp(id)).ok()?;
+    list.servers.get(index)
 }
 
-/// The newest lists that a process has distributed.
+/// The latest lists that a process has distributed.
 #[derive(Debug, Default)]
 pub struct RecentLists {
     lists: VecDeque<Arc<ServerList>>,
 }
 
 impl RecentLists {
-    /// What a process that holds the list of version `held` needs to have `newest`; `None` where it has it.
-    pub fn update(&mut self, held: ServerListVersion, newest: &Arc<ServerList>) -> Option<ServerUpdate> {
+    /// What a process needs to have `newest`, if it has the list of the version `receiver_version`; `None` where it
+    /// needs nothing.
+    pub fn update(
+        &mut self,
+        receiver_version: ServerListVersion,
+        newest: &Arc<ServerList>,
+    ) -> Option<ServerUpdate> {
         self.remember(newest);
-        if newest.version <= held {
+        if newest.version <= receiver_version {
             return None;
         }
         // Lists that processes read for themselves may differ under the same version.
-        let base = self.lists.iter().find(|list| list.version == held && held.local == 0);
-        Some(match base {
+        let is_base =
+            |list: &&Arc<ServerList>| list.version == receiver_version && receiver_version.local == 0;
+        Some(match self.lists.iter().find(is_base) {
             Some(base) => ServerUpdate::Changes(ServerChanges::between(base, newest)),
-            None => ServerUpdate::Whole((**newest).clone()),
+            None => ServerUpdate::Complete((**newest).clone()),
         })
     }
 
@@ -98,7 +104,7 @@
             return;
         }
         self.lists.push_back(Arc::clone(newest));
-        if self.lists.len() > LISTS_KEPT {
+        if self.lists.len() > MAX_RECENT_LISTS {
             self.lists.pop_front();
         }
     }
--- /dev/null
+++ b/crates/control-plane/src/election/leadership.rs
@@ -0,0 +1,137 @@
+//! Whether this process is the leader, shared by all its parts.
+
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use state::change::LeaderLease;
+use tokio::sync::{watch, Notify};
+use tokio::time::Instant;
+
+use crate::ViewCell;
+
+/// How long [`Leadership::resign`] waits until the grantors were notified.
+const RESIGN_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// The leader lease of this process, while it has one.
+pub struct Leadership {
+    /// Start of the monotonic clock on which the lease is measured.
+    started_at: Instant,
+    view: Arc<ViewCell>,
+    lease: Mutex<Option<LeaderLease>>,
+    stage: watch::Sender<ElectionStage>,
+    orders_allowed: Notify,
+}
+
+/// Whether this process takes part in the election.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ElectionStage {
+    /// It is a candidate or the leader.
+    Running,
+    /// It is to release the lease and to withdraw.
+    Resigning,
+    /// It has withdrawn.
+    Resigned,
+}
+
+impl Leadership {
+    /// Of a process that does not lead yet. `view` has the fencing tokens that others were issued.
+    #[must_use]
+    pub fn new(view: Arc<ViewCell>) -> Self {
+        Self {
+            started_at: Instant::now(),
+            view,
+            lease: Mutex::new(None),
+            stage: watch::Sender::new(ElectionStage::Running),
+            orders_allowed: Notify::new(),
+        }
+    }
+
+    /// The fencing token, while the lease is valid and no higher token is known to have been issued.
+    #[must_use]
+    pub fn fence(&self) -> Option<u64> {
+        self.lease()?.fence_at(self.now()).filter(|fence| !self.is_outdated(*fence))
+    }
+
+    /// The fencing token for orders to servers: as [`Leadership::fence`], once no order of another leader can arrive any
+    /// more.
+    #[must_use]
+    pub fn fence_for_orders(&self) -> Option<u64> {
+        self.lease()?.fence_for_orders_at(self.now()).filter(|fence| !self.is_outdated(*fence))
+    }
+
+    /// Releases the lease before the process shuts down, so that the next leader need not wait until it expires. Orders
+    /// stop at once; returns once the grantors were notified, or after a short time-out.
+    pub async fn resign(&self) {
+        self.set_lease(None);
+        let mut stage = self.stage.subscribe();
+        let is_election_running = self.stage.receiver_count() > 1;
+        if !is_election_running {
+            return;
+        }
+        self.stage.send_replace(ElectionStage::Resigning);
+        let resigned = stage.wait_for(|stage| *stage == ElectionStage::Resigned);
+        let _ = tokio::time::timeout(RESIGN_TIMEOUT, resigned).await;
+    }
+
+    /// Waits until [`Leadership::fence_for_orders`] may have become available.
+    pub(crate) async fn orders_allowed(&self) {
+        self.orders_allowed.notified().await;
+    }
+
+    /// Wakes the task that waits to send orders, if it may.
+    pub(super) fn notify_if_orders_allowed(&self) {
+        if self.fence_for_orders().is_some() {
+            self.orders_allowed.notify_one();
+        }
+    }
+
+    /// Whether the lease is valid, but a higher fencing token than its own has been issued.
+    pub(super) fn is_superseded(&self) -> bool {
+        let fence = self.lease().and_then(|lease| lease.fence_at(self.now()));
+        fence.is_some_and(|fence| self.is_outdated(fence))
+    }
+
+    /// Time on the monotonic clock of the lease.
+    pub(super) fn now(&self) -> Duration {
+        self.started_at.elapsed()
+    }
+
+    /// The lease as it was acquired or renewed last. It may have expired.
+    pub(super) fn lease(&self) -> Option<LeaderLease> {
+        *self.lock()
+    }
+
+    pub(super) fn set_lease(&self, lease: Option<LeaderLease>) {
+        *self.lock() = lease;
+    }
+
+    /// Records that the register names the leader with this fencing token as the issuer of orders.
+    pub(super) fn record_order_issuer(&self, fence: u64) {
+        if let Some(lease) = self.lock().as_mut() {
+            lease.record_order_issuer(fence);
+        }
+    }
+
+    /// The stage, for the election. Its existence shows [`Leadership::resign`] that there is an election to end.
+    pub(super) fn subscribe_stage(&self) -> watch::Receiver<ElectionStage> {
+        self.stage.subscribe()
+    }
+
+    /// Reports that the election has ended.
+    pub(super) fn set_resigned(&self) {
+        self.stage.send_replace(ElectionStage::Resigned);
+    }
+
+    /// The highest fencing token that is known to have been issued to any process.
+    pub(super) fn latest_fence(&self) -> u64 {
+        self.view.view().control.fence
+    }
+
+    fn is_outdated(&self, fence: u64) -> bool {
+        self.latest_fence() > fence
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Option<LeaderLease>> {
+        self.lease.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- a/crates/control-plane/src/core_service.rs
+++ b/crates/control-plane/src/election/quorum_service.rs
@@ -1,6 +1,6 @@
-//! What a machine of the core answers: its acceptor of the register and its grantor of the leader lease.
+//! The voting side of this machine: its acceptor of the register and its grantor of the leader lease.
 //!
-//! The two belong together: the grantor must know of a change of the acceptors before the acceptor answers for it.
+//! The two belong together: the grantor must learn of a change of the acceptors before the acceptor replies to it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -10,32 +10,28 @@
 use state::ControlState;
 use tokio::time::Instant;
 
-use crate::{AcceptorService, ViewCell, LEASE_TTL};
-
-/// The grantors of the lease are the acceptors of the register.
-pub(crate) fn grantors_of(state: &ControlState) -> Vec<GrantorId> {
-    state.acceptors.iter().map(|member| GrantorId(member.incarnation.0)).collect()
-}
+use super::{grantors_of, LEASE_TTL};
+use crate::{AcceptorService, ViewCell};
 
 /// The acceptor and the grantor of one disk.
-pub struct CoreService {
+pub struct QuorumService {
     acceptor: Arc<AcceptorService>,
     grantor: Mutex<Grantor>,
     view: Arc<ViewCell>,
-    started: Instant,
+    started_at: Instant,
 }
 
-impl CoreService {
-    /// The acceptor with a new grantor beside it. What the acceptor knows to be committed is adopted by `view`.
+impl QuorumService {
+    /// The acceptor with a new grantor. `view` adopts what the acceptor knows to be committed.
     #[must_use]
     pub fn new(acceptor: Arc<AcceptorService>, incarnation: Incarnation, view: Arc<ViewCell>) -> Arc<Self> {
         let grantor = Grantor::new(GrantorId(incarnation.0), Duration::ZERO, LEASE_TTL);
-        let service = Self { acceptor, grantor: Mutex::new(grantor), view, started: Instant::now() };
+        let service = Self { acceptor, grantor: Mutex::new(grantor), view, started_at: Instant::now() };
         if let Some(accepted) = service.acceptor.accepted() {
             service.observe(&accepted.value);
         }
-        if let Some(known) = service.acceptor.committed() {
-            service.view.adopt_control(&known);
+        if let Some(committed) = service.acceptor.committed() {
+            service.view.adopt_control(&committed);
         }
         Arc::new(service)
     }
@@ -46,7 +42,7 @@
         &self.acceptor
     }
 
-    /// Answers a request to the acceptor; `None` where the change could not be made durable.
+    /// Replies to a request to the acceptor; `None` where the change could not be made durable.
     pub async fn handle(
         &self,
         request: AcceptorRequest<ControlState>,
@@ -61,34 +57,35 @@
             _ => None,
         };
         let reply = self.acceptor.handle(request).await?;
-        // Of a value that was rejected nothing may be noted: it may never be committed, and candidates would be refused
-        // for not knowing it.
+        // A rejected value must not be observed: it may never be committed, and the grantor would then refuse candidates
+        // for not having it.
         if let Some(accepted) = proposed.filter(|_| matches!(reply.outcome, ReplyOutcome::Accepted)) {
             self.observe(&accepted);
         }
         Some(reply)
     }
 
-    /// Takes the first value of the register, if none was taken yet; tells which one stands.
-    pub async fn initialise(&self, first: Versioned<ControlState>) -> Option<Versioned<ControlState>> {
-        self.acceptor.initialise(first).await
+    /// Accepts the initial value of the register, unless this acceptor has a value already. Returns the value that it
+    /// has then; `None` where it could not be made durable.
+    pub async fn initialize(&self, initial: Versioned<ControlState>) -> Option<Versioned<ControlState>> {
+        self.acceptor.initialize(initial).await
     }
 
-    /// Answers a candidate for the leader lease.
+    /// Replies to a candidate for the leader lease.
     pub fn grant(&self, request: &LeaseRequest) -> LeaseReply {
-        let known = Arc::clone(&self.view.view().control);
-        let now = self.started.elapsed();
+        let control = Arc::clone(&self.view.view().control);
+        let now = self.started_at.elapsed();
         let mut grantor = self.lock();
-        grantor.learn(now, known.revision, &grantors_of(&known));
+        grantor.learn(now, control.revision, &grantors_of(&control));
         grantor.handle(now, request)
     }
 
-    /// Takes a grant back from a candidate that gives it back.
+    /// Withdraws a grant that a candidate has released.
     pub fn release(&self, release: &LeaseRelease) {
         self.lock().release(release);
     }
 
-    /// Tells the grantor who the grantors are, before a value that changes them is answered for.
+    /// Informs the grantor of the grantors in a value, before the acceptor replies for that value.
     fn observe(&self, state: &ControlState) {
         self.lock().observe(state.revision, &grantors_of(state));
     }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,48 +1,39 @@
-//! Control of a process: the register, the leader lease, the operator's interface, the list of servers and
-//! their distribution.
+//! The control plane of a process: the replicated control state, the leader lease, the server list and their
+//! distribution to all processes.
+//!
+//! The modules, each of which uses only those before it:
+//!
+//! - [`paths`] and [`view`]: the paths of internal calls, and the snapshot that the process acts on;
+//! - [`liveness`]: pings, and when each acceptor replied last;
+//! - [`consensus`]: the acceptor of this machine, and proposals to all acceptors;
+//! - [`election`]: the leader lease and its fencing token;
+//! - [`discovery`]: how processes find acceptors, each other and the servers;
+//! - [`distribution`]: how every process receives the newest state by a long poll;
+//! - [`reconcile`], [`rollout`] and [`operator_api`]: what the leader does about members and model versions, and what
+//!   the operator orders.
 
-mod acceptor;
-mod acceptor_membership;
-mod bootstrap;
-mod contacts;
-mod control_updates;
-mod core_service;
+mod consensus;
+mod discovery;
 mod distribution;
-mod introductions;
-mod leader;
-mod list_reader;
-mod messages;
-mod operator;
-mod order_desk;
-mod orders;
-mod ping;
-mod platform;
-mod poll;
-mod proposer;
-mod server_calls;
-mod server_updates;
-mod upkeep;
-mod version_news;
+mod election;
+mod liveness;
+mod operator_api;
+pub mod paths;
+mod reconcile;
+mod rollout;
 mod view;
 
-pub use acceptor::{run_scrub, AcceptorService};
-pub use acceptor_membership::{join_register, leave_register};
-pub use bootstrap::{join_stores, leave_stores, start_first, FirstStart, Identity};
-pub use contacts::AcceptorContacts;
-pub use control_updates::ControlUpdate;
-pub use core_service::CoreService;
-pub use distribution::Distribution;
-pub use introductions::{run_acceptor_gossip, AcceptorGossip};
-pub use leader::{run_leader, Leadership, OrderGap, LEASE_TTL};
-pub use list_reader::run_list_reader;
-pub use messages::{paths, Announcement, Capability, GossipMessage, PingReply, PollReply, PollRequest};
-pub use operator::operator_routes;
-pub use order_desk::{CallOutcome, CallTag, OrderTracker};
-pub use orders::run_orders;
-pub use platform::{ListSource, Platform, PlatformError};
-pub use poll::run_poller;
-pub use proposer::{ChangeFailure, Proposer};
-pub use server_calls::{HttpServerCalls, ServerCalls};
-pub use server_updates::{RecentLists, ServerChanges, ServerUpdate};
-pub use upkeep::run_reconciler;
+pub use consensus::{run_read_repair, AcceptorMembership, AcceptorService, ChangeFailure, Proposer};
+pub use discovery::{
+    AcceptorGossip, Announcement, Bootstrap, BootstrapAnnouncements, Capability, GossipMessage, GossipSender,
+    ListReader, ListSource, Platform, PlatformError, StoreMembership,
+};
+pub use distribution::{
+    ControlUpdate, PollReply, PollRequest, PollService, Poller, RecentLists, ServerChanges, ServerUpdate,
+};
+pub use election::{LeaderElection, Leadership, OrderGap, QuorumService, LEASE_TTL};
+pub use liveness::{AcceptorContacts, PingReply, PingService};
+pub use operator_api::operator_routes;
+pub use reconcile::Reconciler;
+pub use rollout::{CallOutcome, CallTag, HttpServerCalls, OrderDispatcher, OrderTracker, ServerCalls};
 pub use view::ViewCell;
--- /dev/null
+++ b/crates/control-plane/src/liveness/contacts.rs
@@ -0,0 +1,64 @@
+//! When this process last received a reply from each acceptor.
+
+use std::collections::BTreeMap;
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use register::{Incarnation, Member};
+use tokio::time::Instant;
+
+/// After a pause of this length between two rounds, missing replies say more about this process than about the
+/// acceptors, since it was suspended or starved: all contacts count from now.
+const MAX_ROUND_GAP: Duration = Duration::from_millis(1200);
+
+/// When each acceptor replied last, as recorded by the rounds of read repair.
+#[derive(Default)]
+pub struct AcceptorContacts {
+    rounds: Mutex<Rounds>,
+}
+
+#[derive(Default)]
+struct Rounds {
+    last_round: Option<Instant>,
+    /// The last reply of each present acceptor, or the first round in which it was asked.
+    last_contact: BTreeMap<Incarnation, Instant>,
+}
+
+impl AcceptorContacts {
+    /// Starts a round in which all of these acceptors are asked.
+    pub fn begin_round(&self, acceptors: &[Member]) {
+        let now = Instant::now();
+        let mut rounds = self.lock();
+        let was_interrupted = rounds.last_round.is_some_and(|last| now - last > MAX_ROUND_GAP);
+        rounds.last_round = Some(now);
+        if was_interrupted {
+            rounds.last_contact.clear();
+        }
+        rounds.last_contact.retain(|known, _| acceptors.iter().any(|member| member.incarnation == *known));
+        for member in acceptors {
+            rounds.last_contact.entry(member.incarnation).or_insert(now);
+        }
+    }
+
+    /// Records a reply of an acceptor.
+    pub fn record_contact(&self, acceptor: Incarnation) {
+        if let Some(last_contact) = self.lock().last_contact.get_mut(&acceptor) {
+            *last_contact = Instant::now();
+        }
+    }
+
+    /// The acceptors that have not replied for `timeout`; none while the rounds themselves are interrupted.
+    #[must_use]
+    pub fn unresponsive_for(&self, timeout: Duration) -> Vec<Incarnation> {
+        let rounds = self.lock();
+        if rounds.last_round.is_none_or(|last| last.elapsed() > MAX_ROUND_GAP) {
+            return Vec::new();
+        }
+        let unresponsive = rounds.last_contact.iter().filter(|(_, last)| last.elapsed() >= timeout);
+        unresponsive.map(|(acceptor, _)| *acceptor).collect()
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Rounds> {
+        self.rounds.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- /dev/null
+++ b/crates/control-plane/src/operator_api.rs
@@ -0,0 +1,192 @@
+//! The operator's HTTP interface: configurations, draining of store machines, versions to roll out.
+//!
+//! It owns no state: each request is one change of the register, or one read of its newest value. Any process may serve
+//! it.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use poem::http::{Method, StatusCode};
+use poem::web::{Data, Json, Path};
+use poem::{get, handler, post, Body, EndpointExt, IntoResponse, Request, Response, Route};
+use serde::{Deserialize, Serialize};
+use state::change::{
+    change_digest, with_configuration, with_draining, with_target_version, ChangeKind, ChangeRejected,
+};
+use state::{ControlState, DrainState};
+use tokio::time::Instant;
+
+use crate::{ChangeFailure, Proposer, ViewCell};
+
+/// How long a request may take before its outcome is reported as unknown; callers try another node after a second.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The largest body of a request.
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
+
+/// What the handlers work with.
+#[derive(Clone)]
+struct Context {
+    view: Arc<ViewCell>,
+    proposer: Arc<Proposer>,
+}
+
+/// The body of a request to roll out a version.
+#[derive(Deserialize)]
+struct VersionBody {
+    model: String,
+    #[serde(rename = "edition")]
+    version: u64,
+}
+
+/// The progress of draining a machine, as JSON.
+#[derive(Serialize)]
+struct DrainReply {
+    condition: &'static str,
+}
+
+/// An error, as JSON.
+#[derive(Serialize)]
+struct ErrorReply {
+    error: String,
+}
+
+/// The routes of the operator's interface.
+pub fn operator_routes(view: Arc<ViewCell>, proposer: Arc<Proposer>) -> impl poem::Endpoint {
+    let configuration = get(read_configuration).put(change_configuration).patch(change_configuration);
+    Route::new()
+        .at("/api/timetable", configuration)
+        .at("/api/retire/:name", get(read_drain).post(start_drain))
+        .at("/api/version-put", post(set_target_version))
+        .data(Context { view, proposer })
+}
+
+#[handler]
+async fn read_configuration(Data(context): Data<&Context>) -> Response {
+    match context.proposer.read_newest(deadline()).await {
+        Some(value) if value.value.configuration_version > 0 => match value.value.configuration.text() {
+            Ok(text) => Response::builder().content_type("application/json").body(text.to_owned()),
+            Err(error) => failure(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
+        },
+        Some(_) => failure(StatusCode::NOT_FOUND, "no configuration was taken yet"),
+        None => outcome_unknown(),
+    }
+}
+
+#[handler]
+async fn change_configuration(request: &Request, body: Body, Data(context): Data<&Context>) -> Response {
+    let Ok(body) = body.into_bytes_limit(MAX_BODY_BYTES).await else {
+        return failure(StatusCode::BAD_REQUEST, "the body cannot be read whole");
+    };
+    let Some(expected) = if_match(request) else {
+        return failure(StatusCode::BAD_REQUEST, "If-Match: a whole number is wanted");
+    };
+    let kind = if request.method() == Method::PATCH { ChangeKind::Patch } else { ChangeKind::Replace };
+    let digest = change_digest(kind, expected, &body);
+    let decide = |state: &ControlState| with_configuration(state, kind, expected, digest, &body);
+    match context.proposer.change(deadline(), decide).await {
+        Ok(value) => {
+            let state = &value.value;
+            log::info!("configuration {} applied, revision {}", state.configuration_version, state.revision);
+            StatusCode::OK.into()
+        }
+        Err(failure) => change_failed(&failure),
+    }
+}
+
+/// The version of the configuration that a change builds on.
+fn if_match(request: &Request) -> Option<u64> {
+    request.header("if-match")?.trim().trim_matches('"').parse().ok()
+}
+
+#[handler]
+async fn set_target_version(body: Body, Data(context): Data<&Context>) -> Response {
+    let body = match body.into_bytes_limit(MAX_BODY_BYTES).await {
+        Ok(body) => body,
+        Err(error) => return failure(StatusCode::BAD_REQUEST, &error.to_string()),
+    };
+    let VersionBody { model, version } = match serde_json::from_slice(&body) {
+        Ok(parsed) => parsed,
+        Err(error) => return failure(StatusCode::BAD_REQUEST, &error.to_string()),
+    };
+    let decide = |state: &ControlState| with_target_version(state, &model, version);
+    match context.proposer.change(deadline(), decide).await {
+        Ok(_) => {
+            log::info!("version {version} of {model} named");
+            StatusCode::OK.into()
+        }
+        Err(failure) => change_failed(&failure),
+    }
+}
+
+#[handler]
+async fn start_drain(Path(name): Path<String>, Data(context): Data<&Context>) -> Response {
+    let decide = |state: &ControlState| with_draining(state, &name);
+    match context.proposer.change(deadline(), decide).await {
+        Ok(_) => StatusCode::OK.into(),
+        Err(failure) => change_failed(&failure),
+    }
+}
+
+#[handler]
+async fn read_drain(Path(name): Path<String>, Data(context): Data<&Context>) -> Response {
+    // Draining only goes forward, so its end can be reported from the local view; a majority is asked for the rest.
+    let known = context.view.view().control.draining.get(&name).copied();
+    if known == Some(DrainState::Drained) {
+        return drain_reply(DrainState::Drained);
+    }
+    let Some(newest) = context.proposer.read_newest(deadline()).await else {
+        return outcome_unknown();
+    };
+    match newest.value.draining.get(&name) {
+        Some(state) => drain_reply(*state),
+        None => failure(StatusCode::NOT_FOUND, "this machine is not being retired"),
+    }
+}
+
+fn drain_reply(state: DrainState) -> Response {
+    let condition = match state {
+        DrainState::Draining => "rolling",
+        DrainState::Drained => "delivered",
+    };
+    Json(DrainReply { condition }).into_response()
+}
+
+fn deadline() -> Instant {
+    Instant::now() + REQUEST_TIMEOUT
+}
+
+fn change_failed(error: &ChangeFailure<ChangeRejected>) -> Response {
+    match error {
+        ChangeFailure::Rejected(reason) => rejected(reason),
+        ChangeFailure::OutcomeUnknown => outcome_unknown(),
+    }
+}
+
+/// The response to a change that the committed state rejects. One that was made before is acknowledged again.
+fn rejected(reason: &ChangeRejected) -> Response {
+    match reason {
+        ChangeRejected::AlreadyApplied | ChangeRejected::Unchanged => StatusCode::OK.into(),
+        ChangeRejected::VersionMismatch(present) => {
+            failure(StatusCode::PRECONDITION_FAILED, &format!("version {present} is in place"))
+        }
+        ChangeRejected::TooOld => failure(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "it builds on a version so old that it cannot be told whether it was taken",
+        ),
+        ChangeRejected::Unreadable => {
+            failure(StatusCode::SERVICE_UNAVAILABLE, "the present configuration cannot be read here")
+        }
+        ChangeRejected::Invalid(error) => failure(StatusCode::BAD_REQUEST, &error.to_string()),
+        ChangeRejected::UnknownMember => failure(StatusCode::NOT_FOUND, "no such store machine"),
+        ChangeRejected::TooFewStores => failure(StatusCode::CONFLICT, "too few store machines would be left"),
+    }
+}
+
+fn outcome_unknown() -> Response {
+    failure(StatusCode::SERVICE_UNAVAILABLE, "no majority of the acceptors answers")
+}
+
+fn failure(status: StatusCode, error: &str) -> Response {
+    let body = serde_json::to_string(&ErrorReply { error: error.to_owned() }).unwrap_or_default();
+    Response::builder().status(status).content_type("application/json").body(body)
+}
--- /dev/null
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -0,0 +1,15 @@
+//! The rollout of model versions by the leader: orders to servers, and what these report back.
+//!
+//! Owns the calls to servers that are in flight and the reports that wait to be distributed, which only
+//! [`OrderDispatcher`] writes. What to order is decided by the planner of the crate `rollout`; before each order the
+//! leader's fencing token is checked again, and servers may check it too.
+
+mod order_dispatcher;
+mod order_tracker;
+mod planner_input;
+mod server_calls;
+mod version_report_batcher;
+
+pub use order_dispatcher::OrderDispatcher;
+pub use order_tracker::{CallOutcome, CallTag, OrderTracker};
+pub use server_calls::{HttpServerCalls, ServerCalls};
--- /dev/null
+++ b/crates/control-plane/src/rollout/planner_input.rs
@@ -0,0 +1,43 @@
+//! What the planner needs from the view.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+use rollout::{ModelName, Planner, RolloutServer};
+use state::{ServerCondition, ServerEntry, View};
+
+/// Passes the target versions and the servers with models to the planner.
+pub(super) fn update_planner(planner: &mut Planner, now: Duration, view: &View) {
+    for (model, version) in &view.control.target_versions {
+        planner.set_target_version(now, model, *version);
+    }
+    planner.set_in_place_models(in_place_models(view));
+    let servers = view.servers.servers.iter().filter(|server| !server.models.is_empty());
+    planner.set_servers(servers.map(rollout_server));
+}
+
+fn rollout_server(server: &ServerEntry) -> RolloutServer {
+    RolloutServer {
+        id: Arc::clone(&server.id),
+        address: server.address,
+        zone: Arc::clone(&server.zone),
+        is_closing: server.condition == ServerCondition::Closing,
+        models: server.models.clone(),
+    }
+}
+
+/// Models whose running requests may continue under another version: those of services to which no route leads that
+/// requires a single version per response.
+fn in_place_models(view: &View) -> BTreeSet<ModelName> {
+    let Some(configuration) = &view.configuration else { return BTreeSet::new() };
+    let single_version_services: BTreeSet<&str> = configuration
+        .routes()
+        .iter()
+        .filter(|route| route.single_version)
+        .flat_map(|route| route.targets.iter().map(|target| &*target.service))
+        .collect();
+    let servers = view.servers.servers.iter();
+    let others = servers.filter(|server| !single_version_services.contains(&*server.service));
+    others.flat_map(|server| server.models.keys().cloned()).collect()
+}
--- /dev/null
+++ b/crates/control-plane/src/rollout/server_calls.rs
@@ -0,0 +1,81 @@
+//! Calls to servers by the leader.
+
+use std::time::Duration;
+
+use futures_util::future::BoxFuture;
+use rollout::{OrderReply, ReportRequest, ServerReport, VersionOrder};
+
+use crate::election::ORDER_TIMEOUT;
+
+/// The path for orders.
+const ORDER_PATH: &str = "/api/order";
+/// The path for reports.
+const REPORT_PATH: &str = "/api/report";
+/// The header with the id of the addressed server, so that another one at the same address rejects the call.
+const EXPECTED_SERVER: &str = "Expected-Carrier";
+/// How long a report may take.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long a new connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Sends orders and requests for reports to servers. No call is ever retried.
+pub trait ServerCalls: Send + Sync {
+    /// Sends an order with this body.
+    fn send_order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply>;
+    /// Requests a report; `None` where none came.
+    fn request_report<'a>(&'a self, request: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>>;
+}
+
+/// Calls to servers over HTTP.
+pub struct HttpServerCalls {
+    http: reqwest::Client,
+}
+
+impl Default for HttpServerCalls {
+    fn default() -> Self {
+        Self::new()
+    }
+}
+
+impl HttpServerCalls {
+    /// Without any connection yet.
+    ///
+    /// # Panics
+    ///
+    /// When the HTTP client cannot be set up, which takes no I/O.
+    #[must_use]
+    pub fn new() -> Self {
+        Self { http: rpc::http_client(CONNECT_TIMEOUT) }
+    }
+}
+
+impl ServerCalls for HttpServerCalls {
+    fn send_order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply> {
+        Box::pin(async move {
+            let request = self
+                .http
+                .post(format!("http://{}{ORDER_PATH}", order.address))
+                .header("Content-Type", "application/json")
+                .header(EXPECTED_SERVER, &*order.server)
+                .timeout(ORDER_TIMEOUT)
+                .body(body);
+            match request.send().await {
+                Ok(response) => OrderReply::from_status(response.status().as_u16()),
+                Err(error) if error.is_connect() => OrderReply::NotAccepted,
+                Err(_) => OrderReply::Indeterminate,
+            }
+        })
+    }
+
+    fn request_report<'a>(&'a self, request: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>> {
+        Box::pin(async move {
+            let call = self
+                .http
+                .get(format!("http://{}{REPORT_PATH}", request.address))
+                .header(EXPECTED_SERVER, &*request.server)
+                .timeout(REPORT_TIMEOUT);
+            let response = call.send().await.ok().filter(|response| response.status().as_u16() == 200)?;
+            serde_json::from_slice(&response.bytes().await.ok()?).ok()
+        })
+    }
+}
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -1,25 +1,32 @@
-//! The snapshot that a process acts on, and how it is replaced.
+//! The newest [`View`] of this process, and how it is replaced.
+//!
+//! Every part of the process reads it. The control state is written by the proposer, the acceptor's quorum service and
+//! the poller; the server list by the poller, the list reader and the version report batcher.
 
-use std::sync::{Arc, Mutex};
+use std::fmt;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use configuration::Configuration;
+use configuration::{Configuration, ConfigurationError};
 use register::Versioned;
-use state::{ControlState, ServerList, View};
+use state::{ControlState, DocumentError, ServerList, View};
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::messages::PollReply;
-
-/// Holds the newest known [`View`]. Only goes forward.
+/// Contains the newest known [`View`]. Neither its control state nor its server list is ever replaced by an older one.
 pub struct ViewCell {
     sender: watch::Sender<Arc<View>>,
-    known: Mutex<Known>,
+    origin: Mutex<Origin>,
 }
 
-struct Known {
+/// Where the parts of the view come from, and how old they are.
+#[derive(Default)]
+struct Origin {
+    /// The value of the register that the control state is from.
     committed: Option<Versioned<ControlState>>,
+    /// When a majority last confirmed that this value is the newest.
     confirmed_at: Option<Instant>,
+    /// When the platform last listed the servers as they are in the view.
     servers_read_at: Option<Instant>,
 }
 
@@ -30,64 +37,63 @@
 }
 
 impl ViewCell {
-    /// A cell that knows nothing yet.
+    /// A cell with an empty view.
     #[must_use]
     pub fn new() -> Self {
-        let known = Known { committed: None, confirmed_at: None, servers_read_at: None };
-        Self { sender: watch::Sender::new(Arc::new(View::default())), known: Mutex::new(known) }
+        Self { sender: watch::Sender::new(Arc::new(View::default())), origin: Mutex::default() }
     }
 
-    /// Follows the snapshots.
+    /// Subscribes to all further views.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<View>> {
         self.sender.subscribe()
     }
 
-    /// The present snapshot.
+    /// The present view.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.sender.borrow())
     }
 
-    /// The newest committed value that is known.
+    /// The newest known committed value; `None` before the first.
     #[must_use]
     pub fn committed(&self) -> Option<Versioned<ControlState>> {
         self.lock().committed.clone()
     }
 
-    /// Time since a majority confirmed the committed value as the newest.
+    /// Time since a majority confirmed the committed value as the newest; `None` if it never did.
     #[must_use]
     pub fn confirmed_age(&self) -> Option<Duration> {
         self.lock().confirmed_at.map(|at| at.elapsed())
     }
 
-    /// Time since the list of servers was read from the platform.
+    /// Time since the server list was read from the platform; `None` if it never was.
     #[must_use]
     pub fn servers_age(&self) -> Option<Duration> {
         self.lock().servers_read_at.map(|at| at.elapsed())
     }
 
-    /// Takes a committed value over, if it is newer.
+    /// Adopts a committed value, if it is newer.
     pub fn adopt_control(&self, newer: &Versioned<ControlState>) {
-        let mut known = self.lock();
-        if known.committed.as_ref().is_some_and(|old| old.ballot >= newer.ballot) {
+        let mut origin = self.lock();
+        if origin.committed.as_ref().is_some_and(|present| present.ballot >= newer.ballot) {
             return;
         }
-        known.committed = Some(newer.clone());
+        origin.committed = Some(newer.clone());
         let control = Arc::clone(&newer.value);
         self.sender.send_modify(|view| {
-            let configuration = compile(view, &control);
+            let configuration = compiled_configuration(view, &control);
             *view = Arc::new(View { control, configuration, servers: Arc::clone(&view.servers) });
         });
     }
 
-    /// Notes that a majority confirmed the value of this ballot as the newest, as of `at`.
+    /// Records that at the time `at` a majority confirmed the committed value as the newest.
     pub fn confirm(&self, at: Instant) {
-        let mut known = self.lock();
-        known.confirmed_at = known.confirmed_at.max(Some(at));
+        let mut origin = self.lock();
+        origin.confirmed_at = origin.confirmed_at.max(Some(at));
     }
 
-    /// Takes a list of servers over, if it is newer.
+    /// Adopts a server list, if it is newer.
     pub fn adopt_servers(&self, newer: ServerList) {
         self.sender.send_if_modified(|view| {
             if view.servers.version >= newer.version {
@@ -99,78 +105,81 @@
         });
     }
 
-    /// Adopts what is newer in the reply of a peer that came at `now`.
+    /// Adopts a server list that this process read from the platform itself, starting at `read_at`, as the leader with
+    /// the fencing token `fence` if any.
     ///
-    /// A control state that was confirmed at a time is no newer than the one held here; but the age of a list says
-    /// nothing of another list.
-    pub fn adopt_reply(&self, reply: &PollReply, now: Instant) {
-        if let Some(update) = reply.control.clone() {
-            let Some(newer) = update.apply(&self.view().control) else { return };
-            self.adopt_control(&newer);
-        }
-        if let Some(newer) = reply.servers.clone().and_then(|update| update.apply(&self.view().servers)) {
-            self.adopt_servers(newer);
-        }
-        let ago = |age: u32| now.checked_sub(Duration::from_millis(age.into()));
-        if let Some(at) = reply.confirmed_age_ms.and_then(ago) {
-            self.confirm(at);
-        }
-        let holds_same = self.view().servers.version == reply.servers_version;
-        if let Some(at) = reply.servers_age_ms.and_then(ago).filter(|_| holds_same) {
-            self.servers_read(at);
-        }
-    }
-
-    /// Takes over a list that this process read at `at`, as the holder of the lease with the token `fence` if any.
-    /// It gets a new version where it differs, and where the holder `renews` it or is a new one. Tells whether it did.
-    pub fn adopt_reading(&self, mut read: ServerList, at: Instant, fence: Option<u64>, renews: bool) -> bool {
-        let known = Arc::clone(&self.view().servers);
-        read.retain_versions(&known);
-        let by_holder = fence.and_then(|fence| known.version.next_of_leader(fence));
-        let is_renewed = by_holder.is_some() && (renews || Some(known.version.fence) != fence);
-        let is_new = is_renewed || !known.has_same_servers(&read);
+    /// The list gets a new version where its content differs, and for a leader also where `renew` is set or the present
+    /// list is another leader's. Returns whether it did.
+    pub fn adopt_reading(
+        &self,
+        mut read: ServerList,
+        read_at: Instant,
+        fence: Option<u64>,
+        renew: bool,
+    ) -> bool {
+        let present = Arc::clone(&self.view().servers);
+        read.retain_versions(&present);
+        let leader_version = fence.and_then(|fence| present.version.next_of_leader(fence));
+        let is_renewed = leader_version.is_some() && (renew || Some(present.version.fence) != fence);
+        let is_new = is_renewed || !present.has_same_servers(&read);
         if is_new {
-            let version = by_holder.unwrap_or_else(|| known.version.next_local(fastrand::u64(..)));
+            let version = leader_version.unwrap_or_else(|| present.version.next_local(fastrand::u64(..)));
             self.adopt_servers(ServerList { version, ..read });
         }
-        self.servers_read(at);
+        self.record_servers_read(read_at);
         is_new
     }
 
-    /// Notes that the list of servers held is what the platform showed at `at`.
-    pub fn servers_read(&self, at: Instant) {
-        let mut known = self.lock();
-        known.servers_read_at = known.servers_read_at.max(Some(at));
+    /// Records that at the time `at` the platform listed the servers as they are in the view.
+    pub fn record_servers_read(&self, at: Instant) {
+        let mut origin = self.lock();
+        origin.servers_read_at = origin.servers_read_at.max(Some(at));
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Known> {
-        self.known.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Origin> {
+        self.origin.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// Why the configuration of a control state cannot be compiled.
+#[derive(Debug)]
+enum CompileError {
+    Document(DocumentError),
+    Configuration(ConfigurationError),
+}
+
+impl fmt::Display for CompileError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Document(error) => error.fmt(f),
+            Self::Configuration(error) => error.fmt(f),
+        }
     }
 }
 
-/// The configuration of a control state, compiled anew only where it changed.
-fn compile(view: &View, control: &ControlState) -> Option<Arc<Configuration>> {
-    if control.configuration_version == 0 {
+/// The configuration of a control state; compiled again only where it differs from that of `view`.
+fn compiled_configuration(view: &View, control: &ControlState) -> Option<Arc<Configuration>> {
+    let version = control.configuration_version;
+    if version == 0 {
         return None;
     }
-    let unchanged = view.control.configuration_version == control.configuration_version
-        && view.control.configuration == control.configuration;
-    if unchanged {
+    let is_unchanged =
+        view.control.configuration_version == version && view.control.configuration == control.configuration;
+    if is_unchanged {
         return view.configuration.clone();
     }
-    match parse(control) {
+    match compile(control) {
         Ok(configuration) => Some(Arc::new(configuration)),
-        Err(why) => {
+        Err(error) => {
             log::error!(
-                "configuration {} cannot be compiled, the one before stays: {why}",
-                control.configuration_version
+                "configuration {version} cannot be compiled, the previous one stays in force: {error}"
             );
             view.configuration.clone()
         }
     }
 }
 
-fn parse(control: &ControlState) -> Result<Configuration, String> {
-    let text = control.configuration.text().map_err(|error| error.to_string())?;
-    Configuration::parse(text.as_bytes()).map_err(|error| error.to_string())
+fn compile(control: &ControlState) -> Result<Configuration, CompileError> {
+    let text = control.configuration.text().map_err(CompileError::Document)?;
+    Configuration::parse(text.as_bytes()).map_err(CompileError::Configuration)
 }
--- a/crates/control-plane/tests/contacts.rs
+++ b/crates/control-plane/tests/contacts.rs
@@ -1,4 +1,4 @@
-//! Of whom an acceptor has heard, and of whom it says that they are silent.
+//! When acceptors replied last, and which of them are reported as unresponsive.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use register::{Incarnation, Member};
 use tokio::time::advance;
 
-const SILENCE: Duration = Duration::from_millis(1800);
+const TIMEOUT: Duration = Duration::from_millis(1800);
 const ROUND: Duration = Duration::from_millis(400);
 
 fn acceptors(incarnations: &[u64]) -> Vec<Member> {
@@ -18,56 +18,56 @@
     incarnations.iter().map(member).collect()
 }
 
-/// Rounds in which all of these acceptors but `silent` answer.
-async fn rounds(contacts: &AcceptorContacts, all: &[u64], silent: &[u64], count: u32) {
+/// Rounds in which all of these acceptors but `unresponsive` reply.
+async fn rounds(contacts: &AcceptorContacts, all: &[u64], unresponsive: &[u64], count: u32) {
     for _ in 0..count {
         contacts.begin_round(&acceptors(all));
         all.iter()
-            .filter(|one| !silent.contains(one))
+            .filter(|one| !unresponsive.contains(one))
             .for_each(|one| contacts.record_contact(Incarnation(*one)));
         advance(ROUND).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_an_acceptor_without_answer_when_the_time_of_silence_has_passed_then_it_is_silent() {
+async fn given_an_acceptor_without_reply_when_the_timeout_has_passed_then_it_is_unresponsive() {
     let contacts = AcceptorContacts::default();
     rounds(&contacts, &[1, 2, 3], &[3], 4).await;
-    assert!(contacts.unresponsive_for(SILENCE).is_empty(), "1.6 s");
+    assert!(contacts.unresponsive_for(TIMEOUT).is_empty(), "1.6 s");
     rounds(&contacts, &[1, 2, 3], &[3], 1).await;
-    assert_eq!(contacts.unresponsive_for(SILENCE), [Incarnation(3)]);
+    assert_eq!(contacts.unresponsive_for(TIMEOUT), [Incarnation(3)]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_silent_acceptor_when_it_answers_again_then_it_is_silent_no_more() {
+async fn given_an_unresponsive_acceptor_when_it_replies_again_then_it_is_responsive() {
     let contacts = AcceptorContacts::default();
     rounds(&contacts, &[1, 2, 3], &[3], 6).await;
     rounds(&contacts, &[1, 2, 3], &[], 1).await;
-    assert!(contacts.unresponsive_for(SILENCE).is_empty());
+    assert!(contacts.unresponsive_for(TIMEOUT).is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_an_acceptor_that_has_just_come_when_asked_then_its_silence_counts_from_then() {
+async fn given_a_new_acceptor_when_asked_then_its_timeout_counts_from_its_first_round() {
     let contacts = AcceptorContacts::default();
     rounds(&contacts, &[1, 2], &[], 10).await;
     rounds(&contacts, &[1, 2, 3], &[3], 2).await;
-    assert!(contacts.unresponsive_for(SILENCE).is_empty());
+    assert!(contacts.unresponsive_for(TIMEOUT).is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_a_process_that_was_frozen_when_it_goes_on_then_it_says_nothing_of_the_others() {
+async fn given_a_suspended_process_when_it_resumes_then_no_acceptor_is_unresponsive() {
     let contacts = AcceptorContacts::default();
     rounds(&contacts, &[1, 2, 3], &[], 3).await;
     advance(Duration::from_secs(20)).await;
-    assert!(contacts.unresponsive_for(SILENCE).is_empty(), "before its next round");
+    assert!(contacts.unresponsive_for(TIMEOUT).is_empty(), "before its next round");
     rounds(&contacts, &[1, 2, 3], &[1, 2, 3], 1).await;
-    assert!(contacts.unresponsive_for(SILENCE).is_empty(), "all begin anew");
+    assert!(contacts.unresponsive_for(TIMEOUT).is_empty(), "all start again");
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_an_acceptor_that_was_removed_when_asked_then_nothing_is_said_of_it() {
+async fn given_a_removed_acceptor_when_asked_then_it_is_not_reported() {
     let contacts = AcceptorContacts::default();
     rounds(&contacts, &[1, 2, 3], &[3], 6).await;
     rounds(&contacts, &[1, 2, 4], &[], 1).await;
-    assert!(contacts.unresponsive_for(SILENCE).is_empty());
+    assert!(contacts.unresponsive_for(TIMEOUT).is_empty());
 }
--- a/crates/control-plane/tests/control_updates.rs
+++ b/crates/control-plane/tests/control_update.rs
@@ -17,13 +17,13 @@
     (0..bytes).map(|_| random.alphanumeric()).collect()
 }
 
-fn state(edition: u64, named: u64) -> ControlState {
+fn state(edition: u64, target_version: u64) -> ControlState {
     ControlState {
-        revision: 10 * edition + named,
+        revision: 10 * edition + target_version,
         configuration: Document::new(incompressible(CONFIGURATION_BYTES)),
         configuration_version: edition,
         applied_changes: VecDeque::from([AppliedChange { digest: edition.into(), version: edition }]),
-        target_versions: BTreeMap::from([("m".to_owned(), named)]),
+        target_versions: BTreeMap::from([("m".to_owned(), target_version)]),
         fence: 3,
         ..ControlState::default()
     }
@@ -35,17 +35,17 @@
 
 #[test]
 fn given_the_same_configuration_when_a_version_is_named_then_the_configuration_is_not_sent() {
-    let (held, newest) = (state(5, 1), committed(state(5, 2)));
-    let update = ControlUpdate::new(&newest, held.configuration_version);
+    let (present, newest) = (state(5, 1), committed(state(5, 2)));
+    let update = ControlUpdate::new(&newest, present.configuration_version);
     assert!(newest.value.configuration.compressed_bytes() > CONFIGURATION_BYTES / 2);
     assert!(rpc::encode(&update).len() < CONFIGURATION_BYTES / 20);
-    assert_eq!(update.apply(&held), Some(newest));
+    assert_eq!(update.apply(&present), Some(newest));
 }
 
 #[test]
-fn given_another_configuration_when_a_value_is_polled_then_it_is_sent_whole() {
-    let (held, newest) = (state(5, 1), committed(state(6, 1)));
-    let update = ControlUpdate::new(&newest, held.configuration_version);
+fn given_another_configuration_when_a_value_is_polled_then_the_complete_value_is_sent() {
+    let (present, newest) = (state(5, 1), committed(state(6, 1)));
+    let update = ControlUpdate::new(&newest, present.configuration_version);
     assert_eq!(update.apply(&ControlState::default()), Some(newest));
 }
 
@@ -63,23 +63,23 @@
     when_some_are_forgotten = { 1500, 1510 },
     when_all_that_is_held_is_forgotten = { 5, 1500 },
 )]
-fn given_a_newer_configuration_when_polled_then_only_the_changes_since_are_sent(held: u64, newest: u64) {
-    let (held, newest) = (changed(held), committed(changed(newest)));
-    let update = ControlUpdate::new(&newest, held.configuration_version);
+fn given_a_newer_configuration_when_polled_then_only_the_changes_since_are_sent(present: u64, newest: u64) {
+    let (present, newest) = (changed(present), committed(changed(newest)));
+    let update = ControlUpdate::new(&newest, present.configuration_version);
     let bytes = rpc::encode(&update).len() - newest.value.configuration.compressed_bytes();
-    let since = (newest.value.configuration_version - held.configuration_version) as usize / 2;
+    let since = (newest.value.configuration_version - present.configuration_version) as usize / 2;
     assert!(bytes < 200 + 25 * since.min(MAX_APPLIED_CHANGES), "{bytes} bytes for {since} changes");
-    assert_eq!(update.apply(&held), Some(newest));
+    assert_eq!(update.apply(&present), Some(newest));
 }
 
 #[test]
-fn given_changes_since_a_version_when_another_one_is_held_then_they_are_not_applied() {
+fn given_changes_since_a_version_when_the_receiver_has_another_one_then_they_are_not_applied() {
     let newest = committed(changed(6));
     assert_eq!(ControlUpdate::new(&newest, 10).apply(&changed(4)), None);
 }
 
 #[test]
-fn given_an_update_without_configuration_when_another_one_is_held_then_it_is_not_applied() {
+fn given_an_update_without_configuration_when_the_receiver_has_another_one_then_it_is_not_applied() {
     let newest = committed(state(5, 2));
     let update = ControlUpdate::new(&newest, 5);
     assert_eq!(update.apply(&state(4, 2)), None);
--- a/crates/control-plane/tests/golden/journal.rs
+++ b/crates/control-plane/tests/golden/journal.rs
@@ -23,7 +23,7 @@
 async fn given_records_of_an_acceptor_when_written_then_their_bytes_stay_and_are_recovered() {
     let disk = SimulatedDisk::new(1);
     let service = AcceptorService::new(open(&disk).0, INCARNATION, &[]);
-    service.initialise(versioned()).await.expect("it is durable");
+    service.initialize(versioned()).await.expect("it is durable");
     service.handle(AcceptorRequest::Prepare(PROMISED)).await.expect("it is durable");
     drop(service);
 
--- a/crates/control-plane/tests/golden/messages.rs
+++ b/crates/control-plane/tests/golden/messages.rs
@@ -26,9 +26,9 @@
     }
 }
 
-fn whole_list() -> ServerUpdate {
+fn complete_list() -> ServerUpdate {
     let servers = vec![entry("a", ServerCondition::Open), entry("b", ServerCondition::Closing)];
-    ServerUpdate::Whole(ServerList { version: VERSION, servers })
+    ServerUpdate::Complete(ServerList { version: VERSION, servers })
 }
 
 fn changes() -> ServerUpdate {
@@ -66,13 +66,13 @@
     check("introduction.hex", &GossipMessage { revision: 300, acceptors: vec!["a:1".into(), "b:1".into()] });
     let ping = PingReply {
         incarnation: Some(Incarnation(70_000)),
-        settled_epoch: 6,
-        knows_control: true,
-        is_steady: true,
-        silent: vec![Incarnation(1), Incarnation(u64::MAX)],
+        committed_epoch: 6,
+        has_control_state: true,
+        is_stable: true,
+        unresponsive: vec![Incarnation(1), Incarnation(u64::MAX)],
     };
     check("ping_reply.hex", &ping);
-    let unknown = PingReply { incarnation: None, knows_control: false, is_steady: false, ..ping };
+    let unknown = PingReply { incarnation: None, has_control_state: false, is_stable: false, ..ping };
     check("ping_reply_without_disk.hex", &unknown);
 }
 
@@ -82,14 +82,17 @@
     check("control_update_whole.hex", &ControlUpdate::new(&newest, 0));
     check("control_update_since.hex", &ControlUpdate::new(&newest, 8));
     check("control_update_same_configuration.hex", &ControlUpdate::new(&newest, 9));
-    check("server_update_whole.hex", &whole_list());
+    check("server_update_whole.hex", &complete_list());
     check("server_update_changes.hex", &changes());
 }
 
 #[test]
 fn given_polls_when_encoded_then_their_bytes_stay() {
     let ballot = Ballot { round: 400, proposer: u64::MAX };
-    check("poll_request.hex", &PollRequest { ballot, edition: 9, servers: VERSION, hold_ms: 450 });
+    check(
+        "poll_request.hex",
+        &PollRequest { ballot, configuration_version: 9, servers: VERSION, max_wait_ms: 450 },
+    );
     let reply = PollReply {
         control: Some(ControlUpdate::new(&versioned(), 8)),
         servers: Some(changes()),
--- a/crates/control-plane/tests/golden/operator.rs
+++ b/crates/control-plane/tests/golden/operator.rs
@@ -9,15 +9,15 @@
 use state::{AppliedChange, ControlState, Document, DrainState, MAX_APPLIED_CHANGES};
 
 use super::check_text;
-use super::support::{document, nodes, nodes_with, Answer, Node};
+use super::support::{document, nodes, nodes_with, Node, OperatorReply};
 
 const TIMETABLE: &str = "/api/timetable";
 const RETIRE: &str = "/api/retire";
 const VERSION_PUT: &str = "/api/version-put";
 
-/// One order and its answer.
-fn shown(order: &str, answer: &Answer) -> String {
-    let mut text = format!("{order}\n{}\n", answer.status.as_u16());
+/// One request and the response to it.
+fn formatted(request: &str, answer: &OperatorReply) -> String {
+    let mut text = format!("{request}\n{}\n", answer.status.as_u16());
     for (name, value) in &answer.headers {
         writeln!(text, "{name}: {}", value.to_str().expect("a text")).expect("a string can be written to");
     }
@@ -25,17 +25,17 @@
 }
 
 async fn put(node: &Node, name: &str, expected: Option<&str>, body: &str) {
-    let answer = node.order(Method::PUT, TIMETABLE, expected, body.to_owned()).await;
-    check_text(name, &shown(&format!("PUT {TIMETABLE}"), &answer));
+    let answer = node.request(Method::PUT, TIMETABLE, expected, body.to_owned()).await;
+    check_text(name, &formatted(&format!("PUT {TIMETABLE}"), &answer));
 }
 
 async fn get(node: &Node, name: &str, path: &str) {
-    check_text(name, &shown(&format!("GET {path}"), &node.get(path).await));
+    check_text(name, &formatted(&format!("GET {path}"), &node.get(path).await));
 }
 
 async fn post(node: &Node, name: &str, path: &str, body: &str) {
-    let answer = node.order(Method::POST, path, None, body.to_owned()).await;
-    check_text(name, &shown(&format!("POST {path}"), &answer));
+    let answer = node.request(Method::POST, path, None, body.to_owned()).await;
+    check_text(name, &formatted(&format!("POST {path}"), &answer));
 }
 
 #[tokio::test]
@@ -53,11 +53,11 @@
     let cut_short = Body::from_bytes_stream(futures_util::stream::iter([Err::<&[u8], _>(
         std::io::Error::other("reset"),
     )]));
-    let answer = node.order(Method::PUT, TIMETABLE, Some("4"), cut_short).await;
-    check_text("operator_put_cut_short.txt", &shown(&format!("PUT {TIMETABLE}"), &answer));
+    let answer = node.request(Method::PUT, TIMETABLE, Some("4"), cut_short).await;
+    check_text("operator_put_cut_short.txt", &formatted(&format!("PUT {TIMETABLE}"), &answer));
     let patch = r#"{"edition":9,"strike":{"routes":["unknown"]}}"#;
-    let answer = node.order(Method::PATCH, TIMETABLE, Some("4"), patch).await;
-    check_text("operator_patch.txt", &shown(&format!("PATCH {TIMETABLE}"), &answer));
+    let answer = node.request(Method::PATCH, TIMETABLE, Some("4"), patch).await;
+    check_text("operator_patch.txt", &formatted(&format!("PATCH {TIMETABLE}"), &answer));
 }
 
 #[tokio::test]
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn given_a_state_that_cannot_decide_when_changes_come_then_the_answers_stay() {
+async fn given_a_state_that_cannot_decide_when_changes_arrive_then_the_answers_stay() {
     let changes = (0..MAX_APPLIED_CHANGES as u64)
         .map(|index| AppliedChange { digest: index.into(), version: 100 + index });
     // The digest of a text, with bytes that cannot be unpacked.
@@ -101,8 +101,8 @@
     let nodes = nodes_with(1, 3, adapt).await;
     put(&nodes[0], "operator_put_too_old.txt", Some("50"), &document(5000, "r")).await;
     get(&nodes[0], "operator_timetable_unreadable.txt", TIMETABLE).await;
-    let answer = nodes[0].order(Method::PATCH, TIMETABLE, Some("1123"), r#"{"edition":5000}"#).await;
-    check_text("operator_patch_unreadable.txt", &shown(&format!("PATCH {TIMETABLE}"), &answer));
+    let answer = nodes[0].request(Method::PATCH, TIMETABLE, Some("1123"), r#"{"edition":5000}"#).await;
+    check_text("operator_patch_unreadable.txt", &formatted(&format!("PATCH {TIMETABLE}"), &answer));
 }
 
 #[tokio::test(start_paused = true)]
@@ -124,7 +124,7 @@
         let response = operator.get_response(request).await;
         let (status, headers) = (response.status(), response.headers().clone());
         let body = response.into_body().into_string().await.expect("a text");
-        text += &shown(&format!("{method} {path}"), &Answer { status, headers, body });
+        text += &formatted(&format!("{method} {path}"), &OperatorReply { status, headers, body });
     }
     check_text("operator_no_majority.txt", &text);
 }
--- a/crates/control-plane/tests/golden/server_calls.rs
+++ b/crates/control-plane/tests/golden/server_calls.rs
@@ -14,7 +14,7 @@
 /// The headers that are the client's own.
 const EXCEPT: [&str; 4] = ["host", "accept", "user-agent", "content-length"];
 
-fn shown(request: &str, headers: &HeaderMap, body: &str) -> String {
+fn formatted(request: &str, headers: &HeaderMap, body: &str) -> String {
     let mut lines: Vec<String> = headers
         .iter()
         .filter(|(name, _)| !EXCEPT.contains(&name.as_str()))
@@ -33,7 +33,7 @@
         async move {
             let body = request.take_body().into_string().await.expect("a text");
             let line = format!("{} {}", request.method(), request.uri().path());
-            seen.lock().expect("no panic").push(shown(&line, request.headers(), &body));
+            seen.lock().expect("no panic").push(formatted(&line, request.headers(), &body));
             r#"{"models":[{"name":"m","edition":3}],"occupied":true,"callCount":1,"queuedCount":2,"inTransit":3}"#
         }
     });
@@ -50,8 +50,9 @@
         method: UpdateMethod::Drain,
     };
     let body = serde_json::to_string(&order.body("a", 12)).expect("it is serialized");
-    assert_eq!(calls.order(&order, body).await, OrderReply::from_status(200));
-    let report = calls.report(&ReportRequest { server: "s-1".into(), address }).await.expect("it reports");
+    assert_eq!(calls.send_order(&order, body).await, OrderReply::from_status(200));
+    let report =
+        calls.request_report(&ReportRequest { server: "s-1".into(), address }).await.expect("it reports");
     assert_eq!((report.models[0].version, report.occupied, report.running), (3, true, 3));
     check_text("server_calls.txt", &seen.lock().expect("no panic").join("\n"));
 }
--- a/crates/control-plane/tests/leader.rs
+++ b/crates/control-plane/tests/leader_election.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_plane::{run_leader, Leadership, OrderGap, LEASE_TTL};
+use control_plane::{LeaderElection, Leadership, OrderGap, LEASE_TTL};
 use state::change::with_raised_fence;
 use state::ControlState;
 use support::{nodes, Node};
@@ -13,8 +13,8 @@
 use yare::parameterized;
 
 /// Longer than any wait of these tests.
-const UNCHECKED: OrderGap = OrderGap { between_holders: Duration::from_secs(60), fence_checked: false };
-const CHECKED: OrderGap = OrderGap { fence_checked: true, ..UNCHECKED };
+const UNCHECKED: OrderGap = OrderGap { between_leaders: Duration::from_secs(60), is_fence_checked: false };
+const CHECKED: OrderGap = OrderGap { is_fence_checked: true, ..UNCHECKED };
 /// No wait of these tests is longer.
 const PATIENCE: Duration = Duration::from_secs(20);
 
@@ -24,14 +24,15 @@
 
 fn seek_with(node: &Node, gap: OrderGap) -> Arc<Leadership> {
     let leadership = Arc::new(Leadership::new(Arc::clone(&node.view)));
-    tokio::spawn(run_leader(
-        node.member.name.clone(),
-        gap,
-        Arc::clone(&leadership),
-        Arc::clone(&node.view),
-        Arc::clone(&node.proposer),
-        rpc::Client::new(),
-    ));
+    let election = LeaderElection {
+        member_name: node.member.name.clone(),
+        order_gap: gap,
+        leadership: Arc::clone(&leadership),
+        view: Arc::clone(&node.view),
+        proposer: Arc::clone(&node.proposer),
+        client: rpc::Client::new(),
+    };
+    tokio::spawn(election.run());
     leadership
 }
 
@@ -48,7 +49,8 @@
 }
 
 #[tokio::test]
-async fn given_a_leader_that_ends_when_it_resigns_then_another_leads_before_the_lease_would_have_run_out() {
+async fn given_a_leader_that_shuts_down_when_it_resigns_then_another_leads_before_the_lease_would_have_expired(
+) {
     let nodes = nodes(3, 0).await;
     let first = seek(&nodes[0]);
     let fence = until_some(|| first.fence_for_orders()).await;
@@ -61,17 +63,17 @@
 
     assert!(began.elapsed() < LEASE_TTL / 2, "{:?}", began.elapsed());
     assert!(next > fence);
-    assert_eq!(second.fence_for_orders(), None, "orders of two holders lie apart");
+    assert_eq!(second.fence_for_orders(), None, "orders of two leaders are separated");
 }
 
 #[tokio::test]
-async fn given_a_holder_when_a_late_raise_supersedes_it_then_it_steps_down_and_a_holder_has_the_newest_token()
+async fn given_a_leader_when_a_late_raise_supersedes_it_then_it_steps_down_and_the_next_has_the_newest_token()
 {
     let nodes = nodes(3, 0).await;
     let first = seek(&nodes[0]);
     let fence = until_some(|| first.fence_for_orders()).await;
 
-    // What a candidate did before raises were conditional: its lease has ended, and it raises the token all the same.
+    // What a candidate did before raises were conditional: its lease has expired, and it raises the token nevertheless.
     let late = |state: &ControlState| with_raised_fence(state, "late", state.fence);
     let raised = nodes[0].proposer.change(Instant::now() + PATIENCE, late).await.expect("it is raised");
     assert_eq!(raised.value.fence, fence + 1);
@@ -90,29 +92,29 @@
 }
 
 #[tokio::test]
-async fn given_a_process_that_never_sought_the_lease_when_it_resigns_then_nothing_is_waited_for() {
+async fn given_a_process_without_an_election_when_it_resigns_then_it_does_not_wait() {
     let began = Instant::now();
     Leadership::new(Arc::default()).resign().await;
     assert!(began.elapsed() < LEASE_TTL / 2);
 }
 
-/// What becomes of the holder before.
+/// What the previous leader does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Former {
-    /// It has given the lease back, and runs on.
-    Runs,
-    /// It is told to end.
-    Leaves,
+enum PreviousLeader {
+    /// It has released the lease, and still runs.
+    StillRuns,
+    /// It shuts down.
+    ShutsDown,
 }
 
 #[parameterized(
-    unchecked = { UNCHECKED, Former::Leaves, false },
-    undisturbed = { CHECKED, Former::Runs, false },
-    leaving = { CHECKED, Former::Leaves, true },
+    unchecked = { UNCHECKED, PreviousLeader::ShutsDown, false },
+    undisturbed = { CHECKED, PreviousLeader::StillRuns, false },
+    leaving = { CHECKED, PreviousLeader::ShutsDown, true },
 )]
-fn given_another_holder_before_when_a_lease_is_won_then_orders_go_out_at_once_only_where_no_gap_is_needed(
+fn given_another_previous_leader_when_the_lease_is_acquired_then_orders_are_sent_at_once_only_where_no_gap_is_required(
     gap: OrderGap,
-    former: Former,
+    previous: PreviousLeader,
     is_at_once: bool,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -120,8 +122,8 @@
         let nodes = nodes(3, 0).await;
         let first = seek_with(&nodes[0], gap);
         until_some(|| first.fence_for_orders()).await;
-        if former == Former::Leaves {
-            nodes[0].distribution.set_leaving();
+        if previous == PreviousLeader::ShutsDown {
+            nodes[0].ping_service.set_shutting_down();
         }
         first.resign().await;
         let second = seek_with(&nodes[1], gap);
--- a/crates/control-plane/tests/operator.rs
+++ b/crates/control-plane/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! Orders of the operator and of trainers at nodes that share a register.
+//! Requests of the operator and of trainers at nodes that share a register.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const TIMETABLE: &str = "/api/timetable";
 
 #[tokio::test]
-async fn given_an_acknowledged_configuration_when_read_at_another_node_then_it_comes_in_its_own_words() {
+async fn given_an_acknowledged_configuration_when_read_at_another_node_then_it_is_returned_verbatim() {
     let nodes = nodes(3, 3).await;
     assert_eq!(nodes[0].get(TIMETABLE).await.status, StatusCode::NOT_FOUND);
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn given_a_taken_change_when_it_comes_again_at_any_node_then_it_is_acknowledged_again() {
+async fn given_an_applied_change_when_it_is_repeated_at_any_node_then_it_is_acknowledged_again() {
     let nodes = nodes(3, 3).await;
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
     assert_eq!(nodes[1].put(4, &document(6, "r")).await, StatusCode::OK);
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn given_two_changes_on_one_version_when_sent_together_then_one_is_taken_and_one_refused() {
+async fn given_two_changes_on_one_version_when_sent_together_then_one_is_applied_and_one_rejected() {
     let nodes = nodes(3, 3).await;
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
     let (one, other) = (document(7, "one"), document(7, "other"));
@@ -67,7 +67,7 @@
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
     let patch = r#"{"edition":9,"loadIn":{"routes":[{"name":"q","depot":"h","lanePrefix":"/q/","kind":"safe","postalLine":"s"}]},"strike":{"routes":["r"]}}"#;
     for _ in 0..2 {
-        let answer = nodes[0].order(Method::PATCH, TIMETABLE, Some("4"), patch).await;
+        let answer = nodes[0].request(Method::PATCH, TIMETABLE, Some("4"), patch).await;
         assert_eq!(answer.status, StatusCode::OK);
     }
     let body = nodes[0].get(TIMETABLE).await.body;
@@ -87,31 +87,31 @@
     no_time = { Some("4"), &document(9, "q").replace("1500", "0"), 400 },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_configuration_when_another_is_put_then_the_status_says_what_became_of_it(
+async fn given_a_configuration_when_another_is_put_then_the_status_reports_the_outcome(
     expected: Option<&str>,
     body: &str,
     status: u16,
 ) {
     let nodes = nodes(1, 3).await;
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
-    let answer = nodes[0].order(Method::PUT, TIMETABLE, expected, body.to_owned()).await;
+    let answer = nodes[0].request(Method::PUT, TIMETABLE, expected, body.to_owned()).await;
     assert_eq!(answer.status.as_u16(), status, "{}", answer.body);
     let is_in_force = nodes[0].get(TIMETABLE).await.body == body;
     assert_eq!(is_in_force, status == 200);
 }
 
 #[tokio::test]
-async fn given_a_body_that_breaks_off_when_put_then_nothing_is_taken() {
+async fn given_a_truncated_body_when_put_then_nothing_is_applied() {
     let nodes = nodes(1, 3).await;
     let parts = [Ok(Bytes::from(document(4, "r"))), Err(io::Error::other("reset"))];
     let body = Body::from_bytes_stream(stream::iter(parts));
-    let answer = nodes[0].order(Method::PUT, TIMETABLE, Some("0"), body).await;
+    let answer = nodes[0].request(Method::PUT, TIMETABLE, Some("0"), body).await;
     assert_eq!(answer.status, StatusCode::BAD_REQUEST);
     assert_eq!(nodes[0].get(TIMETABLE).await.status, StatusCode::NOT_FOUND);
 }
 
 #[tokio::test]
-async fn given_a_named_version_when_repeated_or_lower_then_it_is_acknowledged_and_kept() {
+async fn given_a_target_version_when_repeated_or_lower_then_it_is_acknowledged_and_kept() {
     let nodes = nodes(3, 3).await;
     for (node, version) in nodes.iter().zip([2, 3, 3]) {
         let body = format!(r#"{{"model":"m","edition":{version}}}"#);
@@ -123,12 +123,12 @@
 
 #[parameterized(empty = { "" }, no_version = { r#"{"model":"m"}"# }, negative = { r#"{"model":"m","edition":-1}"# })]
 #[test_macro(tokio::test)]
-async fn given_a_malformed_version_when_named_then_it_is_refused(body: &str) {
+async fn given_a_malformed_version_when_named_then_it_is_rejected(body: &str) {
     assert_eq!(nodes(1, 3).await[0].post("/api/version-put", body).await, StatusCode::BAD_REQUEST);
 }
 
 #[tokio::test]
-async fn given_eight_orders_when_under_way_at_once_then_all_are_acknowledged() {
+async fn given_eight_concurrent_requests_when_sent_then_all_are_acknowledged() {
     let nodes = nodes(3, 3).await;
     let bodies: Vec<String> = (0..8).map(|model| format!(r#"{{"model":"m{model}","edition":2}}"#)).collect();
     let orders = bodies.iter().enumerate().map(|(at, body)| nodes[at % 3].post("/api/version-put", body));
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test]
-async fn given_enough_stores_when_one_is_retired_then_any_node_tells_how_far_it_is() {
+async fn given_enough_stores_when_one_is_retired_then_any_node_reports_its_progress() {
     let nodes = nodes(3, 4).await;
     assert_eq!(nodes[1].get("/api/retire/store0").await.status, StatusCode::NOT_FOUND);
     for node in &nodes[..2] {
--- a/crates/control-plane/tests/platform.rs
+++ b/crates/control-plane/tests/platform.rs
@@ -51,7 +51,7 @@
     never_ends = { 200, "{\"carriers\":[],\"next\":\"again\"}" },
 )]
 #[test_macro(tokio::test)]
-async fn given_an_answer_that_is_no_list_when_read_then_the_error_tells_refusals_from_the_rest(
+async fn given_an_answer_that_is_no_list_when_read_then_the_error_distinguishes_the_rate_limit(
     status: u16,
     body: &str,
 ) {
--- a/crates/control-plane/tests/core_service.rs
+++ b/crates/control-plane/tests/quorum_service.rs
@@ -1,11 +1,11 @@
-//! What a machine of the core notes of a change of the acceptors before it grants the leader lease.
+//! What the grantor of a machine learns of a change of the acceptors before it grants the leader lease.
 
 mod support;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_plane::{CoreService, ViewCell, LEASE_TTL};
+use control_plane::{QuorumService, ViewCell, LEASE_TTL};
 use lease::{GrantorId, LeaseReply, LeaseRequest};
 use register::{AcceptorRequest, Ballot, Incarnation, Member, ReplyOutcome, Versioned};
 use state::ControlState;
@@ -29,19 +29,22 @@
     rejected = { 5, false },
     accepted = { 9, true },
 )]
-fn given_a_proposal_of_other_acceptors_when_a_candidate_knows_the_former_then_it_is_refused_only_after_an_acceptance(
+fn given_a_proposal_of_other_acceptors_when_a_candidate_has_the_former_then_it_is_refused_only_after_an_acceptance(
     round: u64,
     is_refused: bool,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.expect("a runtime").block_on(async {
-        let (service, incarnation) = acceptor(&SimulatedDisk::new(1));
-        let core = CoreService::new(service, incarnation, Arc::new(ViewCell::new()));
+        let (acceptor_service, incarnation) = acceptor(&SimulatedDisk::new(1));
+        let service = QuorumService::new(acceptor_service, incarnation, Arc::new(ViewCell::new()));
         let known = first(vec![member(incarnation), member(Incarnation(2))], Vec::new());
-        core.initialise(known.clone()).await.expect("it stands");
-        core.handle(AcceptorRequest::Prepare(Ballot { round: 8, proposer: 7 })).await.expect("it is durable");
+        service.initialize(known.clone()).await.expect("it is accepted");
+        service
+            .handle(AcceptorRequest::Prepare(Ballot { round: 8, proposer: 7 }))
+            .await
+            .expect("it is durable");
         let reply =
-            core.handle(AcceptorRequest::Accept(with_others(&known, round))).await.expect("it answers");
+            service.handle(AcceptorRequest::Accept(with_others(&known, round))).await.expect("it answers");
         assert_eq!(matches!(reply.outcome, ReplyOutcome::Accepted), is_refused, "{reply:?}");
         tokio::time::advance(LEASE_TTL + Duration::from_millis(1)).await;
         let request = LeaseRequest {
@@ -51,6 +54,6 @@
             revision: known.value.revision,
             grantors: vec![GrantorId(incarnation.0), GrantorId(2)],
         };
-        assert_eq!(matches!(core.grant(&request), LeaseReply::Rejected { .. }), is_refused);
+        assert_eq!(matches!(service.grant(&request), LeaseReply::Rejected { .. }), is_refused);
     });
 }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -5,7 +5,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use control_plane::{operator_routes, paths, AcceptorService, Distribution, Proposer, ViewCell, LEASE_TTL};
+use control_plane::{
+    operator_routes, paths, AcceptorService, PingService, PollService, Proposer, ViewCell, LEASE_TTL,
+};
 use lease::{Grantor, GrantorId, LeaseRelease, LeaseRequest};
 use poem::endpoint::BoxEndpoint;
 use poem::http::{HeaderMap, Method, StatusCode};
@@ -20,16 +22,16 @@
 pub const OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
 pub const FIRST: Ballot = Ballot { round: 1, proposer: 0 };
 
-const SILENCE: Duration = Duration::from_secs(2);
-/// These nodes call themselves steady from the start on.
-const STEADY_AFTER: Duration = Duration::ZERO;
+const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
+/// These nodes report themselves as stable from the start on.
+const STABLE_AFTER: Duration = Duration::ZERO;
 
 /// A traffic node with an acceptor.
 pub struct Node {
     pub view: Arc<ViewCell>,
     pub proposer: Arc<Proposer>,
     pub member: Member,
-    pub distribution: Arc<Distribution>,
+    pub ping_service: Arc<PingService>,
     operator: BoxEndpoint<'static, Response>,
 }
 
@@ -71,7 +73,7 @@
     let first = first(members, (0..stores).map(store).collect());
     let first = Versioned::new(FIRST, Arc::new(adapt(ControlState::clone(&first.value))));
     for (node, acceptor) in &started {
-        assert_eq!(acceptor.initialise(first.clone()).await, Some(first.clone()));
+        assert_eq!(acceptor.initialize(first.clone()).await, Some(first.clone()));
         node.view.adopt_control(&first);
     }
     started.into_iter().map(|(node, _)| node).collect()
@@ -80,23 +82,23 @@
 async fn start(index: usize) -> (Node, Arc<AcceptorService>) {
     let (acceptor, incarnation) = acceptor(&SimulatedDisk::new(index as u64));
     let view = Arc::new(ViewCell::new());
-    let (register, distribution) =
-        (Arc::clone(&acceptor), Distribution::new(Arc::clone(&view), Arc::default(), SILENCE, STEADY_AFTER));
-    let told = Arc::clone(&distribution);
+    let poll_service = PollService::new(Arc::clone(&view));
+    let ping_service = PingService::new(Arc::clone(&view), Arc::default(), UNRESPONSIVE_AFTER, STABLE_AFTER);
+    let register = Arc::clone(&acceptor);
     let handle = move |request: AcceptorRequest<ControlState>| {
         let register = Arc::clone(&register);
         async move { register.handle(request).await }
     };
-    let pinged = Arc::clone(&distribution);
+    let pinged = Arc::clone(&ping_service);
     let ping = move |(): ()| {
-        let reply = pinged.ping();
+        let reply = pinged.reply();
         async move { Some(reply) }
     };
     let poll = move |request| {
-        let distribution = Arc::clone(&distribution);
-        async move { Some(distribution.poll(request).await) }
+        let poll_service = Arc::clone(&poll_service);
+        async move { Some(poll_service.reply(request).await) }
     };
-    // Its time of silence after the start is over.
+    // The grantor's quiet period after its start is over.
     let grantor = Arc::new(Mutex::new(Grantor::new(GrantorId(incarnation.0), Duration::ZERO, LEASE_TTL)));
     let (began, granting) = (Instant::now(), Arc::clone(&grantor));
     let known = Arc::clone(&view);
@@ -105,7 +107,7 @@
         let grantors: Vec<GrantorId> =
             control.acceptors.iter().map(|member| GrantorId(member.incarnation.0)).collect();
         let mut grantor = granting.lock().expect("no panic");
-        // It has known them for as long as it was silent.
+        // It has known them for the whole quiet period.
         grantor.learn(Duration::ZERO, control.revision, &grantors);
         let reply = grantor.handle(LEASE_TTL + began.elapsed(), &request);
         drop(grantor);
@@ -127,44 +129,44 @@
     let proposer = Proposer::new(Arc::clone(&view), rpc::Client::new());
     let operator = operator_routes(Arc::clone(&view), Arc::clone(&proposer)).map_to_response().boxed();
     let member = Member { name: format!("node{index}"), incarnation, address };
-    (Node { view, proposer, member, distribution: told, operator }, acceptor)
+    (Node { view, proposer, member, ping_service, operator }, acceptor)
 }
 
 impl Node {
-    /// Sends an order; gives the status and the body of the answer.
-    pub async fn order(
+    /// Sends a request to the operator's interface.
+    pub async fn request(
         &self,
         method: Method,
         path: &str,
         if_match: Option<&str>,
         body: impl Into<Body>,
-    ) -> Answer {
+    ) -> OperatorReply {
         let mut request = Request::builder().method(method).uri(path.parse().expect("a path"));
         if let Some(expected) = if_match {
             request = request.header("If-Match", expected);
         }
         let response = self.operator.get_response(request.body(body)).await;
         let (status, headers) = (response.status(), response.headers().clone());
-        Answer { status, headers, body: response.into_body().into_string().await.expect("a text") }
+        OperatorReply { status, headers, body: response.into_body().into_string().await.expect("a text") }
     }
 
     pub async fn put(&self, expected: u64, body: &str) -> StatusCode {
         let expected = expected.to_string();
-        self.order(Method::PUT, "/api/timetable", Some(&expected), body.to_owned()).await.status
+        self.request(Method::PUT, "/api/timetable", Some(&expected), body.to_owned()).await.status
     }
 
-    pub async fn get(&self, path: &str) -> Answer {
-        self.order(Method::GET, path, None, Body::empty()).await
+    pub async fn get(&self, path: &str) -> OperatorReply {
+        self.request(Method::GET, path, None, Body::empty()).await
     }
 
     pub async fn post(&self, path: &str, body: &str) -> StatusCode {
-        self.order(Method::POST, path, None, body.to_owned()).await.status
+        self.request(Method::POST, path, None, body.to_owned()).await.status
     }
 }
 
-/// An answer to an order.
+/// The response to a request to the operator's interface.
 #[derive(Debug)]
-pub struct Answer {
+pub struct OperatorReply {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: String,
--- a/crates/control-plane/tests/view.rs
+++ b/crates/control-plane/tests/view.rs
@@ -1,19 +1,19 @@
-//! What a process knows only goes forward, and what it tells others.
+//! Views only go forward, and so do the replies that distribute them.
 
 mod support;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_plane::{Distribution, PollReply, PollRequest, ServerUpdate, ViewCell};
+use control_plane::{PingService, PollReply, PollRequest, PollService, ServerUpdate, ViewCell};
 use register::{Ballot, Versioned};
 use state::{ControlState, Document, ServerCondition, ServerEntry, ServerList, ServerListVersion};
 use support::document;
 use tokio::time::Instant;
 use yare::parameterized;
 
-const STEADY_AFTER: Duration = Duration::from_secs(3);
-const SILENCE: Duration = Duration::from_secs(2);
+const STABLE_AFTER: Duration = Duration::from_secs(3);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
 
 fn version(fence: u64, sequence: u64) -> ServerListVersion {
     ServerListVersion { fence, sequence, local: 0 }
@@ -23,10 +23,10 @@
     ServerList { version: version(fence, sequence), servers: Vec::new() }
 }
 
-fn value(round: u64, edition: u64) -> Versioned<ControlState> {
+fn value(round: u64, configuration_version: u64) -> Versioned<ControlState> {
     let state = ControlState {
-        configuration_version: edition,
-        configuration: Document::new(document(edition, "r")),
+        configuration_version,
+        configuration: Document::new(document(configuration_version, "r")),
         ..ControlState::default()
     };
     Versioned::new(Ballot { round, proposer: 1 }, Arc::new(state))
@@ -66,27 +66,29 @@
 }
 
 #[test]
-fn given_a_confirmation_when_an_earlier_one_is_told_late_then_the_later_counts() {
+fn given_a_confirmation_when_an_earlier_one_arrives_late_then_the_later_counts() {
     let view = ViewCell::new();
     assert_eq!((view.confirmed_age(), view.servers_age()), (None, None));
     let earlier = Instant::now();
     let later = earlier + Duration::from_secs(3600);
     for at in [later, earlier] {
         view.confirm(at);
-        view.servers_read(at);
+        view.record_servers_read(at);
     }
     assert_eq!((view.confirmed_age(), view.servers_age()), (Some(Duration::ZERO), Some(Duration::ZERO)));
 }
 
 #[tokio::test]
-async fn given_something_newer_when_polled_then_it_is_told_at_once_with_the_version_of_the_list() {
+async fn given_something_newer_when_polled_then_the_reply_comes_at_once_with_the_version_of_the_list() {
     let view = Arc::new(ViewCell::new());
     view.adopt_control(&value(5, 9));
     view.adopt_servers(list(3, 2));
-    let distribution = Distribution::new(Arc::clone(&view), Arc::default(), SILENCE, STEADY_AFTER);
+    let service = PollService::new(Arc::clone(&view));
     let known = Ballot { round: 5, proposer: 1 };
-    let hold_ms = 1000;
-    let poll = |ballot, servers| distribution.poll(PollRequest { ballot, edition: 0, servers, hold_ms });
+    let max_wait_ms = 1000;
+    let poll = |ballot, servers| {
+        service.reply(PollRequest { ballot, configuration_version: 0, servers, max_wait_ms })
+    };
     let reply = poll(Ballot::default(), version(3, 2)).await;
     let newer = reply.control.and_then(|update| update.apply(&ControlState::default()));
     assert_eq!(newer, Some(value(5, 9)));
@@ -94,52 +96,62 @@
     let reply = poll(known, version(3, 1)).await;
     let newer = reply.servers.and_then(|update| update.apply(&list(3, 1)));
     assert_eq!((reply.control, newer), (None, Some(list(3, 2))));
-    let reply = distribution
-        .poll(PollRequest { ballot: known, edition: 9, servers: version(9, 9), hold_ms: 0 })
+    let reply = service
+        .reply(PollRequest {
+            ballot: known,
+            configuration_version: 9,
+            servers: version(9, 9),
+            max_wait_ms: 0,
+        })
         .await;
     assert_eq!((reply.control, reply.servers, reply.servers_age_ms), (None, None, None));
 }
 
 #[tokio::test]
-async fn given_a_held_poll_when_something_newer_comes_then_it_is_answered() {
+async fn given_a_pending_poll_when_something_newer_is_adopted_then_the_reply_comes() {
     let view = Arc::new(ViewCell::new());
-    let distribution = Distribution::new(Arc::clone(&view), Arc::default(), SILENCE, STEADY_AFTER);
-    let request =
-        PollRequest { ballot: Ballot::default(), edition: 0, servers: version(0, 0), hold_ms: 1000 };
+    let service = PollService::new(Arc::clone(&view));
+    let request = PollRequest {
+        ballot: Ballot::default(),
+        configuration_version: 0,
+        servers: version(0, 0),
+        max_wait_ms: 1000,
+    };
     let adopt = async { view.adopt_control(&value(5, 9)) };
-    let (reply, ()) = tokio::join!(distribution.poll(request), adopt);
+    let (reply, ()) = tokio::join!(service.reply(request), adopt);
     assert!(reply.control.is_some());
 }
 
 #[test]
-fn given_a_process_that_has_not_told_when_pinged_then_it_has_moved_nothing() {
-    let distribution = Distribution::new(Arc::new(ViewCell::new()), Arc::default(), SILENCE, STEADY_AFTER);
-    assert_eq!(distribution.ping().settled_epoch, 0);
-    distribution.set_committed_epoch(4);
-    assert_eq!(distribution.ping().settled_epoch, 4);
+fn given_a_process_without_a_known_epoch_when_pinged_then_it_reports_no_migration() {
+    let view = Arc::new(ViewCell::new());
+    let service = PingService::new(view, Arc::default(), UNRESPONSIVE_AFTER, STABLE_AFTER);
+    assert_eq!(service.reply().committed_epoch, 0);
+    service.set_committed_epoch(4);
+    assert_eq!(service.reply().committed_epoch, 4);
 }
 
 fn reply(servers: Option<ServerList>, servers_version: ServerListVersion) -> PollReply {
     let (confirmed_age_ms, servers_age_ms) = (Some(100), Some(100));
-    let servers = servers.map(ServerUpdate::Whole);
+    let servers = servers.map(ServerUpdate::Complete);
     PollReply { control: None, servers, confirmed_age_ms, servers_version, servers_age_ms }
 }
 
 #[test]
-fn given_a_peer_with_an_older_list_when_it_says_that_its_list_is_fresh_then_the_own_one_is_not() {
+fn given_a_peer_with_an_older_list_when_it_reports_a_fresh_list_then_the_own_list_is_not_fresh() {
     let view = ViewCell::new();
     view.adopt_servers(list(3, 2));
-    view.adopt_reply(&reply(None, version(3, 1)), Instant::now());
+    reply(None, version(3, 1)).apply_to(&view, Instant::now());
     assert_eq!(view.servers_age(), None);
     assert!(view.confirmed_age().is_some());
-    view.adopt_reply(&reply(None, version(3, 2)), Instant::now());
+    reply(None, version(3, 2)).apply_to(&view, Instant::now());
     assert!(view.servers_age().is_some());
 }
 
 #[test]
-fn given_a_peer_with_a_newer_list_when_it_tells_then_list_and_age_are_taken() {
+fn given_a_peer_with_a_newer_list_when_it_replies_then_list_and_age_are_adopted() {
     let view = ViewCell::new();
-    view.adopt_reply(&reply(Some(list(3, 2)), version(3, 2)), Instant::now());
+    reply(Some(list(3, 2)), version(3, 2)).apply_to(&view, Instant::now());
     assert_eq!(view.view().servers.version, version(3, 2));
     assert!(view.servers_age().is_some());
 }
@@ -147,17 +159,17 @@
 #[parameterized(
     fresh = { Some(900), Some(2000), true },
     never_confirmed = { None, Some(0), false },
-    not_confirmed_of_late = { Some(901), Some(0), false },
+    not_confirmed_recently = { Some(901), Some(0), false },
     no_list = { Some(0), None, false },
     old_list = { Some(0), Some(2001), false },
 )]
-fn given_the_ages_that_a_peer_tells_when_judged_then_a_stale_one_is_left(
+fn given_the_ages_that_a_peer_reports_when_checked_then_a_stale_peer_is_not_fresh(
     confirmed_age_ms: Option<u32>,
     servers_age_ms: Option<u32>,
-    stays: bool,
+    is_fresh: bool,
 ) {
     let reply = PollReply { confirmed_age_ms, servers_age_ms, ..reply(None, version(0, 0)) };
-    assert_eq!(reply.is_fresh(), stays);
+    assert_eq!(reply.is_fresh(), is_fresh);
 }
 
 fn reading(condition: ServerCondition) -> ServerList {
@@ -175,7 +187,7 @@
 }
 
 #[test]
-fn given_the_holder_of_the_lease_when_it_reads_then_only_what_changed_or_is_renewed_gets_a_new_version() {
+fn given_the_leader_when_it_reads_then_only_a_changed_or_renewed_list_gets_a_new_version() {
     let view = ViewCell::new();
     let now = Instant::now();
     assert!(view.adopt_reading(reading(ServerCondition::Open), now, Some(3), false));
@@ -185,20 +197,20 @@
     assert!(view.adopt_reading(reading(ServerCondition::Closing), now, Some(3), true));
     assert!(
         view.adopt_reading(reading(ServerCondition::Closing), now, Some(4), false),
-        "a new holder renews"
+        "a new leader renews"
     );
     assert_eq!(view.view().servers.version, version(4, 1));
 }
 
 #[test]
-fn given_a_process_without_the_lease_when_it_reads_for_itself_then_the_holder_still_wins() {
+fn given_a_process_that_is_not_the_leader_when_it_reads_for_itself_then_the_leader_still_wins() {
     let view = ViewCell::new();
     view.adopt_reading(reading(ServerCondition::Open), Instant::now(), Some(3), false);
     assert!(view.adopt_reading(reading(ServerCondition::Closing), Instant::now(), None, true));
     assert_eq!(view.view().servers.servers[0].condition, ServerCondition::Closing);
     assert!(
         !view.adopt_reading(reading(ServerCondition::Closing), Instant::now(), Some(2), true),
-        "no holder any more"
+        "not the leader any more"
     );
     view.adopt_servers(list(3, 2));
     assert_eq!(view.view().servers.version, version(3, 2));
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -5,11 +5,13 @@
 
 mod client;
 mod error;
+mod http;
 mod server;
 mod transport;
 
 pub use client::Client;
 pub use error::CallError;
+pub use http::http_client;
 pub use server::{handler, serve};
 pub use transport::{HttpTransport, Transport};
 
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -5,6 +5,7 @@
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
 
+use crate::http::{build, http_client_builder};
 use crate::CallError;
 
 /// How long a new connection may take to come up.
@@ -45,17 +46,10 @@
     /// When the HTTP client cannot be set up, which takes no I/O.
     #[must_use]
     pub fn new() -> Self {
-        let http = reqwest::Client::builder()
-            .connect_timeout(CONNECT_TIMEOUT)
-            .tcp_nodelay(true)
+        let builder = http_client_builder(CONNECT_TIMEOUT)
             .tcp_user_timeout(UNACKNOWLEDGED_MOST)
-            .pool_idle_timeout(IDLE_KEPT)
-            .no_proxy()
-            .retry(reqwest::retry::never())
-            .redirect(reqwest::redirect::Policy::none())
-            .build()
-            .expect("the HTTP client is set up without I/O");
-        Self { http }
+            .pool_idle_timeout(IDLE_KEPT);
+        Self { http: build(builder) }
     }
 }
 
--- a/crates/rushrudder/src/control/mod.rs
+++ b/crates/rushrudder/src/control/mod.rs
@@ -12,11 +12,13 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use control_plane::{
-    AcceptorGossip, AcceptorService, CoreService, Distribution, FirstStart, Leadership, Proposer, ViewCell,
+    AcceptorGossip, AcceptorMembership, AcceptorService, BootstrapAnnouncements, Leadership, PingService,
+    PollService, Proposer, QuorumService, StoreMembership, ViewCell,
 };
 use error_stack::{Report, ResultExt};
 use register::{Incarnation, Member};
 use settings::NodeSettings;
+use state::StoreMember;
 use tokio::net::{TcpListener, ToSocketAddrs};
 use tokio::sync::watch;
 use tokio::task::{AbortHandle, JoinHandle};
@@ -32,8 +34,8 @@
     pub view: Arc<ViewCell>,
     /// Proposes changes of the control state.
     pub proposer: Arc<Proposer>,
-    /// Answers the polls and pings of other processes.
-    pub distribution: Arc<Distribution>,
+    /// Replies to the pings of other processes.
+    pub ping_service: Arc<PingService>,
     /// Whether this process holds the leader lease.
     pub leadership: Arc<Leadership>,
     /// Clients for everything outside the process.
@@ -42,10 +44,12 @@
     internal_address: String,
     /// The internal addresses of the seeds; changes when the settings are reloaded.
     seeds: watch::Sender<Vec<String>>,
-    first_start: Arc<FirstStart>,
+    /// Replies to the long polls of other processes.
+    poll_service: Arc<PollService>,
+    bootstrap_announcements: Arc<BootstrapAnnouncements>,
     acceptor_gossip: Arc<AcceptorGossip>,
     /// The acceptor and the lease grantor, where the process has a disk for them.
-    core: Option<Arc<CoreService>>,
+    quorum_service: Option<Arc<QuorumService>>,
     /// The task that makes this machine an acceptor or a store, once it is started.
     join_task: Mutex<Option<AbortHandle>>,
 }
@@ -55,33 +59,49 @@
     pub fn new(settings: &NodeSettings, disk: Option<RecoveredDisk>, clients: OutboundClients) -> Self {
         let view = Arc::new(ViewCell::new());
         let proposer = Proposer::new(Arc::clone(&view), clients.rpc.clone());
-        let core = disk.map(|disk| {
+        let quorum_service = disk.map(|disk| {
             let acceptor = AcceptorService::new(disk.journal, disk.incarnation, &disk.records);
-            CoreService::new(acceptor, disk.incarnation, Arc::clone(&view))
+            QuorumService::new(acceptor, disk.incarnation, Arc::clone(&view))
         });
         Self {
-            distribution: Distribution::new(
+            ping_service: PingService::new(
                 Arc::clone(&view),
                 Arc::clone(proposer.contacts()),
                 settings.timing_rules.member_failure_timeout(),
                 settings.timing_rules.stabilization_period(),
             ),
+            poll_service: PollService::new(Arc::clone(&view)),
             leadership: Arc::new(Leadership::new(Arc::clone(&view))),
             view,
             proposer,
             clients,
             internal_address: settings.internal_address(),
             seeds: watch::Sender::new(internal_seed_addresses(settings)),
-            first_start: Arc::new(FirstStart::default()),
+            bootstrap_announcements: Arc::new(BootstrapAnnouncements::default()),
             acceptor_gossip: Arc::new(AcceptorGossip::default()),
-            core,
+            quorum_service,
             join_task: Mutex::default(),
         }
     }
 
     /// The acceptor of this process, if it has one.
     pub fn acceptor(&self) -> Option<&Arc<AcceptorService>> {
-        self.core.as_ref().map(|core| core.acceptor())
+        self.quorum_service.as_ref().map(|service| service.acceptor())
+    }
+
+    /// The membership of this machine in the register.
+    pub fn acceptor_membership(&self, member: Member) -> AcceptorMembership {
+        AcceptorMembership {
+            member,
+            view: Arc::clone(&self.view),
+            proposer: Arc::clone(&self.proposer),
+            client: self.clients.rpc.clone(),
+        }
+    }
+
+    /// The membership of this machine in the store set.
+    pub fn store_membership(&self, member: StoreMember) -> StoreMembership {
+        StoreMembership { member, view: Arc::clone(&self.view), proposer: Arc::clone(&self.proposer) }
     }
 
     /// Listens at the internal address.
--- a/crates/rushrudder/src/control/routes.rs
+++ b/crates/rushrudder/src/control/routes.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use control_plane::{paths, Announcement, CoreService, GossipMessage, PollRequest};
+use control_plane::{paths, Announcement, GossipMessage, PollRequest, QuorumService};
 use lease::{LeaseRelease, LeaseRequest};
 use poem::{IntoEndpoint, Route};
 use register::{AcceptorRequest, Versioned};
@@ -18,24 +18,24 @@
             .at(paths::PING, self.ping_endpoint())
             .at(paths::INTRODUCE, self.gossip_endpoint())
             .at(paths::ANNOUNCE, self.announce_endpoint());
-        match &self.core {
-            Some(core) => with_core_routes(routes, core),
+        match &self.quorum_service {
+            Some(service) => with_quorum_routes(routes, service),
             None => routes,
         }
     }
 
     fn poll_endpoint(&self) -> impl IntoEndpoint {
-        let distribution = Arc::clone(&self.distribution);
+        let service = Arc::clone(&self.poll_service);
         poem::post(rpc::handler(move |request: PollRequest| {
-            let distribution = Arc::clone(&distribution);
-            async move { Some(distribution.poll(request).await) }
+            let service = Arc::clone(&service);
+            async move { Some(service.reply(request).await) }
         }))
     }
 
     fn ping_endpoint(&self) -> impl IntoEndpoint {
-        let distribution = Arc::clone(&self.distribution);
+        let service = Arc::clone(&self.ping_service);
         poem::post(rpc::handler(move |(): ()| {
-            let reply = distribution.ping();
+            let reply = service.reply();
             async move { Some(reply) }
         }))
     }
@@ -49,51 +49,51 @@
     }
 
     fn announce_endpoint(&self) -> impl IntoEndpoint {
-        let first_start = Arc::clone(&self.first_start);
+        let announcements = Arc::clone(&self.bootstrap_announcements);
         poem::post(rpc::handler(move |announcement: Announcement| {
-            first_start.announce(announcement);
+            announcements.receive(announcement);
             async move { Some(()) }
         }))
     }
 }
 
 /// Adds the endpoints of the acceptor and the lease grantor.
-fn with_core_routes(routes: Route, core: &Arc<CoreService>) -> Route {
+fn with_quorum_routes(routes: Route, service: &Arc<QuorumService>) -> Route {
     routes
-        .at(paths::REGISTER, acceptor_endpoint(core))
-        .at(paths::FIRST, initialise_endpoint(core))
-        .at(paths::LEASE, grant_endpoint(core))
-        .at(paths::RELEASE, release_endpoint(core))
+        .at(paths::REGISTER, acceptor_endpoint(service))
+        .at(paths::FIRST, initialize_endpoint(service))
+        .at(paths::LEASE, grant_endpoint(service))
+        .at(paths::RELEASE, release_endpoint(service))
 }
 
-fn acceptor_endpoint(core: &Arc<CoreService>) -> impl IntoEndpoint {
-    let core = Arc::clone(core);
+fn acceptor_endpoint(service: &Arc<QuorumService>) -> impl IntoEndpoint {
+    let service = Arc::clone(service);
     poem::post(rpc::handler(move |request: AcceptorRequest<ControlState>| {
-        let core = Arc::clone(&core);
-        async move { core.handle(request).await }
+        let service = Arc::clone(&service);
+        async move { service.handle(request).await }
     }))
 }
 
-fn initialise_endpoint(core: &Arc<CoreService>) -> impl IntoEndpoint {
-    let core = Arc::clone(core);
+fn initialize_endpoint(service: &Arc<QuorumService>) -> impl IntoEndpoint {
+    let service = Arc::clone(service);
     poem::post(rpc::handler(move |value: Versioned<ControlState>| {
-        let core = Arc::clone(&core);
-        async move { core.initialise(value).await }
+        let service = Arc::clone(&service);
+        async move { service.initialize(value).await }
     }))
 }
 
-fn grant_endpoint(core: &Arc<CoreService>) -> impl IntoEndpoint {
-    let core = Arc::clone(core);
+fn grant_endpoint(service: &Arc<QuorumService>) -> impl IntoEndpoint {
+    let service = Arc::clone(service);
     poem::post(rpc::handler(move |request: LeaseRequest| {
-        let reply = core.grant(&request);
+        let reply = service.grant(&request);
         async move { Some(reply) }
     }))
 }
 
-fn release_endpoint(core: &Arc<CoreService>) -> impl IntoEndpoint {
-    let core = Arc::clone(core);
+fn release_endpoint(service: &Arc<QuorumService>) -> impl IntoEndpoint {
+    let service = Arc::clone(service);
     poem::post(rpc::handler(move |release: LeaseRelease| {
-        core.release(&release);
+        service.release(&release);
         async move { Some(()) }
     }))
 }
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_plane::{leave_register, operator_routes, Capability, ViewCell};
+use control_plane::{operator_routes, Capability, ViewCell};
 use data_plane::{Forwarder, Ingress, IngressSettings};
 use error_stack::Report;
 use register::Member;
@@ -78,11 +78,10 @@
     /// Releases the leader lease and lets a standby replace this acceptor, before the process ends.
     pub async fn resign(&self) {
         self.control.stop_joining();
-        self.control.distribution.set_leaving();
+        self.control.ping_service.set_shutting_down();
         self.control.leadership.resign().await;
         if let Some(member) = &self.member {
-            let ControlPlane { view, proposer, clients, .. } = &self.control;
-            leave_register(member, view, proposer, &clients.rpc).await;
+            self.control.acceptor_membership(member.clone()).leave().await;
         }
     }
 }
--- a/crates/rushrudder/src/store.rs
+++ b/crates/rushrudder/src/store.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_plane::{leave_stores, Capability, Distribution};
+use control_plane::{Capability, PingService};
 use data_plane::Forwarder;
 use error_stack::{IntoReport, Report};
 use poem::Route;
-use register::Member;
 use settings::NodeSettings;
+use state::StoreMember;
 use store_plane::runner::owned_jobs::run_owned_jobs;
 use store_plane::runner::RunnerSettings;
 use store_plane::{JobStore, OwnedJob, StoreLimits};
@@ -61,7 +61,7 @@
     /// Its batch jobs.
     pub jobs: JobStore,
     /// This process as a store.
-    member: Member,
+    member: StoreMember,
 }
 
 impl BatchStore {
@@ -71,10 +71,11 @@
         disk: RecoveredDisk,
         clients: OutboundClients,
     ) -> (Self, UnboundedReceiver<OwnedJob>) {
-        let member = local_member(settings, disk.incarnation);
+        let member =
+            StoreMember { member: local_member(settings, disk.incarnation), zone: settings.zone.clone() };
         let control = ControlPlane::new(settings, None, clients);
         let (jobs, owned_jobs) = JobStore::open(
-            member.clone(),
+            member.member.clone(),
             Arc::new(disk.journal),
             disk.records.into_iter().map(|(position, bytes)| (position.0, bytes)),
             control.clients.rpc.clone(),
@@ -91,16 +92,16 @@
 
     /// Starts the tasks of the control plane and of replication.
     pub fn start(&self, settings: &NodeSettings) {
-        self.control.start(settings, Some(self.member.clone()), Capability::Store);
+        self.control.start(settings, Some(self.member.member.clone()), Capability::Store);
         tokio::spawn(self.jobs.clone().run());
-        tokio::spawn(report_migration(self.jobs.clone(), Arc::clone(&self.control.distribution)));
+        tokio::spawn(report_migration(self.jobs.clone(), Arc::clone(&self.control.ping_service)));
     }
 
     /// Hands all batch jobs over to other stores, before the process ends.
     pub async fn resign(&self) {
         self.control.stop_joining();
-        self.control.distribution.set_leaving();
-        leave_stores(&self.member, &self.control.view, &self.control.proposer).await;
+        self.control.ping_service.set_shutting_down();
+        self.control.store_membership(self.member.clone()).leave().await;
         self.jobs.hand_over_jobs().await;
         tokio::time::sleep(ANSWER_AFTER_HANDOVER).await;
     }
@@ -115,11 +116,11 @@
 }
 
 /// Reports to the leader, in answers to its pings, the epoch of the store set to which this store has migrated.
-async fn report_migration(store: JobStore, distribution: Arc<Distribution>) {
-    distribution.set_committed_epoch(0);
+async fn report_migration(store: JobStore, ping_service: Arc<PingService>) {
+    ping_service.set_committed_epoch(0);
     loop {
         tokio::time::sleep(MIGRATION_POLL_INTERVAL).await;
         let migration = store.migration_status();
-        distribution.set_committed_epoch(if migration.is_complete { migration.epoch } else { 0 });
+        ping_service.set_committed_epoch(if migration.is_complete { migration.epoch } else { 0 });
     }
 }
--- a/crates/rushrudder/tests/stored_data.rs
+++ b/crates/rushrudder/tests/stored_data.rs
@@ -76,7 +76,7 @@
     let (journal, recovered) = open(&folder, NODE_DISK);
     let incarnation = Incarnation(recovered.incarnation);
     let acceptor = AcceptorService::new(journal, incarnation, &recovered.records);
-    assert!(acceptor.is_initialised());
+    assert!(acceptor.is_initialized());
     let committed = acceptor.committed().expect("a committed value");
     let state = &committed.value;
     assert!(state.acceptors.iter().any(|member| member.incarnation == incarnation));
--- a/crates/simulator/src/transport.rs
+++ b/crates/simulator/src/transport.rs
@@ -142,7 +142,7 @@
 }
 
 impl ServerCalls for SimulatedTransport {
-    fn order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply> {
+    fn send_order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply> {
         Box::pin(async move {
             let to = Endpoint::Server(model_server::index_of(order.address));
             match self.call_external(to, ORDER_PATH, body.into()).await {
@@ -153,7 +153,7 @@
         })
     }
 
-    fn report<'a>(&'a self, request: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>> {
+    fn request_report<'a>(&'a self, request: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>> {
         Box::pin(async move {
             let to = Endpoint::Server(model_server::index_of(request.address));
             let (_, body) = self.call_external(to, REPORT_PATH, Bytes::new()).await.ok()?;
