--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -32,7 +32,7 @@
         log::info!(
             incarnation = recovered.incarnation,
             records = recovered.records.len(),
-            fresh = recovered.fresh;
+            fresh = recovered.is_new;
             "journal opened"
         );
         let incarnation = Incarnation(recovered.incarnation);
--- /dev/null
+++ b/crates/storage/src/append_queue.rs
@@ -0,0 +1,146 @@
+//! The queue between the callers of a journal and the writer of its ring.
+//!
+//! The writer takes all queued records at once, so that they share one sync of the disk. It runs on a thread of its
+//! own ([`AppendQueue::run`]) or, in simulations, as a future ([`AppendQueue::run_paced`]).
+
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+
+use futures_util::future::BoxFuture;
+use tokio::sync::{oneshot, Notify};
+
+use crate::{Position, Ring, RingUsage, StorageError};
+
+/// Where the record is, once it is durable.
+pub(crate) type AppendOutcome = Result<Position, StorageError>;
+
+/// A record to append, and who waits for the outcome.
+pub(crate) struct AppendRequest {
+    pub record: Vec<u8>,
+    pub sender: oneshot::Sender<AppendOutcome>,
+}
+
+/// Records that wait for the writer.
+pub(crate) struct AppendQueue {
+    state: Mutex<QueueState>,
+    /// Wakes a writer on a thread.
+    changed: Condvar,
+    /// Wakes a writer that is a future.
+    queued: Notify,
+}
+
+struct QueueState {
+    requests: Vec<AppendRequest>,
+    /// Records before this position are released with the next batch.
+    released: Position,
+    /// Usage of the ring after the last batch.
+    usage: RingUsage,
+    is_closed: bool,
+    /// The writer waits for `changed`.
+    is_writer_idle: bool,
+}
+
+/// What the writer takes from the queue at once.
+struct Batch {
+    requests: Vec<AppendRequest>,
+    released: Position,
+}
+
+impl QueueState {
+    fn take_batch(&mut self) -> Batch {
+        Batch { requests: std::mem::take(&mut self.requests), released: self.released }
+    }
+}
+
+impl AppendQueue {
+    /// The queue of a ring that was just opened.
+    pub fn new(ring: &Ring) -> Self {
+        let state = QueueState {
+            requests: Vec::new(),
+            released: Position(0),
+            usage: ring.usage(),
+            is_closed: false,
+            is_writer_idle: false,
+        };
+        Self { state: Mutex::new(state), changed: Condvar::new(), queued: Notify::new() }
+    }
+
+    pub fn enqueue(&self, request: AppendRequest) {
+        let mut state = self.lock();
+        state.requests.push(request);
+        let is_writer_idle = state.is_writer_idle;
+        drop(state);
+        if is_writer_idle {
+            self.changed.notify_one();
+        }
+        self.queued.notify_one();
+    }
+
+    pub fn release(&self, position: Position) {
+        let mut state = self.lock();
+        state.released = state.released.max(position);
+    }
+
+    pub fn usage(&self) -> RingUsage {
+        self.lock().usage
+    }
+
+    /// Ends the writer once the queue is empty.
+    pub fn close(&self) {
+        self.lock().is_closed = true;
+        self.changed.notify_one();
+    }
+
+    /// Writes what is queued, until the queue is closed and empty.
+    pub fn run(&self, mut ring: Ring) {
+        while let Some(batch) = self.next_batch() {
+            self.write(&mut ring, batch);
+        }
+    }
+
+    /// Writes what is queued each time that a future of `pace` completes, until dropped.
+    pub async fn run_paced(
+        self: Arc<Self>,
+        mut ring: Ring,
+        mut pace: impl FnMut() -> BoxFuture<'static, ()>,
+    ) {
+        loop {
+            self.queued.notified().await;
+            pace().await;
+            let batch = self.lock().take_batch();
+            if !batch.requests.is_empty() {
+                self.write(&mut ring, batch);
+            }
+        }
+    }
+
+    /// Waits for requests; `None` when the queue is closed and empty.
+    fn next_batch(&self) -> Option<Batch> {
+        let mut state = self.lock();
+        while state.requests.is_empty() {
+            if state.is_closed {
+                return None;
+            }
+            state.is_writer_idle = true;
+            state = self.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state.is_writer_idle = false;
+        }
+        Some(state.take_batch())
+    }
+
+    fn write(&self, ring: &mut Ring, batch: Batch) {
+        ring.release(batch.released);
+        let requests = batch.requests.into_iter();
+        let (records, senders): (Vec<_>, Vec<_>) =
+            requests.map(|request| (request.record, request.sender)).unzip();
+        let outcomes = ring.append(&records);
+        self.lock().usage = ring.usage();
+        for (sender, outcome) in senders.into_iter().zip(outcomes) {
+            // The caller may have stopped waiting.
+            let _ = sender.send(outcome);
+        }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, QueueState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong.
+//! Errors of the storage.
 
 use std::fmt;
 use std::io;
@@ -12,12 +12,12 @@
     RingFull,
     /// The record does not fit into a segment.
     RecordTooLarge {
-        /// Its length.
+        /// The length of the record.
         length: usize,
-        /// The longest that fits.
+        /// The length of the longest record that fits.
         limit: usize,
     },
-    /// The options can't be used.
+    /// A ring needs at least two segments, each with room for a record.
     InvalidOptions,
     /// The files were written with other options.
     OptionsChanged {
@@ -26,19 +26,19 @@
         /// The number of segments on the disk.
         segments: u64,
     },
-    /// Something is missing that was durable.
+    /// Records are missing that were durable.
     Corrupt {
-        /// The segment in which it is missing, counted from the first one ever written.
+        /// The segment in which they are missing, counted from the first one ever written.
         segment: u64,
     },
-    /// The disk failed.
+    /// An operation of the disk failed.
     Disk {
-        /// The kind of the failure.
+        /// The kind of the I/O error.
         kind: io::ErrorKind,
-        /// What the system says about it.
+        /// The message of the I/O error.
         message: String,
     },
-    /// The thread of the journal has ended.
+    /// The writer of the journal has ended.
     Closed,
 }
 
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,17 +1,17 @@
 //! The bytes of a segment: a header, then records one after the other.
 //!
 //! Each record names its sequence number, the *generation* of its writer (a random number, drawn at each start
-//! and after each failure) and the generation of the record before it. Bytes that an earlier use of the place
-//! left behind never continue the chain.
+//! and after each failure) and the generation of the record before it. Bytes that an earlier use of the file left
+//! behind never continue the chain.
 
-/// Bytes of a segment before its first record.
+/// Length of the header of a segment.
 pub(crate) const SEGMENT_HEADER_BYTES: usize = 64;
-/// Bytes of a record before its content.
+/// Length of the header of a record.
 pub(crate) const RECORD_HEADER_BYTES: usize = 32;
 
 const MAGIC: u64 = u64::from_le_bytes(*b"ringseg1");
 const CHECKSUM_BYTES: usize = 4;
-const SEGMENT_CHECKSUM_AT: usize = SEGMENT_HEADER_BYTES - CHECKSUM_BYTES;
+const SEGMENT_CHECKSUM_OFFSET: usize = SEGMENT_HEADER_BYTES - CHECKSUM_BYTES;
 
 /// How far the chain of records goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,18 +22,18 @@
     pub generation: u64,
 }
 
-/// What stands at the start of a segment.
+/// The header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SegmentHeader {
     /// The incarnation of the ring.
     pub incarnation: u64,
-    /// Counts the segments ever written.
+    /// Number of the segment, counted from the first one ever written.
     pub index: u64,
     /// Where the chain ends before this segment.
     pub chain: ChainEnd,
     /// Records below this sequence number were released before this segment was begun.
     pub released: u64,
-    /// The size of a segment.
+    /// The size of each segment in bytes.
     pub segment_bytes: u64,
     /// The number of segments.
     pub segments: u32,
@@ -42,7 +42,7 @@
 impl SegmentHeader {
     pub(crate) fn encode(&self) -> [u8; SEGMENT_HEADER_BYTES] {
         let mut bytes = [0; SEGMENT_HEADER_BYTES];
-        let words = [
+        let fields = [
             MAGIC,
             self.incarnation,
             self.index,
@@ -51,18 +51,18 @@
             self.released,
             self.segment_bytes,
         ];
-        for (place, word) in bytes.chunks_exact_mut(8).zip(words) {
-            place.copy_from_slice(&word.to_le_bytes());
+        for (target, field) in bytes.chunks_exact_mut(8).zip(fields) {
+            target.copy_from_slice(&field.to_le_bytes());
         }
         bytes[56..60].copy_from_slice(&self.segments.to_le_bytes());
-        let checksum = crc32fast::hash(&bytes[..SEGMENT_CHECKSUM_AT]);
-        bytes[SEGMENT_CHECKSUM_AT..].copy_from_slice(&checksum.to_le_bytes());
+        let checksum = crc32fast::hash(&bytes[..SEGMENT_CHECKSUM_OFFSET]);
+        bytes[SEGMENT_CHECKSUM_OFFSET..].copy_from_slice(&checksum.to_le_bytes());
         bytes
     }
 
     pub(crate) fn decode(bytes: &[u8; SEGMENT_HEADER_BYTES]) -> Option<Self> {
-        let checksum = crc32fast::hash(&bytes[..SEGMENT_CHECKSUM_AT]);
-        let is_valid = read_u32(bytes, SEGMENT_CHECKSUM_AT) == checksum && read_u64(bytes, 0) == MAGIC;
+        let checksum = crc32fast::hash(&bytes[..SEGMENT_CHECKSUM_OFFSET]);
+        let is_valid = read_u32(bytes, SEGMENT_CHECKSUM_OFFSET) == checksum && read_u64(bytes, 0) == MAGIC;
         is_valid.then(|| Self {
             incarnation: read_u64(bytes, 8),
             index: read_u64(bytes, 16),
@@ -74,7 +74,7 @@
     }
 }
 
-/// What stands before the content of a record.
+/// The header of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RecordHeader {
     /// Checksum of the rest of this header and of the content.
@@ -102,7 +102,7 @@
         self.sequence == chain.next_sequence && self.previous_generation == chain.generation
     }
 
-    /// Whether the record is whole.
+    /// Whether the checksum matches this header and the content.
     pub(crate) fn verifies(&self, content: &[u8]) -> bool {
         let mut hasher = crc32fast::Hasher::new();
         hasher.update(&self.encode()[CHECKSUM_BYTES..]);
@@ -143,16 +143,16 @@
     ChainEnd { next_sequence: chain.next_sequence + 1, generation }
 }
 
-fn read_u32(bytes: &[u8], at: usize) -> u32 {
-    let mut word = [0; 4];
-    word.copy_from_slice(&bytes[at..at + 4]);
-    u32::from_le_bytes(word)
+fn read_u32(bytes: &[u8], offset: usize) -> u32 {
+    let mut field = [0; 4];
+    field.copy_from_slice(&bytes[offset..offset + 4]);
+    u32::from_le_bytes(field)
 }
 
-fn read_u64(bytes: &[u8], at: usize) -> u64 {
-    let mut word = [0; 8];
-    word.copy_from_slice(&bytes[at..at + 8]);
-    u64::from_le_bytes(word)
+fn read_u64(bytes: &[u8], offset: usize) -> u64 {
+    let mut field = [0; 8];
+    field.copy_from_slice(&bytes[offset..offset + 8]);
+    u64::from_le_bytes(field)
 }
 
 #[cfg(test)]
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,29 +1,38 @@
 //! Durable state in a ring of preallocated files.
 //!
-//! A [`Journal`] appends records and tells when they are durable; its owner writes what it still needs again from
+//! A [`Journal`] appends records and reports when they are durable; its owner appends what it still needs again from
 //! time to time and releases what lies before. The calls of the disk run on a thread of their own, so that a
-//! stalled disk stops nothing else.
+//! stalled disk blocks nothing else.
 //!
 //! # Guarantees
 //!
 //! - An acknowledged record survives the end of the process and a loss of power until it is released.
-//! - A record whose append failed, or was not yet acknowledged, may be there after a restart or not; if it is, it
-//!   stands where it was appended, and never after a record that was acknowledged later.
+//! - A record whose append failed, or was not yet acknowledged, may be present after a restart or not; if it is, it
+//!   is at the position where it was appended, and never after a record that was acknowledged later.
 //! - Released records may still be returned by the next start.
 //! - What a start returns is durable before it is returned.
+//!
+//! # Modules
+//!
+//! `format` defines the bytes, `layout` the files, `recovery` reads them, [`Ring`] appends to them, and `append_queue`
+//! connects the ring with the callers of a [`Journal`]. All of them use the disk through [`FileSystem`], which is
+//! either the machine's or the [simulated](simulated) one.
 
+mod append_queue;
 mod error;
 mod file_system;
 mod format;
 mod journal;
+mod layout;
 mod native;
+mod read_ahead;
 mod recovery;
 mod ring;
 pub mod simulated;
 
 pub use error::StorageError;
 pub use file_system::{File, FileSystem};
-pub use journal::Journal;
+pub use journal::{Journal, Recovered};
+pub use layout::{Position, RingOptions};
 pub use native::NativeFileSystem;
-pub use recovery::Recovered;
-pub use ring::{Position, Ring, RingIdentity, RingOptions, Usage};
+pub use ring::{Ring, RingIdentity, RingUsage};
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,48 +1,42 @@
-//! Finds the records that survive.
-
-use std::path::Path;
-
-use crate::format::{ChainEnd, RecordHeader, SegmentHeader, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES};
-use crate::ring::{segment_name, segment_path, RingOptions};
-use crate::{File, FileSystem, Position, StorageError};
-
-/// How much is read at once.
-const READ_BYTES: usize = 32 * 1024;
-
-/// What a start found.
-#[derive(Clone, Debug)]
-pub struct Recovered {
-    /// The records that survive, oldest first. Some of them may have been released.
-    pub records: Vec<(Position, Vec<u8>)>,
-    /// A random number, drawn when the ring was made; a lost disk gives another.
-    pub incarnation: u64,
-    /// Whether the ring was made by this start.
-    pub fresh: bool,
+//! Reads the records of a ring when it is opened.
+
+use crate::format::{ChainEnd, SegmentHeader, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES};
+use crate::layout::{RingDirectory, RingOptions};
+use crate::read_ahead::ReadAheadBuffer;
+use crate::{File, Position, StorageError};
+
+/// Receives the records as they are read, oldest first.
+pub(crate) type RecordVisitor<'a> = &'a mut dyn FnMut(Position, Vec<u8>);
+
+/// A segment that holds records which may not be released yet.
+#[derive(Clone, Copy)]
+pub(crate) struct LiveSegment {
+    pub index: u64,
+    /// Sequence number of the first record.
+    pub first_sequence: u64,
 }
 
-/// Takes the records as they are read.
-pub(crate) type Visitor<'a> = &'a mut dyn FnMut(Position, Vec<u8>);
-
-/// Where the ring goes on.
-pub(crate) struct RingEnd {
+/// The state in which a ring is opened: where the next record goes.
+pub(crate) struct RingState {
     pub incarnation: u64,
-    /// The segments that hold records, oldest first: index and first sequence number.
-    pub segments: Vec<(u64, u64)>,
+    /// Oldest first; never empty.
+    pub segments: Vec<LiveSegment>,
     pub chain: ChainEnd,
-    /// Offset in the newest segment.
+    /// Offset of the next record in the newest segment.
     pub offset: u64,
+    /// Records below this sequence number are released.
     pub released: u64,
+    /// The newest segment.
     pub file: Box<dyn File>,
 }
 
-/// Reads the ring; `None` if there is none.
+/// Reads the ring in a folder; `None` if there is none.
 pub(crate) fn recover(
-    file_system: &dyn FileSystem,
-    directory: &Path,
-    options: RingOptions,
-    visitor: Visitor<'_>,
-) -> Result<Option<RingEnd>, StorageError> {
-    let headers = read_headers(file_system, directory, options)?;
+    directory: &RingDirectory,
+    visitor: RecordVisitor<'_>,
+) -> Result<Option<RingState>, StorageError> {
+    let options = directory.options();
+    let headers = directory.read_headers()?;
     let Some(newest) = headers.iter().flatten().max_by_key(|header| header.index).copied() else {
         return Ok(None);
     };
@@ -50,29 +44,27 @@
     let live = live_segments(&headers, &newest, options)?;
     let mut chain = live[0].chain;
     for pair in live.windows(2) {
-        let mut file = open_segment(file_system, directory, options, pair[0].index)?;
-        let until = Some(pair[1].chain.next_sequence);
-        (chain, _) = scan(file.as_mut(), chain, until, options, visitor)?;
+        let mut file = directory.open_segment(pair[0].index)?;
+        let mut scan = SegmentScan::new(file.as_mut(), chain, options);
+        scan.run(Some(pair[1].chain.next_sequence), visitor)?;
+        chain = scan.chain;
         if chain != pair[1].chain {
             return Err(StorageError::Corrupt { segment: pair[0].index });
         }
     }
-    let mut file = open_segment(file_system, directory, options, newest.index)?;
-    let (chain, offset) = scan(file.as_mut(), chain, None, options, visitor)?;
+    let mut file = directory.open_segment(newest.index)?;
+    let mut scan = SegmentScan::new(file.as_mut(), chain, options);
+    scan.run(None, visitor)?;
+    let (chain, offset) = (scan.chain, scan.offset);
     // Records of a process that was killed may not be durable yet. Older segments were synced before this one.
     file.sync()?;
-    let segments = live.iter().map(|header| (header.index, header.chain.next_sequence)).collect();
+    let segment = |header: &SegmentHeader| LiveSegment {
+        index: header.index,
+        first_sequence: header.chain.next_sequence,
+    };
+    let segments = live.iter().map(segment).collect();
     let (incarnation, released) = (newest.incarnation, newest.released);
-    Ok(Some(RingEnd { incarnation, segments, chain, offset, released, file }))
-}
-
-fn open_segment(
-    file_system: &dyn FileSystem,
-    directory: &Path,
-    options: RingOptions,
-    index: u64,
-) -> Result<Box<dyn File>, StorageError> {
-    Ok(file_system.open(&segment_path(directory, options, index))?)
+    Ok(Some(RingState { incarnation, segments, chain, offset, released, file }))
 }
 
 fn check_options(header: &SegmentHeader, options: RingOptions) -> Result<(), StorageError> {
@@ -83,35 +75,9 @@
     Err(StorageError::OptionsChanged { segment_bytes: header.segment_bytes, segments })
 }
 
-/// The header of each file, where there is a valid one.
-fn read_headers(
-    file_system: &dyn FileSystem,
-    directory: &Path,
-    options: RingOptions,
-) -> Result<Vec<Option<SegmentHeader>>, StorageError> {
-    let names = file_system.list(directory)?;
-    let mut headers = Vec::with_capacity(options.segments);
-    for slot in 0..options.segments {
-        let name = segment_name(slot);
-        let header = if names.contains(&name) {
-            read_header(file_system.open(&directory.join(name))?.as_mut())?
-        } else {
-            None
-        };
-        headers.push(header);
-    }
-    Ok(headers)
-}
-
-fn read_header(file: &mut dyn File) -> Result<Option<SegmentHeader>, StorageError> {
-    let mut bytes = [0; SEGMENT_HEADER_BYTES];
-    let count = file.read_at(0, &mut bytes)?;
-    Ok((count == SEGMENT_HEADER_BYTES).then(|| SegmentHeader::decode(&bytes)).flatten())
-}
-
-/// The segments up to the newest that may hold records that were not released, oldest first.
+/// The segments up to the newest that may contain records that were not released, oldest first.
 ///
-/// Only the oldest place of the ring may be without a valid header: it was about to be used again.
+/// Only the file that is used next may be without a valid header: it was about to be overwritten.
 fn live_segments(
     headers: &[Option<SegmentHeader>],
     newest: &SegmentHeader,
@@ -134,76 +100,44 @@
     Ok(live)
 }
 
-/// Reads the records of a segment up to the sequence number `until`, or as far as they go.
-fn scan(
-    file: &mut dyn File,
-    mut chain: ChainEnd,
-    until: Option<u64>,
-    options: RingOptions,
-    visitor: Visitor<'_>,
-) -> Result<(ChainEnd, u64), StorageError> {
-    let mut window = Window { file, segment_bytes: options.segment_bytes, start: 0, bytes: Vec::new() };
-    let mut offset = SEGMENT_HEADER_BYTES as u64;
-    while until != Some(chain.next_sequence) {
-        let Some(header) = window.read_record_header(offset)?.filter(|header| header.continues(chain)) else {
-            break;
-        };
-        let content_offset = offset + RECORD_HEADER_BYTES as u64;
-        let content = window.read(content_offset, header.length as usize)?;
-        let Some(content) = content.filter(|content| header.verifies(content)) else {
-            log::warn!("dropped a torn record: sequence={} bytes={}", chain.next_sequence, header.length);
-            break;
-        };
-        visitor(Position(chain.next_sequence), content.to_vec());
-        offset = content_offset + u64::from(header.length);
-        chain = ChainEnd { next_sequence: chain.next_sequence + 1, generation: header.generation };
-    }
-    Ok((chain, offset))
-}
-
-/// A part of a file in memory.
-struct Window<'a> {
-    file: &'a mut dyn File,
-    segment_bytes: u64,
-    start: u64,
-    bytes: Vec<u8>,
+/// A scan of the records of one segment.
+struct SegmentScan<'a> {
+    buffer: ReadAheadBuffer<'a>,
+    /// Where the chain ends after the records that were read.
+    chain: ChainEnd,
+    /// Offset behind the records that were read.
+    offset: u64,
 }
 
-impl Window<'_> {
-    fn read_record_header(&mut self, offset: u64) -> Result<Option<RecordHeader>, StorageError> {
-        let bytes = self.read(offset, RECORD_HEADER_BYTES)?;
-        let bytes = bytes.and_then(|bytes| bytes.first_chunk::<RECORD_HEADER_BYTES>());
-        Ok(bytes.map(RecordHeader::decode))
+impl<'a> SegmentScan<'a> {
+    /// `chain` is where the chain of records ends before this segment.
+    fn new(file: &'a mut dyn File, chain: ChainEnd, options: RingOptions) -> Self {
+        let buffer = ReadAheadBuffer::new(file, options.segment_bytes);
+        Self { buffer, chain, offset: SEGMENT_HEADER_BYTES as u64 }
     }
 
-    /// The bytes from `offset` on, if there are so many. Offsets only go forward.
-    fn read(&mut self, offset: u64, length: usize) -> Result<Option<&[u8]>, StorageError> {
-        let end = offset + length as u64;
-        if end > self.segment_bytes {
-            return Ok(None);
-        }
-        if end > self.start + self.bytes.len() as u64 {
-            self.discard_before(offset);
-            self.fill(length)?;
-        }
-        let from = (offset - self.start) as usize;
-        Ok(self.bytes.get(from..from + length))
-    }
-
-    fn discard_before(&mut self, offset: u64) {
-        let passed = (offset - self.start) as usize;
-        self.bytes.drain(..passed.min(self.bytes.len()));
-        self.start = offset;
+    /// Reads records up to the sequence number `until`, or as far as the chain goes.
+    fn run(&mut self, until: Option<u64>, visitor: RecordVisitor<'_>) -> Result<(), StorageError> {
+        while until != Some(self.chain.next_sequence) && self.read_record(visitor)? {}
+        Ok(())
     }
 
-    fn fill(&mut self, length: usize) -> Result<(), StorageError> {
-        let held = self.bytes.len();
-        let from = self.start + held as u64;
-        let left = (self.segment_bytes - from) as usize;
-        let wanted = length.saturating_sub(held).max(READ_BYTES).min(left);
-        self.bytes.resize(held + wanted, 0);
-        let count = self.file.read_at(from, &mut self.bytes[held..])?;
-        self.bytes.truncate(held + count);
-        Ok(())
+    /// Reads the next record of the chain; false if there is none.
+    fn read_record(&mut self, visitor: RecordVisitor<'_>) -> Result<bool, StorageError> {
+        let header = self.buffer.read_record_header(self.offset)?;
+        let Some(header) = header.filter(|header| header.continues(self.chain)) else {
+            return Ok(false);
+        };
+        let sequence = self.chain.next_sequence;
+        let content_offset = self.offset + RECORD_HEADER_BYTES as u64;
+        let content = self.buffer.read(content_offset, header.length as usize)?;
+        let Some(content) = content.filter(|content| header.verifies(content)) else {
+            log::warn!(sequence, bytes = header.length; "dropped a torn record");
+            return Ok(false);
+        };
+        visitor(Position(sequence), content.to_vec());
+        self.offset = content_offset + u64::from(header.length);
+        self.chain = ChainEnd { next_sequence: sequence + 1, generation: header.generation };
+        Ok(true)
     }
 }
--- a/crates/storage/src/ring.rs
+++ b/crates/storage/src/ring.rs
@@ -1,143 +1,144 @@
-//! The ring itself: calls of the disk one after the other, without threads.
+//! A ring of files that is appended to: calls of the disk one after the other, without threads.
 
 use std::collections::VecDeque;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::sync::Arc;
 
-use crate::format::{append_record, ChainEnd, SegmentHeader, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES};
-use crate::recovery::{recover, RingEnd, Visitor};
+use crate::format::{append_record, ChainEnd, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES};
+use crate::layout::{Position, RingDirectory, RingOptions};
+use crate::recovery::{recover, LiveSegment, RecordVisitor, RingState};
 use crate::{File, FileSystem, StorageError};
 
-/// A buffer that is larger than this is not kept for the next append.
-const KEPT_BUFFER_BYTES: usize = 256 * 1024;
-/// The first record has this sequence number.
+/// A buffer that is larger than this is shrunk before the next append.
+const MAX_RETAINED_BUFFER_BYTES: usize = 256 * 1024;
+/// The sequence number of the first record.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// The shape of a ring. It can't be changed later.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RingOptions {
-    /// The size of each file. A record must fit into one.
-    pub segment_bytes: u64,
-    /// The number of files, two at least. They are made when they are first needed.
-    pub segments: usize,
-}
-
-impl RingOptions {
-    /// The longest record that fits.
-    pub fn record_limit(&self) -> usize {
-        (self.segment_bytes as usize).saturating_sub(SEGMENT_HEADER_BYTES + RECORD_HEADER_BYTES)
-    }
-
-    fn check(&self) -> Result<(), StorageError> {
-        let is_usable = self.segments >= 2
-            && self.record_limit() > 0
-            && u32::try_from(self.segments).is_ok()
-            && u32::try_from(self.segment_bytes).is_ok();
-        is_usable.then_some(()).ok_or(StorageError::InvalidOptions)
-    }
-}
-
-/// The place of a record; later records have greater ones.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Position(pub u64);
-
 /// How full a ring is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Usage {
-    /// Bytes of the segments that can't be used again yet.
+pub struct RingUsage {
+    /// Bytes of the segments that can't be reused yet.
     pub used_bytes: u64,
     /// Bytes of all segments.
     pub capacity_bytes: u64,
 }
 
-/// What a start of a ring tells besides its records.
+/// Which ring was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingIdentity {
-    /// A random number, drawn when the ring was made.
+    /// A random number, drawn when the ring was created.
     pub incarnation: u64,
-    /// Whether the ring was made by this start.
-    pub fresh: bool,
+    /// Whether the ring was created when it was opened.
+    pub is_new: bool,
 }
 
-/// A ring of files. Its calls wait for the disk; [`Journal`](crate::Journal) runs them on a thread.
+/// A ring of files. Its calls block on the disk; [`Journal`](crate::Journal) runs them on a thread.
 pub struct Ring {
-    file_system: Arc<dyn FileSystem>,
-    directory: PathBuf,
-    options: RingOptions,
+    directory: RingDirectory,
     incarnation: u64,
     /// Oldest first.
     segments: VecDeque<LiveSegment>,
     tail: Tail,
     /// Where the durable records end.
     chain: ChainEnd,
-    /// Drawn anew at each start and after each failure, so that what a failed write left is never read as a
+    /// Drawn again at each start and after each failure, so that what a failed write left behind is never read as a
     /// successor of what is written over it.
     generation: u64,
     released: Position,
-    staged: Staged,
-}
-
-struct LiveSegment {
-    index: u64,
-    first_sequence: u64,
+    staged: StagedRecords,
 }
 
 /// The newest segment.
 struct Tail {
     file: Box<dyn File>,
+    /// Offset of the next record.
     offset: u64,
     /// The next segment may have been begun on the disk: nothing may be added to this one.
     is_sealed: bool,
 }
 
+impl Tail {
+    /// A segment that holds no records yet.
+    fn empty(file: Box<dyn File>) -> Self {
+        Self { file, offset: SEGMENT_HEADER_BYTES as u64, is_sealed: false }
+    }
+
+    fn write(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
+        self.file.write_at(self.offset, bytes)?;
+        self.file.sync()?;
+        self.offset += bytes.len() as u64;
+        Ok(())
+    }
+}
+
 /// Records that are about to be written together.
-struct Staged {
+struct StagedRecords {
     bytes: Vec<u8>,
     count: usize,
+    /// Where the chain ends after them.
     chain: ChainEnd,
 }
 
+impl StagedRecords {
+    fn new(chain: ChainEnd) -> Self {
+        Self { bytes: Vec::new(), count: 0, chain }
+    }
+
+    fn push(&mut self, generation: u64, record: &[u8]) {
+        self.chain = append_record(&mut self.bytes, self.chain, generation, record);
+        self.count += 1;
+    }
+
+    fn clear(&mut self, chain: ChainEnd) {
+        self.chain = chain;
+        self.count = 0;
+        self.bytes.clear();
+        self.bytes.shrink_to(MAX_RETAINED_BUFFER_BYTES);
+    }
+}
+
 impl Ring {
-    /// Opens or makes a ring; hands its records to `visitor`, oldest first.
+    /// Opens or creates a ring; hands its records to `visitor`, oldest first.
+    ///
+    /// # Errors
+    ///
+    /// If the options can't be used or differ from those of the ring, if records are missing that were durable, or if
+    /// the disk fails.
     pub fn open(
         file_system: Arc<dyn FileSystem>,
         directory: &Path,
         options: RingOptions,
-        visitor: Visitor<'_>,
+        visitor: RecordVisitor<'_>,
     ) -> Result<(Self, RingIdentity), StorageError> {
-        options.check()?;
-        file_system.create_directory(directory)?;
-        let found = recover(file_system.as_ref(), directory, options, visitor)?;
-        let fresh = found.is_none();
-        let end = match found {
-            Some(end) => end,
-            None => create(file_system.as_ref(), directory, options)?,
+        let directory = RingDirectory::create(file_system, directory, options)?;
+        let recovered = recover(&directory, visitor)?;
+        let is_new = recovered.is_none();
+        let state = match recovered {
+            Some(state) => state,
+            None => create(&directory)?,
         };
-        file_system.sync_directory(directory)?;
-        let identity = RingIdentity { incarnation: end.incarnation, fresh };
-        Ok((Self::at(file_system, directory, options, end), identity))
+        directory.sync()?;
+        let identity = RingIdentity { incarnation: state.incarnation, is_new };
+        Ok((Self::from_state(directory, state), identity))
     }
 
-    fn at(file_system: Arc<dyn FileSystem>, directory: &Path, options: RingOptions, end: RingEnd) -> Self {
-        let segments = end.segments.into_iter();
+    fn from_state(directory: RingDirectory, state: RingState) -> Self {
         let mut ring = Self {
-            generation: file_system.random(),
-            file_system,
-            directory: directory.to_owned(),
-            options,
-            incarnation: end.incarnation,
-            segments: segments.map(|(index, first_sequence)| LiveSegment { index, first_sequence }).collect(),
-            tail: Tail { file: end.file, offset: end.offset, is_sealed: false },
-            chain: end.chain,
+            generation: directory.random(),
+            directory,
+            incarnation: state.incarnation,
+            segments: state.segments.into(),
+            tail: Tail { file: state.file, offset: state.offset, is_sealed: false },
+            chain: state.chain,
             released: Position(0),
-            staged: Staged { bytes: Vec::new(), count: 0, chain: end.chain },
+            staged: StagedRecords::new(state.chain),
         };
-        ring.release(Position(end.released));
+        ring.release(Position(state.released));
         ring
     }
 
-    /// Appends records and makes them durable; tells the outcome of each, in their order. After a failure of the
-    /// disk, the rest of the records fails too.
+    /// Appends records and makes them durable; returns the outcome of each, in their order. After a failure of the
+    /// disk, the remaining records fail too.
     pub fn append<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Vec<Result<Position, StorageError>> {
         let mut outcomes = Vec::with_capacity(records.len());
         let mut failure = None;
@@ -148,12 +149,12 @@
             };
             outcomes.push(outcome);
         }
-        // A failure is told through the outcomes.
+        // A failure is reported by the outcomes.
         let _ = self.flush(&mut outcomes);
         outcomes
     }
 
-    /// Tells that the records before `position` are no longer needed.
+    /// Declares that the records before `position` are no longer needed.
     pub fn release(&mut self, position: Position) {
         self.released = self.released.max(position);
         while self.segments.get(1).is_some_and(|second| second.first_sequence <= self.released.0) {
@@ -162,22 +163,23 @@
     }
 
     /// How full the ring is.
-    pub fn usage(&self) -> Usage {
-        let segment_bytes = self.options.segment_bytes;
-        let full = self.segments.len().saturating_sub(1) as u64;
-        Usage {
-            used_bytes: full * segment_bytes + self.tail.offset,
-            capacity_bytes: self.options.segments as u64 * segment_bytes,
+    pub fn usage(&self) -> RingUsage {
+        let options = self.directory.options();
+        let full_segments = self.segments.len().saturating_sub(1) as u64;
+        RingUsage {
+            used_bytes: full_segments * options.segment_bytes + self.tail.offset,
+            capacity_bytes: options.segments as u64 * options.segment_bytes,
         }
     }
 
+    /// Stages a record; what was staged before is written first if they don't fit into one segment.
     fn stage(
         &mut self,
         record: &[u8],
         outcomes: &mut [Result<Position, StorageError>],
         failure: &mut Option<StorageError>,
     ) -> Result<Position, StorageError> {
-        let limit = self.options.record_limit();
+        let limit = self.directory.options().max_record_bytes();
         if record.len() > limit {
             return Err(StorageError::RecordTooLarge { length: record.len(), limit });
         }
@@ -186,131 +188,67 @@
             begun.inspect_err(|error| *failure = Some(error.clone()))?;
         }
         let position = Position(self.staged.chain.next_sequence);
-        let staged = &mut self.staged;
-        staged.chain = append_record(&mut staged.bytes, staged.chain, self.generation, record);
-        staged.count += 1;
+        self.staged.push(self.generation, record);
         Ok(position)
     }
 
     fn has_room(&self, length: usize) -> bool {
         let end = self.tail.offset + (self.staged.bytes.len() + RECORD_HEADER_BYTES + length) as u64;
-        !self.tail.is_sealed && end <= self.options.segment_bytes
+        !self.tail.is_sealed && end <= self.directory.options().segment_bytes
     }
 
-    /// Writes what is staged; on failure, the last `staged.count` outcomes become failures.
+    /// Writes what is staged; on failure, the last `staged.count` successes among the outcomes become failures.
     fn flush(&mut self, outcomes: &mut [Result<Position, StorageError>]) -> Result<(), StorageError> {
         if self.staged.count == 0 {
             return Ok(());
         }
-        let written = self.write_staged();
+        let written = self.tail.write(&self.staged.bytes);
         match &written {
-            Ok(()) => {
-                self.tail.offset += self.staged.bytes.len() as u64;
-                self.chain = self.staged.chain;
-            }
+            Ok(()) => self.chain = self.staged.chain,
             Err(error) => {
-                self.generation = self.file_system.random();
+                self.generation = self.directory.random();
                 fail_last(outcomes, self.staged.count, error);
             }
         }
-        self.clear_staged();
+        self.staged.clear(self.chain);
         written
     }
 
-    fn write_staged(&mut self) -> Result<(), StorageError> {
-        self.tail.file.write_at(self.tail.offset, &self.staged.bytes)?;
-        self.tail.file.sync()?;
-        Ok(())
-    }
-
-    fn clear_staged(&mut self) {
-        self.staged.chain = self.chain;
-        self.staged.count = 0;
-        self.staged.bytes.clear();
-        self.staged.bytes.shrink_to(KEPT_BUFFER_BYTES);
-    }
-
     /// Goes on to the next file. Its header is durable before a record is written to it, and so are all records
     /// before it.
     fn begin_segment(&mut self) -> Result<(), StorageError> {
-        if self.segments.len() >= self.options.segments {
+        if self.segments.len() >= self.directory.options().segments {
             return Err(StorageError::RingFull);
         }
         self.tail.is_sealed = true;
-        let header = SegmentHeader {
-            incarnation: self.incarnation,
-            index: self.segments.back().map_or(0, |newest| newest.index + 1),
-            chain: self.chain,
-            released: self.released.0,
-            segment_bytes: self.options.segment_bytes,
-            segments: self.options.segments as u32,
-        };
-        let file = write_header(self.file_system.as_ref(), &self.directory, self.options, &header)?;
-        self.segments
-            .push_back(LiveSegment { index: header.index, first_sequence: self.chain.next_sequence });
-        self.tail = Tail { file, offset: SEGMENT_HEADER_BYTES as u64, is_sealed: false };
+        let index = self.segments.back().map_or(0, |newest| newest.index + 1);
+        let header = self.directory.header(self.incarnation, index, self.chain, self.released.0);
+        let file = self.directory.begin_segment(&header)?;
+        self.segments.push_back(LiveSegment { index, first_sequence: self.chain.next_sequence });
+        self.tail = Tail::empty(file);
         self.release(self.released);
         Ok(())
     }
 }
 
-/// Makes the first segment of a new ring.
-fn create(
-    file_system: &dyn FileSystem,
-    directory: &Path,
-    options: RingOptions,
-) -> Result<RingEnd, StorageError> {
+/// Creates the first segment of a new ring.
+fn create(directory: &RingDirectory) -> Result<RingState, StorageError> {
     let chain = ChainEnd { next_sequence: FIRST_SEQUENCE, generation: 0 };
-    let header = SegmentHeader {
-        incarnation: file_system.random(),
-        index: 0,
-        chain,
-        released: 0,
-        segment_bytes: options.segment_bytes,
-        segments: options.segments as u32,
-    };
-    let file = write_header(file_system, directory, options, &header)?;
-    Ok(RingEnd {
+    let header = directory.header(directory.random(), 0, chain, 0);
+    let file = directory.begin_segment(&header)?;
+    Ok(RingState {
         incarnation: header.incarnation,
-        segments: vec![(header.index, FIRST_SEQUENCE)],
+        segments: vec![LiveSegment { index: header.index, first_sequence: FIRST_SEQUENCE }],
         chain,
         offset: SEGMENT_HEADER_BYTES as u64,
-        released: 0,
+        released: header.released,
         file,
     })
 }
 
-/// Makes the file of a segment if need be, and makes its header durable.
-fn write_header(
-    file_system: &dyn FileSystem,
-    directory: &Path,
-    options: RingOptions,
-    header: &SegmentHeader,
-) -> Result<Box<dyn File>, StorageError> {
-    let mut file = file_system.open(&segment_path(directory, options, header.index))?;
-    let is_new = file.length()? != options.segment_bytes;
-    if is_new {
-        file.set_length(options.segment_bytes)?;
-    }
-    file.write_at(0, &header.encode())?;
-    file.sync()?;
-    if is_new {
-        file_system.sync_directory(directory)?;
-    }
-    Ok(file)
-}
-
 fn fail_last(outcomes: &mut [Result<Position, StorageError>], count: usize, error: &StorageError) {
     let staged = outcomes.iter_mut().rev().filter(|outcome| outcome.is_ok()).take(count);
     for outcome in staged {
         *outcome = Err(error.clone());
     }
 }
-
-pub(crate) fn segment_name(slot: usize) -> String {
-    format!("ring-{slot:03}")
-}
-
-pub(crate) fn segment_path(directory: &Path, options: RingOptions, index: u64) -> PathBuf {
-    directory.join(segment_name((index % options.segments as u64) as usize))
-}
--- a/crates/storage/src/simulated/content.rs
+++ b/crates/storage/src/simulated/content.rs
@@ -2,11 +2,12 @@
 
 use std::path::Path;
 
-use super::{PendingWrite, WriteFaultModel, WriteOutcome};
+use super::write_faults::{PendingWrite, WriteFaultModel, WriteOutcome};
 
+/// Space is allocated in pages of this size.
 const PAGE_BYTES: u64 = 4096;
 
-/// Bytes with a length; what lies behind the bytes is zero and takes no space.
+/// Bytes with a length; what lies behind the bytes is zero and allocates no space.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Content {
     bytes: Vec<u8>,
@@ -18,16 +19,16 @@
         self.length
     }
 
-    /// Space on the disk.
+    /// Allocated space in bytes: whole pages.
     pub(super) fn allocated(&self) -> u64 {
         (self.bytes.len() as u64).next_multiple_of(PAGE_BYTES)
     }
 
     pub(super) fn read(&self, offset: u64, buffer: &mut [u8]) -> usize {
         let count = self.length.saturating_sub(offset).min(buffer.len() as u64) as usize;
-        let held = self.bytes.get(offset as usize..).unwrap_or_default();
-        let copied = held.len().min(count);
-        buffer[..copied].copy_from_slice(&held[..copied]);
+        let stored = self.bytes.get(offset as usize..).unwrap_or_default();
+        let copied = stored.len().min(count);
+        buffer[..copied].copy_from_slice(&stored[..copied]);
         buffer[copied..count].fill(0);
         count
     }
@@ -49,12 +50,12 @@
 
 /// A change that no sync covers.
 #[derive(Clone, Debug)]
-enum Change {
+enum UnsyncedChange {
     Write { offset: u64, bytes: Vec<u8> },
     SetLength(u64),
 }
 
-impl Change {
+impl UnsyncedChange {
     fn apply(&self, content: &mut Content) {
         match self {
             Self::Write { offset, bytes } => content.write(*offset, bytes),
@@ -62,13 +63,13 @@
         }
     }
 
-    fn apply_fate(&self, content: &mut Content, fate: WriteOutcome) {
-        match (self, fate) {
-            (_, WriteOutcome::Absent) | (Self::SetLength(_), WriteOutcome::Torn(_)) => {}
-            (_, WriteOutcome::Present) => self.apply(content),
-            (Self::Write { offset, bytes }, WriteOutcome::Torn(parts)) => {
-                for part in parts {
-                    content.write(offset + part.start as u64, &bytes[part]);
+    fn apply_outcome(&self, content: &mut Content, outcome: WriteOutcome) {
+        match (self, outcome) {
+            (_, WriteOutcome::Lost) | (Self::SetLength(_), WriteOutcome::Torn(_)) => {}
+            (_, WriteOutcome::Complete) => self.apply(content),
+            (Self::Write { offset, bytes }, WriteOutcome::Torn(ranges)) => {
+                for range in ranges {
+                    content.write(offset + range.start as u64, &bytes[range]);
                 }
             }
         }
@@ -82,30 +83,30 @@
     }
 }
 
-/// A file: what programs see, what is durable, and what lies between.
+/// A file: its content as programs read it, its durable content, and the changes between the two.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StoredFile {
-    seen: Content,
+    visible: Content,
     durable: Content,
-    changes: Vec<Change>,
+    changes: Vec<UnsyncedChange>,
     pub(super) is_name_durable: bool,
 }
 
 impl StoredFile {
-    pub(super) fn seen(&self) -> &Content {
-        &self.seen
+    pub(super) fn visible(&self) -> &Content {
+        &self.visible
     }
 
     pub(super) fn write(&mut self, offset: u64, bytes: &[u8]) {
-        self.change(Change::Write { offset, bytes: bytes.to_vec() });
+        self.change(UnsyncedChange::Write { offset, bytes: bytes.to_vec() });
     }
 
     pub(super) fn set_length(&mut self, length: u64) {
-        self.change(Change::SetLength(length));
+        self.change(UnsyncedChange::SetLength(length));
     }
 
-    fn change(&mut self, change: Change) {
-        change.apply(&mut self.seen);
+    fn change(&mut self, change: UnsyncedChange) {
+        change.apply(&mut self.visible);
         self.changes.push(change);
     }
 
@@ -120,26 +121,26 @@
         self.changes.iter().map(move |change| change.pending(path))
     }
 
-    /// Leaves what a loss of power leaves; false if the file is gone.
-    pub(super) fn lose_power(&mut self, path: &Path, fates: &mut dyn WriteFaultModel) -> bool {
-        if !self.is_name_durable && !fates.keeps_name(path) {
+    /// Reduces the file to what survives a loss of power; false if the file itself does not.
+    pub(super) fn lose_power(&mut self, path: &Path, faults: &mut dyn WriteFaultModel) -> bool {
+        if !self.is_name_durable && !faults.keeps_name(path) {
             return false;
         }
         for change in self.changes.drain(..) {
-            let fate = fates.write(&change.pending(path));
-            change.apply_fate(&mut self.durable, fate);
+            let outcome = faults.write_outcome(&change.pending(path));
+            change.apply_outcome(&mut self.durable, outcome);
         }
-        self.seen = self.durable.clone();
+        self.visible = self.durable.clone();
         self.is_name_durable = true;
         true
     }
 
-    /// Changes a byte behind the back of all programs.
+    /// Flips all bits of one byte, as a defect of the medium would.
     pub(super) fn corrupt(&mut self, offset: u64) {
         let mut byte = [0];
-        self.seen.read(offset, &mut byte);
+        self.visible.read(offset, &mut byte);
         let flipped = [!byte[0]];
-        self.seen.write(offset, &flipped);
+        self.visible.write(offset, &flipped);
         self.durable.write(offset, &flipped);
     }
 }
--- /dev/null
+++ b/crates/storage/src/simulated/file_system.rs
@@ -0,0 +1,89 @@
+//! The file system of a process on the simulated disk.
+
+use std::io;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+
+use super::disk_state::SharedDisk;
+use crate::{File, FileSystem};
+
+/// The file system of one process. Its calls, and those of its files, fail after the process was killed.
+pub struct SimulatedFileSystem {
+    shared: Arc<SharedDisk>,
+    incarnation: u64,
+}
+
+impl SimulatedFileSystem {
+    pub(super) fn new(shared: Arc<SharedDisk>, incarnation: u64) -> Self {
+        Self { shared, incarnation }
+    }
+}
+
+impl FileSystem for SimulatedFileSystem {
+    fn create_directory(&self, _directory: &Path) -> io::Result<()> {
+        self.shared.lock_for(self.incarnation).map(|_| ())
+    }
+
+    fn list(&self, directory: &Path) -> io::Result<Vec<String>> {
+        let state = self.shared.lock_for(self.incarnation)?;
+        let paths = state.files.keys().filter(|path| path.parent() == Some(directory));
+        Ok(paths.filter_map(|path| path.file_name()?.to_str().map(str::to_owned)).collect())
+    }
+
+    fn open(&self, path: &Path) -> io::Result<Box<dyn File>> {
+        let mut state = self.shared.lock_for(self.incarnation)?;
+        state.files.entry(path.to_owned()).or_default();
+        Ok(Box::new(SimulatedFile {
+            shared: Arc::clone(&self.shared),
+            incarnation: self.incarnation,
+            path: path.to_owned(),
+        }))
+    }
+
+    fn sync_directory(&self, directory: &Path) -> io::Result<()> {
+        let mut state = self.shared.lock_when_ready(self.incarnation)?;
+        state.counters.syncs += 1;
+        for (path, file) in &mut state.files {
+            file.is_name_durable |= path.parent() == Some(directory);
+        }
+        Ok(())
+    }
+
+    fn random(&self) -> u64 {
+        self.shared.lock().random.u64(..)
+    }
+}
+
+struct SimulatedFile {
+    shared: Arc<SharedDisk>,
+    incarnation: u64,
+    path: PathBuf,
+}
+
+impl File for SimulatedFile {
+    fn length(&mut self) -> io::Result<u64> {
+        let mut state = self.shared.lock_for(self.incarnation)?;
+        Ok(state.file(&self.path)?.visible().length())
+    }
+
+    fn set_length(&mut self, length: u64) -> io::Result<()> {
+        let mut state = self.shared.lock_when_ready(self.incarnation)?;
+        state.file(&self.path)?.set_length(length);
+        Ok(())
+    }
+
+    fn read_at(&mut self, offset: u64, buffer: &mut [u8]) -> io::Result<usize> {
+        let mut state = self.shared.lock_for(self.incarnation)?;
+        let count = state.file(&self.path)?.visible().read(offset, buffer);
+        state.counters.read_bytes += count as u64;
+        Ok(count)
+    }
+
+    fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
+        self.shared.lock_when_ready(self.incarnation)?.write(&self.path, offset, bytes)
+    }
+
+    fn sync(&mut self) -> io::Result<()> {
+        self.shared.lock_when_ready(self.incarnation)?.sync(&self.path)
+    }
+}
--- a/crates/storage/src/simulated/fates.rs
+++ b/crates/storage/src/simulated/write_faults.rs
@@ -1,4 +1,4 @@
-//! Decides what a loss of power leaves.
+//! Models of what a loss of power leaves of unsynced writes.
 
 use std::ops::Range;
 use std::path::Path;
@@ -14,29 +14,29 @@
     pub length: usize,
 }
 
-/// What becomes of a write.
+/// What a loss of power leaves of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// All of it is on the disk.
-    Present,
-    /// Nothing of it is.
-    Absent,
-    /// These parts of it are.
+    /// All of it.
+    Complete,
+    /// Nothing.
+    Lost,
+    /// These ranges of its bytes.
     Torn(Vec<Range<usize>>),
 }
 
 impl WriteOutcome {
-    /// Only this part of the write is on the disk.
-    pub fn torn(part: Range<usize>) -> Self {
-        Self::Torn(std::iter::once(part).collect())
+    /// Only this range of the bytes is left.
+    pub fn torn(range: Range<usize>) -> Self {
+        Self::Torn(std::iter::once(range).collect())
     }
 }
 
-/// Decides what a loss of power leaves of what was not synced.
+/// Decides what a loss of power leaves of unsynced writes and names.
 pub trait WriteFaultModel {
-    /// What becomes of a write. Writes to one file are asked for in their order.
-    fn write(&mut self, write: &PendingWrite<'_>) -> WriteOutcome;
-    /// Whether the name of a new file is kept.
+    /// What is left of a write. Called for the writes to one file in their order.
+    fn write_outcome(&mut self, write: &PendingWrite<'_>) -> WriteOutcome;
+    /// Whether the name of a new file survives.
     fn keeps_name(&mut self, path: &Path) -> bool;
 }
 
@@ -45,8 +45,8 @@
 pub struct LoseEverything;
 
 impl WriteFaultModel for LoseEverything {
-    fn write(&mut self, _write: &PendingWrite<'_>) -> WriteOutcome {
-        WriteOutcome::Absent
+    fn write_outcome(&mut self, _write: &PendingWrite<'_>) -> WriteOutcome {
+        WriteOutcome::Lost
     }
 
     fn keeps_name(&mut self, _path: &Path) -> bool {
@@ -59,8 +59,8 @@
 pub struct KeepEverything;
 
 impl WriteFaultModel for KeepEverything {
-    fn write(&mut self, _write: &PendingWrite<'_>) -> WriteOutcome {
-        WriteOutcome::Present
+    fn write_outcome(&mut self, _write: &PendingWrite<'_>) -> WriteOutcome {
+        WriteOutcome::Complete
     }
 
     fn keeps_name(&mut self, _path: &Path) -> bool {
@@ -68,14 +68,14 @@
     }
 }
 
-/// Decides at random for each write and name.
+/// Draws the outcome for each write and name.
 #[derive(Clone, Debug)]
 pub struct RandomWriteFaults {
     random: fastrand::Rng,
 }
 
 impl RandomWriteFaults {
-    /// The same seed decides in the same way.
+    /// The same seed gives the same outcomes.
     pub fn new(seed: u64) -> Self {
         Self { random: fastrand::Rng::with_seed(seed) }
     }
@@ -93,10 +93,10 @@
 }
 
 impl WriteFaultModel for RandomWriteFaults {
-    fn write(&mut self, write: &PendingWrite<'_>) -> WriteOutcome {
+    fn write_outcome(&mut self, write: &PendingWrite<'_>) -> WriteOutcome {
         match self.random.u8(..3) {
-            0 => WriteOutcome::Present,
-            1 => WriteOutcome::Absent,
+            0 => WriteOutcome::Complete,
+            1 => WriteOutcome::Lost,
             _ => self.tear(write.length),
         }
     }
--- a/crates/storage/tests/full_disk.rs
+++ b/crates/storage/tests/full_disk.rs
@@ -14,11 +14,11 @@
     assert_eq!(try_open(disk.file_system()).map(|_| ()), Err(StorageError::NoSpace));
     disk.set_capacity(None);
     let (mut ring, _, identity) = open(&disk);
-    assert!(identity.fresh);
+    assert!(identity.is_new);
     append_filled(&mut ring, 1, 10);
 }
 
-/// Appends until there is no space; tells how many records are durable.
+/// Appends until there is no space; returns how many records are durable.
 fn fill(ring: &mut Ring) -> u8 {
     let mut count = 0;
     loop {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn given_a_batch_that_meets_a_full_disk_when_appended_then_the_written_part_is_acknowledged() {
+fn given_a_batch_that_meets_a_full_disk_when_appended_then_what_was_written_is_acknowledged() {
     let disk = SimulatedDisk::new(24);
     let (mut ring, _, _) = open(&disk);
     disk.set_capacity(Some(4096));
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -12,7 +12,7 @@
 use common::{append, append_filled, open, try_open, Records, DIRECTORY, OPTIONS};
 use golden::{check_golden, from_hex, read_golden, to_hex};
 use storage::simulated::SimulatedDisk;
-use storage::{Position, Ring, RingIdentity, Usage};
+use storage::{Position, Ring, RingIdentity, RingUsage};
 
 fn segment_path(slot: usize) -> PathBuf {
     Path::new(DIRECTORY).join(format!("ring-{slot:03}"))
@@ -63,9 +63,9 @@
 
 /// What a start found, a record a line, without the names of the code.
 fn describe(ring: &Ring, records: &Records, identity: RingIdentity) -> String {
-    let RingIdentity { incarnation, fresh } = identity;
-    let Usage { used_bytes, capacity_bytes } = ring.usage();
-    let mut text = format!("incarnation {incarnation:016x}, made by this start: {fresh}\n");
+    let RingIdentity { incarnation, is_new } = identity;
+    let RingUsage { used_bytes, capacity_bytes } = ring.usage();
+    let mut text = format!("incarnation {incarnation:016x}, made by this start: {is_new}\n");
     text.push_str(&format!("{used_bytes} of {capacity_bytes} bytes are in use\n"));
     for (position, record) in records {
         text.push_str(&format!("record {}:\n{}", position.0, to_hex(record)));
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn given_a_killed_process_when_it_appends_then_it_is_told() {
+fn given_a_killed_process_when_it_appends_then_it_fails() {
     let disk = SimulatedDisk::new(34);
     let journal = open(&disk, OPTIONS);
     disk.kill();
@@ -99,7 +99,7 @@
     let (journal, recovered) = opened.expect("it opens");
     let mut append = pin!(journal.append(b"one".to_vec()));
     let mut context = Context::from_waker(Waker::noop());
-    assert!(recovered.fresh);
+    assert!(recovered.is_new);
     assert_eq!(append.as_mut().poll(&mut context), Poll::Ready(Ok(Position(1))));
 }
 
@@ -118,7 +118,7 @@
     let mut visited = Vec::new();
     let opened = Journal::open_with(&directory, OPTIONS, |position, record| visited.push((position, record)));
     let (_, third) = opened.expect("it opens");
-    assert!(first.fresh && !second.fresh);
+    assert!(first.is_new && !second.is_new);
     assert_eq!(first.incarnation, second.incarnation);
     assert_eq!(second.records.last(), Some(&(Position(20), vec![19; 90])));
     assert_eq!(visited, second.records);
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -9,11 +9,11 @@
 use storage::simulated::{PendingWrite, SimulatedDisk, WriteFaultModel, WriteOutcome};
 use yare::parameterized;
 
-/// The same part of each write, and each name.
-struct KeepPart(Range<usize>);
+/// Keeps the same range of each write, and each name.
+struct KeepRange(Range<usize>);
 
-impl WriteFaultModel for KeepPart {
-    fn write(&mut self, write: &PendingWrite<'_>) -> WriteOutcome {
+impl WriteFaultModel for KeepRange {
+    fn write_outcome(&mut self, write: &PendingWrite<'_>) -> WriteOutcome {
         WriteOutcome::torn(self.0.start.min(write.length)..self.0.end.min(write.length))
     }
 
@@ -22,14 +22,14 @@
     }
 }
 
-/// What of a torn write is on the disk.
+/// The half of a torn write that is on the disk.
 #[derive(Clone, Copy)]
-enum Part {
+enum WrittenHalf {
     Before,
     After,
 }
 
-impl Part {
+impl WrittenHalf {
     fn range(self, split: usize, length: usize) -> Range<usize> {
         match self {
             Self::Before => 0..split,
@@ -52,18 +52,21 @@
 }
 
 #[parameterized(
-    record_head = { 50, Part::Before },
-    record_tail = { 50, Part::After },
-    segment_header_head = { 380, Part::Before },
-    segment_header_tail = { 380, Part::After },
+    record_head = { 50, WrittenHalf::Before },
+    record_tail = { 50, WrittenHalf::After },
+    segment_header_head = { 380, WrittenHalf::Before },
+    segment_header_tail = { 380, WrittenHalf::After },
 )]
-fn given_a_torn_write_when_power_is_lost_then_only_whole_records_are_found(filled: usize, part: Part) {
+fn given_a_torn_write_when_power_is_lost_then_only_complete_records_are_found(
+    filled: usize,
+    half: WrittenHalf,
+) {
     let record: Vec<u8> = (1..=90).collect();
     let (disk, length) = disk_with_unsynced(&record, filled);
     assert!(length > 0);
     for split in 0..=length {
         let copy = disk.duplicate();
-        copy.lose_power(&mut KeepPart(part.range(split, length)));
+        copy.lose_power(&mut KeepRange(half.range(split, length)));
         let (mut ring, mut records, _) = open(&copy);
         let acknowledged: Vec<_> = records.drain(..2).map(|(_, record)| record).collect();
         assert_eq!(acknowledged, [vec![1; filled], vec![2; 10]], "split {split}");
@@ -95,7 +98,7 @@
     disk.fail_syncs(1);
     ring.append(&[b"lost", b"kept"]);
     let lost_bytes = 32 + b"lost".len();
-    disk.lose_power(&mut KeepPart(lost_bytes..usize::MAX));
+    disk.lose_power(&mut KeepRange(lost_bytes..usize::MAX));
     let (mut ring, records, _) = open(&disk);
     assert_eq!(records.len(), 1);
     append(&mut ring, b"next").expect("durable");
--- a/crates/storage/tests/random_history.rs
+++ b/crates/storage/tests/random_history.rs
@@ -23,7 +23,7 @@
     appends: u32,
     /// Durable records by position.
     durable: BTreeMap<Position, u32>,
-    /// Appends of this life that failed; they may be found by the next start.
+    /// Appends since the last start that failed; they may be found by the next start.
     uncertain: Vec<u32>,
     /// Records below this position are released.
     released: u64,
@@ -143,7 +143,7 @@
     third = { 2000..3000 },
     fourth = { 3000..4000 },
 )]
-fn given_random_trouble_when_started_again_then_what_was_durable_is_there(seeds: std::ops::Range<u64>) {
+fn given_random_faults_when_started_again_then_what_was_durable_is_there(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         if let Err(fault) = run(seed, |file_system| file_system) {
             panic!("seed {seed}: {fault}");
@@ -157,7 +157,7 @@
     fault: Fault,
 }
 
-/// A mistake that the check must notice.
+/// A mistake that the check must detect.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     /// Syncs of files do nothing.
@@ -226,7 +226,7 @@
     syncs_that_do_nothing = { Fault::NoSync },
     equal_generations = { Fault::NoGenerations },
 )]
-fn given_a_seeded_fault_when_checked_then_it_is_noticed(fault: Fault) {
-    let noticed = (0..3000).any(|seed| run(seed, |inner| Arc::new(Faulty { inner, fault })).is_err());
-    assert!(noticed);
+fn given_a_seeded_fault_when_checked_then_it_is_detected(fault: Fault) {
+    let detected = (0..3000).any(|seed| run(seed, |inner| Arc::new(Faulty { inner, fault })).is_err());
+    assert!(detected);
 }
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a start finds.
+//! Recovery of a ring when it is opened.
 
 mod common;
 
@@ -6,18 +6,18 @@
 
 use common::{append, append_filled, contents, open, try_open, DIRECTORY, OPTIONS};
 use storage::simulated::{LoseEverything, SimulatedDisk};
-use storage::{Position, Ring, RingOptions, StorageError, Usage};
+use storage::{Position, Ring, RingOptions, RingUsage, StorageError};
 use yare::parameterized;
 
 #[test]
-fn given_an_empty_disk_when_opened_then_the_ring_is_fresh_and_keeps_its_incarnation() {
+fn given_an_empty_disk_when_opened_then_the_ring_is_new_and_keeps_its_incarnation() {
     let disk = SimulatedDisk::new(1);
     let (_, records, first) = open(&disk);
     disk.lose_power(&mut LoseEverything);
     let (_, _, second) = open(&disk);
     assert!(records.is_empty());
-    assert!(first.fresh);
-    assert!(!second.fresh);
+    assert!(first.is_new);
+    assert!(!second.is_new);
     assert_eq!(first.incarnation, second.incarnation);
 }
 
@@ -27,7 +27,7 @@
     let (_, _, first) = open(&disk);
     disk.wipe();
     let (_, _, second) = open(&disk);
-    assert!(second.fresh);
+    assert!(second.is_new);
     assert_ne!(first.incarnation, second.incarnation);
 }
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn given_many_laps_when_opened_then_stale_segments_are_not_taken_for_records() {
+fn given_many_laps_when_opened_then_stale_segments_are_not_read_as_records() {
     let disk = SimulatedDisk::new(3);
     let (mut ring, _, _) = open(&disk);
     for number in 0..200_u8 {
@@ -85,7 +85,7 @@
 #[test]
 fn given_a_new_ring_when_asked_then_its_usage_is_small() {
     let (ring, _, _) = open(&SimulatedDisk::new(5));
-    let Usage { used_bytes, capacity_bytes } = ring.usage();
+    let RingUsage { used_bytes, capacity_bytes } = ring.usage();
     assert_eq!(capacity_bytes, 2048);
     assert!(used_bytes < 100);
 }
@@ -97,7 +97,7 @@
 fn given_a_record_near_the_limit_when_appended_then_only_what_fits_is_taken(excess: usize, fits: bool) {
     let disk = SimulatedDisk::new(6);
     let (mut ring, _, _) = open(&disk);
-    let limit = OPTIONS.record_limit();
+    let limit = OPTIONS.max_record_bytes();
     let records = [vec![1; 10], vec![2; limit + excess], vec![3; 10]];
     let outcomes = ring.append(&records);
     assert!(outcomes[0].is_ok() && outcomes[2].is_ok());
@@ -111,7 +111,7 @@
     in_a_record_header = { 64 + 9 },
     in_the_segment_header = { 20 },
 )]
-fn given_damage_to_an_older_segment_when_opened_then_it_is_told(offset: u64) {
+fn given_damage_to_an_older_segment_when_opened_then_it_is_reported(offset: u64) {
     let disk = SimulatedDisk::new(7);
     let (mut ring, _, _) = open(&disk);
     for number in 0..8 {
@@ -127,7 +127,7 @@
     one_segment = { RingOptions { segment_bytes: 512, segments: 1 } },
     no_room = { RingOptions { segment_bytes: 96, segments: 4 } },
 )]
-fn given_useless_options_when_opened_then_they_are_refused(options: RingOptions) {
+fn given_useless_options_when_opened_then_they_are_rejected(options: RingOptions) {
     let disk = SimulatedDisk::new(8);
     let outcome = Ring::open(disk.file_system(), Path::new(DIRECTORY), options, &mut |_, _| {});
     assert_eq!(outcome.map(|_| ()), Err(StorageError::InvalidOptions));
