--- a/crates/rushrudder/tests/stored_data.rs
+++ b/crates/rushrudder/tests/stored_data.rs
@@ -54,7 +54,7 @@
 fn open(folder: &Folder, options: RingOptions) -> (Journal, Recovered) {
     let (journal, recovered) =
         Journal::open(folder.path(), options).expect("the disk of fe88581 can be opened");
-    assert!(!recovered.fresh, "the ring was there before");
+    assert!(!recovered.is_new, "the ring was there before");
     assert!(!recovered.records.is_empty());
     (journal, recovered)
 }
