--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-use crate::document::Document;
+use crate::document::ConfigurationDocument;
 use crate::error::ConfigurationError;
 use crate::limits::ConfigurationLimits;
 use crate::route::Route;
@@ -22,13 +22,13 @@
 }
 
 impl Configuration {
-    /// Parses and checks a whole document.
+    /// Parses and checks a document.
     ///
     /// # Errors
     ///
     /// When it is no such document or breaks a check; the error names the field.
     pub fn parse(json: &[u8]) -> Result<Self, ConfigurationError> {
-        let document = Document::parse(json)?;
+        let document = ConfigurationDocument::parse(json)?;
         let services = compile::services(document.services)?;
         let routes = compile::routes(document.routes, &services)?;
         let routes_by_host = compile::index_by_host(&routes)?;
--- a/crates/configuration/src/document/mod.rs
+++ b/crates/configuration/src/document/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! Unknown fields are ignored, and optional fields may be null.
 //!
-//! Errors of `validator` name the Rust fields of [`Document`] and its items, and operators read them: `routes`,
-//! `services`, `name`, `host` and `prefix` may not be renamed.
+//! Operators read the errors of `serde` and `validator`, which name the structs here and the checked fields. So a struct
+//! that gets a new name needs `#[serde(expecting)]`, and the fields `routes`, `services`, `name`, `host` and `prefix` keep
+//! theirs.
 
 mod values;
 
@@ -15,7 +16,8 @@
 pub(crate) use values::{Count, Flag, Milliseconds, Seconds};
 
 #[derive(Deserialize, Validate)]
-pub(crate) struct Document {
+#[serde(expecting = "struct Document")]
+pub(crate) struct ConfigurationDocument {
     pub(crate) edition: u64,
     #[validate(nested)]
     pub(crate) routes: Vec<RouteDocument>,
@@ -26,7 +28,7 @@
     pub(crate) limits: Option<LimitsDocument>,
 }
 
-impl Document {
+impl ConfigurationDocument {
     /// Parses a document and checks each of its fields by itself.
     ///
     /// # Errors
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -4,7 +4,7 @@
 
 /// The status of a response that rejects a configuration.
 const BAD_REQUEST: u16 = 400;
-/// The path of the whole document, where an error concerns no single field.
+/// The path of the entire document, where an error concerns no single field.
 pub(crate) const DOCUMENT_ROOT: &str = ".";
 
 /// Why a configuration is rejected. Fields are named as in the operator's JSON.
@@ -65,7 +65,7 @@
 }
 
 impl ConfigurationError {
-    /// The error of a parser that knows no field.
+    /// The error of a parser that gives no field.
     pub(crate) fn malformed_document(error: &impl fmt::Display) -> Self {
         Self::Malformed { field: DOCUMENT_ROOT.to_owned(), cause: error.to_string() }
     }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration: its form, its checks, changes of it and the matching of requests to routes.
 //!
-//! The operator sends either a whole document ([`replace`]) or a change of named items ([`patch`]). Both return the
+//! The operator sends either a complete document ([`replace`]) or a change of named items ([`patch`]). Both return the
 //! text of the new document, which is stored as it is. [`Configuration::parse`] checks such a text and compiles it
 //! for matching.
 //!
--- a/crates/configuration/tests/change.rs
+++ b/crates/configuration/tests/change.rs
@@ -1,4 +1,4 @@
-//! Stories of the operator's changes.
+//! Tests of the operator's changes.
 
 mod common;
 
@@ -19,9 +19,9 @@
 
 #[parameterized(same = { 7 }, newer = { 8 })]
 fn given_a_version_not_above_the_current_when_put_then_it_is_refused(current: u64) {
-    let refused = replace(current, DOCUMENT.as_bytes()).expect_err("old");
-    assert_eq!(refused, ConfigurationError::StaleEdition { edition: 7, current });
-    assert_eq!(refused.field(), "edition");
+    let error = replace(current, DOCUMENT.as_bytes()).expect_err("old");
+    assert_eq!(error, ConfigurationError::StaleEdition { edition: 7, current });
+    assert_eq!(error.field(), "edition");
 }
 
 #[test]
@@ -78,9 +78,9 @@
     no_list_of_names = { r#"{"edition":9,"strike":{"routes":"r-second"}}"# },
 )]
 fn given_a_faulty_patch_when_applied_then_it_is_refused(body: &str) {
-    let refused = patch(DOCUMENT, body.as_bytes()).expect_err("invalid");
-    assert_eq!(refused.status(), 400);
-    assert!(!refused.to_string().is_empty());
+    let error = patch(DOCUMENT, body.as_bytes()).expect_err("invalid");
+    assert_eq!(error.status(), 400);
+    assert!(!error.to_string().is_empty());
 }
 
 #[test]
--- a/crates/configuration/tests/golden.rs
+++ b/crates/configuration/tests/golden.rs
@@ -179,6 +179,38 @@
     assert_golden("document-faults.txt", &rendered);
 }
 
+/// Values of another type than the field's: a name, the text that is replaced in the golden document, and what
+/// replaces it.
+const TYPE_FAULTS: &[(&str, &str, &str)] = &[
+    ("number for the document", "", "5"),
+    ("number for a route", r#"{"name":"r-service""#, r#"5,{"name":"r-service""#),
+    ("number for a target", r#"{"postalLine":"wuno96b","share":10}"#, "5"),
+    ("number for a service", r#"{"name":"plain"}"#, "5"),
+    ("number for an engine", r#""engine":{}"#, r#""engine":5"#),
+    ("number for a model", r#"{"name":"daka520000"}"#, "5"),
+    ("number for the limits", r#""limits":{"#, r#""limits":5,"more":{"#),
+    ("text for a slot count", r#""berths":8"#, r#""berths":"8""#),
+    ("text for a connection count", r#""berthCap":150"#, r#""berthCap":"150""#),
+    ("text for a cache size", r#""cacheTokens":73133"#, r#""cacheTokens":"73133""#),
+    ("text for a limit", r#""labelBytes":16385"#, r#""labelBytes":"16385""#),
+    ("number for a health path", r#""healthPath":"/health""#, r#""healthPath":5"#),
+    ("the same field twice", r#""edition":7"#, r#""edition":7,"edition":8"#),
+];
+
+#[test]
+fn given_a_value_of_another_type_when_put_then_status_field_and_text_are_golden() {
+    let document = golden("configuration-full.json");
+    let mut rendered = String::new();
+    for (name, good, bad) in TYPE_FAULTS {
+        assert!(document.contains(good), "{name}");
+        let faulty = if good.is_empty() { (*bad).to_owned() } else { document.replacen(good, bad, 1) };
+        let error = replace(6, faulty.as_bytes()).expect_err(name);
+        let (status, field) = (error.status(), error.field());
+        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
+    }
+    assert_golden("type-faults.txt", &rendered);
+}
+
 /// Faults of a patch: a name and the body.
 const PATCH_FAULTS: &[(&str, &str)] = &[
     ("cut short", r#"{"edition":9,"strike":{"routes":["r-sec"#),
--- a/crates/configuration/tests/parse.rs
+++ b/crates/configuration/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Stories of reading and matching a configuration.
+//! Tests of parsing a configuration and of matching requests to its routes.
 
 mod common;
 
@@ -64,8 +64,8 @@
 #[test]
 fn given_any_cut_of_the_text_when_parsed_then_it_is_refused() {
     for length in 0..DOCUMENT.len() {
-        let refused = Configuration::parse(&DOCUMENT.as_bytes()[..length]).expect_err("cut short");
-        assert!(matches!(refused, ConfigurationError::Malformed { .. }), "cut at {length}: {refused}");
+        let error = Configuration::parse(&DOCUMENT.as_bytes()[..length]).expect_err("cut short");
+        assert!(matches!(error, ConfigurationError::Malformed { .. }), "cut at {length}: {error}");
     }
 }
 
@@ -93,9 +93,9 @@
 )]
 fn given_one_fault_when_parsed_then_the_error_names_the_field(good: &str, bad: &str, field: &str) {
     assert!(DOCUMENT.contains(good));
-    let refused = Configuration::parse(DOCUMENT.replace(good, bad).as_bytes()).expect_err("invalid");
-    assert_eq!(refused.field(), field, "{refused}");
-    assert_eq!(refused.status(), 400);
+    let error = Configuration::parse(DOCUMENT.replace(good, bad).as_bytes()).expect_err("invalid");
+    assert_eq!(error.field(), field, "{error}");
+    assert_eq!(error.status(), 400);
 }
 
 #[parameterized(
@@ -105,15 +105,15 @@
 )]
 fn given_a_field_is_missing_when_parsed_then_the_error_names_it(text: &str, field: &str) {
     assert!(DOCUMENT.contains(text));
-    let refused = Configuration::parse(DOCUMENT.replace(text, "").as_bytes()).expect_err("invalid");
-    assert!(refused.to_string().contains(field), "{refused}");
+    let error = Configuration::parse(DOCUMENT.replace(text, "").as_bytes()).expect_err("invalid");
+    assert!(error.to_string().contains(field), "{error}");
 }
 
 #[test]
 fn given_an_empty_name_when_parsed_then_the_error_names_the_field() {
-    let refused = Configuration::parse(DOCUMENT.replace("r-first", "").as_bytes()).expect_err("invalid");
-    assert!(matches!(refused, ConfigurationError::Invalid { .. }), "{refused}");
-    assert!(refused.to_string().contains("routes[0].name"), "{refused}");
+    let error = Configuration::parse(DOCUMENT.replace("r-first", "").as_bytes()).expect_err("invalid");
+    assert!(matches!(error, ConfigurationError::Invalid { .. }), "{error}");
+    assert!(error.to_string().contains("routes[0].name"), "{error}");
 }
 
 #[test]
@@ -121,8 +121,8 @@
     let text = DOCUMENT.replace(r#""share":90"#, r#""share":0"#);
     assert!(Configuration::parse(text.as_bytes()).is_ok(), "one weight above 0 is enough");
     let text = text.replace(r#""share":10"#, r#""share":0"#);
-    let refused = Configuration::parse(text.as_bytes()).expect_err("invalid");
-    assert_eq!(refused, ConfigurationError::ZeroWeights { route: "r-first".to_owned() });
+    let error = Configuration::parse(text.as_bytes()).expect_err("invalid");
+    assert_eq!(error, ConfigurationError::ZeroWeights { route: "r-first".to_owned() });
 }
 
 #[test]
--- a/crates/rushrudder/src/cli/local.rs
+++ b/crates/rushrudder/src/cli/local.rs
@@ -1,4 +1,4 @@
-//! `local`: a small fleet of real processes on this machine, with stand-ins for the platform, the servers and trainers.
+//! `local`: a small fleet of real processes on this machine, with emulated platform, servers and trainers.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/rushrudder/src/cli/logging.rs
+++ b/crates/rushrudder/src/cli/logging.rs
@@ -18,8 +18,8 @@
 /// The `Debug` form of a report is a tree of several lines with escape codes of a terminal, and its `Display` form
 /// lacks the causes.
 pub fn single_line<Error>(report: &Report<Error>) -> String {
-    let texts: Vec<String> = report.frames().filter_map(|frame| text_of(frame.kind())).collect();
-    texts.join(": ").lines().collect::<Vec<_>>().join(" ")
+    let parts: Vec<String> = report.frames().filter_map(|frame| text_of(frame.kind())).collect();
+    parts.join(": ").lines().collect::<Vec<_>>().join(" ")
 }
 
 fn text_of(kind: FrameKind<'_>) -> Option<String> {
--- a/crates/rushrudder/src/control/clients.rs
+++ b/crates/rushrudder/src/control/clients.rs
@@ -1,4 +1,4 @@
-//! The clients by which a process reaches everything outside itself.
+//! The clients for everything that a process calls.
 
 use std::sync::Arc;
 
--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -12,7 +12,7 @@
     pub journal: storage::Journal,
     /// The records that survived, oldest first.
     pub records: Vec<(storage::Position, Vec<u8>)>,
-    /// Identifies the disk: another number means that the data of the former disk is lost.
+    /// Identifies the disk: after the loss of its data a disk has another incarnation.
     pub incarnation: Incarnation,
 }
 
--- a/crates/rushrudder/src/control/mod.rs
+++ b/crates/rushrudder/src/control/mod.rs
@@ -30,7 +30,7 @@
 
 /// The control plane of a process.
 pub struct ControlPlane {
-    /// The newest snapshot of the control state and the list of servers that the process knows.
+    /// The newest snapshot of the control state and the list of servers in this process.
     pub view: Arc<ViewCell>,
     /// Proposes changes of the control state.
     pub proposer: Arc<Proposer>,
@@ -38,7 +38,7 @@
     pub ping_service: Arc<PingService>,
     /// Whether this process holds the leader lease.
     pub leadership: Arc<Leadership>,
-    /// Clients for everything outside the process.
+    /// Clients for everything that the process calls.
     pub clients: OutboundClients,
     /// Its address for internal calls, `ip:port`.
     internal_address: String,
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -15,7 +15,7 @@
 use crate::signals::{SignalEvent, Signals};
 use crate::RoleError;
 
-/// The journal of an acceptor is small: it holds few records, each with the whole state.
+/// The journal of an acceptor is small: it holds few records, each with the full state.
 const JOURNAL_OPTIONS: storage::RingOptions =
     storage::RingOptions { segment_bytes: 2 * 1024 * 1024, segments: 8 };
 /// A path without a route is answered with 404 only while the configuration was confirmed within this time. Otherwise
--- a/crates/rushrudder/tests/local.rs
+++ b/crates/rushrudder/tests/local.rs
@@ -1,4 +1,4 @@
-//! The whole path: real processes of the system between the stand-ins of `local-fleet`.
+//! End-to-end tests: real processes of the system with the emulated platform, servers and trainers of `local-fleet`.
 
 use std::path::{Path, PathBuf};
 
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test]
-async fn given_a_calm_fleet_when_steps_go_through_then_all_are_done_and_no_rule_is_broken() {
+async fn given_a_calm_fleet_when_steps_run_then_all_are_done_and_no_rule_is_broken() {
     let report = run(options(21, 3, &[])).await;
     assert_clean(&report, 3);
     assert!(report.requests_served > 0);
@@ -32,20 +32,20 @@
 }
 
 #[tokio::test]
-async fn given_cut_texts_of_any_versions_when_steps_go_through_then_texts_are_whole() {
+async fn given_truncated_texts_of_any_versions_when_steps_run_then_texts_are_complete() {
     let mut options = options(22, 3, &[]);
     (options.workload.truncate_every, options.workload.single_version) = (4, false);
     assert_clean(&run(options).await, 3);
 }
 
 #[tokio::test]
-async fn given_killed_processes_when_steps_go_through_then_nothing_acknowledged_is_lost() {
+async fn given_killed_processes_when_steps_run_then_nothing_acknowledged_is_lost() {
     let faults = ["0:kill:node-1", "1:wipe:store-1", "2:kill-all"];
     assert_clean(&run(options(23, 5, &faults)).await, 5);
 }
 
 #[tokio::test]
-async fn given_processes_that_are_told_to_end_when_steps_go_through_then_no_request_is_lost() {
+async fn given_processes_that_receive_sigterm_when_steps_run_then_no_request_is_lost() {
     let report = run(options(24, 4, &["0:stop:node-2", "1:stop:store-3", "2:stop:node-3"])).await;
     assert_clean(&report, 4);
 }
--- a/crates/settings/src/listen_addresses.rs
+++ b/crates/settings/src/listen_addresses.rs
@@ -6,7 +6,7 @@
 
 use crate::parse::empty_as_none;
 
-/// The addresses at which a process listens for callers from outside the system; `None` where it does not.
+/// The addresses at which a process listens for external callers; `None` where it does not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct ListenAddresses {
     /// `front`: requests of clients.
--- a/crates/settings/src/node_settings.rs
+++ b/crates/settings/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process, as a whole, and how the file is loaded.
+//! The settings of a process, and how the file is loaded.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -37,7 +37,7 @@
     /// `machineClass`: class of the machine.
     #[serde(rename = "machineClass", default)]
     pub machine_class: String,
-    /// `serves`: who from outside the system may call the process.
+    /// `serves`: which external callers the process has.
     #[serde(default)]
     pub serves: Vec<String>,
     /// `ip`: IP address of the machine; not empty.
@@ -56,7 +56,7 @@
     /// `seedStations`: control addresses (`controlPost`) of a few machines, to find the others.
     #[serde(rename = "seedStations", default)]
     pub seeds: Vec<String>,
-    /// `firstStart`: whether the whole system starts for the first time, on empty disks.
+    /// `firstStart`: whether the entire system starts for the first time, on empty disks.
     #[serde(rename = "firstStart", default)]
     pub first_start: bool,
     /// `countsForQuorum`: whether the machine is one of those that [`FaultTolerance`] bounds.
--- a/crates/settings/src/timing_rules.rs
+++ b/crates/settings/src/timing_rules.rs
@@ -120,7 +120,7 @@
         duration_from_secs(self.rejoin_period_s, Duration::from_secs(5))
     }
 
-    /// How long a member may be out of contact until it counts as failed and another machine takes its place.
+    /// How long a member may be out of contact until it counts as failed and another machine replaces it.
     ///
     /// The successor of a failed machine has [`Self::rejoin_period`] from its start until the next machine may fail.
     /// In that time its process must find the others, the failure must be detected, and the change must be committed
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Stories of the settings file.
+//! Tests of the settings file: values, defaults and errors.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use settings::{NodeSettings, SettingsError};
 use yare::parameterized;
 
-const FILE: &str = r#"
+const EXAMPLE_FILE: &str = r#"
 station = "counter-bandung-a-1"
 role = "my-counter"
 machineClass = "counter"
@@ -58,7 +58,7 @@
 lagMs = 800
 "#;
 
-const LEAST: &str = r#"
+const MINIMAL_FILE: &str = r#"
 station = "s"
 ip = "10.1.0.12"
 innerPorts = [7660,7675]
@@ -66,7 +66,7 @@
 
 #[test]
 fn given_the_example_when_read_then_every_figure_is_there() {
-    let settings = NodeSettings::parse(FILE).expect("the example is valid");
+    let settings = NodeSettings::parse(EXAMPLE_FILE).expect("the example is valid");
     assert_eq!(settings.machine_name, "counter-bandung-a-1");
     assert!(settings.serves_clients() && settings.serves_control() && !settings.serves_store());
     assert_eq!(settings.internal_ports, (7660, 7675));
@@ -91,7 +91,7 @@
 
 #[test]
 fn given_only_the_needed_fields_when_read_then_defaults_hold() {
-    let settings = NodeSettings::parse(LEAST).expect("valid");
+    let settings = NodeSettings::parse(MINIMAL_FILE).expect("valid");
     assert_eq!(settings.data_dir, None);
     assert_eq!(settings.platform_list, None);
     assert_eq!(settings.listen_addresses.client, None);
@@ -104,7 +104,8 @@
 
 #[test]
 fn given_empty_sections_when_read_then_defaults_hold() {
-    let text = format!("{LEAST}\n[posts]\n[limits]\n[withstand]\n[timetable]\n[cloud]\naddress = \"a:1\"\n");
+    let text =
+        format!("{MINIMAL_FILE}\n[posts]\n[limits]\n[withstand]\n[timetable]\n[cloud]\naddress = \"a:1\"\n");
     let settings = NodeSettings::parse(&text).expect("valid");
     assert!(settings.resource_limits.cpu_share > 0.0);
     assert!(settings.platform_list.expect("it is in the file").max_calls_per_second > 0.0);
@@ -113,7 +114,7 @@
 #[test]
 fn given_empty_texts_when_read_then_they_count_as_absent() {
     let settings =
-        NodeSettings::parse(&format!("{LEAST}\ndataDir = \"\"\nposts.front = \"\"\n")).expect("valid");
+        NodeSettings::parse(&format!("{MINIMAL_FILE}\ndataDir = \"\"\nposts.front = \"\"\n")).expect("valid");
     assert_eq!(settings.data_dir, None);
     assert_eq!(settings.listen_addresses.client, None);
 }
@@ -131,9 +132,9 @@
     no_rate = { "station", "cloud.address = \"a:1\"\ncloud.perS = 0\nstation", "perS" },
 )]
 fn given_one_fault_when_read_then_the_error_names_the_field(good: &str, bad: &str, field: &str) {
-    let refused = NodeSettings::parse(&LEAST.replacen(good, bad, 1)).expect_err("invalid");
-    assert!(refused.to_string().contains(field), "{refused}");
-    assert_eq!(refused.to_string().lines().count(), 1, "{refused}");
+    let error = NodeSettings::parse(&MINIMAL_FILE.replacen(good, bad, 1)).expect_err("invalid");
+    assert!(error.to_string().contains(field), "{error}");
+    assert_eq!(error.to_string().lines().count(), 1, "{error}");
 }
 
 #[parameterized(
@@ -160,13 +161,13 @@
     },
 )]
 fn given_a_faulty_file_when_read_then_the_error_says_where_and_why(good: &str, bad: &str, expected: &str) {
-    let error = NodeSettings::parse(&LEAST.replacen(good, bad, 1)).expect_err("invalid");
+    let error = NodeSettings::parse(&MINIMAL_FILE.replacen(good, bad, 1)).expect_err("invalid");
     assert_eq!(error.to_string(), expected);
 }
 
 #[test]
 fn given_no_file_when_loaded_then_the_error_names_the_path() {
-    let refused = NodeSettings::load(Path::new("no/such/file.toml")).expect_err("it is not there");
-    assert!(matches!(refused, SettingsError::FileUnreadable { .. }));
-    assert!(refused.to_string().contains("no/such/file.toml"));
+    let error = NodeSettings::load(Path::new("no/such/file.toml")).expect_err("it is not there");
+    assert!(matches!(error, SettingsError::FileUnreadable { .. }));
+    assert!(error.to_string().contains("no/such/file.toml"));
 }
