--- a/crates/store-plane/src/replication/handover.rs
+++ b/crates/store-plane/src/replication/handover.rs
@@ -18,7 +18,7 @@
     /// it over.
     pub async fn hand_over_jobs(&self) {
         let jobs = self.lock().ownerships.drain();
-        log::info!("handing over {} batch jobs", jobs.len());
+        log::info!(batch_jobs = jobs.len(); "handing batch jobs over");
         let view = self.current_view();
         let successors = |job: &JobId| -> Vec<StoreId> {
             let mut replicas = replica_ids(&view.control.stores, job);
--- /dev/null
+++ b/crates/store-plane/src/replication/state/description.rs
@@ -0,0 +1,41 @@
+//! The state of a store in words, for logs.
+
+use std::fmt::Write;
+
+use batch::{JobId, OwnershipPhase, OwnershipTerm, ReplicaLog};
+
+use super::{OwnedEntry, ReplicationState};
+
+impl ReplicationState {
+    /// One line for each batch job: its log, and the ownership of this store if it has one.
+    pub fn describe(&self) -> String {
+        let lines: Vec<String> = self.replica.logs().map(|(job, log)| self.describe_job(job, log)).collect();
+        lines.join("\n")
+    }
+
+    fn describe_job(&self, job: &JobId, log: &ReplicaLog) -> String {
+        let (promised, accepted) = (describe_term(log.promised), describe_term(log.accepted));
+        let mut line =
+            format!("{job}: {} entries, promised {promised}, accepted {accepted}", log.entries.len());
+        // Writing to a string cannot fail.
+        if let Some(epoch) = self.jobs.get(job).committed_epoch {
+            let _ = write!(line, ", committed in epoch {epoch}");
+        }
+        if let Some(owned) = self.ownerships.get(job) {
+            let _ = write!(line, ", {} in {}", describe_phase(owned), describe_term(owned.ownership.term()));
+        }
+        line
+    }
+}
+
+fn describe_term(term: OwnershipTerm) -> String {
+    format!("term {}.{} of store {}", term.epoch, term.number, term.owner)
+}
+
+fn describe_phase(owned: &OwnedEntry) -> String {
+    match owned.ownership.phase() {
+        OwnershipPhase::Preparing => "claimed here".to_owned(),
+        OwnershipPhase::Leading => "owned here".to_owned(),
+        OwnershipPhase::Superseded(promised) => format!("superseded by {}", describe_term(promised)),
+    }
+}
--- a/crates/store-plane/src/replication/state/mod.rs
+++ b/crates/store-plane/src/replication/state/mod.rs
@@ -5,6 +5,7 @@
 //! - [`Durability`]: the way of records to the disk; written by `writer`, and where records are queued.
 //! - [`PeerLiveness`]: which stores answer; written by `heartbeat` and where calls fail.
 
+mod description;
 mod durability;
 mod job_status;
 mod ownership_table;
@@ -44,7 +45,7 @@
         let mut all_records = Vec::new();
         for (position, bytes) in recovered {
             let Ok(records) = rpc::decode::<Vec<Record>>(&bytes) else {
-                log::error!("batch jobs: failed to decode the journal record at position {position}");
+                log::error!(position; "failed to decode a journal record of batch jobs");
                 continue;
             };
             durability.record_positions(&records, position);
@@ -80,22 +81,6 @@
         (reply, durable)
     }
 
-    /// One line for each batch job: its log, and the ownership of this store if it has one.
-    pub fn describe(&self) -> String {
-        let logs = self.replica.logs().map(|(job, log)| {
-            let owned = self.ownerships.get(job);
-            let owned = owned.map(|owned| (owned.ownership.phase(), owned.ownership.term()));
-            let (promised, accepted) = (log.promised, log.accepted);
-            let committed_epoch = self.jobs.get(job).committed_epoch;
-            let length = log.entries.len();
-            format!(
-                "{job}: {length} entries, promised {promised:?}, accepted {accepted:?}, \
-                 committed epoch {committed_epoch:?}, ownership {owned:?}"
-            )
-        });
-        logs.collect::<Vec<_>>().join("\n")
-    }
-
     /// Whether this store holds entries of a batch job, or owns or claims it.
     pub fn is_known(&self, job: &JobId) -> bool {
         let has_entries = self.replica.log(job).is_some_and(|log| !log.entries.is_empty());
--- a/crates/store-plane/src/replication/writer.rs
+++ b/crates/store-plane/src/replication/writer.rs
@@ -54,8 +54,8 @@
         for (index, (request, outcome)) in requests.iter().zip(outcomes).enumerate() {
             match outcome {
                 Ok(position) => self.node.lock().durability.on_durable(&request.records, position),
-                Err(failed) => {
-                    log::error!("batch jobs: {failed}");
+                Err(error) => {
+                    log::error!("failed to write records of batch jobs: {error}");
                     return index;
                 }
             }
