--- a/crates/store-plane/tests/placement.rs
+++ b/crates/store-plane/tests/placement.rs
@@ -20,12 +20,12 @@
     StoreSet { epoch: 1, members: (0..members).map(member).collect(), replication_factor: 3, target_size: 3 }
 }
 
-fn stations(set: &StoreSet, job: &str) -> Vec<String> {
+fn replica_names(set: &StoreSet, job: &str) -> Vec<String> {
     replicas_of(set, job).iter().map(|store| store.member.name.clone()).collect()
 }
 
 #[test]
-fn given_several_zones_when_copies_are_chosen_then_each_is_in_another() {
+fn given_several_zones_when_replicas_are_chosen_then_each_is_in_another() {
     let set = set_of(9, 3);
 
     for number in 0..200 {
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn given_fewer_stores_than_copies_when_chosen_then_all_keep_it() {
-    assert_eq!(stations(&set_of(2, 1), "job").len(), 2);
+fn given_fewer_stores_than_replicas_when_chosen_then_all_keep_it() {
+    assert_eq!(replica_names(&set_of(2, 1), "job").len(), 2);
 }
 
 #[test]
-fn given_a_replaced_disk_and_address_when_chosen_then_the_copies_stay() {
+fn given_a_replaced_disk_and_address_when_chosen_then_the_replicas_stay() {
     let set = set_of(9, 3);
     let mut replaced = set.clone();
     for store in &mut replaced.members {
@@ -51,15 +51,15 @@
 
     for number in 0..200 {
         let job = format!("job-{number}");
-        assert_eq!(stations(&set, &job), stations(&replaced, &job));
+        assert_eq!(replica_names(&set, &job), replica_names(&replaced, &job));
     }
 }
 
-/// The groups of copies that these batch jobs are dealt to, with how many each has.
+/// The replica groups of these batch jobs, with the number of batch jobs of each.
 fn groups(set: &StoreSet, jobs: u64) -> HashMap<Vec<String>, usize> {
     let mut groups = HashMap::new();
     for number in 0..jobs {
-        *groups.entry(stations(set, &format!("{number:016x}"))).or_insert(0) += 1;
+        *groups.entry(replica_names(set, &format!("{number:016x}"))).or_insert(0) += 1;
     }
     groups
 }
@@ -70,7 +70,7 @@
     one_more = { 17, 2 },
     many = { 45, 3 },
 )]
-fn given_so_many_stores_when_batch_jobs_are_placed_then_they_are_dealt_evenly_to_so_many_groups(
+fn given_a_number_of_stores_when_batch_jobs_are_placed_then_they_are_spread_evenly_over_groups(
     stores: u64,
     wanted: usize,
 ) {
@@ -82,27 +82,27 @@
 }
 
 #[test]
-fn given_a_store_that_is_gone_when_placed_then_the_other_copies_of_each_group_stay() {
+fn given_a_store_that_was_removed_when_placed_then_the_other_replicas_of_each_group_stay() {
     let set = StoreSet { target_size: 45, ..set_of(45, 1) };
-    for gone in 0..45 {
+    for removed in 0..45 {
         let mut without = set.clone();
-        without.members.remove(gone);
+        without.members.remove(removed);
         for group in groups(&set, 300).into_keys() {
             let job =
-                (0..300).map(|number| format!("{number:016x}")).find(|job| stations(&set, job) == group);
-            let after = stations(&without, &job.expect("it is of that group"));
+                (0..300).map(|number| format!("{number:016x}")).find(|job| replica_names(&set, job) == group);
+            let after = replica_names(&without, &job.expect("it is of that group"));
             assert!(group.iter().filter(|store| after.contains(store)).count() >= group.len() - 1);
         }
     }
 }
 
 #[test]
-fn given_batch_jobs_with_the_same_copies_when_placed_then_they_share_their_order() {
+fn given_batch_jobs_with_the_same_replicas_when_placed_then_they_share_their_order() {
     let set = set_of(3, 1);
-    let first = stations(&set, "job");
+    let first = replica_names(&set, "job");
     assert_eq!(first.len(), 3);
     for number in 0..200 {
-        assert_eq!(stations(&set, &format!("job-{number}")), first);
+        assert_eq!(replica_names(&set, &format!("job-{number}")), first);
     }
 }
 
@@ -112,7 +112,7 @@
     let set = StoreSet { target_size: 45, ..set_of(45, 4) };
     let placed: String = (0..40)
         .map(|number| format!("{number:016x}"))
-        .map(|job| format!("{job} {}\n", stations(&set, &job).join(" ")))
+        .map(|job| format!("{job} {}\n", replica_names(&set, &job).join(" ")))
         .collect();
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/placement.txt");
     if !path.exists() && std::env::var_os("GOLDEN_WRITE").is_some() {
