--- a/crates/node-emulator/tests/catalogue.rs
+++ b/crates/node-emulator/tests/catalogue.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn the_whole_list_names_every_server_once_and_is_made_once_a_version() {
+fn the_complete_list_names_every_server_once_and_is_made_once_a_version() {
     let mut catalogue = catalogue(100);
     let whole = catalogue.complete();
     let list = read(&whole.body);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn changes_are_told_once_each_as_they_are_now() {
+fn changes_are_sent_once_each_as_they_are_now() {
     let mut catalogue = catalogue(100);
     catalogue.join(&[7], 5_000);
     catalogue.set_phase(&[7], Phase::Leaving);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_whole_list_answers_where_the_log_does_not_reach_back() {
+fn the_complete_list_answers_where_the_log_does_not_reach_back() {
     let mut catalogue = catalogue(3);
     for number in 0..5 {
         catalogue.restart(&[number], 1_000);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_projects_client_follows_through_a_silence() {
+fn the_projects_client_follows_through_an_outage() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("an event loop");
     LocalSet::new().block_on(&runtime, async {
         let world = Arc::new(World::new(catalogue(4)));
--- a/crates/node-emulator/tests/commands.rs
+++ b/crates/node-emulator/tests/commands.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn what_cannot_be_run_is_told_and_writes_nothing() {
+fn what_cannot_be_run_is_reported_and_writes_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let write = |name: &str, from: &str, to: &str| {
         std::fs::write(folder.path().join(name), ALL.replacen(from, to, 1)).expect("written");
--- a/crates/node-emulator/tests/report.rs
+++ b/crates/node-emulator/tests/report.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_report_that_cannot_take_its_place_leaves_nothing() {
+fn a_report_that_cannot_be_moved_leaves_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("report.json");
     // A folder of that name with something in it.
--- a/crates/node-emulator/tests/scenario.rs
+++ b/crates/node-emulator/tests/scenario.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_bad_scenario_is_told_by_key_and_line() {
+fn a_bad_scenario_is_reported_by_key_and_line() {
     assert!(parse(SOUND).is_ok());
     // What is replaced by what, and the line and key that the error names.
     let cases = [
--- a/src/net/frontend/api.rs
+++ b/src/net/frontend/api.rs
@@ -111,12 +111,9 @@
     }
     let forward = ForwardedRequest { method: head.method, uri, headers, body, expires_at };
     let (answer, answered) = oneshot::channel();
-    let admitted = node.take(forward, request, answer).map_err(|error| match error {
-        // A bound of the settings, not a decision: how long it lasts is unknown.
-        AdmissionError::Full => rejection(max_retry_after_ms),
-        AdmissionError::DuplicateId => text(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
-    });
-    let _pending = PendingAnswer { node: Rc::clone(node), id: admitted? };
+    let admitted = node.take(forward, request, answer);
+    let id = admitted.map_err(|error| not_admitted(&error, max_retry_after_ms))?;
+    let _pending = PendingAnswer { node: Rc::clone(node), id };
     // The time-out answers a request that the decisions would leave without an answer.
     let answer = tokio::select! {
         biased;
@@ -126,13 +123,27 @@
         }
     };
     Ok(match answer {
-        Ok(Ok(FinalAnswer::Served(body))) => Response::new(Full::new(body)),
-        Ok(Ok(FinalAnswer::Rejected(retry_after_ms))) => rejection(retry_after_ms),
-        Ok(Ok(FinalAnswer::Failed) | Err(_)) => text(StatusCode::BAD_GATEWAY, "failed\n"),
+        Ok(answer) => final_response(answer.unwrap_or(FinalAnswer::Failed)),
         Err(_) => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
     })
 }
 
+fn not_admitted(error: &AdmissionError, max_retry_after_ms: Option<f64>) -> ClientResponse {
+    match error {
+        // A bound of the settings, not a decision: how long it lasts is unknown.
+        AdmissionError::Full => rejection(max_retry_after_ms),
+        AdmissionError::DuplicateId => text(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
+    }
+}
+
+fn final_response(answer: FinalAnswer) -> ClientResponse {
+    match answer {
+        FinalAnswer::Served(body) => Response::new(Full::new(body)),
+        FinalAnswer::Rejected(retry_after_ms) => rejection(retry_after_ms),
+        FinalAnswer::Failed => text(StatusCode::BAD_GATEWAY, "failed\n"),
+    }
+}
+
 /// Reads a request: its body to the end, so that the client sees the answer also where its head is invalid.
 async fn read(
     node: &Node,
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -19,8 +19,8 @@
 }
 
 /// Once the end of a client has come to the node, nothing of its request begins any more, whatever is told after
-/// that. The node looked for it every 100 ms where input stood behind the request, and what came back unrun
-/// meanwhile was sent again. Where attempts may not be cancelled, the outcome still comes.
+/// that. The node looked for it every 100 ms where input stood behind the request, and what came back unrun meanwhile
+/// was sent again. Where attempts may not be cancelled, the outcome still comes.
 #[test]
 fn nothing_begins_for_a_client_that_has_left() {
     let servers = [Server::start(), Server::start()];
@@ -84,9 +84,9 @@
 
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
 
-/// Clients that stay idle take every place that they may while discovery is silent, then breaks off. Places for
-/// the list and for servers are kept apart from theirs, so the node hears it when it is back, and serves a new
-/// client by it. The shell lowers the process's own limit of descriptors to the one that the node is told.
+/// Clients that stay idle take every place that they may while discovery is silent, then breaks off. Places for the
+/// list and for servers are kept apart from theirs, so the node hears it when it is back, and serves a new client by
+/// it. The shell lowers the process's own limit of descriptors to the one that the node is told.
 #[test]
 fn idle_clients_keep_the_node_from_neither_the_list_nor_its_servers() {
     let servers = [Server::start(), Server::start()];
@@ -135,9 +135,9 @@
     drop(idle);
 }
 
-/// Nine in ten restarted nodes have to be ready within 10 s, whatever discovery does. A node waits for the first
-/// list for a quarter of the drain grace at most, here half a second, and a list that comes in drips counts like
-/// none; then it listens with the list last known.
+/// Nine in ten restarted nodes have to be ready within 10 s, whatever discovery does. A node waits for the first list
+/// for a quarter of the drain grace at most, here half a second, and a list that comes in drips counts like none;
+/// then it listens with the list last known.
 #[test]
 fn a_node_is_ready_in_time_whatever_discovery_does() {
     let server = Server::start();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -73,7 +73,7 @@
     })
 }
 
-pub fn refused(actions: &[BalancerAction]) -> bool {
+pub fn rejected(actions: &[BalancerAction]) -> bool {
     actions.iter().any(|a| matches!(a, BalancerAction::Reject { .. }))
 }
 
@@ -81,6 +81,11 @@
     actions.iter().any(|a| matches!(a, BalancerAction::Fail { .. }))
 }
 
+/// Requests with an idempotency key, whose repeats are discarded within a scope for a time in milliseconds.
+pub fn keyed(group: DeduplicationScope, window_ms: f64) -> Idempotency {
+    Idempotency::Keyed { group, window_ms }
+}
+
 pub fn one_class(idempotency: Idempotency) -> DecisionSettings {
     DecisionSettings::new(vec![RequestClass::new(400.0, 800.0, idempotency)])
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -19,7 +19,7 @@
 /// As long as a 2.7 MB list: the whole fleet's.
 const LONG_LIST: usize = 21_000;
 /// A change counts as told 6 s after discovery could be reached, and then a server may be sent to for 2 s.
-const TOLD: Duration = Duration::from_secs(6 + 2);
+const ANNOUNCED_WITHIN: Duration = Duration::from_secs(6 + 2);
 
 /// A configuration under which a node that goes by the settings alone would stay away for very long.
 fn patient(members: &[Value]) -> Value {
@@ -61,7 +61,7 @@
         asks_since(&call, 1);
         call.write(text.as_bytes());
         let next = node.discovery.request();
-        assert!(since.elapsed() < TOLD, "{what}: {:?}", since.elapsed());
+        assert!(since.elapsed() < ANNOUNCED_WITHIN, "{what}: {:?}", since.elapsed());
         call = next;
     }
     // The connection breaks, and then an answer comes in drips.
@@ -78,7 +78,7 @@
         sleep(Duration::from_millis(10));
     }
     let last = node.discovery.request();
-    assert!(since.elapsed() < TOLD, "drips: {:?}", since.elapsed());
+    assert!(since.elapsed() < ANNOUNCED_WITHIN, "drips: {:?}", since.elapsed());
     asks_since(&last, 1);
     // Through all of it the list held has stood.
     served_by(&node, &server);
@@ -99,7 +99,7 @@
     let back = TcpListener::bind(refused).expect("free still");
     let since = Instant::now();
     let (mut stream, _) = asked(&back);
-    assert!(since.elapsed() < TOLD, "refused: {:?}", since.elapsed());
+    assert!(since.elapsed() < ANNOUNCED_WITHIN, "refused: {:?}", since.elapsed());
     let body = list(5, true, &[]).to_string();
     write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).expect("written");
     while !node.logged().contains("comes again") {}
@@ -109,16 +109,16 @@
     let since = Instant::now();
     drop(filler);
     let (_stream, call) = asked(&silent);
-    assert!(since.elapsed() < TOLD, "never up: {:?}", since.elapsed());
+    assert!(since.elapsed() < ANNOUNCED_WITHIN, "never up: {:?}", since.elapsed());
     assert_eq!(call, "GET /catalog/members HTTP/1.1", "another discovery's versions may be others");
 }
 
 /// The same at the start, where clients wait for the node.
 #[test]
-fn a_silent_discovery_does_not_keep_a_node_from_its_start() {
+fn an_unresponsive_discovery_does_not_keep_a_node_from_its_start() {
     let server = Server::start();
     let (since, mut silent) = (Instant::now(), None);
-    let node = Node::start_told(&patient(&members(&[&server])), |_, first| silent = Some(first));
+    let node = Node::start_with_first_call(&patient(&members(&[&server])), |_, first| silent = Some(first));
     assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
     served_by(&node, &server);
 }
@@ -146,7 +146,7 @@
     assert!(whole.len() > 2 << 20);
     let mut config = config(&all[..1]);
     config["limits"]["memory_mb"] = json!(256);
-    let node = Node::start_told(&config, |_, first| first.answer(OK, "", whole.as_bytes()));
+    let node = Node::start_with_first_call(&config, |_, first| first.answer(OK, "", whole.as_bytes()));
     let watch = node.discovery.request();
     asks_since(&watch, 7);
     // The second server is known from the list alone; then the first one drains.
@@ -157,7 +157,7 @@
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
     asks_since(&watch, 8);
     (0..6).for_each(|_| served_by(&node, &servers[1]));
-    // A whole list in its place tells the same: who is not named is gone.
+    // A complete list in its place tells the same: who is not named is gone.
     let back = list(9, true, &[member("s0", servers[0].address, "active")]).to_string();
     watch.answer(OK, "", back.as_bytes());
     asks_since(&node.discovery.request(), 9);
@@ -167,7 +167,7 @@
 
 /// What would take more memory than a list may, ends never or comes in drips is given up; the old list stays.
 #[test]
-fn a_list_that_cannot_be_held_leaves_the_old_one() {
+fn a_list_over_the_memory_limit_leaves_the_old_one() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["limits"]["memory_mb"] = json!(1);
@@ -197,7 +197,7 @@
 
 // ---- Entries that cannot be read
 
-/// One such entry used to make the whole list unreadable, and with it every change from then on.
+/// One such entry used to make the complete list unreadable, and with it every change from then on.
 #[test]
 fn an_entry_that_cannot_be_read_is_left_out_and_its_server_gets_nothing_new() {
     let servers = [Server::start(), Server::start()];
@@ -214,7 +214,7 @@
     (0..6).for_each(|_| served_by(&node, &servers[1]));
     assert!(!servers[0].has_request());
 
-    // Among changes, one of them may be of any server: the whole list tells which are left.
+    // Among changes, one of them may be of any server: the complete list tells which are left.
     let changes = list(3, false, &[known[0].clone(), json!({"id": 5})]).to_string();
     watch.answer(OK, "", changes.as_bytes());
     let call = node.discovery.request();
@@ -226,7 +226,7 @@
     assert!(!servers[1].has_request());
 }
 
-// ---- Calls for whole lists
+// ---- Calls for complete lists
 
 /// Stands for a node, at a place of its own among those that are told of a new discovery together.
 struct Follower {
@@ -262,9 +262,9 @@
     }
 }
 
-/// All nodes hear of a new discovery in the same moment, and each wants its whole list.
+/// All nodes hear of a new discovery in the same moment, and each wants its complete list.
 #[test]
-fn whole_lists_of_a_new_discovery_are_asked_for_one_after_the_other() {
+fn complete_lists_of_a_new_discovery_are_fetched_one_after_the_other() {
     let discovery = Server::start();
     let address = discovery.address;
     std::thread::spawn(move || {
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_list_is_read_alike_however_it_is_cut_and_laid_out() {
+fn a_list_is_decoded_alike_in_any_chunks_and_layout() {
     let address = "127.0.0.1:80".parse().expect("an address");
     let members = [member("a \"[{,\\ 7", address, "active"), json!([{"id": 1}, "]"]), json!(3)];
     let mut told = list(41, true, &members);
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,5 +1,5 @@
-//! Endings that cross something still owed: a node that is told to end, clients that leave, connections that
-//! break, lists that go quiet. Every crossing is forced by what the scripted peers see, never by a pause.
+//! Endings that cross something still owed: a node that is told to end, clients that leave, connections that break,
+//! lists that go quiet. Every crossing is forced by what the scripted peers see, never by a pause.
 
 mod net;
 use net::*;
@@ -15,8 +15,8 @@
 
 // ---- SIGTERM
 
-/// SIGKILL waits for 3 s of a deadline and no longer. A node that waited for the rest was killed with answers
-/// owed; now every client has its final answer, and the node ends by itself.
+/// SIGKILL waits for 3 s of a deadline and no longer. A node that waited for the rest was killed with answers owed;
+/// now every client has its final answer, and the node ends by itself.
 #[test]
 fn what_would_outlast_the_end_is_failed_before_it() {
     let server = Server::start();
@@ -36,7 +36,7 @@
 
 /// A request of which the last byte comes when all others have been failed is too late to be begun.
 #[test]
-fn a_request_that_is_whole_too_late_is_not_sent_on() {
+fn a_request_that_is_complete_too_late_is_not_forwarded() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     for class in 0..3 {
@@ -60,8 +60,8 @@
     assert!(!server.has_request());
 }
 
-/// New connections that never stop coming kept every idle one open up to the end, and what clients sent on
-/// those last of all was lost.
+/// New connections that never stop coming kept every idle one open up to the end, and what clients sent on those last
+/// of all was lost.
 #[test]
 fn idle_connections_are_closed_though_new_ones_go_on_coming() {
     let server = Server::start();
@@ -95,15 +95,15 @@
 
 // ---- Lists
 
-/// What discovery has counts as told from a node's first moment on. The list that it held before named a server
-/// that has begun to drain meanwhile, and requests went there until the first watch was answered.
+/// What discovery has counts as told from a node's first moment on. The list that it held before named a server that
+/// has begun to drain meanwhile, and requests went there until the first watch was answered.
 #[test]
 fn no_client_is_taken_before_the_first_list() {
     let servers = [Server::start(), Server::start()];
     let known = members(&[&servers[0], &servers[1]]);
     let told = list(7, true, &[member("s0", servers[0].address, "leaving"), known[1].clone()]);
     let told = serde_json::to_string_pretty(&told).expect("JSON");
-    let node = Node::start_told(&config(&known), |address, first| {
+    let node = Node::start_with_first_call(&config(&known), |address, first| {
         assert!(std::net::TcpStream::connect(address).is_err(), "clients are taken already");
         first.answer(OK, "", told.as_bytes());
     });
@@ -112,15 +112,15 @@
     assert!(!servers[0].has_request());
 }
 
-/// A discovery that is down at the start says nothing. The list held before has to do then, and the whole list
-/// is asked for until it comes.
+/// A discovery that is down at the start says nothing. The list held before has to do then, and the complete list is
+/// asked for until it comes.
 #[test]
 fn a_node_starts_without_discovery_and_goes_on_asking() {
     let servers = [Server::start(), Server::start()];
     let mut config = config(&members(&[&servers[0]]));
     config["settings"]["rules"]["drain_grace_ms"] = json!(400.0);
     let mut silent = None;
-    let node = Node::start_told(&config, |_, first| silent = Some(first));
+    let node = Node::start_with_first_call(&config, |_, first| silent = Some(first));
     served_by(&node, &servers[0]);
     silent.expect("asked").await_end();
     let again = node.discovery.request();
@@ -133,7 +133,7 @@
 
 /// Whatever a silent watch has missed is asked for without a wait: only a discovery that answers may take time.
 #[test]
-fn after_a_silent_watch_news_are_asked_for_at_once() {
+fn after_an_unanswered_poll_updates_are_fetched_at_once() {
     let mut config = config(&[]);
     config["settings"]["rules"]["drain_grace_ms"] = json!(400.0);
     let node = Node::start(&config);
@@ -153,8 +153,8 @@
 
 // ---- Connections to servers
 
-/// A server that comes back under its id is another process. What was kept to the former one is of no use: where
-/// its machine vanished, the next request written there would be a reset.
+/// A server that comes back under its id is another process. What was kept to the former one is of no use: where its
+/// machine vanished, the next request written there would be a reset.
 #[test]
 fn a_connection_to_a_former_process_is_not_used() {
     let server = Server::start();
@@ -314,8 +314,8 @@
 
 // ---- Clients that leave
 
-/// Held from now on: what waits for a connection when its client leaves is not sent on. It was where attempts
-/// may not be cancelled, and where a part of a next request stood behind the first.
+/// Held from now on: what waits for a connection when its client leaves is not sent on. It was where attempts may not
+/// be cancelled, and where a part of a next request stood behind the first.
 #[test]
 fn a_request_whose_client_left_while_it_was_dialled_is_not_sent_on() {
     for (cancel, behind) in [(false, ""), (true, "GET /api"), (false, "GET /api"), (true, "")] {
@@ -367,8 +367,8 @@
     assert!(servers.iter().all(|server| !server.has_request()));
 }
 
-/// The time of a request counts from when it came, also where another on its connection is answered first. One
-/// whose time is over by then is refused, and no server gets it.
+/// The time of a request counts from when it came, also where another on its connection is answered first. One whose
+/// time is over by then is refused, and no server gets it.
 #[test]
 fn a_pipelined_request_whose_time_has_passed_is_refused_unsent() {
     let server = Server::start();
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -318,7 +318,7 @@
 // ---- Messages on sockets
 
 /// A message as a golden file holds it: what differs between runs is replaced by what it is.
-fn shown(message: &Message) -> String {
+fn masked(message: &Message) -> String {
     let mut text = format!("{}\n", message.first);
     for (name, value) in &message.headers {
         let digits = value.replace(|c: char| c.is_ascii_digit(), "#");
@@ -349,19 +349,19 @@
     settings["settings"]["stats"]["source"] = json!("on_probe");
     settings["settings"]["allowed"]["probes"] = json!(true);
     let mut text = String::new();
-    let node = Node::start_told(&settings, |_, first| {
-        text += &shown(&first.request);
+    let node = Node::start_with_first_call(&settings, |_, first| {
+        text += &masked(&first.request);
         first.answer(OK, "", list(7, true, &[member("s0", server.address, "active")]).to_string().as_bytes());
     });
-    text += &shown(&node.discovery.request().request);
+    text += &masked(&node.discovery.request().request);
     let mut client = node.client();
     client
         .send(&request("update", 20.0).replace("x-class", "content-type: text/plain\r\nother: 1\r\nx-class"));
     let probe = take(&server, "GET /_load");
-    text += &shown(&probe.request);
+    text += &masked(&probe.request);
     probe.answer(OK, "", b"active=0,waiting=0");
     let forwarded = take(&server, "POST /api");
-    text += &shown(&forwarded.request);
+    text += &masked(&forwarded.request);
     forwarded.answer(OK, "x-load: active=1,waiting=0\r\n", b"done");
     assert_eq!(client.answer().status(), 200);
     assert_golden("messages-sent.txt", &text);
@@ -372,7 +372,7 @@
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut text = String::new();
-    let mut show = |what: &str, answer: &Message| text += &format!("# {what}\n{}\n\n", shown(answer));
+    let mut show = |what: &str, answer: &Message| text += &format!("# {what}\n{}\n\n", masked(answer));
     let mut ask = |what: &str, request: &str| show(what, &node.client().ask(request));
     ask("healthy", "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n");
     ask("no such path", "GET /other HTTP/1.1\r\nhost: n\r\n\r\n");
--- a/tests/hsq.rs
+++ b/tests/hsq.rs
@@ -126,8 +126,8 @@
     }
     let sends: Vec<usize> = (100..102).map(|id| node.sent_to(id)).collect();
     assert_ne!(sends[0], sends[1]);
-    // One repeats its 5 at once; were that taken for news, its own send would be forgotten and it
-    // would get the next two.
+    // One repeats its 5 at once; were that taken for news, its own send would be forgotten and it would get the next
+    // two.
     let repeating = sends[0];
     node.now += 1.0;
     node.report(100, 0, 40.0, AttemptOutcome::Served, Some(5.0));
@@ -204,8 +204,8 @@
     assert!(sent[0] > sent[1] * 3 / 2, "{sent:?}");
 }
 
-/// Incident ie11f3d: every node opened connections to every server, more than they accept. Hundreds of nodes
-/// keep to subsets that spread evenly over the fleet.
+/// Incident ie11f3d: every node opened connections to every server, more than they accept. Hundreds of nodes keep to
+/// subsets that spread evenly over the fleet.
 #[test]
 fn subsets_of_many_nodes_cover_the_fleet_evenly() {
     let mut nodes_of = [0; 60];
@@ -240,8 +240,8 @@
     node.feed(BalancerEvent::ProbeEnded { server: ServerId(server), outcome: AttemptOutcome::Served, report })
 }
 
-/// A fleet of 100 nodes paid a probe for each request, a twelfth of all that the requests were worth, and
-/// refused those whose probe was not answered in a tenth of the aim. Where nothing but probes told the load it
+/// A fleet of 100 nodes paid a probe for each request, a twelfth of all that the requests were worth, and refused
+/// those whose probe was not answered in a tenth of the latency target. Where nothing but probes told the load it
 /// paid so too, and refused two requests in five for the queue of the one server that it asked.
 #[test]
 fn a_node_of_many_does_not_ask_where_asking_costs_more_than_it_may_spend() {
@@ -261,8 +261,8 @@
     assert!(!sends(0.002, false), "cheap enough where nothing else tells the load");
 }
 
-/// Incident i5292a8: where reports come by probe only, no count was ever refreshed and all servers filled up.
-/// A few are asked first, and the lowest fresh count is sent to.
+/// Incident i5292a8: where reports come by probe only, no count was ever refreshed and all servers filled up. A few
+/// are asked first, and the lowest fresh count is sent to.
 #[test]
 fn where_only_probes_report_servers_are_asked_before_a_send() {
     let mut node = Node::new(asking(), 1);
@@ -275,8 +275,8 @@
     assert_eq!(send_of(&answer(&mut node, asked[2], 4.0)), Some(asked[1]));
 }
 
-/// Site `fast-tiles`: probes were allowed but no report came by them either, so that each ask and each send
-/// raised a count that nothing overwrote, until all counts stood over the bound and every request was refused.
+/// Site `fast-tiles`: probes were allowed but no report came by them either, so that each ask and each send raised a
+/// count that nothing overwrote, until all counts stood over the bound and every request was refused.
 #[test]
 fn where_no_report_comes_none_is_asked_for_and_none_is_missed() {
     for nodes in [2, 100] {
@@ -294,8 +294,8 @@
     }
 }
 
-/// With nothing to overwrite them the counts still rise, so that a node of many goes round; one that joins
-/// starts at the mean of the others.
+/// With nothing to overwrite them the counts still rise, so that a node of many goes round; one that joins starts at
+/// the mean of the others.
 #[test]
 fn where_no_report_comes_a_node_of_many_goes_round_by_its_own_counts() {
     let mut settings = one_class(Idempotency::Safe);
@@ -320,7 +320,7 @@
 
 /// A server that is asked and says nothing must not hold the request: those that answered decide.
 #[test]
-fn a_silent_probe_does_not_hold_a_request() {
+fn an_unanswered_probe_does_not_delay_a_request() {
     let mut node = Node::new(asking(), 1);
     node.servers(ready(0..8));
     let actions = node.request(1, 0, 800.0);
@@ -336,13 +336,13 @@
     assert!(node.feed(BalancerEvent::TimerFired(due)).is_empty(), "sent once");
     // Where nobody answers all are too busy, and none is sent to unseen.
     let (due, _) = timer(&node.request(2, 0, 800.0));
-    assert!(refused(&node.feed(BalancerEvent::TimerFired(due))));
+    assert!(rejected(&node.feed(BalancerEvent::TimerFired(due))));
 }
 
 /// Incident i3dd8ec: servers whose last count was low were asked again and again though they were silent, while
 /// others idled. An ask counts like a send until a report comes.
 #[test]
-fn silent_servers_are_not_asked_again_and_again() {
+fn unresponsive_servers_are_not_probed_again_and_again() {
     let mut settings = asking();
     settings.probe_price = 0.008;
     let mut node = Node::new(settings, 1);
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -5,14 +5,13 @@
 use balancer::*;
 use common::*;
 
-/// Two nodes of the same seed hear the same, one of them by changes and the other by whole lists: they send alike.
+/// Two nodes of the same seed hear the same, one of them by changes and the other by complete lists: they send alike.
 #[test]
-fn changes_lay_the_fleet_out_as_a_whole_list_does() {
+fn deltas_give_the_same_table_as_snapshots() {
     let mut repeats = 0;
     for seed in 0..24 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut settings =
-            one_class(Idempotency::Keyed { group: DeduplicationScope::Zone, window_ms: 500.0 });
+        let mut settings = one_class(keyed(DeduplicationScope::Zone, 500.0));
         (settings.nodes, settings.zone) = (1 + random.usize(..100), 1);
         settings.node_index = random.usize(..settings.nodes);
         let mut by_changes = Node::new(settings.clone(), seed);
@@ -65,7 +64,7 @@
 /// Only so many are offered to a request that may have run; what its group allows is found all round the ring.
 #[test]
 fn a_repeat_finds_the_one_server_of_its_group() {
-    let mut settings = one_class(Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 500.0 });
+    let mut settings = one_class(keyed(DeduplicationScope::Cell, 500.0));
     settings.nodes = 2_000;
     for seed in 0..20 {
         let mut node = Node::new(settings.clone(), seed);
@@ -80,7 +79,8 @@
     }
 }
 
-/// Beyond some hundreds of servers a request sees a window of them. All have their turn, as evenly as if seen at once.
+/// Beyond some hundreds of servers a request sees a window of them. All have their turn, as evenly as if seen at
+/// once.
 #[test]
 fn a_window_of_a_large_fleet_goes_round() {
     let mut node =
--- a/tests/fleet.rs
+++ b/tests/many_nodes.rs
@@ -5,10 +5,10 @@
 use balancer::*;
 use common::*;
 
-const AIM: f64 = 80.0;
+const LATENCY_TARGET: f64 = 80.0;
 
 fn class(value: f64, idempotency: Idempotency) -> RequestClass {
-    RequestClass { value, ..RequestClass::new(AIM, 390.0, idempotency) }
+    RequestClass { value, ..RequestClass::new(LATENCY_TARGET, 390.0, idempotency) }
 }
 
 /// Two classes of which one is worth an eighth of the other.
@@ -19,8 +19,8 @@
     settings
 }
 
-/// Sends requests of both classes in turn, one each 66 ms, all answered after `elapsed_ms` with a report of
-/// `held`. How many were refused.
+/// Sends requests of both classes in turn, one each 66 ms, all answered after `elapsed_ms` with a report of `held`.
+/// How many were refused.
 fn refusals(node: &mut Node, ids: std::ops::Range<u64>, elapsed_ms: f64, held: f64) -> usize {
     let mut refusals = 0;
     for id in ids {
@@ -35,8 +35,8 @@
     refusals
 }
 
-/// The zone day: reports averaged 1.3 requests held and answers took 23 ms of an aim of 80, yet two in five
-/// requests were refused, as every node held to a bound of a quarter of the aim.
+/// The zone day: reports averaged 1.3 requests held and answers took 23 ms of an latency target of 80, yet two in
+/// five requests were refused, as every node held to a bound of a quarter of the latency target.
 #[test]
 fn a_fleet_with_room_refuses_nothing() {
     let mut node = Node::new(of_many(), 3);
@@ -93,11 +93,11 @@
         others.contains(&crowded)
     };
     assert!(!shares(10.0), "just told to be crowded");
-    assert!(shares(60.0 * AIM), "told so long ago");
+    assert!(shares(60.0 * LATENCY_TARGET), "told so long ago");
 }
 
-/// On all three days a few servers answered half of what they got with quick errors. Each node met them once or
-/// twice a second, so three failures in a row were rare and 160 ms out were over before the next request.
+/// On all three days a few servers answered half of what they got with quick errors. Each node met them once or twice
+/// a second, so three failures in a row were rare and 160 ms out were over before the next request.
 #[test]
 fn one_quick_error_takes_a_server_out_for_seconds() {
     let mut node = Node::new(of_many(), 3);
@@ -109,7 +109,7 @@
     assert!(send_of(&further).is_some_and(|at| at != bad), "repeated elsewhere: {further:?}");
     node.now += 25.0;
     node.report(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
-    let back = node.now + 20.0 * AIM;
+    let back = node.now + 20.0 * LATENCY_TARGET;
     let mut id = 2_000;
     while node.now < back {
         let at = node.sent_to(id);
@@ -128,10 +128,10 @@
     assert!(tried, "a trial comes in time");
 }
 
-/// The join day: six in ten servers were new and idle, at five sends a second each, while the old ones had fifty
-/// and filled up. A new server got its part of the requests to see it, then stood at the mean, unreported.
+/// The join day: six in ten servers were new and idle, at five sends a second each, while the old ones had fifty and
+/// filled up. A new server got its part of the requests to see it, then stood at the mean, unreported.
 #[test]
-fn a_cold_server_gets_the_part_that_it_is_let_see() {
+fn a_warming_server_gets_its_allowance() {
     let mut settings = of_many();
     (settings.warmup_initial_fraction, settings.warmup_ms) = (0.5, 1_000_000.0);
     (settings.warmup_overload_factor, settings.warmup_overload_ms) = (3.0, 3_000.0);
@@ -153,10 +153,10 @@
     assert!((0.7 * part..1.3 * part).contains(&(cold as f64)), "{cold} of {all}, {part} allowed");
 }
 
-/// A zone day: half of the servers were gone, and within a second the rest turned away more than they took, for
-/// each node sent what was turned away on to the next one. They slowed down and stayed so until the day's end.
+/// A zone day: half of the servers were gone, and within a second the rest rejected more than they took, for each
+/// node sent what was rejected on to the next one. They slowed down and stayed so until the day's end.
 #[test]
-fn servers_that_turn_requests_away_are_sent_less() {
+fn rejecting_servers_are_sent_less() {
     let mut node = Node::new(of_many(), 3);
     node.servers(ready(0..60));
     assert_eq!(refusals(&mut node, 0..100, 25.0, 1.3), 0);
@@ -172,13 +172,13 @@
         node.now += 66.0;
     }
     assert!(sent < 20, "{sent} attempts of forty requests, all turned away");
-    node.now += 100.0 * AIM;
+    node.now += 100.0 * LATENCY_TARGET;
     assert!(refusals(&mut node, 200..300, 25.0, 1.3) < 10, "past when nothing is turned away");
 }
 
 /// Told to come back after one turn, as at a node that sees its queues, clients came back to full servers.
 #[test]
-fn clients_are_told_to_stay_away_for_as_long_as_servers_are_full() {
+fn retry_after_lasts_as_long_as_servers_are_full() {
     let told = |actions: &[BalancerAction]| {
         actions.iter().find_map(|a| match a {
             BalancerAction::Reject { retry_after_ms, .. } => *retry_after_ms,
@@ -209,7 +209,7 @@
     );
 }
 
-/// Brink days: at a node of few the class of least worth was held to 40 ms, where its work alone takes 39 to 58.
+/// Brink days: at a node of few the class of lowest value was held to 40 ms, where its work alone takes 39 to 58.
 /// Nine in ten of its requests were refused before idle servers.
 #[test]
 fn what_an_idle_server_can_do_in_time_is_never_refused() {
@@ -219,13 +219,13 @@
         (settings.nodes, settings.classes[1].value) = (nodes, 0.01);
         let mut node = Node::new(settings, 3);
         node.servers(ready(0..6));
-        assert_eq!(refusals(&mut node, 0..400, 0.9 * AIM, 1.0), 0, "{nodes} nodes");
+        assert_eq!(refusals(&mut node, 0..400, 0.9 * LATENCY_TARGET, 1.0), 0, "{nodes} nodes");
     }
 }
 
 /// What servers hold for all nodes tells a node of few, too, when to refuse; what is worth least is refused first.
 #[test]
-fn few_nodes_refuse_the_least_worth_where_servers_are_full() {
+fn few_nodes_reject_the_lowest_value_where_servers_are_full() {
     for nodes in [2, 3, 12] {
         let mut settings = of_many();
         settings.nodes = nodes;
@@ -245,11 +245,11 @@
     }
 }
 
-/// Variant `slow-ledger`: an aim of thirty times the work let queues grow until servers slowed down for good. How
-/// many wait is told apart from how many are in work: a server of many cores holds many, and none waits.
+/// Variant `slow-ledger`: an latency target of thirty times the work let queues grow until servers slowed down for
+/// good. How many wait is told apart from how many are in work: a server of many cores holds many, and none waits.
 #[test]
-fn a_distant_aim_does_not_make_queues_long() {
-    let refused = |in_flight: Option<f64>, queued: f64| {
+fn a_distant_latency_target_does_not_make_queues_long() {
+    let rejected = |in_flight: Option<f64>, queued: f64| {
         let mut settings = of_many();
         settings
             .classes
@@ -258,26 +258,27 @@
         let mut node = Node::new(settings, 3);
         node.servers(ready(0..6));
         let report = Some(LoadReport { in_flight, queued: Some(queued) });
-        let mut refused = 0;
+        let mut rejected = 0;
         for id in 0..300 {
             let taken = send_of(&node.request(id, 0, 5_000.0)).is_some();
             node.now += 40.0;
-            refused += usize::from(!taken && id >= 100);
+            rejected += usize::from(!taken && id >= 100);
             let (request, outcome) = (RequestId(id), AttemptOutcome::Served);
             let attempt_end =
                 AttemptEnd { request, attempt: 0, elapsed_ms: 400.0, outcome, complete: true, report };
             node.feed(BalancerEvent::AttemptEnded(attempt_end));
         }
-        refused
+        rejected
     };
-    assert!(refused(None, 9.0) > 100, "nine wait at each server");
-    assert!(refused(Some(10.0), 9.0) > 100, "nine wait beside the one in work");
-    assert_eq!(refused(None, 0.0), 0, "none waits");
-    assert_eq!(refused(Some(16.0), 0.0), 0, "sixteen are in work, none waits");
+    assert!(rejected(None, 9.0) > 100, "nine wait at each server");
+    assert!(rejected(Some(10.0), 9.0) > 100, "nine wait beside the one in work");
+    assert_eq!(rejected(None, 0.0), 0, "none waits");
+    assert_eq!(rejected(Some(16.0), 0.0), 0, "sixteen are in work, none waits");
 }
 
-/// The earlier day of spoilt answers: after one of them each of two nodes left a server alone for 30 aims, and what
-/// was left refused a fifth of the requests. A node of few meets a server often, and waits for the third in a row.
+/// The earlier day of spoilt answers: after one of them each of two nodes left a server alone for 30 latency targets,
+/// and what was left refused a fifth of the requests. A node of few meets a server often, and waits for the third in
+/// a row.
 #[test]
 fn one_failure_does_not_take_a_server_out_at_a_node_of_few() {
     for nodes in [2, 3, 12] {
--- a/tests/net/mod.rs
+++ b/tests/net/mod.rs
@@ -18,8 +18,8 @@
 /// Longer than anything that a test waits for takes, however busy the machine.
 pub const LONG: Duration = Duration::from_secs(90);
 
-/// A process that is being started holds, for a moment, every socket of this one. An address that is given up for
-/// it to bind must not be held by another that starts just then.
+/// A process that is being started holds, for a moment, every socket of this one. An address that is given up for it
+/// to bind must not be held by another that starts just then.
 static STARTING: Mutex<()> = Mutex::new(());
 
 /// A listener at a loopback address that nothing else of these tests uses.
@@ -253,11 +253,13 @@
 impl Node {
     /// Starts with this configuration; returns when it is healthy. Discovery tells the list that is in it.
     pub fn start(config: &Value) -> Self {
-        Self::start_told(config, |_, first| first.answer(OK, "", config["known"].to_string().as_bytes()))
+        Self::start_with_first_call(config, |_, first| {
+            first.answer(OK, "", config["known"].to_string().as_bytes())
+        })
     }
 
     /// The same, where the test sees to the first call for the list.
-    pub fn start_told(config: &Value, tell: impl FnOnce(SocketAddr, Exchange)) -> Self {
+    pub fn start_with_first_call(config: &Value, tell: impl FnOnce(SocketAddr, Exchange)) -> Self {
         let (address, discovery) = (own_address(), Server::start());
         let node =
             Self::launch(&mut command(&config.to_string(), address, discovery.address), address, discovery);
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -116,9 +116,9 @@
     }
 }
 
-/// The deadline counts from the client's sending; a silent server must not use it up.
+/// The deadline counts from the client's sending; a unresponsive server must not use it up.
 #[test]
-fn a_silent_server_is_left_and_its_client_answered_in_time() {
+fn an_unresponsive_server_is_left_and_its_client_answered_in_time() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -265,7 +265,7 @@
 
 /// A discovery that is cut off says nothing, and its connection stays open: only time tells.
 #[test]
-fn a_silent_watch_is_given_up_and_asked_again() {
+fn an_unanswered_poll_times_out_and_is_repeated() {
     let node = Node::before(&[]);
     let mut silent = node.discovery.request();
     let again = node.discovery.request();
@@ -302,7 +302,7 @@
 
 /// Servers come and go under new ids for as long as the node runs; it must not keep them.
 #[test]
-fn servers_that_have_gone_take_no_memory() {
+fn removed_servers_take_no_memory() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let stays = member("s0", server.address, "active");
@@ -334,8 +334,8 @@
     served_by(&node, &server);
 }
 
-/// An answer that comes after its server has left the list still goes to its client, and the next server at
-/// that address is one of its own.
+/// An answer that comes after its server has left the list still goes to its client, and the next server at that
+/// address is one of its own.
 #[test]
 fn an_answer_outlives_its_server() {
     let server = Server::start();
@@ -357,8 +357,8 @@
 
 // ---- A new configuration
 
-/// SIGHUP used to end the node. The version held means nothing to the new discovery, which here would wait with
-/// it; and what waits for an answer meanwhile gets it.
+/// SIGHUP used to end the node. The version held means nothing to the new discovery, which here would wait with it;
+/// and what waits for an answer meanwhile gets it.
 #[test]
 fn sighup_under_load_moves_the_watch_to_a_new_discovery() {
     let (old, new) = (Server::start(), Server::start());
@@ -476,7 +476,7 @@
 
 /// The fleet's settings leave the time to stay away out for simulated clients; real ones were told none either.
 #[test]
-fn a_refusal_names_a_time_whatever_simulated_clients_are_told() {
+fn a_rejection_has_a_retry_hint_whatever_simulated_clients_get() {
     let mut config = config(&[]);
     config["settings"]["allowed"]["retry_after"] = json!(false);
     let node = Node::start(&config);
@@ -753,7 +753,7 @@
 
 /// Each of these would hold its place for as long as it likes.
 #[test]
-fn slow_clients_are_shown_out() {
+fn slow_clients_are_disconnected() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let whole = request("update", 3600.0);
@@ -776,8 +776,8 @@
     assert!(!server.has_request());
 }
 
-/// A report overwrites its server's count, whichever names it uses and even where it comes with an error.
-/// Without it the other server's count, which own sends raise, would soon be the higher one.
+/// A report overwrites its server's count, whichever names it uses and even where it comes with an error. Without it
+/// the other server's count, which own sends raise, would soon be the higher one.
 #[test]
 fn load_reports_steer_what_follows() {
     for (status, load) in [
@@ -842,8 +842,8 @@
     }
 }
 
-/// The dial time-out of the settings may be as long as a request's time; a part of that is enough to learn
-/// that a server does not come up, and even an unsafe request goes on.
+/// The dial time-out of the settings may be as long as a request's time; a part of that is enough to learn that a
+/// server does not come up, and even an unsafe request goes on.
 #[test]
 fn a_stuck_dial_leaves_time_for_another_server() {
     let (_slow, address, _filler) = full_listener();
@@ -858,7 +858,7 @@
 
 /// The whole way of a cut: the timer, the closed connection, the next server.
 #[test]
-fn requests_leave_a_server_that_falls_silent() {
+fn requests_leave_a_server_that_stops_answering() {
     let servers = [Server::start(), Server::start()];
     let node = Node::before(&[&servers[0], &servers[1]]);
     let mut clients: Vec<Client> = (0..6).map(|_| node.client()).collect();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,15 +11,11 @@
 
 #[test]
 fn no_servers_still_gives_one_answer_at_once() {
-    for idempotency in [
-        Idempotency::Safe,
-        Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 500.0 },
-        Idempotency::Unsafe,
-    ] {
+    for idempotency in [Idempotency::Safe, keyed(DeduplicationScope::Cell, 500.0), Idempotency::Unsafe] {
         let mut node = Node::new(one_class(idempotency), 1);
-        assert!(refused(&node.request(1, 0, 100.0)), "nothing ran, so a refusal is true");
+        assert!(rejected(&node.request(1, 0, 100.0)), "nothing ran, so a refusal is true");
         node.servers(Vec::new());
-        assert!(refused(&node.request(2, 0, 100.0)));
+        assert!(rejected(&node.request(2, 0, 100.0)));
     }
 }
 
@@ -68,13 +64,13 @@
         let actions = node.end(1, 0, 5.0, outcome);
         assert_eq!(send_of(&actions).is_some(), again, "{outcome:?}");
         assert_eq!(failed(&actions), !again, "{outcome:?}");
-        assert!(!refused(&actions), "{outcome:?}");
+        assert!(!rejected(&actions), "{outcome:?}");
     }
 }
 
 #[test]
 fn keyed_stays_in_its_cell_and_window() {
-    let settings = one_class(Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 500.0 });
+    let settings = one_class(keyed(DeduplicationScope::Cell, 500.0));
     for (wait, again) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
         for seed in 0..20 {
             let mut node = Node::new(settings.clone(), seed);
@@ -84,7 +80,7 @@
             let first = node.sent_to(1);
             node.now += wait;
             let actions = node.end(1, 0, wait, AttemptOutcome::Error);
-            assert!(!refused(&actions), "a refusal would promise that nothing ran");
+            assert!(!rejected(&actions), "a refusal would promise that nothing ran");
             match send_of(&actions) {
                 Some(at) => assert!(again && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
                 None => assert!(!again && failed(&actions), "{wait} ms"),
@@ -95,13 +91,13 @@
 
 #[test]
 fn keyed_with_group_all_may_be_refused_after_it_ran() {
-    let mut settings = one_class(Idempotency::Keyed { group: DeduplicationScope::All, window_ms: 500.0 });
+    let mut settings = one_class(keyed(DeduplicationScope::All, 500.0));
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..3));
     node.sent_to(1);
     node.now += 5.0;
-    assert!(refused(&node.end(1, 0, 5.0, AttemptOutcome::Error)));
+    assert!(rejected(&node.end(1, 0, 5.0, AttemptOutcome::Error)));
 }
 
 #[test]
@@ -126,7 +122,7 @@
 }
 
 #[test]
-fn drained_and_gone_servers_get_nothing_new() {
+fn drained_and_removed_servers_get_nothing_new() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
@@ -140,15 +136,14 @@
     assert!((20..40).all(|id| node.sent_to(id) == 3));
 }
 
-/// A cold server reports nothing queued and would draw everything; one node carrying most of the
-/// traffic must stay under the budget that all nodes share.
-/// A server that has gone is forgotten once nothing is out to it: what ends late finds nothing amiss, and a
-/// keyed request keeps to its cell though the server that may have run it is no longer known.
+/// A warming server reports nothing queued and would draw everything; one node carrying most of the traffic must stay
+/// under the budget that all nodes share. A server that has gone is forgotten once nothing is out to it: what ends
+/// late finds nothing amiss, and a keyed request keeps to its cell though the server that may have run it is no
+/// longer known.
 #[test]
 fn what_ends_late_on_a_forgotten_server_does_no_harm() {
     let cell = |i, cell| ServerEntry { cell, ..ServerEntry::new(ServerId(i), Availability::Ready) };
-    let mut node =
-        Node::new(one_class(Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 500.0 }), 1);
+    let mut node = Node::new(one_class(keyed(DeduplicationScope::Cell, 500.0)), 1);
     node.servers(vec![cell(0, 7)]);
     assert_eq!((node.sent_to(1), node.sent_to(2)), (0, 0));
     node.servers(vec![cell(1, 8), cell(2, 7)]);
@@ -163,7 +158,7 @@
 }
 
 #[test]
-fn a_cold_server_gets_no_more_than_its_budget() {
+fn a_warming_server_gets_no_more_than_its_budget() {
     let mut settings = one_class(Idempotency::Safe);
     settings.nodes = 3;
     settings.warmup_initial_fraction = 0.3;
@@ -206,7 +201,7 @@
 
 /// A node that restarted has served nothing yet; what it knows of starts is in its list.
 #[test]
-fn a_restarted_node_spares_cold_servers() {
+fn a_restarted_node_spares_warming_servers() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.warmup_initial_fraction, settings.warmup_ms) = (0.3, 9_000.0);
     (settings.warmup_overload_factor, settings.warmup_overload_ms) = (2.5, 3_000.0);
@@ -219,10 +214,10 @@
     assert!(cold as f64 <= 2.5 * 0.3 * 20.0, "{cold} of 40");
 }
 
-/// Incidents ie11f3d and ia94218: a floor of one send a node and window let hundreds of nodes push a cold
-/// server over together. What counts is the sum over the nodes.
+/// Incidents ie11f3d and ia94218: a floor of one send a node and window let hundreds of nodes push a cold server over
+/// together. What counts is the sum over the nodes.
 #[test]
-fn hundreds_of_nodes_together_spare_a_cold_server() {
+fn hundreds_of_nodes_together_spare_a_warming_server() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     (settings.warmup_initial_fraction, settings.warmup_ms) = (0.2, 20_000.0);
@@ -313,7 +308,7 @@
 
 /// A server that takes requests and answers none has an ordinary count.
 #[test]
-fn a_silent_server_is_passed_over() {
+fn an_unresponsive_server_is_avoided() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..4));
     let mut hung = 0;
@@ -329,10 +324,10 @@
     assert!(hung < 12, "{hung} requests went to a silent server");
 }
 
-/// With everything failing there is nobody better: traffic must go on, and recover by itself.
-/// A server that falls silent costs requests their time; those that may be repeated are sent elsewhere.
+/// With everything failing there is nobody better: traffic must go on, and recover by itself. A server that falls
+/// silent costs requests their time; those that may be repeated are sent elsewhere.
 #[test]
-fn attempts_on_a_silent_server_are_cut_where_a_repeat_is_allowed() {
+fn stalled_attempts_are_cancelled_where_a_repeat_is_allowed() {
     let keyed = |window_ms| Idempotency::Keyed { group: DeduplicationScope::All, window_ms };
     for (idempotency, heard, cut) in [
         (Idempotency::Safe, false, true),
@@ -406,8 +401,8 @@
     assert!(last.0 * 100 > last.1 * 95, "{last:?} sent long after the trouble");
 }
 
-/// With everything late, nodes try idle servers to learn when that ends. Many nodes must not try so
-/// often that the trials alone keep the servers crowded.
+/// With everything late, nodes try idle servers to learn when that ends. Many nodes must not try so often that the
+/// trials alone keep the servers crowded.
 #[test]
 fn trials_of_many_nodes_stay_few() {
     let mut settings = one_class(Idempotency::Safe);
@@ -423,12 +418,12 @@
             tried += u32::from(id >= 2_000);
         }
     }
-    // Twenty seconds are fifty aims; sixteen nodes together may try each server some hundred times.
+    // Twenty seconds are fifty latency targets; sixteen nodes together may try each server some hundred times.
     assert!((10..=10 * 2 * 50 / 16 * 3 / 2).contains(&tried), "{tried} trials");
 }
 
-/// A node that sees little keeps few answers of each server: after a crowded start the slow ones must not be
-/// believed for long, or the node refuses what idle servers would take.
+/// A node that sees little keeps few answers of each server: after a crowded start the slow ones must not be believed
+/// for long, or the node refuses what idle servers would take.
 #[test]
 fn a_crowded_start_is_soon_forgotten() {
     let mut settings = one_class(Idempotency::Safe);
@@ -490,7 +485,7 @@
         [BalancerAction::Send { within_ms, .. }, ..] => within_ms,
         _ => panic!("not sent: {actions:?}"),
     };
-    let keyed = Idempotency::Keyed { group: DeduplicationScope::All, window_ms: 1_000.0 };
+    let keyed = keyed(DeduplicationScope::All, 1_000.0);
     for (idempotency, repeat) in [(keyed, Some(700.0)), (Idempotency::Safe, None)] {
         let mut node = Node::new(one_class(idempotency), 1);
         node.servers(ready(0..3));
@@ -503,8 +498,8 @@
     }
 }
 
-/// A request whose client left while it was out goes nowhere again, however its attempt ends, also where an
-/// attempt may not be cancelled.
+/// A request whose client left while it was out goes nowhere again, however its attempt ends, also where an attempt
+/// may not be cancelled.
 #[test]
 fn nothing_follows_for_a_client_that_has_left() {
     for cancel in [true, false] {
@@ -565,7 +560,7 @@
         let tenant = (id % 2) as usize;
         let request = ClientRequest { tenant, ..ClientRequest::new(RequestId(id), 0, 800.0) };
         let actions = node.feed(BalancerEvent::RequestArrived(request));
-        refusals[tenant] += usize::from(refused(&actions));
+        refusals[tenant] += usize::from(rejected(&actions));
         node.now += 10.0;
         // Two servers that each answer in 25 ms for every request they hold: near their limit.
         if id >= 4 {
@@ -575,8 +570,8 @@
     assert!(refusals[1] > refusals[0], "{refusals:?}");
 }
 
-/// Incident ie11f3d: with hundreds of nodes a tenant's part at one node is under one request a second, and a
-/// bucket with no room for one request never held any: every tenant was beyond its quota everywhere.
+/// Incident ie11f3d: with hundreds of nodes a tenant's part at one node is under one request a second, and a bucket
+/// with no room for one request never held any: every tenant was beyond its quota everywhere.
 #[test]
 fn a_small_part_of_a_quota_is_still_a_quota() {
     let mut settings = one_class(Idempotency::Safe);
@@ -591,17 +586,17 @@
         // One request in two seconds of the first tenant is within its part, of the second it is not.
         let tenant = (id % 2) as usize;
         let request = ClientRequest { tenant, ..ClientRequest::new(RequestId(id), 0, 800.0) };
-        refusals[tenant] += usize::from(refused(&node.feed(BalancerEvent::RequestArrived(request))));
+        refusals[tenant] += usize::from(rejected(&node.feed(BalancerEvent::RequestArrived(request))));
         node.now += 1_000.0;
         node.end(id, 0, 280.0, AttemptOutcome::Served);
     }
     assert!(refusals[0] < 20 && refusals[1] > 400, "{refusals:?}");
 }
 
-/// A class of low worth with a distant aim could wait long; it must not fill the queues in which a worthier
-/// class with a near aim would be late.
+/// A class of low value with a distant aim could wait long; it must not fill the queues in which a worthier class
+/// with a near aim would be late.
 #[test]
-fn low_worth_does_not_crowd_out_what_is_worth_more() {
+fn low_value_does_not_crowd_out_higher_value() {
     let mut near = RequestClass::new(200.0, 2_000.0, Idempotency::Safe);
     near.value = 5.0;
     let mut settings =
@@ -637,7 +632,7 @@
     settings: DecisionSettings,
     requests: BTreeMap<u64, Entry>,
     servers: BTreeMap<usize, ServerEntry>,
-    told_gone: BTreeMap<usize, f64>,
+    announced_removed: BTreeMap<usize, f64>,
     grace_ms: f64,
 }
 
@@ -653,15 +648,15 @@
         if complete {
             let named: Vec<usize> = entries.iter().map(|e| e.server.0).collect();
             for gone in self.servers.keys().filter(|s| !named.contains(s)) {
-                self.told_gone.entry(*gone).or_insert(now);
+                self.announced_removed.entry(*gone).or_insert(now);
             }
         }
         for entry in entries {
             self.servers.insert(entry.server.0, entry.clone());
             if entry.availability == Availability::Ready {
-                self.told_gone.remove(&entry.server.0);
+                self.announced_removed.remove(&entry.server.0);
             } else {
-                self.told_gone.entry(entry.server.0).or_insert(now);
+                self.announced_removed.entry(entry.server.0).or_insert(now);
             }
         }
     }
@@ -685,7 +680,7 @@
     fn act(&mut self, now: f64, action: &BalancerAction) {
         match action {
             BalancerAction::Send { request, server, .. } => {
-                let gone = self.told_gone.get(&server.0);
+                let gone = self.announced_removed.get(&server.0);
                 assert!(gone.is_none_or(|t| now <= t + self.grace_ms), "sent to a drained server");
                 let target = self.servers.get(&server.0).expect("a listed server");
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
@@ -769,7 +764,7 @@
         settings: settings.clone(),
         requests: BTreeMap::new(),
         servers: BTreeMap::new(),
-        told_gone: BTreeMap::new(),
+        announced_removed: BTreeMap::new(),
         grace_ms: 0.0,
     };
     let mut node = Node::new(settings, seed);
--- a/tests/cold.rs
+++ b/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Cold servers under the sum of what all nodes send. A closed model: nodes that share nothing, servers that work
-//! off a queue and come back cold, clients that arrive at random. No more may reach a cold server in any window
-//! of `tip_after_ms` than N + 2 x root of N + 2, N being `tip_multiple` x its capacity at the window's start.
+//! Warming servers under the sum of what all nodes send. A closed model: nodes that share nothing, servers that work
+//! off a queue and come back cold, clients that arrive at random. No more may reach a warming server in any window of
+//! `tip_after_ms` than N + 2 x root of N + 2, N being `tip_multiple` x its capacity at the window's start.
 
 mod common;
 
@@ -13,14 +13,14 @@
 /// Requests a second of a warm server.
 const CAPACITY: f64 = 40.0;
 const QUEUE: usize = 10;
-/// Part of it that a cold one has at the least, by which it is judged; most start with more, and so do these: what
-/// is late or full soon gets less for that.
-const COLD_FROM: f64 = 0.12;
+/// Part of it that a cold one has at the least, by which it is judged; most start with more, and so do these: what is
+/// late or full soon gets less for that.
+const WARMUP_INITIAL_FRACTION: f64 = 0.12;
 const STARTS_WITH: f64 = 0.36;
 /// What a client waits in all (milliseconds).
 const BUDGET: f64 = 900.0;
-/// When the trouble comes, the burst after it, and the end (milliseconds).
-const TROUBLE: f64 = 3_000.0;
+/// When the fault comes, the burst after it, and the end (milliseconds).
+const FAULT_AT: f64 = 3_000.0;
 const BURST: f64 = 3_000.0;
 const END: f64 = 10_000.0;
 
@@ -32,11 +32,11 @@
     traffic: Vec<f64>,
     /// Of what all servers can do when warm.
     load: f64,
-    /// Servers gone from the trouble on, and those that start then or so many milliseconds later.
-    lost: Vec<usize>,
+    /// Servers gone from the fault on, and those that start then or so many milliseconds later.
+    failed_servers: Vec<usize>,
     starts: Vec<(usize, f64)>,
-    /// How long after the trouble the lists tell of it.
-    told_ms: f64,
+    /// How long after the fault the lists tell of it.
+    announced_after_ms: f64,
     /// Servers that answer at once with an error.
     bad: Vec<usize>,
     idempotency: Idempotency,
@@ -51,9 +51,9 @@
             zones: (0..servers).map(|i| i % zones).collect(),
             traffic: vec![1.0; zones],
             load: 1.0,
-            lost: Vec::new(),
+            failed_servers: Vec::new(),
             starts: Vec::new(),
-            told_ms: 0.0,
+            announced_after_ms: 0.0,
             bad: Vec::new(),
             idempotency: Idempotency::Safe,
             asks: false,
@@ -63,7 +63,7 @@
     fn settings(&self, me: usize) -> DecisionSettings {
         let mut settings = DecisionSettings::new(vec![RequestClass::new(300.0, BUDGET, self.idempotency)]);
         (settings.nodes, settings.node_index, settings.zone) = (self.nodes, me, me % self.traffic.len());
-        (settings.warmup_initial_fraction, settings.warmup_ms) = (COLD_FROM, 24_000.0);
+        (settings.warmup_initial_fraction, settings.warmup_ms) = (WARMUP_INITIAL_FRACTION, 24_000.0);
         (settings.warmup_overload_factor, settings.warmup_overload_ms) = (3.0, 3_000.0);
         (settings.max_attempts, settings.cross_zone_price) = (5, 0.005);
         (settings.probes, settings.responses_carry_load) = (self.asks, !self.asks);
@@ -74,11 +74,11 @@
 #[derive(PartialEq, PartialOrd)]
 enum Due {
     Arrival,
-    Ends { node: usize, request: u64, attempt: usize, server: usize, life: u32, sent_at: f64 },
+    Ends { node: usize, request: u64, attempt: usize, server: usize, incarnation: u32, sent_at: f64 },
     Probed { node: usize, server: usize },
     Timer { node: usize, timer: u64 },
     Change(usize),
-    Tell,
+    Announce,
 }
 
 struct At(f64, u64, Due);
@@ -103,7 +103,7 @@
 #[derive(Default)]
 struct Server {
     up: bool,
-    life: u32,
+    incarnation: u32,
     started_at: Option<f64>,
     queue: VecDeque<f64>,
     free_at: f64,
@@ -121,9 +121,9 @@
     served: usize,
 }
 
-/// What came of a play: the worst window as a part of what may come in it, the part of the budget that was used
-/// over all cold servers, and the requests that were served after the trouble, as a part of all.
-struct Figures {
+/// What came of a play: the worst window as a part of what may come in it, the part of the budget that was used over
+/// all warming servers, and the requests that were served after the fault, as a part of all.
+struct PlayResult {
     worst: f64,
     used: f64,
     served: f64,
@@ -140,7 +140,7 @@
         self.due.push(Reverse(At(at, self.order, due)));
     }
 
-    fn tell(&mut self, now: f64) {
+    fn announce(&mut self, now: f64) {
         let entries: Vec<_> = self.servers.iter().enumerate().filter(|(_, s)| s.up).collect();
         let entries: Vec<_> = entries
             .into_iter()
@@ -187,8 +187,8 @@
             it.queue.push_back(it.free_at);
             (it.free_at + 1.0).min(came_at + BUDGET)
         };
-        let life = if quick { u32::MAX } else { it.life };
-        self.after(ends, Due::Ends { node, request, attempt, server, life, sent_at: now });
+        let incarnation = if quick { u32::MAX } else { it.incarnation };
+        self.after(ends, Due::Ends { node, request, attempt, server, incarnation, sent_at: now });
     }
 
     fn held(&mut self, now: f64, server: usize) -> Option<LoadReport> {
@@ -200,18 +200,18 @@
     }
 
     fn ended(&mut self, now: f64, due: Due) {
-        let Due::Ends { node, request, attempt, server, life, sent_at } = due else { return };
+        let Due::Ends { node, request, attempt, server, incarnation, sent_at } = due else { return };
         let report = self.held(now, server);
         let (up, (_, came_at)) = (self.servers[server].up, self.attempts[&request]);
-        let outcome = match life {
+        let outcome = match incarnation {
             u32::MAX if !up => AttemptOutcome::Unreachable,
             u32::MAX if self.fleet.bad.contains(&server) => AttemptOutcome::Error,
             u32::MAX => AttemptOutcome::Rejected,
-            life if !up || life != self.servers[server].life => AttemptOutcome::Reset,
+            incarnation if !up || incarnation != self.servers[server].incarnation => AttemptOutcome::Reset,
             _ if now - came_at >= BUDGET => AttemptOutcome::TimedOut,
             _ => AttemptOutcome::Served,
         };
-        self.served += usize::from(outcome == AttemptOutcome::Served && now > TROUBLE);
+        self.served += usize::from(outcome == AttemptOutcome::Served && now > FAULT_AT);
         let heard = up && !self.fleet.asks;
         let attempt_end = AttemptEnd {
             request: RequestId(request),
@@ -224,7 +224,7 @@
         self.feed(now, node, BalancerEvent::AttemptEnded(attempt_end));
     }
 
-    fn run(fleet: &Fleet, seed: u64) -> Figures {
+    fn run(fleet: &Fleet, seed: u64) -> PlayResult {
         let count = fleet.zones.len();
         let fresh = |_| Server { up: true, ..Server::default() };
         let mut play = Play {
@@ -243,11 +243,11 @@
         let weight = |me: usize| (0.5 + (me * 7 % 5) as f64 / 4.0) * fleet.traffic[me % fleet.traffic.len()];
         let weights: Vec<f64> = (0..fleet.nodes).map(weight).collect();
         let (all, mut id, mut after) = (weights.iter().sum::<f64>(), 0, 0);
-        play.tell(0.0);
+        play.announce(0.0);
         play.after(0.0, Due::Arrival);
-        play.after(TROUBLE, Due::Change(usize::MAX));
+        play.after(FAULT_AT, Due::Change(usize::MAX));
         for (server, later) in fleet.starts.clone() {
-            play.after(TROUBLE + later, Due::Change(server));
+            play.after(FAULT_AT + later, Due::Change(server));
         }
         while let Some(Reverse(At(now, _, due))) = play.due.pop() {
             match due {
@@ -258,8 +258,8 @@
                         at < 0.0
                     });
                     id += 1;
-                    after += usize::from(now > TROUBLE);
-                    let burst = (TROUBLE..TROUBLE + BURST).contains(&now);
+                    after += usize::from(now > FAULT_AT);
+                    let burst = (FAULT_AT..FAULT_AT + BURST).contains(&now);
                     let rate = if burst { 1.5 } else { 1.0 } * fleet.load * CAPACITY / 1_000.0 * count as f64;
                     let gap = -play.random.f64().max(1e-9).ln() / rate;
                     play.after(now + gap, Due::Arrival);
@@ -270,17 +270,17 @@
                     );
                 }
                 Due::Arrival => {}
-                Due::Tell => play.tell(now),
+                Due::Announce => play.announce(now),
                 Due::Change(usize::MAX) => {
-                    fleet.lost.iter().for_each(|i| play.servers[*i].up = false);
+                    fleet.failed_servers.iter().for_each(|i| play.servers[*i].up = false);
                     fleet.starts.iter().for_each(|(i, _)| play.servers[*i].up = false);
-                    play.after(now + fleet.told_ms, Due::Tell);
+                    play.after(now + fleet.announced_after_ms, Due::Announce);
                 }
                 Due::Change(server) => {
-                    let life = play.servers[server].life + 1;
+                    let incarnation = play.servers[server].incarnation + 1;
                     play.servers[server] =
-                        Server { up: true, life, started_at: Some(now), ..Server::default() };
-                    play.tell(now);
+                        Server { up: true, incarnation, started_at: Some(now), ..Server::default() };
+                    play.announce(now);
                 }
                 Due::Probed { node, server } => {
                     let report = play.held(now, server).filter(|_| play.servers[server].up);
@@ -300,15 +300,15 @@
         for server in play.servers.iter().filter(|s| s.started_at.is_some()) {
             let started_at = server.started_at.unwrap_or_default();
             for (first, at) in server.sends.iter().enumerate() {
-                let n = 3.0 * capacity(COLD_FROM, at - started_at) * 3_000.0;
+                let n = 3.0 * capacity(WARMUP_INITIAL_FRACTION, at - started_at) * 3_000.0;
                 let within = server.sends[first..].partition_point(|t| *t < at + 3_000.0) as f64;
                 worst = worst.max(within / (n + 2.0 * n.sqrt() + 2.0));
             }
             sent += server.sends.len() as f64;
             let lasts = END - started_at;
-            budget += 3.0 * capacity(COLD_FROM, lasts / 2.0) * lasts;
+            budget += 3.0 * capacity(WARMUP_INITIAL_FRACTION, lasts / 2.0) * lasts;
         }
-        Figures { worst, used: sent / budget, served: play.served as f64 / after as f64 }
+        PlayResult { worst, used: sent / budget, served: play.served as f64 / after as f64 }
     }
 }
 
@@ -323,19 +323,19 @@
 
 /// The worst window of two plays and the mean use of the budget. With `--nocapture` it tells them.
 fn play(name: &str, fleet: &Fleet) -> (f64, f64) {
-    let plays: Vec<Figures> = (1..=2).map(|seed| Play::run(fleet, seed)).collect();
+    let plays: Vec<PlayResult> = (1..=2).map(|seed| Play::run(fleet, seed)).collect();
     let worst = plays.iter().map(|p| p.worst).fold(0.0, f64::max);
-    let mean = |figure: fn(&Figures) -> f64| plays.iter().map(figure).sum::<f64>() / plays.len() as f64;
+    let mean = |figure: fn(&PlayResult) -> f64| plays.iter().map(figure).sum::<f64>() / plays.len() as f64;
     let (used, served) = (mean(|p| p.used), mean(|p| p.served));
     let (nodes, servers) = (fleet.nodes, fleet.zones.len());
     println!("{name}, {nodes} nodes, {servers} servers: worst {worst:.2} used {used:.2} served {served:.2}");
     (worst, used)
 }
 
-/// What a cold server must be spared in, in a fleet of that many servers.
-fn troubles(nodes: usize, servers: usize) -> Vec<(&'static str, Fleet)> {
+/// What a warming server must be spared in, in a fleet of that many servers.
+fn faults(nodes: usize, servers: usize) -> Vec<(&'static str, Fleet)> {
     let (one_zone, two) = (Fleet::new(nodes, servers, 1), Fleet::new(nodes, servers, 2));
-    let keyed = Idempotency::Keyed { group: DeduplicationScope::Cell, window_ms: 700.0 };
+    let keyed = keyed(DeduplicationScope::Cell, 700.0);
     let zone = || (0..servers).filter(|i| i % 2 == 1);
     let few = 3..servers;
     vec![
@@ -358,19 +358,27 @@
                 ..two.clone()
             },
         ),
-        ("one of few left", Fleet { lost: few.clone().collect(), starts: together(2..3), ..two.clone() }),
+        (
+            "one of few left",
+            Fleet { failed_servers: few.clone().collect(), starts: together(2..3), ..two.clone() },
+        ),
         (
             "one of few left, asked",
-            Fleet { asks: true, lost: few.clone().collect(), starts: together(2..3), ..two.clone() },
+            Fleet {
+                asks: true,
+                failed_servers: few.clone().collect(),
+                starts: together(2..3),
+                ..two.clone()
+            },
         ),
-        ("all of few left", Fleet { lost: few.collect(), starts: together(0..3), ..two }),
+        ("all of few left", Fleet { failed_servers: few.collect(), starts: together(0..3), ..two }),
     ]
 }
 
 fn spared(nodes: &[usize], servers: usize) {
     let mut broken = Vec::new();
     for nodes in nodes {
-        for (name, fleet) in troubles(*nodes, servers) {
+        for (name, fleet) in faults(*nodes, servers) {
             let (worst, _) = play(name, &fleet);
             if worst > 1.0 {
                 broken.push(format!("{name}, {nodes} nodes: {worst:.2} of what may come"));
@@ -381,29 +389,33 @@
 }
 
 #[test]
-fn a_handful_of_nodes_together_spare_cold_servers() {
+fn a_handful_of_nodes_together_spare_warming_servers() {
     spared(&[1, 3, 12, 13], 12);
 }
 
 #[test]
-fn twenty_or_thirty_nodes_together_spare_cold_servers() {
+fn twenty_or_thirty_nodes_together_spare_warming_servers() {
     spared(&[20, 30], 16);
 }
 
-/// Each node has few servers in its slice here. Of a zone that came back in turn every node met the first one, and
-/// of the few that were left each got many times what it could do.
+/// Each node has few servers in its slice here. Of a zone that came back in turn every node met the first one, and of
+/// the few that were left each got many times what it could do.
 #[test]
-fn three_hundred_nodes_together_spare_cold_servers() {
+fn three_hundred_nodes_together_spare_warming_servers() {
     spared(&[300], 60);
 }
 
 /// Where no warm server had answered for a while, nodes let the cold ones see nothing, so that nothing told them
 /// better. Where there are only cold ones, or a bad one beside them, they get their part all the same.
 #[test]
-fn cold_servers_are_not_starved_where_there_are_no_others() {
+fn warming_servers_are_not_starved_where_there_are_no_others() {
     for nodes in [1, 3, 12, 13, 30] {
         let fleet = Fleet::new(nodes, 12, 1);
-        let late = Fleet { told_ms: 800.0, starts: (0..12).map(|i| (i, 1_000.0)).collect(), ..fleet.clone() };
+        let late = Fleet {
+            announced_after_ms: 800.0,
+            starts: (0..12).map(|i| (i, 1_000.0)).collect(),
+            ..fleet.clone()
+        };
         let bad = Fleet { bad: vec![0], starts: together(1..12), ..fleet };
         for (name, fleet) in [("all, told late", late), ("all but a bad one", bad)] {
             let (worst, used) = play(name, &fleet);
