--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! The calling side.
+//! The client: typed calls to peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,9 +6,11 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use crate::{CallError, HttpTransport, Transport};
+use crate::codec::{decode, encode};
+use crate::error::CallError;
+use crate::transport::{HttpTransport, Transport};
 
-/// Makes calls; clones share the transport.
+/// Makes calls to peers; clones share the transport and its connections.
 #[derive(Clone)]
 pub struct Client {
     transport: Arc<dyn Transport>,
@@ -25,23 +27,23 @@
     ///
     /// # Panics
     ///
-    /// When the HTTP client cannot be set up, which takes no I/O.
+    /// If the HTTP client cannot be set up, which takes no I/O.
     #[must_use]
     pub fn new() -> Self {
-        Self::over(Arc::new(HttpTransport::new()))
+        Self::with_transport(Arc::new(HttpTransport::new()))
     }
 
     /// A client over another transport.
     #[must_use]
-    pub fn over(transport: Arc<dyn Transport>) -> Self {
+    pub fn with_transport(transport: Arc<dyn Transport>) -> Self {
         Self { transport }
     }
 
-    /// Calls `path` at a peer and waits for its reply for `timeout` at most.
+    /// Calls `path` at a peer's `address` (host and port) and waits for its reply for `timeout` at most.
     ///
     /// # Errors
     ///
-    /// Says whether the peer may have carried out the call.
+    /// If there is no reply; see [`CallError::may_have_run`].
     pub async fn call<Request, Reply>(
         &self,
         address: &str,
@@ -53,7 +55,7 @@
         Request: Serialize,
         Reply: DeserializeOwned,
     {
-        let reply = self.transport.call(address, path, crate::encode(request), timeout).await?;
-        crate::decode(&reply).map_err(|error| CallError::Unknown(error.to_string()))
+        let reply = self.transport.call(address, path, encode(request), timeout).await?;
+        decode(&reply).map_err(|error| CallError::Unknown(error.to_string()))
     }
 }
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -1,20 +1,20 @@
-//! How a call can fail.
+//! Errors of calls.
 
 use std::fmt;
 
 /// Why a call has no reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection: the peer has not seen the call.
+    /// The connection failed: the peer has not received the call.
     NotSent(String),
-    /// The call may have been carried out; nothing is known.
+    /// The peer may have executed the call: it timed out, or the connection broke off.
     Unknown(String),
-    /// The peer answered that it cannot serve the call; it was not carried out.
-    Refused(u16),
+    /// The peer did not execute the call, and replied with this HTTP status.
+    Rejected(u16),
 }
 
 impl CallError {
-    /// Whether the peer may have carried out the call.
+    /// Whether the peer may have executed the call.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Unknown(_))
@@ -24,9 +24,9 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(why) => write!(f, "not sent: {why}"),
-            Self::Unknown(why) => write!(f, "no reply: {why}"),
-            Self::Refused(status) => write!(f, "refused with status {status}"),
+            Self::NotSent(cause) => write!(f, "not sent: {cause}"),
+            Self::Unknown(cause) => write!(f, "no reply: {cause}"),
+            Self::Rejected(status) => write!(f, "rejected with status {status}"),
         }
     }
 }
--- a/crates/rpc/src/http.rs
+++ b/crates/rpc/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP clients of the system, which make each call at most once.
+//! Setup of the HTTP clients of the system, which make each call at most once.
 
 use std::time::Duration;
 
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! The server: endpoints for typed calls.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -8,40 +8,48 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use crate::MAX_MESSAGE_BYTES;
+use crate::codec::{decode, encode};
 
-/// Makes an endpoint of an async function. `None` is answered as 503: the call was not carried out.
-pub fn handler<Request, Reply, Function, Answer>(function: Function) -> impl Endpoint<Output = poem::Response>
+/// Length of the longest request, in bytes.
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
+
+/// Makes an endpoint of an async function.
+///
+/// Where the function returns `None`, the response is 503, and a request that can't be decoded gets 400: in both cases
+/// the call was not executed. A body of more than [`MAX_MESSAGE_BYTES`] gets 413.
+pub fn handler<Request, Reply, Function, ReplyFuture>(
+    function: Function,
+) -> impl Endpoint<Output = poem::Response>
 where
     Request: DeserializeOwned + Send + 'static,
     Reply: Serialize + Send + 'static,
-    Function: Fn(Request) -> Answer + Send + Sync + 'static,
-    Answer: Future<Output = Option<Reply>> + Send + 'static,
+    Function: Fn(Request) -> ReplyFuture + Send + Sync + 'static,
+    ReplyFuture: Future<Output = Option<Reply>> + Send + 'static,
 {
     let function = Arc::new(function);
     poem::endpoint::make(move |request: poem::Request| {
         let function = Arc::clone(&function);
-        async move { answer(request, &*function).await }
+        async move { respond(request, &*function).await }
     })
     .map_to_response()
 }
 
-async fn answer<Request, Reply, Function, Answer>(
+async fn respond<Request, Reply, Function, ReplyFuture>(
     mut request: poem::Request,
     function: &Function,
 ) -> poem::Result<poem::Response>
 where
     Request: DeserializeOwned,
     Reply: Serialize,
-    Function: Fn(Request) -> Answer,
-    Answer: Future<Output = Option<Reply>>,
+    Function: Fn(Request) -> ReplyFuture,
+    ReplyFuture: Future<Output = Option<Reply>>,
 {
     let body = request.take_body().into_bytes_limit(MAX_MESSAGE_BYTES).await?;
-    let Ok(message) = crate::decode(&body) else {
+    let Ok(message) = decode(&body) else {
         return Ok(StatusCode::BAD_REQUEST.into());
     };
     Ok(match function(message).await {
-        Some(reply) => poem::Response::builder().body(crate::encode(&reply)),
+        Some(reply) => poem::Response::builder().body(encode(&reply)),
         None => StatusCode::SERVICE_UNAVAILABLE.into(),
     })
 }
@@ -50,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// When the listener fails for good.
+/// If the listener fails permanently.
 pub async fn serve(
     listener: tokio::net::TcpListener,
     app: impl IntoEndpoint + 'static,
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -1,23 +1,25 @@
-//! What carries calls between processes.
+//! The transport of encoded calls between processes: HTTP, or another one in simulations.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
+use reqwest::StatusCode;
 
+use crate::error::CallError;
 use crate::http::{build, http_client_builder};
-use crate::CallError;
 
-/// How long a new connection may take to come up.
+/// How long a new connection may take to be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// After this time without an acknowledgement by the peer, a connection is given up.
-const UNACKNOWLEDGED_MOST: Duration = Duration::from_millis(800);
-/// An idle connection is kept for this long.
-const IDLE_KEPT: Duration = Duration::from_secs(20);
+/// A connection is closed if the peer's TCP does not acknowledge sent data within this time.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(800);
+/// An idle connection is closed after this time.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Carries calls to other processes.
+/// Carries encoded calls to other processes.
 pub trait Transport: Send + Sync {
-    /// Posts a serialized request to `path` at a peer and waits for its serialized reply for `timeout` at most.
+    /// Sends an encoded request to `path` at a peer and waits for its encoded reply for `timeout` at most. The call is
+    /// made once.
     fn call<'a>(
         &'a self,
         address: &'a str,
@@ -27,7 +29,7 @@
     ) -> BoxFuture<'a, Result<Bytes, CallError>>;
 }
 
-/// Carries calls over HTTP; connections are kept.
+/// Carries calls over HTTP; connections are pooled.
 pub struct HttpTransport {
     http: reqwest::Client,
 }
@@ -43,12 +45,12 @@
     ///
     /// # Panics
     ///
-    /// When the HTTP client cannot be set up, which takes no I/O.
+    /// If the HTTP client cannot be set up, which takes no I/O.
     #[must_use]
     pub fn new() -> Self {
         let builder = http_client_builder(CONNECT_TIMEOUT)
-            .tcp_user_timeout(UNACKNOWLEDGED_MOST)
-            .pool_idle_timeout(IDLE_KEPT);
+            .tcp_user_timeout(TCP_USER_TIMEOUT)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT);
         Self { http: build(builder) }
     }
 }
@@ -62,18 +64,18 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Bytes, CallError>> {
         Box::pin(async move {
-            let sent = self.http.post(format!("http://{address}{path}")).timeout(timeout);
-            let answer = sent.body(request).send().await.map_err(|e| verdict(&e))?;
-            let status = answer.status().as_u16();
-            if status != 200 {
-                return Err(CallError::Refused(status));
+            let call = self.http.post(format!("http://{address}{path}")).timeout(timeout).body(request);
+            let response = call.send().await.map_err(|error| call_error(&error))?;
+            let status = response.status();
+            if status != StatusCode::OK {
+                return Err(CallError::Rejected(status.as_u16()));
             }
-            answer.bytes().await.map_err(|e| verdict(&e))
+            response.bytes().await.map_err(|error| call_error(&error))
         })
     }
 }
 
-fn verdict(error: &reqwest::Error) -> CallError {
+fn call_error(error: &reqwest::Error) -> CallError {
     if error.is_connect() {
         CallError::NotSent(error.to_string())
     } else {
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -24,14 +24,14 @@
 }
 
 #[tokio::test]
-async fn given_a_call_that_is_not_carried_out_when_called_then_it_surely_has_not_run() {
+async fn given_a_call_that_is_not_executed_when_called_then_it_has_not_run() {
     let address = peer().await;
     let client = Client::new();
     let declined: Result<u64, _> = client.call(&address, "/double", &u64::MAX, TIMEOUT).await;
     let malformed: Result<u64, _> = client.call(&address, "/double", &"no number", TIMEOUT).await;
     let nowhere: Result<u64, _> = client.call(&address, "/none", &1_u64, TIMEOUT).await;
-    let statuses = [declined, malformed, nowhere].map(|result| result.expect_err("it is refused"));
-    assert_eq!(statuses, [503, 400, 404].map(CallError::Refused));
+    let statuses = [declined, malformed, nowhere].map(|result| result.expect_err("it is rejected"));
+    assert_eq!(statuses, [503, 400, 404].map(CallError::Rejected));
     assert!(statuses.iter().all(|error| !error.may_have_run()));
 }
 
@@ -48,7 +48,7 @@
 async fn given_a_reply_of_another_type_when_called_then_the_call_may_have_run() {
     let address = peer().await;
     let result: Result<(), _> = Client::new().call(&address, "/double", &1_u64, TIMEOUT).await;
-    assert!(result.expect_err("it is no reply").may_have_run());
+    assert!(result.expect_err("it is not a reply").may_have_run());
 }
 
 #[test]
--- a/crates/rushrudder/tests/golden.rs
+++ b/crates/rushrudder/tests/golden.rs
@@ -131,7 +131,8 @@
 fn control(store: &Arc<OneStore>) -> ControlPlane {
     let settings = NodeSettings::parse(SETTINGS).expect("valid");
     let transport: Arc<dyn Transport> = Arc::<OneStore>::clone(store);
-    let clients = OutboundClients { rpc: rpc::Client::over(transport), ..OutboundClients::http(&settings) };
+    let clients =
+        OutboundClients { rpc: rpc::Client::with_transport(transport), ..OutboundClients::http(&settings) };
     let control = ControlPlane::new(&settings, None, clients);
     let member =
         Member { name: "store-1".into(), incarnation: Incarnation(STORE), address: STORE_ADDRESS.into() };
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -84,7 +84,7 @@
         let outbox = start.outbox.clone();
         let transport = Arc::new(SimulatedTransport { outbox: outbox.clone(), machine: start.machine });
         let clients = OutboundClients {
-            rpc: rpc::Client::over(Arc::clone(&transport) as Arc<dyn rpc::Transport>),
+            rpc: rpc::Client::with_transport(Arc::clone(&transport) as Arc<dyn rpc::Transport>),
             server_list: Some(Arc::clone(&transport) as Arc<dyn control_plane::ListSource>),
             servers: transport,
         };
--- a/crates/simulator/src/transport.rs
+++ b/crates/simulator/src/transport.rs
@@ -135,7 +135,7 @@
             let to = Endpoint::Machine(machine_at(address));
             match self.outbox.call(self.machine, to, path, request.into(), timeout).await? {
                 (200, body) => Ok(body),
-                (status, _) => Err(CallError::Refused(status)),
+                (status, _) => Err(CallError::Rejected(status)),
             }
         })
     }
