--- a/crates/store-plane/src/replication/node.rs
+++ b/crates/store-plane/src/replication/node.rs
@@ -35,7 +35,7 @@
         self.member.incarnation.0
     }
 
-    /// Locks the state. Never held across an await.
+    /// Locks the state. The guard must not be kept across an await.
     pub fn lock(&self) -> MutexGuard<'_, ReplicationState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/store-plane/src/replication/state/peer_liveness.rs
+++ b/crates/store-plane/src/replication/state/peer_liveness.rs
@@ -7,7 +7,7 @@
 /// The results of the latest calls to other stores.
 #[derive(Default)]
 pub(crate) struct PeerLiveness {
-    /// Stores whose latest call failed. They are sent nothing but heartbeats.
+    /// Stores whose latest call failed. Ownerships send them no requests until a heartbeat is answered.
     unreachable: BTreeSet<StoreId>,
     /// Stores with a heartbeat that was neither answered nor has failed; there is at most one a store.
     heartbeats_in_flight: BTreeSet<StoreId>,
--- a/crates/store-plane/src/runner/scheduling.rs
+++ b/crates/store-plane/src/runner/scheduling.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The item to start next. `free_capacity` is what the executor reported by batch job since the last event.
+    /// The item to start next. `free_capacity` holds what the executor reported for batch jobs in this pass.
     fn most_urgent(
         &self,
         now: Duration,
