--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -9,6 +9,7 @@
 /// Length of the header of a record.
 pub(crate) const RECORD_HEADER_BYTES: usize = 32;
 
+/// The first bytes of each segment; the last one is the version of the format.
 const MAGIC: u64 = u64::from_le_bytes(*b"ringseg1");
 const CHECKSUM_BYTES: usize = 4;
 const SEGMENT_CHECKSUM_OFFSET: usize = SEGMENT_HEADER_BYTES - CHECKSUM_BYTES;
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -16,7 +16,7 @@
 //!
 //! `format` defines the bytes, `layout` the files, `recovery` reads them, [`Ring`] appends to them, and `append_queue`
 //! connects the ring with the callers of a [`Journal`]. All of them use the disk through [`FileSystem`], which is
-//! either the machine's or the [simulated](simulated) one.
+//! either that of the operating system or the [`simulated`] one.
 
 mod append_queue;
 mod error;
--- a/crates/storage/src/native.rs
+++ b/crates/storage/src/native.rs
@@ -1,4 +1,4 @@
-//! The file system of the machine.
+//! The file system of the operating system.
 
 use std::fs;
 use std::hash::{BuildHasher, RandomState};
@@ -7,7 +7,7 @@
 
 use crate::{File, FileSystem};
 
-/// The file system of the machine.
+/// The file system of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeFileSystem;
 
@@ -39,9 +39,10 @@
     }
 }
 
-/// A file that seeks only when it is not where it should be.
+/// A file that remembers its cursor, so that sequential reads and writes do not seek.
 struct NativeFile {
     file: fs::File,
+    /// Offset of the next read or write; unknown after a failure.
     cursor: Option<u64>,
 }
 
--- a/crates/storage/src/simulated/content.rs
+++ b/crates/storage/src/simulated/content.rs
@@ -1,4 +1,4 @@
-//! The bytes of a simulated file.
+//! A simulated file: visible and durable content, and the changes that no sync covers.
 
 use std::path::Path;
 
--- a/crates/storage/tests/random_history.rs
+++ b/crates/storage/tests/random_history.rs
@@ -1,11 +1,12 @@
 //! Random histories of appends, releases, kills, losses of power, full disks and failing syncs.
 //!
 //! Each record holds the number of its append. After each start, everything that was durable and not released is
-//! there, in the order of the appends, and nothing that an earlier start did not show comes back.
+//! there, in the order of the appends, and nothing that an earlier start did not return reappears.
 
 mod common;
 
 use std::collections::BTreeMap;
+use std::fmt;
 use std::io;
 use std::path::Path;
 use std::sync::Arc;
@@ -17,6 +18,33 @@
 
 const STEPS: usize = 150;
 
+/// A broken guarantee.
+#[derive(Debug)]
+enum Violation {
+    /// A record was returned that was never appended in this form.
+    TornRecord,
+    /// A record was returned after one that was appended later.
+    OutOfOrder { append: u32, newest: Option<u32> },
+    /// A record was returned that an earlier start did not return.
+    Reappeared { append: u32 },
+    /// A durable record that was not released is missing.
+    Lost { append: u32, position: Position },
+    /// The start failed on a segment that it took for corrupt.
+    Corrupt { segment: u64 },
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::TornRecord => f.write_str("a record is not complete"),
+            Self::OutOfOrder { append, newest } => write!(f, "append {append} was returned after {newest:?}"),
+            Self::Reappeared { append } => write!(f, "append {append} reappeared"),
+            Self::Lost { append, position } => write!(f, "append {append} at {position:?} is lost"),
+            Self::Corrupt { segment } => write!(f, "segment {segment} is corrupt"),
+        }
+    }
+}
+
 /// What the ring must keep.
 #[derive(Default)]
 struct Model {
@@ -31,17 +59,17 @@
 
 impl Model {
     /// Checks what a start found, and takes it as durable.
-    fn check(&mut self, records: &[(Position, Vec<u8>)]) -> Result<(), String> {
+    fn check(&mut self, records: &[(Position, Vec<u8>)]) -> Result<(), Violation> {
         let mut found = BTreeMap::new();
         let mut newest = None;
         for (position, record) in records {
-            let append = number_of(record).ok_or("a record is not whole")?;
+            let append = number_of(record).ok_or(Violation::TornRecord)?;
             if newest >= Some(append) {
-                return Err(format!("append {append} stands after {newest:?}"));
+                return Err(Violation::OutOfOrder { append, newest });
             }
             let is_known = self.durable.get(position) == Some(&append) || self.uncertain.contains(&append);
             if !is_known {
-                return Err(format!("append {append} came back"));
+                return Err(Violation::Reappeared { append });
             }
             newest = Some(append);
             found.insert(*position, append);
@@ -49,7 +77,7 @@
         let kept = self.durable.range(Position(self.released)..);
         for (position, append) in kept {
             if found.get(position) != Some(append) {
-                return Err(format!("append {append} at {position:?} is lost"));
+                return Err(Violation::Lost { append: *append, position: *position });
             }
         }
         self.durable = found;
@@ -70,7 +98,7 @@
 }
 
 /// One random history on a disk, seen through a file system that `wrap` may make worse.
-fn run(seed: u64, wrap: impl Fn(Arc<dyn FileSystem>) -> Arc<dyn FileSystem>) -> Result<(), String> {
+fn run(seed: u64, wrap: impl Fn(Arc<dyn FileSystem>) -> Arc<dyn FileSystem>) -> Result<(), Violation> {
     let mut random = fastrand::Rng::with_seed(seed);
     let disk = SimulatedDisk::new(seed);
     let mut model = Model::default();
@@ -104,10 +132,10 @@
 }
 
 /// Starts the ring, if the disk lets it.
-fn start(file_system: &Arc<dyn FileSystem>, model: &mut Model) -> Result<Option<Ring>, String> {
+fn start(file_system: &Arc<dyn FileSystem>, model: &mut Model) -> Result<Option<Ring>, Violation> {
     match try_open(Arc::clone(file_system)) {
         Ok((ring, records, _)) => model.check(&records).map(|()| Some(ring)),
-        Err(storage::StorageError::Corrupt { segment }) => Err(format!("segment {segment} is corrupt")),
+        Err(storage::StorageError::Corrupt { segment }) => Err(Violation::Corrupt { segment }),
         Err(_) => Ok(None),
     }
 }
@@ -145,8 +173,8 @@
 )]
 fn given_random_faults_when_started_again_then_what_was_durable_is_there(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        if let Err(fault) = run(seed, |file_system| file_system) {
-            panic!("seed {seed}: {fault}");
+        if let Err(violation) = run(seed, |file_system| file_system) {
+            panic!("seed {seed}: {violation}");
         }
     }
 }
