--- a/crates/simulator/src/bin/simulate.rs
+++ b/crates/simulator/src/bin/simulate.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use gumdrop::Options;
-use simulator::simulation::{plan_faults, shrink, simulate, FailedRun, Fault, RunSummary, Setup};
+use simulator::simulation::{shrink, simulate, FailedRun, Fault, RunSummary, Setup};
 
 /// How often progress is printed.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
@@ -63,7 +63,7 @@
 
     /// The faults of the run with this seed.
     fn faults(&self, seed: u64, setup: &Setup) -> Vec<Fault> {
-        plan_faults(self.faults_of.unwrap_or(seed), setup)
+        setup.plan_faults(self.faults_of.unwrap_or(seed))
     }
 
     fn thread_count(&self) -> usize {
--- a/crates/simulator/src/fleet/machine.rs
+++ b/crates/simulator/src/fleet/machine.rs
@@ -125,7 +125,7 @@
         self.process.is_some() && !self.execution.is_frozen
     }
 
-    /// Starts its process. When the disk cannot be opened, the process exits at once; the result tells whether it runs.
+    /// Starts its process. Returns whether it runs: when its disk cannot be opened, it exits at once.
     pub(super) fn start(
         &mut self,
         index: usize,
--- /dev/null
+++ b/crates/simulator/src/item_runner.rs
@@ -0,0 +1,44 @@
+//! Stand-in of a store's item runner: it generates the text of each item of a batch job after a while.
+
+use std::time::Duration;
+
+use batch::{ItemCondition, ItemResult};
+use store_plane::{JobState, OwnedJob};
+use tokio::sync::mpsc;
+
+use crate::model_server::generated_text;
+
+/// How long an item runs, in milliseconds.
+const ITEM_MS: std::ops::Range<u64> = 20..200;
+
+/// Runs the batch jobs that a store comes to own, until the store ends.
+pub(crate) async fn run_jobs(mut owned: mpsc::UnboundedReceiver<OwnedJob>) {
+    while let Some(job) = owned.recv().await {
+        tokio::spawn(run_job(job));
+    }
+}
+
+async fn run_job(owned: OwnedJob) {
+    let state = owned.state();
+    let pending = owned
+        .job
+        .items
+        .iter()
+        .filter(|item| owned.committed_results.iter().all(|result| result.id != item.id));
+    for item in pending {
+        tokio::time::sleep(Duration::from_millis(fastrand::u64(ITEM_MS))).await;
+        if *state.borrow() != JobState::Open {
+            return;
+        }
+        let result = ItemResult {
+            id: item.id.clone(),
+            condition: ItemCondition::Delivered,
+            text: generated_text(&item.id),
+            versions: vec![1],
+            grade: None,
+        };
+        if owned.append(vec![result]).await.is_err() {
+            return;
+        }
+    }
+}
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -12,6 +12,7 @@
 mod disk;
 mod external_requests;
 mod fleet;
+mod item_runner;
 mod logging;
 mod model_server;
 mod network;
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -5,7 +5,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use batch::{ItemCondition, ItemResult};
 use bytes::Bytes;
 use control_plane::AcceptorService;
 use poem::endpoint::BoxEndpoint;
@@ -20,22 +19,19 @@
 use state::ControlState;
 use storage::simulated::SimulatedDisk;
 use storage::{Journal, RingOptions};
-use store_plane::{JobState, JobStore, OwnedJob};
+use store_plane::JobStore;
 use tokio::runtime::{Builder, Runtime};
-use tokio::sync::mpsc;
 use tokio::time::Instant;
 
 use crate::disk::DiskPace;
 use crate::external_requests::{self, ExternalRequest};
-use crate::model_server::generated_text;
+use crate::item_runner::run_jobs;
 use crate::transport::{CallOutcome, Outbox, SimulatedTransport};
 
 /// The journal of an acceptor: small, so that it wraps around often.
 const NODE_JOURNAL: RingOptions = RingOptions { segment_bytes: 128 * 1024, segments: 4 };
 /// The journal of a store.
 const STORE_JOURNAL: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
-/// How long an item runs, in milliseconds.
-const ITEM_MS: std::ops::Range<u64> = 20..200;
 
 /// What a process is started with.
 pub(crate) struct ProcessStart<'a> {
@@ -257,35 +253,3 @@
     let status = response.status().as_u16();
     Ok((status, response.into_body().into_bytes().await.unwrap_or_default()))
 }
-
-/// Stand-in of the item runner: generates the text of each item after a while.
-async fn run_jobs(mut owned: mpsc::UnboundedReceiver<OwnedJob>) {
-    while let Some(job) = owned.recv().await {
-        tokio::spawn(run_job(job));
-    }
-}
-
-async fn run_job(owned: OwnedJob) {
-    let state = owned.state();
-    let pending = owned
-        .job
-        .items
-        .iter()
-        .filter(|item| owned.committed_results.iter().all(|result| result.id != item.id));
-    for item in pending {
-        tokio::time::sleep(Duration::from_millis(fastrand::u64(ITEM_MS))).await;
-        if *state.borrow() != JobState::Open {
-            return;
-        }
-        let result = ItemResult {
-            id: item.id.clone(),
-            condition: ItemCondition::Delivered,
-            text: generated_text(&item.id),
-            versions: vec![1],
-            grade: None,
-        };
-        if owned.append(vec![result]).await.is_err() {
-            return;
-        }
-    }
-}
--- a/crates/simulator/src/simulation/checker.rs
+++ b/crates/simulator/src/simulation/checker.rs
@@ -7,7 +7,7 @@
 use register::{Ballot, Versioned};
 use state::ControlState;
 
-use super::violation::SimulationViolation;
+use super::violation::RegisterViolation;
 use crate::Fleet;
 
 /// The time that must lie between the orders of two lease holders (`leaseMs`).
@@ -28,7 +28,7 @@
 
 impl Checker {
     /// Observes the fleet.
-    pub(super) fn check(&mut self, fleet: &Fleet) -> Result<(), SimulationViolation> {
+    pub(super) fn check(&mut self, fleet: &Fleet) -> Result<(), RegisterViolation> {
         for machine in fleet.machines() {
             if let Some(committed) = fleet.committed(machine) {
                 self.check_committed(fleet, machine, &committed)?;
@@ -36,7 +36,7 @@
         }
         self.check_holders(fleet)?;
         match fleet.conflicting_orders(MIN_GAP_BETWEEN_HOLDERS) {
-            Some(orders) => Err(SimulationViolation::ConflictingOrders { orders: Box::new(orders) }),
+            Some(orders) => Err(RegisterViolation::ConflictingOrders { orders: Box::new(orders) }),
             None => Ok(()),
         }
     }
@@ -57,16 +57,12 @@
         fleet: &Fleet,
         machine: usize,
         committed: &Versioned<ControlState>,
-    ) -> Result<(), SimulationViolation> {
+    ) -> Result<(), RegisterViolation> {
         let ballot = committed.ballot;
         let known = self.known.entry((machine, fleet.process_exits(machine))).or_default();
         if ballot < *known {
             let machine = fleet.name(machine).to_owned();
-            return Err(SimulationViolation::CommittedValueRegressed {
-                machine,
-                before: *known,
-                now: ballot,
-            });
+            return Err(RegisterViolation::CommittedValueRegressed { machine, before: *known, now: ballot });
         }
         if ballot == *known {
             return Ok(());
@@ -75,44 +71,40 @@
         let first = self.committed.entry(ballot).or_insert_with(|| Arc::clone(&committed.value));
         if **first != *committed.value {
             let machine = fleet.name(machine).to_owned();
-            return Err(SimulationViolation::ConflictingValues { machine, ballot });
+            return Err(RegisterViolation::ConflictingValues { machine, ballot });
         }
         self.check_revision(ballot, &committed.value)
     }
 
     /// A higher ballot has no lower revision, and a revision has one value.
-    fn check_revision(
-        &mut self,
-        ballot: Ballot,
-        value: &Arc<ControlState>,
-    ) -> Result<(), SimulationViolation> {
+    fn check_revision(&mut self, ballot: Ballot, value: &Arc<ControlState>) -> Result<(), RegisterViolation> {
         let revision = value.revision;
         let before = self.committed.range(..ballot).next_back();
         let after = self.committed.range(ballot..).nth(1);
         let is_ordered = before.is_none_or(|(_, state)| state.revision <= revision)
             && after.is_none_or(|(_, state)| state.revision >= revision);
         if !is_ordered {
-            return Err(SimulationViolation::RevisionOutOfOrder { revision, ballot });
+            return Err(RegisterViolation::RevisionOutOfOrder { revision, ballot });
         }
         let first = self.by_revision.entry(revision).or_insert_with(|| Arc::clone(value));
         if first != value {
-            return Err(SimulationViolation::ConflictingRevisions { revision });
+            return Err(RegisterViolation::ConflictingRevisions { revision });
         }
         Ok(())
     }
 
     /// One process holds the lease at a time, and fencing tokens do not decrease.
-    fn check_holders(&mut self, fleet: &Fleet) -> Result<(), SimulationViolation> {
+    fn check_holders(&mut self, fleet: &Fleet) -> Result<(), RegisterViolation> {
         let holders: Vec<(usize, u64)> =
             fleet.machines().filter_map(|machine| Some((machine, fleet.fence(machine)?))).collect();
         if holders.len() > 1 {
-            return Err(SimulationViolation::MultipleLeaseHolders { holders });
+            return Err(RegisterViolation::MultipleLeaseHolders { holders });
         }
         let Some((machine, fence)) = holders.first().copied() else { return Ok(()) };
         if fence < self.last_fence {
             let machine = fleet.name(machine).to_owned();
             let before = self.last_fence;
-            return Err(SimulationViolation::FencingTokenRegressed { machine, fence, before });
+            return Err(RegisterViolation::FencingTokenRegressed { machine, fence, before });
         }
         self.last_fence = fence;
         Ok(())
--- a/crates/simulator/src/simulation/faults/mod.rs
+++ b/crates/simulator/src/simulation/faults/mod.rs
@@ -6,9 +6,8 @@
 
 use std::time::Duration;
 
-pub use plan::plan_faults;
-
 pub(super) use injection::{inject, lose_power_of_all, ActiveFault};
+pub(super) use plan::plan_faults;
 
 /// A kind of fault. The machine is chosen when the fault is injected, by [`Fault::selector`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/simulator/src/simulation/faults/plan.rs
+++ b/crates/simulator/src/simulation/faults/plan.rs
@@ -5,7 +5,6 @@
 use fastrand::Rng;
 
 use super::{Fault, FaultKind, FaultMix};
-use crate::simulation::Setup;
 
 /// Mixed into the seed, so that these draws differ from the others of a run.
 const SEED_SALT: u64 = 0x7472_6f75_626c_6573;
@@ -60,21 +59,25 @@
     FaultKind::Freeze,
 ];
 
-/// The faults of a seed, in the order of their times.
-#[must_use]
-pub fn plan_faults(seed: u64, setup: &Setup) -> Vec<Fault> {
+/// The faults of a seed, in the order of their times, which lie before `length`. `interval` is the mean time between
+/// two faults.
+pub(in crate::simulation) fn plan_faults(
+    seed: u64,
+    mix: FaultMix,
+    length: Duration,
+    interval: Duration,
+) -> Vec<Fault> {
     let mut random = Rng::with_seed(seed ^ SEED_SALT);
-    let kinds: &[FaultKind] = if setup.mix == FaultMix::All { &ALL_KINDS } else { &TURNOVER_KINDS };
+    let kinds: &[FaultKind] = if mix == FaultMix::All { &ALL_KINDS } else { &TURNOVER_KINDS };
     let mut faults = Vec::new();
-    let mut at = setup.fault_interval.mul_f64(random.f64());
-    while at < setup.length {
+    let mut at = interval.mul_f64(random.f64());
+    while at < length {
         let kind = kinds[random.usize(..kinds.len())];
         let max_duration = if random.u8(..4) == 0 { MAX_LONG_DURATION_MS } else { MAX_SHORT_DURATION_MS };
         let duration = Duration::from_millis(random.u64(MIN_DURATION_MS..max_duration));
         faults.push(Fault { at, kind, selector: random.usize(..), duration });
         // A third of the faults follows closely after the one before.
-        let max_interval =
-            if random.u8(..3) == 0 { setup.fault_interval / 8 } else { setup.fault_interval * 2 };
+        let max_interval = if random.u8(..3) == 0 { interval / 8 } else { interval * 2 };
         at += max_interval.mul_f64(random.f64());
     }
     faults
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! Random runs: a fleet with faults that are drawn from a seed, with operators and trainers at work, watched by checks.
 //!
-//! [`plan_faults`] draws the faults of a seed, [`simulate`] plays them, and [`shrink`] looks for the fewest that still
+//! [`Setup::plan_faults`] draws the faults of a seed, [`simulate`] plays them, and [`shrink`] finds the fewest that still
 //! break a rule.
 
 mod checker;
@@ -13,7 +13,9 @@
 mod violation;
 
 pub use convergence::Unconverged;
-pub use faults::{plan_faults, Fault, FaultKind, FaultMix};
+pub use faults::{Fault, FaultKind, FaultMix};
 pub use run::{shrink, simulate, FailedRun, RunSummary};
 pub use setup::Setup;
-pub use violation::{AcknowledgedChange, SimulationViolation};
+pub use violation::{
+    AcknowledgedChange, ConfigurationViolation, JobViolation, RegisterViolation, SimulationViolation,
+};
--- a/crates/simulator/src/simulation/operators/mod.rs
+++ b/crates/simulator/src/simulation/operators/mod.rs
@@ -9,7 +9,7 @@
 
 use super::checker::Checker;
 use super::convergence::Unconverged;
-use super::violation::{AcknowledgedChange, SimulationViolation};
+use super::violation::{AcknowledgedChange, ConfigurationViolation, SimulationViolation};
 use crate::{ExternalReply, Fleet, OperatorOrder};
 
 use order::{Intent, Order, OrderProgress};
@@ -77,7 +77,7 @@
         self.add_change(fleet.now, false);
         while !self.pending.is_empty() {
             if fleet.now > deadline {
-                return Err(SimulationViolation::NotStarted);
+                return Err(ConfigurationViolation::NotStarted.into());
             }
             self.take_turn(fleet, false)?;
             fleet.run(FIRST_TURN_INTERVAL);
@@ -117,20 +117,20 @@
     }
 
     /// Every acknowledged change is among the committed values, and the newest is known.
-    pub(super) fn check_acknowledged(&self, checker: &Checker) -> Result<(), SimulationViolation> {
+    pub(super) fn check_acknowledged(&self, checker: &Checker) -> Result<(), ConfigurationViolation> {
         for (expected, AcknowledgedChange { version, route }) in &self.acknowledged {
             let Some(state) = checker.state_with_configuration(*version) else { continue };
             let has_route =
                 state.configuration.text().is_ok_and(|text| text.contains(&format!("\"{route}\"")));
             if !has_route {
                 let (expected, version) = (*expected, *version);
-                return Err(SimulationViolation::ChangeReplaced { expected, version });
+                return Err(ConfigurationViolation::ChangeReplaced { expected, version });
             }
         }
         let newest = self.acknowledged.values().map(|change| change.version).max().unwrap_or(0);
         match checker.state_with_configuration(newest) {
             Some(_) => Ok(()),
-            None => Err(SimulationViolation::ChangeLost { version: newest }),
+            None => Err(ConfigurationViolation::ChangeLost { version: newest }),
         }
     }
 
@@ -225,7 +225,7 @@
             (Intent::Read { at_least }, ExternalReply::Configuration(version, _)) => {
                 let (version, at_least) = (*version, *at_least);
                 if version < at_least {
-                    return Err(SimulationViolation::StaleRead { version, at_least });
+                    return Err(ConfigurationViolation::StaleRead { version, at_least }.into());
                 }
                 self.known_version = self.known_version.max(version);
             }
@@ -243,14 +243,14 @@
         &mut self,
         expected: u64,
         change: AcknowledgedChange,
-    ) -> Result<(), SimulationViolation> {
+    ) -> Result<(), ConfigurationViolation> {
         if self.rejected_routes.contains(&change.route) {
-            return Err(SimulationViolation::AcknowledgedAfterRejection { route: change.route });
+            return Err(ConfigurationViolation::AcknowledgedAfterRejection { route: change.route });
         }
         let first = self.acknowledged.entry(expected).or_insert_with(|| change.clone());
         if *first != change {
             let changes = Box::new([first.clone(), change]);
-            return Err(SimulationViolation::BothAcknowledged { expected, changes });
+            return Err(ConfigurationViolation::BothAcknowledged { expected, changes });
         }
         self.known_version = self.known_version.max(change.version);
         Ok(())
@@ -263,9 +263,9 @@
         expected: u64,
         route: &str,
         is_repetition: bool,
-    ) -> Result<(), SimulationViolation> {
+    ) -> Result<(), ConfigurationViolation> {
         if is_repetition {
-            return Err(SimulationViolation::RejectedAfterAcknowledgement { route: route.to_owned() });
+            return Err(ConfigurationViolation::RejectedAfterAcknowledgement { route: route.to_owned() });
         }
         if expected >= self.known_version {
             // The newest version is read before the next change.
--- a/crates/simulator/src/simulation/operators/order.rs
+++ b/crates/simulator/src/simulation/operators/order.rs
@@ -7,7 +7,7 @@
 
 use crate::{ExternalReply, ExternalRequest, Fleet, OperatorOrder};
 
-/// A reply that has not arrived by then counts as lost.
+/// A reply that has not arrived within this time is not waited for.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The longest pause before a retry grows by this with each attempt ...
 const BACKOFF_STEP_MS: u64 = 50;
@@ -39,12 +39,12 @@
 
 /// An attempt that waits for its reply.
 #[derive(Clone, Copy)]
-struct Attempt {
+struct OrderAttempt {
     call: u64,
     deadline: Duration,
 }
 
-/// The state of an order after its reply was looked for.
+/// The state of an order after a check for its reply.
 pub(super) enum OrderProgress {
     /// There is no conclusive reply yet.
     Pending,
@@ -59,7 +59,7 @@
     /// When it was first sent.
     pub(super) started: Duration,
     attempts: u32,
-    attempt: Option<Attempt>,
+    attempt: Option<OrderAttempt>,
     next_attempt: Duration,
     /// Whether it was acknowledged before, and is sent once more.
     pub(super) is_repetition: bool,
@@ -90,11 +90,11 @@
         }
         let node = nodes[random.usize(..nodes.len())];
         let call = fleet.request(node, ExternalRequest::Operator(self.request.clone()));
-        self.attempt = Some(Attempt { call, deadline: fleet.now + REPLY_TIMEOUT });
+        self.attempt = Some(OrderAttempt { call, deadline: fleet.now + REPLY_TIMEOUT });
         self.attempts += 1;
     }
 
-    /// Looks for the reply to the present attempt; schedules a retry if it is inconclusive or has not arrived in time.
+    /// Checks for the reply to the present attempt; schedules a retry if it is inconclusive or has not arrived in time.
     pub(super) fn take_reply(&mut self, fleet: &mut Fleet, random: &mut Rng) -> OrderProgress {
         let Some(attempt) = self.attempt else { return OrderProgress::Pending };
         let is_late = fleet.now >= attempt.deadline;
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -148,7 +148,7 @@
     fn take_turn(&mut self, starts_new_work: bool) -> Result<(), SimulationViolation> {
         self.operators.take_turn(&mut self.fleet, starts_new_work)?;
         self.trainers.take_turn(&mut self.fleet, starts_new_work)?;
-        self.checker.check(&self.fleet)
+        Ok(self.checker.check(&self.fleet)?)
     }
 
     /// After the last fault, all work that was started comes to its end, and the fleet recovers.
@@ -162,7 +162,7 @@
             }
             self.fleet.run(TURN_INTERVAL);
         }
-        self.operators.check_acknowledged(&self.checker)
+        Ok(self.operators.check_acknowledged(&self.checker)?)
     }
 
     fn unconverged(&self) -> Option<Unconverged> {
--- a/crates/simulator/src/simulation/setup.rs
+++ b/crates/simulator/src/simulation/setup.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::faults::FaultMix;
+use super::faults::{self, Fault, FaultMix};
 use crate::FleetShape;
 
 /// The setup of a run.
@@ -23,6 +23,12 @@
 }
 
 impl Setup {
+    /// The faults of a seed, in the order of their times.
+    #[must_use]
+    pub fn plan_faults(&self, seed: u64) -> Vec<Fault> {
+        faults::plan_faults(seed, self.mix, self.length, self.fault_interval)
+    }
+
     /// A small deployment with all kinds of faults.
     #[must_use]
     pub fn small() -> Self {
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -6,7 +6,7 @@
 use fastrand::Rng;
 
 use super::convergence::Unconverged;
-use super::violation::SimulationViolation;
+use super::violation::{JobViolation, SimulationViolation};
 use crate::model_server::generated_text;
 use crate::{ExternalReply, ExternalRequest, Fleet, JobCall};
 
@@ -14,7 +14,7 @@
 const SEED_SALT: u64 = 0x7472_6169_6e65_7273;
 /// Time from one batch job to the next.
 const JOB_INTERVAL: Duration = Duration::from_secs(4);
-/// A reply that has not arrived by then counts as lost.
+/// A reply that has not arrived within this time is not waited for.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Time from the reply to a call about a batch job to the next call.
 const CALL_INTERVAL: Duration = Duration::from_millis(400);
@@ -209,16 +209,16 @@
     }
 
     /// Results start with those that were read before; each occurs once, with the text that servers generate for it.
-    fn check_results(&mut self, results: &[ItemResult]) -> Result<(), SimulationViolation> {
+    fn check_results(&mut self, results: &[ItemResult]) -> Result<(), JobViolation> {
         if !results.starts_with(&self.results) {
             let (before, now) = (self.results.clone(), results.to_vec());
-            return Err(SimulationViolation::ResultsChanged { job: self.id.clone(), before, now });
+            return Err(JobViolation::ResultsChanged { job: self.id.clone(), before, now });
         }
         for result in results {
             let occurs_once = results.iter().filter(|other| other.id == result.id).count() == 1;
             if !occurs_once || result.text != generated_text(&result.id) {
                 let (job, result) = (self.id.clone(), Box::new(result.clone()));
-                return Err(SimulationViolation::InvalidResult { job, result });
+                return Err(JobViolation::InvalidResult { job, result });
             }
         }
         self.results = results.to_vec();
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use simulator::simulation::{plan_faults, shrink, simulate, Setup};
+use simulator::simulation::{shrink, simulate, Setup};
 use yare::parameterized;
 
 #[parameterized(
@@ -25,7 +25,7 @@
 ) {
     let mut changes = 0;
     for seed in seeds {
-        let faults = plan_faults(seed, &setup);
+        let faults = setup.plan_faults(seed);
         match simulate(seed, &setup, &faults) {
             Ok(summary) => changes += summary.changes,
             Err(failed) => {
@@ -48,7 +48,7 @@
 )]
 fn given_the_same_seed_when_simulated_again_then_the_run_is_the_same(setup: Setup) {
     for seed in 0..5 {
-        let faults = plan_faults(seed, &setup);
+        let faults = setup.plan_faults(seed);
         let first = simulate(seed, &setup, &faults);
         assert_eq!(first, simulate(seed, &setup, &faults), "seed {seed}");
         assert_ne!(first, simulate(seed + 1, &setup, &faults), "another seed is another run");
