--- a/crates/local-fleet/src/deployment/fault.rs
+++ b/crates/local-fleet/src/deployment/fault.rs
@@ -14,7 +14,7 @@
 
 /// What happens to a process, which is restarted afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FaultKind {
+pub enum ProcessFaultKind {
     /// It is killed.
     Kill,
     /// It is killed and its disk is erased.
@@ -25,7 +25,7 @@
     KillAll,
 }
 
-impl fmt::Display for FaultKind {
+impl fmt::Display for ProcessFaultKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Kill => "kill",
@@ -38,16 +38,16 @@
 
 /// A fault; as text `STEP:kill|wipe|stop:PROCESS` or `STEP:kill-all`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ProcessFault {
     /// It is injected early in the step after this one.
     pub after_step: u64,
     /// What happens.
-    pub kind: FaultKind,
+    pub kind: ProcessFaultKind,
     /// The process, such as `node-1` or `store-2`.
     pub process: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ProcessFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.after_step, self.kind, self.process)
     }
@@ -55,39 +55,39 @@
 
 /// The text does not describe a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ParseFaultError(String);
+pub struct ParseProcessFaultError(String);
 
-impl fmt::Display for ParseFaultError {
+impl fmt::Display for ParseProcessFaultError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "`{}` is no trouble; write STEP:kill|wipe|stop:PROCESS or STEP:kill-all", self.0)
     }
 }
 
-impl std::error::Error for ParseFaultError {}
+impl std::error::Error for ParseProcessFaultError {}
 
-impl FromStr for Fault {
-    type Err = ParseFaultError;
+impl FromStr for ProcessFault {
+    type Err = ParseProcessFaultError;
 
-    fn from_str(text: &str) -> Result<Self, ParseFaultError> {
-        let error = || ParseFaultError(text.to_owned());
+    fn from_str(text: &str) -> Result<Self, ParseProcessFaultError> {
+        let error = || ParseProcessFaultError(text.to_owned());
         let mut fields = text.splitn(3, ':');
         let after_step = fields.next().and_then(|step| step.parse().ok()).ok_or_else(error)?;
         let kind = match fields.next() {
-            Some("kill") => FaultKind::Kill,
-            Some("wipe") => FaultKind::Wipe,
-            Some("stop") => FaultKind::Stop,
-            Some("kill-all") => FaultKind::KillAll,
+            Some("kill") => ProcessFaultKind::Kill,
+            Some("wipe") => ProcessFaultKind::Wipe,
+            Some("stop") => ProcessFaultKind::Stop,
+            Some("kill-all") => ProcessFaultKind::KillAll,
             _ => return Err(error()),
         };
         let process = fields.next().unwrap_or_default().to_owned();
-        if process.is_empty() && kind != FaultKind::KillAll {
+        if process.is_empty() && kind != ProcessFaultKind::KillAll {
             return Err(error());
         }
         Ok(Self { after_step, kind, process })
     }
 }
 
-impl Fault {
+impl ProcessFault {
     /// Injects the fault and restarts what ended; returns whether a graceful shutdown ended in time (`true` for all
     /// other faults).
     ///
@@ -98,17 +98,17 @@
         tokio::time::sleep(FAULT_DELAY).await;
         let mut ended_in_time = true;
         match self.kind {
-            FaultKind::Kill => fleet.kill(&self.process)?,
-            FaultKind::Wipe => {
+            ProcessFaultKind::Kill => fleet.kill(&self.process)?,
+            ProcessFaultKind::Wipe => {
                 fleet.kill(&self.process)?;
                 fleet.wipe(&self.process)?;
             }
-            FaultKind::Stop => ended_in_time = fleet.stop(&self.process, grace).await?,
-            FaultKind::KillAll => fleet.names().iter().try_for_each(|name| fleet.kill(name))?,
+            ProcessFaultKind::Stop => ended_in_time = fleet.stop(&self.process, grace).await?,
+            ProcessFaultKind::KillAll => fleet.names().iter().try_for_each(|name| fleet.kill(name))?,
         }
         tokio::time::sleep(RESTART_DELAY).await;
         match self.kind {
-            FaultKind::KillAll => fleet.start_all()?,
+            ProcessFaultKind::KillAll => fleet.start_all()?,
             _ => fleet.start(&self.process)?,
         }
         Ok(ended_in_time)
--- a/crates/local-fleet/src/deployment/mod.rs
+++ b/crates/local-fleet/src/deployment/mod.rs
@@ -14,7 +14,7 @@
     ServiceEntry,
 };
 pub use error::FleetError;
-pub use fault::{Fault, FaultKind, ParseFaultError};
+pub use fault::{ParseProcessFaultError, ProcessFault, ProcessFaultKind};
 pub use fleet::Fleet;
 pub use layout::{Layout, MAX_MACHINES_PER_KIND};
 pub use settings_file::{MachineClass, SettingsFile, PLATFORM_CALLS_PER_SECOND, PLATFORM_LAG};
--- a/crates/local-fleet/src/lib.rs
+++ b/crates/local-fleet/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod verification;
 
 pub use clients::{Client, LoadBalancer};
-pub use deployment::{Fault, Fleet};
+pub use deployment::{Fleet, ProcessFault};
 pub use operator::Operator;
 pub use platform::Platform;
 pub use run::{run, FleetSize, LocalError, LocalOptions, LocalReport, Workload};
--- a/crates/local-fleet/src/run/local_run.rs
+++ b/crates/local-fleet/src/run/local_run.rs
@@ -11,8 +11,8 @@
 use super::report::LocalReport;
 use crate::clients::{Client, LoadBalancer};
 use crate::deployment::{
-    ClientLimits, ConfigurationFile, ConfigurationPatch, Fault, Fleet, FleetError, Layout, Names, RouteEntry,
-    RouteRemovals, RouteUpdates, ServiceEntry, TimingRules,
+    ClientLimits, ConfigurationFile, ConfigurationPatch, Fleet, FleetError, Layout, Names, ProcessFault,
+    RouteEntry, RouteRemovals, RouteUpdates, ServiceEntry, TimingRules,
 };
 use crate::operator::Operator;
 use crate::trainer::{ItemGroup, JobRouting, JobTemplate, StepOutcome, Trainer, TrainerError};
@@ -174,7 +174,7 @@
         incomplete_groups: Vec<ItemGroup>,
     ) -> Result<Result<StepOutcome, TrainerError>, LocalError> {
         let faults = self.options.faults.iter().filter(|fault| fault.after_step + 1 == step);
-        let faults: Vec<Fault> = faults.cloned().collect();
+        let faults: Vec<ProcessFault> = faults.cloned().collect();
         let injection = inject_all(&faults, &mut self.fleet, self.timing.shutdown_grace());
         let (outcome, injected) =
             tokio::join!(self.stand_ins.trainer.run_step(step, incomplete_groups), injection);
@@ -208,7 +208,7 @@
         Some(outcome)
     }
 
-    fn record_fault(&mut self, fault: &Fault, ended_in_time: bool) {
+    fn record_fault(&mut self, fault: &ProcessFault, ended_in_time: bool) {
         (self.print_progress)(&format!("trouble {fault}"));
         self.report.faults.push(fault.to_string());
         if !ended_in_time {
@@ -304,7 +304,11 @@
 }
 
 /// Injects faults one after the other; returns for each whether its process ended in time.
-async fn inject_all(faults: &[Fault], fleet: &mut Fleet, grace: Duration) -> Result<Vec<bool>, FleetError> {
+async fn inject_all(
+    faults: &[ProcessFault],
+    fleet: &mut Fleet,
+    grace: Duration,
+) -> Result<Vec<bool>, FleetError> {
     let mut ended_in_time = Vec::new();
     for fault in faults {
         ended_in_time.push(fault.inject(fleet, grace).await?);
--- a/crates/local-fleet/src/run/options.rs
+++ b/crates/local-fleet/src/run/options.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::error::LocalError;
-use crate::deployment::{Fault, Layout, MAX_MACHINES_PER_KIND};
+use crate::deployment::{Layout, ProcessFault, MAX_MACHINES_PER_KIND};
 
 /// How many machines of each kind a fleet has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     /// The work.
     pub workload: Workload,
     /// Faults to inject.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ProcessFault>,
     /// The program under test.
     pub executable: PathBuf,
     /// The directory for the files of all processes.
--- a/crates/local-fleet/tests/files.rs
+++ b/crates/local-fleet/tests/files.rs
@@ -4,8 +4,8 @@
 
 use configuration::Configuration;
 use local_fleet::deployment::{
-    ClientLimits, ConfigurationFile, ConfigurationPatch, Fault, FaultKind, Layout, Names, RouteEntry,
-    RouteRemovals, RouteUpdates, ServiceEntry, SettingsFile,
+    ClientLimits, ConfigurationFile, ConfigurationPatch, Layout, Names, ProcessFault, ProcessFaultKind,
+    RouteEntry, RouteRemovals, RouteUpdates, ServiceEntry, SettingsFile,
 };
 use settings::NodeSettings;
 use yare::parameterized;
@@ -84,16 +84,20 @@
 }
 
 #[parameterized(
-    kill = { "1:kill:node-1", FaultKind::Kill, "node-1" },
-    wipe = { "1:wipe:store-2", FaultKind::Wipe, "store-2" },
-    stop = { "1:stop:node-1", FaultKind::Stop, "node-1" },
-    kill_all = { "1:kill-all", FaultKind::KillAll, "" },
+    kill = { "1:kill:node-1", ProcessFaultKind::Kill, "node-1" },
+    wipe = { "1:wipe:store-2", ProcessFaultKind::Wipe, "store-2" },
+    stop = { "1:stop:node-1", ProcessFaultKind::Stop, "node-1" },
+    kill_all = { "1:kill-all", ProcessFaultKind::KillAll, "" },
 )]
-fn given_the_text_of_a_fault_when_parsed_then_it_is_that_fault(text: &str, kind: FaultKind, process: &str) {
-    assert_eq!(text.parse(), Ok(Fault { after_step: 1, kind, process: process.into() }));
+fn given_the_text_of_a_fault_when_parsed_then_it_is_that_fault(
+    text: &str,
+    kind: ProcessFaultKind,
+    process: &str,
+) {
+    assert_eq!(text.parse(), Ok(ProcessFault { after_step: 1, kind, process: process.into() }));
 }
 
 #[parameterized(empty = { "" }, no_step = { "kill:node-1" }, no_process = { "1:kill" }, unknown = { "1:melt:node-1" })]
 fn given_a_text_that_describes_no_fault_when_parsed_then_it_is_rejected(text: &str) {
-    assert!(text.parse::<Fault>().is_err());
+    assert!(text.parse::<ProcessFault>().is_err());
 }
--- a/crates/local-fleet/tests/golden.rs
+++ b/crates/local-fleet/tests/golden.rs
@@ -11,8 +11,8 @@
 
 use batch::{ItemCondition, ItemResult};
 use local_fleet::deployment::{
-    ClientLimits, ConfigurationFile, ConfigurationPatch, Fault, FaultKind, Layout, Names, RouteEntry,
-    RouteRemovals, RouteUpdates, ServiceEntry, SettingsFile,
+    ClientLimits, ConfigurationFile, ConfigurationPatch, Layout, Names, ProcessFault, ProcessFaultKind,
+    RouteEntry, RouteRemovals, RouteUpdates, ServiceEntry, SettingsFile,
 };
 use local_fleet::platform::PlatformCalls;
 use local_fleet::protocol::{
@@ -64,7 +64,7 @@
         start_seconds: 1.25,
         seconds: 41.06,
         faults: vec!["0:kill:node-1".to_owned(), "2:kill-all:".to_owned()],
-        violations: vec!["Fault: node-1 did not end in time".to_owned(), "LOST: item t1".to_owned()],
+        violations: vec!["ProcessFault: node-1 did not end in time".to_owned(), "LOST: item t1".to_owned()],
         violation_count: 7,
     }
 }
@@ -120,18 +120,19 @@
 
 #[test]
 fn given_each_option_that_describes_a_fault_when_printed_then_it_is_the_option() {
-    let trouble = |after_step, kind, process: &str| Fault { after_step, kind, process: process.to_owned() };
+    let trouble =
+        |after_step, kind, process: &str| ProcessFault { after_step, kind, process: process.to_owned() };
     let troubles = [
-        trouble(0, FaultKind::Kill, "node-1"),
-        trouble(1, FaultKind::Wipe, "store-2"),
-        trouble(2, FaultKind::Stop, "node-3"),
-        trouble(3, FaultKind::KillAll, ""),
+        trouble(0, ProcessFaultKind::Kill, "node-1"),
+        trouble(1, ProcessFaultKind::Wipe, "store-2"),
+        trouble(2, ProcessFaultKind::Stop, "node-3"),
+        trouble(3, ProcessFaultKind::KillAll, ""),
     ];
     let text: String = troubles.iter().map(|trouble| format!("{trouble}\n")).collect();
     let expected = assert_golden("trouble-options.txt", &text);
-    let read: Vec<Fault> = expected.lines().map(|line| line.parse().expect("an option")).collect();
+    let read: Vec<ProcessFault> = expected.lines().map(|line| line.parse().expect("an option")).collect();
     assert_eq!(read, troubles);
-    let unreadable = "1:melt:node-1".parse::<Fault>().expect_err("no such kind");
+    let unreadable = "1:melt:node-1".parse::<ProcessFault>().expect_err("no such kind");
     assert_golden("trouble-option-unreadable.txt", &unreadable.to_string());
 }
 
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -14,6 +14,18 @@
 }
 
 impl CallError {
+    /// Accepts the status of a reply that carries a result.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError::Rejected`] for every status but 200.
+    pub fn check_status(status: u16) -> Result<(), Self> {
+        match status {
+            200 => Ok(()),
+            status => Err(Self::Rejected(status)),
+        }
+    }
+
     /// Whether the peer may have executed the call.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -4,7 +4,6 @@
 
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
-use reqwest::StatusCode;
 
 use crate::error::CallError;
 use crate::http::{build, http_client_builder};
@@ -66,10 +65,7 @@
         Box::pin(async move {
             let call = self.http.post(format!("http://{address}{path}")).timeout(timeout).body(request);
             let response = call.send().await.map_err(|error| call_error(&error))?;
-            let status = response.status();
-            if status != StatusCode::OK {
-                return Err(CallError::Rejected(status.as_u16()));
-            }
+            CallError::check_status(response.status().as_u16())?;
             response.bytes().await.map_err(|error| call_error(&error))
         })
     }
--- a/crates/rushrudder/src/cli/local.rs
+++ b/crates/rushrudder/src/cli/local.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use gumdrop::Options;
-use local_fleet::{Fault, FleetSize, LocalError, LocalOptions, LocalReport, Workload};
+use local_fleet::{FleetSize, LocalError, LocalOptions, LocalReport, ProcessFault, Workload};
 
 use rushrudder::signals::Signals;
 
@@ -31,7 +31,7 @@
     mixed_versions: bool,
     /// A trouble, STEP:kill|wipe|stop:PROCESS or STEP:kill-all; may be given again.
     #[options(short = "t", long = "trouble", meta = "TROUBLE")]
-    faults: Vec<Fault>,
+    faults: Vec<ProcessFault>,
     /// Files of the processes (default: a folder for temporary files).
     #[options(meta = "DIRECTORY")]
     directory: Option<PathBuf>,
--- a/crates/rushrudder/tests/local.rs
+++ b/crates/rushrudder/tests/local.rs
@@ -2,13 +2,13 @@
 
 use std::path::{Path, PathBuf};
 
-use local_fleet::{Fault, LocalOptions, LocalReport, Workload};
+use local_fleet::{LocalOptions, LocalReport, ProcessFault, Workload};
 
 /// A fleet with its files in a folder of its own, at addresses of its own.
 fn options(subnet: u8, steps: u64, faults: &[&str]) -> LocalOptions {
     let executable = PathBuf::from(env!("CARGO_BIN_EXE_rushrudder"));
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("local-{subnet}"));
-    let faults = faults.iter().map(|text| text.parse::<Fault>().expect("a fault")).collect();
+    let faults = faults.iter().map(|text| text.parse::<ProcessFault>().expect("a fault")).collect();
     let workload = Workload { steps, ..Workload::default() };
     LocalOptions { subnet, workload, faults, ..LocalOptions::new(executable, directory) }
 }
--- a/crates/simulator/src/transport.rs
+++ b/crates/simulator/src/transport.rs
@@ -133,10 +133,10 @@
     ) -> BoxFuture<'a, Result<Bytes, CallError>> {
         Box::pin(async move {
             let to = Endpoint::Machine(machine_at(address));
-            match self.outbox.call(self.machine, to, path, request.into(), timeout).await? {
-                (200, body) => Ok(body),
-                (status, _) => Err(CallError::Rejected(status)),
-            }
+            let called = self.outbox.call(self.machine, to, path, request.into(), timeout);
+            let (status, body) = called.await?;
+            CallError::check_status(status)?;
+            Ok(body)
         })
     }
 }
