--- a/crates/local-fleet/tests/golden.rs
+++ b/crates/local-fleet/tests/golden.rs
@@ -64,7 +64,7 @@
         start_seconds: 1.25,
         seconds: 41.06,
         faults: vec!["0:kill:node-1".to_owned(), "2:kill-all:".to_owned()],
-        violations: vec!["ProcessFault: node-1 did not end in time".to_owned(), "LOST: item t1".to_owned()],
+        violations: vec!["Fault: node-1 did not end in time".to_owned(), "LOST: item t1".to_owned()],
         violation_count: 7,
     }
 }
