--- a/crates/control-plane/src/consensus/proposal_attempt.rs
+++ b/crates/control-plane/src/consensus/proposal_attempt.rs
@@ -84,7 +84,7 @@
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             let Ok(Some((member, reply))) = tokio::time::timeout(remaining, self.calls.next()).await else {
-                log::debug!(round = self.ballot.round; "proposal without a quorum");
+                log::debug!("proposal {:?}: no quorum", self.ballot);
                 return AttemptOutcome::NoQuorum;
             };
             let Some(reply) = reply else { continue };
@@ -98,7 +98,7 @@
                 }
                 ProposalStep::Committed(value) => return self.on_committed(value).await,
                 ProposalStep::Preempted(higher) => {
-                    log::debug!(round = self.ballot.round, promised_round = higher.round; "proposal preempted");
+                    log::debug!("proposal {:?}: {higher:?} was promised", self.ballot);
                     return AttemptOutcome::Preempted(higher);
                 }
             }
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -172,8 +172,7 @@
         Ok(configuration) => Some(Arc::new(configuration)),
         Err(error) => {
             log::error!(
-                version;
-                "the configuration cannot be compiled, the previous one stays in force: {error}"
+                "configuration {version} cannot be compiled, the previous one stays in force: {error}"
             );
             view.configuration.clone()
         }
--- /dev/null
+++ b/crates/rushrudder/tests/docs.rs
@@ -0,0 +1,112 @@
+//! The documentation names only files and identifiers that exist.
+
+use std::collections::HashSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// Pages that tell of the code as it is. Incidents and the journal are history and are not checked.
+const PAGES: [&str; 14] = [
+    "README.md",
+    "DEVELOPERS.md",
+    "docs/ARCHITECTURE.md",
+    "docs/CAPACITY-NODE.md",
+    "docs/CAPACITY.md",
+    "docs/CONTROL.md",
+    "docs/DESIGN.md",
+    "docs/EMBEDDING.md",
+    "docs/GLOSSARY.md",
+    "docs/LISTS.md",
+    "docs/NODE.md",
+    "docs/OPERATIONS.md",
+    "docs/POLICY.md",
+    "docs/ROADMAP.md",
+];
+/// Endings by which a word in backticks is known as a path.
+const PATH_ENDINGS: [&str; 4] = [".rs", ".md", ".toml", ".sh"];
+
+fn root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
+}
+
+fn read(page: &str) -> String {
+    fs::read_to_string(root().join(page)).unwrap_or_else(|error| panic!("{page}: {error}"))
+}
+
+/// The words between backticks, outside indented blocks.
+fn code_words(text: &str) -> Vec<&str> {
+    let lines = text.lines().filter(|line| !line.starts_with("    "));
+    lines.flat_map(|line| line.split('`').skip(1).step_by(2)).collect()
+}
+
+/// The targets of the links.
+fn link_targets(text: &str) -> Vec<&str> {
+    text.split("](").skip(1).filter_map(|rest| rest.split(')').next()).collect()
+}
+
+/// All Rust sources of the repository.
+fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+    for entry in fs::read_dir(folder).expect("a folder of the repository").flatten() {
+        let path = entry.path();
+        let name = entry.file_name();
+        if path.is_dir() && name != "target" && name != ".git" && name != "journal" {
+            sources(&path, found);
+        } else if path.extension().is_some_and(|ending| ending == "rs") {
+            found.push(path);
+        }
+    }
+}
+
+/// Whether a file of the repository has this path, or ends with it below a `src` folder, as pages abbreviate it.
+fn exists(path: &str, sources: &[PathBuf]) -> bool {
+    let is_abbreviated = || sources.iter().any(|source| source.ends_with(path));
+    root().join(path).exists() || root().join("docs").join(path).exists() || is_abbreviated()
+}
+
+#[test]
+fn every_link_of_a_page_leads_to_a_file() {
+    for page in PAGES {
+        let text = read(page);
+        let folder = root().join(page).parent().expect("a page is in a folder").to_owned();
+        for target in link_targets(&text) {
+            let path = target.split('#').next().unwrap_or_default();
+            assert!(path.is_empty() || folder.join(path).exists(), "{page} links to {target}");
+        }
+    }
+}
+
+#[test]
+fn every_path_that_a_page_names_exists() {
+    let mut files = Vec::new();
+    sources(&root(), &mut files);
+    for page in PAGES {
+        let text = read(page);
+        for word in code_words(&text) {
+            let is_path = PATH_ENDINGS.iter().any(|ending| word.ends_with(ending)) && word.contains('/');
+            let is_pattern = word.contains(['*', '{', '<', ' ', '…']) || word.starts_with("../");
+            if is_path && !is_pattern {
+                assert!(exists(word, &files), "{page} names {word}");
+            }
+        }
+    }
+}
+
+#[test]
+fn every_identifier_in_the_glossary_exists() {
+    let mut files = Vec::new();
+    sources(&root(), &mut files);
+    let mut identifiers = HashSet::new();
+    for file in &files {
+        let text = fs::read_to_string(file).expect("a source");
+        let is_separator = |letter: char| !letter.is_alphanumeric() && letter != '_';
+        identifiers.extend(text.split(is_separator).map(str::to_owned));
+    }
+    let glossary = read("docs/GLOSSARY.md");
+    let (words_of_operators, _) = glossary.split_once("## Earlier names").expect("two parts");
+    for row in words_of_operators.lines().filter(|line| line.starts_with("| ")) {
+        let column = row.split(" | ").nth(2).unwrap_or_default();
+        for word in code_words(column) {
+            let identifier = word.rsplit("::").next().unwrap_or(word);
+            assert!(identifiers.contains(identifier), "the glossary names {identifier}");
+        }
+    }
+}
