--- a/crates/balancer-node/src/decisions/attempts.rs
+++ b/crates/balancer-node/src/decisions/attempts.rs
@@ -111,10 +111,11 @@
         let attempt = &request.attempts[last];
         let due = attempt.in_flight && !attempt.stalled && now >= attempt.stalls_at;
         let server = self.endpoints.get(attempt.target.server.0)?;
-        let silent = server.last_answer_at < attempt.sent_at && server.in_flight >= MIN_STALLED_IN_FLIGHT;
+        let unresponsive =
+            server.last_answer_at < attempt.sent_at && server.in_flight >= MIN_STALLED_IN_FLIGHT;
         let may_retry = last + 1 < self.settings.max_attempts && self.retry_tokens >= 1.0;
         let may_cancel = self.settings.cancel && !request.answered;
-        if !(due && silent && may_retry && may_cancel && self.may_repeat(now, request, true)) {
+        if !(due && unresponsive && may_retry && may_cancel && self.may_repeat(now, request, true)) {
             return None;
         }
         let (may_have_run, server) = (request.may_have_run, attempt.target.server.0);
--- a/crates/balancer-node/src/net/discovery.rs
+++ b/crates/balancer-node/src/net/discovery.rs
@@ -152,13 +152,13 @@
 struct Poller {
     connection: Option<DiscoveryConnection>,
     /// How long discovery may hold the next poll: only one that has just answered may wait for a change.
-    hold: Duration,
+    poll_timeout: Duration,
 }
 
 impl Poller {
     fn new(connection: Option<DiscoveryConnection>) -> Self {
-        let hold = if connection.is_some() { LONG_POLL_TIMEOUT } else { Duration::ZERO };
-        Self { connection, hold }
+        let poll_timeout = if connection.is_some() { LONG_POLL_TIMEOUT } else { Duration::ZERO };
+        Self { connection, poll_timeout }
     }
 
     /// A new discovery is asked for its complete list. All nodes learn of it together: each has its own moment.
@@ -170,19 +170,19 @@
     /// Polls without a pause, since discovery does not report what changes between two polls.
     async fn poll_until_failure<S: Subscriber>(&mut self, node: &Rc<S>) -> CallError {
         loop {
-            let begins_within = self.hold + response_timeout(&**node);
+            let begins_within = self.poll_timeout + response_timeout(&**node);
             let list = tokio::select! {
                 biased;
                 () = node.discovery_moved().notified() => {
                     self.move_to_new_discovery(&**node).await;
                     continue;
                 }
-                list = call(&**node, &mut self.connection, self.hold, begins_within) => list,
+                list = call(&**node, &mut self.connection, self.poll_timeout, begins_within) => list,
             };
             match list {
                 Ok(list) => {
                     node.apply_in_chunks(list).await;
-                    self.hold = LONG_POLL_TIMEOUT;
+                    self.poll_timeout = LONG_POLL_TIMEOUT;
                 }
                 Err(error) => {
                     *self = Self::new(None);
@@ -204,11 +204,11 @@
 async fn call(
     node: &impl Subscriber,
     connection: &mut Option<DiscoveryConnection>,
-    hold: Duration,
+    poll_timeout: Duration,
     begins_within: Duration,
 ) -> Result<ServerList, CallError> {
     let mut kept = connection.take();
-    let response = timeout(begins_within, send_call(node, &mut kept, hold)).await;
+    let response = timeout(begins_within, send_call(node, &mut kept, poll_timeout)).await;
     let response = response.map_err(|_| CallError::TimedOut)??;
     if response.status() != StatusCode::OK {
         return Err(CallError::Status(response.status()));
@@ -220,11 +220,13 @@
     Ok(list)
 }
 
-fn call_request(node: &impl Subscriber, hold: Duration) -> Request<Empty<Bytes>> {
+fn call_request(node: &impl Subscriber, poll_timeout: Duration) -> Request<Empty<Bytes>> {
     let path = node.revision().map_or_else(
         || "/catalog/members".to_owned(),
         // At least 1 ms: zero might mean that no time was given.
-        |revision| format!("/catalog/members?since={revision}&timeout_ms={}", hold.as_millis().max(1)),
+        |revision| {
+            format!("/catalog/members?since={revision}&timeout_ms={}", poll_timeout.as_millis().max(1))
+        },
     );
     let request = Request::get(path).header("Host", node.discovery_address().to_string());
     request.body(Empty::new()).expect("a sound request")
@@ -234,9 +236,9 @@
 async fn send_call(
     node: &impl Subscriber,
     connection: &mut Option<DiscoveryConnection>,
-    hold: Duration,
+    poll_timeout: Duration,
 ) -> Result<Response<Incoming>, CallError> {
-    let mut request = call_request(node, hold);
+    let mut request = call_request(node, poll_timeout);
     loop {
         let (mut sender, reused) = match connection.take().filter(|sender| !sender.is_closed()) {
             Some(sender) => (sender, true),
--- a/crates/balancer-node/src/net/frontend/api.rs
+++ b/crates/balancer-node/src/net/frontend/api.rs
@@ -74,7 +74,7 @@
 
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
-        self.node.client_gone(self.id);
+        self.node.client_disconnected(self.id);
     }
 }
 
@@ -114,18 +114,23 @@
     let admitted = node.take(forward, request, answer);
     let id = admitted.map_err(|error| not_admitted(&error, max_retry_after_ms))?;
     let _pending = PendingAnswer { node: Rc::clone(node), id };
-    // The time-out answers a request that the decisions would leave without an answer.
-    let answer = tokio::select! {
+    wait_for_answer(answered, socket, expires_at + TRANSIT_MARGIN / 2).await
+}
+
+/// Waits for the final answer of an admitted request. The time-out answers one that the decisions would leave without.
+async fn wait_for_answer(
+    answered: oneshot::Receiver<FinalAnswer>,
+    socket: &ClientSocket,
+    until: Instant,
+) -> Result<ClientResponse, ClientResponse> {
+    tokio::select! {
         biased;
-        answer = timeout_at(expires_at + TRANSIT_MARGIN / 2, answered) => answer,
-        () = client_left(socket.stream()) => {
-            return Err(text(StatusCode::BAD_REQUEST, "the client has left\n"));
-        }
-    };
-    Ok(match answer {
-        Ok(answer) => final_response(answer.unwrap_or(FinalAnswer::Failed)),
-        Err(_) => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
-    })
+        answer = timeout_at(until, answered) => Ok(match answer {
+            Ok(answer) => final_response(answer.unwrap_or(FinalAnswer::Failed)),
+            Err(_) => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+        }),
+        () = client_left(socket.stream()) => Err(text(StatusCode::BAD_REQUEST, "the client has left\n")),
+    }
 }
 
 fn not_admitted(error: &AdmissionError, max_retry_after_ms: Option<f64>) -> ClientResponse {
--- a/crates/balancer-node/src/net/frontend/connections.rs
+++ b/crates/balancer-node/src/net/frontend/connections.rs
@@ -76,9 +76,11 @@
     pub(super) fn close_one(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         // A new client keeps its connection until its request can have come.
-        let silent = idle.first_key_value().filter(|(_, first)| first.since.elapsed() >= FIRST_REQUEST_GRACE);
+        let idle_without_request =
+            idle.first_key_value().filter(|(_, first)| first.since.elapsed() >= FIRST_REQUEST_GRACE);
         let answered = || idle.range((true, 0)..).next();
-        let first = silent.or_else(answered).or_else(|| idle.first_key_value()).map(|(key, _)| *key);
+        let first =
+            idle_without_request.or_else(answered).or_else(|| idle.first_key_value()).map(|(key, _)| *key);
         let closed = first.and_then(|key| idle.remove(&key));
         closed.inspect(|connection| connection.close.notify_one()).is_some()
     }
--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -216,7 +216,7 @@
 
     /// The client has left, or its time is up: no answer is needed any more. What has not been sent yet never is, also
     /// where the decisions may not cancel an attempt: that concerns servers, and they know nothing of it.
-    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         if self.requests.abandon(id) {
             self.handle(BalancerEvent::ClientDisconnected(id));
             self.requests.remove_if_finished(id);
--- a/crates/balancer-node/src/wire/dialect.rs
+++ b/crates/balancer-node/src/wire/dialect.rs
@@ -10,8 +10,8 @@
 use crate::interface::*;
 
 /// Bits of the pair `marks` of a request.
-const MARK_COST_KNOWN: u64 = 1;
-const MARK_RETRY: u64 = 2;
+const FLAG_COST_KNOWN: u64 = 1;
+const FLAG_RETRY: u64 = 2;
 
 /// What one instance's messages need beside themselves: the names of its servers and the fields of its load reports.
 #[derive(Debug, Default)]
@@ -171,8 +171,8 @@
         class: line.index("grade")?,
         tenant: line.optional_integer("party")?.unwrap_or(0) as usize,
         budget_ms: line.number("budget_ms")?,
-        cost_ms: line.optional_number("cost_ms")?.filter(|_| marks & MARK_COST_KNOWN != 0),
-        is_retry: marks & MARK_RETRY != 0,
+        cost_ms: line.optional_number("cost_ms")?.filter(|_| marks & FLAG_COST_KNOWN != 0),
+        is_retry: marks & FLAG_RETRY != 0,
     })
 }
 
--- a/crates/node-emulator/src/build.rs
+++ b/crates/node-emulator/src/build.rs
@@ -1,5 +1,5 @@
-//! Builds of this program that are measured side by side: each measure is a process of its own, which tells its figure
-//! in its report.
+//! Builds of this program that are measured side by side: each measure is a process of its own, which writes its
+//! figure in its report.
 
 use std::env;
 use std::fs::{self, File};
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -1,7 +1,7 @@
 //! The catalogue: every server of the fleet, versioned, with a bounded log of its changes.
 //!
-//! A server stands in a *slot*: a place in a rack that belongs to a service. What replaces it stands in the same
-//! slot under a new name. Names are numbers in disguise, so that no hollow node has to keep them.
+//! A server stands in a *slot*: a place in a rack that belongs to a service. What replaces it stands in the same slot
+//! under a new name. Names are numbers in disguise, so that no hollow node has to keep them.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -103,7 +103,7 @@
 pub struct Answer {
     /// The JSON.
     pub body: Bytes,
-    /// Whether it is the whole list.
+    /// Whether it is the complete list.
     pub complete: bool,
     /// How many servers it names.
     pub members: usize,
@@ -244,12 +244,12 @@
         self.commit(numbers);
     }
 
-    /// Processes end, fall silent or come to be heard again; discovery does not know.
+    /// Processes end, stop answering or come to be heard again; discovery does not know.
     pub fn set_reach(&mut self, numbers: &[usize], reach: Reach) {
         numbers.iter().for_each(|number| self.servers[*number].reach = reach);
     }
 
-    /// Servers start anew under their names: one version.
+    /// Servers restart under their names: one version.
     pub fn restart(&mut self, numbers: &[usize], up_since_ms: u64) {
         for number in numbers {
             let server = &mut self.servers[*number];
@@ -298,7 +298,7 @@
 
     // ---- Answers
 
-    /// The whole list: made once for each version.
+    /// The complete list: made once for each version.
     pub fn complete(&mut self) -> Answer {
         if let Some(complete) = &self.complete {
             return complete.clone();
@@ -312,7 +312,7 @@
         complete
     }
 
-    /// What changed since a version: the whole list where that is unknown or the log no longer reaches back to it.
+    /// What changed since a version: the complete list where that is unknown or the log no longer reaches back to it.
     pub fn since(&mut self, revision: u64) -> Answer {
         if revision > self.revision() || revision < self.forgotten {
             return self.complete();
--- a/crates/node-emulator/src/counters.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -67,7 +67,7 @@
     /// From a node's start until it held a list.
     pub start: Times,
     /// What a node's decisions took to take a list in.
-    pub listing: Times,
+    pub endpoint_update: Times,
     /// What they took for a request.
     pub request: Times,
     /// How much later than asked for the thread's event loop woke up: what it adds to all other times.
@@ -78,9 +78,9 @@
     pub behind: Duration,
     /// Answers of discovery that were read.
     pub lists: u64,
-    /// Whole lists among them.
+    /// Complete lists among them.
     pub complete_lists: u64,
-    /// Calls to discovery that failed or were silent.
+    /// Calls to discovery that failed or were not answered.
     pub failed_calls: u64,
     /// Node starts.
     pub starts: u64,
@@ -119,7 +119,7 @@
     pub fn merge(&mut self, other: &Self) {
         self.lag.merge(&other.lag);
         self.start.merge(&other.start);
-        self.listing.merge(&other.listing);
+        self.endpoint_update.merge(&other.endpoint_update);
         self.request.merge(&other.request);
         self.late.merge(&other.late);
         self.spread.resize(self.spread.len().max(other.spread.len()), Spread::default());
--- a/crates/node-emulator/src/discovery.rs
+++ b/crates/node-emulator/src/discovery.rs
@@ -24,7 +24,7 @@
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// The whole list.
+    /// The complete list.
     Whole,
     /// What is newer than a version, once there is something.
     Since {
--- a/crates/node-emulator/src/node/listing.rs
+++ b/crates/node-emulator/src/node/endpoint_update.rs
@@ -1,9 +1,10 @@
 //! Lists of discovery as the decisions take them.
 
-use crate::catalogue::{self};
 use balancer::net::list::{ListDecoder, ListError, ListedMember, ServerList};
 use balancer::{wire, EndpointUpdate, ServerId};
 
+use crate::catalogue::{self};
+
 /// A list of the protocol, from its JSON.
 ///
 /// # Errors
@@ -16,7 +17,7 @@
 
 /// A list as the decisions take it.
 #[must_use]
-pub fn listing(list: &ServerList, zones: &[String]) -> EndpointUpdate {
+pub fn endpoint_update(list: &ServerList, zones: &[String]) -> EndpointUpdate {
     let entry = |member: &ListedMember| {
         let server = ServerId(catalogue::number(&member.id)?);
         let zone = zones.iter().position(|zone| *zone == member.locality).unwrap_or(zones.len());
--- a/crates/node-emulator/src/node/hollow_node.rs
+++ b/crates/node-emulator/src/node/hollow_node.rs
@@ -1,23 +1,25 @@
 //! One hollow node: its decisions, its pending requests and its subscription to discovery.
 
-use super::listing::listing;
-use super::lock;
-use super::thread::NodeThread;
-use crate::counters::NodeCounters;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
 use balancer::net::discovery::{self, Subscriber};
 use balancer::net::list::ServerList;
 use balancer::{
     AttemptEnd, AttemptOutcome, Balancer, BalancerAction, BalancerEvent, ClientRequest, EndpointUpdate,
     LoadReport, RequestId, ServerId,
 };
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
-use std::net::SocketAddr;
-use std::rc::Rc;
-use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, Notify};
 use tokio::time::sleep;
 
+use super::endpoint_update::endpoint_update;
+use super::lock;
+use super::thread::NodeThread;
+use crate::counters::NodeCounters;
+
 /// A request that a node holds.
 #[derive(Default)]
 pub(super) struct Taken {
@@ -48,7 +50,7 @@
         let mut settings = thread.plan.settings.clone();
         (settings.nodes, settings.node_index, settings.zone) = (size.nodes, number, zone);
         let balancer = Balancer::new(settings, thread.plan.seed ^ number as u64)?;
-        thread.held.set(number, 0);
+        thread.known_versions.set(number, 0);
         lock(&thread.counters).starts += 1;
         let node = Rc::new(Self {
             thread: Rc::clone(thread),
@@ -257,15 +259,15 @@
             return;
         }
         let before = self.revision.replace(Some(list.revision));
-        let listing = listing(&list, &self.thread.zones);
+        let endpoint_update = endpoint_update(&list, &self.thread.zones);
         let (revision, complete) = (list.revision, list.complete);
         drop(list);
         let begun = Instant::now();
-        let actions = self.decide(BalancerEvent::EndpointsUpdated(listing));
+        let actions = self.decide(BalancerEvent::EndpointsUpdated(endpoint_update));
         // Only now do the decisions go by it.
         let now = Instant::now();
         let mut counters = lock(&self.thread.counters);
-        counters.listing.add(now - begun);
+        counters.endpoint_update.add(now - begun);
         counters.lists += 1;
         counters.complete_lists += u64::from(complete);
         match before {
@@ -277,7 +279,7 @@
             Some(_) => {}
         }
         drop(counters);
-        self.thread.held.set(self.number, revision);
+        self.thread.known_versions.set(self.number, revision);
         self.carry_out(actions);
     }
 
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -3,31 +3,33 @@
 //! A thread's nodes share their connections to the hollow servers and their counters. A node keeps its `Balancer` and
 //! little more: the names of servers are their numbers, and their addresses the catalogue's.
 
+mod endpoint_update;
 mod hollow_node;
-mod listing;
 mod thread;
 
+pub use self::endpoint_update::{endpoint_update, read_list};
 pub use self::hollow_node::HollowNode;
-pub use self::listing::{listing, read_list};
 
-use self::thread::NodeThread;
-use crate::catalogue::{self, Size};
-use crate::counters::NodeCounters;
-use crate::world::World;
-use balancer::DecisionSettings;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+use balancer::DecisionSettings;
 use tokio::sync::{mpsc, watch, Semaphore};
 use tokio::task::AbortHandle;
 
+use self::thread::NodeThread;
+use crate::catalogue::{self, Size};
+use crate::counters::NodeCounters;
+use crate::world::World;
+
 /// Nodes of a thread that may read their first list at once. They share one core, which real nodes do not: all at
 /// once each would miss the client's time limit for it.
 const MAX_CONCURRENT_STARTS: usize = 2;
 
-/// What all hollow nodes are told.
+/// What all hollow nodes are configured with.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// How many there are of each.
@@ -49,10 +51,10 @@
     Start(usize),
 }
 
-/// The tally of a thread, shared with who reads it.
+/// The counters of a thread, shared with their reader.
 pub type SharedCounters = Arc<Mutex<NodeCounters>>;
 
-/// Locks a tally.
+/// Locks the counters.
 pub fn lock(counters: &Mutex<NodeCounters>) -> MutexGuard<'_, NodeCounters> {
     counters.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -83,7 +85,7 @@
     plan: Arc<Plan>,
     world: Arc<World>,
     counters: SharedCounters,
-    held: Arc<KnownVersions>,
+    known_versions: Arc<KnownVersions>,
     open: watch::Receiver<bool>,
     mut commands: mpsc::UnboundedReceiver<Command>,
 ) {
@@ -94,7 +96,7 @@
         counters,
         idle: RefCell::default(),
         open,
-        held,
+        known_versions,
         starting: Semaphore::new(MAX_CONCURRENT_STARTS),
     });
     tokio::task::spawn_local(Rc::clone(&thread).measure_lateness());
--- a/crates/node-emulator/src/node/thread.rs
+++ b/crates/node-emulator/src/node/thread.rs
@@ -1,8 +1,12 @@
 //! What the hollow nodes of one thread share: connections, counters and the plan.
 
-use super::{lock, KnownVersions, Plan, SharedCounters};
-use crate::catalogue::{self};
-use crate::world::World;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
 use balancer::net::load_report::parse_load_report;
 use balancer::{AttemptOutcome, LoadReport, ServerId};
 use bytes::Bytes;
@@ -10,16 +14,14 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::StatusCode;
 use hyper_util::rt::TokioIo;
-use std::cell::RefCell;
-use std::collections::HashMap;
-use std::net::SocketAddr;
-use std::rc::Rc;
-use std::sync::Arc;
-use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 use tokio::sync::{watch, Semaphore};
 use tokio::time::timeout;
 
+use super::{lock, KnownVersions, Plan, SharedCounters};
+use crate::catalogue::{self};
+use crate::world::World;
+
 /// How often a thread sees how late it is.
 pub(super) const LATENESS_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -39,7 +41,7 @@
     /// Raised for good when clients come.
     pub(super) open: watch::Receiver<bool>,
     /// Versions held by the nodes that run, for who waits until all have the newest.
-    pub(super) held: Arc<KnownVersions>,
+    pub(super) known_versions: Arc<KnownVersions>,
     pub(super) starting: Semaphore,
 }
 
--- a/crates/node-emulator/src/play/mod.rs
+++ b/crates/node-emulator/src/play/mod.rs
@@ -9,15 +9,17 @@
 pub use self::results::{Played, Results};
 pub use self::table::table;
 
+use std::io;
+
+use balancer::{DecisionSettings, Idempotency, RequestClass};
+use serde::Serialize;
+use tokio::task::LocalSet;
+
 use self::running_fleet::{runtime, RunningFleet};
 use crate::catalogue::Size;
 use crate::scenario::{Load, Scenario};
 use crate::slopes;
 use crate::usage::{self, TooFewDescriptors};
-use balancer::{DecisionSettings, Idempotency, RequestClass};
-use serde::Serialize;
-use std::io;
-use tokio::task::LocalSet;
 
 /// Bytes that a node takes for itself, with its connection to discovery, both ends.
 const BYTES_PER_NODE: u64 = 64 * 1024;
@@ -25,7 +27,7 @@
 /// Bytes of a server in a list, read and unread, and of one in the catalogue.
 const BYTES_PER_MEMBER: u64 = 600;
 
-/// Whole lists that are read at once, at the most, by the nodes of one thread as they start.
+/// Complete lists that are read at once, at the most, by the nodes of one thread as they start.
 const LISTS_AT_ONCE: u64 = 4;
 
 /// Descriptors besides connections: listeners' event loops, files, the standard ones.
@@ -78,7 +80,7 @@
         nodes: usize,
         /// How long they had, in seconds.
         within_s: u64,
-        /// Whole lists that were sent meanwhile.
+        /// Complete lists that were sent meanwhile.
         complete_lists: u64,
         /// Bytes that discovery sent meanwhile.
         sent_bytes: u64,
@@ -114,7 +116,7 @@
     let size = scenario.size;
     let load = scenario.load;
     let (nodes, racks) = (size.nodes as u64, size.racks as u64);
-    // Idle connections, and as many as silent servers would hold for the whole of a deadline.
+    // Idle connections, and as many as unresponsive servers would hold for the whole of a deadline.
     let idle = if load.requests_per_s > 0.0 { options.node_threads as u64 * racks } else { 0 };
     let busy = (load.requests_per_s * load.deadline_ms.max(load.service_ms) / 1000.0).ceil() as u64;
     DESCRIPTORS + size.regions as u64 + racks + 2 * (nodes + idle + busy)
--- a/crates/node-emulator/src/play/results.rs
+++ b/crates/node-emulator/src/play/results.rs
@@ -1,14 +1,16 @@
 //! What a play measured, and how it is put together at the end.
 
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use serde::Serialize;
+
 use super::running_fleet::RunningFleet;
 use crate::counters::{NodeCounters, Summary, Times};
 use crate::steps::Timed;
 use crate::traffic::Sums;
 use crate::usage::Memory;
 use crate::world::CountSums;
-use serde::Serialize;
-use std::collections::BTreeMap;
-use std::time::{Duration, Instant};
 
 /// What a play measured, from its start (when all nodes had a list) to its end.
 #[derive(Clone, Debug, Serialize)]
@@ -41,7 +43,7 @@
     pub late: Summary,
     /// What discovery and the servers did.
     pub answers: CountSums,
-    /// Calls to discovery that failed or were silent, seen by the nodes.
+    /// Calls to discovery that failed or were not answered, seen by the nodes.
     pub failed_calls: u64,
     /// Node starts.
     pub node_starts: u64,
@@ -63,7 +65,7 @@
     pub core_percent_per_node: f64,
 }
 
-/// All that a report of a play tells.
+/// Everything that a report of a play has.
 pub struct Played {
     /// What was measured.
     pub results: Results,
@@ -131,7 +133,7 @@
             all_nodes_lag: all_nodes.summary(),
             node_seconds_behind: (counters.behind + behind).as_secs_f64(),
             restart: counters.start.summary(),
-            take_list: counters.listing.summary(),
+            take_list: counters.endpoint_update.summary(),
             take_request: counters.request.summary(),
             late: counters.late.summary(),
             answers,
--- a/crates/node-emulator/src/play/running_fleet.rs
+++ b/crates/node-emulator/src/play/running_fleet.rs
@@ -1,21 +1,23 @@
 //! All threads of a play, from their start to their end.
 
-use super::{Options, PlayError};
-use crate::catalogue::Catalogue;
-use crate::counters::NodeCounters;
-use crate::node::{self, Command, KnownVersions, Plan, SharedCounters};
-use crate::scenario::Scenario;
-use crate::world::{self, World};
-use crate::{discovery, server};
-use balancer::DecisionSettings;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
+
+use balancer::DecisionSettings;
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
+use super::{Options, PlayError};
+use crate::catalogue::Catalogue;
+use crate::counters::NodeCounters;
+use crate::node::{self, Command, KnownVersions, Plan, SharedCounters};
+use crate::scenario::Scenario;
+use crate::world::{self, World};
+use crate::{discovery, server};
+
 /// Second byte of the loopback addresses of discovery's agents, and of the racks.
 const AGENT_NETWORK: u8 = 10;
 const RACK_NETWORK: u8 = 20;
--- a/crates/node-emulator/src/play/step.rs
+++ b/crates/node-emulator/src/play/step.rs
@@ -1,9 +1,10 @@
 //! Carries out the steps of a scenario.
 
+use std::collections::HashMap;
+
 use super::running_fleet::RunningFleet;
 use crate::catalogue::{Catalogue, Phase, Reach};
 use crate::steps::Step;
-use std::collections::HashMap;
 
 impl RunningFleet {
     /// Changes the servers that stand in slots now.
--- a/crates/node-emulator/src/play/table.rs
+++ b/crates/node-emulator/src/play/table.rs
@@ -1,9 +1,10 @@
 //! The table that a play ends with.
 
+use std::fmt::Write as _;
+
 use super::results::{Played, Results};
 use crate::counters::Summary;
 use crate::scenario::Scenario;
-use std::fmt::Write as _;
 
 /// Rows of a name and a value.
 #[derive(Default)]
--- a/crates/node-emulator/src/play/timeline.rs
+++ b/crates/node-emulator/src/play/timeline.rs
@@ -1,5 +1,10 @@
 //! The course of a play: the first lists, the steps at their times, and the wait until all nodes have caught up.
 
+use std::collections::{BTreeMap, HashMap};
+use std::time::{Duration, Instant};
+
+use tokio::time::{sleep, sleep_until, Interval};
+
 use super::results::{count_since, since, Played, Results};
 use super::running_fleet::RunningFleet;
 use super::{Options, PlayError};
@@ -10,9 +15,6 @@
 use crate::traffic::Sums;
 use crate::usage::{self, Memory};
 use crate::world::CountSums;
-use std::collections::{BTreeMap, HashMap};
-use std::time::{Duration, Instant};
-use tokio::time::{sleep, sleep_until, Interval};
 
 /// Progress is logged this often.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -17,25 +17,25 @@
     TenantStart,
     /// Time in which a node starts from the list that it last knew, read already, by servers.
     NodeStart,
-    /// Time in which the decisions take a whole list, by servers.
+    /// Time in which the decisions take a complete list, by servers.
     WholeList,
     /// Time in which they take one change, by servers.
     OneChange,
     /// Time in which they take a request and its outcome, by servers.
     Request,
-    /// Bytes of the whole list, by servers.
+    /// Bytes of the complete list, by servers.
     ListBytes,
     /// Bytes of one change, by servers.
     ChangeBytes,
-    /// Processor time of the discovery client for one whole list, by servers.
+    /// Processor time of the discovery client for one complete list, by servers.
     ReadList,
     /// Time from its call until it has that list, by servers.
     ReadListTime,
-    /// Processor time in which discovery makes the whole list, once a version, by servers.
+    /// Processor time in which discovery makes the complete list, once a version, by servers.
     MakeList,
-    /// Processor time of discovery to send a whole list that is made, by servers.
+    /// Processor time of discovery to send a complete list that is made, by servers.
     ServeList,
-    /// Processor time of discovery to tell all watches of one change, by watches.
+    /// Processor time of discovery to notify all long polls of one change, by watches.
     ServeChange,
     /// Bytes that discovery sends then, by watches.
     ServeChangeBytes,
--- a/crates/node-emulator/src/report.rs
+++ b/crates/node-emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: JSON that is either there whole or not at all.
+//! The report of a run: JSON that is either complete or absent.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -20,7 +20,7 @@
     source: io::Error,
 }
 
-/// What every run tells, whatever it measured.
+/// What every run reports, whatever it measured.
 #[derive(Debug, Serialize)]
 pub struct Report<S, R> {
     /// `play` or `slopes`.
@@ -50,11 +50,11 @@
     ///
     /// Where the folder cannot be made or written to.
     pub fn write(&self, path: &Path) -> Result<(), ReportError> {
-        write_whole(path, self).map_err(|source| ReportError { path: path.to_owned(), source })
+        write_atomically(path, self).map_err(|source| ReportError { path: path.to_owned(), source })
     }
 }
 
-fn write_whole(path: &Path, report: &impl Serialize) -> io::Result<()> {
+fn write_atomically(path: &Path, report: &impl Serialize) -> io::Result<()> {
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     fs::create_dir_all(folder)?;
     let mut file = BufWriter::new(NamedTempFile::new_in(folder)?);
--- a/crates/node-emulator/src/scenario/check.rs
+++ b/crates/node-emulator/src/scenario/check.rs
@@ -1,14 +1,16 @@
 //! Checks a scenario file, and finds the line and key of a fault.
 
+use std::ops::Range;
+
+use toml::Spanned;
+
 use super::event::check_event;
 use super::file::{RawLoad, RawScenario, RawSize};
 use super::{Load, Scenario};
 use crate::catalogue::Size;
-use std::ops::Range;
-use toml::Spanned;
 
 /// Nodes have so long to come to the newest version after the play, where the scenario says nothing.
-pub(super) const SETTLE_S: f64 = 30.0;
+pub(super) const DEFAULT_SETTLE_S: f64 = 30.0;
 
 /// Each region has an address of its own.
 pub(super) const MAX_REGIONS: usize = 250;
@@ -55,7 +57,8 @@
     }
     let duration_s = within(&raw.duration_s, "duration_s", 0.1, LONGEST_S)?;
     let settle_s = raw.settle_s.as_ref();
-    let settle_s = settle_s.map_or(Ok(SETTLE_S), |value| within(value, "settle_s", 0.0, LONGEST_S))?;
+    let settle_s =
+        settle_s.map_or(Ok(DEFAULT_SETTLE_S), |value| within(value, "settle_s", 0.0, LONGEST_S))?;
     let size = check_size(&raw.size)?;
     let load = check_load(&raw.load)?;
     let events = raw.event.into_iter().map(|event| check_event(event, size, duration_s));
--- a/crates/node-emulator/src/scenario/event.rs
+++ b/crates/node-emulator/src/scenario/event.rs
@@ -1,11 +1,13 @@
 //! Checks the events of a scenario file.
 
+use std::ops::Range;
+
+use toml::Spanned;
+
 use super::check::{fault, within, Fault, MAX_SIZE};
 use super::file::RawEvent;
 use super::{Event, Kind};
 use crate::catalogue::Size;
-use std::ops::Range;
-use toml::Spanned;
 
 /// Takes the keys of an event one by one; what is left over does not belong to its kind.
 pub(super) struct Keys {
--- a/crates/node-emulator/src/scenario/mod.rs
+++ b/crates/node-emulator/src/scenario/mod.rs
@@ -4,12 +4,14 @@
 mod event;
 mod file;
 
-use self::check::{check_scenario, line_of, toml_fault};
-use crate::catalogue::Size;
-use serde::Serialize;
 use std::io;
 use std::path::{Path, PathBuf};
 
+use serde::Serialize;
+
+use self::check::{check_scenario, line_of, toml_fault};
+use crate::catalogue::Size;
+
 /// A scenario file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
@@ -61,11 +63,11 @@
     pub requests_per_s: f64,
     /// What a server takes to answer, in milliseconds.
     pub service_ms: f64,
-    /// Answers within this time have their full worth, in milliseconds.
+    /// Answers within this time have their full value, in milliseconds.
     pub aim_ms: f64,
     /// What a client waits, in milliseconds.
     pub deadline_ms: f64,
-    /// How long requests may go to a server that is told to drain, in milliseconds.
+    /// How long requests may go to a server that is announced to drain, in milliseconds.
     pub drain_grace_ms: f64,
     /// Attempts allowed for one request.
     pub max_attempts: usize,
@@ -111,7 +113,7 @@
         rack: usize,
         /// Discovery takes its servers off the list after this time.
         noticed_s: f64,
-        /// They come back cold after this time.
+        /// They come back warming up after this time.
         for_s: f64,
     },
     /// The machines of a zone vanish.
@@ -120,10 +122,10 @@
         zone: usize,
         /// Discovery takes its servers off the list after this time.
         noticed_s: f64,
-        /// They come back cold after this time.
+        /// They come back warming up after this time.
         for_s: f64,
     },
-    /// A region is cut off from the others: its nodes hear no news, and no request crosses its border.
+    /// A region is cut off from the others: its nodes receive no updates, and no request crosses its border.
     RegionCut {
         /// Which.
         region: usize,
--- a/crates/node-emulator/src/server.rs
+++ b/crates/node-emulator/src/server.rs
@@ -1,7 +1,7 @@
 //! Hollow count servers: one listener for each rack, behind which all servers of that rack answer.
 //!
 //! A request names its server in `Host`, and the region that it comes from in `X-From`. A server that has left
-//! answers 410, where a real one could not be connected to; a silent one leaves the request open.
+//! answers 410, where a real one could not be connected to; a unresponsive one leaves the request open.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -36,7 +36,7 @@
     .await;
 }
 
-/// A request that a server holds.
+/// A request in flight at a server.
 struct InFlightRequest<'a> {
     world: &'a World,
     number: usize,
--- a/crates/node-emulator/src/slopes/bench.rs
+++ b/crates/node-emulator/src/slopes/bench.rs
@@ -1,5 +1,10 @@
 //! The measurements of one run, and what they share.
 
+use std::rc::Rc;
+
+use balancer::net::node::Node;
+use balancer::Balancer;
+
 use super::decisions::tenant_start;
 use super::discovery_cost::{change_bytes, make_list};
 use super::memory::MEMORY_GUESSED;
@@ -9,9 +14,6 @@
 use crate::quantity::Quantity;
 use crate::traffic::Sums;
 use crate::world::World;
-use balancer::net::node::Node;
-use balancer::Balancer;
-use std::rc::Rc;
 
 /// A state that is kept until all memory is measured.
 pub(super) enum State {
@@ -26,8 +28,8 @@
     pub(super) states: Vec<State>,
 }
 
-/// Bytes that the decisions take for each server, and a margin for what comes and goes. What a process measures after it has
-/// freed memory is too low: to be called first.
+/// Bytes that the decisions take for each server, and a margin for what comes and goes. What a process measures after
+/// it has freed memory is too low: to be called first.
 ///
 /// # Errors
 ///
@@ -57,7 +59,7 @@
             Quantity::NodeMemory => vec![self.node_memory(size)?],
             Quantity::TenantStart => tenant_start(size, repeats)?,
             Quantity::NodeStart => self.node_start(size, repeats)?,
-            Quantity::WholeList => self.whole_list(size, repeats)?,
+            Quantity::WholeList => self.snapshot(size, repeats)?,
             Quantity::OneChange => self.one_change(size, repeats)?,
             Quantity::Request => self.request(size, repeats)?,
             Quantity::ListBytes => vec![Catalogue::unheard(fleet(size)).complete().body.len() as f64],
--- a/crates/node-emulator/src/slopes/decisions.rs
+++ b/crates/node-emulator/src/slopes/decisions.rs
@@ -1,9 +1,9 @@
 //! Times of the decisions by size, and the servers that a node connects to.
 
-use super::bench::Bench;
-use super::model::{balancer, config, entries, fleet, nodes, read, MAX_NODES};
-use super::{micros, SlopesError};
-use crate::catalogue::Catalogue;
+use std::collections::HashSet;
+use std::hint::black_box;
+use std::time::Instant;
+
 use balancer::net::node::Node;
 use balancer::{
     wire, AttemptEnd, AttemptOutcome, Balancer, BalancerAction, BalancerEvent, ClientRequest, EndpointUpdate,
@@ -11,9 +11,11 @@
 };
 use serde::Deserialize as _;
 use serde_json::json;
-use std::collections::HashSet;
-use std::hint::black_box;
-use std::time::Instant;
+
+use super::bench::Bench;
+use super::model::{balancer, config, entries, fleet, nodes, read, MAX_NODES};
+use super::{micros, SlopesError};
+use crate::catalogue::Catalogue;
 
 /// Requests at one node in a second: 120,000 over 2,000 nodes.
 pub(super) const REQUESTS_A_SECOND: f64 = 60.0;
@@ -54,7 +56,7 @@
         (0..repeats).map(measure).collect()
     }
 
-    pub(super) fn whole_list(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
+    pub(super) fn snapshot(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
         let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
         let mut balancer = balancer(nodes(servers), self.seed)?;
         let mut actions = Vec::new();
--- a/crates/node-emulator/src/slopes/discovery_cost.rs
+++ b/crates/node-emulator/src/slopes/discovery_cost.rs
@@ -1,28 +1,30 @@
 //! Costs of discovery and of its client by size.
 
-use super::bench::Bench;
-use super::model::fleet;
-use super::{micros, SlopesError};
-use crate::catalogue::Catalogue;
-use crate::discovery;
-use crate::usage::{self, thread_time};
-use crate::world::{listen, World};
-use balancer::net::discovery::{fetch_initial, Subscriber};
-use balancer::net::list::ServerList;
 use std::hint::black_box;
 use std::io::{self, BufRead, BufReader, Read, Write as _};
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+
+use balancer::net::discovery::{fetch_initial, Subscriber};
+use balancer::net::list::ServerList;
 use tokio::sync::{oneshot, Notify};
 use tokio::task::LocalSet;
 
-/// Whole lists served for one measure.
+use super::bench::Bench;
+use super::model::fleet;
+use super::{micros, SlopesError};
+use crate::catalogue::Catalogue;
+use crate::discovery;
+use crate::usage::{self, thread_time};
+use crate::world::{listen, World};
+
+/// Complete lists served for one measure.
 pub(super) const LISTS: u32 = 20;
 
 impl Bench {
-    /// Processor time and time, in microseconds, of reads of the whole list by the project's client; none where it
+    /// Processor time and time, in microseconds, of reads of the complete list by the project's client; none where it
     /// does not read a list of this size.
     pub(super) fn read_list(
         &mut self,
@@ -91,7 +93,8 @@
         Ok(values)
     }
 
-    /// Processor time of discovery, in microseconds, and the bytes that it sends, to tell all watches of a change.
+    /// Processor time of discovery, in microseconds, and the bytes that it sends, to notify all long polls of a
+    /// change.
     pub(super) fn serve_change(
         &mut self,
         watches: usize,
@@ -110,13 +113,8 @@
             .await?;
             let mut values = Vec::new();
             for round in 0..repeats {
-                let path =
-                    format!("/catalog/members?since={}&timeout_ms=60000", served.catalogue().revision());
-                watchers = beside(move || {
-                    watchers.iter_mut().try_for_each(|watcher| watcher.ask(&path))?;
-                    Ok(watchers)
-                })
-                .await?;
+                let revision = served.catalogue().revision();
+                watchers = send_polls(watchers, revision).await?;
                 while served.discovery.sums().messages < (watches * (round + 1)) as u64 {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
@@ -137,6 +135,16 @@
     }
 }
 
+/// Sends a long poll for changes after a version on each connection.
+async fn send_polls(mut watchers: Vec<Watcher>, revision: u64) -> io::Result<Vec<Watcher>> {
+    let path = format!("/catalog/members?since={revision}&timeout_ms=60000");
+    beside(move || {
+        watchers.iter_mut().try_for_each(|watcher| watcher.ask(&path))?;
+        Ok(watchers)
+    })
+    .await
+}
+
 pub(super) fn make_list(servers: usize, repeats: usize) -> Vec<f64> {
     let mut catalogue = Catalogue::unheard(fleet(servers));
     let mut measure = |round: usize| {
--- a/crates/node-emulator/src/slopes/memory.rs
+++ b/crates/node-emulator/src/slopes/memory.rs
@@ -1,12 +1,13 @@
 //! Memory by size: many equal states are built, and the memory of the process is divided by their number.
 
+use balancer::net::node::Node;
+use balancer::{Balancer, BalancerEvent, EndpointUpdate};
+
 use super::bench::{Bench, State};
 use super::model::{balancer, config, entries, fleet, nodes, read, settings, MAX_NODES};
 use super::SlopesError;
 use crate::catalogue::Catalogue;
 use crate::usage::Memory;
-use balancer::net::node::Node;
-use balancer::{Balancer, BalancerEvent, EndpointUpdate};
 
 /// Memory that states are built up to before their size is told, so that pages do not count.
 pub(super) const MEMORY_SEEN: usize = 64 << 20;
--- a/crates/node-emulator/src/slopes/mod.rs
+++ b/crates/node-emulator/src/slopes/mod.rs
@@ -10,6 +10,14 @@
 pub use self::bench::bytes_per_server;
 pub use self::table::table;
 
+use std::collections::BTreeMap;
+use std::io;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use clap::ValueEnum;
+use serde::Serialize;
+
 use self::bench::Bench;
 use self::memory::{MEMORY_SEEN, STATE_BYTES};
 use crate::build::{Build, BuildError};
@@ -17,12 +25,6 @@
 use crate::quantity::Quantity;
 use crate::traffic::Sums;
 use crate::usage::{self, TooFewDescriptors};
-use clap::ValueEnum;
-use serde::Serialize;
-use std::collections::BTreeMap;
-use std::io;
-use std::path::{Path, PathBuf};
-use std::time::Duration;
 
 /// What is measured, and how.
 #[derive(Clone, Debug, Serialize)]
--- a/crates/node-emulator/src/slopes/model.rs
+++ b/crates/node-emulator/src/slopes/model.rs
@@ -1,13 +1,15 @@
 //! The fleets of a given size that are measured, and what their nodes are configured with.
 
-use super::SlopesError;
-use crate::catalogue::{zone_names, Catalogue, Size, KIND};
-use crate::node::{listing, read_list};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::time::Duration;
+
 use balancer::net::config::{Config, SettingNames};
 use balancer::net::list::ServerList;
 use balancer::{Balancer, DecisionSettings, EndpointUpdate, Idempotency, RequestClass, ServerEntry};
-use std::net::{Ipv4Addr, SocketAddr};
-use std::time::Duration;
+
+use super::SlopesError;
+use crate::catalogue::{zone_names, Catalogue, Size, KIND};
+use crate::node::{endpoint_update, read_list};
 
 /// The nodes of the whole fleet; smaller fleets have three nodes for two servers, as the bench's do.
 pub(super) const MAX_NODES: usize = 2_000;
@@ -44,7 +46,7 @@
 
 pub(super) fn entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
     let list = read(&catalogue.complete().body)?;
-    match listing(&list, &zone_names(catalogue.size())) {
+    match endpoint_update(&list, &zone_names(catalogue.size())) {
         EndpointUpdate::Snapshot(entries) => Ok(entries),
         _ => Err(SlopesError::Broken("the whole list is not whole".into())),
     }
--- a/crates/node-emulator/src/slopes/table.rs
+++ b/crates/node-emulator/src/slopes/table.rs
@@ -1,8 +1,9 @@
 //! The table that a run of measurements ends with.
 
+use std::fmt::Write as _;
+
 use super::{Point, Slope};
 use crate::fit::Fit;
-use std::fmt::Write as _;
 
 /// The short table that a run ends with.
 #[must_use]
--- a/crates/node-emulator/src/steps.rs
+++ b/crates/node-emulator/src/steps.rs
@@ -23,11 +23,11 @@
     Drain(Vec<usize>),
     /// Their processes end, and discovery knows.
     Leave(Vec<usize>),
-    /// Machines fall silent; discovery does not know yet.
+    /// Machines stop answering; discovery does not know yet.
     Silence(Vec<usize>),
-    /// Discovery takes silent servers off the list.
+    /// Discovery takes unresponsive servers off the list.
     Unlist(Vec<usize>),
-    /// Servers start anew under their names.
+    /// Servers restart under their names.
     Return(Vec<usize>),
     /// New servers come into slots, and those that stood there begin to drain.
     Replace {
@@ -55,7 +55,7 @@
         /// Cut off, or joined.
         partitioned: bool,
     },
-    /// The agents of all regions fall silent, or answer again.
+    /// The agents of all regions stop answering, or answer again.
     DiscoveryAnswering(bool),
     /// Nodes are restarted.
     RestartNodes(Vec<usize>),
@@ -146,7 +146,7 @@
         self.push(at, Step::Weigh { service, weight });
     }
 
-    /// Machines vanish, are noticed to be gone, unless they are back before, and come back cold.
+    /// Machines vanish, are noticed to be gone, unless they are back before, and come back warming up.
     fn lose(&mut self, at: f64, slots: &[usize], noticed_s: f64, for_s: f64) {
         self.push(at, Step::Silence(slots.to_vec()));
         if noticed_s < for_s {
--- a/crates/node-emulator/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -42,9 +42,9 @@
 /// Counts of what discovery and the servers did.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Whole lists sent.
+    /// Complete lists sent.
     pub complete_lists: AtomicU64,
-    /// Answers that told changes.
+    /// Answers with changes.
     pub changes: AtomicU64,
     /// Answers that there are none.
     pub unchanged: AtomicU64,
@@ -59,10 +59,10 @@
 /// A reading of [`Counts`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CountSums {
-    /// Whole lists sent.
+    /// Complete lists sent.
     #[serde(rename = "whole_lists")]
     pub complete_lists: u64,
-    /// Answers that told changes.
+    /// Answers with changes.
     pub change_answers: u64,
     /// Answers that there are none.
     pub no_news_answers: u64,
@@ -115,12 +115,12 @@
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The catalogue, locked. Watches hear of its changes only through [`World::change`].
+    /// The catalogue, locked. Long polls learn of its changes only through [`World::change`].
     pub fn catalogue(&self) -> MutexGuard<'_, Catalogue> {
         self.catalogue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the catalogue, and wakes the watches.
+    /// Changes the catalogue, and wakes the long polls.
     pub fn change(&self, change: impl FnOnce(&mut Catalogue)) {
         let mut catalogue = self.catalogue();
         change(&mut catalogue);
@@ -129,13 +129,13 @@
         self.newest.send_replace(revision);
     }
 
-    /// Hears of new versions.
+    /// Subscribes to new versions.
     #[must_use]
     pub fn newest(&self) -> watch::Receiver<u64> {
         self.newest.subscribe()
     }
 
-    /// Lets the agents of a region fall silent, or answer again.
+    /// Lets the agents of a region stop answering, or answer again.
     pub fn set_discovery_answering(&self, region: usize, answering: bool) {
         self.regions[region].answering.send_replace(answering);
     }
