--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -52,7 +52,7 @@
     proposed: Option<Versioned<V>>,
     phase: ProposalPhase,
     /// The acceptors that were sent a prepare request, each once.
-    prepared_at: Vec<Member>,
+    prepare_sent_to: Vec<Member>,
     promises: HashSet<Incarnation>,
     acceptances: HashSet<Incarnation>,
     /// Acceptors that promised a higher ballot to another proposer.
@@ -70,7 +70,7 @@
             base,
             proposed: None,
             phase: ProposalPhase::Preparing,
-            prepared_at: Vec::new(),
+            prepare_sent_to: Vec::new(),
             promises: HashSet::new(),
             acceptances: HashSet::new(),
             rejections: HashSet::new(),
@@ -202,9 +202,9 @@
         let previous: &[Member] = if depends_on_previous { &self.current.previous_acceptors } else { &[] };
         let mut requests = Vec::new();
         for member in union(self.current.value.acceptors(), previous) {
-            let is_sent = self.prepared_at.iter().any(|sent| sent.incarnation == member.incarnation);
+            let is_sent = self.prepare_sent_to.iter().any(|sent| sent.incarnation == member.incarnation);
             if !is_sent {
-                self.prepared_at.push(member.clone());
+                self.prepare_sent_to.push(member.clone());
                 requests
                     .push(AddressedRequest { to: member, request: AcceptorRequest::Prepare(self.ballot) });
             }
