--- a/crates/storage/src/append_queue.rs
+++ b/crates/storage/src/append_queue.rs
@@ -8,10 +8,8 @@
 use futures_util::future::BoxFuture;
 use tokio::sync::{oneshot, Notify};
 
-use crate::{Position, Ring, RingUsage, StorageError};
-
-/// Where the record is, once it is durable.
-pub(crate) type AppendOutcome = Result<Position, StorageError>;
+use crate::ring::{AppendOutcome, Ring, RingUsage};
+use crate::Position;
 
 /// A record to append, and who waits for the outcome.
 pub(crate) struct AppendRequest {
--- a/crates/storage/src/ring.rs
+++ b/crates/storage/src/ring.rs
@@ -14,6 +14,9 @@
 /// The sequence number of the first record.
 const FIRST_SEQUENCE: u64 = 1;
 
+/// The position of a record, once it is durable.
+pub(crate) type AppendOutcome = Result<Position, StorageError>;
+
 /// How full a ring is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RingUsage {
@@ -97,6 +100,28 @@
     }
 }
 
+/// Progress of one call of [`Ring::append`].
+struct AppendBatch {
+    /// Of the records so far, in their order.
+    outcomes: Vec<AppendOutcome>,
+    /// A failure of the disk, after which no further record is written.
+    failure: Option<StorageError>,
+}
+
+impl AppendBatch {
+    fn with_capacity(records: usize) -> Self {
+        Self { outcomes: Vec::with_capacity(records), failure: None }
+    }
+
+    /// Turns the last `count` successes, which were staged but not written, into failures.
+    fn fail_staged(&mut self, count: usize, error: &StorageError) {
+        let staged = self.outcomes.iter_mut().rev().filter(|outcome| outcome.is_ok()).take(count);
+        for outcome in staged {
+            *outcome = Err(error.clone());
+        }
+    }
+}
+
 impl Ring {
     /// Opens or creates a ring; hands its records to `visitor`, oldest first.
     ///
@@ -140,18 +165,17 @@
     /// Appends records and makes them durable; returns the outcome of each, in their order. After a failure of the
     /// disk, the remaining records fail too.
     pub fn append<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Vec<Result<Position, StorageError>> {
-        let mut outcomes = Vec::with_capacity(records.len());
-        let mut failure = None;
+        let mut batch = AppendBatch::with_capacity(records.len());
         for record in records {
-            let outcome = match &failure {
-                Some(error) => Err(StorageError::clone(error)),
-                None => self.stage(record.as_ref(), &mut outcomes, &mut failure),
+            let outcome = match &batch.failure {
+                Some(error) => Err(error.clone()),
+                None => self.stage(record.as_ref(), &mut batch),
             };
-            outcomes.push(outcome);
+            batch.outcomes.push(outcome);
         }
         // A failure is reported by the outcomes.
-        let _ = self.flush(&mut outcomes);
-        outcomes
+        let _ = self.flush(&mut batch);
+        batch.outcomes
     }
 
     /// Declares that the records before `position` are no longer needed.
@@ -173,19 +197,14 @@
     }
 
     /// Stages a record; what was staged before is written first if they don't fit into one segment.
-    fn stage(
-        &mut self,
-        record: &[u8],
-        outcomes: &mut [Result<Position, StorageError>],
-        failure: &mut Option<StorageError>,
-    ) -> Result<Position, StorageError> {
+    fn stage(&mut self, record: &[u8], batch: &mut AppendBatch) -> AppendOutcome {
         let limit = self.directory.options().max_record_bytes();
         if record.len() > limit {
             return Err(StorageError::RecordTooLarge { length: record.len(), limit });
         }
         if !self.has_room(record.len()) {
-            let begun = self.flush(outcomes).and_then(|()| self.begin_segment());
-            begun.inspect_err(|error| *failure = Some(error.clone()))?;
+            let begun = self.flush(batch).and_then(|()| self.begin_segment());
+            begun.inspect_err(|error| batch.failure = Some(error.clone()))?;
         }
         let position = Position(self.staged.chain.next_sequence);
         self.staged.push(self.generation, record);
@@ -197,8 +216,8 @@
         !self.tail.is_sealed && end <= self.directory.options().segment_bytes
     }
 
-    /// Writes what is staged; on failure, the last `staged.count` successes among the outcomes become failures.
-    fn flush(&mut self, outcomes: &mut [Result<Position, StorageError>]) -> Result<(), StorageError> {
+    /// Writes what is staged; on failure, the outcomes of the staged records become failures.
+    fn flush(&mut self, batch: &mut AppendBatch) -> Result<(), StorageError> {
         if self.staged.count == 0 {
             return Ok(());
         }
@@ -207,7 +226,7 @@
             Ok(()) => self.chain = self.staged.chain,
             Err(error) => {
                 self.generation = self.directory.random();
-                fail_last(outcomes, self.staged.count, error);
+                batch.fail_staged(self.staged.count, error);
             }
         }
         self.staged.clear(self.chain);
@@ -245,10 +264,3 @@
         file,
     })
 }
-
-fn fail_last(outcomes: &mut [Result<Position, StorageError>], count: usize, error: &StorageError) {
-    let staged = outcomes.iter_mut().rev().filter(|outcome| outcome.is_ok()).take(count);
-    for outcome in staged {
-        *outcome = Err(error.clone());
-    }
-}
