--- /dev/null
+++ b/crates/control-plane/src/consensus/acceptor_calls.rs
@@ -0,0 +1,30 @@
+//! Calls to the acceptors of the register.
+
+use std::time::Duration;
+
+use futures_util::future::BoxFuture;
+use futures_util::stream::FuturesUnordered;
+use register::{AcceptorReply, AddressedRequest, Member};
+use rpc::CallError;
+use state::ControlState;
+
+use crate::paths;
+
+/// The acceptor that was called, and its reply or why there is none.
+pub(super) type CallResult = (Member, Result<AcceptorReply<ControlState>, CallError>);
+/// Calls that are in flight.
+pub(super) type PendingCalls = FuturesUnordered<BoxFuture<'static, CallResult>>;
+
+/// Sends a request to its acceptor and waits for the reply for `timeout` at most.
+pub(super) fn call_acceptor(
+    client: &rpc::Client,
+    request: AddressedRequest<ControlState>,
+    timeout: Duration,
+) -> BoxFuture<'static, CallResult> {
+    let client = client.clone();
+    let AddressedRequest { to: member, request } = request;
+    Box::pin(async move {
+        let reply = client.call(&member.address, paths::REGISTER, &request, timeout).await;
+        (member, reply)
+    })
+}
--- a/crates/control-plane/src/consensus/confirmation.rs
+++ b/crates/control-plane/src/consensus/confirmation.rs
@@ -3,21 +3,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use futures_util::future::BoxFuture;
-use futures_util::stream::{FuturesUnordered, StreamExt};
-use register::{AcceptorReply, AddressedRequest, Confirmation, ConfirmationStatus, Member, Versioned};
+use futures_util::stream::StreamExt;
+use register::{AcceptorReply, Confirmation, ConfirmationStatus, Member, Versioned};
 use state::ControlState;
 use tokio::time::Instant;
 
-use crate::{paths, AcceptorContacts, ViewCell};
+use super::acceptor_calls::{call_acceptor, PendingCalls};
+use crate::{AcceptorContacts, ViewCell};
 
 /// How long one acceptor may take to reply.
 const CALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// The reply of one acceptor; `None` if none came in time.
-type Reply = (Member, Option<AcceptorReply<ControlState>>);
-type PendingCalls = FuturesUnordered<BoxFuture<'static, Reply>>;
-
 /// The result of a round.
 pub(super) enum ConfirmationResult {
     /// A majority has confirmed the value as the newest.
@@ -38,7 +34,8 @@
     started_at: Instant,
 ) -> ConfirmationResult {
     let (mut confirmation, requests) = Confirmation::start(known);
-    let mut calls: PendingCalls = requests.into_iter().map(|request| call(client.clone(), request)).collect();
+    let mut calls: PendingCalls =
+        requests.into_iter().map(|request| call_acceptor(client, request, CALL_TIMEOUT)).collect();
     let status = collect_replies(&mut confirmation, &mut calls, contacts).await;
     tokio::spawn(record_late_replies(calls, Arc::clone(contacts)));
     match status {
@@ -62,7 +59,7 @@
     contacts: &AcceptorContacts,
 ) -> ConfirmationStatus<ControlState> {
     while let Some((member, reply)) = calls.next().await {
-        let Some(reply) = reply else { continue };
+        let Ok(reply) = reply else { continue };
         record_contact(contacts, &member, &reply);
         let status = confirmation.on_reply(&member, reply);
         if !matches!(status, ConfirmationStatus::Pending) {
@@ -74,7 +71,7 @@
 
 async fn record_late_replies(mut calls: PendingCalls, contacts: Arc<AcceptorContacts>) {
     while let Some((member, reply)) = calls.next().await {
-        if let Some(reply) = reply {
+        if let Ok(reply) = reply {
             record_contact(&contacts, &member, &reply);
         }
     }
@@ -86,13 +83,3 @@
         contacts.record_contact(member.incarnation);
     }
 }
-
-fn call(
-    client: rpc::Client,
-    AddressedRequest { to: member, request }: AddressedRequest<ControlState>,
-) -> BoxFuture<'static, Reply> {
-    Box::pin(async move {
-        let reply = client.call(&member.address, paths::REGISTER, &request, CALL_TIMEOUT).await;
-        (member, reply.ok())
-    })
-}
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -5,6 +5,7 @@
 //! functions of [`state::change`]. The protocol itself is in the crate `register`; here are its I/O, time-outs and
 //! retries.
 
+mod acceptor_calls;
 mod acceptor_journal;
 mod acceptor_membership;
 mod acceptor_service;
--- a/crates/control-plane/src/consensus/proposal_attempt.rs
+++ b/crates/control-plane/src/consensus/proposal_attempt.rs
@@ -2,21 +2,19 @@
 
 use std::time::Duration;
 
-use futures_util::future::BoxFuture;
-use futures_util::stream::{FuturesUnordered, StreamExt};
-use register::{AcceptorReply, AddressedRequest, Ballot, Member, Proposal, ProposalStep, Versioned};
+use futures_util::stream::StreamExt;
+use register::{AddressedRequest, Ballot, Member, Proposal, ProposalStep, Versioned};
 use state::ControlState;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::{paths, ViewCell};
+use super::acceptor_calls::{call_acceptor, PendingCalls};
+use crate::ViewCell;
 
 /// How long one acceptor may take for one request.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 type Requests = Vec<AddressedRequest<ControlState>>;
-/// The reply of one acceptor; `None` if none came in time.
-type Reply = (Member, Option<AcceptorReply<ControlState>>);
 
 /// The result of an attempt.
 pub(super) enum AttemptOutcome<E> {
@@ -41,7 +39,7 @@
     proposal: Proposal<ControlState>,
     /// The ballot of the committed value that the proposal started from.
     base_ballot: Ballot,
-    calls: FuturesUnordered<BoxFuture<'a, Reply>>,
+    calls: PendingCalls,
     started_at: Instant,
     /// What `decide` made of the value that was read.
     desired: Option<ControlState>,
@@ -70,7 +68,7 @@
             ballot,
             proposal,
             base_ballot,
-            calls: FuturesUnordered::new(),
+            calls: PendingCalls::new(),
             started_at: Instant::now(),
             desired: None,
             rejection: None,
@@ -87,7 +85,7 @@
                 log::debug!("proposal {:?}: no quorum", self.ballot);
                 return AttemptOutcome::NoQuorum;
             };
-            let Some(reply) = reply else { continue };
+            let Ok(reply) = reply else { continue };
             match self.proposal.on_reply(&member, reply) {
                 ProposalStep::Wait => {}
                 ProposalStep::Send(requests) => self.send(requests),
@@ -107,7 +105,7 @@
 
     fn send(&mut self, requests: Requests) {
         let client = self.client;
-        self.calls.extend(requests.into_iter().map(|request| call(client, request)));
+        self.calls.extend(requests.into_iter().map(|request| call_acceptor(client, request, CALL_TIMEOUT)));
     }
 
     /// The promises are given: proposes what `decide` makes of the current value. An outcome where nothing is to be
@@ -151,46 +149,27 @@
     }
 }
 
-fn call(
-    client: &rpc::Client,
-    AddressedRequest { to: member, request }: AddressedRequest<ControlState>,
-) -> BoxFuture<'_, Reply> {
-    Box::pin(async move {
-        let reply = client.call(&member.address, paths::REGISTER, &request, CALL_TIMEOUT).await;
-        (member, reply.ok())
-    })
-}
-
 /// Notifies all acceptors of a committed value; those that miss it read it when they confirm theirs. The receiver gets
 /// each acceptor that has learned it.
 fn announce_committed(client: &rpc::Client, learn_requests: Requests) -> mpsc::UnboundedReceiver<Member> {
     let (learned, learners) = mpsc::unbounded_channel();
     for request in learn_requests {
-        let (client, learned) = (client.clone(), learned.clone());
+        let learned = learned.clone();
+        let call = call_acceptor(client, request, CALL_TIMEOUT);
         tokio::spawn(async move {
-            let (member, reply) = announce(&client, request).await;
-            if reply.is_some_and(|reply| reply.incarnation == member.incarnation) {
+            match call.await {
                 // Nobody receives it where the acceptors stay the same.
-                drop(learned.send(member));
+                (member, Ok(reply)) if reply.incarnation == member.incarnation => drop(learned.send(member)),
+                (_, Ok(_)) => {}
+                (member, Err(error)) => {
+                    log::debug!("{} was not notified of a committed value: {error}", member.name);
+                }
             }
         });
     }
     learners
 }
 
-async fn announce(
-    client: &rpc::Client,
-    AddressedRequest { to: member, request }: AddressedRequest<ControlState>,
-) -> Reply {
-    match client.call(&member.address, paths::REGISTER, &request, CALL_TIMEOUT).await {
-        Ok(reply) => (member, Some(reply)),
-        Err(error) => {
-            log::debug!("{} was not notified of a committed value: {error}", member.name);
-            (member, None)
-        }
-    }
-}
-
 /// Waits until a majority of the acceptors has learned a change of the acceptors, or all have been asked.
 ///
 /// Only then may one more machine fail: if this process alone knew that the change is committed, the others would still
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use poem::{Body, Endpoint, EndpointExt, Request, Response, Route};
 use register::{AcceptorRequest, Ballot, Incarnation, Member, Versioned};
 use state::change::initial_state;
-use state::{ControlState, StoreMember};
+use state::{ControlState, Document, ServerList, ServerListVersion, StoreMember};
 use storage::simulated::SimulatedDisk;
 use storage::{Journal, RingOptions};
 use tokio::net::TcpListener;
@@ -178,3 +178,23 @@
         "expiryMs":1500,"postalLine":"s"}}],"postalLines":[{{"name":"s","healthPath":"/health"}}]}}"#
     )
 }
+
+/// The version of a list of the leader with this fencing token.
+pub fn version(fence: u64, sequence: u64) -> ServerListVersion {
+    ServerListVersion { fence, sequence, local: 0 }
+}
+
+/// An empty list of that version.
+pub fn list(fence: u64, sequence: u64) -> ServerList {
+    ServerList { version: version(fence, sequence), servers: Vec::new() }
+}
+
+/// A committed value of this round, with a configuration of this version.
+pub fn value(round: u64, configuration_version: u64) -> Versioned<ControlState> {
+    let state = ControlState {
+        configuration_version,
+        configuration: Document::new(document(configuration_version, "r")),
+        ..ControlState::default()
+    };
+    Versioned::new(Ballot { round, proposer: 1 }, Arc::new(state))
+}
