--- a/crates/local-fleet/src/lib.rs
+++ b/crates/local-fleet/src/lib.rs
@@ -1,6 +1,6 @@
 //! A small fleet on loopback: real processes of the system between stand-ins of everything around them.
 //!
-//! [`run`] starts traffic nodes and stores as child processes, a [`Platform`], plain and engine servers, an
+//! [`run()`] starts traffic nodes and stores as child processes, a [`Platform`], plain and engine servers, an
 //! [`Operator`], a [`Trainer`] and a [`Client`], and takes training steps through the system while it injects faults. A
 //! [`RequestLog`] records what the servers ran and generated; every response and result is compared with it, so that
 //! the report names the rule that was broken.
--- a/crates/local-fleet/tests/platform.rs
+++ b/crates/local-fleet/tests/platform.rs
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn given_five_servers_when_pages_are_followed_then_each_server_comes_once() {
+async fn given_five_servers_when_pages_are_followed_then_each_server_occurs_once() {
     let platform = platform(100.0).await;
     platform.set_servers(servers(5));
     let (_, first) = get(&platform, "").await;
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn given_two_zones_when_one_is_asked_then_only_its_servers_come() {
+async fn given_two_zones_when_one_is_requested_then_only_its_servers_are_returned() {
     let platform = platform(100.0).await;
     platform.set_servers(servers(3));
     let (_, page) = get(&platform, "?zone=odd").await;
--- a/crates/local-fleet/tests/result_history.rs
+++ b/crates/local-fleet/tests/result_history.rs
@@ -37,7 +37,7 @@
     nothing_more_yet = { 2, &[], &[] },
     swapped = { 0, &["b", "a"], &[Rule::Duplicate, Rule::Duplicate] },
     listed_twice = { 2, &["a"], &[Rule::Duplicate] },
-    gone = { 1, &[], &[Rule::Lost] },
+    missing = { 1, &[], &[Rule::Lost] },
 )]
 fn given_two_results_when_read_again_then_positions_are_fixed(from: usize, ids: &[&str], expected: &[Rule]) {
     assert_eq!(rules(&mut history(), from, page(from, ids)), expected);
@@ -47,12 +47,12 @@
     total = { ResultPage { total: 4, ..page(2, &["c"]) } },
     next = { ResultPage { next: 2, ..page(2, &["c"]) } },
 )]
-fn given_a_wrong_count_when_read_then_it_is_mixed(page: ResultPage) {
+fn given_a_wrong_count_when_read_then_it_is_a_mismatch(page: ResultPage) {
     assert_eq!(rules(&mut history(), 2, page), [Rule::Mismatch]);
 }
 
 #[test]
-fn given_another_text_at_a_position_when_read_then_it_is_twice() {
+fn given_another_text_at_a_position_when_read_then_it_is_a_duplicate() {
     let changed = ItemResult { text: "another".into(), ..result("a") };
     let page = ResultPage { total: 3, next: 1, results: vec![changed] };
     assert_eq!(rules(&mut history(), 0, page), [Rule::Duplicate]);
--- a/crates/local-fleet/tests/servers.rs
+++ b/crates/local-fleet/tests/servers.rs
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn given_a_plain_server_when_asked_then_it_answers_with_id_stamp_and_load() {
+async fn given_a_plain_server_when_called_then_it_answers_with_id_stamp_and_load() {
     let request_log = request_log();
     expect(&request_log, "q1", "tally");
     let server = plain(&request_log, 2, Duration::ZERO).await;
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn given_another_expected_server_when_asked_then_the_request_is_not_run() {
+async fn given_another_expected_server_when_called_then_the_request_is_not_run() {
     let request_log = request_log();
     let server = plain(&request_log, 2, Duration::ZERO).await;
     let request = post(server.address(), "q1").header(header::EXPECTED_SERVER, "i-9");
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn given_a_request_without_id_when_asked_then_it_is_not_run() {
+async fn given_a_request_without_id_when_called_then_it_is_not_run() {
     let server = plain(&request_log(), 2, Duration::ZERO).await;
     let url = format!("http://{}/a/1", server.address());
     let answer = reqwest::Client::new().post(url).send().await.expect("an answer");
@@ -123,7 +123,7 @@
 }
 
 #[tokio::test]
-async fn given_no_slot_when_asked_then_the_server_says_that_it_did_not_run_the_request() {
+async fn given_no_slot_when_called_then_the_server_reports_that_it_did_not_run_the_request() {
     let request_log = request_log();
     let server = plain(&request_log, 0, Duration::ZERO).await;
     let answer = post(server.address(), "q1").send().await.expect("an answer");
@@ -155,7 +155,7 @@
 }
 
 #[tokio::test]
-async fn given_a_server_when_its_health_is_asked_then_it_tells_its_incarnation() {
+async fn given_a_server_when_its_health_is_checked_then_it_returns_its_id() {
     let server = plain(&request_log(), 1, Duration::ZERO).await;
     let answer = reqwest::get(format!("http://{}/health", server.address())).await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 200);
@@ -163,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn given_an_engine_when_asked_then_it_streams_events_with_rising_ids() {
+async fn given_an_engine_when_called_then_it_streams_events_with_rising_ids() {
     let request_log = request_log();
     expect(&request_log, "t1", "llm");
     let server = engine(&request_log, engine_options()).await;
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn given_a_last_event_when_taken_up_then_the_stream_goes_on_behind_it() {
+async fn given_a_last_event_when_resumed_then_the_stream_continues_after_it() {
     let request_log = request_log();
     expect(&request_log, "t1", "llm");
     let server = engine(&request_log, engine_options()).await;
@@ -202,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn given_another_expected_version_when_asked_then_the_engine_does_not_run_the_request() {
+async fn given_another_expected_version_when_called_then_the_engine_does_not_run_the_request() {
     let request_log = request_log();
     let server = engine(&request_log, engine_options()).await;
     let request = generation(server.address(), "t1").header(header::EXPECTED_VERSION, "2");
@@ -227,7 +227,7 @@
 }
 
 #[tokio::test]
-async fn given_an_order_under_way_when_requests_and_orders_come_then_neither_is_taken() {
+async fn given_an_order_in_progress_when_requests_and_orders_arrive_then_neither_is_accepted() {
     let request_log = request_log();
     request_log.name_version(2);
     let server = engine(&request_log, EngineOptions { load_time: LONG, ..engine_options() }).await;
@@ -239,7 +239,7 @@
 }
 
 #[tokio::test]
-async fn given_orders_that_are_none_when_sent_then_they_are_refused() {
+async fn given_invalid_orders_when_sent_then_they_are_rejected() {
     let server = engine(&request_log(), engine_options()).await;
     assert_eq!(order(server.address(), &load_order(2, 1)).await, 400, "no such version is named");
     assert_eq!(
--- a/crates/local-fleet/tests/verify.rs
+++ b/crates/local-fleet/tests/verify.rs
@@ -18,14 +18,14 @@
     RequestLog::new(RECALL, LEASE)
 }
 
-fn terms(events: u64) -> JobExpectations {
+fn expectations(events: u64) -> JobExpectations {
     let item = ExpectedItem { events, reward: "w1".into() };
     let items = HashMap::from([("t1".to_owned(), item)]);
     JobExpectations { items, oldest_version: 2, single_version: true, may_be_undeliverable: false }
 }
 
-/// A run of `t1` behind event `after` that makes events up to `last` by `version`.
-fn make(request_log: &RequestLog, after: u64, last: u64, version: u64) -> (GenerationId, Vec<EventData>) {
+/// A generation of `t1` that continues after event `after` up to `last` with `version`.
+fn generate(request_log: &RequestLog, after: u64, last: u64, version: u64) -> (GenerationId, Vec<EventData>) {
     let generation = request_log.start_generation("t1", after);
     let data = (after + 1..=last).map(|index| {
         request_log.record_event(generation, index, version);
@@ -57,118 +57,124 @@
     }
 }
 
-fn rules(request_log: &RequestLog, terms: &JobExpectations, result: &ItemResult) -> Vec<Rule> {
-    check_result(request_log, terms, result).into_iter().map(|violation| violation.rule).collect()
+fn rules(request_log: &RequestLog, expectations: &JobExpectations, result: &ItemResult) -> Vec<Rule> {
+    check_result(request_log, expectations, result).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn given_a_whole_text_with_its_grade_when_checked_then_no_rule_is_broken() {
+fn given_a_complete_text_with_its_grade_when_checked_then_no_rule_is_broken() {
     let request_log = request_log();
-    let (_, text) = make(&request_log, 0, 3, 2);
+    let (_, text) = generate(&request_log, 0, 3, 2);
     let stamp = grade(&request_log, "w1", 200);
-    assert_eq!(rules(&request_log, &terms(3), &result(&text, &[2], Some(stamp))), []);
+    assert_eq!(rules(&request_log, &expectations(3), &result(&text, &[2], Some(stamp))), []);
 }
 
 #[test]
-fn given_a_text_of_two_joined_runs_when_checked_then_no_rule_is_broken() {
+fn given_a_text_of_two_joined_generations_when_checked_then_no_rule_is_broken() {
     let request_log = request_log();
-    let (_, first) = make(&request_log, 0, 2, 2);
-    let (_, second) = make(&request_log, 2, 4, 2);
+    let (_, first) = generate(&request_log, 0, 2, 2);
+    let (_, second) = generate(&request_log, 2, 4, 2);
     let stamp = grade(&request_log, "w1", 200);
     let text = [first, second].concat();
-    assert_eq!(rules(&request_log, &terms(4), &result(&text, &[2], Some(stamp))), []);
+    assert_eq!(rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))), []);
 }
 
 #[test]
-fn given_a_second_run_that_was_not_asked_for_behind_the_first_when_checked_then_the_order_is_broken() {
+fn given_a_second_generation_that_does_not_continue_the_first_when_checked_then_the_order_is_broken() {
     let request_log = request_log();
-    let (_, first) = make(&request_log, 0, 2, 2);
-    let (_, second) = make(&request_log, 0, 4, 2);
+    let (_, first) = generate(&request_log, 0, 2, 2);
+    let (_, second) = generate(&request_log, 0, 4, 2);
     let stamp = grade(&request_log, "w1", 200);
     let text = [&first[..], &second[2..]].concat();
-    assert_eq!(rules(&request_log, &terms(4), &result(&text, &[2], Some(stamp))), [Rule::EventOrder]);
+    assert_eq!(rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))), [Rule::EventOrder]);
 }
 
 #[test]
-fn given_a_short_text_when_checked_then_it_is_not_the_whole_output() {
+fn given_a_short_text_when_checked_then_it_is_a_mismatch() {
     let request_log = request_log();
-    let (_, text) = make(&request_log, 0, 3, 2);
+    let (_, text) = generate(&request_log, 0, 3, 2);
     let stamp = grade(&request_log, "w1", 200);
-    assert_eq!(rules(&request_log, &terms(4), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
+    assert_eq!(rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
 }
 
 #[test]
 fn given_a_missing_event_when_checked_then_the_order_is_broken() {
     let request_log = request_log();
-    let (_, mut text) = make(&request_log, 0, 4, 2);
+    let (_, mut text) = generate(&request_log, 0, 4, 2);
     text.remove(1);
     let stamp = grade(&request_log, "w1", 200);
-    assert_eq!(rules(&request_log, &terms(3), &result(&text, &[2], Some(stamp))), [Rule::EventOrder]);
+    assert_eq!(rules(&request_log, &expectations(3), &result(&text, &[2], Some(stamp))), [Rule::EventOrder]);
 }
 
 #[test]
-fn given_a_text_that_no_engine_made_when_checked_then_it_is_mixed() {
+fn given_a_text_that_no_engine_made_when_checked_then_it_is_a_mismatch() {
     let request_log = request_log();
     let stamp = grade(&request_log, "w1", 200);
     let mut made_up = result(&[], &[2], Some(stamp));
     made_up.text = "an invented line".into();
-    assert_eq!(rules(&request_log, &terms(1), &made_up), [Rule::Mismatch]);
+    assert_eq!(rules(&request_log, &expectations(1), &made_up), [Rule::Mismatch]);
 }
 
 #[parameterized(
-    untold = { 2, &[] },
-    wrongly_told = { 2, &[3] },
+    unreported = { 2, &[] },
+    wrongly_reported = { 2, &[3] },
     too_old = { 1, &[1] },
 )]
-fn given_versions_that_do_not_fit_when_checked_then_the_version_rule_is_broken(made: u64, told: &[u64]) {
+fn given_versions_that_do_not_fit_when_checked_then_the_version_rule_is_broken(
+    actual: u64,
+    reported: &[u64],
+) {
     let request_log = request_log();
-    let (_, text) = make(&request_log, 0, 2, made);
+    let (_, text) = generate(&request_log, 0, 2, actual);
     let stamp = grade(&request_log, "w1", 200);
-    assert_eq!(rules(&request_log, &terms(2), &result(&text, told, Some(stamp))), [Rule::Version]);
+    assert_eq!(rules(&request_log, &expectations(2), &result(&text, reported, Some(stamp))), [Rule::Version]);
 }
 
 #[parameterized(one_version_a_text = { true, &[Rule::Version] }, any_versions = { false, &[] })]
 fn given_a_text_of_two_versions_when_checked_then_the_route_decides(single: bool, expected: &[Rule]) {
     let request_log = request_log();
-    let (_, first) = make(&request_log, 0, 2, 2);
-    let (_, second) = make(&request_log, 2, 4, 3);
+    let (_, first) = generate(&request_log, 0, 2, 2);
+    let (_, second) = generate(&request_log, 2, 4, 3);
     let stamp = grade(&request_log, "w1", 200);
-    let terms = JobExpectations { single_version: single, ..terms(4) };
+    let expectations = JobExpectations { single_version: single, ..expectations(4) };
     let text = [first, second].concat();
-    assert_eq!(rules(&request_log, &terms, &result(&text, &[2, 3], Some(stamp))), expected);
+    assert_eq!(rules(&request_log, &expectations, &result(&text, &[2, 3], Some(stamp))), expected);
 }
 
 #[parameterized(failed = { "w1", 500 }, of_another_item = { "w2", 200 })]
-fn given_a_grade_that_is_no_success_of_its_reward_call_when_checked_then_it_is_mixed(id: &str, status: u16) {
+fn given_a_grade_that_is_no_success_of_its_reward_call_when_checked_then_it_is_a_mismatch(
+    id: &str,
+    status: u16,
+) {
     let request_log = request_log();
-    let (_, text) = make(&request_log, 0, 2, 2);
+    let (_, text) = generate(&request_log, 0, 2, 2);
     let stamp = grade(&request_log, id, status);
-    assert_eq!(rules(&request_log, &terms(2), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
+    assert_eq!(rules(&request_log, &expectations(2), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
 }
 
 #[test]
-fn given_no_grade_when_checked_then_it_is_mixed() {
+fn given_no_grade_when_checked_then_it_is_a_mismatch() {
     let request_log = request_log();
-    let (_, text) = make(&request_log, 0, 2, 2);
-    assert_eq!(rules(&request_log, &terms(2), &result(&text, &[2], None)), [Rule::Mismatch]);
+    let (_, text) = generate(&request_log, 0, 2, 2);
+    assert_eq!(rules(&request_log, &expectations(2), &result(&text, &[2], None)), [Rule::Mismatch]);
 }
 
 #[test]
-fn given_a_reward_call_before_the_last_event_when_checked_then_it_is_mixed() {
+fn given_a_reward_call_before_the_last_event_when_checked_then_it_is_a_mismatch() {
     let request_log = request_log();
     let stamp = grade(&request_log, "w1", 200);
-    let (_, text) = make(&request_log, 0, 2, 2);
-    assert_eq!(rules(&request_log, &terms(2), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
+    let (_, text) = generate(&request_log, 0, 2, 2);
+    assert_eq!(rules(&request_log, &expectations(2), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
 }
 
 #[parameterized(open = { false, &[Rule::Mismatch] }, ended = { true, &[] })]
-fn given_an_item_that_is_given_up_when_checked_then_the_end_of_its_batch_job_decides(
+fn given_an_undeliverable_item_when_checked_then_the_end_of_its_batch_job_decides(
     may_be_undeliverable: bool,
     expected: &[Rule],
 ) {
-    let given_up = ItemResult { condition: ItemCondition::Undeliverable, ..result(&[], &[], None) };
-    let terms = JobExpectations { may_be_undeliverable, ..terms(2) };
-    assert_eq!(rules(&request_log(), &terms, &given_up), expected);
+    let undeliverable = ItemResult { condition: ItemCondition::Undeliverable, ..result(&[], &[], None) };
+    let expectations = JobExpectations { may_be_undeliverable, ..expectations(2) };
+    assert_eq!(rules(&request_log(), &expectations, &undeliverable), expected);
 }
 
 #[parameterized(
