--- a/crates/control-plane/src/consensus/acceptor_membership.rs
+++ b/crates/control-plane/src/consensus/acceptor_membership.rs
@@ -3,7 +3,7 @@
 //! The set of acceptors keeps its size. A machine that joins later is a *standby*: it has no vote until it replaces a
 //! failed acceptor, in one step of the register. Were it added beside the others, the failed one would still count for
 //! the majority, and the next failure could leave none. The standby itself detects that an acceptor has failed, so that
-//! it also does when that one held the leader lease: it asks all acceptors, and a majority of them must report that
+//! it also does when the failed one was the leader: it asks all acceptors, and a majority of them must report that
 //! they have not received a reply from it for long, as a machine may be partitioned from the standby alone.
 
 use std::sync::Arc;
@@ -82,7 +82,7 @@
         if with_acceptor(known, member, &failed).is_ok() {
             let joined = proposer.change(deadline, |state| with_acceptor(state, member, &failed)).await;
             if let Ok(value) = joined {
-                log::info!("joined the register as one of {} acceptors", value.value.acceptors.len());
+                log::info!(acceptors = value.value.acceptors.len(); "joined the register");
             }
         } else if with_standby(known, member).is_ok()
             && proposer.change(deadline, |state| with_standby(state, member)).await.is_ok()
--- a/crates/control-plane/src/consensus/proposal_attempt.rs
+++ b/crates/control-plane/src/consensus/proposal_attempt.rs
@@ -82,7 +82,7 @@
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             let Ok(Some((member, reply))) = tokio::time::timeout(remaining, self.calls.next()).await else {
-                log::debug!("proposal {:?}: no quorum", self.ballot);
+                log::debug!(round = self.ballot.round; "proposal without a quorum");
                 return AttemptOutcome::NoQuorum;
             };
             let Ok(reply) = reply else { continue };
@@ -96,7 +96,7 @@
                 }
                 ProposalStep::Committed(value) => return self.on_committed(value).await,
                 ProposalStep::Preempted(higher) => {
-                    log::debug!("proposal {:?}: {higher:?} was promised", self.ballot);
+                    log::debug!(round = self.ballot.round, promised_round = higher.round; "proposal preempted");
                     return AttemptOutcome::Preempted(higher);
                 }
             }
--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -135,7 +135,7 @@
         let reads = own.value.acceptors.iter().map(|member| self.read_accepted(member));
         let accepted: Vec<_> = join_all(reads).await.into_iter().flatten().collect();
         let Some(initial) = choose_initial_value(own, accepted) else {
-            log::info!("initial value: too few acceptors reply");
+            log::info!("initial value not committed: too few acceptors reply");
             return;
         };
         let acceptors = &initial.value.acceptors;
@@ -144,7 +144,7 @@
         let accepted = replies.iter().filter(|reply| reply.as_ref() == Some(&initial)).count();
         if accepted * 2 > acceptors.len() {
             let stores = initial.value.stores.members.len();
-            log::info!("initial value: {} acceptors, {stores} stores", acceptors.len());
+            log::info!(acceptors = acceptors.len(), stores; "initial value committed");
             self.view.adopt_control(&initial);
         }
     }
--- a/crates/control-plane/src/discovery/store_membership.rs
+++ b/crates/control-plane/src/discovery/store_membership.rs
@@ -53,7 +53,7 @@
         let Ok(value) = self.proposer.change(Instant::now() + JOIN_TIMEOUT, decide).await else { return };
         let stores = &value.value.stores;
         if stores.members.contains(&self.member) {
-            log::info!("rejoined the stores of epoch {}, without its former disk", stores.epoch);
+            log::info!(epoch = stores.epoch; "rejoined the stores without its former disk");
         } else {
             log::info!("waits to become one of the stores");
         }
@@ -68,7 +68,7 @@
         }
         let decide = |state: &ControlState| without_store(state, member);
         match self.proposer.change(Instant::now() + LEAVE_TIMEOUT, decide).await {
-            Ok(value) => log::info!("left the stores of epoch {}", value.value.stores.epoch),
+            Ok(value) => log::info!(epoch = value.value.stores.epoch; "left the stores"),
             Err(_) => log::warn!("has not left the stores: the leader removes it once it is unresponsive"),
         }
     }
--- a/crates/control-plane/src/distribution/poller.rs
+++ b/crates/control-plane/src/distribution/poller.rs
@@ -78,7 +78,7 @@
         self.leadership.as_ref().is_some_and(|leadership| leadership.fence().is_some())
     }
 
-    /// The acceptors, where wanted the leader first. Gossiped acceptors and seeds too where no acceptor is known or
+    /// The acceptors; the leader first where this process may lead. Gossiped acceptors and seeds too where no acceptor is known or
     /// nothing was confirmed recently.
     fn peers(&self) -> Vec<String> {
         let control = &self.view.view().control;
@@ -138,9 +138,9 @@
         }
         self.warned_at = Instant::now();
         log::warn!(
-            "for {} ms no peer has reported a confirmed state and a fresh list; {} acceptors are known, polled are {}",
-            self.started_at.elapsed().as_millis(),
-            view.view().control.acceptors.len(),
+            elapsed_ms = self.started_at.elapsed().as_millis() as u64,
+            acceptors = view.view().control.acceptors.len();
+            "no peer has reported a confirmed state and a fresh list, polled are {}",
             peers.join(" ")
         );
     }
--- a/crates/control-plane/src/election/campaign.rs
+++ b/crates/control-plane/src/election/campaign.rs
@@ -73,7 +73,7 @@
     async fn run(mut self) {
         while *self.stage.borrow_and_update() != ElectionStage::Resigning {
             if self.leadership.is_superseded() {
-                log::warn!("releases the lease: a higher fencing token was issued");
+                log::warn!("lease released: a higher fencing token was issued");
                 self.release_lease().await;
                 continue;
             }
@@ -106,7 +106,7 @@
         lease.order_issuer_due_at(now).or_else(|| lease.orders_allowed_at(now))
     }
 
-    /// Ends a round that was lost. The release is sent in the background.
+    /// Ends a round that can no longer be won. The release is sent in the background.
     fn abandon_round(&mut self) {
         let Some(release) = self.candidate.abandon_round(self.leadership.now()) else { return };
         let (view, client) = (self.view.view(), self.client.clone());
--- a/crates/control-plane/src/election/fencing.rs
+++ b/crates/control-plane/src/election/fencing.rs
@@ -52,7 +52,8 @@
         let Some(value) = self.raise_fence(expires_at).await else { return };
         let state = &value.value;
         let delay = self.delay_before_orders(state).await;
-        log::info!("leads with fencing token {}, orders after {} ms", state.fence, delay.as_millis());
+        let order_delay_ms = delay.as_millis() as u64;
+        log::info!(fence = state.fence, order_delay_ms; "lease acquired");
         let now = self.leadership.now();
         let lease = LeaderLease::acquired(state, &self.member_name, now, expires_at, delay, ORDER_TIMEOUT);
         self.leadership.set_lease(Some(earlier.map_or(lease, |earlier| lease.continuing(earlier))));
@@ -60,7 +61,7 @@
     }
 
     /// Names this member in the register as the issuer of orders, once that is due. Only then does it send any, so that
-    /// a later leader knows whether it must wait for this one.
+    /// a later leader can see whether it must wait for this one.
     pub(super) async fn record_order_issuer(&self) {
         let due = self.leadership.lease().and_then(|lease| lease.order_issuer_due(self.leadership.now()));
         let Some(fence) = due else { return };
--- a/crates/control-plane/src/election/lease_calls.rs
+++ b/crates/control-plane/src/election/lease_calls.rs
@@ -27,10 +27,7 @@
         let reply: Result<(), _> = client.call(&member.address, paths::RELEASE, &release, CALL_TIMEOUT).await;
         reply.is_ok()
     });
-    let acknowledged = join_all(calls).await;
-    log::debug!(
-        "{} of {} grantors acknowledged a release",
-        acknowledged.iter().filter(|acknowledged| **acknowledged).count(),
-        acknowledged.len()
-    );
+    let replies = join_all(calls).await;
+    let acknowledged = replies.iter().filter(|is_acknowledged| **is_acknowledged).count();
+    log::debug!(grantors = replies.len(), acknowledged; "release sent");
 }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -3,13 +3,13 @@
 //!
 //! The modules, each of which uses only those before it:
 //!
-//! - [`paths`] and [`view`]: the paths of internal calls, and the snapshot that the process acts on;
-//! - [`liveness`]: pings, and when each acceptor replied last;
-//! - [`consensus`]: the acceptor of this machine, and proposals to all acceptors;
-//! - [`election`]: the leader lease and its fencing token;
-//! - [`discovery`]: how processes find acceptors, each other and the servers;
-//! - [`distribution`]: how every process receives the newest state by a long poll;
-//! - [`reconcile`], [`rollout`] and [`operator_api`]: what the leader does about members and model versions, and what
+//! - `paths` and `view`: the paths of internal calls, and the snapshot that the process acts on;
+//! - `liveness`: pings, and when each acceptor replied last;
+//! - `consensus`: the acceptor of this machine, and proposals to all acceptors;
+//! - `election`: the leader lease and its fencing token;
+//! - `discovery`: how processes find acceptors, each other and the servers;
+//! - `distribution`: how every process receives the newest state by a long poll;
+//! - `reconcile`, `rollout` and `operator_api`: what the leader does about members and model versions, and what
 //!   the operator orders.
 
 mod consensus;
--- a/crates/control-plane/src/operator_api.rs
+++ b/crates/control-plane/src/operator_api.rs
@@ -18,7 +18,7 @@
 
 use crate::{ChangeFailure, Proposer, ViewCell};
 
-/// How long a request may take before its outcome is reported as unknown; callers try another node after a second.
+/// How long a request may take before its outcome is reported as unknown; callers retry at another node after a second.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The largest body of a request.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
@@ -86,7 +86,7 @@
     match context.proposer.change(deadline(), decide).await {
         Ok(value) => {
             let state = &value.value;
-            log::info!("configuration {} applied, revision {}", state.configuration_version, state.revision);
+            log::info!(version = state.configuration_version, revision = state.revision; "configuration applied");
             StatusCode::OK.into()
         }
         Err(failure) => change_failed(&failure),
@@ -111,7 +111,7 @@
     let decide = |state: &ControlState| with_target_version(state, &model, version);
     match context.proposer.change(deadline(), decide).await {
         Ok(_) => {
-            log::info!("version {version} of {model} named");
+            log::info!(version; "target version of {model} set");
             StatusCode::OK.into()
         }
         Err(failure) => change_failed(&failure),
--- a/crates/control-plane/src/reconcile/reconciler.rs
+++ b/crates/control-plane/src/reconcile/reconciler.rs
@@ -112,11 +112,11 @@
         let Ok(value) = changed else { return };
         let state = &value.value;
         log::info!(
-            "reconciled: {} acceptors, {} stores in epoch {}, migrating {}",
-            state.acceptors.len(),
-            state.stores.members.len(),
-            state.stores.epoch,
-            state.previous_stores.is_some()
+            acceptors = state.acceptors.len(),
+            stores = state.stores.members.len(),
+            epoch = state.stores.epoch,
+            is_migrating = state.previous_stores.is_some();
+            "members reconciled"
         );
     }
 }
@@ -130,15 +130,11 @@
         }
         let QuorumMargin { acceptors, responding, tolerated_failures } = margin;
         match tolerated_failures {
-            Some(0) => {
-                log::warn!(
-                    "quorum: {responding} of {acceptors} acceptors reply, no further failure is tolerated"
-                );
-            }
+            Some(0) => log::warn!(responding, acceptors; "quorum: no further failure is tolerated"),
             Some(failures) => {
-                log::info!("quorum: {responding} of {acceptors} acceptors reply, tolerates {failures} further failures");
+                log::info!(responding, acceptors, tolerated_failures = failures; "quorum: further failures are tolerated");
             }
-            None => log::warn!("quorum: no majority of {acceptors} acceptors replies"),
+            None => log::warn!(responding, acceptors; "quorum: no majority of the acceptors replies"),
         }
     }
 }
--- a/crates/control-plane/src/rollout/order_dispatcher.rs
+++ b/crates/control-plane/src/rollout/order_dispatcher.rs
@@ -140,7 +140,7 @@
 ) -> CallOutcome {
     let body = serde_json::to_string(&order.body(member_name, fence)).unwrap_or_default();
     let reply = servers.send_order(&order, body).await;
-    log::info!("order: {} to version {} of {}: {reply:?}", order.server, order.version, order.model);
+    log::info!(version = order.version, fence; "order to {} for {}: {reply}", order.server, order.model);
     CallOutcome::Answered(order.server, reply)
 }
 
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -172,7 +172,8 @@
         Ok(configuration) => Some(Arc::new(configuration)),
         Err(error) => {
             log::error!(
-                "configuration {version} cannot be compiled, the previous one stays in force: {error}"
+                version;
+                "the configuration cannot be compiled, the previous one stays in force: {error}"
             );
             view.configuration.clone()
         }
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -138,7 +138,7 @@
         match &self.round {
             Some(round) if !round.is_won() => {
                 let deadline = round.started_at() + self.ttl / ROUND_TIMEOUT_DIVISOR;
-                if round.is_lost() || self.latest_now >= deadline {
+                if round.cannot_be_won() || self.latest_now >= deadline {
                     CandidateAction::AbandonRound
                 } else {
                     CandidateAction::WaitUntil(deadline)
--- a/crates/lease/src/round.rs
+++ b/crates/lease/src/round.rs
@@ -63,7 +63,7 @@
     }
 
     /// Whether so many grantors have rejected the request that no majority is left.
-    pub(crate) fn is_lost(&self) -> bool {
+    pub(crate) fn cannot_be_won(&self) -> bool {
         let may_grant = self.grantors.iter().filter(|grantor| !self.rejected.contains_key(grantor)).count();
         !self.is_majority(may_grant)
     }
--- a/crates/register/examples/embed.rs
+++ b/crates/register/examples/embed.rs
@@ -13,12 +13,12 @@
 
 /// What the register holds. A value names its own acceptors.
 #[derive(Clone, Debug)]
-struct Document {
+struct ExampleValue {
     acceptors: Vec<Member>,
     text: String,
 }
 
-impl RegisterValue for Document {
+impl RegisterValue for ExampleValue {
     fn acceptors(&self) -> &[Member] {
         &self.acceptors
     }
@@ -26,12 +26,12 @@
 
 /// The acceptors, with neither a network nor disks.
 struct Cluster {
-    acceptors: Vec<(Incarnation, Acceptor<Document>)>,
+    acceptors: Vec<(Incarnation, Acceptor<ExampleValue>)>,
 }
 
 impl Cluster {
     /// Acceptors on fresh disks that have recorded the first value.
-    fn start(first: &Versioned<Document>) -> Self {
+    fn start(first: &Versioned<ExampleValue>) -> Self {
         let start = |member: &Member| {
             let mut acceptor = Acceptor::new(AcceptorState::empty(member.incarnation));
             acceptor.initialise(first.clone());
@@ -41,7 +41,7 @@
     }
 
     /// Lets one acceptor handle a request; `None` if there is no disk of that incarnation.
-    fn call(&mut self, request: AddressedRequest<Document>) -> Option<AcceptorReply<Document>> {
+    fn call(&mut self, request: AddressedRequest<ExampleValue>) -> Option<AcceptorReply<ExampleValue>> {
         let acceptor =
             self.acceptors.iter_mut().find(|(incarnation, _)| *incarnation == request.to.incarnation);
         let pending = acceptor?.1.handle(request.request);
@@ -57,9 +57,9 @@
 fn change(
     cluster: &mut Cluster,
     ballots: &mut BallotSource,
-    known: &Versioned<Document>,
+    known: &Versioned<ExampleValue>,
     text: &str,
-) -> Option<Versioned<Document>> {
+) -> Option<Versioned<ExampleValue>> {
     ballots.observe(known.ballot);
     let (mut proposal, requests) = Proposal::start(ballots.next_ballot(), known.clone());
     let mut requests = VecDeque::from(requests);
@@ -70,7 +70,7 @@
             ProposalStep::Wait => {}
             ProposalStep::Send(more) => requests.extend(more),
             ProposalStep::Prepared(current) => {
-                let next = Document { text: text.to_owned(), ..Document::clone(&current.value) };
+                let next = ExampleValue { text: text.to_owned(), ..ExampleValue::clone(&current.value) };
                 requests.extend(proposal.propose(next));
             }
             ProposalStep::Committed(committed) => {
@@ -89,7 +89,7 @@
 }
 
 /// Whether a majority confirms that nothing newer is committed.
-fn is_newest(cluster: &mut Cluster, known: &Versioned<Document>) -> bool {
+fn is_newest(cluster: &mut Cluster, known: &Versioned<ExampleValue>) -> bool {
     let (mut confirmation, requests) = Confirmation::start(known.clone());
     requests.into_iter().any(|request| {
         let from = request.to.clone();
@@ -106,7 +106,7 @@
         address: format!("192.0.2.{number}:7660"),
     };
     let acceptors = (1..=3).map(member).collect();
-    let first = Document { acceptors, text: "first".to_owned() };
+    let first = ExampleValue { acceptors, text: "first".to_owned() };
     let first = Versioned::new(Ballot { round: 1, proposer: 0 }, Arc::new(first));
 
     let mut cluster = Cluster::start(&first);
--- a/crates/rollout/src/actions.rs
+++ b/crates/rollout/src/actions.rs
@@ -1,5 +1,6 @@
 //! The calls that the planner wants made, and their outcomes.
 
+use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
@@ -87,3 +88,18 @@
         }
     }
 }
+
+impl fmt::Display for OrderReply {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Accepted => "accepted",
+            Self::AlreadyLoaded => "already loaded",
+            Self::Busy => "busy",
+            Self::Fenced => "fenced",
+            Self::Invalid => "invalid",
+            Self::WrongServer => "wrong server",
+            Self::NotAccepted => "not accepted",
+            Self::Indeterminate => "indeterminate",
+        })
+    }
+}
--- a/crates/rollout/src/planner.rs
+++ b/crates/rollout/src/planner.rs
@@ -59,7 +59,7 @@
             let id = ServerId::clone(&server.id);
             let progress = match earlier.remove(&id) {
                 Some(mut progress) => {
-                    progress.update_listing(server);
+                    progress.update_server(server);
                     progress
                 }
                 None => ServerProgress::new(server, &self.pacing),
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -73,7 +73,7 @@
     }
 
     /// Takes over what a newer list shows.
-    pub(crate) fn update_listing(&mut self, server: RolloutServer) {
+    pub(crate) fn update_server(&mut self, server: RolloutServer) {
         for (model, version) in &server.models {
             self.record_version(model, *version);
         }
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    fn listing(&self, now: Duration) -> RolloutServer {
+    fn list_entry(&self, now: Duration) -> RolloutServer {
         RolloutServer {
             id: Arc::clone(&self.id),
             address: address(self.index),
@@ -299,7 +299,8 @@
     }
 
     fn pass_list(&mut self) {
-        let listed: Vec<RolloutServer> = self.servers.iter().map(|server| server.listing(self.now)).collect();
+        let listed: Vec<RolloutServer> =
+            self.servers.iter().map(|server| server.list_entry(self.now)).collect();
         self.planner.set_servers(listed);
     }
 }
--- a/crates/rushrudder/src/control/tasks.rs
+++ b/crates/rushrudder/src/control/tasks.rs
@@ -13,10 +13,10 @@
 
 use super::{internal_seed_addresses, ControlPlane};
 
-/// A process with an acceptor reads the platform's list itself once the leader's list is this old. Sooner than the
-/// others, so that these get the list from an acceptor instead of all calling the platform.
+/// A process with an acceptor reads the platform's list itself when it got no list for this long; the reader adds a
+/// random part.
 const LIST_STALE_AFTER_ON_ACCEPTOR: Duration = Duration::from_millis(1700);
-/// Any other process reads the platform's list itself once the list that it got is this old.
+/// The same time for any other process.
 const LIST_STALE_AFTER: Duration = Duration::from_millis(2300);
 
 impl ControlPlane {
--- a/crates/state/src/change/leader_lease.rs
+++ b/crates/state/src/change/leader_lease.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Superseded;
 
-/// Issues the next fencing token to a new leader, if `seen`, the token that it saw while it held the lease, is still the
+/// Issues the next fencing token to a new leader, if `seen`, the token that it saw while it had the lease, is still the
 /// latest.
 ///
 /// A raise that is carried out late, by a leader whose lease has expired, must not supersede the next leader.
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Longer texts are not decompressed.
+/// The longest text that is decompressed.
 const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
 
 /// A text that is stored and sent compressed. Clones share it; two are equal if their digests are.
--- a/crates/state/src/server_list.rs
+++ b/crates/state/src/server_list.rs
@@ -73,7 +73,7 @@
         (self.fence <= fence).then_some(Self { fence, sequence, local: 0 })
     }
 
-    /// The version of the next list that a process reads for itself; `random` tells readers apart.
+    /// The version of the next list that a process reads for itself; `random` distinguishes readers.
     #[must_use]
     pub fn next_local(self, random: u64) -> Self {
         let count = (self.local >> READER_BITS) + 1;
