--- a/crates/balancer-node/src/decisions/mod.rs
+++ b/crates/balancer-node/src/decisions/mod.rs
@@ -88,7 +88,9 @@
 }
 
 impl Balancer {
-    /// A balancer that has no servers yet. The error names the first setting that is out of range.
+    /// A balancer that has no servers yet.
+    /// # Errors
+    /// The first setting that is out of range.
     pub fn new(settings: DecisionSettings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         // Each node uses an equal subset of a ring that all nodes order alike, from a position of its own.
--- a/crates/balancer-node/tests/common/mod.rs
+++ b/crates/balancer-node/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! What the tests of the module share: short ways to build events, and to feed a balancer.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use balancer::*;
 
--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -1,6 +1,6 @@
 //! What the tests of the node share: the real binary, and scripted servers, discovery and clients round it.
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -254,7 +254,7 @@
     /// Starts with this configuration; returns when it is healthy. Discovery tells the list that is in it.
     pub fn start(config: &Value) -> Self {
         Self::start_with_first_call(config, |_, first| {
-            first.answer(OK, "", config["known"].to_string().as_bytes())
+            first.answer(OK, "", config["known"].to_string().as_bytes());
         })
     }
 
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -739,6 +739,7 @@
 }
 
 /// One legal day from a seed: lists that come and go, endings of every kind, clients that leave.
+#[allow(clippy::too_many_lines, reason = "the steps of one generated day, in their order")]
 fn generated_day(seed: u64) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
     let groups = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
--- a/crates/balancer-node/tests/slow_start.rs
+++ b/crates/balancer-node/tests/slow_start.rs
@@ -224,10 +224,11 @@
         self.feed(now, node, BalancerEvent::AttemptEnded(attempt_end));
     }
 
+    #[allow(clippy::too_many_lines, reason = "the steps of one simulated day, in their order")]
     fn run(fleet: &Fleet, seed: u64) -> PlayResult {
         let count = fleet.zones.len();
         let fresh = |_| Server { up: true, ..Server::default() };
-        let mut play = Play {
+        let mut play = Self {
             nodes: (0..fleet.nodes)
                 .map(|me| Node::new(fleet.settings(me), seed * 1_000 + me as u64))
                 .collect(),
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! A few acceptors on the loopback address, each with a disk in memory.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::path::Path;
 use std::sync::{Arc, Mutex};
--- a/crates/data-plane/tests/support/mod.rs
+++ b/crates/data-plane/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! What the tests share: fake servers, nodes before them, and views that list them.
-#![allow(dead_code, unused_imports)]
+#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
 
 mod fake_server;
 pub mod golden;
--- a/crates/local-fleet/src/http/caller.rs
+++ b/crates/local-fleet/src/http/caller.rs
@@ -123,16 +123,28 @@
 
 impl HttpCaller {
     /// A caller that opens a connection for each call.
+    ///
+    /// # Errors
+    ///
+    /// When the HTTP client cannot be set up.
     pub fn without_reuse() -> reqwest::Result<Self> {
         Ok(Self { http: builder().pool_max_idle_per_host(0).build()? })
     }
 
     /// A caller that keeps connections for further calls.
+    ///
+    /// # Errors
+    ///
+    /// When the HTTP client cannot be set up.
     pub fn with_reuse() -> reqwest::Result<Self> {
         Ok(Self { http: builder().build()? })
     }
 
     /// Makes one attempt.
+    ///
+    /// # Errors
+    ///
+    /// When no connection came up, or no complete response came within the call's timeout.
     pub async fn call_once(&self, to: SocketAddr, call: &HttpCall) -> Result<HttpReply, HttpCallError> {
         let mut request = self.http.request(call.method.clone(), format!("http://{to}{}", call.path));
         for (name, value) in &call.headers {
@@ -145,6 +157,10 @@
     }
 
     /// Tries one peer after the other, with backoff, until the outcome is known or `timeout` has passed.
+    ///
+    /// # Errors
+    ///
+    /// The error of the last attempt, when `timeout` has passed without a conclusive reply.
     pub async fn call_until_conclusive(
         &self,
         mut peer: impl FnMut() -> SocketAddr,
--- a/crates/local-fleet/src/http/listener.rs
+++ b/crates/local-fleet/src/http/listener.rs
@@ -21,6 +21,10 @@
 
 impl HttpListener {
     /// Serves `app` at `address` (port 0: any free port) and registers its connections in `connections`.
+    ///
+    /// # Errors
+    ///
+    /// When the address cannot be bound.
     pub async fn start(
         address: SocketAddr,
         connections: Connections,
--- a/crates/node-emulator/src/counters.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -24,6 +24,10 @@
     }
 
     /// Adds all times of another.
+    ///
+    /// # Panics
+    ///
+    /// Never: all histograms of this type have the same bounds.
     pub fn merge(&mut self, other: &Self) {
         self.0.add(&other.0).expect("the same bounds");
     }
--- a/crates/rushrudder/tests/golden.rs
+++ b/crates/rushrudder/tests/golden.rs
@@ -42,7 +42,7 @@
     Invalid(JobError),
     NotTaken,
     Unsure,
-    #[allow(dead_code)]
+    #[allow(dead_code, reason = "keeps the positions of the variants on the wire")]
     Elsewhere(StoreId),
 }
 
@@ -52,7 +52,7 @@
     Is(T),
     NoSuchJob,
     Unsure,
-    #[allow(dead_code)]
+    #[allow(dead_code, reason = "keeps the positions of the variants on the wire")]
     Elsewhere(StoreId),
 }
 
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! What the tests of changes share.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::time::Duration;
 
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -134,6 +134,11 @@
 
     /// Appends a record; completes when it is durable. The record takes its position when this is called, not when
     /// the future is first polled, and is written even if the future is dropped.
+    ///
+    /// # Errors
+    ///
+    /// When the record is too long, the ring is full, or the disk failed; after a failure of the disk nothing more is
+    /// written.
     pub fn append(&self, record: Vec<u8>) -> impl Future<Output = Result<Position, StorageError>> + Send {
         let (sender, receiver) = oneshot::channel();
         match &self.backend {
--- a/crates/store-plane/src/replication/journal.rs
+++ b/crates/store-plane/src/replication/journal.rs
@@ -46,7 +46,7 @@
         Self::release(self, storage::Position(before));
     }
 
-    #[allow(clippy::cast_precision_loss)]
+    #[allow(clippy::cast_precision_loss, reason = "a ratio of sizes far below 2^52 bytes")]
     fn fill(&self) -> f64 {
         let usage = self.usage();
         usage.used_bytes as f64 / usage.capacity_bytes.max(1) as f64
