--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -18,7 +18,8 @@
 #[derive(Deserialize)]
 struct Patch {
     /// The version of the new document.
-    edition: u64,
+    #[serde(rename = "edition")]
+    version: u64,
     /// Items to add or replace, by list; or new values of fields that are no lists.
     #[serde(rename = "loadIn", default)]
     upserts: Option<Fields>,
@@ -42,10 +43,10 @@
 ///
 /// # Errors
 ///
-/// When the document is invalid, or its version is not above `current_edition`.
-pub fn replace(current_edition: u64, body: &[u8]) -> Result<String, ConfigurationError> {
+/// When the document is invalid, or its version is not above `current_version`.
+pub fn replace(current_version: u64, body: &[u8]) -> Result<String, ConfigurationError> {
     let configuration = Configuration::parse(body)?;
-    check_newer(configuration.edition(), current_edition)?;
+    check_newer(configuration.version(), current_version)?;
     String::from_utf8(body.to_vec()).map_err(|error| ConfigurationError::malformed_document(&error))
 }
 
@@ -60,16 +61,16 @@
 pub fn patch(current_document: &str, body: &[u8]) -> Result<String, ConfigurationError> {
     let patch: Patch = parse(body)?;
     let current: Fields = parse(current_document.as_bytes())?;
-    let current_edition: u64 = current.get("edition").map_or(Ok(0), |text| parse(text.get().as_bytes()))?;
-    check_newer(patch.edition, current_edition)?;
+    let current_version: u64 = current.get("edition").map_or(Ok(0), |text| parse(text.get().as_bytes()))?;
+    check_newer(patch.version, current_version)?;
     let document = apply(current, patch)?;
     Configuration::parse(document.as_bytes())?;
     Ok(document)
 }
 
-fn check_newer(edition: u64, current: u64) -> Result<(), ConfigurationError> {
-    if edition <= current {
-        return Err(ConfigurationError::StaleEdition { edition, current });
+fn check_newer(version: u64, current: u64) -> Result<(), ConfigurationError> {
+    if version <= current {
+        return Err(ConfigurationError::StaleVersion { version, current });
     }
     Ok(())
 }
@@ -79,7 +80,7 @@
 }
 
 fn apply(mut document: Fields, patch: Patch) -> Result<String, ConfigurationError> {
-    document.insert("edition".to_owned(), to_json(&patch.edition)?);
+    document.insert("edition".to_owned(), to_json(&patch.version)?);
     for (list, names) in patch.removals.unwrap_or_default() {
         remove_items(&mut document, &list, &names)?;
     }
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -16,7 +16,7 @@
 
 /// Time-out of a route without one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Servers that an attempt may run on, for a route without this number.
+/// Servers that may run one request of a client, for a route without this number.
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
 /// Weight of the only service of a route.
 const SINGLE_TARGET_WEIGHT: u32 = 1;
--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -10,10 +10,11 @@
 use crate::service::Service;
 use crate::{compile, host};
 
-/// A checked configuration, compiled for route matching.
+/// A checked configuration, compiled for route matching. Names of routes and services are unique, and each route has
+/// at least one service with a weight above 0.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    edition: u64,
+    version: u64,
     routes: Vec<Arc<Route>>,
     services: HashMap<Arc<str>, Arc<Service>>,
     limits: ConfigurationLimits,
@@ -33,13 +34,13 @@
         let routes = compile::routes(document.routes, &services)?;
         let routes_by_host = compile::index_by_host(&routes)?;
         let limits = document.limits.map_or_else(ConfigurationLimits::default, compile::limits);
-        Ok(Self { edition: document.edition, routes, services, limits, routes_by_host })
+        Ok(Self { version: document.version, routes, services, limits, routes_by_host })
     }
 
     /// The version of the configuration; each change raises it.
     #[must_use]
-    pub fn edition(&self) -> u64 {
-        self.edition
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
     /// The routes, in the operator's order.
--- a/crates/configuration/src/document/mod.rs
+++ b/crates/configuration/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's document as JSON.
+//! The operator's document as JSON: its fields with the operator's names, and the checks of each field by itself.
 //!
 //! Unknown fields are ignored, and optional fields may be null.
 //!
@@ -18,7 +18,8 @@
 #[derive(Deserialize, Validate)]
 #[serde(expecting = "struct Document")]
 pub(crate) struct ConfigurationDocument {
-    pub(crate) edition: u64,
+    #[serde(rename = "edition")]
+    pub(crate) version: u64,
     #[validate(nested)]
     pub(crate) routes: Vec<RouteDocument>,
     #[serde(rename = "postalLines")]
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -25,9 +25,9 @@
         cause: String,
     },
     /// The version is not above the current one.
-    StaleEdition {
+    StaleVersion {
         /// The version of the change.
-        edition: u64,
+        version: u64,
         /// The current version.
         current: u64,
     },
@@ -81,7 +81,7 @@
     pub fn field(&self) -> String {
         match self {
             Self::Malformed { field, .. } | Self::Invalid { field, .. } => field.clone(),
-            Self::StaleEdition { .. } => "edition".to_owned(),
+            Self::StaleVersion { .. } => "edition".to_owned(),
             Self::UnknownService { route, .. } => format!("routes[{route}].postalLine"),
             Self::DuplicatePrefix { second, .. } => format!("routes[{second}].lanePrefix"),
             Self::ZeroWeights { route } => format!("routes[{route}].split"),
@@ -96,8 +96,8 @@
         write!(f, "{}: ", self.field())?;
         match self {
             Self::Malformed { cause, .. } | Self::Invalid { cause, .. } => f.write_str(cause),
-            Self::StaleEdition { edition, current } => {
-                write!(f, "{edition} is not above the current {current}")
+            Self::StaleVersion { version, current } => {
+                write!(f, "{version} is not above the current {current}")
             }
             Self::UnknownService { service, .. } => write!(f, "the service {service} does not exist"),
             Self::DuplicatePrefix { first, .. } => write!(f, "host and prefix are those of route {first}"),
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -6,9 +6,9 @@
 /// How the requests of a route are executed and answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Requests are idempotent: one attempt may run on several servers.
+    /// Requests are idempotent: one request of a client may run on several servers.
     Safe,
-    /// Requests run at most once per attempt of the client.
+    /// One request of a client runs at most once; a retry by the client is another request.
     Unsafe,
     /// Responses are event streams.
     Stream,
@@ -61,7 +61,9 @@
     pub prefix: Arc<str>,
     /// `kind`: how its requests are executed and answered.
     pub kind: RouteKind,
-    /// `expiryMs`: a client's attempt has to be answered within this time; above 0.
+    /// `expiryMs`: a request of a client has to be answered within this time, which all attempts at servers share;
+    /// above
+    /// 0.
     pub timeout: Duration,
     /// `dueMs`: the time within which a response has its full value; the time-out by default.
     pub latency_target: Duration,
@@ -69,7 +71,7 @@
     pub urgency: u32,
     /// `postalLine` or `split`: the services that receive its requests.
     pub targets: Vec<Target>,
-    /// `tries`: servers that one attempt of a client may run on; at least 1.
+    /// `tries` in JSON: the number of servers that may run one request of a client; at least 1.
     pub max_attempts: u32,
     /// `resume`: whether an interrupted stream may be resumed on another server.
     pub resume: bool,
--- a/crates/configuration/tests/change.rs
+++ b/crates/configuration/tests/change.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn given_a_whole_document_when_put_then_its_text_is_kept() {
+fn given_a_complete_document_when_put_then_its_text_is_kept() {
     assert_eq!(replace(6, DOCUMENT.as_bytes()).as_deref(), Ok(DOCUMENT));
     assert_eq!(replace(0, DOCUMENT.as_bytes()).as_deref(), Ok(DOCUMENT));
 }
@@ -20,7 +20,7 @@
 #[parameterized(same = { 7 }, newer = { 8 })]
 fn given_a_version_not_above_the_current_when_put_then_it_is_refused(current: u64) {
     let error = replace(current, DOCUMENT.as_bytes()).expect_err("old");
-    assert_eq!(error, ConfigurationError::StaleEdition { edition: 7, current });
+    assert_eq!(error, ConfigurationError::StaleVersion { version: 7, current });
     assert_eq!(error.field(), "edition");
 }
 
@@ -34,7 +34,7 @@
     let document = patch(DOCUMENT, body.as_bytes()).expect("valid");
     assert_eq!(names(&document), ["r-first", "r-second", "r-new"]);
     let configuration = Configuration::parse(document.as_bytes()).expect("valid");
-    assert_eq!(configuration.edition(), 9);
+    assert_eq!(configuration.version(), 9);
     assert_eq!(configuration.routes()[0].timeout.as_millis(), 77);
     assert!(configuration.service("fresh").is_some());
     assert!(document.contains(r#""later":{"odd":[1,2]}"#), "unknown fields of other items stay");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn given_a_patch_that_strikes_when_applied_then_the_item_is_gone() {
+fn given_a_patch_with_removals_when_applied_then_the_items_are_removed() {
     let document = patch(DOCUMENT, br#"{"edition":8,"strike":{"routes":["r-second"]}}"#).expect("valid");
     assert_eq!(names(&document), ["r-first"]);
 }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn given_limits_in_a_patch_when_applied_then_they_take_the_place_of_the_old() {
+fn given_limits_in_a_patch_when_applied_then_they_replace_the_old_ones() {
     let document = patch(DOCUMENT, br#"{"edition":8,"loadIn":{"limits":{"labelBytes":5}}}"#).expect("valid");
     let configuration = Configuration::parse(document.as_bytes()).expect("valid");
     assert_eq!(configuration.limits().head_bytes, 5);
@@ -70,7 +70,7 @@
     same_edition = { r#"{"edition":7,"strike":{"routes":["r-second"]}}"# },
     strike_of_a_used_service = { r#"{"edition":9,"strike":{"postalLines":["wuno96b"]}}"# },
     unknown_service = { r#"{"edition":9,"loadIn":{"routes":[{"name":"n","depot":"h","lanePrefix":"/x/","kind":"safe","expiryMs":5,"postalLine":"gone"}]}}"# },
-    same_place = { r#"{"edition":9,"loadIn":{"routes":[{"name":"n","depot":"FICU95.example","lanePrefix":"/lohu930/","kind":"safe","expiryMs":5,"postalLine":"wuno96b"}]}}"# },
+    same_prefix = { r#"{"edition":9,"loadIn":{"routes":[{"name":"n","depot":"FICU95.example","lanePrefix":"/lohu930/","kind":"safe","expiryMs":5,"postalLine":"wuno96b"}]}}"# },
     no_weight = { r#"{"edition":9,"loadIn":{"routes":[{"name":"n","depot":"h","lanePrefix":"/x/","kind":"safe","expiryMs":5,"split":[{"postalLine":"wuno96b","share":0}]}]}}"# },
     no_timeout = { r#"{"edition":9,"loadIn":{"routes":[{"name":"n","depot":"h","lanePrefix":"/x/","kind":"safe","expiryMs":0,"postalLine":"wuno96b"}]}}"# },
     unnamed_item = { r#"{"edition":9,"loadIn":{"routes":[{"depot":"h","lanePrefix":"/x/","kind":"safe","expiryMs":5,"postalLine":"wuno96b"}]}}"# },
--- a/crates/configuration/tests/golden.rs
+++ b/crates/configuration/tests/golden.rs
@@ -75,7 +75,7 @@
     services.sort();
     let routes: Vec<String> = configuration.routes().iter().map(|route| render_route(route)).collect();
     let rest = render! {
-        "edition" => configuration.edition(),
+        "edition" => configuration.version(),
         "models of mixed versions" => configuration.models_of_mixed_versions(),
         "limits.labelBytes" => limits.head_bytes,
         "limits.parcelBytes" => limits.body_bytes,
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn given_a_whole_document_when_put_then_it_is_stored_byte_for_byte() {
+fn given_a_complete_document_when_put_then_it_is_stored_byte_for_byte() {
     let document = golden("configuration-full.json");
     let stored = replace(6, document.as_bytes()).expect("the golden file is valid");
     assert_golden("replaced.json", &stored);
@@ -115,7 +115,7 @@
             ConfigurationError::Malformed { field: text("routes[0].depot"), cause: text("the cause") },
         ),
         ("unusable", ConfigurationError::Invalid { field: text("."), cause: text("the cause") }),
-        ("old version", ConfigurationError::StaleEdition { edition: 7, current: 8 }),
+        ("old version", ConfigurationError::StaleVersion { version: 7, current: 8 }),
         ("unknown service", ConfigurationError::UnknownService { route: text("r"), service: text("s") }),
         (
             "same host and prefix",
--- a/crates/configuration/tests/parse.rs
+++ b/crates/configuration/tests/parse.rs
@@ -19,7 +19,7 @@
 #[test]
 fn given_the_example_when_parsed_then_every_figure_is_there() {
     let configuration = document();
-    assert_eq!(configuration.edition(), 7);
+    assert_eq!(configuration.version(), 7);
     let first = &configuration.routes()[0];
     assert_eq!(first.kind, RouteKind::Safe);
     assert_eq!(first.timeout, Duration::from_millis(1500));
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn given_a_trainers_route_when_parsed_then_its_marks_and_times_are_there() {
+fn given_a_trainers_route_when_parsed_then_its_flags_and_durations_are_read() {
     let marks = r#""resume":true,"singleEdition":true,"sameCarrier":"prefix","deliveryDueMs":9600.0,"shelfLifeS":40,"tries":2"#;
     let text = DOCUMENT.replacen(r#""tries":2"#, marks, 1);
     let configuration = Configuration::parse(text.as_bytes()).expect("valid");
--- a/crates/control-plane/tests/view.rs
+++ b/crates/control-plane/tests/view.rs
@@ -19,7 +19,7 @@
         assert_eq!(view.view().control.configuration_version, 9);
     }
     let configuration = view.view().configuration.clone().expect("it is compiled");
-    assert_eq!(configuration.edition(), 9);
+    assert_eq!(configuration.version(), 9);
 }
 
 #[test]
--- a/crates/data-plane/src/batch/capacity.rs
+++ b/crates/data-plane/src/batch/capacity.rs
@@ -1,4 +1,4 @@
-//! What items demand of servers, and how many of them the servers can take.
+//! Capacity of servers for items, and the criteria by which a server is selected for one.
 
 use configuration::Target;
 use dispatch::{SelectionCriteria, VersionRequirement};
@@ -13,7 +13,7 @@
         self.selector.free_capacity(&item_criteria(targets, model, version))
     }
 
-    /// How many items those servers take at once, the requests in flight included.
+    /// How many items those servers take at once in total, including the requests that they run now.
     #[must_use]
     pub fn total_capacity(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
         let version = VersionRequirement::AtLeast(oldest_version);
@@ -21,7 +21,7 @@
     }
 }
 
-/// What an item demands of its server. Items wait for free capacity, and the time to set up a connection doesn't
+/// The criteria for the server of an item. Items wait for free capacity, and the time to set up a connection doesn't
 /// matter to them.
 pub(super) fn item_criteria<'a>(
     targets: &'a [Target],
--- a/crates/data-plane/src/batch/collector.rs
+++ b/crates/data-plane/src/batch/collector.rs
@@ -1,4 +1,4 @@
-//! The text of an item, collected event by event.
+//! Collects the text of an item event by event, and checks that the events are consecutive and of allowed versions.
 
 use std::collections::BTreeSet;
 
@@ -9,9 +9,9 @@
 /// What has been collected of the text of an item.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ItemProgress {
-    /// The data of each event.
+    /// The data of each event, in order.
     pub events: Vec<Bytes>,
-    /// The id of the last event.
+    /// The id of the last event; `None` before the first.
     pub last_event_id: Option<u64>,
     /// The versions of the weights that made the events.
     pub versions: BTreeSet<u64>,
--- a/crates/data-plane/src/batch/item.rs
+++ b/crates/data-plane/src/batch/item.rs
@@ -21,10 +21,11 @@
 
 /// When an item may be sent again if no server names a time.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// A server that sends nothing for this long between two events is given up; before the first event it has longer, see
-/// [`AttemptOptions`].
+/// A run ends if its server sends nothing for this long within the body. The head of the response may take twice as
+/// long, as the request may wait in the server's queue (`HEAD_TIMEOUT_FACTOR` in `upstream/attempt.rs`).
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Delay before an item with invalid headers is tried again; its owner gives it up once that is due.
+/// Delay before the next run of an item with invalid headers. It will fail as well; the owner of the batch job gives
+/// the item up when the batch job expires.
 const INVALID_HEADERS_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// One run of an item.
@@ -50,7 +51,7 @@
     pub group: Option<Arc<str>>,
     /// What earlier runs collected of its text.
     pub progress: ItemProgress,
-    /// When the run ends at the latest.
+    /// The run is interrupted at this time, whatever it has collected.
     pub deadline: Instant,
 }
 
@@ -65,7 +66,7 @@
     Unprocessable,
     /// The run broke off. The item may continue from here, or from its beginning if no text is left.
     Interrupted(ItemProgress),
-    /// No server has run the item.
+    /// No server has run the item: none was eligible, or the attempt is known not to have run.
     NotRun {
         /// After which time it may be sent again.
         retry_after: Duration,
@@ -95,9 +96,11 @@
         }
     }
 
+    /// Selects a server for the next run. Where one version must make the entire text, a text that was begun is
+    /// continued by the version that made its first events.
     fn select_for_item(&self, item: &ItemRequest) -> Option<InFlightRequest> {
-        let made_by = item.progress.versions.first().filter(|_| item.route.single_version);
-        let version = match made_by {
+        let version_so_far = item.progress.versions.first().filter(|_| item.route.single_version);
+        let version = match version_so_far {
             Some(version) => VersionRequirement::Exactly(*version),
             None => VersionRequirement::AtLeast(item.oldest_version),
         };
@@ -134,6 +137,7 @@
     })
 }
 
+/// The outcome of a run whose attempt gave no response.
 fn error_outcome(item: ItemRequest, error: AttemptError) -> ItemOutcome {
     match error.execution_status() {
         ExecutionStatus::NotRun => {
@@ -143,6 +147,7 @@
     }
 }
 
+/// The outcome of a run that got the head of a response.
 async fn item_outcome(
     item: ItemRequest,
     upstream: UpstreamResponse,
@@ -162,7 +167,7 @@
     }
 }
 
-/// Reads the events of a run to their end.
+/// Reads the events of a run to their end. The text is complete if the body ended properly, after a complete event.
 async fn collect_text(
     item: ItemRequest,
     mut upstream: UpstreamResponse,
--- a/crates/data-plane/src/batch/reward.rs
+++ b/crates/data-plane/src/batch/reward.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::forwarding::Forwarder;
-use crate::headers::{text, ATTEMPT_ID, POSTMARK};
+use crate::headers::{text, ATTEMPT_ID, STAMP};
 use crate::request::UpstreamRequest;
 
 /// How a reward call ended.
@@ -17,26 +17,27 @@
 pub enum RewardOutcome {
     /// The grade: the stamp of the successful response.
     Graded(String),
-    /// Servers answered with status 500, and none otherwise.
+    /// At least one server answered with status 500, and none with a grade.
     Failed {
         /// How many such answers there were.
         internal_errors: u32,
     },
-    /// The call has not run, or gave no valid response. It may be repeated.
+    /// The call has not run, or gave no valid response. It may be retried.
     Retryable,
-    /// No route is configured for it.
+    /// No route is configured for it, or its host or id cannot be a header value.
     NoRoute,
 }
 
 impl Forwarder {
-    /// Makes a reward call at up to as many servers as its route allows. `deadline` is counted from now.
+    /// Makes a reward call, with retries and hedging at up to as many servers as its route allows. All attempts
+    /// together take `timeout` at most.
     pub async fn call_reward(
         &self,
         host: &str,
         path: &str,
         id: &str,
         body: Bytes,
-        deadline: Duration,
+        timeout: Duration,
     ) -> RewardOutcome {
         let path_without_query = path.split('?').next().unwrap_or(path);
         let configuration = self.configuration();
@@ -49,8 +50,8 @@
         };
         let request =
             Arc::new(UpstreamRequest { method: Method::POST, target: path.to_owned(), headers, body });
-        let forwarded = self.forward_buffered(route, request, true, Instant::now() + deadline).await;
-        let grade = text(&forwarded.response.headers, &POSTMARK);
+        let forwarded = self.forward_buffered(route, request, true, Instant::now() + timeout).await;
+        let grade = text(&forwarded.response.headers, &STAMP);
         match grade {
             Some(grade) if forwarded.is_from_server && forwarded.response.status.is_success() => {
                 RewardOutcome::Graded(grade.to_owned())
--- a/crates/data-plane/src/forwarding/buffered.rs
+++ b/crates/data-plane/src/forwarding/buffered.rs
@@ -15,16 +15,16 @@
 use crate::response::ClientResponse;
 use crate::upstream::{AttemptError, AttemptOptions, UpstreamAttempt};
 
-/// A hedged request is sent when this part of the route's latency target has passed without a response.
+/// A hedged request is sent when this fraction of the route's latency target has passed without a response.
 const HEDGE_DELAY_FACTOR: f64 = 0.6;
 
 type AttemptFuture = BoxFuture<'static, Result<ClientResponse, AttemptError>>;
 
-/// What all attempts of a request came to.
+/// The result of forwarding a request, after all its attempts.
 pub(crate) struct ForwardedResponse {
     /// The response for the client.
     pub(crate) response: ClientResponse,
-    /// Whether a server gave it.
+    /// Whether a server sent it; otherwise it is this node's own response, because no server gave one.
     pub(crate) is_from_server: bool,
     /// How many servers answered with status 500.
     pub(crate) internal_errors: u32,
@@ -52,11 +52,13 @@
     retry: RetryState,
     attempts: FuturesUnordered<AttemptFuture>,
     internal_errors: u32,
-    /// A server's error, which is the response if no attempt gives a better one.
+    /// The last 5xx response of a server. It goes to the client if no attempt gives a better one.
     error_response: Option<ClientResponse>,
 }
 
 impl BufferedForward {
+    /// Makes attempts until one gives a final response or no further one may be made. At most one attempt is a hedged
+    /// request: it starts while another is in flight. All others start when none is in flight.
     async fn run(mut self) -> ForwardedResponse {
         self.start_attempt();
         let hedge_at = Instant::now() + self.retry.route.latency_target.mul_f64(HEDGE_DELAY_FACTOR);
@@ -99,7 +101,8 @@
         }));
     }
 
-    /// Takes the result of an attempt; returns the response if it is final.
+    /// Records the result of an attempt. Returns its response if that is final: any but a 5xx, or any at all if the
+    /// request must not run again.
     fn final_response(&mut self, result: Result<ClientResponse, AttemptError>) -> Option<ClientResponse> {
         let response = match result {
             Ok(response) => response,
@@ -130,6 +133,7 @@
         ForwardedResponse { response, is_from_server: true, internal_errors: self.internal_errors }
     }
 
+    /// Returns the last error of a server or, without one, this node's own response.
     fn give_up(self) -> ForwardedResponse {
         let is_from_server = self.error_response.is_some();
         let response = self.error_response.unwrap_or_else(|| self.retry.error_response());
--- a/crates/data-plane/src/forwarding/buffering.rs
+++ b/crates/data-plane/src/forwarding/buffering.rs
@@ -1,4 +1,5 @@
-//! Buffering of a server's response until it is complete, so that the client never sees a truncated one.
+//! Buffering of a server's response until it is complete, so that the client never sees a truncated one and the
+//! request can be retried.
 
 use std::io;
 
@@ -49,7 +50,7 @@
     Ok(ClientResponse { status, headers, body: ResponseBody::Complete(body) })
 }
 
-/// What was read of a body, then the rest of it as it comes.
+/// The part of a body that was read, followed by the rest as it comes.
 fn continued(begin: Bytes, upstream: UpstreamResponse) -> BoxStream<'static, io::Result<Bytes>> {
     stream::once(async { Ok(begin) }).chain(chunk_stream(upstream)).boxed()
 }
--- a/crates/data-plane/src/forwarding/retry.rs
+++ b/crates/data-plane/src/forwarding/retry.rs
@@ -1,4 +1,5 @@
-//! The attempts of one request of a client: how many servers may run it, where it was sent, and what came of that.
+//! The retry policy of one request: whether a further attempt may be made, at which server, and which error the
+//! client gets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -105,6 +106,7 @@
         self.error_response_for(self.errors.last().map_or(&[], std::slice::from_ref))
     }
 
+    /// 503 with `Retry-After` if no attempt can have run; otherwise 504 if one of the errors is a time-out, else 502.
     fn error_response_for(&self, errors: &[AttemptError]) -> ClientResponse {
         if self.executions() == 0 {
             let retry_after = errors.iter().filter_map(AttemptError::retry_after).min();
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -17,7 +17,7 @@
 /// The model that a request is for.
 pub(crate) const MODEL: HeaderName = HeaderName::from_static("model");
 /// The server's stamp, which every successful response bears.
-pub(crate) const POSTMARK: HeaderName = HeaderName::from_static("postmark");
+pub(crate) const STAMP: HeaderName = HeaderName::from_static("postmark");
 /// Says that the server did not run the request.
 pub(crate) const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
 /// The version of the weights that the server runs.
@@ -27,7 +27,8 @@
 /// How long the server keeps an idle connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that concern one connection only and are not forwarded.
+/// Headers that concern one connection only and are not forwarded. `Content-Length` is among them, as each hop sets
+/// it for the body that it sends, and `Expect`, as the HTTP server responds to it.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
--- a/crates/data-plane/src/ingress/endpoint.rs
+++ b/crates/data-plane/src/ingress/endpoint.rs
@@ -35,6 +35,8 @@
 }
 
 impl ClientEndpoint {
+    /// Routes the request. Without a configuration, and without a route while the configuration may be outdated, the
+    /// response is 503.
     async fn respond(&self, request: Request) -> Response {
         let Some(configuration) = self.0.forwarder().configuration() else {
             return ClientResponse::not_run(NO_CONFIGURATION_RETRY_AFTER).into();
@@ -83,6 +85,7 @@
     }
 }
 
+/// The route of a request; `None` also if it has no `Host` header.
 fn find_route<'a>(configuration: &'a Configuration, request: &Request) -> Option<&'a Arc<Route>> {
     let host = text(request.headers(), &HOST)?;
     configuration.route(host, request.uri().path())
--- a/crates/data-plane/src/ingress/http_server.rs
+++ b/crates/data-plane/src/ingress/http_server.rs
@@ -58,6 +58,7 @@
         loop {
             tokio::select! {
                 () = &mut stop_accepting => break,
+                // Frees the tasks of closed connections.
                 Some(_) = connections.join_next() => {}
                 accepted = listener.accept() => match accepted {
                     Ok((stream, remote)) => {
@@ -78,6 +79,8 @@
         Ok(())
     }
 
+    /// Waits until all connections are closed. Those that are still open after `finish_timeout` are aborted, as the
+    /// set of their tasks is dropped.
     async fn finish(self, mut connections: JoinSet<()>) {
         let all_closed = async { while connections.join_next().await.is_some() {} };
         if timeout(self.finish_timeout, all_closed).await.is_err() {
--- a/crates/data-plane/src/ingress/lifecycle.rs
+++ b/crates/data-plane/src/ingress/lifecycle.rs
@@ -18,9 +18,11 @@
 
 /// Requests in flight are finished this long before the drain timeout.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
-/// The least idle timeout of a client's connection, as the operator may raise the limit while it is open.
+/// The shortest idle timeout of a client's connection. The timeout of an open connection doesn't change, and the
+/// operator may raise the limit meanwhile.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The idle timeout of a client's connection, as a multiple of the operator's limit.
+/// The idle timeout of a client's connection, as a multiple of the operator's limit: clients may reuse a connection
+/// up to that limit, and must not find it closed then.
 const IDLE_TIMEOUT_FACTOR: f64 = 1.25;
 
 /// Serves requests of clients. Clones serve the same node.
--- a/crates/data-plane/src/ingress/request_reader.rs
+++ b/crates/data-plane/src/ingress/request_reader.rs
@@ -87,6 +87,7 @@
     }
 }
 
+/// The size of the headers in bytes, as an HTTP/1.1 client sends them; the request line doesn't count.
 fn head_bytes(request: &Request) -> u64 {
     let line = |(name, value): (&HeaderName, &HeaderValue)| {
         (name.as_str().len() + value.len() + HEADER_LINE_OVERHEAD) as u64
--- a/crates/data-plane/src/ingress/settings.rs
+++ b/crates/data-plane/src/ingress/settings.rs
@@ -1,4 +1,4 @@
-//! What an ingress needs of the process around it.
+//! Settings of an ingress, and its interface to the process that runs it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,11 @@
     fn handle(&self, request: Request) -> BoxFuture<'_, Response>;
 }
 
-/// A condition of the process that is evaluated whenever it matters.
+/// A condition of the process. It is evaluated for each readiness probe and each request without a route, so it must
+/// be cheap.
 pub type ReadinessCheck = Box<dyn Fn() -> bool + Send + Sync>;
 
-/// What an ingress needs beside a forwarder.
+/// Settings of an ingress, and the parts of the process that it calls.
 pub struct IngressSettings {
     /// Serves requests that concern batch jobs.
     pub jobs: Arc<dyn JobEndpoint>,
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -11,10 +11,10 @@
 
 /// The body of a response.
 pub(crate) enum ResponseBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// Chunks that are passed on as they come. After an error the client's connection must be cut off, so that the
-    /// body doesn't look complete.
+    /// Chunks that are passed on as they come. After an error the client's connection must be aborted, so that
+    /// the client doesn't take the body for complete.
     Streaming(BoxStream<'static, io::Result<Bytes>>),
 }
 
@@ -31,7 +31,7 @@
         Self { status, headers: HeaderMap::new(), body: ResponseBody::Complete(Bytes::new()) }
     }
 
-    /// Says that the request has not run and never will, and after which time the client may retry it.
+    /// 503 with `Retry-After`: the request has not run and never will, so the client may retry it after that time.
     pub(crate) fn not_run(retry_after: Duration) -> Self {
         let mut response = Self::from_node(StatusCode::SERVICE_UNAVAILABLE);
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
@@ -54,7 +54,7 @@
     }
 }
 
-/// Where the chunks of a streaming body come from.
+/// The source of the chunks of a streaming body.
 pub(crate) trait ChunkSource: Send + 'static {
     /// The next chunk; `None` at the proper end of the body, an error if it is truncated.
     fn next_chunk(&mut self) -> impl Future<Output = io::Result<Option<Bytes>>> + Send;
@@ -68,7 +68,7 @@
             Ok(Some(chunk)) => Some((Ok(chunk), Some(source))),
             Ok(None) => None,
             Err(error) => {
-                // The error cuts the connection off: the chunks before it must be written out first.
+                // The error aborts the connection: the chunks before it must be written out first.
                 tokio::task::yield_now().await;
                 Some((Err(error), None))
             }
--- a/crates/data-plane/src/selection/affinity.rs
+++ b/crates/data-plane/src/selection/affinity.rs
@@ -5,7 +5,7 @@
 
 use state::ServerId;
 
-/// Groups that are remembered.
+/// The maximum number of groups.
 const MAX_GROUPS: usize = 512;
 
 /// For each group of items, the server that one of them was sent to last.
@@ -19,7 +19,7 @@
 }
 
 impl PrefixAffinity {
-    /// Returns the server that has read the prompt of this group last.
+    /// Returns the server that an item of this group was sent to last.
     pub(crate) fn server(&self, group: &str) -> Option<ServerId> {
         self.servers.get(group).cloned()
     }
--- a/crates/data-plane/src/selection/clients.rs
+++ b/crates/data-plane/src/selection/clients.rs
@@ -1,7 +1,7 @@
 //! HTTP clients with the connections to servers.
 //!
 //! Each incarnation of a server has a client with connections of its own, so that all of them can be dropped at once:
-//! when the server leaves the list, or when bytes came that belong to no request.
+//! when the server leaves the list, or when a response did not carry the id of its request.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 /// The HTTP clients of all servers.
 pub(crate) struct ServerClients {
     clients: HashMap<ServerId, reqwest::Client>,
-    /// The idle timeout of all clients. It only falls.
+    /// The idle timeout of all clients: the shortest that was announced, never longer than [`DEFAULT_IDLE_TIMEOUT`].
     idle_timeout: Duration,
 }
 
@@ -62,7 +62,8 @@
         self.clients.retain(|id, _| is_listed(id));
     }
 
-    /// Records that a server keeps idle connections for this long.
+    /// Records that a server keeps idle connections for this long. If that shortens the idle timeout, all clients are
+    /// replaced, since the timeout of a client can't be changed.
     pub(crate) fn record_keep_alive(&mut self, announced: Duration) {
         let timeout = announced.mul_f64(SERVER_IDLE_TIMEOUT_FACTOR);
         if timeout < self.idle_timeout {
--- a/crates/data-plane/src/selection/in_flight.rs
+++ b/crates/data-plane/src/selection/in_flight.rs
@@ -54,26 +54,31 @@
         self.selector.state().clients.record_keep_alive(timeout);
     }
 
+    /// Records the load that the server reported.
     pub(crate) fn record_load(&self, load: ServerLoad) {
         let now = self.selector.now();
         let mut state = self.selector.state();
         state.dispatcher.record_load(now, &self.server.id, load.running, load.queued, load.slots);
     }
 
+    /// Records that the server serves this version of a model.
     pub(crate) fn record_version(&self, model: &str, version: u64) {
         self.selector.state().dispatcher.record_version(&self.server.id, model, version);
     }
 
+    /// Records that the server rejected the request because it doesn't serve this version.
     pub(crate) fn record_version_rejected(&self, model: &str, version: u64) {
         let now = self.selector.now();
         self.selector.state().dispatcher.record_version_rejected(now, &self.server.id, model, version);
     }
 
+    /// Records that the server rejected the request despite free capacity: it is loading a version of the model.
     pub(crate) fn record_model_loading(&self, model: &str) {
         let now = self.selector.now();
         self.selector.state().dispatcher.record_model_loading(now, &self.server.id, model);
     }
 
+    /// Records that the server serves requests for this model, so that it isn't loading.
     pub(crate) fn record_model_serving(&self, model: &str) {
         self.selector.state().dispatcher.record_model_serving(&self.server.id, model);
     }
--- a/crates/data-plane/src/selection/selector.rs
+++ b/crates/data-plane/src/selection/selector.rs
@@ -1,4 +1,4 @@
-//! The selector: a handle to what is known of the servers, shared by all requests of a process.
+//! The selector: a handle to the state of all servers, which the requests of a process share behind one mutex.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -76,7 +76,7 @@
         self.state().hedge_budget.withdraw()
     }
 
-    /// Returns the server that has the prompt of this group of items in its prefix cache.
+    /// Returns the server that is expected to have the prompt of this group of items in its prefix cache.
     pub(crate) fn prefix_cache_server(&self, group: &str) -> Option<ServerId> {
         self.state().affinity.server(group)
     }
@@ -86,7 +86,7 @@
         self.state().affinity.record(group, server);
     }
 
-    /// The time as the dispatcher counts it.
+    /// The time since the selector was created, which is the dispatcher's clock.
     pub(super) fn now(&self) -> Duration {
         self.shared.started.elapsed()
     }
--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -88,7 +88,8 @@
         None
     }
 
-    /// Takes in bytes of the stream. Fails if an event repeats or precedes one that was passed on.
+    /// Parses the next bytes of the stream and queues the complete events. Fails if an event repeats or precedes one
+    /// that was passed on.
     fn push(&mut self, chunk: &[u8]) -> io::Result<()> {
         self.parser.push(chunk);
         while let Some(event) = self.parser.next_event() {
@@ -103,7 +104,8 @@
         Ok(())
     }
 
-    /// Continues at another server after the last complete event; what was received of the next one is dropped.
+    /// Continues at another server after the last complete event; the part of the next one that was received is
+    /// dropped. Fails if no further attempt may be made, which is always so if the route doesn't allow resumption.
     async fn resume(&mut self) -> io::Result<()> {
         self.upstream = None;
         self.parser = EventParser::default();
@@ -125,7 +127,7 @@
             };
             match upstream.chunk().await {
                 Ok(Some(chunk)) => self.push(&chunk)?,
-                // Bytes after the last event are part of a complete body as well.
+                // A body may end without a blank line after its last event.
                 Ok(None) => return Ok(self.parser.take_partial()),
                 Err(_) => self.resume().await?,
             }
--- a/crates/data-plane/src/upstream/attempt.rs
+++ b/crates/data-plane/src/upstream/attempt.rs
@@ -10,7 +10,7 @@
 
 use crate::headers::{
     keep_alive_timeout, retry_after, version, ServerLoad, ATTEMPT_ID, EXPECTED_SERVER, EXPECTED_VERSION,
-    LAST_EVENT_ID, NOT_RUN, POSTMARK, TIME_LEFT,
+    LAST_EVENT_ID, NOT_RUN, STAMP, TIME_LEFT,
 };
 use crate::request::UpstreamRequest;
 use crate::selection::InFlightRequest;
@@ -18,11 +18,11 @@
 use crate::upstream::options::AttemptOptions;
 use crate::upstream::response::{drain_body, UpstreamResponse};
 
-/// Taken off the time that the server is given, for the transit of its response.
+/// Subtracted from the time that the server is given, for the transit of its response.
 const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(4);
 /// A time-out counts as a failure of the server only if the server had at least this long.
 const MIN_TIMEOUT_COUNTED_AS_FAILURE: Duration = Duration::from_millis(250);
-/// The head of the response may take so many idle timeouts, as the request may wait in the server's queue.
+/// The head of the response may take this many idle timeouts, as the request may wait in the server's queue.
 const HEAD_TIMEOUT_FACTOR: u32 = 2;
 
 /// One attempt of a request at the server that was selected for it.
@@ -166,6 +166,6 @@
 /// A response without a length ends with its connection; if that is reset, reading the body fails.
 fn is_valid(response: &Response) -> bool {
     let (status, headers) = (response.status(), response.headers());
-    let is_stamped = !status.is_success() || headers.contains_key(POSTMARK);
+    let is_stamped = !status.is_success() || headers.contains_key(STAMP);
     is_stamped && !status.is_informational() && !headers.contains_key(CONTENT_ENCODING)
 }
--- a/crates/data-plane/src/upstream/error.rs
+++ b/crates/data-plane/src/upstream/error.rs
@@ -19,7 +19,7 @@
     Unsendable,
     /// No connection to the server came up.
     ConnectFailed,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     Rejected {
         /// After which time the server wants it to be sent again.
         retry_after: Option<Duration>,
--- a/crates/data-plane/src/upstream/options.rs
+++ b/crates/data-plane/src/upstream/options.rs
@@ -13,7 +13,7 @@
     pub(crate) expected_version: Option<u64>,
     /// The stream is to continue after this event.
     pub(crate) last_event_id: Option<u64>,
-    /// The server is given up if it sends nothing for this long.
+    /// The attempt fails if the server sends nothing for this long; `None`: only the deadline counts.
     pub(crate) idle_timeout: Option<Duration>,
 }
 
@@ -23,7 +23,8 @@
         Self { deadline, expected_version: None, last_event_id: None, idle_timeout: None }
     }
 
-    /// When the server is given up if it sends nothing from now on for `idle_timeouts` idle timeouts.
+    /// When the attempt fails if the server sends nothing from now on: after so many idle timeouts, or at the
+    /// deadline.
     pub(super) fn idle_deadline(&self, idle_timeouts: u32) -> Instant {
         let end = self.idle_timeout.map(|timeout| Instant::now() + timeout * idle_timeouts);
         end.map_or(self.deadline, |end| end.min(self.deadline))
--- a/crates/data-plane/src/upstream/response.rs
+++ b/crates/data-plane/src/upstream/response.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Gives the response up as if it had been read to its end.
+    /// Discards the body; the request counts as if the body had been read to its end.
     pub(crate) fn discard(mut self) {
         self.in_flight.set_outcome(self.complete_outcome());
         drain_body(self.response);
--- a/crates/data-plane/tests/at_most_once.rs
+++ b/crates/data-plane/tests/at_most_once.rs
@@ -173,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn given_a_silent_server_when_the_request_times_out_then_no_other_gets_it() {
+async fn given_an_unresponsive_server_when_the_request_times_out_then_no_other_gets_it() {
     let (node, servers) = node_with_kept_connections(Reaction::Hang).await;
     let url = format!("http://{}/unsafe/x", node.address);
     let request = node.client.post(url).header("host", "h.example").header("attempt-id", "try1");
--- a/crates/data-plane/tests/event_stream.rs
+++ b/crates/data-plane/tests/event_stream.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn given_a_cut_event_when_parsed_then_it_is_left_as_partial() {
+fn given_an_incomplete_event_when_parsed_then_it_is_left_as_partial() {
     let (events, has_partial) = events(&["id: 1\ndata: a\n\nid: 2\ndata: b\n"]);
     assert_eq!(texts(&events), ["a"]);
     assert!(has_partial);
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -61,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn given_a_cut_stream_when_it_is_resumed_then_the_bytes_of_the_request_are_golden() {
+async fn given_a_truncated_stream_when_it_is_resumed_then_the_bytes_of_the_request_are_golden() {
     let cut = stream_text("", &[&event(1), &event(2)], false);
     let script = move |received: &ReceivedRequest, _| match received.header("last-event-id") {
         "" => Reaction::WriteAndClose(cut.clone()),
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn given_a_silent_server_when_a_stream_times_out_then_the_bytes_of_the_response_are_golden() {
+async fn given_an_unresponsive_server_when_a_stream_times_out_then_the_bytes_of_the_response_are_golden() {
     let servers = fake_servers(vec![Reaction::Hang]).await;
     let node = node_with(&servers).await;
     let response = exchange(node.address, &request("GET /stream/x", "Time-Left-Ms: 30\r\n", "")).await;
--- a/crates/data-plane/tests/ingress.rs
+++ b/crates/data-plane/tests/ingress.rs
@@ -154,7 +154,7 @@
 }
 
 #[tokio::test]
-async fn given_a_silent_server_when_the_latency_target_is_in_danger_then_a_hedged_request_is_served() {
+async fn given_an_unresponsive_server_when_the_latency_target_is_in_danger_then_a_hedged_request_is_served() {
     let servers = fake_servers(vec![Reaction::Hang, success("x")]).await;
     let node = node_with(&servers).await;
     for _ in 0..2 {
@@ -163,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn given_a_silent_server_when_the_route_times_out_then_the_status_is_504() {
+async fn given_an_unresponsive_server_when_the_route_times_out_then_the_status_is_504() {
     let servers = fake_servers(vec![Reaction::Hang]).await;
     let node = node_with(&servers).await;
     assert_eq!(node.get("/short/x").await.status(), 504);
@@ -191,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn given_a_long_response_when_asked_then_it_is_complete_or_cut_off() {
+async fn given_a_long_response_when_asked_then_it_is_complete_or_truncated() {
     let long = "x".repeat(2_000_000);
     let head = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 2000000\r\n\r\n";
     let servers = fake_servers(vec![Reaction::Write(format!("{head}{long}"))]).await;
--- a/crates/data-plane/tests/items.rs
+++ b/crates/data-plane/tests/items.rs
@@ -82,7 +82,7 @@
     before_the_blank_line = {&["id: 1\ndata: e1\n\n", "id: 2\ndata: e2\n"]},
 )]
 #[test_macro(tokio::test)]
-async fn given_a_stream_that_is_cut_off_when_an_item_runs_then_complete_events_are_kept(chunks: &[&str]) {
+async fn given_a_truncated_stream_when_an_item_runs_then_complete_events_are_kept(chunks: &[&str]) {
     let truncated = Reaction::WriteAndClose(stream_text(VERSION_3, chunks, false));
     let (outcome, _) = run(truncated, "/rollout/x", ItemProgress::default()).await;
     assert_eq!(outcome, ItemOutcome::Interrupted(progress(&[1], &[3])));
--- a/crates/data-plane/tests/streams.rs
+++ b/crates/data-plane/tests/streams.rs
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn given_a_stream_that_is_cut_off_when_it_may_not_be_resumed_then_the_response_is_cut_off() {
+async fn given_a_truncated_stream_when_it_may_not_be_resumed_then_the_response_is_truncated() {
     let cut = Reaction::WriteAndClose(stream_text("", &[&event(1), "id: 2\nda"], false));
     let servers = fake_servers(vec![cut.clone(), cut]).await;
     let node = node_with(&servers).await;
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn given_a_stream_that_is_cut_off_when_it_may_be_resumed_then_another_server_continues_it() {
+async fn given_a_truncated_stream_when_it_may_be_resumed_then_another_server_continues_it() {
     let cut = stream_text("", &[&event(1), "id: 2\nda"], false);
     let mut servers = Vec::new();
     for id in ["a", "b"] {
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn given_a_stream_that_starts_anew_when_it_is_resumed_then_the_response_is_cut_off() {
+async fn given_a_server_that_restarts_the_stream_when_it_is_resumed_then_the_response_is_truncated() {
     let cut = Reaction::WriteAndClose(stream_text("", &[&event(1), &event(2)], false));
     let servers = fake_servers(vec![cut.clone(), cut]).await;
     let node = node_with(&servers).await;
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -11,13 +11,15 @@
 use crate::pool::ServerPool;
 use crate::server::{PooledServer, RequestOutcome, SelectedServer};
 
-/// Selects servers, and keeps what requests and reports showed about them.
+/// Selects servers by their load, health and versions, which requests and reports of the servers show.
 ///
 /// What is known of a server is kept for as long as that incarnation is in the server list.
 #[derive(Debug)]
 pub struct Dispatcher {
     zone: Arc<str>,
+    /// By service.
     pools: HashMap<Arc<str>, ServerPool>,
+    /// The service of each listed server.
     services: HashMap<ServerId, Arc<str>>,
 }
 
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,13 +1,14 @@
 //! Selection of a server for each request: load, versions of models, outliers, zones.
 //!
-//! Nothing here does I/O or reads a clock: times are handed in, counted from any fixed moment. The data plane owns a
-//! [`Dispatcher`], asks it for a server before each attempt and reports to it what the attempt showed.
+//! Nothing here does I/O or reads a clock: times are arguments, counted from any fixed moment. Random draws come from
+//! the generator of the thread (`fastrand`). The data plane owns a [`Dispatcher`], asks it for a server before each
+//! attempt and reports the outcome of the attempt to it.
 //!
 //! A request passes these steps:
 //!
 //! 1. A service is drawn by the weights of the route, among services with an eligible server.
-//! 2. Of the eligible servers of that service, those of the best tier remain: servers that list the model, that
-//!    this request has not been sent to, and that are not ejected as outliers.
+//! 2. Of the eligible servers of that service, those of the best tier remain: if there are any, servers that list the
+//!    model, that this request has not been sent to, and that are not ejected as outliers.
 //! 3. Of these, the server with the shortest queue is selected (see [`hsq`]); an idle connection, a warm prefix cache
 //!    and the own zone break near ties.
 //!
--- a/crates/dispatch/src/model_versions.rs
+++ b/crates/dispatch/src/model_versions.rs
@@ -21,15 +21,18 @@
 /// What is known of one server's versions. They only rise within one incarnation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ModelVersions {
+    /// The newest known version of each model.
     known: BTreeMap<Arc<str>, u64>,
     last_rejection: Option<VersionRejection>,
+    /// Models that the server seemed to be loading when it last rejected a request for them.
     loading: BTreeMap<Arc<str>, LoadingBackoff>,
 }
 
-/// How long a model that the server seems to be loading is left out.
+/// The time in which no request for a model goes to a server that seems to be loading it.
 #[derive(Clone, Copy, Debug)]
 struct LoadingBackoff {
     until: Duration,
+    /// Its length, which doubles with each further rejection.
     duration: Duration,
 }
 
--- a/crates/dispatch/src/outlier.rs
+++ b/crates/dispatch/src/outlier.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Ejection after a single failure.
+/// Ejection after a single failure; it doubles with each point of the failure score.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// No ejection lasts longer.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -17,6 +17,7 @@
 /// How well a server suits a request; lower is better. Queue lengths are compared within the best tier only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SuitabilityTier {
+    /// None of the following.
     Healthy,
     /// Ejected as an outlier.
     Ejected,
@@ -104,7 +105,8 @@
         self.positions.get(id).map(|position| &mut self.servers[*position])
     }
 
-    /// For a server without a fresh report, the requests in flight from here stand in for a report.
+    /// For a server without a fresh report, the requests in flight from this process are the queue length. This
+    /// replaces the mean with which [`QueueLengths::add`] starts.
     fn overwrite_unreported_lengths(&mut self, now: Duration) {
         for server in &self.servers {
             if !server.has_fresh_report(now) {
@@ -113,12 +115,15 @@
         }
     }
 
+    /// Of the best tier, the server with the shortest queue. A server with an idle connection is preferred to it if
+    /// its queue is longer by at most [`IDLE_CONNECTION_QUEUE_ALLOWANCE`].
     fn best_server(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> Option<ServerIndex> {
         let eligible = || self.servers.iter().filter(|server| is_eligible(server, now, criteria));
         let best_tier = eligible().map(|server| tier(server, now, criteria)).min()?;
         let candidates = || eligible().filter(|server| tier(server, now, criteria) == best_tier);
         let ranked = |server: &PooledServer| (server.queue, preference(server, criteria));
         let shortest = self.queue_lengths.shortest_preferring(candidates().map(ranked))?;
+        // Without a maximum age, no connection is young enough.
         let max_age = criteria.max_idle_connection_age.unwrap_or_default();
         let connected = candidates().filter(|server| server.has_idle_connection(now, max_age)).map(ranked);
         let Some(connected) = self.queue_lengths.shortest_preferring(connected) else {
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -12,7 +12,7 @@
 
 /// Requests that a server is sent beyond its slots, so that it has the next one at hand when a slot becomes free.
 const MAX_QUEUED_PER_SERVER: u32 = 1;
-/// A load report says nothing about the requests of other senders after this time.
+/// A load report is used for this long; afterwards nothing is known about the requests of other senders.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(1000);
 
 /// The server that was selected for a request.
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug)]
 struct LoadReport {
     received_at: Duration,
-    /// Its requests that were not in flight from this process.
+    /// Its requests, running or queued, that were not in flight from this process.
     load_of_others: u32,
 }
 
@@ -102,6 +102,7 @@
         self.versions.record_listed(&entry.models);
     }
 
+    /// Records the load that the server reported: its requests, running or queued, and its slots (0: unknown).
     pub(crate) fn record_load(&mut self, now: Duration, load: u32, slots: u32) {
         if slots > 0 {
             self.slots = slots;
@@ -116,6 +117,7 @@
         self.idle_connections.pop();
     }
 
+    /// Counts a request as finished, and its outcome for the health of the server.
     pub(crate) fn request_finished(&mut self, now: Duration, outcome: RequestOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if outcome.leaves_connection_usable() {
--- a/crates/hsq/src/lib.rs
+++ b/crates/hsq/src/lib.rs
@@ -1,10 +1,11 @@
-//! The array of queue lengths that HSQ keeps.
+//! The array of queue lengths of the HSQ strategy, by which a server is selected for each request.
 //!
 //! HSQ is the strategy of Islam, "Network Load Balancing Methods", section IV.E: shortest queue with stale
-//! information, which keeps the history of the requests that were sent since that information came. One array holds
-//! the known queue length of each server; each request goes to the shortest queue, with ties broken at random, and
-//! adds one to that length. A completed request doesn't lower it: only a fresh report of a server overwrites the
-//! length of that server, and with it the history.
+//! information, which keeps the history of the requests that were sent since that information was received. One array
+//! holds the known queue length of each server; each request goes to the shortest queue, with ties broken at random,
+//! and adds one to that length. A completed request doesn't lower it: only a fresh report of a server overwrites the
+//! length of that server, and with it the history. Callers whose servers send no reports overwrite the lengths
+//! themselves, as the crate `dispatch` does.
 //!
 //! ```
 //! use hsq::QueueLengths;
--- a/crates/local-fleet/src/deployment/configuration_file.rs
+++ b/crates/local-fleet/src/deployment/configuration_file.rs
@@ -165,9 +165,9 @@
     pub cache_bytes: u64,
     /// Bandwidth between engines, in Mbit/s.
     pub link_mbps: f64,
-    /// Tokens of a block of the KV cache.
+    /// Tokens between two progress reports of a stream.
     #[serde(rename = "stride")]
-    pub block_tokens: u64,
+    pub progress_interval_tokens: u64,
     /// The models.
     pub models: Vec<ModelName>,
 }
@@ -215,7 +215,7 @@
             cache_tokens,
             cache_bytes: 35_136,
             link_mbps: 1_400_000.0,
-            block_tokens: 54,
+            progress_interval_tokens: 54,
             models,
         };
         Self { max_connections: 160, engine: Some(engine), ..Self::plain(name) }
--- a/crates/local-fleet/src/deployment/timing_rules.rs
+++ b/crates/local-fleet/src/deployment/timing_rules.rs
@@ -4,78 +4,80 @@
 
 use serde::Serialize;
 
-/// The time limits of the system's rules; the section `timetable` of the settings file.
+/// The time limits of the system's rules; the section `timetable` of the settings file. What each one bounds is
+/// explained at `settings::TimingRules`, which reads it.
 #[derive(Clone, Debug, Serialize)]
 pub struct TimingRules {
     #[serde(rename = "seedLagS")]
-    seed_lag_s: u64,
+    node_list_lag_s: u64,
     #[serde(rename = "reuseAfterS")]
-    reuse_after_s: u64,
+    address_reuse_delay_s: u64,
     #[serde(rename = "touchMs")]
-    touch_ms: u64,
+    stabilization_period_ms: u64,
     #[serde(rename = "receiptMs")]
-    acknowledgement_ms: u64,
+    acknowledgement_timeout_ms: u64,
     #[serde(rename = "catchUpS")]
-    catch_up_s: f64,
+    rejoin_period_s: f64,
     #[serde(rename = "drainMs")]
-    drain_ms: u64,
+    drain_timeout_ms: u64,
     #[serde(rename = "graceS")]
     shutdown_grace_s: u64,
     #[serde(rename = "lostMs")]
-    failure_detection_ms: u64,
+    request_acceptance_delay_ms: u64,
     #[serde(rename = "inForceMs")]
     configuration_in_force_ms: u64,
     #[serde(rename = "backMs")]
-    back_ms: u64,
+    configuration_regression_tolerance_ms: u64,
     #[serde(rename = "stretchMs")]
-    stretch_ms: u64,
+    unstable_core_extension_ms: u64,
     #[serde(rename = "recoverS")]
-    recovery_s: u64,
-    pass_ms: u64,
+    recovery_timeout_s: u64,
+    #[serde(rename = "pass_ms")]
+    event_forwarding_timeout_ms: u64,
     again_s: u64,
     #[serde(rename = "finishS")]
-    finish_s: u64,
+    batch_completion_extension_s: u64,
     #[serde(rename = "statusS")]
     result_retention_s: u64,
     #[serde(rename = "recallMs")]
-    recall_ms: u64,
+    cancellation_timeout_ms: u64,
     #[serde(rename = "settleMs")]
     job_visible_ms: u64,
     #[serde(rename = "quotaOver")]
-    quota_over: f64,
+    quota_overshoot: f64,
     #[serde(rename = "fenceChecked")]
-    fence_checked: bool,
+    servers_check_fencing: bool,
     #[serde(rename = "leaseMs")]
-    lease_ms: u64,
+    leader_handover_interval_ms: u64,
     #[serde(rename = "thawMs")]
-    thaw_ms: u64,
+    resume_tolerance_ms: u64,
 }
 
 impl Default for TimingRules {
     fn default() -> Self {
         Self {
-            seed_lag_s: 3,
-            reuse_after_s: 2,
-            touch_ms: 3000,
-            acknowledgement_ms: 4000,
-            catch_up_s: 4.8,
-            drain_ms: 3000,
+            node_list_lag_s: 3,
+            address_reuse_delay_s: 2,
+            stabilization_period_ms: 3000,
+            acknowledgement_timeout_ms: 4000,
+            rejoin_period_s: 4.8,
+            drain_timeout_ms: 3000,
             shutdown_grace_s: 8,
-            failure_detection_ms: 200,
+            request_acceptance_delay_ms: 200,
             configuration_in_force_ms: 2000,
-            back_ms: 250,
-            stretch_ms: 5000,
-            recovery_s: 12,
-            pass_ms: 120,
+            configuration_regression_tolerance_ms: 250,
+            unstable_core_extension_ms: 5000,
+            recovery_timeout_s: 12,
+            event_forwarding_timeout_ms: 120,
             again_s: 0,
-            finish_s: 10,
+            batch_completion_extension_s: 10,
             result_retention_s: 120,
-            recall_ms: 3000,
+            cancellation_timeout_ms: 3000,
             job_visible_ms: 1000,
-            quota_over: 0.1,
-            fence_checked: false,
-            lease_ms: 3000,
-            thaw_ms: 300,
+            quota_overshoot: 0.1,
+            servers_check_fencing: false,
+            leader_handover_interval_ms: 3000,
+            resume_tolerance_ms: 300,
         }
     }
 }
@@ -95,8 +97,8 @@
 
     /// How long items of a batch job may still arrive at servers after its end was acknowledged.
     #[must_use]
-    pub fn recall(&self) -> Duration {
-        Duration::from_millis(self.recall_ms)
+    pub fn cancellation_timeout(&self) -> Duration {
+        Duration::from_millis(self.cancellation_timeout_ms)
     }
 
     /// From the acknowledgement of a batch job until all nodes know it.
@@ -111,9 +113,9 @@
         Duration::from_secs(self.result_retention_s)
     }
 
-    /// The duration of the leader lease; orders of two holders are at least this far apart.
+    /// How far apart orders of successive lease holders to one server have to be.
     #[must_use]
-    pub fn lease(&self) -> Duration {
-        Duration::from_millis(self.lease_ms)
+    pub fn leader_handover_interval(&self) -> Duration {
+        Duration::from_millis(self.leader_handover_interval_ms)
     }
 }
--- a/crates/local-fleet/src/http/caller.rs
+++ b/crates/local-fleet/src/http/caller.rs
@@ -12,9 +12,9 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How many redirects are followed.
 const MAX_REDIRECTS: usize = 2;
-/// The pause before the second attempt; it doubles with each further one ...
+/// The delay before the second attempt; it doubles with each further one, up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// ... up to this.
+/// The longest delay before an attempt.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
 /// An HTTP request.
@@ -156,7 +156,7 @@
         Ok(HttpReply { status, headers, body })
     }
 
-    /// Tries one peer after the other, with backoff, until the outcome is known or `timeout` has passed.
+    /// Makes attempts at one peer after the other, with backoff, until the outcome is known or `timeout` has passed.
     ///
     /// # Errors
     ///
--- a/crates/local-fleet/src/http/connections.rs
+++ b/crates/local-fleet/src/http/connections.rs
@@ -1,7 +1,7 @@
 //! Connections that can be aborted in the middle of a response.
 //!
 //! When the stream of a chunked body ends with an error, poem's server still writes the last chunk, so that the
-//! response looks complete. A server that is to break off therefore aborts the connection below it first.
+//! client takes the response for complete. A server that is to break off therefore aborts the connection first.
 
 use std::collections::HashMap;
 use std::io;
--- a/crates/local-fleet/src/run/local_run.rs
+++ b/crates/local-fleet/src/run/local_run.rs
@@ -98,7 +98,8 @@
         let started = Instant::now();
         let timing = TimingRules::default();
         let names = Names::random();
-        let request_log = Arc::new(RequestLog::new(timing.recall(), timing.lease()));
+        let request_log =
+            Arc::new(RequestLog::new(timing.cancellation_timeout(), timing.leader_handover_interval()));
         let stand_ins = StandIns::start(&layout, &names, &timing, &options.workload, &request_log).await?;
         let mut fleet = Fleet::new(&layout, &options.executable, &options.directory);
         // A system starts for the first time only if its disks are empty.
--- a/crates/local-fleet/src/run/mod.rs
+++ b/crates/local-fleet/src/run/mod.rs
@@ -12,7 +12,7 @@
 
 use local_run::LocalRun;
 
-/// Runs a fleet and reports what came of it; `print_progress` gets a line for each event of interest.
+/// Runs a fleet and returns the report; `print_progress` gets a line for each event of interest.
 ///
 /// # Errors
 ///
--- a/crates/local-fleet/src/run/options.rs
+++ b/crates/local-fleet/src/run/options.rs
@@ -1,4 +1,4 @@
-//! What a run consists of.
+//! The options of a run: the machines, the workload and the faults.
 
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/local-fleet/src/run/report.rs
+++ b/crates/local-fleet/src/run/report.rs
@@ -34,7 +34,7 @@
     pub platform_calls: PlatformCalls,
     /// Seconds from the start of the run until all nodes were ready.
     pub start_seconds: f64,
-    /// Seconds of the whole run.
+    /// Seconds from the start of the run to its end.
     pub seconds: f64,
     /// Faults that were injected.
     #[serde(rename = "troubles")]
--- a/crates/local-fleet/src/servers/generation.rs
+++ b/crates/local-fleet/src/servers/generation.rs
@@ -14,7 +14,7 @@
 use crate::protocol::header;
 use crate::verification::{EventData, GenerationId, RequestLog};
 
-/// What a stream is to contain, and when it breaks off.
+/// The content and timing of a stream, and the event after which it breaks off.
 pub struct GenerationPlan {
     /// The generation.
     pub id: GenerationId,
@@ -37,7 +37,7 @@
     weights: watch::Receiver<WeightState>,
     request_log: Arc<RequestLog>,
     last_event: u64,
-    /// The version that the caller knows of, from the header or an earlier event.
+    /// The version that was last announced to the caller, by the header or by an event.
     announced_version: u64,
     _slot: Slot,
 }
--- a/crates/local-fleet/src/servers/plain.rs
+++ b/crates/local-fleet/src/servers/plain.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a plain server: it answers each request after a fixed time; the stamps of its responses grade texts.
+//! Stand-in of a plain server: it responds to each request after a fixed time. The stamps of its responses to reward
+//! calls serve as grades.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/local-fleet/src/servers/slots.rs
+++ b/crates/local-fleet/src/servers/slots.rs
@@ -42,7 +42,7 @@
     _permit: OwnedSemaphorePermit,
 }
 
-/// Counts a queued request until it runs or its caller goes away.
+/// Counts a queued request until it runs or its caller disconnects.
 struct QueuedRequest(Arc<AtomicUsize>);
 
 impl QueuedRequest {
--- a/crates/local-fleet/src/trainer/step_outcome.rs
+++ b/crates/local-fleet/src/trainer/step_outcome.rs
@@ -1,11 +1,11 @@
-//! What came of one training step.
+//! The outcome of one training step.
 
 use std::fmt;
 use std::time::Duration;
 
 use super::step_plan::ItemGroup;
 
-/// What came of a training step.
+/// The outcome of a training step.
 #[derive(Clone, Debug)]
 pub struct StepOutcome {
     /// The step, from 0.
--- a/crates/local-fleet/src/verification/event_data.rs
+++ b/crates/local-fleet/src/verification/event_data.rs
@@ -1,4 +1,4 @@
-//! The data of a generated event, from which a check tells which generation made it.
+//! The data of a generated event, which names its generation, so that a check finds the record of it.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/local-fleet/src/verification/mod.rs
+++ b/crates/local-fleet/src/verification/mod.rs
@@ -1,4 +1,4 @@
-//! Decides whether the system kept its promises: what the servers ran and generated, and the rules that results and
+//! Checks of the system's rules: the log of what the servers ran and generated, and the rules that results and
 //! responses are checked against.
 //!
 //! The stand-ins of servers, clients and trainers write one [`RequestLog`]; a broken rule becomes a [`Violation`] there.
--- a/crates/local-fleet/src/verification/request_log.rs
+++ b/crates/local-fleet/src/verification/request_log.rs
@@ -111,17 +111,17 @@
 #[derive(Debug)]
 pub struct RequestLog {
     state: Mutex<LogState>,
-    recall: Duration,
-    lease: Duration,
+    cancellation_timeout: Duration,
+    handover_interval: Duration,
 }
 
 impl RequestLog {
-    /// An empty log of a deployment in which items of an ended batch job may still arrive at servers for `recall`, and a
-    /// leader's lease lasts for `lease`.
+    /// An empty log of a deployment in which items of an ended batch job may still arrive at servers for
+    /// `cancellation_timeout`, and orders of successive lease holders are at least `handover_interval` apart.
     #[must_use]
-    pub fn new(recall: Duration, lease: Duration) -> Self {
+    pub fn new(cancellation_timeout: Duration, handover_interval: Duration) -> Self {
         let state = LogState { newest_named_version: 1, ..LogState::default() };
-        Self { state: Mutex::new(state), recall, lease }
+        Self { state: Mutex::new(state), cancellation_timeout, handover_interval }
     }
 
     fn state(&self) -> MutexGuard<'_, LogState> {
@@ -148,7 +148,7 @@
     pub fn record_arrival(&self, arrival: &RequestArrival<'_>) -> u64 {
         let mut state = self.state();
         state.clock += 1;
-        for violation in state.check_arrival(arrival, self.recall) {
+        for violation in state.check_arrival(arrival, self.cancellation_timeout) {
             state.report(violation);
         }
         state.clock
@@ -192,7 +192,7 @@
     /// Records an order that a server accepted.
     pub fn record_order(&self, order: OrderRecord) {
         let mut state = self.state();
-        for violation in state.check_order(&order, self.lease) {
+        for violation in state.check_order(&order, self.handover_interval) {
             state.report(violation);
         }
         state.orders.push(order);
@@ -243,7 +243,7 @@
         }
     }
 
-    fn check_arrival(&self, arrival: &RequestArrival<'_>, recall: Duration) -> Vec<Violation> {
+    fn check_arrival(&self, arrival: &RequestArrival<'_>, cancellation_timeout: Duration) -> Vec<Violation> {
         let RequestArrival { id, server, service, .. } = arrival;
         let Some(expected) = self.expected.get(*id) else {
             let description = format!("{server} runs {id}, which was never sent");
@@ -258,21 +258,25 @@
             let description = format!("{service} ({server}) runs {id}, which no route allows");
             violations.push(Violation::new(Rule::Route, description));
         }
-        violations.extend(self.check_recall(arrival, recall));
+        violations.extend(self.check_cancellation(arrival, cancellation_timeout));
         violations
     }
 
-    /// Items of an ended batch job may arrive for `recall` after the end, not later.
-    fn check_recall(&self, arrival: &RequestArrival<'_>, recall: Duration) -> Option<Violation> {
+    /// Items of an ended batch job may arrive for `cancellation_timeout` after the end, not later.
+    fn check_cancellation(
+        &self,
+        arrival: &RequestArrival<'_>,
+        cancellation_timeout: Duration,
+    ) -> Option<Violation> {
         let RequestArrival { id, server, .. } = arrival;
         let late = arrival.at.saturating_duration_since(*self.ended.get(*id)?);
-        (late > recall).then(|| {
+        (late > cancellation_timeout).then(|| {
             let description = format!("{server} runs {id} {late:?} after the end of its batch job");
             Violation::new(Rule::UnexpectedRequest, description)
         })
     }
 
-    fn check_order(&self, order: &OrderRecord, lease: Duration) -> Vec<Violation> {
+    fn check_order(&self, order: &OrderRecord, handover_interval: Duration) -> Vec<Violation> {
         let mut violations = Vec::new();
         let has_same_fence =
             |earlier: &&OrderRecord| earlier.fence == order.fence && earlier.holder != order.holder;
@@ -283,21 +287,26 @@
         }
         let last = self.orders.iter().rev().find(|earlier| earlier.server == order.server);
         if let Some(last) = last {
-            violations.extend(check_successive_orders(last, order, lease));
+            violations.extend(check_successive_orders(last, order, handover_interval));
         }
         violations
     }
 }
 
-/// Between two orders to one server the fencing token must not decrease, and another holder must wait for a lease.
-fn check_successive_orders(last: &OrderRecord, order: &OrderRecord, lease: Duration) -> Vec<Violation> {
+/// Between two orders to one server the fencing token must not decrease, and another holder must wait for
+/// `handover_interval`.
+fn check_successive_orders(
+    last: &OrderRecord,
+    order: &OrderRecord,
+    handover_interval: Duration,
+) -> Vec<Violation> {
     let mut violations = Vec::new();
     if order.fence < last.fence {
         let description = format!("{}: fencing token {} after {}", order.server, order.fence, last.fence);
         violations.push(Violation::new(Rule::SingleLeader, description));
     }
     let passed = order.at.saturating_duration_since(last.at);
-    if order.holder != last.holder && passed < lease {
+    if order.holder != last.holder && passed < handover_interval {
         let description =
             format!("{}: {} orders {passed:?} after {}", order.server, order.holder, last.holder);
         violations.push(Violation::new(Rule::SingleLeader, description));
--- a/crates/local-fleet/tests/verify.rs
+++ b/crates/local-fleet/tests/verify.rs
@@ -11,11 +11,11 @@
 use local_fleet::{RequestLog, Rule};
 use yare::parameterized;
 
-const RECALL: Duration = Duration::from_secs(3);
-const LEASE: Duration = Duration::from_secs(3);
+const CANCELLATION_TIMEOUT: Duration = Duration::from_secs(3);
+const HANDOVER_INTERVAL: Duration = Duration::from_secs(3);
 
 fn request_log() -> RequestLog {
-    RequestLog::new(RECALL, LEASE)
+    RequestLog::new(CANCELLATION_TIMEOUT, HANDOVER_INTERVAL)
 }
 
 fn expectations(events: u64) -> JobExpectations {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -19,7 +19,7 @@
     },
     /// The text is no TOML, lacks a field, or a field has another type.
     Malformed {
-        /// The line of the error and its text, where the error is in one line.
+        /// The number of the line at fault, from 1, and its text; `None` if no single line is at fault.
         line: Option<(usize, String)>,
         /// The parser's error.
         cause: String,
--- a/crates/settings/src/node_settings.rs
+++ b/crates/settings/src/node_settings.rs
@@ -15,6 +15,7 @@
 /// The environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "RUSHRUDDER_BOOT";
 
+/// The heartbeat interval where the file does not give it.
 const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 
 /// The item of `serves` of a process that clients call.
--- a/crates/settings/src/resource_limits.rs
+++ b/crates/settings/src/resource_limits.rs
@@ -18,7 +18,7 @@
     #[serde(rename = "cpuShare")]
     #[validate(range(exclusive_min = 0.0, message = "limits.cpuShare is not above 0"))]
     pub cpu_share: f64,
-    /// `cores`: how many times as fast as one core the process runs during its share.
+    /// `cores`: factor by which the process runs faster than one core during its share.
     #[serde(rename = "cores")]
     pub cpu_speed_factor: f64,
     /// `memoryMb`: memory in megabytes (10^6 bytes); the platform kills a process that exceeds it.
--- a/crates/simulator/src/fleet/delivery.rs
+++ b/crates/simulator/src/fleet/delivery.rs
@@ -1,4 +1,4 @@
-//! How calls and replies travel from one endpoint to another.
+//! Delivery of calls and replies from one endpoint to another, with the delays, losses and partitions of the network.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::model_server::ModelServer;
 use crate::transport::{CallOutcome, Endpoint, OutgoingCall};
 
-/// A message that a partition stops is sent again after this time ...
+/// A message that a partition stops is sent again after this time.
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
-/// ... so many times; then it is lost.
+/// How often a message that a partition stops is sent again before it is dropped.
 const MAX_RESENDS: u32 = 8;
 
 impl Fleet {
-    /// Puts on their way what processes have sent.
+    /// Takes the messages that processes have sent, and schedules their arrival.
     pub(super) fn collect_sent(&mut self) {
         let sent = self.outbox.take();
         for call in sent.calls {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The reply of a process to a call of another.
+    /// Sends the reply of a process to a call of another.
     fn send_reply(&mut self, call: u64, outcome: &CallOutcome) {
         self.transcript.record_reply(self.now, call, outcome);
         let Some(pending) = self.calls.pending.get(&call) else { return };
@@ -62,7 +62,7 @@
         }
     }
 
-    /// A reply that takes no time on a link: from a server, from the platform, or because nothing listens.
+    /// Sends a reply that takes no time on a link: from a server, from the platform, or because nothing listens.
     fn reply_directly(&mut self, call: u64, outcome: &CallOutcome) {
         let Some(pending) = self.calls.pending.get(&call) else { return };
         let (from, to) = (pending.to, Endpoint::Machine(pending.caller));
--- a/crates/simulator/src/fleet/events.rs
+++ b/crates/simulator/src/fleet/events.rs
@@ -8,7 +8,8 @@
 
 /// Something that happens at a time.
 pub(super) enum FleetEvent {
-    /// A machine starts its process, unless another process has ended there since.
+    /// A machine starts its process, unless a process has ended there since this was scheduled (`process_exits`
+    /// differs).
     Start { machine: usize, process_exits: u64 },
     /// A call arrives.
     CallArrives { call: u64, resends: u32 },
--- a/crates/simulator/src/fleet/external_clients.rs
+++ b/crates/simulator/src/fleet/external_clients.rs
@@ -1,4 +1,4 @@
-//! Requests of operators and trainers, and the rule about orders that servers have seen.
+//! Requests of operators and trainers to the fleet, and the check of the orders that servers received.
 
 use std::time::Duration;
 
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,8 +1,9 @@
 //! A fleet in simulated time: machines, their network and servers.
 //!
 //! [`Fleet`] owns everything and lets time pass in steps. In each step it first handles the events that are due, then
-//! lets one machine's process run after the other and takes what each has sent. Faults are injected by
-//! `fault_injection`, what can be read is in `observe`, and operators and trainers call by `external_clients`.
+//! lets one machine's process run after the other and takes the messages that each has sent. Faults are injected by
+//! `fault_injection`, tests and checks read the fleet's state by `observe`, and operators and trainers call by
+//! `external_clients`.
 
 mod calls;
 mod delivery;
@@ -36,9 +37,9 @@
 
 /// Time passes in steps of this length: no message is faster.
 const STEP: Duration = Duration::from_millis(2);
-/// A process is started within this time after its machine was added ...
+/// A process is started within this time after its machine was added.
 const FIRST_START_WITHIN: Duration = Duration::from_millis(300);
-/// ... and within this time after an exit.
+/// A process is started again within this time after an exit.
 const RESTART_WITHIN: Duration = Duration::from_secs(1);
 
 /// A fleet in simulated time. Everything random in it, and in the code that it runs, is drawn from its seed; only one
@@ -50,21 +51,22 @@
     pub network: Network,
     /// The model servers.
     pub servers: Vec<ModelServer>,
-    /// All draws of the fleet and of its faults.
+    /// The generator of all random numbers of the fleet and of its faults. The code of the processes draws from the
+    /// generator of the thread, which [`Fleet::start`] seeds.
     pub random: Rng,
     shape: FleetShape,
     machines: Vec<Machine>,
     events: EventQueue,
     calls: CallTable,
     failures: FailureBudget,
-    /// What processes have sent in this step.
+    /// Messages that processes have sent in this step.
     outbox: Outbox,
     links: Links,
     transcript: Transcript,
 }
 
 impl Fleet {
-    /// Starts a whole system for the first time.
+    /// Starts a system of this shape for the first time: all disks are empty.
     #[must_use]
     pub fn start(seed: u64, shape: FleetShape) -> Self {
         fastrand::seed(seed);
--- a/crates/simulator/src/fleet/observe.rs
+++ b/crates/simulator/src/fleet/observe.rs
@@ -1,4 +1,4 @@
-//! What can be observed of a fleet.
+//! Read access to the state of a fleet, for tests and checks.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -92,19 +92,19 @@
         self.machines[machine].process().and_then(Process::incarnation)
     }
 
-    /// The committed value that a machine's process knows.
+    /// The newest committed value that a machine's process has.
     #[must_use]
     pub fn committed(&self, machine: usize) -> Option<Versioned<ControlState>> {
         self.machines[machine].process()?.committed()
     }
 
-    /// The committed state that a machine's process knows.
+    /// The newest committed state that a machine's process has.
     #[must_use]
     pub fn state(&self, machine: usize) -> Option<Arc<ControlState>> {
         self.committed(machine).map(|committed| committed.value)
     }
 
-    /// The newest committed state that any process knows.
+    /// The newest committed state that any process has.
     #[must_use]
     pub fn newest_state(&self) -> Option<Arc<ControlState>> {
         self.machines().filter_map(|machine| self.state(machine)).max_by_key(|state| state.revision)
@@ -117,13 +117,13 @@
         machine.process().filter(|_| !machine.is_frozen())?.fence()
     }
 
-    /// How long ago a majority confirmed the state that a machine's process knows.
+    /// How long ago a majority confirmed the state that a machine's process has.
     #[must_use]
     pub fn confirmed_age(&self, machine: usize) -> Option<Duration> {
         self.machines[machine].process()?.confirmed_age()
     }
 
-    /// The node that was the last to raise the fencing token, as far as any process knows.
+    /// The node that was the last to raise the fencing token, by the newest state that any process has.
     #[must_use]
     pub fn leader(&self) -> Option<usize> {
         let owner = self.newest_state()?.fence_owner.clone()?;
--- a/crates/simulator/src/fleet/transcript.rs
+++ b/crates/simulator/src/fleet/transcript.rs
@@ -1,4 +1,5 @@
-//! A running digest of what processes send, which distinguishes runs.
+//! A running digest of all messages of a run: two runs of one seed have the same, unless the code behaves
+//! differently.
 
 use std::hash::Hash;
 use std::time::Duration;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -7,7 +7,9 @@
 //! clock. The fleet lets all processes run for one short step after the other, and delivers what they sent. A process
 //! that is frozen does not run while its clock moves on; one that is killed is dropped with all its tasks.
 //!
-//! [`simulation`] plays runs with random faults, and checks what must hold at any moment.
+//! The data plane is not part of it: a stand-in of the item runner generates the results of batch jobs.
+//!
+//! [`simulation`] runs fleets with random faults, and checks their invariants throughout.
 
 mod disk;
 mod external_requests;
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! A network that loses, duplicates, delays and reorders messages, and can be partitioned.
+//! A network that drops, duplicates, delays and reorders messages, and can be partitioned.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 /// The network of a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// How many of a thousand messages are lost.
-    pub lost_per_mille: u32,
+    /// How many of a thousand messages are dropped.
+    pub dropped_per_mille: u32,
     /// How many of a thousand messages are duplicated.
     pub duplicated_per_mille: u32,
     /// How many of a thousand messages are late, most of them after the caller has stopped waiting.
@@ -29,10 +29,10 @@
 }
 
 impl Network {
-    /// A network that seldom loses, duplicates and delays messages.
+    /// A network that seldom drops, duplicates and delays messages.
     #[must_use]
     pub fn ordinary() -> Self {
-        Self { lost_per_mille: 10, duplicated_per_mille: 10, late_per_mille: 5, ..Self::default() }
+        Self { dropped_per_mille: 10, duplicated_per_mille: 10, late_per_mille: 5, ..Self::default() }
     }
 
     /// Stops all messages from one machine to another.
@@ -68,13 +68,13 @@
         }
     }
 
-    /// The delay of each copy of a message; none for a lost one.
+    /// The delay of each copy of a message; none for a dropped one.
     pub(crate) fn delays(&self, random: &mut Rng, from: Endpoint, to: Endpoint) -> Vec<Duration> {
         if from == to {
             return vec![Duration::ZERO];
         }
         let copies = match random.u32(..1000) {
-            drawn if drawn < self.lost_per_mille => 0,
+            drawn if drawn < self.dropped_per_mille => 0,
             drawn if drawn >= 1000 - self.duplicated_per_mille => 2,
             _ => 1,
         };
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -44,7 +44,7 @@
     pub(crate) seed: u64,
 }
 
-/// The parts of a role that are called from outside the process.
+/// The parts of a role that the simulator calls.
 #[derive(Clone)]
 enum Role {
     Node { node: Arc<TrafficNode>, operator: Arc<BoxEndpoint<'static, Response>>, jobs: Arc<JobApi> },
@@ -99,7 +99,7 @@
         Some(Self { runtime, started, clock, internal, role, outbox, incarnation, has_shut_down })
     }
 
-    /// Lets the process run until its clock shows this time since its start.
+    /// Lets the process run until its clock has moved this far since its start.
     pub(crate) fn run_until(&mut self, clock: Duration) {
         self.clock = clock;
         let until = self.started + clock;
@@ -177,7 +177,7 @@
         self.incarnation
     }
 
-    /// The newest committed value that it knows.
+    /// The newest committed value that it has.
     pub(crate) fn committed(&self) -> Option<Versioned<ControlState>> {
         self.role.control().view.committed()
     }
@@ -188,7 +188,7 @@
         self.role.control().leadership.fence()
     }
 
-    /// How long ago a majority confirmed the value that it knows.
+    /// How long ago a majority confirmed the value that it has.
     pub(crate) fn confirmed_age(&self) -> Option<Duration> {
         let _context = self.runtime.enter();
         self.role.control().view.confirmed_age()
--- a/crates/simulator/src/simulation/checker.rs
+++ b/crates/simulator/src/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold at any moment of a run: the register keeps every committed value, and one process leads.
+//! Invariants that are checked throughout a run: the register keeps every committed value, and one process leads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,11 +16,11 @@
 /// Every committed value and lease holder that was observed.
 #[derive(Default)]
 pub(super) struct Checker {
-    /// All committed values that any process knew, by ballot.
+    /// All committed values that any process had, by ballot.
     committed: BTreeMap<Ballot, Arc<ControlState>>,
-    /// The value of each revision: two that differ mean that one change was lost.
+    /// The value of each revision: two that differ mean that one change has disappeared.
     by_revision: BTreeMap<u64, Arc<ControlState>>,
-    /// The last ballot that each process knew, by machine and number of earlier processes.
+    /// The last ballot that each process had, by machine and number of earlier processes.
     known: BTreeMap<(usize, u64), Ballot>,
     /// The fencing token of the last lease holder.
     last_fence: u64,
--- a/crates/simulator/src/simulation/convergence.rs
+++ b/crates/simulator/src/simulation/convergence.rs
@@ -1,4 +1,4 @@
-//! What must hold once the faults of a run are over.
+//! Checks that the fleet recovers once the faults of a run are over.
 
 use std::fmt;
 use std::time::Duration;
@@ -23,11 +23,11 @@
         /// The epoch of that set.
         epoch: u64,
     },
-    /// A process does not know the newest state.
+    /// A process does not have the newest state.
     StaleState {
         /// The machine.
         machine: String,
-        /// The revision that it knows.
+        /// The revision that it has; `None` without any state.
         revision: Option<u64>,
         /// The newest revision.
         newest: u64,
--- a/crates/simulator/src/simulation/faults/failure_limits.rs
+++ b/crates/simulator/src/simulation/faults/failure_limits.rs
@@ -1,12 +1,13 @@
-//! How many disks may be lost at a time, as the operators state it.
+//! The limit of disks that may be erased at a time: what the settings tolerate.
 
 use register::Member;
 
 use super::FaultMix;
 use crate::{Fleet, MachineKind};
 
-/// Whether one more disk of this machine's kind may be lost: as many as the settings tolerate. Earlier losses count until
-/// the system has recovered from them, or until the time in which machines catch up is over.
+/// Whether the disk of this machine may be erased: fewer machines have failed than the settings tolerate. Earlier
+/// failures count until the system has recovered from them ([`FaultMix::All`]), or until the time in which machines
+/// catch up is over ([`FaultMix::Turnover`]).
 pub(super) fn may_lose_disk(fleet: &Fleet, mix: FaultMix, machine: usize) -> bool {
     match mix {
         FaultMix::All => has_recovered(fleet, machine),
--- a/crates/simulator/src/simulation/faults/injection.rs
+++ b/crates/simulator/src/simulation/faults/injection.rs
@@ -6,14 +6,14 @@
 use super::{Fault, FaultKind, FaultMix};
 use crate::{Fleet, MachineKind};
 
-/// Messages in a thousand that an ordinary network loses, and that it duplicates.
+/// Messages in a thousand that an ordinary network drops, and that it duplicates.
 const ORDINARY_LOSS_PER_MILLE: u32 = 10;
-/// Messages in a thousand that a lossy network loses, and that it duplicates.
+/// Messages in a thousand that a lossy network drops, and that it duplicates.
 const HIGH_LOSS_PER_MILLE: u32 = 100;
 /// How many seeds are named.
 const SEED_COUNT: usize = 3;
 
-/// A fault that lasts.
+/// A fault with a duration that has not ended yet.
 #[derive(Debug)]
 pub(in crate::simulation) struct ActiveFault {
     kind: FaultKind,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Injects a fault; returns it if it lasts.
+/// Injects a fault; returns it if it has a duration.
 pub(in crate::simulation) fn inject(fault: &Fault, mix: FaultMix, fleet: &mut Fleet) -> Option<ActiveFault> {
     let machine = target(fault, fleet)?;
     match fault.kind {
@@ -58,7 +58,7 @@
         FaultKind::LoseDisk if may_lose_disk(fleet, mix, machine) => fleet.lose_disk(machine),
         FaultKind::Replace if may_lose_disk(fleet, mix, machine) => drop(fleet.replace(machine)),
         FaultKind::LoseDisk | FaultKind::Replace => {}
-        // Stores are drained before they are removed, which has a story of its own.
+        // Stores are drained before they are removed, which `tests/stories/membership.rs` covers.
         FaultKind::ReplacePlanned if fleet.is_store(machine) => return None,
         FaultKind::ReplacePlanned => drop(fleet.add(MachineKind::Node, false)),
         FaultKind::StallDisk => fleet.stall_disk(machine, true),
@@ -143,7 +143,7 @@
 
 fn set_loss(fleet: &mut Fleet, per_mille: u32) {
     let network = &mut fleet.network;
-    network.lost_per_mille = per_mille;
+    network.dropped_per_mille = per_mille;
     network.duplicated_per_mille = per_mille;
     network.late_per_mille = per_mille / 2;
 }
@@ -156,7 +156,7 @@
     fleet.machines().for_each(|machine| fleet.name_seeds(machine, nodes.clone()));
 }
 
-/// All machines lose power at one moment, and some of them their disks, as many as may be lost.
+/// All machines lose power at one moment. The disks of some are erased, as many as the settings tolerate.
 pub(in crate::simulation) fn lose_power_of_all(fleet: &mut Fleet) {
     let mut machines: Vec<usize> = running(fleet).collect();
     fleet.random.shuffle(&mut machines);
--- a/crates/simulator/src/simulation/faults/mod.rs
+++ b/crates/simulator/src/simulation/faults/mod.rs
@@ -38,7 +38,7 @@
     Isolate,
     /// The machine of the lease holder is partitioned from all others.
     IsolateLeader,
-    /// What a machine sends is lost, or what is sent to it.
+    /// All messages of a machine are stopped, or all messages to it.
     PartitionOneWay,
     /// The machines are partitioned into two halves.
     PartitionInHalves,
@@ -48,7 +48,7 @@
     StallDisk,
     /// A sync fails.
     FailSync,
-    /// The network loses, duplicates and delays a tenth of all messages.
+    /// The network drops a tenth of all messages, duplicates a tenth and delays a twentieth.
     LossyNetwork,
     /// All settings name other nodes as seeds, with or without a disk.
     ChangeSeeds,
@@ -78,13 +78,13 @@
     }
 }
 
-/// Which faults are drawn, and when the next disk may be lost.
+/// Which faults are drawn, and when the next disk may be erased.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultMix {
-    /// All kinds; a disk is lost only when the system has recovered from the losses before.
+    /// All kinds; a disk is erased only when the system has recovered from earlier failures.
     All,
-    /// Mostly machines that are replaced, and changes of seeds; a disk may be lost as soon as those lost before no
-    /// longer count as failed.
+    /// Mostly machines that are replaced, and changes of seeds; a disk may be erased as soon as earlier failures no
+    /// longer count.
     Turnover,
 }
 
--- a/crates/simulator/src/simulation/operators/mod.rs
+++ b/crates/simulator/src/simulation/operators/mod.rs
@@ -38,7 +38,7 @@
     next_version: Duration,
     /// How many routes were added.
     route_count: u64,
-    /// The newest version of the configuration that an operator knows.
+    /// The newest version of the configuration that was acknowledged to an operator or read by one.
     known_version: u64,
     /// Acknowledged changes, by the version that they build on.
     acknowledged: BTreeMap<u64, AcknowledgedChange>,
--- a/crates/simulator/src/simulation/operators/order.rs
+++ b/crates/simulator/src/simulation/operators/order.rs
@@ -7,14 +7,14 @@
 
 use crate::{ExternalReply, ExternalRequest, Fleet, OperatorOrder};
 
-/// A reply that has not arrived within this time is not waited for.
+/// An attempt without a reply within this time counts as failed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The longest pause before a retry grows by this with each attempt ...
+/// The longest delay before a retry grows by this with each attempt, up to [`MAX_BACKOFF`].
 const BACKOFF_STEP_MS: u64 = 50;
-/// ... up to this.
+/// The longest delay before any retry.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// What an operator wants.
+/// The purpose of an order, by which its reply is checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Intent {
     /// Change the configuration from version `expected` to `version`, which adds a route of this name.
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -21,7 +21,7 @@
 /// How long operators and trainers start new work after the loss of power in the end.
 const TIME_AFTER_POWER_LOSS: Duration = Duration::from_secs(10);
 
-/// What a run without violations has seen.
+/// The summary of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunSummary {
     /// Faults that were planned.
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -14,7 +14,7 @@
 const SEED_SALT: u64 = 0x7472_6169_6e65_7273;
 /// Time from one batch job to the next.
 const JOB_INTERVAL: Duration = Duration::from_secs(4);
-/// A reply that has not arrived within this time is not waited for.
+/// A call without a reply within this time counts as failed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Time from the reply to a call about a batch job to the next call.
 const CALL_INTERVAL: Duration = Duration::from_millis(400);
@@ -27,7 +27,7 @@
 /// The model of the batch jobs.
 const MODEL: &str = "m";
 
-/// How far a trainer is with a batch job.
+/// The stage of a batch job at its trainer, which determines the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobStage {
     /// It is submitted until it is accepted.
--- a/crates/simulator/src/simulation/violation.rs
+++ b/crates/simulator/src/simulation/violation.rs
@@ -9,7 +9,7 @@
 use super::convergence::Unconverged;
 use crate::{ExternalReply, ReceivedOrder};
 
-/// The register has lost or changed a committed value, or several processes lead.
+/// A committed value of the register has disappeared or changed, or several processes lead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterViolation {
     /// A process has an older committed value than before.
--- a/crates/simulator/tests/stories/faults.rs
+++ b/crates/simulator/tests/stories/faults.rs
@@ -91,5 +91,5 @@
 }
 
 pub fn the_network_is_lossy(fleet: &mut Fleet) {
-    (fleet.network.lost_per_mille, fleet.network.duplicated_per_mille) = (100, 100);
+    (fleet.network.dropped_per_mille, fleet.network.duplicated_per_mille) = (100, 100);
 }
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -70,7 +70,7 @@
     let document = changed_document(state, kind, body)?;
     let parsed = Configuration::parse(document.as_bytes()).map_err(ChangeRejected::Invalid)?;
     let mut next = successor(state);
-    next.configuration_version = parsed.edition();
+    next.configuration_version = parsed.version();
     next.configuration = Document::new(document);
     next.applied_changes.push_back(AppliedChange { digest, version: next.configuration_version });
     while next.applied_changes.len() > MAX_APPLIED_CHANGES {
