--- a/crates/batch/src/replication/log.rs
+++ b/crates/batch/src/replication/log.rs
@@ -32,7 +32,8 @@
     End,
 }
 
-/// How far a log goes. The greater of two log ends belongs to the more advanced log.
+/// How far a log goes. The greater of two log ends belongs to the more advanced log: the one with the higher term, of
+/// two with the same term the longer one. The derived order relies on the order of the fields.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LogEnd {
     /// The term under which the log was last written.
--- a/crates/batch/src/replication/messages.rs
+++ b/crates/batch/src/replication/messages.rs
@@ -21,8 +21,9 @@
     },
     /// Truncate the log to `start` entries and extend it.
     ///
-    /// The first append under a term carries everything up to the end of the log that the owner adopted. It fits if
-    /// the store's log was last written under `adopted` and has at least `start` entries.
+    /// The first append under a term carries everything up to the end of the log that the owner adopted. An append fits
+    /// if the store's log has at least `start` entries and was last written under `term` or `adopted`, or if `start` is
+    /// 0.
     Append {
         /// The owner's term.
         term: OwnershipTerm,
--- a/crates/batch/src/replication/ownership.rs
+++ b/crates/batch/src/replication/ownership.rs
@@ -110,7 +110,8 @@
         self.phase == OwnershipPhase::Leading && self.committed >= self.adopted.length
     }
 
-    /// Whether a majority has acknowledged a request that was sent within `lease` before `now`.
+    /// Whether a majority has acknowledged a request that was sent within `lease` before `now`, on the clock that the
+    /// caller gives `sent_at` by.
     #[must_use]
     pub fn holds_lease(&self, now: Duration, lease: Duration) -> bool {
         self.replicas.present_majority(|store| self.progress[&store].acknowledged_within(lease, now))
--- a/crates/batch/src/replication/peer_progress.rs
+++ b/crates/batch/src/replication/peer_progress.rs
@@ -16,7 +16,7 @@
     pub is_request_in_flight: bool,
     /// The end of its log; `None` until it has reported one.
     log_end: Option<LogEnd>,
-    /// When the latest request that it acknowledged was sent.
+    /// When the latest request that it acknowledged was sent, on the caller's clock.
     last_acknowledged: Option<Duration>,
 }
 
--- a/crates/batch/src/replication/replicas.rs
+++ b/crates/batch/src/replication/replicas.rs
@@ -16,6 +16,7 @@
 /// The replicas of all batch jobs that one store keeps.
 #[derive(Clone, Debug, Default)]
 pub struct Replicas {
+    /// Terms of earlier epochs are rejected, for every batch job. Never decreases.
     epoch: u64,
     logs: BTreeMap<JobId, ReplicaLog>,
 }
@@ -31,9 +32,9 @@
 impl Replicas {
     /// Replays the records of a journal, oldest first.
     pub fn recover(records: impl IntoIterator<Item = Record>) -> Self {
-        let mut replica = Self::default();
-        records.into_iter().for_each(|record| replica.replay(record));
-        replica
+        let mut replicas = Self::default();
+        records.into_iter().for_each(|record| replicas.replay(record));
+        replicas
     }
 
     fn replay(&mut self, record: Record) {
@@ -198,6 +199,7 @@
         if let Some(rejection) = self.rejection(job, term) {
             return (rejection, Vec::new());
         }
+        // The promise goes with the log; the epoch still rejects owners of older store sets.
         let mut records = Vec::from_iter(self.raise_epoch(term.epoch));
         if self.logs.remove(job).is_some() {
             records.push(Record::Delete { job: Arc::clone(job) });
--- a/crates/batch/src/replication/term.rs
+++ b/crates/batch/src/replication/term.rs
@@ -5,7 +5,8 @@
 /// Identity of a store: the incarnation of its disk. A store whose disk is replaced is another store.
 pub type StoreId = u64;
 
-/// Proposal number of one ownership of a batch job; of two, the greater one wins.
+/// Proposal number of one ownership of a batch job; of two, the greater one wins. The derived order compares the fields
+/// in their order.
 ///
 /// Terms are unique: no two claims use the same one, not even two of the same store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/batch/src/schedule/precedence.rs
+++ b/crates/batch/src/schedule/precedence.rs
@@ -18,7 +18,7 @@
     Surplus,
 }
 
-/// An estimate of what the rest of a batch job takes.
+/// An estimate of what the rest of a batch job takes. Times are on the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JobForecast {
     /// When the batch job is due.
@@ -33,7 +33,8 @@
     pub all_finished: Duration,
 }
 
-/// Orders the next items of several batch jobs; the smallest starts first.
+/// Orders the next items of several batch jobs; the smallest starts first. The derived order compares the fields in
+/// their order.
 ///
 /// Among batch jobs that are on schedule, the one with the fewest needed items goes first, since that lets trainers
 /// go on soonest (shortest job first). Batch jobs that are behind schedule go before these, the earliest due first.
--- a/crates/batch/tests/jobs.rs
+++ b/crates/batch/tests/jobs.rs
@@ -32,7 +32,7 @@
     assert_eq!(Job::parse(body.as_bytes()), Err(error));
 }
 
-#[parameterized(cut = { "{\"parcels\":[" }, other = { "[]" }, empty = { "" })]
+#[parameterized(truncated = { "{\"parcels\":[" }, other = { "[]" }, empty = { "" })]
 fn given_bytes_that_are_no_job_when_parsed_then_they_are_malformed(body: &str) {
     assert!(matches!(Job::parse(body.as_bytes()), Err(JobError::Malformed(_))));
 }
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -15,8 +15,10 @@
 
 /// Makes an endpoint of an async function.
 ///
-/// Where the function returns `None`, the response is 503, and a request that can't be decoded gets 400: in both cases
-/// the call was not executed. A body of more than [`MAX_MESSAGE_BYTES`] gets 413.
+/// Where the function returns `None`, the response is 503, and a request that can't be decoded gets 400: the caller
+/// takes both for a call that was not executed ([`CallError::Rejected`](crate::CallError::Rejected)). So a function may
+/// return `None` after a change only if its callers handle every error alike. A body of more than [`MAX_MESSAGE_BYTES`]
+/// gets 413.
 pub fn handler<Request, Reply, Function, ReplyFuture>(
     function: Function,
 ) -> impl Endpoint<Output = poem::Response>
--- a/crates/rushrudder/src/control/clients.rs
+++ b/crates/rushrudder/src/control/clients.rs
@@ -1,4 +1,4 @@
-//! The clients for everything that a process calls.
+//! The clients by which a process calls other processes, the platform and the servers.
 
 use std::sync::Arc;
 
--- a/crates/rushrudder/src/control/tasks.rs
+++ b/crates/rushrudder/src/control/tasks.rs
@@ -16,7 +16,7 @@
 /// A process with an acceptor reads the platform's list itself when it got no list for this long; the reader adds a
 /// random part.
 const LIST_STALE_AFTER_ON_ACCEPTOR: Duration = Duration::from_millis(1700);
-/// The same time for any other process.
+/// As [`LIST_STALE_AFTER_ON_ACCEPTOR`], for a process without an acceptor.
 const LIST_STALE_AFTER: Duration = Duration::from_millis(2300);
 
 impl ControlPlane {
@@ -147,7 +147,7 @@
         tokio::spawn(dispatcher.run());
     }
 
-    /// As the leader, replaces failed members and finishes moves of batch jobs.
+    /// As the leader, replaces failed members and finishes migrations of batch jobs.
     fn spawn_reconciler(&self, settings: &NodeSettings) {
         let reconciler = Reconciler {
             leadership: Arc::clone(&self.leadership),
--- a/crates/rushrudder/src/job_api.rs
+++ b/crates/rushrudder/src/job_api.rs
@@ -31,7 +31,7 @@
 const ITEM_PATH: &str = "/api/items/";
 /// Largest batch job in bytes, while there is no configuration.
 const DEFAULT_MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
-/// `Retry-After`, in seconds, for a batch job that was not accepted.
+/// The `Retry-After` header, in seconds, of the response to a batch job that was not accepted.
 const RETRY_AFTER_SECONDS: &str = "0.3";
 
 /// Forwards trainers' calls to the stores.
@@ -55,6 +55,7 @@
         Self { stores, view: Arc::clone(&control.view) }
     }
 
+    /// Dispatches a call by path and method; any path that is none of this interface's own is a submission.
     async fn route(&self, request: Request) -> Response {
         let path = request.uri().path().to_owned();
         if let Some(job) = path.strip_prefix(JOB_PATH) {
--- a/crates/rushrudder/src/store.rs
+++ b/crates/rushrudder/src/store.rs
@@ -20,9 +20,9 @@
 
 /// Bytes of a segment of the journal.
 const SEGMENT_BYTES: u64 = 16 * 1024 * 1024;
-/// Segments of the journal on a small disk.
+/// Fewest segments of the journal, however small the disk is.
 const MIN_SEGMENTS: u64 = 3;
-/// Segments of the journal on a large disk.
+/// Most segments of the journal, however large the disk is.
 const MAX_SEGMENTS: u64 = 20;
 /// After its batch jobs were handed over, a store still answers for this long: new owners read its replicas.
 const ANSWER_AFTER_HANDOVER: Duration = Duration::from_millis(600);
@@ -115,7 +115,8 @@
     storage::RingOptions { segment_bytes: SEGMENT_BYTES, segments }
 }
 
-/// Reports to the leader, in answers to its pings, the epoch of the store set to which this store has migrated.
+/// Reports to the leader, in answers to its pings, the epoch of the store set to which this store has migrated; 0 while
+/// a migration is in progress.
 async fn report_migration(store: JobStore, ping_service: Arc<PingService>) {
     ping_service.set_committed_epoch(0);
     loop {
--- a/crates/rushrudder/tests/stored_data.rs
+++ b/crates/rushrudder/tests/stored_data.rs
@@ -106,9 +106,9 @@
     let (_journal, recovered) = open(&folder, STORE_DISK);
     let decode =
         |(_, bytes): (_, Vec<u8>)| rpc::decode::<Vec<Record>>(&bytes).expect("records of batch jobs");
-    let replica = Replicas::recover(recovered.records.into_iter().flat_map(decode));
-    let mut text = format!("epoch {}\n", replica.epoch());
-    for (job, log) in replica.logs() {
+    let replicas = Replicas::recover(recovered.records.into_iter().flat_map(decode));
+    let mut text = format!("epoch {}\n", replicas.epoch());
+    for (job, log) in replicas.logs() {
         let results = log.entries.iter().filter(|entry| matches!(***entry, Entry::Result(_))).count();
         let is_ended = log.entries.iter().any(|entry| matches!(**entry, Entry::End));
         writeln!(
--- a/crates/storage/src/append_queue.rs
+++ b/crates/storage/src/append_queue.rs
@@ -28,7 +28,7 @@
 
 struct QueueState {
     requests: Vec<AppendRequest>,
-    /// Records before this position are released with the next batch.
+    /// Records before this position are no longer needed; the ring learns of it with the next batch.
     released: Position,
     /// Usage of the ring after the last batch.
     usage: RingUsage,
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -12,16 +12,17 @@
     RingFull,
     /// The record does not fit into a segment.
     RecordTooLarge {
-        /// The length of the record.
+        /// The length of the record in bytes.
         length: usize,
-        /// The length of the longest record that fits.
+        /// The length of the longest record that fits, in bytes.
         limit: usize,
     },
-    /// A ring needs at least two segments, each with room for a record.
+    /// A ring needs at least two segments, each with room for a record, and their number and size must fit into 32
+    /// bits.
     InvalidOptions,
     /// The files were written with other options.
     OptionsChanged {
-        /// The size of a segment on the disk.
+        /// The size of a segment on the disk, in bytes.
         segment_bytes: u64,
         /// The number of segments on the disk.
         segments: u64,
--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -29,7 +29,7 @@
     ///
     /// What the disk reports; then nothing is known about which names are durable.
     fn sync_directory(&self, directory: &Path) -> io::Result<()>;
-    /// A random number.
+    /// A random number, for incarnations and generations; a simulation gives it by its seed.
     fn random(&self) -> u64;
 }
 
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -137,8 +137,8 @@
     ///
     /// # Errors
     ///
-    /// When the record is too long, the ring is full, or the disk failed; after a failure of the disk nothing more is
-    /// written.
+    /// When the record is too long, the ring is full, or the disk failed. After a failure of the disk the records that
+    /// were queued together with this one fail too; later appends try again.
     pub fn append(&self, record: Vec<u8>) -> impl Future<Output = Result<Position, StorageError>> + Send {
         let (sender, receiver) = oneshot::channel();
         match &self.backend {
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -122,7 +122,8 @@
         Ok(())
     }
 
-    /// Reads the next record of the chain; false if there is none.
+    /// Reads the next record of the chain; false if there is none, or if its checksum is wrong: then its write was not
+    /// complete when the process ended, or the disk has damaged it.
     fn read_record(&mut self, visitor: RecordVisitor<'_>) -> Result<bool, StorageError> {
         let header = self.buffer.read_record_header(self.offset)?;
         let Some(header) = header.filter(|header| header.continues(self.chain)) else {
--- a/crates/storage/src/ring.rs
+++ b/crates/storage/src/ring.rs
@@ -1,4 +1,4 @@
-//! A ring of files that is appended to: calls of the disk one after the other, without threads.
+//! [`Ring`] appends records to a ring of files. It calls the disk itself, one call after the other, without threads.
 
 use std::collections::VecDeque;
 use std::path::Path;
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -65,13 +65,13 @@
     let disk = SimulatedDisk::new(4);
     let (mut ring, _, _) = open(&disk);
     let mut last = Position(0);
-    let refusal = loop {
+    let error = loop {
         match append(&mut ring, &[7; 200]) {
             Ok(position) => last = position,
             Err(error) => break error,
         }
     };
-    assert_eq!(refusal, StorageError::RingFull);
+    assert_eq!(error, StorageError::RingFull);
     assert_eq!(append(&mut ring, &[7; 200]), Err(StorageError::RingFull));
     let full = ring.usage();
     ring.release(last);
--- a/crates/store-plane/src/replication/heartbeat.rs
+++ b/crates/store-plane/src/replication/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: an owner renews its leases by one message for each pair of stores, and learns what replicas lack.
+//! Heartbeats: once a maintenance round, each store sends one message to each other store, about all batch jobs that it
+//! owns and the other one keeps. The replies renew its leases, and tell which replicas lack entries.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,8 +16,8 @@
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl StoreNode {
-    /// Sends a heartbeat to each store that keeps a batch job that this one owns, and to each unreachable one, except
-    /// where the last heartbeat is still in flight.
+    /// Sends a heartbeat to each store that keeps a batch job that this one owns, and to each unreachable one to find
+    /// out whether it answers again. Stores whose last heartbeat is still in flight are left out.
     pub fn send_heartbeats(self: &Arc<Self>) {
         let due = self.lock().heartbeats_due();
         for (store, jobs) in due {
@@ -25,6 +26,7 @@
         }
     }
 
+    /// Sends one heartbeat and handles the answer. This store counts as a replica of its own batch jobs.
     async fn send_heartbeat(self: Arc<Self>, store: StoreId, jobs: Vec<JobHeartbeat>) {
         let sent = Instant::now();
         let heartbeat = Heartbeat { to: store, jobs };
--- a/crates/store-plane/src/replication/maintenance/compaction.rs
+++ b/crates/store-plane/src/replication/maintenance/compaction.rs
@@ -7,7 +7,7 @@
 
 /// Compaction begins when more than this part of the journal is in use.
 const COMPACTION_THRESHOLD: f64 = 0.6;
-/// Batch jobs that are written again in one round.
+/// At most this many batch jobs are written again in one round.
 const MAX_SNAPSHOTS_PER_ROUND: usize = 8;
 
 impl StoreNode {
@@ -27,6 +27,8 @@
 }
 
 impl ReplicationState {
+    /// Queues snapshots, and the epoch, behind all earlier records. Nobody waits for them: the old records are released
+    /// only once the new ones are durable.
     fn write_snapshots(&mut self) {
         for job in self.durability.jobs_with_oldest_records(MAX_SNAPSHOTS_PER_ROUND) {
             if !self.durability.has_pending_writes(&job) {
--- a/crates/store-plane/src/replication/maintenance/migration.rs
+++ b/crates/store-plane/src/replication/maintenance/migration.rs
@@ -12,7 +12,7 @@
 use super::super::state::ReplicationState;
 use super::MAX_CLAIMS_PER_ROUND;
 
-/// Timeout of a request to take over.
+/// Timeout of a request to another store to take a batch job over.
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl StoreNode {
@@ -30,6 +30,8 @@
         }
     }
 
+    /// Claims a batch job of this store under the present store set; gives it up if this store is not to keep it any
+    /// more.
     fn claim_again(&self, state: &mut ReplicationState, view: &View, job: &JobId) {
         let replicas = self.replica_set(view, job);
         let claim = replicas.and_then(|replicas| self.new_claim(state, view, job, replicas));
@@ -54,6 +56,7 @@
         }
     }
 
+    /// The batch jobs to pass on, each with a present replica drawn at random.
     fn takeover_requests(&self, state: &ReplicationState, view: &View) -> Vec<(JobId, StoreId)> {
         let epoch = view.control.stores.epoch;
         let left_out = state.replica.logs().filter(|(job, log)| {
--- a/crates/store-plane/src/replication/maintenance/mod.rs
+++ b/crates/store-plane/src/replication/maintenance/mod.rs
@@ -1,4 +1,4 @@
-//! Background maintenance of a store, one round at each tick and whenever the store set changes.
+//! Background maintenance of a store: one round each [`MAINTENANCE_INTERVAL`] and whenever the store set changes.
 
 mod compaction;
 mod migration;
@@ -51,6 +51,7 @@
         self.compact();
     }
 
+    /// Sends again what got no reply, and what became due since.
     fn drive_all(self: &Arc<Self>) {
         let jobs = self.lock().ownerships.jobs_where(|_| true);
         jobs.iter().for_each(|job| self.drive(job));
--- a/crates/store-plane/src/replication/maintenance/retention.rs
+++ b/crates/store-plane/src/replication/maintenance/retention.rs
@@ -9,9 +9,10 @@
 use super::super::node::StoreNode;
 use super::super::state::{OwnedEntry, ReplicationState};
 
-/// An ended batch job is retained longer than results must be readable by this part of that time.
+/// An ended batch job is retained for the time that its results must be readable, plus that time divided by this.
 const RETENTION_MARGIN_DIVISOR: u32 = 2;
-/// A batch job with all results that nobody ended is retained this many times as long.
+/// A batch job that has all results, but that its trainer did not end, is retained this many times as long as an ended
+/// one.
 const UNENDED_RETENTION_FACTOR: u32 = 8;
 
 /// A batch job to drop.
@@ -38,6 +39,7 @@
 }
 
 impl ReplicationState {
+    /// The batch jobs of this store that have expired; `retention` is that of an ended one.
     fn expired_jobs(&self, retention: Duration) -> Vec<ExpiredJob> {
         let now = Instant::now();
         let owned_jobs = self.ownerships.iter();
--- a/crates/store-plane/src/replication/maintenance/takeover.rs
+++ b/crates/store-plane/src/replication/maintenance/takeover.rs
@@ -13,7 +13,8 @@
 use super::super::state::{OwnedEntry, ReplicationState, OWNER_TIMEOUT};
 use super::MAX_CLAIMS_PER_ROUND;
 
-/// Each replica waits this much longer than the one before it, so that usually one claims a batch job.
+/// Each replica waits this much longer than the one before it in the order of [`replica_ids`], so that usually only one
+/// claims a batch job.
 const TAKEOVER_STAGGER: Duration = Duration::from_millis(350);
 /// A claim that has not won after this time is given up.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -32,6 +33,9 @@
         }
     }
 
+    /// Whether to give an ownership up. `Superseded` entries are only those of
+    /// [`NO_OWNER`](super::super::state::NO_OWNER), which wait for the newer store set; the others were released when
+    /// the rejection came.
     fn is_stale(&self, owned: &OwnedEntry, now: Instant) -> bool {
         let since_claim = now - owned.claimed_at;
         let is_lease_expired = !owned.ownership.holds_lease(self.lease_time(now), LEASE_TIMEOUT);
@@ -52,6 +56,8 @@
         }
     }
 
+    /// The batch jobs to claim: those whose owner has timed out and, without delay, those that this store owned before
+    /// it was restarted.
     fn jobs_with_expired_owner(&self, state: &ReplicationState, view: &View) -> Vec<JobId> {
         let now = Instant::now();
         let logs = state.replica.logs().filter(|(_, log)| !log.entries.is_empty());
@@ -68,7 +74,7 @@
         expired.map(|(job, _)| Arc::clone(job)).take(MAX_CLAIMS_PER_ROUND).collect()
     }
 
-    /// The position of this store among the replicas of a batch job; `None` if it is none of them.
+    /// The index of this store among the replicas of a batch job, from 0 on; `None` if it is none of them.
     pub fn rank(&self, view: &View, job: &str) -> Option<u32> {
         let replicas = replica_ids(&view.control.stores, job);
         let rank = replicas.iter().position(|store| *store == self.id())?;
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between stores, and from traffic nodes to stores.
 //!
-//! They are encoded by `bincode`, which goes by position: the order and the types of fields and variants are part of the
-//! protocol between releases, while their names are not. `tests/golden/` holds the encoded forms.
+//! They are encoded by `bincode`, which goes by position: the order and the types of fields and variants are part of
+//! the protocol between releases, while their names are not. `tests/golden/` holds the encoded forms.
 
 use std::sync::Arc;
 
@@ -57,9 +57,10 @@
     pub job: JobId,
     /// The term of the ownership.
     pub term: OwnershipTerm,
-    /// The length of the owner's log.
+    /// Number of entries in the owner's log, committed or not.
     pub length: usize,
-    /// Everything that earlier owners may have exposed is committed under this term.
+    /// As [`batch::Ownership::is_established`]: everything that earlier owners may have returned to trainers is
+    /// committed under this term.
     pub is_established: bool,
 }
 
@@ -101,9 +102,10 @@
     Redirect(StoreId),
 }
 
-/// Asks for results from position `after` on.
+/// Asks for results. The position of a result is its index among the results in the log, from 0 on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ReadRequest {
+    /// Position of the first result to return.
     pub after: u64,
     /// How long to wait for a result if there is none yet, in milliseconds.
     pub long_poll_ms: u64,
@@ -114,7 +116,7 @@
 pub struct ResultPage {
     /// How many items the batch job has.
     pub total: u32,
-    /// The position behind the last result of this page.
+    /// The position behind the last result of this page, where the next read begins.
     pub next: u64,
     /// The results as a JSON array.
     pub deliveries: Bytes,
@@ -136,7 +138,7 @@
 pub struct MigrationStatus {
     /// The store.
     pub store: StoreId,
-    /// The store durably rejects all owners of older epochs.
+    /// The epoch of a store set; the store durably rejects all owners of older epochs.
     pub epoch: u64,
     /// All that the store holds is committed under that epoch.
     pub is_complete: bool,
--- a/crates/store-plane/src/replication/mod.rs
+++ b/crates/store-plane/src/replication/mod.rs
@@ -9,8 +9,8 @@
 //! - [`ownership`] claims batch jobs and drives their logs; [`replicate`] carries out the requests of owners.
 //! - [`writer`] makes records durable in the [`journal`]; no reply leaves before its records are durable.
 //! - [`heartbeat`], [`maintenance`] and [`handover`] detect failed owners and move batch jobs between stores.
-//! - [`server`] answers the calls of other processes, [`client`] makes those of traffic nodes; [`messages`] are both's.
-//! - [`store`] is the public handle of it all.
+//! - [`server`] answers the calls of other processes, [`client`] makes those of traffic nodes; both use [`messages`].
+//! - [`store`] is the public handle, by which the process opens and runs a store.
 
 mod client;
 mod handover;
--- a/crates/store-plane/src/replication/node.rs
+++ b/crates/store-plane/src/replication/node.rs
@@ -1,4 +1,5 @@
-//! A store's state together with what it does I/O with; the parts of the replication are methods of it.
+//! [`StoreNode`]: the state of a store and what it does I/O with. The other modules of the replication add methods to
+//! it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -22,7 +23,7 @@
     /// The newest view of the control plane: store sets and addresses.
     pub view: watch::Receiver<Arc<View>>,
     pub limits: StoreLimits,
-    /// Origin of the times that ownerships count in.
+    /// The zero of [`Self::lease_time`].
     pub started: Instant,
     pub journal: Arc<dyn RecordJournal>,
     /// Takes the batch jobs whose items are to be run here.
@@ -40,7 +41,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An instant as ownerships count it: the time since this store started.
+    /// An instant as a [`batch::Ownership`], which reads no clock, is told it: the time since this store started.
     pub fn lease_time(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.started)
     }
--- a/crates/store-plane/src/replication/ownership.rs
+++ b/crates/store-plane/src/replication/ownership.rs
@@ -1,4 +1,5 @@
-//! Driving the ownerships of a store: claims, requests to the replicas, the start of the runner, results.
+//! The ownerships of a store: claims batch jobs, sends the requests of [`batch::Ownership`] and handles the replies,
+//! starts the runner of an established ownership, and appends its results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -65,11 +66,12 @@
         drop(guard);
         for (store, request) in requests {
             let (node, job) = (Arc::clone(self), Arc::clone(job));
-            tokio::spawn(async move { node.deliver(job, term, store, request).await });
+            tokio::spawn(async move { node.send_and_handle_reply(job, term, store, request).await });
         }
     }
 
-    async fn deliver(
+    /// Sends one request and handles its reply, after which further requests may be due.
+    async fn send_and_handle_reply(
         self: Arc<Self>,
         job: JobId,
         term: OwnershipTerm,
@@ -129,6 +131,8 @@
         self.after_change(&mut state, job);
     }
 
+    /// Notifies of progress, then gives the ownership up, ends the batch job or starts its runner, as the phase
+    /// requires.
     fn after_change(self: &Arc<Self>, state: &mut ReplicationState, job: &JobId) {
         let Some(owned) = state.ownerships.get_mut(job) else { return };
         owned.progress.send_replace(());
@@ -230,7 +234,12 @@
     state.ownerships.release(job);
 }
 
-/// Removes committed entries from `entries` and appends the others; `false` if none is left.
+/// Removes from `entries` what is committed, and what does not belong to the batch job, and appends the others to the
+/// log. `false` if none is left.
+///
+/// # Errors
+///
+/// If some are left and the trainer ended the batch job, which accepts no more results.
 fn append_uncommitted(owned: &mut OwnedEntry, entries: &mut Vec<Arc<Entry>>) -> Result<bool, OwnershipLost> {
     let committed = owned.ownership.committed();
     entries.retain(|entry| !contains(committed, entry));
--- a/crates/store-plane/src/replication/placement.rs
+++ b/crates/store-plane/src/replication/placement.rs
@@ -7,8 +7,8 @@
 use membership::rendezvous_score;
 use state::{ControlState, StoreMember, StoreSet};
 
-/// Batch jobs are distributed over one replica group for each so many stores. The members of a group share all that it
-/// keeps, and its first store runs all of its items, so that a group must not become too large for one machine.
+/// There is one replica group for this many stores. The members of a group keep the same batch jobs, and its first
+/// store runs all of their items, so a group must not become too large for one machine.
 const STORES_PER_GROUP: usize = 16;
 
 /// The stores that keep a batch job: those of its replica group, chosen by rendezvous hashing with zones spread.
--- a/crates/store-plane/src/replication/server/mod.rs
+++ b/crates/store-plane/src/replication/server/mod.rs
@@ -1,4 +1,4 @@
-//! What a store answers to other stores and to traffic nodes.
+//! The endpoints of a store, for other stores and for traffic nodes.
 
 mod ownership_status;
 mod results;
@@ -73,7 +73,7 @@
     rpc::handler(move |request: Request| method(Arc::clone(&node), request))
 }
 
-/// As [`handler`], for requests that only the incarnation of the store carries out that they are addressed to.
+/// As [`handler`], for requests that name the incarnation of a store; any other incarnation rejects them.
 fn addressed_handler<Request, Reply, Method, Answering>(
     node: &Arc<StoreNode>,
     method: Method,
--- a/crates/store-plane/src/replication/server/ownership_status.rs
+++ b/crates/store-plane/src/replication/server/ownership_status.rs
@@ -25,7 +25,7 @@
     NoSuchJob,
     /// Whether it exists, or who owns it, could not be determined.
     Unknown,
-    /// This store owns it, or is likely to know who does.
+    /// The store of this id owns it, or is likely to know who does.
     Redirect(StoreId),
 }
 
@@ -56,6 +56,7 @@
             return Err(self.query_replicas(id).await);
         }
         self.acquire_unless_owned_elsewhere(id).map_err(NotOwner::redirect_to)?;
+        // `Some` once it is certain whether the batch job exists. An entry that is not committed yet leaves it open.
         let job_exists = |owned: &mut OwnedEntry| {
             let is_leased = owned.ownership.holds_lease(self.lease_time(Instant::now()), READ_LEASE);
             let is_decided = owned.ownership.is_established() && is_leased;
@@ -111,6 +112,7 @@
                 continue;
             };
             if promised.epoch > view.control.stores.epoch {
+                // The batch job may be on stores of a newer store set, which this one does not know yet.
                 return NotOwner::Unknown;
             }
             if length > 0 {
--- a/crates/store-plane/src/replication/server/results.rs
+++ b/crates/store-plane/src/replication/server/results.rs
@@ -32,6 +32,7 @@
             let committed = results(owned.ownership.committed()).count();
             (committed > after && owned.ownership.is_established()).then_some(())
         };
+        // Without a result in time, the page is empty.
         self.wait_for_ownership(id, wait_deadline, has_more).await;
         // The lease must be valid at the moment of the answer.
         self.confirm_ownership(id).await?;
--- a/crates/store-plane/src/replication/server/submit.rs
+++ b/crates/store-plane/src/replication/server/submit.rs
@@ -15,10 +15,11 @@
 const REPLY_MARGIN: Duration = Duration::from_millis(120);
 
 impl StoreNode {
-    /// Takes a batch job. `NotAccepted` only if this call sent nothing of it to any store.
+    /// Accepts a batch job once it is committed. `NotAccepted` only if this call sent nothing of it to any store.
     pub(super) async fn submit(self: &Arc<Self>, id: JobId, submission: Submission) -> SubmitReply {
         let timeout = Duration::from_millis(submission.timeout_ms).saturating_sub(REPLY_MARGIN);
         let commit_deadline = Instant::now() + timeout.min(OWNERSHIP_TIMEOUT + COMMIT_TIMEOUT);
+        // Half of the time at most may pass before the append, so that the rest is left for the commit.
         let append_deadline = Instant::now() + (timeout / 2).min(OWNERSHIP_TIMEOUT);
         let entry = match validate(submission) {
             Ok(submitted) => Arc::new(Entry::Job(submitted)),
--- a/crates/store-plane/src/replication/state/durability.rs
+++ b/crates/store-plane/src/replication/state/durability.rs
@@ -1,4 +1,4 @@
-//! The way of records to the disk: what is queued, what was lost, and which part of the journal is still needed.
+//! Which records of a store are durable: what is queued, what was lost, and which part of the journal is still needed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,7 +13,8 @@
     pub done: oneshot::Sender<()>,
 }
 
-/// The newest epoch whose record is durable; owners of older epochs stay rejected after a restart.
+/// The newest epoch whose record is durable; owners of older epochs stay rejected after a restart. Ordered by epoch,
+/// then position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct DurableEpoch {
     epoch: u64,
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Keeps track of the oldest record that each batch job needs, after `records` became durable at `position`.
+    /// Updates the position of the oldest record that each batch job needs, after `records` became durable at
+    /// `position`.
     pub fn record_positions(&mut self, records: &[Record], position: u64) {
         for record in records {
             match record {
--- a/crates/store-plane/src/replication/state/job_status.rs
+++ b/crates/store-plane/src/replication/state/job_status.rs
@@ -13,7 +13,8 @@
 /// What is known about one batch job.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct JobStatus {
-    /// When another store last acted as the owner.
+    /// When a store, which may be this one, last acted as the owner here. Also set when this store gives one up, to
+    /// delay its next one; `None` after a hand-over, and until the first contact of this process.
     pub owner_last_contact: Option<Instant>,
     /// Since when the batch job exists, as far as this process and the stores that it called know.
     pub known_since: Option<Instant>,
@@ -39,7 +40,7 @@
         self.jobs.entry(Arc::clone(job)).or_default()
     }
 
-    /// Another store has acted as the owner.
+    /// A store has acted as the owner.
     pub fn record_owner_contact(&mut self, job: &JobId, now: Instant) {
         self.entry(job).owner_last_contact = Some(now);
     }
@@ -49,7 +50,7 @@
         self.entry(job).owner_last_contact = None;
     }
 
-    /// Whether another store has acted as the owner within [`OWNER_TIMEOUT`].
+    /// Whether a store has acted as the owner within [`OWNER_TIMEOUT`].
     pub fn has_live_owner(&self, job: &str) -> bool {
         self.get(job).owner_last_contact.is_some_and(|contact| contact.elapsed() < OWNER_TIMEOUT)
     }
--- a/crates/store-plane/src/replication/state/mod.rs
+++ b/crates/store-plane/src/replication/state/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`OwnershipTable`]: batch jobs that this store owns or claims; written by `ownership` and `maintenance`.
 //! - [`JobStatusTable`]: what other stores reported about batch jobs; written where their messages arrive.
-//! - [`Durability`]: the way of records to the disk; written by `writer`, and where records are queued.
+//! - [`Durability`]: which records are on the disk; written by `writer`, and where records are queued.
 //! - [`PeerLiveness`]: which stores answer; written by `heartbeat` and where calls fail.
 
 mod description;
--- a/crates/store-plane/src/replication/state/peer_liveness.rs
+++ b/crates/store-plane/src/replication/state/peer_liveness.rs
@@ -1,4 +1,4 @@
-//! Which stores can be reached.
+//! Which stores can be reached, by the results of the latest calls to them.
 
 use std::collections::BTreeSet;
 
--- a/crates/store-plane/src/replication/writer.rs
+++ b/crates/store-plane/src/replication/writer.rs
@@ -8,7 +8,7 @@
 use super::node::StoreNode;
 use super::state::WriteRequest;
 
-/// Requests that are appended to the journal at once.
+/// At most this many requests are appended to the journal at once.
 const MAX_BATCH_LENGTH: usize = 256;
 
 /// The task that takes requests from the write queue.
--- a/crates/store-plane/src/runner/active_job.rs
+++ b/crates/store-plane/src/runner/active_job.rs
@@ -1,4 +1,4 @@
-//! A batch job while this store runs it: its items, its terms, and the results on their way to its log.
+//! A batch job while this store runs it: its items, the terms of its route, and the results that are to be appended.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::ports::{ItemProgress, JobAddress, JobLog, JobState, OwnershipLost, RouteTerms};
 use super::task_guard::TaskGuard;
 
-/// The longest item of a batch job takes about so many times the average run.
+/// The longest item of a batch job is expected to take this many times the average run.
 const LONGEST_RUN_FACTOR: f64 = 2.5;
 /// An item is given up this much later than its route allows, since the clocks of stores differ.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(1);
--- a/crates/store-plane/src/runner/completion.rs
+++ b/crates/store-plane/src/runner/completion.rs
@@ -12,8 +12,8 @@
 use super::task_guard::TaskGuard;
 use super::{JobKey, Runner, RunnerEvent};
 
-/// Weight of the newest run in the average, as one in so many (exponentially weighted moving average).
-const AVERAGE_RUN_WEIGHT: u32 = 8;
+/// The newest run counts one part in this many of the exponentially weighted moving average.
+const AVERAGE_RUN_WEIGHT_DIVISOR: u32 = 8;
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
     /// A run of an item has ended.
@@ -58,7 +58,9 @@
     fn update_average_run(&mut self, duration: Duration) {
         self.average_run = Some(match self.average_run {
             None => duration,
-            Some(average) => (average * (AVERAGE_RUN_WEIGHT - 1) + duration) / AVERAGE_RUN_WEIGHT,
+            Some(average) => {
+                (average * (AVERAGE_RUN_WEIGHT_DIVISOR - 1) + duration) / AVERAGE_RUN_WEIGHT_DIVISOR
+            }
         });
     }
 
--- a/crates/store-plane/src/runner/item_work.rs
+++ b/crates/store-plane/src/runner/item_work.rs
@@ -9,13 +9,13 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(30);
 /// Longest pause after an attempt without progress.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Doublings after which the backoff is longest for certain.
+/// More doublings than these are not computed: the backoff has reached [`MAX_BACKOFF`] by then.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 /// Rejections in a row after which an output is begun again instead of continued: no server can continue it.
 const MAX_REJECTIONS_OF_PROGRESS: u32 = 3;
 /// Longest pause after a rejection: what one server says of itself does not bind the others.
 const MAX_REJECTION_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause after a rejection that the runner chooses by itself.
+/// Longest pause after a rejection where the server asked for less.
 const MAX_REJECTION_BACKOFF: Duration = Duration::from_millis(120);
 
 /// The state of an item that has no result yet.
@@ -29,7 +29,7 @@
     pub reward_internal_errors: u32,
     /// Runs in a row that no server accepted.
     pub consecutive_rejections: u32,
-    /// Runs or reward calls in a row that made no progress.
+    /// Runs or reward calls in a row that made no progress; 1 after a run that was interrupted but made some.
     pub attempts_without_progress: u32,
     /// The request in flight.
     pub task: Option<TaskGuard>,
--- a/crates/store-plane/src/runner/mod.rs
+++ b/crates/store-plane/src/runner/mod.rs
@@ -217,7 +217,8 @@
         }
     }
 
-    /// Delivers or continues what the cache has of the pending items of a batch job.
+    /// Uses the cached outputs of the pending items of a batch job: a graded one becomes the result, a complete one is
+    /// graded, and an unfinished one is continued by the next run.
     fn use_cached_outputs(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let mut ungraded = Vec::new();
--- a/crates/store-plane/src/runner/ports.rs
+++ b/crates/store-plane/src/runner/ports.rs
@@ -26,7 +26,7 @@
     pub shelf_life: Duration,
 }
 
-/// Identifies the batch job of a request, and with it the route that the request takes.
+/// Where the items of a batch job are sent: what selects their route, and the servers that may run them.
 #[derive(Clone, Debug)]
 pub struct JobAddress {
     /// The host that the batch job was submitted to.
--- a/crates/store-plane/src/runner/scheduling.rs
+++ b/crates/store-plane/src/runner/scheduling.rs
@@ -15,9 +15,9 @@
 
 /// A run times out after this many times the average run.
 const RUN_TIMEOUT_FACTOR: u32 = 3;
-/// Items that no trainer waits for leave one in so many of all slots free, since other stores run items as well.
+/// Items that no trainer waits for leave the total capacity divided by this free, since other stores run items as well.
 const SURPLUS_RESERVE_DIVISOR: usize = 2;
-/// Doublings of the timeout of a run after runs without progress.
+/// The timeout of a run doubles this many times at most, once for each attempt in a row without progress.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
@@ -44,7 +44,7 @@
         for (&key, job) in &self.jobs {
             let next = job.next_item(now, average_run, self.settings.max_concurrent_items);
             let Some((precedence, candidate)) = next else { continue };
-            if best.is_some_and(|(before, ..)| before <= precedence) {
+            if best.is_some_and(|(best_precedence, ..)| best_precedence <= precedence) {
                 continue;
             }
             let reserve = match precedence.urgency {
--- a/crates/store-plane/tests/replication/cluster.rs
+++ b/crates/store-plane/tests/replication/cluster.rs
@@ -126,9 +126,12 @@
     }
 
     /// The index of the store that owns a batch job.
-    pub fn index_of(&self, owner: &OwnedJob) -> usize {
-        let id = owner.owner();
-        self.stores.iter().position(|store| store.member.incarnation.0 == id).expect("the owner is a store")
+    pub fn index_of(&self, job: &OwnedJob) -> usize {
+        let owner = job.owner();
+        self.stores
+            .iter()
+            .position(|store| store.member.incarnation.0 == owner)
+            .expect("the owner is a store")
     }
 
     /// Kills a store; it comes back with an empty disk, and the next store set has it as a new member.
--- a/crates/store-plane/tests/runner/harness.rs
+++ b/crates/store-plane/tests/runner/harness.rs
@@ -176,7 +176,7 @@
 /// The replicated log of one batch job; clones share it.
 #[derive(Clone)]
 pub struct FakeLog {
-    listed: Arc<Mutex<Vec<ItemResult>>>,
+    results: Arc<Mutex<Vec<ItemResult>>>,
     appends: Arc<AtomicUsize>,
     pub state: watch::Sender<JobState>,
     commit: Duration,
@@ -187,7 +187,7 @@
     pub fn new() -> Self {
         let state = watch::Sender::new(JobState::Open);
         Self {
-            listed: Arc::default(),
+            results: Arc::default(),
             appends: Arc::default(),
             state,
             commit: Duration::ZERO,
@@ -205,7 +205,7 @@
     }
 
     pub fn results(&self) -> Vec<ItemResult> {
-        self.listed.lock().unwrap().clone()
+        self.results.lock().unwrap().clone()
     }
 
     pub fn appends(&self) -> usize {
@@ -224,7 +224,7 @@
             return Err(OwnershipLost);
         }
         self.appends.fetch_add(1, Ordering::SeqCst);
-        self.listed.lock().unwrap().extend(results);
+        self.results.lock().unwrap().extend(results);
         Ok(())
     }
 
@@ -289,7 +289,7 @@
         id: &str,
         job: Job,
         age: Duration,
-        listed: Vec<ItemResult>,
+        committed_results: Vec<ItemResult>,
         log: FakeLog,
     ) -> FakeLog {
         self.handle.run_job(OwnedJob {
@@ -298,7 +298,7 @@
             host: "texts.example".into(),
             path: "/generate/job".into(),
             age,
-            committed_results: listed,
+            committed_results,
             log: log.clone(),
         });
         log
@@ -310,8 +310,8 @@
     tokio::time::sleep(time).await;
 }
 
-/// Runs a story in simulated time, where the macro of a parameterised test takes no async function.
-pub fn with_paused_time(story: impl std::future::Future<Output = ()>) {
+/// Runs a test in simulated time, where the macro of a parameterized test takes no async function.
+pub fn with_paused_time(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    runtime.expect("a runtime").block_on(story);
+    runtime.expect("a runtime").block_on(test);
 }
--- a/crates/store-plane/tests/runner/output_cache.rs
+++ b/crates/store-plane/tests/runner/output_cache.rs
@@ -1,4 +1,4 @@
-//! Texts that are kept for items that come again.
+//! The output cache: what counts as the same request, and what is evicted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/store-plane/tests/runner/repeated_items.rs
+++ b/crates/store-plane/tests/runner/repeated_items.rs
@@ -23,7 +23,7 @@
 }
 
 #[parameterized(
-    newer_versions_wanted = { |job: &mut batch::Job| job.oldest_version = Some(8) },
+    newer_versions_required = { |job: &mut batch::Job| job.oldest_version = Some(8) },
     other_body = { |job: &mut batch::Job| job.items[0].body = "AAAA".to_string() },
     other_model = { |job: &mut batch::Job| job.model = Some("other".into()) },
 )]
--- a/crates/store-plane/tests/runner/retries.rs
+++ b/crates/store-plane/tests/runner/retries.rs
@@ -116,9 +116,9 @@
 }
 
 #[parameterized(
-    two_versions_whole = { true, true, &[7, 8] },
-    too_old_whole = { false, true, &[5, 7] },
-    no_version_whole = { false, true, &[] },
+    two_versions_complete = { true, true, &[7, 8] },
+    too_old_complete = { false, true, &[5, 7] },
+    no_version_complete = { false, true, &[] },
     two_versions_interrupted = { true, false, &[7, 8] },
     too_old_interrupted = { false, false, &[5] },
 )]
--- a/crates/store-plane/tests/runner/scheduling.rs
+++ b/crates/store-plane/tests/runner/scheduling.rs
@@ -75,23 +75,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_wanted_groups_started_when_little_capacity_is_left_then_items_of_others_wait() {
+async fn given_required_groups_started_when_little_capacity_is_left_then_items_of_others_wait() {
     let harness = RunnerHarness::start(FakeExecutor::reliable().with_slots(3));
-    let mut wanted_one = job_of("a", 6);
-    wanted_one.required_groups = Some(1);
+    let mut job_requiring_one_group = job_of("a", 6);
+    job_requiring_one_group.required_groups = Some(1);
 
-    harness.submit("job", wanted_one);
+    harness.submit("job", job_requiring_one_group);
     advance(RUN / 2).await;
 
     assert_eq!(harness.executor.run_ids(), vec!["a-0", "a-1"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_wanted_groups_started_when_half_of_the_slots_are_taken_then_items_of_others_wait() {
+async fn given_required_groups_started_when_half_of_the_slots_are_taken_then_items_of_others_wait() {
     let harness = RunnerHarness::start(FakeExecutor::reliable().with_slots(20));
-    let mut wanted_one = job_of("a", 40);
-    wanted_one.required_groups = Some(1);
-    harness.submit("job", wanted_one);
+    let mut job_requiring_one_group = job_of("a", 40);
+    job_requiring_one_group.required_groups = Some(1);
+    harness.submit("job", job_requiring_one_group);
     advance(RUN / 2).await;
     assert_eq!(harness.executor.runs().len(), 10);
 }
--- a/crates/store-plane/tests/runner/shared_servers.rs
+++ b/crates/store-plane/tests/runner/shared_servers.rs
@@ -12,10 +12,10 @@
 /// Items of a group.
 const GROUP_SIZE: usize = 8;
 
-fn trainers_job(name: &str, groups: usize, wanted: u32) -> Job {
+fn trainers_job(name: &str, groups: usize, required: u32) -> Job {
     let items =
         (0..groups * GROUP_SIZE).map(|n| item(&format!("{name}-{n}"), &format!("{}", n / GROUP_SIZE)));
-    Job { required_groups: Some(wanted), ..job(items.collect()) }
+    Job { required_groups: Some(required), ..job(items.collect()) }
 }
 
 fn complete_groups(job: &Job, log: &FakeLog) -> usize {
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn given_three_stores_and_two_trainers_when_servers_suffice_then_all_wanted_groups_are_in_time() {
+async fn given_three_stores_and_two_trainers_when_servers_suffice_then_all_required_groups_are_in_time() {
     let first = FakeExecutor::reliable().with_slots(SLOTS);
     let second = FakeExecutor::reliable().with_slots(SLOTS).with_servers_of(&first);
     let third = FakeExecutor::reliable().with_slots(SLOTS).with_servers_of(&first);
@@ -45,8 +45,8 @@
     advance(Duration::from_millis(6_500)).await;
 
     for (job, log) in jobs.iter().zip(&logs) {
-        let wanted = job.required_groups.unwrap_or_default() as usize;
-        assert!(complete_groups(job, log) >= wanted, "{} of {wanted} groups", complete_groups(job, log));
+        let required = job.required_groups.unwrap_or_default() as usize;
+        assert!(complete_groups(job, log) >= required, "{} of {required} groups", complete_groups(job, log));
     }
 }
 
