--- a/crates/control-plane/src/consensus/acceptor_journal.rs
+++ b/crates/control-plane/src/consensus/acceptor_journal.rs
@@ -24,9 +24,9 @@
 /// The part of the acceptor's state that is durable, and the part that was queued for writing.
 pub(super) struct PersistedState {
     durable: AcceptorState<ControlState>,
-    /// Ballot of the accepted value in the latest complete record.
+    /// Ballot of the accepted value in the latest complete record that was queued; `None` after a failed write.
     written_accepted: Option<Ballot>,
-    /// Ballot of the committed value in the latest complete record.
+    /// Ballot of the committed value in that record.
     written_committed: Option<Ballot>,
 }
 
--- a/crates/control-plane/src/consensus/acceptor_service.rs
+++ b/crates/control-plane/src/consensus/acceptor_service.rs
@@ -18,6 +18,7 @@
     incarnation: Incarnation,
 }
 
+/// What requests change, under one lock.
 struct Inner {
     /// The acceptor in memory, which may be ahead of the disk.
     acceptor: Acceptor<ControlState>,
@@ -55,7 +56,7 @@
     /// Accepts the initial value, durably, unless this acceptor has a value already. Returns the value that it has then;
     /// `None` where it could not be made durable.
     pub async fn initialize(&self, initial: Versioned<ControlState>) -> Option<Versioned<ControlState>> {
-        self.apply(|acceptor| acceptor.initialise(initial)).await?;
+        self.apply(|acceptor| acceptor.initialize(initial)).await?;
         self.accepted()
     }
 
--- a/crates/control-plane/src/consensus/proposal_attempt.rs
+++ b/crates/control-plane/src/consensus/proposal_attempt.rs
@@ -108,8 +108,8 @@
         self.calls.extend(requests.into_iter().map(|request| call_acceptor(client, request, CALL_TIMEOUT)));
     }
 
-    /// The promises are given: proposes what `decide` makes of the current value. An outcome where nothing is to be
-    /// proposed.
+    /// The promises are complete: proposes what `decide` makes of the current value. Returns the outcome of the attempt
+    /// where `decide` rejects a committed value, so that nothing is to be proposed.
     fn on_prepared(&mut self, current: Versioned<ControlState>) -> Option<AttemptOutcome<E>> {
         let value = match (self.decide)(&current.value) {
             Ok(value) => {
@@ -121,7 +121,8 @@
                 return Some(AttemptOutcome::Rejected(reason));
             }
             Err(reason) => {
-                // Only a committed state may reject a change: the value that was read is proposed again.
+                // Only a committed state may reject a change: the value that was read is proposed again, unchanged. Once
+                // it is committed, the rejection counts.
                 self.rejection = Some(reason);
                 ControlState::clone(&current.value)
             }
@@ -131,6 +132,7 @@
         None
     }
 
+    /// The outcome after a value was committed, which is adopted and sent to the acceptors.
     async fn on_committed(self, value: Versioned<ControlState>) -> AttemptOutcome<E> {
         self.view.adopt_control(&value);
         self.view.confirm(self.started_at);
@@ -141,7 +143,8 @@
         if let Some(reason) = self.rejection {
             return AttemptOutcome::Rejected(reason);
         }
-        // The register commits a value that was read undecided before it accepts another.
+        // Where the value that was read is not known to be committed, `Proposal::propose` proposes it again instead of a
+        // value with other acceptors.
         if self.desired.is_some_and(|desired| desired != *value.value) {
             return AttemptOutcome::OtherCommitted;
         }
@@ -170,7 +173,7 @@
     learners
 }
 
-/// Waits until a majority of the acceptors has learned a change of the acceptors, or all have been asked.
+/// Waits until a majority of the acceptors has learned a change of the acceptors, or all calls have ended.
 ///
 /// Only then may one more machine fail: if this process alone knew that the change is committed, the others would still
 /// ask the acceptors before it.
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -36,7 +36,7 @@
     client: rpc::Client,
     /// A random number of this process, so that no two proposers use the same ballot.
     identity: u64,
-    /// The highest round that this process has used or seen.
+    /// The highest round that this process has used or seen; at first that of the initial value.
     round: AtomicU64,
     contacts: Arc<AcceptorContacts>,
     /// Taken by each attempt: concurrent proposals of one process would only preempt each other.
@@ -89,6 +89,7 @@
 
     /// The newest committed state, read by a proposal; `None` if no majority has replied by the deadline.
     pub async fn read(&self, deadline: Instant) -> Option<Versioned<ControlState>> {
+        // Rejecting everything makes the proposal a read. A value that it finds undecided is committed first.
         let reject_always = |_: &ControlState| Err::<ControlState, ()>(());
         match self.change(deadline, reject_always).await {
             Err(ChangeFailure::Rejected(())) => self.view.committed(),
--- a/crates/control-plane/src/discovery/gossip_schedule.rs
+++ b/crates/control-plane/src/discovery/gossip_schedule.rs
@@ -40,7 +40,8 @@
         }
     }
 
-    /// The seeds to which the acceptors are to be sent now.
+    /// The seeds to which the acceptors are to be sent now: all whose retry is due, and the next acknowledged one if the
+    /// time for a repetition has come. The caller records the outcome of each by [`GossipSchedule::record`].
     pub(super) fn due(&mut self) -> Vec<String> {
         let now = Instant::now();
         let retries = self.pending.iter().filter(|(_, retry)| retry.next_attempt <= now);
@@ -50,6 +51,7 @@
                 self.acknowledged.rotate_left(1);
                 due.extend(self.acknowledged.last().cloned());
             }
+            // Evenly distributed from three to five quarters of the interval.
             let jitter = 0.75 + fastrand::f64() / 2.0;
             self.next_repeat = Some(now + self.repeat_interval.mul_f64(jitter));
         }
--- a/crates/control-plane/src/distribution/messages.rs
+++ b/crates/control-plane/src/distribution/messages.rs
@@ -61,6 +61,8 @@
     /// one server list does not apply to another.
     pub fn apply_to(&self, view: &ViewCell, now: Instant) {
         if let Some(update) = self.control.clone() {
+            // An update on another base than the present state is dropped, and the ages with it: they are those of a value
+            // that the view does not have.
             let Some(newer) = update.apply(&view.view().control) else { return };
             view.adopt_control(&newer);
         }
--- a/crates/control-plane/src/distribution/poller.rs
+++ b/crates/control-plane/src/distribution/poller.rs
@@ -78,8 +78,8 @@
         self.leadership.as_ref().is_some_and(|leadership| leadership.fence().is_some())
     }
 
-    /// The acceptors; the leader first where this process may lead. Gossiped acceptors and seeds too where no acceptor is known or
-    /// nothing was confirmed recently.
+    /// The internal addresses of the peers to poll: the acceptors, with the leader first where this process may lead. Where
+    /// no acceptor is known or nothing was confirmed recently, gossiped acceptors and seeds follow.
     fn peers(&self) -> Vec<String> {
         let control = &self.view.view().control;
         let mut acceptors: Vec<_> = control.acceptors.iter().collect();
--- a/crates/control-plane/src/distribution/server_update.rs
+++ b/crates/control-plane/src/distribution/server_update.rs
@@ -90,7 +90,7 @@
         if newest.version <= receiver_version {
             return None;
         }
-        // Lists that processes read for themselves may differ under the same version.
+        // Lists that processes read for themselves may, though rarely, differ under the same version.
         let is_base =
             |list: &&Arc<ServerList>| list.version == receiver_version && receiver_version.local == 0;
         Some(match self.lists.iter().find(is_base) {
--- a/crates/control-plane/src/election/campaign.rs
+++ b/crates/control-plane/src/election/campaign.rs
@@ -43,6 +43,7 @@
     }
 }
 
+/// The running election: drives the candidate of the lease protocol, and has the fencing token raised when it wins.
 struct Campaign {
     member_name: String,
     leadership: Arc<Leadership>,
@@ -134,7 +135,7 @@
     /// One round of requests to all grantors; ends as soon as the lease is granted or all have replied.
     async fn run_round(&mut self, control: &ControlState) {
         let client = &self.client;
-        let expired_at = self.candidate.expires_at();
+        let previous_expiry = self.candidate.expires_at();
         let grantors = grantors_of(control);
         let request = self.candidate.start_round(self.leadership.now(), control.revision, &grantors);
         let mut calls: FuturesUnordered<_> = control
@@ -146,7 +147,7 @@
             if let Some(reply) = reply {
                 self.candidate.on_reply(request.term, GrantorId(member.incarnation.0), &reply);
             }
-            if self.candidate.expires_at() > expired_at {
+            if self.candidate.expires_at() > previous_expiry {
                 return;
             }
         }
--- a/crates/control-plane/src/election/leadership.rs
+++ b/crates/control-plane/src/election/leadership.rs
@@ -64,6 +64,7 @@
     pub async fn resign(&self) {
         self.set_lease(None);
         let mut stage = self.stage.subscribe();
+        // One receiver is the subscription above; another one is that of the election.
         let is_election_running = self.stage.receiver_count() > 1;
         if !is_election_running {
             return;
--- a/crates/control-plane/src/liveness/ping_service.rs
+++ b/crates/control-plane/src/liveness/ping_service.rs
@@ -14,9 +14,12 @@
 pub struct PingService {
     view: Arc<ViewCell>,
     contacts: Arc<AcceptorContacts>,
+    /// An acceptor that has not replied for this long is reported as unresponsive.
     unresponsive_after: Duration,
+    /// This process reports itself as stable once it has run for this long.
     stable_after: Duration,
     started_at: Instant,
+    /// Empty until the disk is open, and in a process without a disk.
     incarnation: OnceLock<Incarnation>,
     committed_epoch: AtomicU64,
     is_shutting_down: AtomicBool,
--- a/crates/control-plane/src/rollout/order_dispatcher.rs
+++ b/crates/control-plane/src/rollout/order_dispatcher.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Starts all calls that are due and waits for the next event. Breaks when the process ends.
+    /// Starts all calls that are due and waits for the next event. Breaks when no further view can come.
     async fn step(&mut self) -> ControlFlow<()> {
         let now = self.started_at.elapsed();
         self.tracker.set_term(self.config.leadership.fence_for_orders());
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -1,7 +1,8 @@
 //! The newest [`View`] of this process, and how it is replaced.
 //!
-//! Every part of the process reads it. The control state is written by the proposer, the acceptor's quorum service and
-//! the poller; the server list by the poller, the list reader and the version report batcher.
+//! Every part of the process reads it. The control state is written by the proposer (read repair included), the
+//! acceptor's quorum service, the poller and the bootstrap; the server list by the poller, the list reader and the
+//! version report batcher.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,6 +17,7 @@
 /// Contains the newest known [`View`]. Neither its control state nor its server list is ever replaced by an older one.
 pub struct ViewCell {
     sender: watch::Sender<Arc<View>>,
+    /// Locked while a control state is adopted, so that two are not adopted in the wrong order.
     origin: Mutex<Origin>,
 }
 
--- a/crates/control-plane/tests/acceptor_service.rs
+++ b/crates/control-plane/tests/acceptor_service.rs
@@ -7,10 +7,10 @@
 use register::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, ReplyOutcome, Versioned};
 use state::ControlState;
 use storage::simulated::{LoseEverything, SimulatedDisk};
-use support::{acceptor, first};
+use support::{acceptor, initial_value_with};
 
 fn initial_value(incarnation: Incarnation) -> Versioned<ControlState> {
-    first(vec![Member { name: "a".into(), incarnation, address: "a:1".into() }], Vec::new())
+    initial_value_with(vec![Member { name: "a".into(), incarnation, address: "a:1".into() }], Vec::new())
 }
 
 fn next(value: &Versioned<ControlState>, round: u64) -> Versioned<ControlState> {
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -52,12 +52,12 @@
     assert_eq!(rpc::encode(&decoded), golden, "{name}");
 }
 
-fn member(station: &str, incarnation: u64) -> Member {
-    Member { name: station.into(), incarnation: Incarnation(incarnation), address: format!("{station}:1") }
+fn member(name: &str, incarnation: u64) -> Member {
+    Member { name: name.into(), incarnation: Incarnation(incarnation), address: format!("{name}:1") }
 }
 
-fn store(station: &str, incarnation: u64) -> StoreMember {
-    StoreMember { member: member(station, incarnation), zone: "z".into() }
+fn store(name: &str, incarnation: u64) -> StoreMember {
+    StoreMember { member: member(name, incarnation), zone: "z".into() }
 }
 
 /// A control state with every field set.
--- a/crates/control-plane/tests/leader_election.rs
+++ b/crates/control-plane/tests/leader_election.rs
@@ -12,17 +12,19 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// Longer than any wait of these tests.
+/// Servers do not check fencing tokens; the gap is longer than any wait of these tests.
 const UNCHECKED: OrderGap = OrderGap { between_leaders: Duration::from_secs(60), is_fence_checked: false };
+/// Servers reject orders with a lower fencing token.
 const CHECKED: OrderGap = OrderGap { is_fence_checked: true, ..UNCHECKED };
 /// No wait of these tests is longer.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn seek(node: &Node) -> Arc<Leadership> {
-    seek_with(node, UNCHECKED)
+/// Starts the election of a node.
+fn start_election(node: &Node) -> Arc<Leadership> {
+    start_election_with(node, UNCHECKED)
 }
 
-fn seek_with(node: &Node, gap: OrderGap) -> Arc<Leadership> {
+fn start_election_with(node: &Node, gap: OrderGap) -> Arc<Leadership> {
     let leadership = Arc::new(Leadership::new(Arc::clone(&node.view)));
     let election = LeaderElection {
         member_name: node.member.name.clone(),
@@ -36,6 +38,7 @@
     leadership
 }
 
+/// Waits for the first fencing token that `fence` returns.
 async fn until_some(fence: impl Fn() -> Option<u64>) -> u64 {
     let some = async {
         loop {
@@ -45,23 +48,23 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE, some).await.expect("it leads in time")
+    tokio::time::timeout(TEST_TIMEOUT, some).await.expect("it leads in time")
 }
 
 #[tokio::test]
 async fn given_a_leader_that_shuts_down_when_it_resigns_then_another_leads_before_the_lease_would_have_expired(
 ) {
     let nodes = nodes(3, 0).await;
-    let first = seek(&nodes[0]);
+    let first = start_election(&nodes[0]);
     let fence = until_some(|| first.fence_for_orders()).await;
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     first.resign().await;
     assert_eq!(first.fence(), None);
-    let second = seek(&nodes[1]);
+    let second = start_election(&nodes[1]);
     let next = until_some(|| second.fence()).await;
 
-    assert!(began.elapsed() < LEASE_TTL / 2, "{:?}", began.elapsed());
+    assert!(started_at.elapsed() < LEASE_TTL / 2, "{:?}", started_at.elapsed());
     assert!(next > fence);
     assert_eq!(second.fence_for_orders(), None, "orders of two leaders are separated");
 }
@@ -70,12 +73,12 @@
 async fn given_a_leader_when_a_late_raise_supersedes_it_then_it_steps_down_and_the_next_has_the_newest_token()
 {
     let nodes = nodes(3, 0).await;
-    let first = seek(&nodes[0]);
+    let first = start_election(&nodes[0]);
     let fence = until_some(|| first.fence_for_orders()).await;
 
     // What a candidate did before raises were conditional: its lease has expired, and it raises the token nevertheless.
     let late = |state: &ControlState| with_raised_fence(state, "late", state.fence);
-    let raised = nodes[0].proposer.change(Instant::now() + PATIENCE, late).await.expect("it is raised");
+    let raised = nodes[0].proposer.change(Instant::now() + TEST_TIMEOUT, late).await.expect("it is raised");
     assert_eq!(raised.value.fence, fence + 1);
     assert_eq!(
         (first.fence(), first.fence_for_orders()),
@@ -83,19 +86,19 @@
         "its token is not the register's any more"
     );
 
-    let second = seek(&nodes[1]);
+    let second = start_election(&nodes[1]);
     let next = until_some(|| second.fence().or(first.fence())).await;
     assert_eq!(
         next,
-        nodes[0].proposer.read(Instant::now() + PATIENCE).await.expect("it is read").value.fence
+        nodes[0].proposer.read(Instant::now() + TEST_TIMEOUT).await.expect("it is read").value.fence
     );
 }
 
 #[tokio::test]
 async fn given_a_process_without_an_election_when_it_resigns_then_it_does_not_wait() {
-    let began = Instant::now();
+    let started_at = Instant::now();
     Leadership::new(Arc::default()).resign().await;
-    assert!(began.elapsed() < LEASE_TTL / 2);
+    assert!(started_at.elapsed() < LEASE_TTL / 2);
 }
 
 /// What the previous leader does.
@@ -109,26 +112,26 @@
 
 #[parameterized(
     unchecked = { UNCHECKED, PreviousLeader::ShutsDown, false },
-    undisturbed = { CHECKED, PreviousLeader::StillRuns, false },
-    leaving = { CHECKED, PreviousLeader::ShutsDown, true },
+    still_runs = { CHECKED, PreviousLeader::StillRuns, false },
+    shuts_down = { CHECKED, PreviousLeader::ShutsDown, true },
 )]
-fn given_another_previous_leader_when_the_lease_is_acquired_then_orders_are_sent_at_once_only_where_no_gap_is_required(
+fn given_another_previous_leader_when_the_lease_is_acquired_then_orders_are_sent_immediately_only_where_no_gap_is_required(
     gap: OrderGap,
     previous: PreviousLeader,
-    is_at_once: bool,
+    is_immediate: bool,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let nodes = nodes(3, 0).await;
-        let first = seek_with(&nodes[0], gap);
+        let first = start_election_with(&nodes[0], gap);
         until_some(|| first.fence_for_orders()).await;
         if previous == PreviousLeader::ShutsDown {
             nodes[0].ping_service.set_shutting_down();
         }
         first.resign().await;
-        let second = seek_with(&nodes[1], gap);
+        let second = start_election_with(&nodes[1], gap);
         until_some(|| second.fence()).await;
         let sends = until_some(|| second.fence_for_orders());
-        assert_eq!(tokio::time::timeout(Duration::from_secs(3), sends).await.is_ok(), is_at_once);
+        assert_eq!(tokio::time::timeout(Duration::from_secs(3), sends).await.is_ok(), is_immediate);
     });
 }
--- a/crates/control-plane/tests/quorum_service.rs
+++ b/crates/control-plane/tests/quorum_service.rs
@@ -10,7 +10,7 @@
 use register::{AcceptorRequest, Ballot, Incarnation, Member, ReplyOutcome, Versioned};
 use state::ControlState;
 use storage::simulated::SimulatedDisk;
-use support::{acceptor, first};
+use support::{acceptor, initial_value_with};
 use yare::parameterized;
 
 fn member(incarnation: Incarnation) -> Member {
@@ -29,15 +29,15 @@
     rejected = { 5, false },
     accepted = { 9, true },
 )]
-fn given_a_proposal_of_other_acceptors_when_a_candidate_has_the_former_then_it_is_refused_only_after_an_acceptance(
+fn given_a_proposal_of_other_acceptors_when_a_candidate_has_the_former_then_it_is_rejected_only_after_an_acceptance(
     round: u64,
-    is_refused: bool,
+    is_candidate_rejected: bool,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     runtime.expect("a runtime").block_on(async {
         let (acceptor_service, incarnation) = acceptor(&SimulatedDisk::new(1));
         let service = QuorumService::new(acceptor_service, incarnation, Arc::new(ViewCell::new()));
-        let known = first(vec![member(incarnation), member(Incarnation(2))], Vec::new());
+        let known = initial_value_with(vec![member(incarnation), member(Incarnation(2))], Vec::new());
         service.initialize(known.clone()).await.expect("it is accepted");
         service
             .handle(AcceptorRequest::Prepare(Ballot { round: 8, proposer: 7 }))
@@ -45,7 +45,7 @@
             .expect("it is durable");
         let reply =
             service.handle(AcceptorRequest::Accept(with_others(&known, round))).await.expect("it answers");
-        assert_eq!(matches!(reply.outcome, ReplyOutcome::Accepted), is_refused, "{reply:?}");
+        assert_eq!(matches!(reply.outcome, ReplyOutcome::Accepted), is_candidate_rejected, "{reply:?}");
         tokio::time::advance(LEASE_TTL + Duration::from_millis(1)).await;
         let request = LeaseRequest {
             holder: "candidate".into(),
@@ -54,6 +54,6 @@
             revision: known.value.revision,
             grantors: vec![GrantorId(incarnation.0), GrantorId(2)],
         };
-        assert_eq!(matches!(service.grant(&request), LeaseReply::Rejected { .. }), is_refused);
+        assert_eq!(matches!(service.grant(&request), LeaseReply::Rejected { .. }), is_candidate_rejected);
     });
 }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -19,8 +19,10 @@
 use storage::{Journal, RingOptions};
 use tokio::net::TcpListener;
 
-pub const OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
-pub const FIRST: Ballot = Ballot { round: 1, proposer: 0 };
+/// The ring of an acceptor.
+pub const RING_OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
+/// The ballot of the initial value.
+pub const INITIAL_BALLOT: Ballot = Ballot { round: 1, proposer: 0 };
 
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
 /// These nodes report themselves as stable from the start on.
@@ -37,15 +39,16 @@
 
 /// An acceptor on a disk, as a process has it that starts now.
 pub fn acceptor(disk: &SimulatedDisk) -> (Arc<AcceptorService>, Incarnation) {
-    let opened = Journal::open_inline(disk.file_system(), Path::new("/data"), OPTIONS);
+    let opened = Journal::open_inline(disk.file_system(), Path::new("/data"), RING_OPTIONS);
     let (journal, recovered) = opened.expect("the disk opens");
     let incarnation = Incarnation(recovered.incarnation);
     (AcceptorService::new(journal, incarnation, &recovered.records), incarnation)
 }
 
-pub fn first(acceptors: Vec<Member>, stores: Vec<StoreMember>) -> Versioned<ControlState> {
+/// The initial value of a register with these acceptors and stores, and one tolerated failure.
+pub fn initial_value_with(acceptors: Vec<Member>, stores: Vec<StoreMember>) -> Versioned<ControlState> {
     let state = initial_state(acceptors, stores, 1).expect("there are acceptors");
-    Versioned::new(FIRST, Arc::new(state))
+    Versioned::new(INITIAL_BALLOT, Arc::new(state))
 }
 
 pub fn store(index: u64) -> StoreMember {
@@ -54,12 +57,12 @@
     StoreMember { member, zone: "z".into() }
 }
 
-/// Nodes whose register has its first value, with this many stores.
+/// Nodes whose register has its initial value, with this many stores.
 pub async fn nodes(count: usize, stores: u64) -> Vec<Node> {
     nodes_with(count, stores, |state| state).await
 }
 
-/// As [`nodes`], with a first value that `adapt` has changed.
+/// As [`nodes`], with an initial value that `adapt` has changed.
 pub async fn nodes_with(
     count: usize,
     stores: u64,
@@ -70,11 +73,11 @@
         started.push(start(index).await);
     }
     let members: Vec<Member> = started.iter().map(|(node, _)| node.member.clone()).collect();
-    let first = first(members, (0..stores).map(store).collect());
-    let first = Versioned::new(FIRST, Arc::new(adapt(ControlState::clone(&first.value))));
+    let initial = initial_value_with(members, (0..stores).map(store).collect());
+    let initial = Versioned::new(INITIAL_BALLOT, Arc::new(adapt(ControlState::clone(&initial.value))));
     for (node, acceptor) in &started {
-        assert_eq!(acceptor.initialize(first.clone()).await, Some(first.clone()));
-        node.view.adopt_control(&first);
+        assert_eq!(acceptor.initialize(initial.clone()).await, Some(initial.clone()));
+        node.view.adopt_control(&initial);
     }
     started.into_iter().map(|(node, _)| node).collect()
 }
@@ -82,34 +85,57 @@
 async fn start(index: usize) -> (Node, Arc<AcceptorService>) {
     let (acceptor, incarnation) = acceptor(&SimulatedDisk::new(index as u64));
     let view = Arc::new(ViewCell::new());
-    let poll_service = PollService::new(Arc::clone(&view));
     let ping_service = PingService::new(Arc::clone(&view), Arc::default(), UNRESPONSIVE_AFTER, STABLE_AFTER);
-    let register = Arc::clone(&acceptor);
+    let routes = with_state_routes(Route::new(), &acceptor, &ping_service, &view);
+    let routes = with_lease_routes(routes, incarnation, &view);
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("an address").to_string();
+    tokio::spawn(rpc::serve(listener, routes));
+    let proposer = Proposer::new(Arc::clone(&view), rpc::Client::new());
+    let operator = operator_routes(Arc::clone(&view), Arc::clone(&proposer)).map_to_response().boxed();
+    let member = Member { name: format!("node{index}"), incarnation, address };
+    (Node { view, proposer, member, ping_service, operator }, acceptor)
+}
+
+/// Adds the routes of the acceptor, of pings and of polls.
+fn with_state_routes(
+    routes: Route,
+    acceptor: &Arc<AcceptorService>,
+    ping_service: &Arc<PingService>,
+    view: &Arc<ViewCell>,
+) -> Route {
+    let poll_service = PollService::new(Arc::clone(view));
+    let (acceptor, ping_service) = (Arc::clone(acceptor), Arc::clone(ping_service));
     let handle = move |request: AcceptorRequest<ControlState>| {
-        let register = Arc::clone(&register);
-        async move { register.handle(request).await }
+        let acceptor = Arc::clone(&acceptor);
+        async move { acceptor.handle(request).await }
     };
-    let pinged = Arc::clone(&ping_service);
     let ping = move |(): ()| {
-        let reply = pinged.reply();
+        let reply = ping_service.reply();
         async move { Some(reply) }
     };
     let poll = move |request| {
         let poll_service = Arc::clone(&poll_service);
         async move { Some(poll_service.reply(request).await) }
     };
-    // The grantor's quiet period after its start is over.
+    routes
+        .at(paths::REGISTER, poem::post(rpc::handler(handle)))
+        .at(paths::PING, poem::post(rpc::handler(ping)))
+        .at(paths::POLL, poem::post(rpc::handler(poll)))
+}
+
+/// Adds the routes of a grantor that has known the grantors of `view` for one lease time, and may grant at once.
+fn with_lease_routes(routes: Route, incarnation: Incarnation, view: &Arc<ViewCell>) -> Route {
     let grantor = Arc::new(Mutex::new(Grantor::new(GrantorId(incarnation.0), Duration::ZERO, LEASE_TTL)));
-    let (began, granting) = (Instant::now(), Arc::clone(&grantor));
-    let known = Arc::clone(&view);
+    let started_at = Instant::now();
+    let (granting, view) = (Arc::clone(&grantor), Arc::clone(view));
     let grant = move |request: LeaseRequest| {
-        let control = Arc::clone(&known.view().control);
+        let control = Arc::clone(&view.view().control);
         let grantors: Vec<GrantorId> =
             control.acceptors.iter().map(|member| GrantorId(member.incarnation.0)).collect();
         let mut grantor = granting.lock().expect("no panic");
-        // It has known them for the whole quiet period.
         grantor.learn(Duration::ZERO, control.revision, &grantors);
-        let reply = grantor.handle(LEASE_TTL + began.elapsed(), &request);
+        let reply = grantor.handle(LEASE_TTL + started_at.elapsed(), &request);
         drop(grantor);
         async move { Some(reply) }
     };
@@ -117,19 +143,9 @@
         grantor.lock().expect("no panic").release(&release);
         async move { Some(()) }
     };
-    let routes = Route::new()
+    routes
         .at(paths::LEASE, poem::post(rpc::handler(grant)))
         .at(paths::RELEASE, poem::post(rpc::handler(release)))
-        .at(paths::REGISTER, poem::post(rpc::handler(handle)))
-        .at(paths::PING, poem::post(rpc::handler(ping)))
-        .at(paths::POLL, poem::post(rpc::handler(poll)));
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
-    tokio::spawn(rpc::serve(listener, routes));
-    let proposer = Proposer::new(Arc::clone(&view), rpc::Client::new());
-    let operator = operator_routes(Arc::clone(&view), Arc::clone(&proposer)).map_to_response().boxed();
-    let member = Member { name: format!("node{index}"), incarnation, address };
-    (Node { view, proposer, member, ping_service, operator }, acceptor)
 }
 
 impl Node {
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -44,13 +44,17 @@
     term: u64,
     /// The latest time that was passed in.
     latest_now: Duration,
-    /// The lease is held before this time.
+    /// The lease is held before this time; zero if it was never won, or was given up.
     expires_at: Duration,
+    /// No round starts before this time.
     next_round_at: Duration,
     /// The round in progress, or the last one if it was won.
     round: Option<Round>,
+    /// Source of the jitter.
     random: Rng,
+    /// See [`Candidate::set_deferring`].
     is_deferring: bool,
+    /// See [`Candidate::set_bootstrap_grantors`].
     has_bootstrap_grantors: bool,
 }
 
@@ -197,7 +201,8 @@
         Duration::from_micros(self.random.u64(..limit))
     }
 
-    /// Records the time. After a step back of the clock nothing that was timed with it counts any more.
+    /// Records the time. After a step back of the clock nothing that was timed with it counts any more: the lease and the
+    /// round are dropped, and the next round waits for one TTL.
     fn advance(&mut self, now: Duration) {
         if self.has_clock_stepped_back(now) {
             self.latest_now = now;
--- a/crates/lease/src/grantor.rs
+++ b/crates/lease/src/grantor.rs
@@ -14,7 +14,7 @@
     grants_from: Duration,
     /// The newest grant, which may have expired.
     grant: Option<Grant>,
-    /// The newest set of grantors that was observed, committed or not.
+    /// The newest set of grantors that was observed, committed or not, in the order of the register's value.
     observed_grantors: Vec<GrantorId>,
     /// Revision in which that set was first observed. Candidates that know an older revision are rejected: they may
     /// count on grantors that were removed.
@@ -29,6 +29,7 @@
     revision: u64,
     /// In ascending order.
     grantors: Vec<GrantorId>,
+    /// When this grantor first learned that the set is committed.
     known_since: Duration,
 }
 
@@ -37,6 +38,7 @@
     holder: String,
     /// The newest round of the holder.
     term: u64,
+    /// The grant is valid before this time.
     expires_at: Duration,
 }
 
--- a/crates/lease/src/round.rs
+++ b/crates/lease/src/round.rs
@@ -69,6 +69,9 @@
     }
 
     /// For how long yet a majority has granted the lease to one other holder; `None` if there is no such holder.
+    ///
+    /// Grantors that reject without a grant, such as restarted ones, name an empty holder. It counts like any other: while
+    /// a majority of the grantors waits after a restart, the candidate waits too.
     pub(crate) fn majority_holder_remaining(&self) -> Option<Duration> {
         let holders = self.rejected.values().map(|rejection| &rejection.holder);
         let holder = holders.max_by_key(|holder| self.rejections_for(holder).count())?;
--- a/crates/lease/tests/candidate.rs
+++ b/crates/lease/tests/candidate.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn given_replies_of_an_earlier_round_or_of_others_when_taken_then_they_do_not_count() {
+fn given_replies_of_an_earlier_round_or_of_others_when_handled_then_they_do_not_count() {
     let mut candidate = Candidate::new("one", TTL);
     let earlier = candidate.start_round(START, 1, &grantors(3));
     let later = candidate.start_round(START + TTL, 1, &grantors(3));
@@ -213,7 +213,7 @@
 fn given_a_clock_that_goes_back_when_read_then_the_lease_is_dropped() {
     let mut candidate = winner();
     candidate.next_action(START + ms(900));
-    assert!(candidate.holds_lease(START + ms(890)), "a moment that was read a little earlier is no jump");
+    assert!(candidate.holds_lease(START + ms(890)), "a time that was read a little earlier is no step back");
     let back = START - ms(500);
     assert!(!candidate.holds_lease(back));
     candidate.next_action(back);
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -21,7 +21,8 @@
         self.heartbeat_interval * (self.max_missed_heartbeats + 1)
     }
 
-    /// The failure timeout but for one heartbeat: from then on a peer counts as unresponsive.
+    /// One heartbeat interval less than the failure timeout. After it a peer counts as unresponsive, though not as
+    /// suspected yet.
     fn unresponsive_timeout(&self) -> Duration {
         self.failure_timeout().saturating_sub(self.heartbeat_interval)
     }
@@ -39,6 +40,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Peer {
+    /// The latest heartbeat, or when the timers of this peer were started or restarted.
     last_heartbeat: Duration,
     is_suspected: bool,
 }
@@ -54,7 +56,9 @@
 #[derive(Clone, Debug)]
 pub struct Detector {
     timing: DetectorTiming,
+    /// By name.
     peers: BTreeMap<String, Peer>,
+    /// `None` before the first tick.
     last_tick: Option<Duration>,
 }
 
@@ -111,6 +115,7 @@
         self.peers.iter().filter(|(_, peer)| peer.is_suspected).map(|(name, _)| name.as_str())
     }
 
+    /// The peers that are to be suspected from now on, under the restrictions that [`Detector`] lists.
     fn newly_failed(&self, now: Duration) -> Vec<String> {
         let trusted = self.peers.values().filter(|peer| !peer.is_suspected).count();
         let unresponsive = self.unresponsive_for(now, self.timing.unresponsive_timeout()).count();
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -11,8 +11,8 @@
 /// The score of a member for a key; the member with the highest score ranks first.
 ///
 /// This is FNV-1a with a finalizer, not [`hash`]: the score fixes the order of the owners of a deployment's batch jobs.
-/// With another hash single deployments would gain or lose up to a tenth of their value by the luck of the order, so a
-/// change has to wait until owners are spread evenly.
+/// With another hash single deployments would gain or lose up to a tenth of their value, depending on the order that they
+/// happen to get, so a change has to wait until owners are spread evenly.
 #[must_use]
 pub fn rendezvous_score(member: &str, key: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/membership/src/placement.rs
+++ b/crates/membership/src/placement.rs
@@ -10,7 +10,7 @@
 /// Makes the keys of monitoring differ from all others.
 const MONITOR_KEY: u64 = 0x6d6f_6e69_746f_7231;
 
-/// The first `count` members for the key, best first. The order of `members` does not matter.
+/// The `count` members that rank first for the key, the highest score first. The order of `members` does not matter.
 #[must_use]
 pub fn rendezvous<'a, Name: AsRef<str>>(key: &[u8], members: &'a [Name], count: usize) -> Vec<&'a Name> {
     ranking(hash(key), members.iter(), count)
@@ -42,6 +42,7 @@
     hash(peer.as_bytes()) ^ MONITOR_KEY
 }
 
+/// The `count` members that rank first for the hashed key.
 fn ranking<'a, Name: AsRef<str>>(
     key: u64,
     members: impl Iterator<Item = &'a Name>,
@@ -56,7 +57,7 @@
     ranked
 }
 
-/// Lower is better; names break ties.
+/// The sort key of a member: the lowest ranks first. Names break ties between equal scores.
 fn rank(key: u64, member: &str) -> (Reverse<u64>, &str) {
     (Reverse(hashed_score(key, hash(member.as_bytes()))), member)
 }
--- a/crates/register/examples/embed.rs
+++ b/crates/register/examples/embed.rs
@@ -34,7 +34,7 @@
     fn start(first: &Versioned<ExampleValue>) -> Self {
         let start = |member: &Member| {
             let mut acceptor = Acceptor::new(AcceptorState::empty(member.incarnation));
-            acceptor.initialise(first.clone());
+            acceptor.initialize(first.clone());
             (member.incarnation, acceptor)
         };
         Self { acceptors: first.value.acceptors.iter().map(start).collect() }
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -20,7 +20,7 @@
 }
 
 impl<V> AcceptorState<V> {
-    /// The state of a disk that was just initialised.
+    /// The state of a disk that was just initialized.
     pub fn empty(incarnation: Incarnation) -> Self {
         Self { incarnation, promised: Ballot::default(), accepted: None, committed: None }
     }
@@ -73,7 +73,7 @@
     /// Records the first value of the register, if this disk never promised, accepted or learned anything.
     ///
     /// Replies [`ReplyOutcome::Learned`] if the value was recorded, else [`ReplyOutcome::Current`].
-    pub fn initialise(&mut self, first: Versioned<V>) -> PendingReply<V> {
+    pub fn initialize(&mut self, first: Versioned<V>) -> PendingReply<V> {
         if !self.is_untouched() {
             return self.reply(self.current(), false);
         }
@@ -92,6 +92,7 @@
     }
 
     fn prepare(&mut self, ballot: Ballot) -> PendingReply<V> {
+        // The promised ballot itself is no rejection: it belongs to the same proposal, whose request was repeated.
         if ballot < self.state.promised {
             return self.reply(ReplyOutcome::Rejected(self.state.promised), false);
         }
@@ -124,6 +125,7 @@
         true
     }
 
+    /// The values of this acceptor if one of them is newer than `known`, otherwise only their ballots.
     fn newer_than(&self, known: Ballot) -> ReplyOutcome<V> {
         let accepted = ballot_of(&self.state.accepted);
         let committed = ballot_of(&self.state.committed);
--- a/crates/register/src/member.rs
+++ b/crates/register/src/member.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The identity of a disk: a random number drawn when the disk is initialised.
+/// The identity of a disk: a random number drawn when the disk is initialized.
 ///
 /// A machine that lost its disk comes back with another incarnation, and so as another acceptor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -53,7 +53,9 @@
     phase: ProposalPhase,
     /// The acceptors that were sent a prepare request, each once.
     prepare_sent_to: Vec<Member>,
+    /// Acceptors that have promised this ballot.
     promises: HashSet<Incarnation>,
+    /// Acceptors that have accepted `proposed`.
     acceptances: HashSet<Incarnation>,
     /// Acceptors that promised a higher ballot to another proposer.
     rejections: HashSet<Incarnation>,
@@ -136,6 +138,8 @@
         }
     }
 
+    /// Whether a value may be proposed on top of the one that was read: it has the same acceptors, or one step leads to
+    /// its acceptors from those of a committed value.
     fn may_follow(&self, value: &V) -> bool {
         let current = self.current.value.acceptors();
         same_members(current, value.acceptors())
--- a/crates/register/tests/acceptor.rs
+++ b/crates/register/tests/acceptor.rs
@@ -94,7 +94,7 @@
     learned = { Some(AcceptorRequest::Learn(value(1))), false },
     only_read = { Some(AcceptorRequest::Read), true },
 )]
-fn given_an_acceptor_when_initialised_then_only_an_untouched_one_records_the_value(
+fn given_an_acceptor_when_initialized_then_only_an_untouched_one_records_the_value(
     before: Option<AcceptorRequest<History>>,
     records: bool,
 ) {
@@ -102,10 +102,10 @@
     before.into_iter().for_each(|request| {
         acceptor.handle(request);
     });
-    let pending = acceptor.initialise(value(0));
+    let pending = acceptor.initialize(value(0));
     assert_eq!(matches!(pending.reply.outcome, ReplyOutcome::Learned), records);
     assert_eq!(pending.must_persist, records);
-    assert!(!acceptor.initialise(value(0)).must_persist);
+    assert!(!acceptor.initialize(value(0)).must_persist);
 }
 
 #[test]
--- a/crates/register/tests/common/simulation/machine.rs
+++ b/crates/register/tests/common/simulation/machine.rs
@@ -35,7 +35,7 @@
     pub fn new(number: usize, first: Option<&Versioned<History>>) -> Self {
         let mut acceptor = Acceptor::new(AcceptorState::empty(first_incarnation(number)));
         if let Some(first) = first {
-            acceptor.initialise(first.clone());
+            acceptor.initialize(first.clone());
         }
         let durable = acceptor.state().clone();
         Self { acceptor: Some(acceptor), durable, writes: VecDeque::new() }
--- a/crates/register/tests/disk_loss.rs
+++ b/crates/register/tests/disk_loss.rs
@@ -29,7 +29,7 @@
         let acceptors = (0..machines as u64).map(|machine| {
             let mut acceptor = Acceptor::new(AcceptorState::empty(Incarnation(machine + 1)));
             if first.value.acceptors().iter().any(|member| member.incarnation == Incarnation(machine + 1)) {
-                acceptor.initialise(first.clone());
+                acceptor.initialize(first.clone());
             }
             acceptor
         });
--- a/crates/register/tests/exhaustive.rs
+++ b/crates/register/tests/exhaustive.rs
@@ -98,7 +98,7 @@
         let acceptor = |machine: usize| {
             let mut acceptor = Acceptor::new(AcceptorState::empty(first_incarnation(machine)));
             if first_acceptors.contains(&machine) {
-                acceptor.initialise(first.clone());
+                acceptor.initialize(first.clone());
             }
             acceptor
         };
--- a/crates/rollout/src/planner.rs
+++ b/crates/rollout/src/planner.rs
@@ -22,7 +22,9 @@
 pub struct Planner {
     pacing: Pacing,
     targets: BTreeMap<ModelName, TargetVersion>,
+    /// Models that are loaded with [`UpdateMethod::InPlace`]; all others with [`UpdateMethod::Drain`].
     in_place_models: BTreeSet<ModelName>,
+    /// The servers of the newest list.
     servers: BTreeMap<ServerId, ServerProgress>,
     /// Set when a server has seen a higher fencing token, and never cleared.
     is_superseded: bool,
--- a/crates/rollout/src/report_schedule.rs
+++ b/crates/rollout/src/report_schedule.rs
@@ -17,8 +17,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReportState {
+    /// Nothing has to be learned from the server.
     NotNeeded,
+    /// A report is to be requested at this time.
     DueAt(Duration),
+    /// A report was requested, and its outcome is awaited.
     InFlight { requested_at: Duration },
 }
 
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -29,13 +29,14 @@
     Unknown,
     /// The server carries out no order.
     Idle,
-    /// The order was sent, and its outcome is awaited.
+    /// The order was sent at `since`, and its outcome is awaited.
     InFlight { goal: LoadGoal, since: Duration },
-    /// The server carries out the order.
+    /// The server carries out the order, which was accepted at `since`, or became indeterminate then and was confirmed by a
+    /// report. While it is draining, running requests complete before the load starts.
     Loading { goal: LoadGoal, since: Duration, is_draining: bool },
-    /// The order was sent and has no usable response: the server may carry it out.
+    /// The order was sent and has no usable response, which was known at `since`: the server may carry it out.
     Indeterminate { goal: LoadGoal, since: Duration },
-    /// The server carries out an order of another sender, or an earlier one of ours.
+    /// The server carries out an order of another sender, or an earlier one of ours, as it last said at `since`.
     Busy { since: Duration },
     /// Another server has the address.
     Replaced,
@@ -52,6 +53,7 @@
     versions: BTreeMap<ModelName, u64>,
     state: OrderState,
     report: ReportSchedule,
+    /// Calls that failed since the last one that succeeded.
     consecutive_failures: u32,
     /// No order is sent before this time.
     retry_at: Duration,
@@ -215,6 +217,7 @@
         [report, reply, retry].into_iter().flatten().min()
     }
 
+    /// What the server loads, or may load, because of an order of this planner.
     fn goal(&self) -> Option<&LoadGoal> {
         match &self.state {
             OrderState::InFlight { goal, .. }
@@ -224,6 +227,7 @@
         }
     }
 
+    /// No order is in progress any more; the next one may be sent at once.
     fn become_idle(&mut self) {
         self.state = OrderState::Idle;
         self.report.cancel();
@@ -231,6 +235,7 @@
         self.retry_at = Duration::ZERO;
     }
 
+    /// The server has accepted the order: a report is due once the load should have completed.
     fn start_loading(&mut self, now: Duration, goal: LoadGoal) {
         let is_draining = goal.method == UpdateMethod::Drain && self.running > 0;
         self.state = OrderState::Loading { goal, since: now, is_draining };
@@ -259,6 +264,7 @@
             OrderState::Loading { since, .. }
             | OrderState::Indeterminate { since, .. }
             | OrderState::Busy { since } => {
+                // An earlier report may show the server as it was before it accepted the order.
                 if *since + self.pacing.max_report_age <= requested_at {
                     self.become_idle();
                 } else {
@@ -269,6 +275,8 @@
         }
     }
 
+    /// The report shows that the server carries out an order: the one that was sent, where that is possible, otherwise one
+    /// of another sender. Another report follows.
     fn on_still_occupied(&mut self, now: Duration, report: &ServerReport) {
         let drains = |goal: &LoadGoal| goal.method == UpdateMethod::Drain && report.running > 0;
         self.state = match std::mem::replace(&mut self.state, OrderState::Idle) {
--- a/crates/state/src/change/leader_lease.rs
+++ b/crates/state/src/change/leader_lease.rs
@@ -10,7 +10,9 @@
 /// All times are on the holder's own monotonic clock, as durations since the start of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderLease {
+    /// The fencing token that was issued for this lease.
     fence: u64,
+    /// The lease is valid before this time.
     expires_at: Duration,
     /// No orders before this time: those of another leader may still arrive at the servers.
     orders_allowed_from: Duration,
--- a/crates/state/src/change/mod.rs
+++ b/crates/state/src/change/mod.rs
@@ -25,7 +25,7 @@
 
 use crate::ControlState;
 
-/// The machine is a member already, or registered as one that waits: there is nothing to change.
+/// The machine is a member already, or registered as one that waits, or is being drained: there is nothing to change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AlreadyMember;
 
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -23,7 +23,7 @@
 pub enum ChangeRejected {
     /// This very change was applied before.
     AlreadyApplied,
-    /// It builds on another version of the configuration than this present one.
+    /// It builds on another version of the configuration than the present one, which is this.
     VersionMismatch(u64),
     /// It builds on a version so old that it is unknown whether it was applied.
     TooOld,
@@ -53,7 +53,9 @@
 ///
 /// # Errors
 ///
-/// [`ChangeRejected::AlreadyApplied`] for a change that this state contains, whatever was applied after it.
+/// [`ChangeRejected::AlreadyApplied`] for a change that this state contains, whatever was applied after it. Otherwise
+/// [`ChangeRejected::VersionMismatch`] or [`ChangeRejected::TooOld`] where `expected` is not the present version, and
+/// [`ChangeRejected::Unreadable`] or [`ChangeRejected::Invalid`] where no valid configuration results.
 pub fn with_configuration(
     state: &ControlState,
     kind: ChangeKind,
@@ -79,6 +81,7 @@
     Ok(next)
 }
 
+/// Why a change on top of another version than the present one is rejected.
 fn version_mismatch(state: &ControlState, expected: u64) -> ChangeRejected {
     if state.forgets_changes_on(expected) {
         ChangeRejected::TooOld
--- a/crates/state/src/change/reachability.rs
+++ b/crates/state/src/change/reachability.rs
@@ -17,7 +17,9 @@
 /// Counted in rounds rather than in time: a leader that was suspended has missed the replies itself.
 #[derive(Clone, Debug)]
 pub struct Reachability {
+    /// 0 for a member that replied in the latest round; no entry for one that was not pinged in it.
     missed_rounds: BTreeMap<Incarnation, u32>,
+    /// A store may be replaced after this many; between 1 and [`REMOVE_AFTER_ROUNDS`].
     replace_after_rounds: u32,
 }
 
--- a/crates/state/src/change/reconcile.rs
+++ b/crates/state/src/change/reconcile.rs
@@ -42,6 +42,8 @@
     if state.fence != fence {
         return None;
     }
+    // Each step changes `next` and returns `Some`, or leaves it as it is and returns `None`. The first that applies ends
+    // the chain: one step at a time, in this order.
     let mut next = successor(state);
     finish_migration(&mut next, observed)
         .or_else(|| replace_failed_stores(&mut next, observed))
--- a/crates/state/src/control.rs
+++ b/crates/state/src/control.rs
@@ -115,7 +115,7 @@
     }
 
     /// Starts a migration of the batch jobs to a changed store set. The present set becomes the previous one until the
-    /// migration has finished.
+    /// migration has finished. Only while no other migration is under way: its previous set would be forgotten.
     pub(crate) fn migrate_stores(&mut self, change: impl FnOnce(&mut Vec<StoreMember>)) {
         self.previous_stores = Some(self.stores.clone());
         self.stores.epoch += 1;
--- a/crates/state/src/server_list.rs
+++ b/crates/state/src/server_list.rs
@@ -61,7 +61,7 @@
     pub local: u64,
 }
 
-/// Low bits of [`ServerListVersion::local`], drawn at random so that no two readers' lists share a version.
+/// Low bits of [`ServerListVersion::local`], drawn at random so that the lists of two readers hardly ever share a version.
 const READER_BITS: u32 = 24;
 
 impl ServerListVersion {
