--- a/crates/control-plane/tests/golden/journal.rs
+++ b/crates/control-plane/tests/golden/journal.rs
@@ -7,14 +7,14 @@
 use storage::simulated::SimulatedDisk;
 use storage::{Journal, Position};
 
-use super::support::OPTIONS;
+use super::support::RING_OPTIONS;
 use super::{check_bytes, versioned};
 
 const INCARNATION: Incarnation = Incarnation(70_000);
 const PROMISED: Ballot = Ballot { round: 500, proposer: 17 };
 
 fn open(disk: &SimulatedDisk) -> (Journal, Vec<(Position, Vec<u8>)>) {
-    let opened = Journal::open_inline(disk.file_system(), Path::new("/data"), OPTIONS);
+    let opened = Journal::open_inline(disk.file_system(), Path::new("/data"), RING_OPTIONS);
     let (journal, recovered) = opened.expect("the disk opens");
     (journal, recovered.records)
 }
