--- a/crates/balancer-node/src/bin/balancer-simhost.rs
+++ b/crates/balancer-node/src/bin/balancer-simhost.rs
@@ -12,13 +12,13 @@
 use balancer::wire::{one_line, Dialect, Line, RosterMember, Rosters, WireError, ROSTERS};
 use balancer::{Balancer, BalancerAction};
 
-/// One instance: its balancer, and the names that only it was given.
+/// One instance: its balancer, and its mapping of server names to numbers.
 struct Instance {
     balancer: Balancer,
     dialect: Dialect,
 }
 
-/// A list whose entries are arriving.
+/// A list of which some entries have not arrived yet.
 struct PartialRoster {
     number: usize,
     /// Entries that it will have.
--- a/crates/balancer-node/src/decisions/admission.rs
+++ b/crates/balancer-node/src/decisions/admission.rs
@@ -1,18 +1,18 @@
-//! Admission: whether a request is taken, for which expected wait, and the probes before it is first sent.
+//! Admission: whether a request is admitted, its longest expected wait, and probes before the first attempt.
 
 use super::{estimates::RECENT_OUTCOMES, Balancer, Context, PendingRequest};
 use crate::interface::*;
 
-/// Part of its latency target that an answer may be expected to take, for most to come in time; and the part
-/// of that which remains for a request of the lowest value.
+/// Part of the latency target that the expected wait may take, so that most answers are in time; and the part
+/// of that bound which remains for a request of the lowest value.
 const MAX_WAIT_FRACTION: f64 = 0.45;
 const MIN_VALUE_FRACTION: f64 = 0.5;
 
-/// The same at one node of many: what it knows of a queue is old, and a tight bound would reject too much.
+/// The same with stale counts: the queues are known late, and a tight bound would reject too much.
 const STALE_MAX_WAIT_FRACTION: f64 = 0.75;
 const STALE_MIN_VALUE_FRACTION: f64 = 0.9;
 
-/// At one node of many a request over the bound is admitted with a chance of (bound / expected)^(1 / this).
+/// With stale counts a request over the bound is admitted with probability (bound / expected)^(1 / this).
 const ADMISSION_JITTER_EXPONENT: f64 = 0.2;
 
 /// Requests in a server's queue, beside those in service, that an expected wait of the full target allows.
@@ -21,7 +21,7 @@
 /// The power by which the part of attempts that was not rejected tightens the bound of admission.
 const REJECTION_EXPONENT: f64 = 2.0;
 
-/// How far to the full latency target the bound of admission moves where counts were just probed.
+/// How far the bound of admission moves towards the full latency target where counts were just probed.
 const PROBED_CONFIDENCE: f64 = 0.4;
 
 /// Retries as a share of requests, so that they cannot multiply an overload.
@@ -30,10 +30,10 @@
 /// Part of its latency target that a request waits for probes.
 const PROBE_TIMEOUT_FRACTION: f64 = 0.1;
 
-/// Requests within a quota that may come in a burst at one node of many; with fewer, none would ever fit.
+/// Least capacity of a token bucket: a node's share of a quota may be under one request a second.
 const MIN_BURST: f64 = 4.0;
 
-/// Requests that a tenant may still send within the node's share of its quota.
+/// Limits a tenant to the node's share of its quota. A new bucket is full.
 pub(super) struct TokenBucket {
     rate_per_s: f64,
     tokens: f64,
@@ -45,7 +45,7 @@
         Self { rate_per_s, tokens: f64::INFINITY, refilled_at: 0.0 }
     }
 
-    /// Takes a token; whether there was one.
+    /// Takes a token, and returns whether there was one.
     fn try_acquire(&mut self, now: f64) -> bool {
         let elapsed_ms = (now - std::mem::replace(&mut self.refilled_at, now)).max(0.0);
         self.tokens += self.rate_per_s * elapsed_ms / 1000.0;
@@ -56,7 +56,7 @@
     }
 }
 
-/// `fraction`, moved towards one by `rest`.
+/// Moves `fraction` towards one by `rest`: 0 leaves it, 1 gives one.
 fn soften(fraction: f64, rest: f64) -> f64 {
     fraction + (1.0 - fraction) * rest
 }
@@ -72,9 +72,9 @@
         let within_quota = self.quotas.get_mut(request.tenant).is_none_or(|bucket| bucket.try_acquire(now));
         let mut max_wait = self.max_expected_wait(class, within_quota);
         if self.signals.stale {
-            // Rejections are known at once, where counts are old: else what remains of a fleet would fill up.
+            // Rejections are known at once, counts late: else the rest of a fleet would be overloaded.
             max_wait *= (1.0 - self.estimates.rejection_rate(now)).powf(REJECTION_EXPONENT);
-            // Chance makes nodes that each see little admit a part together, not all or nothing.
+            // Random, so that nodes with few requests each admit a fraction together, not all or nothing.
             max_wait /= self.random.f64().powf(ADMISSION_JITTER_EXPONENT);
         }
         let expires_at = now + request.budget_ms;
@@ -83,7 +83,7 @@
             pending.probing = self.pick(now, &pending, f64::INFINITY, self.signals.probes_per_request);
         }
         for &server in &pending.probing {
-            // Counts like a send until a report comes: else one that does not answer is probed for ever.
+            // Counts like a send until a report arrives: else one that never answers is probed for ever.
             self.endpoints.get_mut(server).expect("in use").count.iter_mut().for_each(|count| *count += 1.0);
             cx.actions.push(BalancerAction::Probe { server: ServerId(server) });
         }
@@ -97,12 +97,12 @@
         cx.set_request_timer(id, latency_target_ms.min(request.budget_ms) * PROBE_TIMEOUT_FRACTION);
     }
 
-    /// The probes of a request have been answered, or its timer has fired: its first attempt is due.
+    /// Makes the first attempt of a request, once its probes were answered or its timer has fired.
     pub(super) fn dispatch(&mut self, cx: &mut Context, id: RequestId) {
         let Some(index) = self.awaiting_probes.iter().position(|waiting| *waiting == id) else { return };
         self.awaiting_probes.remove(index);
         let Some(mut request) = self.pending.remove(&id) else { return };
-        // Where none of the probed servers answered, all are too busy to: nothing is sent without a report.
+        // If no probed server answered, all are overloaded: nothing is sent without a report.
         let load_known = !self.signals.probing || !request.probed.is_empty();
         let max = usize::from(load_known && self.settings.max_attempts > 0);
         if let Some(&server) = self.pick(cx.now, &request, request.max_wait, max).first() {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// A probe was answered, or failed.
+    /// Handles the end of a probe. The request is sent once all of its probes have ended.
     pub(super) fn probe_ended(&mut self, cx: &mut Context, server: usize, served: bool) {
         let mut due = Vec::new();
         for id in &self.awaiting_probes {
@@ -125,27 +125,27 @@
             if request.probing.is_empty() {
                 due.push(*id);
             } else if request.probed == [server] {
-                // Only answers of the same moment are waited for: servers that answer later are busy.
+                // Waits only for answers that have already arrived: servers that answer later are busy.
                 cx.set_request_timer(*id, 0.0);
             }
         }
         due.into_iter().for_each(|id| self.dispatch(cx, id));
     }
 
-    /// The longest expected wait for which a request is admitted: late answers must not crowd out the rest.
+    /// The longest expected wait in ms for which a request is admitted: late ones must not delay the others.
     fn max_expected_wait(&self, class: usize, within_quota: bool) -> f64 {
         let (estimates, overall) = (&self.estimates, &self.estimates.overall);
-        // A node that has just started has no latency to reject by, unless it probes for counts.
+        // A node that has just started has no latency samples to reject by, unless it probes for counts.
         if !self.signals.probing && overall.samples < RECENT_OUTCOMES {
             return f64::INFINITY;
         }
         let fraction = self.target_fraction(class, within_quota);
         // A class of low value must not fill the queues in which others would be late: their targets count.
         let (own, all) = (self.value_density(class), 0..self.settings.classes.len());
-        let worthier = all.filter(|k| *k == class || self.value_density(*k) > own);
+        let more_valuable = all.filter(|k| *k == class || self.value_density(*k) > own);
         let target = |k: usize| self.settings.classes[k].latency_target_ms / estimates.relative_latency(k);
-        let in_time = worthier.map(target).fold(f64::INFINITY, f64::min) * fraction;
-        // Nor may any class fill them further than keeps servers busy: a long queue serves no more.
+        let in_time = more_valuable.map(target).fold(f64::INFINITY, f64::min) * fraction;
+        // Nor may any class fill them further than keeps servers busy: longer queues give no more throughput.
         let max_requests = estimates.in_service.map_or(f64::INFINITY, |busy| busy + MAX_QUEUED * fraction);
         in_time.min(max_requests * overall.latency / overall.depth)
     }
@@ -155,7 +155,7 @@
         let quota = if within_quota { 1.0 } else { self.settings.over_quota_value };
         let best = (0..self.settings.classes.len()).map(|k| self.value_density(k)).fold(0.0, f64::max);
         let value = if best > 0.0 { self.value_density(class) * quota / best } else { 1.0 };
-        // A late answer is no loss where it keeps some value; counts just probed need less margin.
+        // Late answers cost less where they keep some value; counts just probed need less margin.
         let late_value = self.settings.classes[class].late_value;
         let late = if self.signals.probing { PROBED_CONFIDENCE } else { late_value };
         if !self.signals.stale {
--- a/crates/balancer-node/src/decisions/attempts.rs
+++ b/crates/balancer-node/src/decisions/attempts.rs
@@ -4,12 +4,12 @@
 use super::{Balancer, Context};
 use crate::interface::*;
 
-/// Parts of the deduplication window within which a repeat must be sent, and must have got its connection.
+/// Parts of the deduplication window within which a retry must be decided, and must have been sent.
 const MAX_SEND_WINDOW_FRACTION: f64 = 0.8;
 const MAX_CONNECT_WINDOW_FRACTION: f64 = 0.9;
 
-/// An attempt is stalled after this many latency targets (sooner, more work would be done twice than won),
-/// and this many times the answer expected of its server, which has answered nothing since.
+/// An attempt is stalled after this many latency targets (a lower bound would duplicate more work than it
+/// saves) and this many times its expected wait, if its server has answered nothing since it was sent.
 const MIN_STALL_TARGETS: f64 = 1.5;
 const MIN_STALL_WAITS: f64 = 3.0;
 
@@ -20,9 +20,9 @@
 pub(super) struct Attempt {
     pub(super) target: ServerEntry,
     pub(super) sent_at: f64,
-    /// Requests at its server when it was sent, as far as the node can tell.
+    /// Requests at its server when it was sent, as far as the node knew.
     pub(super) depth: f64,
-    /// From when on it may be cancelled as stalled.
+    /// Time from which on it may be cancelled as stalled.
     pub(super) stalls_at: f64,
     pub(super) in_flight: bool,
     /// Cancelled as stalled: its end counts as a failure of its server.
@@ -52,7 +52,7 @@
         self.attempts.last().filter(|last| last.in_flight).map(|last| last.target.server.0)
     }
 
-    /// Answered, and no attempt is in flight.
+    /// Whether it is answered and no attempt is in flight.
     fn is_finished(&self) -> bool {
         self.answered && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The timer of a request fired: cancels the stalled attempts at the server that it waits for.
+    /// Handles the timer of a request: cancels all stalled attempts at the server that it waits for.
     pub(super) fn cancel_stalled(&mut self, cx: &mut Context, id: RequestId) {
         let Some(server) = self.pending.get(&id).and_then(PendingRequest::server_in_flight) else { return };
         let waiting = self.pending.iter().filter(|(_, request)| request.server_in_flight() == Some(server));
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether another attempt may follow those that may have run, with the last among them for `with_last`.
+    /// Whether the class allows a retry after attempts that may have run; `with_last` counts the last as one.
     fn may_repeat(&self, now: f64, request: &PendingRequest, with_last: bool) -> bool {
         let last = request.attempts.last().filter(|_| with_last);
         let Some(first) = request.first_run().or(last) else { return true };
@@ -157,12 +157,12 @@
         idempotency == Idempotency::Safe || idempotency.window_ms().is_some_and(in_window)
     }
 
-    /// Another attempt where class, time and budget allow it, else the final answer.
+    /// Makes another attempt where class, deadline and retry budget allow it, else gives the final answer.
     fn retry_or_give_up(&mut self, cx: &mut Context, id: RequestId, request: &mut PendingRequest) {
         let attempts_left = request.attempts.len() < self.settings.max_attempts;
         let in_budget = attempts_left && self.retry_tokens >= 1.0;
         if in_budget && cx.now < request.expires_at && self.may_repeat(cx.now, request, false) {
-            // Bounds servers that fill up with what others rejected (incident ia94218, big days).
+            // Else retries would overload the servers that do not reject yet (incident ia94218).
             let bounded = self.signals.probing || self.signals.stale;
             let max_wait = if bounded { request.max_wait } else { f64::INFINITY };
             if let Some(&server) = self.pick(cx.now, request, max_wait, 1).first() {
@@ -175,7 +175,7 @@
         request.answered = true;
     }
 
-    /// The final answer for a request that is not served: a rejection only where a client's retry is safe.
+    /// Gives the final answer to a request that is not served: a rejection only if a client's retry is safe.
     pub(super) fn give_up(&mut self, cx: &mut Context, id: RequestId, request: &PendingRequest) {
         let idempotency = self.settings.classes[request.class].idempotency;
         let retry_is_safe = request.may_have_run.is_none() || idempotency.allows_repeat_anywhere();
@@ -187,18 +187,18 @@
     /// When a rejected client should retry, in milliseconds from now.
     fn retry_after_ms(&self, now: f64) -> f64 {
         let (estimates, overall) = (&self.estimates, &self.estimates.overall);
-        // As long as a server takes for one of its requests: the next slot is free by then.
+        // The time that a server takes for one of its requests: the next slot is free by then.
         let unknown = estimates.latency_target * OPTIMISTIC_LATENCY;
         let service_ms = if overall.samples > 0.0 { overall.latency / overall.depth } else { unknown };
         if !self.signals.stale {
             return service_ms;
         }
-        // A node of many rejects until the servers have worked off their load, longer where they reject, too.
+        // With stale counts: until the servers have worked off their load, longer where they reject, too.
         let rejecting_ms = estimates.rejection_rate(now) * REJECTION_HALF_LIFE * estimates.latency_target;
         service_ms * estimates.load_level(now) + rejecting_ms
     }
 
-    /// A client disconnected: its attempts are cancelled, where that is allowed.
+    /// Handles a client's disconnect: cancels its attempts, where that is allowed.
     pub(super) fn client_disconnected(&mut self, cx: &mut Context, id: RequestId) {
         let Some(request) = self.pending.get_mut(&id) else { return };
         request.answered = true;
--- a/crates/balancer-node/src/decisions/endpoint_table.rs
+++ b/crates/balancer-node/src/decisions/endpoint_table.rs
@@ -5,14 +5,14 @@
 use super::estimates::Pace;
 use crate::{interface::*, ring::Ring, ring::RingEntry};
 
-/// With more entries than this at once the ring is rebuilt: moving each one alone would cost more.
+/// For more entries than this in one update the ring is rebuilt: moving each one would cost more.
 const MAX_RING_MOVES: usize = 300;
 
-/// What the node knows about one server.
+/// The state of one server, as this node knows it.
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) entry: ServerEntry,
-    /// The array of HSQ: the last load report and what this node has sent since; and when that report came.
+    /// HSQ's queue length: the last reported one plus this node's sends since; and the time of that report.
     pub(super) count: Option<f64>,
     pub(super) reported_at: Option<f64>,
     /// This node's attempts in flight; while there are any, the server stays in the table.
@@ -20,12 +20,12 @@
     pub(super) pace: Pace,
     pub(super) consecutive_failures: u32,
     pub(super) last_answer_at: f64,
-    /// Set while it is ejected; once this time has passed it is on trial until a request is served.
+    /// Set while it is ejected; after this time it is on trial until it serves a request.
     pub(super) ejected_until: Option<f64>,
 }
 
 impl Server {
-    /// Time since it started, infinite where that was long ago.
+    /// Milliseconds since it started; infinite if it started long ago.
     pub(super) fn age(&self, now: f64) -> f64 {
         now - self.entry.started_at.unwrap_or(f64::NEG_INFINITY)
     }
@@ -53,7 +53,7 @@
         self.slot_of.get(&server).map(|slot| &mut self.slots[*slot])
     }
 
-    /// Removes a server that is no longer listed, unless an attempt is in flight to it; whether it did.
+    /// Removes a server that is not listed and has no attempt in flight; returns whether it was removed.
     pub(super) fn remove_unreferenced(&mut self, server: usize) -> bool {
         let listed = |server: &Server| server.entry.availability != Availability::Removed;
         let unreferenced = self.get(server).is_some_and(|server| server.in_flight == 0 && !listed(server));
@@ -64,7 +64,7 @@
         unreferenced
     }
 
-    /// Takes the entries of an update; where it is `complete`, servers that it does not name are removed.
+    /// Applies the entries of an update; with `complete`, servers that it does not name are removed.
     pub(super) fn update(&mut self, entries: Vec<ServerEntry>, complete: bool) {
         let rebuild = complete || entries.len() > MAX_RING_MOVES;
         for server in self.slots.iter_mut().filter(|_| complete) {
@@ -75,7 +75,7 @@
             let slot = self.slot(entry.server.0);
             let from = self.ring_entry(slot).filter(|_| !rebuild);
             let server = &mut self.slots[slot];
-            // What was learned of a process does not hold for its successor.
+            // A restarted process inherits no statistics of its predecessor.
             if server.entry.started_at != entry.started_at {
                 *server = Server { in_flight: server.in_flight, ..Server::default() };
             }
--- a/crates/balancer-node/src/decisions/estimates.rs
+++ b/crates/balancer-node/src/decisions/estimates.rs
@@ -3,38 +3,38 @@
 
 use crate::interface::*;
 
-/// Outcomes that count in a running mean of one server; four times as many in one over all servers.
+/// Window of the running means of one server, in outcomes; those over all servers have four times as many.
 pub(super) const RECENT_OUTCOMES: f64 = 16.0;
 
-/// Outcomes that weigh as much as the knowledge about all servers.
+/// Weight of the mean over all servers in the estimate of one server, in outcomes.
 const PRIOR_WEIGHT: f64 = 4.0;
 
-/// The load level follows new reports with this half-life, though each moves it by this part at least.
+/// The load level follows new reports with this half-life, and each moves it by at least this part.
 const LEVEL_GAIN_HALF_LIFE: f64 = 2.0;
 const MIN_LEVEL_GAIN: f64 = 0.15;
 
-/// Without reports the load level falls to that of an idle fleet with this half-life, so that rejecting ends.
+/// Without reports the load level decays to that of an idle fleet with this half-life, so rejections end.
 const LEVEL_DECAY_HALF_LIFE: f64 = 6.0;
 
-/// Latency that is assumed at the most where nothing recent is known.
+/// Upper bound of the latency that is assumed without recent samples, in mean latency targets.
 pub(super) const OPTIMISTIC_LATENCY: f64 = 0.25;
 
-/// Half-life of the rejected part of attempts, and how many attempts it is averaged over.
+/// Half-life of the rejection rate, and the number of attempts that it is averaged over.
 pub(super) const REJECTION_HALF_LIFE: f64 = 20.0;
 const REJECTION_WINDOW: f64 = 6.0;
 
 /// Requests that an idle server reports: the one that it has just answered.
 pub(super) const IDLE_REQUESTS: f64 = 1.0;
 
-/// A server is not believed to hold more than this: a count of that size would never be the lowest again.
+/// Reports of more requests than this are ignored: such a count would never be the lowest again.
 const MAX_REPORTED_REQUESTS: f64 = 100_000.0;
 
-/// What remains of a weight after `elapsed`.
+/// The fraction of a weight that remains after `elapsed`.
 pub(super) fn decay(elapsed: f64, half_life: f64) -> f64 {
     0.5_f64.powf(elapsed / half_life)
 }
 
-/// A latency, and the requests that the server had meanwhile.
+/// A latency, and the number of requests that the server had meanwhile.
 #[derive(Clone, Copy)]
 pub(super) struct LatencyAtDepth {
     pub(super) latency: f64,
@@ -51,7 +51,7 @@
 }
 
 impl Pace {
-    /// The weight that the means still have: a fault long past must not decide.
+    /// The weight that the samples still have: old ones must not outweigh recent ones.
     fn weight(&self, now: f64, half_life: f64) -> f64 {
         self.samples * decay(now - self.updated_at, half_life)
     }
@@ -63,7 +63,7 @@
         self.updated_at = now;
     }
 
-    /// Mean latency and depth, the own outcomes weighed against what is known beyond them.
+    /// Mean latency and depth: these samples, weighted against a prior.
     pub(super) fn blend(&self, now: f64, half_life: f64, prior: LatencyAtDepth) -> LatencyAtDepth {
         let weight = self.weight(now, half_life);
         let mix = |own: f64, prior: f64| (own * weight + prior * PRIOR_WEIGHT) / (weight + PRIOR_WEIGHT);
@@ -77,15 +77,15 @@
     pub(super) latency_target: f64,
     classes: Vec<Pace>,
     pub(super) overall: Pace,
-    /// Requests at a server of late, over all servers with reports, and when the last report came.
+    /// Recent mean of the reported requests at a server, over all servers, and the time of the last report.
     load_level: f64,
     reported_at: f64,
-    /// Requests that a server works on beside those in its queue, of late, where reports tell both apart.
+    /// Recent mean of the requests in service at a server (not queued), where reports have both numbers.
     pub(super) in_service: Option<f64>,
-    /// Part of the attempts that full servers rejected, of late, and when the last attempt ended.
+    /// Recent fraction of attempts that full servers rejected, and when the last attempt ended.
     rejected: f64,
     rejected_at: f64,
-    /// Mean time between requests, and when the last one came.
+    /// Mean time between requests, and the arrival of the last one.
     pub(super) arrival_gap: f64,
     last_arrival: f64,
 }
@@ -109,13 +109,13 @@
         }
     }
 
-    /// How much longer a class takes than the mean request.
+    /// Ratio of the latency of a class to that of all requests.
     pub(super) fn relative_latency(&self, class: usize) -> f64 {
         let ratio = self.classes[class].latency / self.overall.latency;
         Some(ratio).filter(|r| r.is_finite() && *r > 0.0).unwrap_or(1.0)
     }
 
-    /// Part of the attempts that full servers reject at `now`.
+    /// The fraction of attempts that full servers reject, decayed to `now`.
     pub(super) fn rejection_rate(&self, now: f64) -> f64 {
         self.rejected * decay(now - self.rejected_at, REJECTION_HALF_LIFE * self.latency_target)
     }
@@ -126,13 +126,13 @@
         self.rejected_at = now;
     }
 
-    /// Requests at a server at `now`, over all servers.
+    /// Mean requests at a server over all servers, decayed to `now`.
     pub(super) fn load_level(&self, now: f64) -> f64 {
         let kept = decay(now - self.reported_at, LEVEL_DECAY_HALF_LIFE * self.latency_target);
         IDLE_REQUESTS + (self.load_level - IDLE_REQUESTS) * kept
     }
 
-    /// Records a report of so many requests at a server, and how many of them it works on, if it says so.
+    /// Records a report of the requests at a server, and of those in service, if it has that number.
     pub(super) fn record_load(&mut self, now: f64, requests: f64, in_service: Option<f64>) {
         let kept = decay(now - self.reported_at, LEVEL_GAIN_HALF_LIFE * self.latency_target);
         self.load_level = requests + (self.load_level - requests) * kept.min(1.0 - MIN_LEVEL_GAIN);
@@ -144,7 +144,7 @@
     }
 }
 
-/// The requests that a report says its server has; with `stale` counts a queue excludes those in service.
+/// The number of requests in a report; with `stale` counts, one in service is added to a queue length.
 pub(super) fn reported_requests(report: &LoadReport, stale: bool) -> Option<f64> {
     let in_service = if stale { IDLE_REQUESTS } else { 0.0 };
     let requests = report.in_flight.or(report.queued.map(|queued| queued + in_service));
--- a/crates/balancer-node/src/decisions/expectation.rs
+++ b/crates/balancer-node/src/decisions/expectation.rs
@@ -1,41 +1,41 @@
-//! What a request may expect at a server: its count, its pace, and the wait that follows from both.
+//! The expected wait of a request at a server, from the server's count and its pace.
 
 use super::estimates::{decay, LatencyAtDepth, IDLE_REQUESTS, OPTIMISTIC_LATENCY};
 use super::{attempts::PendingRequest, endpoint_table::Server, Balancer, NODES_PER_SERVER};
 use crate::interface::*;
 
-/// Half-life of the pace of one server, in mean latency targets; and the same among several nodes.
+/// Half-life of the pace of one server, in mean latency targets; and the same with stale counts.
 const OUTCOME_HALF_LIFE: f64 = 0.25;
 const STALE_PACE_HALF_LIFE: f64 = 40.0;
 
-/// Half-life of recent outcomes over all servers, in mean gaps between requests, at the least.
+/// Lower bound of the half-life of recent outcomes over all servers, in mean gaps between requests.
 const MIN_HALF_LIFE_GAPS: f64 = 2.0;
 
-/// Among several nodes, the half-life of what a report says beyond the load level, in mean latency targets.
+/// With stale counts, the half-life of a report's difference from the load level, in mean latency targets.
 const REPORT_HALF_LIFE: f64 = 12.0;
 
-/// How far chance moves an old count where it only decides whom to probe: else nodes would crowd the lowest.
+/// Random relative change of a rank that only decides whom to probe: else all nodes would probe the lowest.
 const TIE_BREAK_JITTER: f64 = 0.7;
 
-/// What is usual over all servers at a moment.
+/// Estimates over all servers at one moment.
 pub(super) struct Baseline {
     now: f64,
-    /// Pace by all outcomes, and by the recent ones alone.
+    /// Pace by all outcomes, and by recent ones alone.
     lasting: LatencyAtDepth,
     recent: LatencyAtDepth,
     /// The count of a server without a report.
     pub(super) count: f64,
 }
 
-/// A server as the selection sees it, with the expected time until its answer.
+/// A server that may be selected, with the expected time until its answer in milliseconds.
 pub(super) struct Candidate {
     pub(super) server: usize,
     pub(super) wait: f64,
-    /// No request is before this one at the server, and it can be answered within its latency target.
+    /// Whether the server has no other request and can answer this one within its latency target.
     pub(super) idle: bool,
-    /// The expected time and the prices of this choice; the lowest is selected.
+    /// The expected time plus the price of crossing zones; the lowest is selected.
     pub(super) rank: f64,
-    /// 0 for a healthy server, 1 after an earlier attempt there, 2 and 3 the same of an unhealthy one.
+    /// 0 for a healthy server, 1 if this request was there before, 2 and 3 the same for an unhealthy one.
     pub(super) health_tier: u8,
     pub(super) near: bool,
 }
@@ -46,17 +46,17 @@
         half_life * self.estimates.latency_target
     }
 
-    /// What is usual over all servers at this moment.
+    /// The estimates over all servers at this moment.
     pub(super) fn baseline(&self, now: f64, subset: &[usize]) -> Baseline {
         let estimates = &self.estimates;
         let (target, overall) = (estimates.latency_target, &estimates.overall);
         let optimistic = target * OPTIMISTIC_LATENCY;
-        // What is not confirmed fades to a guess: a node that rejects everything would learn no more.
+        // Old samples decay to a guess: a node that rejects everything gets no new ones.
         let known = LatencyAtDepth { latency: overall.latency.min(optimistic), depth: overall.depth };
         let unknown = LatencyAtDepth { latency: optimistic, depth: 1.0 };
         let recent_prior = if overall.samples > 0.0 { known } else { unknown };
         let recent_half_life = (OUTCOME_HALF_LIFE * target).max(MIN_HALF_LIFE_GAPS * estimates.arrival_gap);
-        // Where no report ever comes, a count is only this node's own sends: they rotate and do not fade.
+        // Without reports a count is only this node's own sends: they rotate and do not decay.
         let counts = || subset.iter().filter_map(|slot| self.endpoints.slots[*slot].count);
         let mean = || counts().sum::<f64>() / counts().count().max(1) as f64;
         let by_level = self.signals.stale && self.signals.reports_arrive;
@@ -65,7 +65,7 @@
         Baseline { now, lasting, recent: overall.blend(now, recent_half_life, recent_prior), count }
     }
 
-    /// How a server looks to this request.
+    /// Rates a server for this request.
     pub(super) fn candidate(
         &mut self,
         request: &PendingRequest,
@@ -80,17 +80,17 @@
         let number = server.entry.server.0;
         let near = server.entry.zone == self.settings.zone;
         let (count, LatencyAtDepth { latency, depth }) = self.expected(server, baseline);
-        // At one node of many a warming server gets all that slow start offers it.
+        // With stale counts a warming server gets every request that slow start offers it.
         let warming_up = server.age(baseline.now) < self.settings.warmup_ms;
-        let ration = if self.signals.stale && warming_up { 0.0 } else { 1.0 };
-        // Where others send unseen, only a server's own report tells that it is idle.
+        let rank_factor = if self.signals.stale && warming_up { 0.0 } else { 1.0 };
+        // Where other nodes also send, only the server's own report shows that it is idle.
         let idle = match self.signals.stale {
             true => server.reported_at.is_some() && count < IDLE_REQUESTS + 0.5,
             false => !self.signals.probing && server.in_flight == 0,
         };
         let latency_alone = self.estimates.relative_latency(request.class) * latency / depth;
         let crossing = if near { 0.0 } else { self.settings.cross_zone_price * class.latency_target_ms };
-        // An ejected server is tried again once its time has passed, by one request that is safe to repeat.
+        // After its ejection time a server is tried by one request at a time, which may be safely repeated.
         let trial = server.in_flight == 0 && class.idempotency != Idempotency::Unsafe;
         let healthy = server.ejected_until.is_none_or(|until| until <= baseline.now && trial);
         let tried = request.attempts.iter().any(|attempt| attempt.target.server.0 == number);
@@ -98,13 +98,13 @@
             server: number,
             wait: self.wait(server, baseline),
             idle: idle && latency_alone <= class.latency_target_ms,
-            rank: ration * (count + 1.0) * latency / depth * jitter + crossing,
+            rank: rank_factor * (count + 1.0) * latency / depth * jitter + crossing,
             health_tier: 2 * u8::from(!healthy) + u8::from(tried),
             near,
         }
     }
 
-    /// The count and the pace that are expected of a server now.
+    /// The expected count and pace of a server now.
     fn expected(&self, server: &Server, baseline: &Baseline) -> (f64, LatencyAtDepth) {
         let (now, count) = (baseline.now, server.count.unwrap_or(baseline.count));
         let prior = if self.signals.stale { baseline.lasting } else { baseline.recent };
@@ -112,12 +112,12 @@
         if !self.signals.stale {
             return (count, pace);
         }
-        // What an old report says is likely over: what it says beyond the load level counts for less.
+        // The older a report, the less its difference from the load level counts.
         let reports_arrive = self.signals.reports_arrive;
         let half_life = REPORT_HALF_LIFE * self.estimates.latency_target;
         let without_report = if reports_arrive { 0.0 } else { 1.0 };
         let freshness = server.reported_at.map_or(without_report, |at| decay(now - at, half_life));
-        // A node of few knows a good part of what a server gets, its own attempts; the load level is a guess.
+        // Among few nodes a good part of a server's requests are this node's own; the load level is a guess.
         let nodes = self.settings.nodes as f64;
         let own_and_others = server.in_flight as f64 + baseline.count * (1.0 - 1.0 / nodes);
         let of_few = reports_arrive && nodes <= NODES_PER_SERVER;
@@ -125,10 +125,10 @@
         (unreported + (count - unreported) * freshness, pace)
     }
 
-    /// How long an answer of a server is expected to take, in milliseconds.
+    /// The expected time until a server's answer, in milliseconds.
     fn wait(&self, server: &Server, baseline: &Baseline) -> f64 {
         let (count, LatencyAtDepth { latency, depth }) = self.expected(server, baseline);
-        // A report with an answer counts the request that was answered, whose place the next one takes.
+        // A report with an answer counts the answered request, which the next one replaces.
         match self.signals.probing {
             _ if self.signals.stale && self.signals.reports_arrive => count * latency / depth,
             true if count < 0.5 => 0.0,
--- a/crates/balancer-node/src/decisions/health.rs
+++ b/crates/balancer-node/src/decisions/health.rs
@@ -1,16 +1,16 @@
-//! What the end of an attempt says about its server: its pace, and whether it is healthy. Outlier ejection.
+//! Outlier ejection, and the records that the end of an attempt updates: pace, health and rejections.
 
 use super::attempts::Attempt;
 use super::estimates::{reported_requests, LatencyAtDepth, IDLE_REQUESTS, RECENT_OUTCOMES};
 use super::{endpoint_table::Server, Balancer, Context, NODES_PER_SERVER};
 use crate::interface::*;
 
-/// Failures in a row that eject a server, and for how long, in mean latency targets.
+/// Consecutive failures that eject a server, and for how long, in mean latency targets.
 const EJECTION_FAILURES: u32 = 3;
 const EJECTION_TIME: f64 = 2.0;
 
-/// One node of many meets a server seldom: there one failure ejects it, and for longer. Otherwise each node
-/// would pay for what all of them know.
+/// Among many nodes each sends to a server seldom: there one failure ejects it, and for longer. Otherwise
+/// each node would lose requests until it has seen enough failures itself.
 const STALE_EJECTION_FAILURES: u32 = 1;
 const STALE_EJECTION_TIME: f64 = 30.0;
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether an attempt's end speaks against its server.
+    /// Whether an attempt's end counts as a failure of its server.
     fn is_failure(&self, class: usize, attempt: &Attempt, end: &AttemptEnd) -> bool {
         use AttemptOutcome::{Cancelled, Error, NotSent, Rejected, Reset, Served, TimedOut, Unreachable};
         match end.outcome {
@@ -61,7 +61,7 @@
     }
 
     fn record_pace(&mut self, now: f64, class: usize, attempt: &Attempt, end: &AttemptEnd) {
-        // What one node of many has in flight says nothing of a queue: the server's report does.
+        // With stale counts the node's own requests in flight say nothing of the queue: a report does.
         let report = end.report.filter(|_| self.signals.stale);
         let reported = report.and_then(|report| reported_requests(&report, true));
         let depth = reported.map_or(attempt.depth, |requests| requests.max(IDLE_REQUESTS));
@@ -76,11 +76,11 @@
         );
     }
 
-    /// Ejects servers that fail quickly, hang or cannot be reached: counts alone would favour them.
+    /// Ejects servers that fail quickly, hang or are unreachable: their low counts alone would favour them.
     fn record_failure(&mut self, cx: &mut Context, number: usize) {
-        let one_of_many = self.signals.stale && self.settings.nodes as f64 > NODES_PER_SERVER;
-        let max_failures = if one_of_many { STALE_EJECTION_FAILURES } else { EJECTION_FAILURES };
-        let time = if one_of_many { STALE_EJECTION_TIME } else { EJECTION_TIME };
+        let many_nodes = self.signals.stale && self.settings.nodes as f64 > NODES_PER_SERVER;
+        let max_failures = if many_nodes { STALE_EJECTION_FAILURES } else { EJECTION_FAILURES };
+        let time = if many_nodes { STALE_EJECTION_TIME } else { EJECTION_TIME };
         let until = cx.now + time * self.estimates.latency_target;
         let server = self.endpoints.get_mut(number).expect("in use");
         server.consecutive_failures += 1;
--- a/crates/balancer-node/src/decisions/mod.rs
+++ b/crates/balancer-node/src/decisions/mod.rs
@@ -16,7 +16,7 @@
 use self::{estimates::Estimates, slow_start::SlowStart, subscription::Subscription};
 use crate::{interface::*, ring::Ring};
 
-/// About how many nodes share a server: connections stay few and warm, and each node meets its servers often.
+/// About how many nodes share a server: connections stay few and warm, and each node uses its servers often.
 const NODES_PER_SERVER: f64 = 12.0;
 
 /// Servers that a node's subset has at least, where there are as many, and the most that are probed.
@@ -28,10 +28,10 @@
 /// Part of the result that may be spent on probing servers before each send.
 const PROBE_BUDGET: f64 = 0.008;
 
-/// The timer of the next subscription. A request has the timer of its number plus one.
+/// The timer of the next subscription. The timer of a request is its id plus one.
 const RESUBSCRIBE_TIMER: u64 = 0;
 
-/// What a handler gets beside its event: the time in milliseconds, and where its actions go.
+/// What each event handler is given: the time in milliseconds, and the list to append its actions to.
 struct Context<'a> {
     now: f64,
     actions: &'a mut Vec<BalancerAction>,
@@ -43,14 +43,14 @@
     }
 }
 
-/// What this node knows of the servers' load, fixed by the settings.
+/// By which signals this node learns the load of servers, as the settings determine.
 struct LoadSignals {
-    /// Servers that are probed before the first attempt of each request, and whether any are.
+    /// The number of servers probed before the first attempt of each request, and whether any are.
     probes_per_request: usize,
     probing: bool,
-    /// Other nodes send to the same servers unseen and nobody probes: reported counts are out of date.
+    /// Other nodes also send to the servers and there are no probes: reported counts are out of date.
     stale: bool,
-    /// Whether load reports come, with responses or with the probes before each send.
+    /// Whether load reports arrive, with responses or with the probes before each send.
     reports_arrive: bool,
 }
 
@@ -58,7 +58,7 @@
     fn new(settings: &DecisionSettings) -> Self {
         // None are probed where a few nodes' responses keep counts fresh, or where peers may talk.
         let outdated = !settings.responses_carry_load || settings.nodes as f64 > NODES_PER_SERVER;
-        // All nodes pay the price of a probe for every request. Without reports probing is of no use.
+        // Each node pays the price of a probe for every request. Without reports probing is useless.
         let affordable = (PROBE_BUDGET / settings.probe_price).clamp(0.0, MIN_SUBSET_SIZE as f64) as usize;
         let useful = settings.probes && settings.probes_carry_load && !settings.peers && outdated;
         let probes_per_request = if useful { affordable } else { 0 };
@@ -68,7 +68,7 @@
     }
 }
 
-/// Decides for one node. See the [crate] page for an example.
+/// The decision logic of one node. See the [crate] page for an example.
 pub struct Balancer {
     settings: DecisionSettings,
     /// The order of draws is part of the behaviour: the same seed and events give the same actions.
@@ -80,7 +80,7 @@
     /// Requests whose first attempt waits for probes, in order of arrival.
     awaiting_probes: Vec<RequestId>,
     estimates: Estimates,
-    /// What each tenant may still send within its quota.
+    /// The remaining quota of each tenant.
     quotas: Vec<TokenBucket>,
     /// Retries that may still be made; each request adds a fraction of one.
     retry_tokens: f64,
@@ -88,9 +88,9 @@
 }
 
 impl Balancer {
-    /// A balancer that has no servers yet.
+    /// Creates a balancer without servers.
     /// # Errors
-    /// The first setting that is out of range.
+    /// Names the first setting that is out of range.
     pub fn new(settings: DecisionSettings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         // Each node uses an equal subset of a ring that all nodes order alike, from a position of its own.
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Takes one event that happened at `now`, in milliseconds of a clock that never runs backwards, and
+    /// Handles one event that happened at `now`, in milliseconds of a clock that never runs backwards, and
     /// appends the actions to carry out. Events about unknown requests, servers or timers are ignored.
     pub fn handle(&mut self, now: f64, event: BalancerEvent, actions: &mut Vec<BalancerAction>) {
         let cx = &mut Context { now, actions };
--- a/crates/balancer-node/src/decisions/selection.rs
+++ b/crates/balancer-node/src/decisions/selection.rs
@@ -8,7 +8,7 @@
 /// A server expected to take this many times the best one's time is not selected. Over 2: counts decide.
 const MAX_WAIT_RATIO: f64 = 2.5;
 
-/// Servers of each part of the ring, near and far, that one request is offered at the most, to save time.
+/// Most servers of each part of the ring, near and far, that are considered for one request, to save time.
 pub(super) const MAX_CANDIDATES_PER_PART: usize = 64;
 
 impl Balancer {
@@ -39,7 +39,7 @@
         selected
     }
 
-    /// Leaves out servers that others are preferred to.
+    /// Removes candidates to which others are preferred.
     fn keep_preferred(&self, candidates: &mut Vec<Candidate>, max_wait: f64) {
         // Unhealthy servers, and those of earlier attempts, remain only where there are no others.
         let best_tier = candidates.iter().map(|c| c.health_tier).min();
@@ -47,13 +47,13 @@
         let shortest = candidates.iter().map(|c| c.wait).fold(f64::INFINITY, f64::min);
         let (probing, stale) = (self.signals.probing, self.signals.stale);
         let bound = if probing || stale { max_wait } else { shortest * MAX_WAIT_RATIO };
-        // Nodes that keep to their zones are less in each other's way, unseen. But one node of many sees too
-        // late that its zone fills up: there only the price of crossing speaks for a zone.
+        // Nodes that stay in their own zones overload each other's servers less. But with stale counts a node
+        // notices too late that its zone fills up: there only the price of crossing favours the zone.
         let near_only = !probing && !stale && candidates.iter().any(|c| c.near && c.wait <= bound);
         candidates.retain(|c| (c.idle || c.wait <= bound) && (c.near || !near_only));
     }
 
-    /// All servers that the rules allow for this request.
+    /// All servers that the rules and slow start allow for this request.
     fn candidates(&mut self, now: f64, request: &PendingRequest) -> Vec<Candidate> {
         let subset = self.endpoints.ring.subset(MAX_CANDIDATES_PER_PART, &mut self.random);
         let subset_size = subset.len();
--- a/crates/balancer-node/src/decisions/subscription.rs
+++ b/crates/balancer-node/src/decisions/subscription.rs
@@ -3,17 +3,17 @@
 use super::{Balancer, Context, RESUBSCRIBE_TIMER};
 use crate::interface::*;
 
-/// The longest wait before a new subscription, as a part of what may pass without; each failure doubles it.
+/// The longest backoff, as a part of the longest poll interval; each failed call doubles it up to that.
 const MAX_RESUBSCRIBE_FRACTION: f64 = 0.25;
 const MAX_DOUBLINGS: i32 = 4;
 
-/// A change counts as announced after this time. The wait is no longer than this part of it: two of them,
+/// A change counts as announced after this time. The backoff is no longer than this part of it: two of them,
 /// each with a call that times out, are over by then.
 const ANNOUNCED_WITHIN_MS: f64 = 6_000.0;
 const MAX_ANNOUNCED_FRACTION: f64 = 0.4;
 
-/// Where lists are pushed, the wait is also no longer than this part of the grace after a drain. It is no
-/// shorter than this time, whatever the settings say.
+/// Where lists are pushed, the backoff is also no longer than this part of the drain grace. Its upper bound
+/// is no shorter than this time, whatever the settings say.
 const MAX_PUSH_GRACE_FRACTION: f64 = 0.25;
 const MIN_RESUBSCRIBE_MS: f64 = 50.0;
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// The longest wait between two calls, in milliseconds.
+/// The longest backoff between two calls, in milliseconds.
 fn max_backoff_ms(settings: &DecisionSettings) -> f64 {
     let max = settings.max_poll_interval_ms * MAX_RESUBSCRIBE_FRACTION;
     let max = max.min(ANNOUNCED_WITHIN_MS * MAX_ANNOUNCED_FRACTION);
@@ -68,7 +68,7 @@
 }
 
 impl Balancer {
-    /// Discovery sent an update of the server list, or failed to.
+    /// Handles an update of the server list, or the failure of a call for one.
     pub(super) fn update_endpoints(&mut self, cx: &mut Context, update: EndpointUpdate) {
         let (entries, complete) = match update {
             EndpointUpdate::Delta(entries) => (entries, false),
--- a/crates/balancer-node/src/main.rs
+++ b/crates/balancer-node/src/main.rs
@@ -1,5 +1,5 @@
-//! A node on sockets: starts, serves until SIGTERM, answers the requests it has admitted, and ends. SIGHUP makes it
-//! read its configuration again.
+//! The node on sockets: starts, serves until SIGTERM, answers the requests that it has admitted, and exits. SIGHUP
+//! reloads its configuration.
 
 use std::fmt;
 use std::io;
@@ -55,13 +55,13 @@
 }
 
 async fn serve() -> Result<(), StartError> {
-    // Before all else: from here on neither signal ends the program by itself.
+    // First of all: from here on neither signal ends the program by itself.
     let mut terminate = on_signal(SignalKind::terminate(), "SIGTERM")?;
     let mut hangup = on_signal(SignalKind::hangup(), "SIGHUP")?;
     let config = Config::from_env().map_err(StartError::Config)?;
     let address = config.listen;
     let node = Node::start(config).map_err(StartError::Node)?;
-    // Before the first client comes: nothing may be sent to a server that has begun to drain.
+    // Before the first client connects: nothing may be sent to a server that has begun to drain.
     let connection = discovery::fetch_initial(&node).await;
     let listener = TcpListener::bind(address).await;
     let listener = listener.map_err(|source| StartError::Listen { address, source })?;
--- a/crates/balancer-node/src/net/config.rs
+++ b/crates/balancer-node/src/net/config.rs
@@ -11,7 +11,7 @@
 use super::list::{ListDecoder, ServerList};
 use crate::{wire, DecisionSettings, Idempotency};
 
-/// A time limit of this length limits nothing.
+/// Stands for the absence of a time limit.
 const UNLIMITED: Duration = Duration::from_secs(24 * 3600);
 /// Part of the memory limit that the list of servers may take.
 const LIST_MEMORY_FRACTION: f64 = 0.5;
@@ -22,17 +22,17 @@
 pub struct Config {
     /// Its name, for its log.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery answers. The file takes precedence over the variable: the file can be replaced.
+    /// The address of discovery. The file takes precedence over the variable: the file can be replaced.
     pub discovery: SocketAddr,
     /// Seed of the random numbers.
     pub seed: u64,
-    /// Sockets that may be open in all.
+    /// The limit of open sockets.
     pub max_sockets: usize,
     /// Bytes of memory that the list of servers may take.
     pub max_list_bytes: usize,
-    /// The list of servers as it was last known.
+    /// The last known list of servers.
     pub initial_list: ServerList,
     /// Settings of the decisions.
     pub settings: DecisionSettings,
@@ -58,7 +58,7 @@
     pub kinds: Vec<String>,
 }
 
-/// The file that `GW_CONFIG` names. What is missing or of another form is reported where it is used.
+/// The file that `GW_CONFIG` names. A value that is missing or malformed is reported where it is used.
 #[derive(Deserialize)]
 struct ConfigFile<'a> {
     #[serde(default)]
@@ -201,7 +201,7 @@
     value.map(|time| Some(time.min(UNLIMITED))).ok_or(ConfigError::NoTime { key })
 }
 
-/// The names under a key: a list of texts, or of objects that have a name. Without a list there are none.
+/// The names under a key: a list of strings, or of objects with a `name`. Without a list there are none.
 fn names(key: &'static str, settings: &Value) -> Result<Vec<String>, ConfigError> {
     let entries = match &settings[key] {
         Value::Null => return Ok(Vec::new()),
--- a/crates/balancer-node/src/net/discovery.rs
+++ b/crates/balancer-node/src/net/discovery.rs
@@ -19,8 +19,8 @@
 
 use super::list::{ListDecoder, ListError, ListedMember, ServerList};
 
-/// How long discovery may hold a long poll before it answers that nothing has changed. Changes missed by a poll that
-/// is not answered count as announced 6 s after it began, or 2 s after this time; the sooner that is found, the less
+/// How long discovery may keep a long poll waiting before it answers that nothing has changed. Changes missed by a
+/// poll that is not answered count as announced 6 s after it began, or 2 s after this time; the sooner that is found, the less
 /// is sent to removed servers.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// A call has failed when its answer has not begun within this part of the drain grace, past its long poll. Two such
@@ -44,42 +44,43 @@
 /// Memory that a list may take where the subscriber sets no limit.
 const DEFAULT_MAX_LIST_BYTES: usize = 48 << 20;
 
-/// Who follows the list of servers: a node, or whatever stands for one.
+/// A subscriber of the server list: a node, or a stand-in for one.
 pub trait Subscriber: 'static {
-    /// Raised when the changes of the list are wanted.
+    /// Notified when the changes of the list are requested.
     fn update_requested(&self) -> &Notify;
-    /// Raised when the address of discovery has changed.
+    /// Notified when the address of discovery has changed.
     fn discovery_moved(&self) -> &Notify;
-    /// Where discovery answers.
+    /// The address of discovery.
     fn discovery_address(&self) -> SocketAddr;
     /// The version of the list that is known, where the present discovery gave it.
     fn revision(&self) -> Option<u64>;
     /// How long requests may still be sent to a server once its draining is announced.
     fn drain_grace(&self) -> Duration;
-    /// Discovery has answered a call.
+    /// Applies the list in the answer to a call.
     fn apply(self: &Rc<Self>, list: ServerList);
     /// The same, for subscribers that do it in chunks and end with [`apply`](Self::apply). No other call is made
     /// meanwhile.
     fn apply_in_chunks(self: &Rc<Self>, list: ServerList) -> impl Future<Output = ()> {
         async { self.apply(list) }
     }
-    /// A call failed or was not answered; the known list stands.
+    /// A call failed or was not answered; the known list stays in force.
     fn unavailable(self: &Rc<Self>);
     /// Bytes of memory that a list may take; a longer one is not read to its end, and its call fails.
     fn max_list_bytes(&self) -> usize {
         DEFAULT_MAX_LIST_BYTES
     }
-    /// A list begins to come; it may break off.
+    /// A list begins to arrive; it may be cut short.
     fn list_started(&self) {}
-    /// Whether this entry of the list that comes is known already, and can be left out of it.
+    /// Whether this entry of the arriving list is known already and may be left out.
     fn is_unchanged(&self, _member: &ListedMember) -> bool {
         false
     }
-    /// Where in the time over which nodes spread their calls for a complete list this one makes its own, from 0 to 1.
+    /// When this node calls for a complete list after a move of discovery, as a fraction (0 to 1) of the time over
+    /// which nodes spread their calls.
     fn spread_position(&self) -> f64 {
         0.0
     }
-    /// Why the next [`unavailable`](Self::unavailable) comes.
+    /// The cause of the next [`unavailable`](Self::unavailable).
     fn call_failed(&self, _error: &CallError) {}
 }
 
@@ -151,7 +152,7 @@
 /// The state between two long polls.
 struct Poller {
     connection: Option<DiscoveryConnection>,
-    /// How long discovery may hold the next poll: only one that has just answered may wait for a change.
+    /// How long discovery may keep the next poll waiting: not before it has answered once.
     poll_timeout: Duration,
 }
 
--- a/crates/balancer-node/src/net/frontend/api.rs
+++ b/crates/balancer-node/src/net/frontend/api.rs
@@ -17,14 +17,14 @@
 use super::connections::ConnectionSlot;
 use super::request::{forwarded, read_body, read_head, RequestHead};
 use crate::net::node::{AdmissionError, FinalAnswer, Node};
-use crate::net::socket::{has_left, left, Socket};
+use crate::net::socket::{disconnected, has_disconnected, Socket};
 use crate::net::upstream::ForwardedRequest;
 use crate::RequestId;
 
-/// Taken off a client's deadline: its request and the answer are under way for a part of that.
+/// Subtracted from a client's deadline for the transit of its request and of the answer.
 const TRANSIT_MARGIN: Duration = Duration::from_millis(10);
 /// How often a client that waits for its answer is checked beside what readiness reports: half of the 0.1 s in which
-/// an attempt may still begin once it has left. Not every event loop reports an end behind unread input.
+/// an attempt may still begin once it has disconnected. Not every event loop reports an end behind unread input.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An answer to a client.
@@ -42,7 +42,7 @@
     match request.uri().path() {
         "/api" => {
             let rejecting = || slot.connections.rejecting.get();
-            api(node, socket, request, body_by, rejecting).await.unwrap_or_else(|response| response)
+            forward(node, socket, request, body_by, rejecting).await.unwrap_or_else(|response| response)
         }
         "/_health" if draining => text(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
         "/_health" => text(StatusCode::OK, "ready\n"),
@@ -66,7 +66,8 @@
     response
 }
 
-/// Reports to the node that the client has left, unless it has been answered: hyper drops the service's future then.
+/// Reports on drop that the client needs no answer any more; without effect after the answer. hyper drops the service's
+/// future where the client disconnects.
 struct PendingAnswer {
     node: Rc<Node>,
     id: RequestId,
@@ -78,13 +79,15 @@
     }
 }
 
-/// Completes once the client has left: hyper sees that only while nothing stands unread behind its request.
-async fn client_left(stream: &TcpStream) {
-    while timeout(DISCONNECT_POLL_INTERVAL, left(stream)).await.is_err() && !has_left(stream).await {}
+/// Completes once the client has disconnected: hyper sees that only while there is no unread input.
+async fn client_disconnected(stream: &TcpStream) {
+    while timeout(DISCONNECT_POLL_INTERVAL, disconnected(stream)).await.is_err()
+        && !has_disconnected(stream).await
+    {}
 }
 
 /// Forwards a request and waits for its final answer. `Err` is an answer that is given without forwarding.
-async fn api(
+async fn forward(
     node: &Rc<Node>,
     socket: &ClientSocket,
     request: Request<Incoming>,
@@ -94,30 +97,31 @@
     // The deadline counts from when the request came, not from when the one before it on its connection was answered.
     let arrived_at = socket.last_read_at();
     let (head, body) = request.into_parts();
-    let (RequestHead { deadline, mut request }, body) = read(node, arrived_at, &head, body, body_by).await?;
+    let (RequestHead { deadline, mut request }, body) =
+        read_request(node, arrived_at, &head, body, body_by).await?;
     let target = forwarded(head.uri, &head.headers);
     let (uri, headers) = target.ok_or_else(|| text(StatusCode::BAD_REQUEST, "a bad target\n"))?;
     let expires_at = arrived_at + deadline.saturating_sub(TRANSIT_MARGIN).max(deadline / 2);
     let budget = expires_at.saturating_duration_since(Instant::now());
     let max_retry_after_ms = node.config.settings.max_retry_after_ms;
-    // Near the end of the node no time is left to learn how an attempt would end.
+    // Shortly before the node exits there is no time left for an attempt.
     if budget.is_zero() || rejecting() {
         return Err(rejection(max_retry_after_ms));
     }
     request.budget_ms = budget.as_secs_f64() * 1000.0;
-    // A client that left while its request lay unread gets no answer, and nothing is sent to a server.
-    if has_left(socket.stream()).await {
+    // If the client disconnected before its request was read, nothing is sent to a server.
+    if has_disconnected(socket.stream()).await {
         return Err(text(StatusCode::BAD_REQUEST, "the client has left\n"));
     }
-    let forward = ForwardedRequest { method: head.method, uri, headers, body, expires_at };
+    let forwarded_request = ForwardedRequest { method: head.method, uri, headers, body, expires_at };
     let (answer, answered) = oneshot::channel();
-    let admitted = node.take(forward, request, answer);
-    let id = admitted.map_err(|error| not_admitted(&error, max_retry_after_ms))?;
+    let admitted = node.admit(forwarded_request, request, answer);
+    let id = admitted.map_err(|error| admission_error_response(&error, max_retry_after_ms))?;
     let _pending = PendingAnswer { node: Rc::clone(node), id };
     wait_for_answer(answered, socket, expires_at + TRANSIT_MARGIN / 2).await
 }
 
-/// Waits for the final answer of an admitted request. The time-out answers one that the decisions would leave without.
+/// Waits for the final answer of an admitted request; the time-out covers requests that the decisions leave unanswered.
 async fn wait_for_answer(
     answered: oneshot::Receiver<FinalAnswer>,
     socket: &ClientSocket,
@@ -129,11 +133,11 @@
             Ok(answer) => final_response(answer.unwrap_or(FinalAnswer::Failed)),
             Err(_) => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
         }),
-        () = client_left(socket.stream()) => Err(text(StatusCode::BAD_REQUEST, "the client has left\n")),
+        () = client_disconnected(socket.stream()) => Err(text(StatusCode::BAD_REQUEST, "the client has left\n")),
     }
 }
 
-fn not_admitted(error: &AdmissionError, max_retry_after_ms: Option<f64>) -> ClientResponse {
+fn admission_error_response(error: &AdmissionError, max_retry_after_ms: Option<f64>) -> ClientResponse {
     match error {
         // A bound of the settings, not a decision: how long it lasts is unknown.
         AdmissionError::Full => rejection(max_retry_after_ms),
@@ -150,7 +154,7 @@
 }
 
 /// Reads a request: its body to the end, so that the client sees the answer also where its head is invalid.
-async fn read(
+async fn read_request(
     node: &Node,
     arrived_at: Instant,
     head: &request::Parts,
--- a/crates/balancer-node/src/net/frontend/connections.rs
+++ b/crates/balancer-node/src/net/frontend/connections.rs
@@ -11,14 +11,14 @@
 use super::client_socket::ClientSocket;
 
 /// Time that a client has for its first request's head, for any head that it has begun, and for a body: one that
-/// stays silent or sends slowly must be disconnected within 3 s.
+/// sends nothing or sends slowly must be disconnected within 3 s.
 pub(super) const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A client that has been answered may keep its connection idle for so long. Past 2 s it may be closed.
+/// Idle time-out of a connection that had an answer; the rules allow to close it after 2 s.
 pub(super) const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The first request follows its connection within this time, or the client counts as silent.
+/// The first request follows its connection within this time, or the connection is among the first to be closed.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
 
-/// Orders idle connections for closing: those that were never answered come first, then by the time since when.
+/// Orders idle connections for closing: whether one had an answer, then the order in which they became idle.
 type IdleKey = (bool, u64);
 
 /// A connection without a request.
@@ -32,13 +32,13 @@
     open: Cell<usize>,
     /// Connections that may be open.
     max_open: usize,
-    /// So many more may be where none can be closed.
+    /// Further connections that may be open where none can be closed.
     overflow: usize,
     idle: RefCell<BTreeMap<IdleKey, IdleConnection>>,
     last_idle: Cell<u64>,
-    /// The node shuts down: each answer is the last one on its connection.
+    /// Set while the node shuts down: each answer is the last one on its connection.
     pub(super) draining: Cell<bool>,
-    /// The node's end is near: new requests are rejected at once.
+    /// Set shortly before the node exits: new requests are rejected at once.
     pub(super) rejecting: Cell<bool>,
 }
 
@@ -71,8 +71,8 @@
         self.open.get() < self.max_open + self.overflow
     }
 
-    /// Closes an idle connection: one that has stayed silent, else the one whose answer is longest ago, else one
-    /// that has just come. Whether there was one.
+    /// Closes an idle connection: one without a first request, else the one whose answer is longest ago, else a new
+    /// one. Returns whether there was one.
     pub(super) fn close_one(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         // A new client keeps its connection until its request can have come.
@@ -85,8 +85,8 @@
         closed.inspect(|connection| connection.close.notify_one()).is_some()
     }
 
-    /// Closes the idle connections of a draining node, except new ones whose first request may be under way: a client
-    /// that is disconnected before any answer has asked in vain.
+    /// Closes the idle connections of a draining node, except new ones whose first request may be in transit: a client
+    /// that is disconnected before its first answer has lost a request.
     pub(super) fn close_idle(&self) {
         self.idle.borrow_mut().retain(|(answered, _), connection| {
             let stays = !*answered && connection.since.elapsed() < FIRST_REQUEST_GRACE;
@@ -101,7 +101,7 @@
 /// One connection's entry among all; dropped with the connection.
 pub(super) struct ConnectionSlot {
     pub(super) connections: Rc<ClientConnections>,
-    /// Raised when the connection is to be closed.
+    /// Notified when the connection is to be closed.
     pub(super) close: Rc<Notify>,
     /// Its key among the idle ones, while it is idle.
     idle: Cell<Option<IdleKey>>,
--- a/crates/balancer-node/src/net/frontend/mod.rs
+++ b/crates/balancer-node/src/net/frontend/mod.rs
@@ -36,7 +36,7 @@
 const EXIT_GRACE: Duration = Duration::from_millis(600);
 /// A longer deadline does not put off the SIGKILL that follows SIGTERM.
 const MAX_DRAIN: Duration = Duration::from_secs(3);
-/// So long before its end a node answers whatever still waits: an answer takes time to get out.
+/// So long before its exit a node fails all pending requests, so that the answers can still be sent.
 const FINAL_ANSWER_LEAD: Duration = Duration::from_millis(100);
 /// How often a draining node checks whether it can end.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -44,7 +44,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// A draining node waits so long for the rest of a head that has begun to come.
 const PARTIAL_HEAD_GRACE: Duration = Duration::from_millis(500);
-/// What has come on a socket is with hyper after this time.
+/// Time in which hyper reads input that has arrived on a socket.
 const INPUT_HANDOVER: Duration = Duration::from_millis(5);
 /// The longest request head; many may be partly received at once.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -118,9 +118,9 @@
             let slot = ConnectionSlot::new(Rc::clone(connections));
             tokio::task::spawn_local(serve(Rc::clone(node), slot, stream));
         }
-        // All are busy: a client that is disconnected at once can turn to another node.
+        // All slots are busy: a client that is disconnected at once can try another node.
         Ok(_) => {}
-        // Out of descriptors, or the client has left already: neither ends the node.
+        // Out of descriptors, or the client has disconnected already: neither ends the node.
         Err(_) => {
             connections.close_one();
             sleep(ACCEPT_RETRY_DELAY).await;
@@ -149,7 +149,7 @@
     loop {
         tokio::select! {
             biased;
-            // An error is the client's: it has left, or does not speak HTTP.
+            // An error is the client's: it has disconnected, or does not speak HTTP.
             _ = served.as_mut() => return,
             () = slot.close.notified() => timer.close(&slot, &socket),
             () = sleep_until(timer.wake_at) => {}
@@ -183,13 +183,13 @@
     Ok(response)
 }
 
-/// When a connection is looked at next, and by when it is to be closed, if it is.
+/// When a connection is checked next, and by when it must be closed, if it must.
 struct ConnectionTimer {
     wake_at: Instant,
     close_by: Option<Instant>,
 }
 
-/// What becomes of a connection at a [`ConnectionTimer`]'s moment.
+/// What a [`ConnectionTimer`] decides about its connection.
 enum Next {
     Wait,
     /// A request is in progress; its answer will say that it is the last one.
@@ -215,7 +215,7 @@
         let due = slot.expires_at(socket).min(close_by);
         self.wake_at = match has_input(socket.stream()) {
             _ if now < due => due,
-            // A request that has come just now must not be lost: hyper reads it next.
+            // A request that has just arrived must not be lost: hyper reads it next.
             true if now < due + PARTIAL_HEAD_GRACE => now + INPUT_HANDOVER,
             _ => return Next::Close,
         };
--- a/crates/balancer-node/src/net/list/value_scanner.rs
+++ b/crates/balancer-node/src/net/list/value_scanner.rs
@@ -7,7 +7,7 @@
     /// Inside a string, and there behind a backslash.
     in_string: bool,
     escaped: bool,
-    /// A number or a word: what follows it ends it.
+    /// A number, `true`, `false` or `null`, which ends at the next delimiter.
     bare: bool,
 }
 
--- a/crates/balancer-node/src/net/mod.rs
+++ b/crates/balancer-node/src/net/mod.rs
@@ -1,6 +1,6 @@
-//! The node on sockets: turns what happens there into events, and carries out the actions of the decisions.
+//! The node on sockets: turns requests, answers and lists into events, and executes the actions of the decisions.
 //!
-//! [`frontend`] serves clients, [`upstream`] holds the connections to servers, and [`discovery`] follows the list of
+//! [`frontend`] serves clients, [`upstream`] owns the connections to servers, and [`discovery`] follows the list of
 //! servers. [`node::Node`] stands between them and the decisions, and owns the pending requests.
 
 pub mod config;
--- a/crates/balancer-node/src/net/node/endpoints.rs
+++ b/crates/balancer-node/src/net/node/endpoints.rs
@@ -1,4 +1,4 @@
-//! The servers that discovery lists: their numbers, and what a new list changes.
+//! The directory of listed servers: assigns their numbers, and finds what a new list changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 struct ListedServer {
     entry: ServerEntry,
     address: SocketAddr,
-    /// The number of that list.
+    /// The number of that list, counted by [`ServerDirectory::list_started`].
     named_in: u64,
 }
 
@@ -21,19 +21,19 @@
 #[derive(Default)]
 pub(super) struct ServerDirectory {
     servers: RefCell<HashMap<String, ListedServer>>,
-    /// Numbers are never reused: what was sent to a server that has been removed may end late.
+    /// Numbers are never reused: an attempt at a removed server may end late.
     last_server: Cell<usize>,
-    /// Lists that have begun to come.
+    /// The number of lists that have begun to arrive.
     lists: Cell<u64>,
 }
 
 impl ServerDirectory {
-    /// A list begins to come.
+    /// A list begins to arrive.
     pub(super) fn list_started(&self) {
         self.lists.set(self.lists.get() + 1);
     }
 
-    /// Notes that the list names a server; whether it describes it as it is known.
+    /// Marks a server as named by the present list, and returns whether its description is unchanged.
     pub(super) fn is_unchanged(&self, member: &ListedMember, names: &SettingNames) -> bool {
         let mut servers = self.servers.borrow_mut();
         let Some(known) = servers.get_mut(&member.id) else { return false };
@@ -42,7 +42,7 @@
             && known.entry == entry(member, known.entry.server, known.entry.key, names)
     }
 
-    /// Takes members of a list, and numbers servers that are new.
+    /// Applies members of a list, and assigns numbers to new servers.
     pub(super) fn update(
         &self,
         members: Vec<ListedMember>,
@@ -70,8 +70,7 @@
         changes
     }
 
-    /// Takes entries that cannot be read. What such a server is ready for is unknown: it finishes its work, and gets
-    /// nothing new.
+    /// Applies entries that cannot be read. Whether such a server is ready is unknown: it is treated as draining.
     pub(super) fn drain_unreadable(
         &self,
         unreadable: &UnreadableEntries,
--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -1,4 +1,4 @@
-//! The node itself: it feeds the decisions what happens, and carries out their actions.
+//! The node itself: it passes events to the decisions, and executes their actions.
 
 mod endpoints;
 mod requests;
@@ -69,7 +69,7 @@
     }
 }
 
-/// One node; all of its parts share it.
+/// One node, shared by all of its tasks.
 pub struct Node {
     /// What it was configured with at its start.
     pub config: Config,
@@ -79,14 +79,14 @@
     servers: ServerDirectory,
     /// The version of the list that is known, where the present discovery gave it.
     revision: Cell<Option<u64>>,
-    /// Whether the log has said why no list comes.
+    /// Whether the present failure of discovery has been logged.
     failure_logged: Cell<bool>,
-    /// Raised when the decisions want the changes of the list.
+    /// Notified when the decisions request the changes of the list.
     update_requested: Notify,
     discovery: Cell<SocketAddr>,
-    /// Raised when the address of discovery has changed.
+    /// Notified when the address of discovery has changed.
     discovery_moved: Notify,
-    /// This node's position where all nodes call discovery at once, from 0 to 1.
+    /// See [`Subscriber::spread_position`](super::discovery::Subscriber::spread_position).
     spread_position: f64,
     clock: Clock,
 }
@@ -105,7 +105,7 @@
             balancer: RefCell::new(balancer),
             requests: RequestTable::default(),
             servers: ServerDirectory::default(),
-            // The version of a list from before the start means nothing to a discovery that has moved since.
+            // The version of a list from before the start means nothing to a discovery that has moved meanwhile.
             revision: Cell::new(None),
             failure_logged: Cell::new(false),
             update_requested: Notify::new(),
@@ -118,7 +118,7 @@
         let entries = node.changes(initial_list);
         node.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
         if node.config.settings.discovery == DiscoveryMode::Push {
-            // The decisions expect such lists unasked; on sockets they come to a long poll as well.
+            // The decisions expect such lists without a subscription; on sockets they need a long poll as well.
             node.update_requested.notify_one();
         }
         Ok(node)
@@ -128,11 +128,11 @@
         let mut actions = Vec::new();
         self.balancer.borrow_mut().handle(self.clock.now_ms(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: BalancerAction) {
+    fn execute(self: &Rc<Self>, action: BalancerAction) {
         match action {
             BalancerAction::Send { request, server, within_ms } => self.send(request, server, within_ms),
             BalancerAction::Probe { server } => self.probe(server),
@@ -182,7 +182,7 @@
     }
 
     /// Reads the configuration again for the address of discovery; all else takes effect at the next start. One that
-    /// cannot be read changes nothing.
+    /// cannot be read is logged and changes nothing.
     pub async fn reload(&self) {
         match tokio::task::spawn_blocking(Config::from_env).await {
             Ok(Ok(config)) if config.discovery != self.discovery.get() => {
@@ -203,7 +203,7 @@
     /// # Errors
     ///
     /// Too many are pending, or one of the same id.
-    pub fn take(
+    pub fn admit(
         self: &Rc<Self>,
         forward: ForwardedRequest,
         request: ClientRequest,
@@ -214,8 +214,8 @@
         Ok(id)
     }
 
-    /// The client has left, or its time is up: no answer is needed any more. What has not been sent yet never is, also
-    /// where the decisions may not cancel an attempt: that concerns servers, and they know nothing of it.
+    /// The client has disconnected, or its time is up: no answer is needed any more. An attempt that has not been sent
+    /// yet never is, also where the settings forbid to cancel attempts: that rule is about attempts that were sent.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         if self.requests.abandon(id) {
             self.handle(BalancerEvent::ClientDisconnected(id));
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The node ends before its pending requests could: each client gets its final answer now.
+    /// Fails all pending requests, since the node ends before they could.
     pub fn fail_all(self: &Rc<Self>) {
         for id in self.requests.unanswered() {
             self.requests.answer(id, FinalAnswer::Failed);
--- a/crates/balancer-node/src/net/node/requests.rs
+++ b/crates/balancer-node/src/net/node/requests.rs
@@ -32,7 +32,7 @@
 /// A request that is pending.
 struct PendingRequest {
     forward: Rc<ForwardedRequest>,
-    /// Taken by the final answer, or when the client leaves.
+    /// Taken by the final answer, or when the client disconnects.
     answer: Option<oneshot::Sender<FinalAnswer>>,
     /// Each attempt, while it is in flight.
     attempts: Vec<Option<AttemptHandle>>,
@@ -57,7 +57,7 @@
     }
 }
 
-/// What an attempt needs that has just been started.
+/// An attempt that has just been started.
 pub(super) struct StartedAttempt {
     /// Its number among the attempts of its request.
     pub(super) index: usize,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether a request needs no answer any more.
+    /// Whether a request has its final answer or is no longer pending.
     pub(super) fn is_answered(&self, id: RequestId) -> bool {
         self.requests.borrow().get(&id).is_none_or(|request| request.answer.is_none())
     }
@@ -147,14 +147,14 @@
     pub(super) fn answer(&self, id: RequestId, answer: FinalAnswer) {
         let sender = self.requests.borrow_mut().get_mut(&id).and_then(|request| request.answer.take());
         if let Some(sender) = sender {
-            // It fails where the client has just left.
+            // It fails where the client has just disconnected.
             let _ = sender.send(answer);
         }
         self.remove_if_finished(id);
     }
 
-    /// The client has left: no answer is needed any more, and attempts that have not been sent never are. Whether an
-    /// answer was still needed.
+    /// The client has disconnected: no answer is needed any more, and attempts that have not been sent are cancelled.
+    /// Returns whether an answer was still needed.
     pub(super) fn abandon(&self, id: RequestId) -> bool {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(&id).filter(|request| request.answer.is_some()) else {
--- a/crates/balancer-node/src/net/node/subscriber.rs
+++ b/crates/balancer-node/src/net/node/subscriber.rs
@@ -12,11 +12,11 @@
 use crate::net::list::{ListedMember, ServerList};
 use crate::{BalancerEvent, EndpointUpdate, ServerEntry};
 
-/// Changes of a list that are taken at once: everything else waits for some milliseconds meanwhile.
+/// Changes of a list that are applied at once: all other tasks wait for some milliseconds meanwhile.
 const MAX_CHANGES_AT_ONCE: usize = 2000;
 
 impl Node {
-    /// What a list changes: the work that follows depends on what has changed, also where the list is complete.
+    /// The entries that a list changes: further work is proportional to the changes, also where the list is complete.
     pub(super) fn changes(&self, list: ServerList) -> Vec<ServerEntry> {
         let mut changes = self.update(list.members);
         changes.extend(self.servers.drain_unreadable(&list.unreadable, &self.upstream));
@@ -89,7 +89,7 @@
 
     fn apply(self: &Rc<Self>, list: ServerList) {
         self.failure_logged.set(false);
-        // A changed entry that names no server may be any server's: only a complete list tells which are left.
+        // A changed entry that names no server may be any server's: only a complete list shows which servers remain.
         let known = list.complete || list.unreadable.nameless == 0;
         self.revision.set(known.then_some(list.revision));
         if let Some(reason) = &list.unreadable.first {
--- a/crates/balancer-node/src/net/socket.rs
+++ b/crates/balancer-node/src/net/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets as hyper drives them, while their owners still hold them.
+//! Sockets that hyper reads and writes while their owners inspect them.
 
 use std::io;
 use std::net::Shutdown;
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What owns a socket.
+/// The owner of a socket.
 pub trait Socket {
     /// The socket itself.
     fn stream(&self) -> &TcpStream;
@@ -21,31 +21,31 @@
     fn received(&self, _bytes: &[u8]) {}
 }
 
-/// Whether something has come that nobody has read: bytes, an end or an error. The socket itself is looked at:
-/// the event loop may not yet have heard of it.
+/// Whether there is unread input: bytes, the end of the stream or an error. Asks the socket itself, since the event
+/// loop may not have been notified yet.
 pub fn has_input(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     let peeked = SockRef::from(stream).peek(&mut byte);
     !peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether the other side has left: it ended its sending, or the connection broke. Input that nobody has read
-/// may stand before that end; then the event loop's word for it counts.
-pub async fn has_left(stream: &TcpStream) -> bool {
+/// Whether the peer has disconnected: it closed its sending side, or the connection broke. If unread input precedes
+/// that end, the readiness that the event loop reports decides.
+pub async fn has_disconnected(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match SockRef::from(stream).peek(&mut byte) {
         Ok(0) => true,
-        Ok(_) => timeout(Duration::ZERO, left(stream)).await.is_ok(),
+        Ok(_) => timeout(Duration::ZERO, disconnected(stream)).await.is_ok(),
         Err(error) => error.kind() != io::ErrorKind::WouldBlock,
     }
 }
 
-/// Done once the event loop has heard that the other side has left, also behind input that nobody has read.
-/// tokio's priority interest waits for that and for urgent data, which no socket here is registered for. The
-/// readable one would be done for as long as input stands there, which is hyper's to read: an end that is waited
-/// for in this way wakes its task once, and leaves the readiness that hyper goes by as it is.
-pub async fn left(stream: &TcpStream) {
-    // An error tells that the event loop has ended.
+/// Completes once the event loop reports that the peer has disconnected, also behind unread input. tokio's priority
+/// interest waits for that and for urgent data, which no socket here is registered for. The readable interest would
+/// complete for as long as there is input, which only hyper may read. This one wakes its task once, and does not
+/// change the readiness that hyper relies on.
+pub async fn disconnected(stream: &TcpStream) {
+    // It fails only where the event loop has ended.
     let _ = stream.ready(Interest::PRIORITY).await;
 }
 
--- a/crates/balancer-node/src/net/upstream/attempt.rs
+++ b/crates/balancer-node/src/net/upstream/attempt.rs
@@ -65,11 +65,11 @@
 /// How far an attempt has come.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum SendState {
-    /// Nothing of it is with a server.
+    /// No byte of it was sent.
     NotSent,
-    /// Some of it may be.
+    /// Some of it may have been sent.
     MaybeSent,
-    /// Nothing is, and nothing may be any more: its client has left.
+    /// Nothing was sent, and nothing may be any more: the client has disconnected.
     Abandoned,
 }
 
@@ -77,21 +77,21 @@
 pub struct ServerReply {
     /// The outcome.
     pub outcome: AttemptOutcome,
-    /// The load report that came along.
+    /// The load report in the answer.
     pub report: Option<LoadReport>,
     /// The complete body, where the request was served.
     pub body: Option<Bytes>,
 }
 
 impl ServerReply {
-    /// An end without an answer.
-    pub fn none(outcome: AttemptOutcome) -> Self {
+    /// The end of an attempt without an answer.
+    pub fn without_answer(outcome: AttemptOutcome) -> Self {
         Self { outcome, report: None, body: None }
     }
 }
 
 /// One attempt of a request, from choosing a connection to the complete answer. `state` reports how far it has come.
-/// Where it has not been sent by `send_by`, it is not sent at all. When it returns, nothing of it is in progress.
+/// Where it has not been sent by `send_by`, it is not sent at all. When this returns, nothing of it is in progress.
 pub async fn attempt(
     upstream: &Upstream,
     server: ServerId,
@@ -101,7 +101,7 @@
     cancelled: oneshot::Receiver<()>,
 ) -> ServerReply {
     let unless_sent = |outcome| {
-        ServerReply::none(match state.get() {
+        ServerReply::without_answer(match state.get() {
             SendState::MaybeSent => outcome,
             SendState::NotSent | SendState::Abandoned => AttemptOutcome::NotSent,
         })
@@ -121,7 +121,7 @@
     let state = Cell::new(SendState::NotSent);
     let exchange = exchange(upstream, server, &Message::Probe, &state);
     let reply = timeout(upstream.dial_timeout(), exchange).await;
-    let mut reply = reply.unwrap_or_else(|_| ServerReply::none(AttemptOutcome::TimedOut));
+    let mut reply = reply.unwrap_or_else(|_| ServerReply::without_answer(AttemptOutcome::TimedOut));
     if let Some(body) = reply.body.take() {
         reply.report = std::str::from_utf8(&body).ok().and_then(parse_load_report).or(reply.report);
     }
@@ -188,17 +188,17 @@
 ) -> ServerReply {
     // It may have been removed since the decision.
     let Some(server) = upstream.server(server) else {
-        return ServerReply::none(AttemptOutcome::NotSent);
+        return ServerReply::without_answer(AttemptOutcome::NotSent);
     };
     loop {
         let (connection, reused) = match obtain_connection(upstream, &server, message).await {
             Ok(obtained) => obtained,
-            Err(outcome) => return ServerReply::none(outcome),
+            Err(outcome) => return ServerReply::without_answer(outcome),
         };
         match send(&server, connection, reused, message, state).await {
-            Sent::Reply(reply) => return reply,
-            Sent::Unusable if reused => {}
-            Sent::Unusable => return ServerReply::none(AttemptOutcome::Unreachable),
+            SendOutcome::Reply(reply) => return reply,
+            SendOutcome::Unusable if reused => {}
+            SendOutcome::Unusable => return ServerReply::without_answer(AttemptOutcome::Unreachable),
         }
     }
 }
@@ -221,8 +221,8 @@
     }
 }
 
-/// What came of sending a message on one connection.
-enum Sent {
+/// The outcome of sending a message on one connection.
+enum SendOutcome {
     Reply(ServerReply),
     /// Nothing was written: the connection had been closed.
     Unusable,
@@ -234,36 +234,36 @@
     reused: bool,
     message: &Message<'_>,
     state: &Cell<SendState>,
-) -> Sent {
+) -> SendOutcome {
     if connection.sender.ready().await.is_err() || reused && !connection.is_usable() {
-        return Sent::Unusable;
+        return SendOutcome::Unusable;
     }
     if !message.may_be_sent(server, state.get()) {
-        return Sent::Reply(ServerReply::none(AttemptOutcome::NotSent));
+        return SendOutcome::Reply(ServerReply::without_answer(AttemptOutcome::NotSent));
     }
     state.set(SendState::MaybeSent);
     match connection.sender.try_send_request(message.to_request(connection.address)).await {
         Ok(response) => {
-            let (reply, complete) = read(response).await;
+            let (reply, complete) = read_response(response).await;
             if complete {
                 server.keep(connection);
             }
-            Sent::Reply(reply)
+            SendOutcome::Reply(reply)
         }
         // A request that hyper gives back was never written; any other may have been.
         Err(mut error) => match error.take_message() {
             Some(_) => {
                 state.set(SendState::NotSent);
-                Sent::Unusable
+                SendOutcome::Unusable
             }
-            None => Sent::Reply(ServerReply::none(AttemptOutcome::Reset)),
+            None => SendOutcome::Reply(ServerReply::without_answer(AttemptOutcome::Reset)),
         },
     }
 }
 
-/// Reads an answer to its end, and whether it came to one: only then is its outcome known, and may the connection be
-/// kept. Where the server wants it closed, hyper closes it.
-async fn read(response: Response<Incoming>) -> (ServerReply, bool) {
+/// Reads an answer; returns whether it was complete: only then is its outcome known and may the connection be kept.
+/// Where the server wants it closed, hyper closes it.
+async fn read_response(response: Response<Incoming>) -> (ServerReply, bool) {
     let (head, body) = response.into_parts();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let report = text("x-load").and_then(parse_load_report);
@@ -274,7 +274,7 @@
     };
     let complete = body.is_some();
     let outcome = match head.status {
-        // An answer that breaks off proves nothing, whatever its head says.
+        // An incomplete answer proves nothing, whatever its head says.
         _ if !complete => AttemptOutcome::Reset,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => AttemptOutcome::Rejected,
         StatusCode::OK => AttemptOutcome::Served,
@@ -284,7 +284,7 @@
     (ServerReply { outcome, report, body }, complete)
 }
 
-/// Whether an answer has an end that can be told from a broken connection, within the limit of bodies.
+/// Whether the end of a body is distinguishable from a broken connection, and its length within the limit.
 fn has_end(head: &response::Parts, body: &Incoming) -> bool {
     let chunked = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"chunked");
     match (body.size_hint().exact(), head.headers.get(TRANSFER_ENCODING)) {
--- a/crates/balancer-node/src/net/upstream/connection.rs
+++ b/crates/balancer-node/src/net/upstream/connection.rs
@@ -18,8 +18,8 @@
 use crate::net::socket::{self, has_input, Io};
 use crate::AttemptOutcome;
 
-/// A connection is reused this long after an answer at the earliest. What a server sends behind an answer, such as
-/// a second copy some milliseconds late, has shown by then; the next request must not get it.
+/// A connection is reused this long after an answer at the earliest. Bytes that a server sends after an answer,
+/// such as a duplicate some milliseconds late, have arrived by then; the next request must not get them.
 pub(super) const MIN_REUSE_DELAY: Duration = Duration::from_millis(20);
 /// The longest head of an answer.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -28,7 +28,7 @@
 pub(super) struct SocketPermit(Rc<Cell<usize>>);
 
 impl SocketPermit {
-    /// Takes a permit off the count of open sockets, which has room.
+    /// Counts one more open socket. The caller has checked the limit.
     pub(super) fn acquire(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         Self(Rc::clone(open))
@@ -77,7 +77,7 @@
         Ok(Self { sender, socket, address, idle_since: Instant::now() })
     }
 
-    /// Whether the server has neither closed it nor sent anything unasked.
+    /// Whether the server has neither closed it nor sent unexpected bytes.
     pub(super) fn is_usable(&self) -> bool {
         !self.sender.is_closed() && !has_input(&self.socket.stream)
     }
@@ -102,7 +102,7 @@
     pub(super) address: SocketAddr,
     /// When this process of it started, as Unix time in milliseconds.
     pub(super) started_at: Option<f64>,
-    /// Whether the list lets it have new requests.
+    /// Whether the list allows new requests to it.
     ready: Cell<bool>,
     /// Idle connections; the one used last is at the back.
     idle: RefCell<VecDeque<Connection>>,
@@ -117,7 +117,7 @@
         self.ready.get()
     }
 
-    /// Notes whether it may have new requests; idle connections to a server that may not are closed.
+    /// Sets whether it may get new requests; if not, its idle connections are closed.
     pub(super) fn set_ready(&self, ready: bool) {
         self.ready.set(ready);
         if !ready {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Takes a kept connection that the server does not soon close: the last used of those that may be reused, else
-    /// the first that may be within `max_wait`.
+    /// Takes an idle connection that the server will not close soon: the last used of those that may be reused, else
+    /// the first that may be reused within `max_wait`.
     pub(super) fn take_idle(&self, keep: Duration, max_wait: Duration) -> Option<Connection> {
         self.close_idle(keep);
         let mut idle = self.idle.borrow_mut();
--- a/crates/balancer-node/src/net/upstream/mod.rs
+++ b/crates/balancer-node/src/net/upstream/mod.rs
@@ -22,7 +22,7 @@
 
 /// The longest body of a request or an answer.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Part of the idle time-out for which a connection is kept: a server that closes it meanwhile resets a request.
+/// Part of the servers' idle time-out for which a connection is kept: a request on one that the server closes is reset.
 const IDLE_FRACTION: f64 = 0.9;
 /// A dial that takes so many times the median is late, and another is made beside it.
 const LATE_DIAL_FACTOR: f64 = 4.0;
@@ -40,14 +40,14 @@
     max_sockets: usize,
     /// How long an idle connection is kept.
     keep_idle: Duration,
-    /// How long a connection may take to come up, requested or not.
+    /// Time-out of a dial, also where no request waits for it any more.
     dial_timeout: Duration,
     /// Estimated median of dial times, in seconds.
     median_dial: Rc<Cell<f64>>,
 }
 
 impl Upstream {
-    /// Without servers.
+    /// Creates it without servers.
     pub fn new(config: &Config) -> Self {
         Self {
             servers: RefCell::default(),
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Adds or updates a server of the list. Idle connections to one that may have nothing new are closed, and so are
-    /// all to a former process or address of its: no dial that comes up there is of use.
+    /// Adds or updates a server of the list. Idle connections to one that may get no new requests are closed, and so
+    /// are all to a former process or address of the server: dials in progress there are of no use.
     pub fn update(&self, server: ServerId, address: SocketAddr, started_at: Option<f64>, ready: bool) {
         let same = |known: &Rc<Server>| known.address == address && known.started_at == started_at;
         if !self.servers.borrow().get(&server).is_some_and(same) {
@@ -71,7 +71,7 @@
         servers.entry(server).or_insert_with(added).set_ready(ready);
     }
 
-    /// Removes a server: attempts in progress may end, and nothing new begins.
+    /// Removes a server: attempts in progress may end, and no new ones begin.
     pub fn remove(&self, server: ServerId) {
         if let Some(removed) = self.servers.borrow_mut().remove(&server) {
             removed.set_ready(false);
@@ -115,17 +115,17 @@
     ) -> Result<Connection, AttemptOutcome> {
         let until = Instant::now() + within;
         let (established, mut connections) = mpsc::unbounded_channel();
-        // Dropped with this future where its client has left: then all dials are given up.
+        // Dropped with this future where the client has disconnected: then all dials are cancelled.
         let mut dials = JoinSet::new();
         let mut result = Err(AttemptOutcome::Unreachable);
         for dial in 1..=max_dials {
-            // Further dials are made only where sockets are to spare.
+            // Further dials are made only while less than half of the sockets are open.
             let allowed = dial == 1 || self.open_sockets.get() < self.max_sockets / 2;
             match allowed.then(|| self.socket_permit()).flatten() {
                 Some(permit) => {
                     dials.spawn_local(self.dial(Rc::clone(server), permit, established.clone()));
                 }
-                // Without a socket the attempt ends unsent, and that is not the server's fault.
+                // Without a socket the attempt is not sent, which is no failure of the server.
                 None if dial == 1 => return Err(AttemptOutcome::NotSent),
                 None => {}
             }
--- a/crates/balancer-node/src/ring.rs
+++ b/crates/balancer-node/src/ring.rs
@@ -7,7 +7,7 @@
 pub struct Ring {
     /// Near servers and far ones, both sorted.
     parts: [Vec<RingEntry>; 2],
-    /// Where the node's subset starts in each ring, its size as a fraction of all servers, and at least.
+    /// The node's subset: its start as a fraction of each ring, its fraction of all servers, its least size.
     start: f64,
     share: f64,
     min_size: usize,
@@ -26,7 +26,7 @@
         self.parts.iter_mut().for_each(|part| part.sort_unstable());
     }
 
-    /// Moves one server from where it was, if it was ready, to where it is now, if it is.
+    /// Moves one server from its former position, if it was ready, to its present one, if it is.
     pub fn shift(&mut self, from: Option<(bool, RingEntry)>, to: Option<(bool, RingEntry)>) {
         if from == to {
             return;
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The slots of the near and of the far servers, each ring once round from where the subset starts.
+    /// The slots of the near and of the far servers, each ring once round from the start of the subset.
     pub fn parts(&self) -> [impl Iterator<Item = usize> + '_; 2] {
         self.parts.each_ref().map(|part| self.rotated(part).map(|(.., slot)| *slot))
     }
 
-    /// Ready servers in all.
+    /// The number of ready servers.
     pub fn len(&self) -> usize {
         self.parts.iter().map(Vec::len).sum()
     }
@@ -60,7 +60,7 @@
         self.parts.each_ref().map(|part| size.min(part.len()) as f64 / part.len().max(1) as f64)
     }
 
-    /// The slots of the subset, near ones first; of a part with more than `max`, so many from a random start.
+    /// The slots of the subset, near ones first; of a part with more than `max`, `max` from a random start.
     pub fn subset(&self, max: usize, random: &mut fastrand::Rng) -> Vec<usize> {
         let subset_size = self.subset_size();
         let mut slots = Vec::with_capacity(2 * max.min(subset_size));
@@ -74,7 +74,7 @@
         slots
     }
 
-    /// Servers of each ring in the subset, where it has so many.
+    /// Servers of each ring in the subset; fewer if the ring has fewer.
     fn subset_size(&self) -> usize {
         self.min_size.max((self.len() as f64 * self.share).ceil() as usize)
     }
--- a/crates/balancer-node/src/wire/line.rs
+++ b/crates/balancer-node/src/wire/line.rs
@@ -73,20 +73,20 @@
         number(name, self.text(name)?)
     }
 
-    /// A whole number, if it is there.
+    /// An integer, if it is there.
     ///
     /// # Errors
     ///
-    /// It is no whole number.
+    /// It is no integer.
     pub fn optional_integer(&self, name: &str) -> Result<Option<u64>, WireError> {
         self.get(name).map(|value| integer(name, value)).transpose()
     }
 
-    /// A whole number.
+    /// An integer.
     ///
     /// # Errors
     ///
-    /// It is missing or no whole number.
+    /// It is missing or no integer.
     pub fn integer(&self, name: &str) -> Result<u64, WireError> {
         integer(name, self.text(name)?)
     }
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// It is missing, no whole number, or too large.
+    /// It is missing, no integer, or too large.
     pub fn index(&self, name: &str) -> Result<usize, WireError> {
         let index = usize::try_from(self.integer(name)?);
         index.map_err(|_| WireError::malformed(name, self.text(name).unwrap_or_default(), "is too large"))
--- a/crates/balancer-node/src/wire/mod.rs
+++ b/crates/balancer-node/src/wire/mod.rs
@@ -51,12 +51,12 @@
         /// The type that it should have.
         expected: &'static str,
     },
-    /// An error found beyond the protocol, in its own words.
+    /// An error of another module; its text is used as it is.
     Other(String),
 }
 
 impl WireError {
-    /// An error found beyond the protocol, in its own words.
+    /// An error of another module; its text is used as it is.
     #[must_use]
     pub fn other(error: &dyn fmt::Display) -> Self {
         Self::Other(error.to_string())
--- a/crates/balancer-node/src/wire/settings.rs
+++ b/crates/balancer-node/src/wire/settings.rs
@@ -37,7 +37,7 @@
     read_number(facts, "over_share_worth", &mut settings.over_quota_value)
 }
 
-/// The node's place among the others, and how it learns of the servers.
+/// The node's index among the others, and how it learns of the servers.
 fn read_fleet(facts: &Value, settings: &mut DecisionSettings) -> Result<(), WireError> {
     read_index(facts, "n_instances", &mut settings.nodes)?;
     settings.nodes = settings.nodes.max(1);
@@ -85,7 +85,7 @@
 }
 
 fn read_class(class: &Value) -> Result<RequestClass, WireError> {
-    // A class must say how long its clients wait; nothing can be guessed in its place.
+    // A class must say how long its clients wait: there is no sensible default.
     let (mut latency_target_ms, mut deadline_ms) = (f64::NAN, f64::NAN);
     read_number(class, "deadline_ms", &mut deadline_ms)?;
     if deadline_ms.is_nan() {
@@ -93,7 +93,7 @@
     }
     read_number(class, "promise_ms", &mut latency_target_ms)?;
     let idempotency = read_idempotency(class)?;
-    // Without a target, or with one that nothing can meet, the deadline takes its place.
+    // Without a target, or with one that nothing can meet, the deadline is used instead.
     let latency_target_ms = if latency_target_ms > 0.0 { latency_target_ms } else { deadline_ms };
     let mut read = RequestClass::new(latency_target_ms, deadline_ms, idempotency);
     read_number(class, "worth", &mut read.value)?;
--- a/crates/balancer-node/tests/node.rs
+++ b/crates/balancer-node/tests/node.rs
@@ -12,7 +12,7 @@
 // ---- One request
 
 #[test]
-fn a_request_goes_on_and_its_answer_comes_back_unchanged() {
+fn a_request_is_forwarded_and_its_answer_returned_unchanged() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -22,10 +22,10 @@
         let got = server.request();
         assert_eq!(got.request.first, "POST /api?k=7f3a HTTP/1.1");
         assert_eq!(got.request.body, b"work");
-        let id = got.request.header("x-request-id").expect("passed on");
+        let id = got.request.header("x-request-id").expect("forwarded");
         assert!(sent.contains(&format!("x-request-id: {id}\r\n")));
         assert_eq!(got.request.header("idempotency-key"), Some("k1"));
-        let left: f64 = got.request.header("x-deadline").and_then(|t| t.parse().ok()).expect("told");
+        let left: f64 = got.request.header("x-deadline").and_then(|t| t.parse().ok()).expect("a deadline");
         assert!(left > 1.0 && left < 20.0, "{left}");
         assert_eq!(got.connection, 0, "connections are kept");
         got.answer(OK, "", b"an \x00 answer");
@@ -36,9 +36,9 @@
 
 // ---- Outcomes
 
-/// An unsafe request shows what the node believes: it is sent again only where it is known not to have run.
+/// An unsafe request shows what the node concludes: it is retried only where it is known not to have run.
 #[test]
-fn what_proves_that_nothing_ran_leads_to_another_attempt() {
+fn an_answer_that_proves_that_nothing_ran_is_retried() {
     for (status, headers) in
         [("503 Busy", "x-not-run: 1\r\n"), ("504 Late", "x-not-run: 1\r\nx-load: inflight=3,queue=1\r\n")]
     {
@@ -54,10 +54,10 @@
 }
 
 #[test]
-fn what_may_have_run_is_a_failure() {
+fn an_unsafe_request_that_may_have_run_fails() {
     type Script = fn(Exchange);
     let scripts: [(&str, Script); 14] = [
-        ("an end that may be a break", |mut got| {
+        ("an end that may be a broken connection", |mut got| {
             got.write(b"HTTP/1.1 200 OK\r\n\r\nhalf");
             drop(got.stream.shutdown(Shutdown::Both));
         }),
@@ -79,7 +79,7 @@
         ("noise", |mut got| got.write(b"\x00\x01\x02\r\n\r\n")),
         ("an error", |got| got.answer("500 Broken", "", b"")),
         ("an error with a report", |got| got.answer("500 Broken", "x-load: inflight=2,queue=0\r\n", b"")),
-        ("a refusal with no proof", |got| got.answer("503 Busy", "", b"")),
+        ("a rejection with no proof", |got| got.answer("503 Busy", "", b"")),
         ("another success", |got| got.answer("204 Nothing", "", b"")),
         ("a reset", |got| drop(got.stream.shutdown(Shutdown::Both))),
         ("a broken answer", |mut got| {
@@ -98,16 +98,16 @@
         client.send(&request("pay", 20.0));
         script(either(&servers).1);
         assert_eq!(client.answer().status(), 502, "{name}");
-        assert!(!servers[0].has_request() && !servers[1].has_request(), "{name}: it was sent again");
+        assert!(!servers[0].has_request() && !servers[1].has_request(), "{name}: it was retried");
     }
 }
 
 #[test]
 fn a_server_that_cannot_be_reached_is_known_not_to_have_run_it() {
     let server = Server::start();
-    let members = [member("dead", own_address(), "active"), member("s", server.address, "active")];
+    let members = [member("unreachable", own_address(), "active"), member("s", server.address, "active")];
     let node = Node::start(&config(&members));
-    // Both start with the same count: of three sends to the lowest, one at least is for the dead one.
+    // Both start with the same count: of three sends to the lowest, at least one goes to the unreachable one.
     for _ in 0..3 {
         let mut client = node.client();
         client.send(&request("pay", 20.0));
@@ -116,9 +116,9 @@
     }
 }
 
-/// The deadline counts from the client's sending; a unresponsive server must not use it up.
+/// The deadline counts from the client's sending; an unresponsive server must not use it up.
 #[test]
-fn an_unresponsive_server_is_left_and_its_client_answered_in_time() {
+fn an_attempt_at_an_unresponsive_server_ends_and_its_client_is_answered_in_time() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -127,13 +127,13 @@
     let mut got = server.request();
     assert_eq!(client.answer().status(), 502);
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
-    assert!(since.elapsed() > Duration::from_millis(1_500), "it was given its time");
+    assert!(since.elapsed() > Duration::from_millis(1_500), "the attempt was given its time");
     got.await_end();
     assert!(!server.has_request());
 }
 
 #[test]
-fn when_a_client_leaves_its_attempt_is_given_up() {
+fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -142,7 +142,7 @@
     drop(client);
     got.await_end();
     assert!(!server.has_request(), "nothing is sent for it afterwards");
-    // The node goes on.
+    // The node serves the next client.
     let mut client = node.client();
     client.send(&request("read", 20.0));
     server.request().answer(OK, "", b"");
@@ -151,7 +151,7 @@
 
 /// Guards against two attempts at once: a future that was dropped is no proof that its socket is closed.
 #[test]
-fn an_attempt_given_up_is_closed_before_the_next_begins() {
+fn a_cancelled_attempt_is_closed_before_the_next_begins() {
     for _ in 0..5 {
         let servers = [Server::start(), Server::start()];
         let node = Node::before(&[&servers[0], &servers[1]]);
@@ -163,11 +163,11 @@
         let mut client = node.client();
         client.send(&request("read", 20.0));
         let (at, mut first) = either(&servers);
-        // Too long to be passed on, and not yet at its end: the server still has the connection open.
+        // Too long to be returned, and not yet at its end: the server still has the connection open.
         first.write(b"HTTP/1.1 200 OK\r\ncontent-length: 999999\r\n\r\n");
         first.write(&vec![b'x'; 70_000]);
         let next = servers[1 - at].request();
-        assert!(first.has_ended(), "two attempts were out");
+        assert!(first.has_ended(), "two attempts were in flight");
         next.answer(OK, "", b"");
         assert_eq!(client.answer().status(), 200);
     }
@@ -177,13 +177,13 @@
 
 /// A connect that hangs ends at its time-out, and the request is known not to have run.
 #[test]
-fn a_connection_that_never_comes_up_is_given_up_in_time() {
+fn a_connection_that_is_never_established_times_out() {
     let (_slow, address, _filler) = full_listener();
     let server = Server::start();
     let mut config = config(&[member("slow", address, "active"), member("s", server.address, "active")]);
     config["settings"]["allowed"]["dial_timeout_ms"] = json!(300.0);
     let node = Node::start(&config);
-    // Both start with the same count: of these sends one at least is for the slow one.
+    // Both start with the same count: at least one of these sends goes to the slow one.
     for _ in 0..3 {
         let mut client = node.client();
         client.send(&request("pay", 20.0));
@@ -214,9 +214,9 @@
     assert_eq!(client.answer().status(), 200);
 }
 
-/// A kept connection that its server has closed, or means to, costs no request: here none may be sent twice.
+/// A kept connection that its server has closed, or is about to close, fails no request: here none may be sent twice.
 #[test]
-fn a_kept_connection_that_is_dead_is_not_used() {
+fn a_kept_connection_that_was_closed_is_not_reused() {
     for headers in ["", "connection: close\r\n"] {
         let server = Server::start();
         let node = Node::before(&[&server]);
@@ -239,21 +239,21 @@
 
 /// Time passes between decision and send; a server that drains by then must get nothing new.
 #[test]
-fn a_drain_during_a_slow_connect_stops_the_send() {
+fn a_server_that_drains_during_a_slow_connect_gets_no_request() {
     drained_while_connecting(|slow| list(2, false, &[member("slow", slow, "leaving")]));
-    // A full list tells of a server that is gone by leaving it out.
+    // A complete list removes a server by not naming it.
     drained_while_connecting(|_| list(2, true, &[]));
 }
 
-fn drained_while_connecting(news: fn(SocketAddr) -> Value) {
+fn drained_while_connecting(update: fn(SocketAddr) -> Value) {
     let (slow, address, filler) = full_listener();
     let node = Node::start(&config(&[member("slow", address, "active")]));
-    let watch = node.discovery.request();
+    let poll = node.discovery.request();
     let mut client = node.client();
     client.send(&request("pay", 25.0));
     until_dialled(address);
-    watch.answer(OK, "", news(address).to_string().as_bytes());
-    // The next watch shows that the list has been applied.
+    poll.answer(OK, "", update(address).to_string().as_bytes());
+    // The next poll shows that the list has been applied.
     assert!(node.discovery.request().request.first.contains("since=2&"));
     drop(slow.accept().expect("the filler"));
     drop(filler);
@@ -263,60 +263,60 @@
     assert_eq!(client.answer().status(), 503);
 }
 
-/// A discovery that is cut off says nothing, and its connection stays open: only time tells.
+/// A partitioned discovery does not answer, and its connection stays open: only a time-out detects it.
 #[test]
 fn an_unanswered_poll_times_out_and_is_repeated() {
     let node = Node::before(&[]);
-    let mut silent = node.discovery.request();
+    let mut unanswered = node.discovery.request();
     let again = node.discovery.request();
-    assert_ne!(silent.connection, again.connection);
-    silent.await_end();
+    assert_ne!(unanswered.connection, again.connection);
+    unanswered.await_end();
 }
 
-/// A lost watch, a malformed list and a break must each lead to another call, from the version held.
+/// A failed long poll, a malformed list and a broken connection must each lead to another call, from the known version.
 #[test]
 fn the_list_is_followed_through_failures() {
     let (old, new) = (Server::start(), Server::start());
     let node = Node::before(&[&old]);
-    let ask = || {
-        let watch = node.discovery.request();
-        assert!(watch.request.first.starts_with("GET /catalog/members?since=1&timeout_ms="));
-        watch
+    let next_poll = || {
+        let poll = node.discovery.request();
+        assert!(poll.request.first.starts_with("GET /catalog/members?since=1&timeout_ms="));
+        poll
     };
-    ask().answer("503 Down", "", b"");
-    ask().answer(OK, "", b"{\"revision\": 7, \"complete\": true, \"members\": [{\"id\": 5}]}");
-    ask().stream.shutdown(Shutdown::Both).expect("broken");
-    // A change adds a server and takes the other's address away; then a full list leaves only the new one.
+    next_poll().answer("503 Down", "", b"");
+    next_poll().answer(OK, "", b"{\"revision\": 7, \"complete\": true, \"members\": [{\"id\": 5}]}");
+    next_poll().stream.shutdown(Shutdown::Both).expect("broken");
+    // A change adds a server and changes the address of the other; then a complete list has only the new one.
     let moved = Server::start();
     let change = list(2, false, &[member("s0", moved.address, "active")]);
-    ask().answer(OK, "", change.to_string().as_bytes());
-    let watch = node.discovery.request();
-    assert!(watch.request.first.contains("since=2&"), "{}", watch.request.first);
+    next_poll().answer(OK, "", change.to_string().as_bytes());
+    let poll = node.discovery.request();
+    assert!(poll.request.first.contains("since=2&"), "{}", poll.request.first);
     served_by(&node, &moved);
     let full = list(9, true, &[member("s9", new.address, "active")]);
-    watch.answer(OK, "", full.to_string().as_bytes());
+    poll.answer(OK, "", full.to_string().as_bytes());
     assert!(node.discovery.request().request.first.contains("since=9&"));
     (0..4).for_each(|_| served_by(&node, &new));
     assert!(!old.has_request() && !moved.has_request());
 }
 
-/// Servers come and go under new ids for as long as the node runs; it must not keep them.
+/// Servers are added and removed under new ids for as long as the node runs; it must not retain the removed ones.
 #[test]
 fn removed_servers_take_no_memory() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let stays = member("s0", server.address, "active");
     let mut revision = 1;
-    let mut round = |watches: usize| {
-        for _ in 0..watches {
+    let mut round = |polls: usize| {
+        for _ in 0..polls {
             revision += 1;
             let id = |i| format!("{}-{revision}-{i}", "x".repeat(200));
             let mut members: Vec<Value> =
                 (0..400).map(|i| member(&id(i), server.address, "active")).collect();
             members.push(stays.clone());
-            let watch = node.discovery.request();
-            watch.answer(OK, "", list(revision, true, &members).to_string().as_bytes());
-            // And by changes, some of servers that are not known.
+            let poll = node.discovery.request();
+            poll.answer(OK, "", list(revision, true, &members).to_string().as_bytes());
+            // And by a list of changes, some about unknown servers.
             members.iter_mut().skip(200).take(200).for_each(|member| member["phase"] = json!("left"));
             revision += 1;
             let change = list(revision, false, &members[200..400]).to_string();
@@ -330,14 +330,14 @@
     let before = node.memory();
     round(100);
     let grown = node.memory().saturating_sub(before);
-    assert!(grown < 8 << 20, "{grown} bytes more for 40,000 servers that have gone");
+    assert!(grown < 8 << 20, "{grown} bytes more for 40,000 removed servers");
     served_by(&node, &server);
 }
 
-/// An answer that comes after its server has left the list still goes to its client, and the next server at that
-/// address is one of its own.
+/// An answer of a server that has been removed from the list meanwhile is still returned to its client, and another
+/// server at the same address does not reuse the connection.
 #[test]
-fn an_answer_outlives_its_server() {
+fn an_answer_of_a_removed_server_is_returned() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -357,16 +357,16 @@
 
 // ---- A new configuration
 
-/// SIGHUP used to end the node. The version held means nothing to the new discovery, which here would wait with it;
-/// and what waits for an answer meanwhile gets it.
+/// SIGHUP once ended the node. The known version means nothing to the new discovery, which would hold a long poll from
+/// it; and pending requests are still answered.
 #[test]
-fn sighup_under_load_moves_the_watch_to_a_new_discovery() {
+fn sighup_under_load_moves_the_long_poll_to_a_new_discovery() {
     let (old, new) = (Server::start(), Server::start());
     let mut config = config(&members(&[&old]));
     let node = Node::start(&config);
-    let mut watch = node.discovery.request();
-    let mut held = node.client();
-    held.send(&request("pay", 20.0));
+    let mut poll = node.discovery.request();
+    let mut pending = node.client();
+    pending.send(&request("pay", 20.0));
     let got = old.request();
 
     let elsewhere = Server::start();
@@ -374,25 +374,25 @@
     for _ in 0..5 {
         node.reload(&config.to_string());
     }
-    let asked = elsewhere.request();
-    assert_eq!(asked.request.first, "GET /catalog/members HTTP/1.1");
-    watch.await_end();
+    let first_call = elsewhere.request();
+    assert_eq!(first_call.request.first, "GET /catalog/members HTTP/1.1");
+    poll.await_end();
     let full = list(1, true, &[member("s9", new.address, "active")]);
-    asked.answer(OK, "", full.to_string().as_bytes());
+    first_call.answer(OK, "", full.to_string().as_bytes());
     let mut next = elsewhere.request();
     assert!(next.request.first.contains("since=1&"), "{}", next.request.first);
     served_by(&node, &new);
     got.answer(OK, "", b"");
-    assert_eq!(held.answer().status(), 200);
-    // The same again changes nothing.
+    assert_eq!(pending.answer().status(), 200);
+    // Reloading the same configuration changes nothing.
     node.reload(&config.to_string());
     served_by(&node, &new);
     assert!(!next.has_ended() && !elsewhere.has_request() && !old.has_request());
 }
 
-/// A node that waits after failed calls must not wait on where the new discovery is up.
+/// The backoff after failed calls must not delay the first call to a new discovery.
 #[test]
-fn a_new_discovery_is_asked_at_once_after_failures_of_the_old_one() {
+fn a_new_discovery_is_called_at_once_after_failures_of_the_old_one() {
     let mut config = config(&[]);
     config["settings"]["rules"]["ask_within_ms"] = json!(3_600_000.0);
     let node = Node::start(&config);
@@ -404,10 +404,10 @@
 }
 
 #[test]
-fn a_bad_new_configuration_is_named_and_the_old_one_stays() {
+fn an_invalid_new_configuration_is_logged_and_the_old_one_stays() {
     let mut sound = config(&[]);
     let mut node = Node::start(&sound);
-    let mut watch = node.discovery.request();
+    let mut poll = node.discovery.request();
     sound["discovery"] = json!("here");
     for (key, text) in [("GW_CONFIG", "{".to_owned()), ("discovery", sound.to_string())] {
         node.reload(&text);
@@ -417,33 +417,33 @@
     std::fs::remove_file(config_path(node.address)).expect("removed");
     node.hang_up();
     assert!(node.logged().contains("`GW_CONFIG`"));
-    assert!(!watch.has_ended());
+    assert!(!poll.has_ended());
 }
 
-// ---- The end
+// ---- Graceful shutdown
 
 #[test]
-fn sigterm_lets_all_that_was_taken_end_well() {
+fn after_sigterm_all_admitted_requests_are_answered() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["settings"]["classes"][2]["deadline_ms"] = json!(60_000.0);
     let mut node = Node::start(&config);
     let mut clients: Vec<Client> = (0..8).map(|_| node.client()).collect();
-    let mut taken = Vec::new();
+    let mut admitted = Vec::new();
     for client in &mut clients {
         client.send(&request("pay", 20.0));
-        taken.push(server.request());
+        admitted.push(server.request());
     }
     node.terminate();
-    // Health shows that it has heard, and connections still come.
+    // The health check shows that the node drains; it still accepts connections.
     let since = Instant::now();
     while node.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status() == 200 {
         assert!(since.elapsed() < LONG);
     }
     clients.push(node.client());
     clients.last_mut().expect("pushed").send(&request("pay", 20.0));
-    taken.push(server.request());
-    taken.into_iter().for_each(|got| got.answer(OK, "", b"done"));
+    admitted.push(server.request());
+    admitted.into_iter().for_each(|got| got.answer(OK, "", b"done"));
     for client in &mut clients {
         let answer = client.answer();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
@@ -454,9 +454,9 @@
 
 // ---- Limits
 
-/// A refusal promises harmlessness, and says when to come back.
+/// A rejection promises that nothing ran, and has a retry hint.
 #[test]
-fn what_is_not_taken_is_refused_with_a_time() {
+fn a_request_that_is_not_admitted_is_rejected_with_a_retry_hint() {
     let node = Node::start(&config(&[]));
     let answer = node.client().ask(&request("pay", 20.0));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.250")));
@@ -465,16 +465,16 @@
     let mut config = config(&members(&[&server]));
     config["settings"]["allowed"]["most_held"] = json!(1);
     let node = Node::start(&config);
-    let mut held = node.client();
-    held.send(&request("pay", 20.0));
+    let mut pending = node.client();
+    pending.send(&request("pay", 20.0));
     let got = server.request();
     let answer = node.client().ask(&request("pay", 20.0));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.400")));
     got.answer(OK, "", b"");
-    assert_eq!(held.answer().status(), 200);
+    assert_eq!(pending.answer().status(), 200);
 }
 
-/// The fleet's settings leave the time to stay away out for simulated clients; real ones were told none either.
+/// The fleet's settings switch the retry hint off for simulated clients; real ones once got none either.
 #[test]
 fn a_rejection_has_a_retry_hint_whatever_simulated_clients_get() {
     let mut config = config(&[]);
@@ -484,9 +484,9 @@
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.250")));
 }
 
-/// Guards against clients that open connections and leave them: whoever comes next is still taken.
+/// Guards against clients that open connections and leave them idle: new ones are still accepted.
 #[test]
-fn idle_clients_make_room_for_new_ones() {
+fn idle_connections_are_closed_for_new_ones() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["limits"]["sockets"] = json!(40);
@@ -498,9 +498,9 @@
     assert_eq!(idle[0].stream.get_mut().read(&mut [0; 1]).ok(), Some(0), "the oldest was closed");
 }
 
-/// Guards against silence that crowds out clients that are served.
+/// Guards against clients without a request that displace clients that are served.
 #[test]
-fn clients_that_never_asked_go_first() {
+fn connections_without_a_request_are_closed_first() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["limits"]["sockets"] = json!(40);
@@ -509,20 +509,20 @@
     known.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
     assert_eq!(known.answer().status(), 200);
-    let mut silent: Vec<Client> = (0..12).map(|_| node.client()).collect();
+    let mut idle: Vec<Client> = (0..12).map(|_| node.client()).collect();
     std::thread::sleep(Duration::from_millis(600));
-    silent.extend((0..8).map(|_| node.client()));
-    // Health shows that all of them have been accepted.
+    idle.extend((0..8).map(|_| node.client()));
+    // The health check shows that all of them have been accepted.
     assert_eq!(node.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
     known.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
     assert_eq!(known.answer().status(), 200);
-    drop(silent);
+    drop(idle);
 }
 
-/// Guards against closing each new client for the next one, where clients that were answered fill the places.
+/// Guards against closing each new client for the next one, where clients that were answered have all connection slots.
 #[test]
-fn new_clients_are_not_closed_before_they_can_ask() {
+fn new_clients_are_not_disconnected_before_their_first_request() {
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(40);
     let node = Node::start(&config);
@@ -538,28 +538,28 @@
     }
 }
 
-/// Whoever finds every place busy is told so by a close, and need not wait in vain.
+/// A client that finds all connection slots busy is disconnected at once, rather than left waiting.
 #[test]
-fn accepting_goes_on_while_all_places_are_busy() {
+fn accepting_goes_on_while_all_connection_slots_are_busy() {
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(64);
     let node = Node::start(&config);
-    let whole = request("update", 20.0);
+    let complete = request("update", 20.0);
     let mut clients: Vec<Client> = (0..60).map(|_| node.client()).collect();
     for client in &mut clients {
         // It fails where the connection is closed already.
-        let _ = client.stream.get_mut().write_all(&whole.as_bytes()[..whole.len() - 1]);
+        let _ = client.stream.get_mut().write_all(&complete.as_bytes()[..complete.len() - 1]);
     }
     let answered =
-        clients.iter_mut().filter_map(|client| Some(client.rest()).filter(|said| !said.is_empty()));
+        clients.iter_mut().filter_map(|client| Some(client.rest()).filter(|text| !text.is_empty()));
     let answered = answered.count();
     assert!((20..=40).contains(&answered), "{answered}");
 }
 
-// ---- Bad input
+// ---- Invalid input
 
 #[test]
-fn a_bad_configuration_ends_the_program_with_a_line_that_names_the_key() {
+fn an_invalid_configuration_ends_the_program_with_a_line_that_names_the_key() {
     let sound = config(&[]);
     let edit = |change: fn(&mut Value)| {
         let mut config = sound.clone();
@@ -582,12 +582,12 @@
         ("max_attempts", edit(|c| c["settings"]["allowed"]["max_attempts"] = json!("many"))),
     ];
     for (key, text) in cases {
-        ends_naming(key, &mut command(&text, own_address(), own_address()));
+        assert_exits_naming(key, &mut command(&text, own_address(), own_address()));
     }
     for key in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"] {
-        ends_naming(key, command(&sound.to_string(), own_address(), own_address()).env_remove(key));
+        assert_exits_naming(key, command(&sound.to_string(), own_address(), own_address()).env_remove(key));
     }
-    ends_naming(
+    assert_exits_naming(
         "GW_LISTEN",
         command(&sound.to_string(), own_address(), own_address()).env("GW_LISTEN", "here"),
     );
@@ -595,14 +595,14 @@
 
 /// Another customer's settings may leave a limit or a switch out, or have it at zero. The node starts and serves.
 #[test]
-fn settings_that_are_absent_or_zero_do_not_keep_a_node_from_serving() {
+fn a_node_serves_with_settings_that_are_absent_or_zero() {
     let limits =
         ["conn_idle_ms", "dial_timeout_ms", "most_held", "cancel", "retry_after", "max_retry_after_ms"];
     let rules = ["ask_within_ms", "drain_grace_ms", "cold_from", "cold_ms", "tip_multiple", "tip_after_ms"];
-    let places = limits.map(|key| ("allowed", key)).into_iter().chain(rules.map(|key| ("rules", key)));
+    let keys = limits.map(|key| ("allowed", key)).into_iter().chain(rules.map(|key| ("rules", key)));
     let zero = |key: &str| if ["cancel", "retry_after"].contains(&key) { json!(false) } else { json!(0) };
     let mut cases = vec![config(&[]), config(&[])];
-    for (part, key) in places {
+    for (part, key) in keys {
         cases[0]["settings"][part].as_object_mut().expect("an object").remove(key);
         cases[1]["settings"][part][key] = zero(key);
     }
@@ -617,7 +617,7 @@
         let node = Node::start(case);
         (0..3).for_each(|_| served_by(&node, &server));
     }
-    // With no attempt allowed nothing can be served; the answer is still one, and says when to come back.
+    // With no attempt allowed nothing can be served; the answer is still a rejection with a retry hint.
     let server = Server::start();
     let mut case = config(&members(&[&server]));
     case["settings"]["allowed"]["max_attempts"] = json!(0);
@@ -628,7 +628,7 @@
 }
 
 #[test]
-fn a_bad_request_is_answered_and_nothing_goes_on() {
+fn an_invalid_request_is_answered_and_not_forwarded() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let sound = request("update", 20.0);
@@ -659,7 +659,7 @@
     for (status, text) in cases {
         assert_eq!(node.client().ask(&text).status(), status, "{}", &text[..text.len().min(300)]);
     }
-    // What is not HTTP ends its own connection, and no more.
+    // Bytes that are not HTTP end their own connection only.
     let mut client = node.client();
     client.stream.get_mut().write_all(b"\x00\x01\x02 nonsense\r\n\r\n").expect("sent");
     client.stream.read_to_end(&mut Vec::new()).expect("ended");
@@ -667,7 +667,7 @@
     served_by(&node, &server);
 }
 
-/// hyper drops one of the two fields; to a server that goes by it, the body would hold another request.
+/// hyper drops one of the two fields; a server that goes by the other one would find another request in the body.
 #[test]
 fn a_request_with_two_lengths_ends_its_connection() {
     let server = Server::start();
@@ -686,9 +686,9 @@
     served_by(&node, &server);
 }
 
-/// What a body holds in chunks was kept a second time, up to a megabyte for each client.
+/// The chunks of a body were once buffered twice, up to a megabyte for each client.
 #[test]
-fn long_bodies_in_chunks_take_no_memory() {
+fn long_chunked_bodies_are_not_buffered() {
     let node = Node::before(&[]);
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
     let head = request("update", 60.0).replace("content-length: 4", "transfer-encoding: chunked");
@@ -735,7 +735,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_not_taken_again() {
+fn the_id_of_a_pending_request_is_not_accepted_again() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let (mut first, again) = (node.client(), request("update", 20.0));
@@ -745,29 +745,29 @@
     got.answer(OK, "", b"mine");
     assert_eq!(first.answer().body, b"mine");
     assert!(!server.has_request());
-    // Once it is over, nothing is in the way.
+    // Once it has been answered, its id may be used again.
     first.send(&again);
     server.request().answer(OK, "", b"");
     assert_eq!(first.answer().status(), 200);
 }
 
-/// Each of these would hold its place for as long as it likes.
+/// Each of these would occupy its connection slot for as long as it likes.
 #[test]
 fn slow_clients_are_disconnected() {
     let server = Server::start();
     let node = Node::before(&[&server]);
-    let whole = request("update", 3600.0);
-    let cases = [("", ""), (&whole[..40], ""), (&whole[..whole.len() - 1], "HTTP/1.1 408 ")];
+    let complete = request("update", 3600.0);
+    let cases = [("", ""), (&complete[..40], ""), (&complete[..complete.len() - 1], "HTTP/1.1 408 ")];
     let clients = cases.map(|(part, answer)| {
         let mut client = node.client();
         client.send(part);
         (client, answer)
     });
     for (mut client, answer) in clients {
-        let said = client.rest();
-        assert!(said.starts_with(answer) && said.is_empty() == answer.is_empty(), "{said}");
+        let text = client.rest();
+        assert!(text.starts_with(answer) && text.is_empty() == answer.is_empty(), "{text}");
     }
-    // So is one that was served and then stays.
+    // So is one that was served and then stays idle.
     let mut client = node.client();
     client.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
@@ -777,9 +777,9 @@
 }
 
 /// A report overwrites its server's count, whichever names it uses and even where it comes with an error. Without it
-/// the other server's count, which own sends raise, would soon be the higher one.
+/// the other server's count, which the node's own sends raise, would soon be the higher one.
 #[test]
-fn load_reports_steer_what_follows() {
+fn load_reports_decide_the_next_selections() {
     for (status, load) in [
         (OK, "waiting=3,active=5000"),
         (OK, "inflight=5000,queue=3,util=0.61"),
@@ -789,22 +789,22 @@
         let node = Node::before(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (crowded, got) = either(&servers);
+        let (loaded, got) = either(&servers);
         got.answer(status, &format!("x-load: {load}\r\n"), b"");
         client.answer();
         for _ in 0..6 {
             client.send(&request("pay", 20.0));
             let (at, got) = either(&servers);
-            assert_eq!(at, 1 - crowded, "{status}, {load}");
+            assert_eq!(at, 1 - loaded, "{status}, {load}");
             got.answer(OK, "", b"");
             assert_eq!(client.answer().status(), 200);
         }
     }
 }
 
-/// What follows a good answer belongs to nobody; the next request on that connection would get it.
+/// Bytes after a complete answer belong to no request; the next request on that connection would get them.
 #[test]
-fn what_comes_behind_a_good_answer_is_not_the_next_one() {
+fn bytes_after_an_answer_are_not_taken_for_the_next_one() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let good = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nmine";
@@ -825,16 +825,16 @@
     }
 }
 
-/// Interim answers come ahead of the one that counts.
+/// Interim responses precede the final one.
 #[test]
-fn interim_answers_are_skipped() {
+fn interim_responses_are_skipped() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
     for _ in 0..2 {
         client.send(&request("update", 20.0));
         let mut got = server.request();
-        assert_eq!(got.connection, 0, "the connection is as good as before");
+        assert_eq!(got.connection, 0, "the connection is reused");
         got.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nlink: x\r\n\r\n");
         got.answer(OK, "", b"done");
         let answer = client.answer();
@@ -842,8 +842,8 @@
     }
 }
 
-/// The dial time-out of the settings may be as long as a request's time; a part of that is enough to learn that a
-/// server does not come up, and even an unsafe request goes on.
+/// The dial time-out of the settings may be as long as a request's deadline; a dial is given up after a part of that,
+/// and even an unsafe request is retried at another server.
 #[test]
 fn a_stuck_dial_leaves_time_for_another_server() {
     let (_slow, address, _filler) = full_listener();
@@ -856,9 +856,9 @@
     assert!(clients.iter_mut().all(|client| client.answer().status() == 200));
 }
 
-/// The whole way of a cut: the timer, the closed connection, the next server.
+/// A stalled attempt from end to end: the timer, the closed connection, the retry at another server.
 #[test]
-fn requests_leave_a_server_that_stops_answering() {
+fn stalled_requests_are_retried_at_another_server() {
     let servers = [Server::start(), Server::start()];
     let node = Node::before(&[&servers[0], &servers[1]]);
     let mut clients: Vec<Client> = (0..6).map(|_| node.client()).collect();
@@ -871,9 +871,9 @@
     unanswered.iter_mut().for_each(Exchange::await_end);
 }
 
-/// Reports that are malformed are passed over, and the answers that bring them are not.
+/// A malformed load report is ignored, and the answer that carries it is not.
 #[test]
-fn a_malformed_load_report_does_no_harm() {
+fn a_malformed_load_report_is_ignored() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     for load in ["", "inflight", "inflight=NaN,queue=1", "active=-1", "\u{e9}", "active=1,waiting=2"] {
@@ -886,11 +886,11 @@
 
 // ---- Helpers
 
-fn ends_naming(key: &str, command: &mut std::process::Command) {
+fn assert_exits_naming(key: &str, command: &mut std::process::Command) {
     let child = spawn(command.stdout(std::process::Stdio::null()).stderr(std::process::Stdio::piped()));
     let output = child.wait_with_output().expect("ended");
-    let said = String::from_utf8_lossy(&output.stderr);
+    let log = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "{key}");
-    assert_eq!(said.lines().count(), 1, "{key}: {said}");
-    assert!(said.contains(&format!("`{key}")), "{key}: {said}");
+    assert_eq!(log.lines().count(), 1, "{key}: {log}");
+    assert!(log.contains(&format!("`{key}")), "{key}: {log}");
 }
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -1,4 +1,8 @@
-//! The four rules at their edges, and on generated days against a checker of its own.
+//! The operators' four rules: edge cases, and generated days that an independent checker verifies.
+//!
+//! The checker asserts that each request gets one final answer in time, that drained servers get no new requests, that
+//! a request is sent twice only where its class allows it, that a rejection is given only where a client's retry is
+//! harmless, and that attempts, cancellations and probes keep to the settings.
 
 mod common;
 use common::*;
@@ -10,45 +14,46 @@
 // ---- Edges
 
 #[test]
-fn no_servers_still_gives_one_answer_at_once() {
+fn without_servers_each_request_is_rejected_at_once() {
     for idempotency in [Idempotency::Safe, keyed(DeduplicationScope::Cell, 500.0), Idempotency::Unsafe] {
         let mut node = Node::new(one_class(idempotency), 1);
-        assert!(rejected(&node.request(1, 0, 100.0)), "nothing ran, so a refusal is true");
+        assert!(rejected(&node.request(1, 0, 100.0)), "nothing ran, so a rejection is true");
         node.servers(Vec::new());
         assert!(rejected(&node.request(2, 0, 100.0)));
     }
 }
 
 #[test]
-fn a_class_that_does_not_exist_is_answered() {
+fn a_request_of_an_unknown_class_fails() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..2));
     assert!(failed(&node.request(1, 7, 100.0)));
 }
 
-/// A refusal says when to come back, where clients are told: as long as answers take, up to what they heed.
+/// A rejection has a retry hint where the settings allow one: the time that an answer takes, up to the limit.
 #[test]
-fn a_refusal_says_when_to_come_back() {
-    for (most, told) in [(None, None), (Some(400.0), Some(100.0)), (Some(30.0), Some(30.0))] {
+fn a_rejection_has_a_retry_hint() {
+    for (max, hint) in [(None, None), (Some(400.0), Some(100.0)), (Some(30.0), Some(30.0))] {
         let mut settings = one_class(Idempotency::Safe);
-        settings.max_retry_after_ms = most;
+        settings.max_retry_after_ms = max;
         let mut node = Node::new(settings, 1);
-        let refuse = BalancerAction::Reject { request: RequestId(1), retry_after_ms: told };
-        assert_eq!(node.request(1, 0, 800.0), [refuse]);
+        let rejection = BalancerAction::Reject { request: RequestId(1), retry_after_ms: hint };
+        assert_eq!(node.request(1, 0, 800.0), [rejection]);
         node.servers(ready(0..2));
         node.sent_to(2);
         node.end(2, 0, 20.0, AttemptOutcome::Served);
         node.servers(Vec::new());
-        let told = most.map(|_| 20.0);
-        let refuse = BalancerAction::Reject { request: RequestId(3), retry_after_ms: told };
-        assert_eq!(node.request(3, 0, 800.0), [refuse]);
+        let hint = max.map(|_| 20.0);
+        let rejection = BalancerAction::Reject { request: RequestId(3), retry_after_ms: hint };
+        assert_eq!(node.request(3, 0, 800.0), [rejection]);
     }
 }
 
-/// An unsafe request is sent again only with proof that nothing ran, and otherwise not refused either.
+/// An unsafe request is retried only after an outcome that proves that it did not run; otherwise it fails, and is not
+/// rejected either.
 #[test]
-fn unsafe_after_each_ending() {
-    for (outcome, again) in [
+fn unsafe_requests_are_retried_only_if_they_did_not_run() {
+    for (outcome, may_retry) in [
         (AttemptOutcome::Rejected, true),
         (AttemptOutcome::Unreachable, true),
         (AttemptOutcome::NotSent, true),
@@ -62,16 +67,16 @@
         node.sent_to(1);
         node.now += 5.0;
         let actions = node.end(1, 0, 5.0, outcome);
-        assert_eq!(send_of(&actions).is_some(), again, "{outcome:?}");
-        assert_eq!(failed(&actions), !again, "{outcome:?}");
+        assert_eq!(send_of(&actions).is_some(), may_retry, "{outcome:?}");
+        assert_eq!(failed(&actions), !may_retry, "{outcome:?}");
         assert!(!rejected(&actions), "{outcome:?}");
     }
 }
 
 #[test]
-fn keyed_stays_in_its_cell_and_window() {
+fn keyed_requests_are_retried_only_in_their_cell_and_window() {
     let settings = one_class(keyed(DeduplicationScope::Cell, 500.0));
-    for (wait, again) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
+    for (wait, may_retry) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
         for seed in 0..20 {
             let mut node = Node::new(settings.clone(), seed);
             let mut entries = ready(0..6);
@@ -80,17 +85,17 @@
             let first = node.sent_to(1);
             node.now += wait;
             let actions = node.end(1, 0, wait, AttemptOutcome::Error);
-            assert!(!rejected(&actions), "a refusal would promise that nothing ran");
+            assert!(!rejected(&actions), "a rejection would promise that nothing ran");
             match send_of(&actions) {
-                Some(at) => assert!(again && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
-                None => assert!(!again && failed(&actions), "{wait} ms"),
+                Some(at) => assert!(may_retry && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
+                None => assert!(!may_retry && failed(&actions), "{wait} ms"),
             }
         }
     }
 }
 
 #[test]
-fn keyed_with_group_all_may_be_refused_after_it_ran() {
+fn requests_deduplicated_by_all_servers_may_be_rejected_after_they_ran() {
     let mut settings = one_class(keyed(DeduplicationScope::All, 500.0));
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
@@ -107,7 +112,7 @@
     node.sent_to(1);
     node.now += 800.0;
     assert!(failed(&node.end(1, 0, 800.0, AttemptOutcome::TimedOut)));
-    assert!(node.end(1, 0, 801.0, AttemptOutcome::Served).is_empty(), "an ending comes once");
+    assert!(node.end(1, 0, 801.0, AttemptOutcome::Served).is_empty(), "an attempt ends once");
 }
 
 #[test]
@@ -136,12 +141,10 @@
     assert!((20..40).all(|id| node.sent_to(id) == 3));
 }
 
-/// A warming server reports nothing queued and would draw everything; one node carrying most of the traffic must stay
-/// under the budget that all nodes share. A server that has gone is forgotten once nothing is out to it: what ends
-/// late finds nothing amiss, and a keyed request keeps to its cell though the server that may have run it is no
-/// longer known.
+/// A removed server is dropped from the table once no attempt is in flight to it: later outcomes of it are ignored, and
+/// a keyed request is still retried in its cell only, though the server that may have run it is no longer known.
 #[test]
-fn what_ends_late_on_a_forgotten_server_does_no_harm() {
+fn late_outcomes_of_a_removed_server_are_ignored() {
     let cell = |i, cell| ServerEntry { cell, ..ServerEntry::new(ServerId(i), Availability::Ready) };
     let mut node = Node::new(one_class(keyed(DeduplicationScope::Cell, 500.0)), 1);
     node.servers(vec![cell(0, 7)]);
@@ -152,11 +155,13 @@
     let report = Some(LoadReport { in_flight: Some(9.0), queued: None });
     node.feed(BalancerEvent::ProbeEnded { server: ServerId(0), outcome: AttemptOutcome::Served, report });
     node.end(1, 1, 50.0, AttemptOutcome::Served);
-    let gone = ServerEntry { availability: Availability::Removed, ..cell(2, 7) };
-    node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![gone])));
+    let removed = ServerEntry { availability: Availability::Removed, ..cell(2, 7) };
+    node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![removed])));
     assert!(failed(&node.end(2, 1, 50.0, AttemptOutcome::Reset)));
 }
 
+/// A warming server reports an empty queue and would attract all requests; one node with most of the traffic must keep
+/// to the budget that all nodes share.
 #[test]
 fn a_warming_server_gets_no_more_than_its_budget() {
     let mut settings = one_class(Idempotency::Safe);
@@ -168,7 +173,7 @@
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..10));
     let mut at = BTreeMap::new();
-    let mut cold_sends = Vec::new();
+    let mut warming_sends = Vec::new();
     for id in 0..3_000 {
         if id == 1_500 {
             let mut entries = ready(0..11);
@@ -177,31 +182,31 @@
         }
         at.insert(id, node.sent_to(id));
         if at[&id] == 10 {
-            cold_sends.push(node.now);
+            warming_sends.push(node.now);
         }
         node.now += 4.0;
         if id >= 10 {
-            // Cold as it is, it answers fast and reports next to nothing held.
-            let cold = at[&(id - 10)] == 10;
-            let held = if cold { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
-            let elapsed = if cold { 10.0 } else { 40.0 };
-            node.report(id - 10, 0, elapsed, AttemptOutcome::Served, Some(held));
+            // The warming server answers fast and reports next to no requests in flight.
+            let warming = at[&(id - 10)] == 10;
+            let in_flight = if warming { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
+            let elapsed = if warming { 10.0 } else { 40.0 };
+            node.report(id - 10, 0, elapsed, AttemptOutcome::Served, Some(in_flight));
         }
     }
-    // The fleet serves 250 a second on ten servers; a cold one's capacity begins at 0.3 of a tenth.
+    // The fleet serves 250 a second on ten servers; the warming one's capacity begins at 0.3 of a tenth.
     let start = 1_000.0 + 1_500.0 * 4.0;
     for window in 0..6 {
         let from = start + f64::from(window) * 500.0;
-        let sent = cold_sends.iter().filter(|t| (from..from + 3_000.0).contains(*t)).count() as f64;
+        let sent = warming_sends.iter().filter(|t| (from..from + 3_000.0).contains(*t)).count() as f64;
         let capacity = 25.0 * 3.0 * (0.3 + 0.7 * (from + 3_000.0 - start) / 9_000.0);
         assert!(sent < 2.5 * capacity, "{sent} in window {window}, capacity {capacity}");
     }
-    assert!(!cold_sends.is_empty(), "it gets some work");
+    assert!(!warming_sends.is_empty(), "it gets some work");
 }
 
-/// A node that restarted has served nothing yet; what it knows of starts is in its list.
+/// A node that has just restarted knows the starts of servers from its list alone.
 #[test]
-fn a_restarted_node_spares_warming_servers() {
+fn a_restarted_node_limits_requests_to_warming_servers() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.warmup_initial_fraction, settings.warmup_ms) = (0.3, 9_000.0);
     (settings.warmup_overload_factor, settings.warmup_overload_ms) = (2.5, 3_000.0);
@@ -209,23 +214,23 @@
     let mut entries = ready(0..2);
     entries[1].started_at = Some(node.now - 100.0);
     node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
-    let cold = (0..40).filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1)).count();
-    // Had both all of their capacity, each would get twenty.
-    assert!(cold as f64 <= 2.5 * 0.3 * 20.0, "{cold} of 40");
+    let to_warming = (0..40).filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1)).count();
+    // If both had their full capacity, each would get twenty.
+    assert!(to_warming as f64 <= 2.5 * 0.3 * 20.0, "{to_warming} of 40");
 }
 
-/// Incidents ie11f3d and ia94218: a floor of one send a node and window let hundreds of nodes push a cold server over
-/// together. What counts is the sum over the nodes.
+/// Incidents ie11f3d and ia94218: a floor of one send for each node and window let hundreds of nodes together overload
+/// a warming server. What counts is the sum over the nodes.
 #[test]
-fn hundreds_of_nodes_together_spare_a_warming_server() {
+fn hundreds_of_nodes_together_keep_to_the_budget_of_a_warming_server() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     (settings.warmup_initial_fraction, settings.warmup_ms) = (0.2, 20_000.0);
     (settings.warmup_overload_factor, settings.warmup_overload_ms) = (2.5, 1_500.0);
-    let (mut cold, mut sent) = (0, 0);
-    for me in 0..400 {
-        settings.node_index = me;
-        let mut node = Node::new(settings.clone(), me as u64);
+    let (mut to_warming, mut sent) = (0, 0);
+    for node_index in 0..400 {
+        settings.node_index = node_index;
+        let mut node = Node::new(settings.clone(), node_index as u64);
         let mut entries = ready(0..10);
         entries[7].started_at = Some(node.now);
         node.servers(entries);
@@ -234,19 +239,22 @@
             let at = node.sent_to(id);
             node.report(id, 0, 40.0, AttemptOutcome::Served, Some(1.0));
             sent += 1;
-            cold += usize::from(at == 7);
+            to_warming += usize::from(at == 7);
         }
     }
-    // A warm server gets a tenth of it all; the cold one holds a fifth of that and a little more.
+    // A warm server gets a tenth of it all; the warming one has a fifth of that capacity and a little more.
     let fair = f64::from(sent) / 10.0;
-    assert!((cold as f64) < 2.5 * 0.2 * fair, "{cold} to the cold server, {fair} to a warm one");
-    assert!(cold > 0, "it gets some work");
+    assert!(
+        (to_warming as f64) < 2.5 * 0.2 * fair,
+        "{to_warming} to the warming server, {fair} to a warm one"
+    );
+    assert!(to_warming > 0, "it gets some work");
 }
 
 // ---- Following the list
 
 #[test]
-fn it_subscribes_at_once_and_again_after_failures() {
+fn it_subscribes_at_once_and_again_after_each_failure() {
     let mut settings = one_class(Idempotency::Safe);
     settings.discovery = DiscoveryMode::Subscribe;
     settings.max_poll_interval_ms = 10_000.0;
@@ -256,8 +264,8 @@
     let mut waits = Vec::new();
     for call in 0..8 {
         let actions = node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
-        let notes = actions.iter().filter(|a| matches!(a, BalancerAction::Log(_))).count();
-        assert_eq!(notes, usize::from(call == 0), "the loss is noted once: {actions:?}");
+        let logged = actions.iter().filter(|a| matches!(a, BalancerAction::Log(_))).count();
+        assert_eq!(logged, usize::from(call == 0), "the failure is logged once: {actions:?}");
         let [.., BalancerAction::SetTimer { timer, after_ms }] = actions[..] else { panic!("{actions:?}") };
         assert!(
             node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable)).is_empty(),
@@ -270,16 +278,16 @@
     }
     assert!(waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0), "{waits:?}");
     let list = || BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(ready(0..2)));
-    let noted = node.feed(list());
-    assert!(matches!(noted[..], [BalancerAction::Log(_)]), "and so is the end of it: {noted:?}");
+    let logged = node.feed(list());
+    assert!(matches!(logged[..], [BalancerAction::Log(_)]), "and so is its end: {logged:?}");
     assert!(node.feed(list()).is_empty(), "once");
 }
 
 // ---- Health
 
-/// A server that fails quickly reports a short queue and would draw more.
+/// A server that fails quickly reports a short queue and would attract more requests.
 #[test]
-fn quick_failures_take_a_server_out_and_success_brings_it_back() {
+fn quick_failures_eject_a_server_and_a_success_restores_it() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..4));
     let run = |node: &mut Node, from: u64, bad: bool| {
@@ -299,14 +307,14 @@
         sent
     };
     assert!(run(&mut node, 0, false) > 50);
-    assert!(run(&mut node, 1_000, true) < 25, "a failing server kept its traffic");
+    assert!(run(&mut node, 1_000, true) < 25, "a failing server was not ejected");
     run(&mut node, 2_000, false);
     node.now += 10_000.0;
     run(&mut node, 2_500, false);
-    assert!(run(&mut node, 3_000, false) > 50, "it never came back");
+    assert!(run(&mut node, 3_000, false) > 50, "it was never restored");
 }
 
-/// A server that takes requests and answers none has an ordinary count.
+/// A server that accepts requests and answers none has an ordinary count.
 #[test]
 fn an_unresponsive_server_is_avoided() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
@@ -321,15 +329,14 @@
             node.report(id, 0, 30.0, AttemptOutcome::Served, Some((1 + id % 3) as f64));
         }
     }
-    assert!(hung < 12, "{hung} requests went to a silent server");
+    assert!(hung < 12, "{hung} requests went to an unresponsive server");
 }
 
-/// With everything failing there is nobody better: traffic must go on, and recover by itself. A server that falls
-/// silent costs requests their time; those that may be repeated are sent elsewhere.
+/// A server that becomes unresponsive uses up the time of its requests; those that may be repeated are sent elsewhere.
 #[test]
 fn stalled_attempts_are_cancelled_where_a_repeat_is_allowed() {
     let keyed = |window_ms| Idempotency::Keyed { group: DeduplicationScope::All, window_ms };
-    for (idempotency, heard, cut) in [
+    for (idempotency, responsive, cancelled) in [
         (Idempotency::Safe, false, true),
         (keyed(5_000.0), false, true),
         (keyed(500.0), false, false),
@@ -341,32 +348,32 @@
         let ids = 1..=6;
         let at: BTreeMap<u64, usize> = ids.clone().map(|id| (id, node.sent_to(id))).collect();
         node.now += 20.0;
-        let silent: Vec<u64> = ids.clone().filter(|id| at[id] == 0).collect();
-        for id in ids.filter(|id| at[id] == 1 || heard && *id == silent[0]) {
+        let stalled: Vec<u64> = ids.clone().filter(|id| at[id] == 0).collect();
+        for id in ids.filter(|id| at[id] == 1 || responsive && *id == stalled[0]) {
             node.end(id, 0, 20.0, AttemptOutcome::Served);
         }
         node.now += 700.0;
-        // The timer of the third attempt there shows what became of the others, too.
-        let actions = node.feed(BalancerEvent::TimerFired(silent[2] + 1));
-        for id in silent {
+        // The timer of the third attempt at a server checks all attempts there.
+        let actions = node.feed(BalancerEvent::TimerFired(stalled[2] + 1));
+        for id in stalled {
             let cancel = BalancerAction::Cancel { request: RequestId(id), attempt: 0 };
-            assert_eq!(actions.contains(&cancel), cut, "{idempotency:?} {heard}");
-            if !cut {
+            assert_eq!(actions.contains(&cancel), cancelled, "{idempotency:?} {responsive}");
+            if !cancelled {
                 continue;
             }
             assert_eq!(send_of(&node.end(id, 0, 720.0, AttemptOutcome::Cancelled)), Some(1));
             assert_eq!(
                 node.feed(BalancerEvent::TimerFired(id + 1)),
                 [],
-                "the second attempt has its own time"
+                "the second attempt has a timer of its own"
             );
         }
     }
 }
 
-/// A count that no server can have would keep its server out for good.
+/// A reported count that no server can have would exclude its server for ever.
 #[test]
-fn an_absurd_report_changes_no_count() {
+fn an_implausible_report_changes_no_count() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..2));
     let mut sent = [0; 2];
@@ -378,8 +385,9 @@
     assert_eq!(sent, [20, 20]);
 }
 
+/// While all servers fail there is none to prefer: some requests must still be sent, so that the recovery is noticed.
 #[test]
-fn refusals_end_when_the_servers_recover() {
+fn rejections_end_when_the_servers_recover() {
     let mut settings = one_class(Idempotency::Safe);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
@@ -398,65 +406,65 @@
             last = (last.0 + usize::from(sent), last.1 + 1);
         }
     }
-    assert!(last.0 * 100 > last.1 * 95, "{last:?} sent long after the trouble");
+    assert!(last.0 * 100 > last.1 * 95, "{last:?} sent long after the fault");
 }
 
-/// With everything late, nodes try idle servers to learn when that ends. Many nodes must not try so often that the
-/// trials alone keep the servers crowded.
+/// While all answers are late, nodes try idle servers to learn when that ends. Many nodes must not try so often that
+/// the trials alone keep the servers overloaded.
 #[test]
 fn trials_of_many_nodes_stay_few() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (16, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..10));
-    let mut tried = 0;
+    let mut trials = 0;
     for id in 0..4_000 {
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
             node.end(id, 0, 790.0, AttemptOutcome::Served);
-            tried += u32::from(id >= 2_000);
+            trials += u32::from(id >= 2_000);
         }
     }
     // Twenty seconds are fifty latency targets; sixteen nodes together may try each server some hundred times.
-    assert!((10..=10 * 2 * 50 / 16 * 3 / 2).contains(&tried), "{tried} trials");
+    assert!((10..=10 * 2 * 50 / 16 * 3 / 2).contains(&trials), "{trials} trials");
 }
 
-/// A node that sees little keeps few answers of each server: after a crowded start the slow ones must not be believed
-/// for long, or the node refuses what idle servers would take.
+/// A node with few requests has few samples of each server: the slow ones of an overloaded start must lose their weight
+/// soon, or the node rejects requests that idle servers could serve.
 #[test]
-fn a_crowded_start_is_soon_forgotten() {
+fn samples_of_an_overloaded_start_soon_lose_their_weight() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (12, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..20));
-    let mut out = std::collections::VecDeque::new();
-    let (mut asked, mut refusals) = (0, 0);
+    let mut in_flight = std::collections::VecDeque::new();
+    let (mut requests, mut rejections) = (0, 0);
     for id in 0..620_u64 {
         node.now += 10.0;
-        let crowded = id < 120;
-        while out.front().is_some_and(|(_, _, end)| *end <= node.now) {
-            let (id, elapsed, _) = out.pop_front().expect("checked");
+        let overloaded = id < 120;
+        while in_flight.front().is_some_and(|(_, _, end)| *end <= node.now) {
+            let (id, elapsed, _) = in_flight.pop_front().expect("checked");
             node.end(id, 0, elapsed, AttemptOutcome::Served);
         }
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         if sent {
-            let elapsed = if crowded { 600.0 } else { 50.0 };
-            out.push_back((id, elapsed, node.now + elapsed));
+            let elapsed = if overloaded { 600.0 } else { 50.0 };
+            in_flight.push_back((id, elapsed, node.now + elapsed));
         }
-        // From two seconds after the crowd has gone, for three seconds.
+        // From two seconds after the end of the overload, for three seconds.
         if (320..620).contains(&id) {
-            asked += 1;
-            refusals += u32::from(!sent);
+            requests += 1;
+            rejections += u32::from(!sent);
         }
     }
-    assert!(refusals * 4 < asked, "{refusals} of {asked} refused by what was long past");
+    assert!(rejections * 4 < requests, "{rejections} of {requests} rejected because of old samples");
 }
 
-/// What the agent has counts as told, so that a node must hear it again within the grace after a drain.
+/// What discovery has published counts as announced: a node must poll again within the grace after a drain.
 #[test]
-fn a_pushed_list_that_fails_is_asked_for_again_within_the_grace() {
-    for (grace, most) in [(2_000.0, 500.0), (1_000.0, 250.0), (0.0, 50.0)] {
+fn a_failed_push_is_retried_within_the_drain_grace() {
+    for (grace, max_delay) in [(2_000.0, 500.0), (1_000.0, 250.0), (0.0, 50.0)] {
         let mut settings = one_class(Idempotency::Safe);
         settings.drain_grace_ms = grace;
         let mut node = Node::new(settings, 1);
@@ -470,17 +478,17 @@
                     None
                 }
             };
-            let after = actions.iter().find_map(after).expect("it asks again");
-            assert!(after > 0.0 && after <= most, "{after} ms of {grace}");
+            let after = actions.iter().find_map(after).expect("it retries");
+            assert!(after > 0.0 && after <= max_delay, "{after} ms of {grace}");
             node.now += after;
             assert_eq!(node.feed(BalancerEvent::TimerFired(0)), [BalancerAction::Subscribe]);
         }
     }
 }
 
-/// A repeat must be sent within its window, also where its connection is slow to come up.
+/// A retry must be sent within its deduplication window, also where its connection is slow to establish.
 #[test]
-fn a_repeat_says_until_when_it_may_be_sent() {
+fn a_retry_has_a_time_limit_for_its_sending() {
     let within = |actions: &[BalancerAction]| match actions[..] {
         [BalancerAction::Send { within_ms, .. }, ..] => within_ms,
         _ => panic!("not sent: {actions:?}"),
@@ -492,16 +500,16 @@
         assert_eq!(within(&node.request(1, 0, 800.0)), None);
         node.now += 200.0;
         assert_eq!(within(&node.end(1, 0, 200.0, AttemptOutcome::Error)), repeat);
-        // What never ran starts no window.
+        // An attempt that did not run starts no window.
         assert_eq!(within(&node.request(2, 0, 800.0)), None);
         assert_eq!(within(&node.end(2, 0, 0.0, AttemptOutcome::Rejected)), None);
     }
 }
 
-/// A request whose client left while it was out goes nowhere again, however its attempt ends, also where an attempt
-/// may not be cancelled.
+/// A request whose client disconnected is not retried, however its attempt ends, also where an attempt may not be
+/// cancelled.
 #[test]
-fn nothing_follows_for_a_client_that_has_left() {
+fn nothing_is_sent_after_the_client_has_disconnected() {
     for cancel in [true, false] {
         for outcome in [
             AttemptOutcome::Rejected,
@@ -528,52 +536,53 @@
 // ---- Overload
 
 /// Incident i007987: where each of hundreds of nodes sees a few requests a second, a bound that is all or nothing
-/// makes them refuse all together, then none. Over the bound a node of many takes a part of what comes.
+/// makes all of them reject everything, then nothing. Among many nodes, a node admits a fraction of the requests over
+/// the bound.
 #[test]
-fn a_node_of_many_takes_a_part_of_what_is_over_the_bound() {
+fn among_many_nodes_a_fraction_of_the_requests_over_the_bound_is_admitted() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..4));
     let mut sent = 0;
     for id in 0..400 {
-        let taken = send_of(&node.request(id, 0, 800.0)).is_some();
+        let admitted = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 340.0;
-        if taken {
+        if admitted {
             node.end(id, 0, 340.0, AttemptOutcome::Served);
         }
-        sent += usize::from(taken && id >= 100);
+        sent += usize::from(admitted && id >= 100);
     }
     // 340 ms are expected where 300 are the bound: neither all 300 nor none.
     assert!((60..240).contains(&sent), "{sent} of 300");
 }
 
 #[test]
-fn beyond_its_quota_a_tenant_is_refused_first() {
+fn a_tenant_beyond_its_quota_is_rejected_first() {
     let mut settings = one_class(Idempotency::Safe);
     settings.quotas_per_s = vec![1_000.0, 10.0];
     settings.over_quota_value = 0.1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..2));
-    let mut refusals = [0; 2];
+    let mut rejections = [0; 2];
     for id in 0..4_000_u64 {
         let tenant = (id % 2) as usize;
         let request = ClientRequest { tenant, ..ClientRequest::new(RequestId(id), 0, 800.0) };
         let actions = node.feed(BalancerEvent::RequestArrived(request));
-        refusals[tenant] += usize::from(rejected(&actions));
+        rejections[tenant] += usize::from(rejected(&actions));
         node.now += 10.0;
-        // Two servers that each answer in 25 ms for every request they hold: near their limit.
+        // Two servers that each answer in 25 ms for every request in flight: near their limit.
         if id >= 4 {
             node.end(id - 4, 0, 100.0 + (id % 7) as f64 * 20.0, AttemptOutcome::Served);
         }
     }
-    assert!(refusals[1] > refusals[0], "{refusals:?}");
+    assert!(rejections[1] > rejections[0], "{rejections:?}");
 }
 
-/// Incident ie11f3d: with hundreds of nodes a tenant's part at one node is under one request a second, and a bucket
-/// with no room for one request never held any: every tenant was beyond its quota everywhere.
+/// Incident ie11f3d: with hundreds of nodes a tenant's share at one node is under one request a second, and a bucket
+/// too small for one token never had any: every tenant was beyond its quota at every node.
 #[test]
-fn a_small_part_of_a_quota_is_still_a_quota() {
+fn a_share_of_a_quota_under_one_request_a_second_admits_requests() {
     let mut settings = one_class(Idempotency::Safe);
     settings.nodes = 800;
     settings.quotas_per_s = vec![400.0, 40.0];
@@ -581,88 +590,92 @@
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..4));
-    let mut refusals = [0; 2];
+    let mut rejections = [0; 2];
     for id in 0..2_000_u64 {
-        // One request in two seconds of the first tenant is within its part, of the second it is not.
+        // One request in two seconds of the first tenant is within its share, of the second it is not.
         let tenant = (id % 2) as usize;
         let request = ClientRequest { tenant, ..ClientRequest::new(RequestId(id), 0, 800.0) };
-        refusals[tenant] += usize::from(rejected(&node.feed(BalancerEvent::RequestArrived(request))));
+        rejections[tenant] += usize::from(rejected(&node.feed(BalancerEvent::RequestArrived(request))));
         node.now += 1_000.0;
         node.end(id, 0, 280.0, AttemptOutcome::Served);
     }
-    assert!(refusals[0] < 20 && refusals[1] > 400, "{refusals:?}");
+    assert!(rejections[0] < 20 && rejections[1] > 400, "{rejections:?}");
 }
 
-/// A class of low value with a distant aim could wait long; it must not fill the queues in which a worthier class
-/// with a near aim would be late.
+/// A class of low value with a long latency target could wait long; it must not fill the queues in which a class of
+/// higher value with a short target would be late.
 #[test]
 fn low_value_does_not_crowd_out_higher_value() {
-    let mut near = RequestClass::new(200.0, 2_000.0, Idempotency::Safe);
-    near.value = 5.0;
+    let mut urgent = RequestClass::new(200.0, 2_000.0, Idempotency::Safe);
+    urgent.value = 5.0;
     let mut settings =
-        DecisionSettings::new(vec![near, RequestClass::new(4_000.0, 8_000.0, Idempotency::Safe)]);
+        DecisionSettings::new(vec![urgent, RequestClass::new(4_000.0, 8_000.0, Idempotency::Safe)]);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..2));
-    let mut refusals = [0; 2];
-    let mut out = std::collections::VecDeque::new();
+    let mut rejections = [0; 2];
+    let mut in_flight = std::collections::VecDeque::new();
     for id in 0..4_000_u64 {
         let class = (id % 2) as usize;
         let sent = send_of(&node.request(id, class, 2_000.0)).is_some();
         if sent {
-            out.push_back((id, node.now));
+            in_flight.push_back((id, node.now));
         } else {
-            refusals[class] += 1;
+            rejections[class] += 1;
         }
         node.now += 10.0;
-        // One answer in 20 ms is half of what is asked for; answers wait for all that is before them.
+        // One answer in 20 ms is half of the requests; each waits for all requests before it.
         if id % 2 == 0 {
-            if let Some((id, since)) = out.pop_front() {
+            if let Some((id, since)) = in_flight.pop_front() {
                 node.end(id, 0, node.now - since, AttemptOutcome::Served);
             }
         }
     }
-    assert!(refusals[1] > 2 * refusals[0], "{refusals:?}");
+    assert!(rejections[1] > 2 * rejections[0], "{rejections:?}");
 }
 
 // ---- Generated days
 
-/// Keeps the four rules' books from events and actions alone.
+/// Checks the four rules from events and actions alone, independently of the decisions.
 struct Checker {
     settings: DecisionSettings,
-    requests: BTreeMap<u64, Entry>,
+    requests: BTreeMap<u64, RequestRecord>,
     servers: BTreeMap<usize, ServerEntry>,
-    announced_removed: BTreeMap<usize, f64>,
+    /// When each server was announced as draining or removed, in milliseconds.
+    unavailable_since: BTreeMap<usize, f64>,
     grace_ms: f64,
 }
 
-struct Entry {
+struct RequestRecord {
     class: usize,
     deadline: f64,
+    /// Server, time of sending in milliseconds, and outcome once it has ended.
     attempts: Vec<(usize, f64, Option<AttemptOutcome>)>,
+    /// Whether the final answer was given, or the client has disconnected.
     done: bool,
 }
 
 impl Checker {
-    fn list(&mut self, now: f64, entries: &[ServerEntry], complete: bool) {
+    /// Records an update of the server list.
+    fn record_update(&mut self, now: f64, entries: &[ServerEntry], complete: bool) {
         if complete {
             let named: Vec<usize> = entries.iter().map(|e| e.server.0).collect();
-            for gone in self.servers.keys().filter(|s| !named.contains(s)) {
-                self.announced_removed.entry(*gone).or_insert(now);
+            for removed in self.servers.keys().filter(|s| !named.contains(s)) {
+                self.unavailable_since.entry(*removed).or_insert(now);
             }
         }
         for entry in entries {
             self.servers.insert(entry.server.0, entry.clone());
             if entry.availability == Availability::Ready {
-                self.announced_removed.remove(&entry.server.0);
+                self.unavailable_since.remove(&entry.server.0);
             } else {
-                self.announced_removed.entry(entry.server.0).or_insert(now);
+                self.unavailable_since.entry(entry.server.0).or_insert(now);
             }
         }
     }
 
-    /// Notes what an event says just before the module hears it.
-    fn learn(&mut self, event: &mut BalancerEvent) {
+    /// Records an event just before the decisions handle it.
+    fn record_event(&mut self, event: &mut BalancerEvent) {
         match event {
             BalancerEvent::AttemptEnded(attempt_end) => {
                 let entry = self.requests.get_mut(&attempt_end.request.0).expect("sent");
@@ -677,11 +690,15 @@
         }
     }
 
-    fn act(&mut self, now: f64, action: &BalancerAction) {
+    /// Checks an action, and records it.
+    fn check_action(&mut self, now: f64, action: &BalancerAction) {
         match action {
             BalancerAction::Send { request, server, .. } => {
-                let gone = self.announced_removed.get(&server.0);
-                assert!(gone.is_none_or(|t| now <= t + self.grace_ms), "sent to a drained server");
+                let unavailable_since = self.unavailable_since.get(&server.0);
+                assert!(
+                    unavailable_since.is_none_or(|t| now <= t + self.grace_ms),
+                    "sent to a drained server"
+                );
                 let target = self.servers.get(&server.0).expect("a listed server");
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
                 assert!(!entry.done, "sent after the final answer");
@@ -693,7 +710,7 @@
                         Idempotency::Safe => {}
                         Idempotency::Unsafe => panic!("an unsafe request was sent twice"),
                         Idempotency::Keyed { group, window_ms } => {
-                            assert!(now - at < window_ms, "resent past its window");
+                            assert!(now - at < window_ms, "retried past its window");
                             let first = &self.servers[first];
                             assert!(match group {
                                 DeduplicationScope::All => true,
@@ -716,7 +733,7 @@
                         idempotency,
                         Idempotency::Safe | Idempotency::Keyed { group: DeduplicationScope::All, .. }
                     );
-                    assert!(harmless, "a refusal that promises falsely");
+                    assert!(harmless, "a rejection after the request may have run");
                 }
             }
             BalancerAction::Cancel { request, attempt } => {
@@ -732,13 +749,15 @@
         }
     }
 
-    fn overdue(&self, now: f64) {
+    /// Checks that no request has passed its deadline unanswered.
+    fn check_deadlines(&self, now: f64) {
         let late = self.requests.iter().find(|(_, e)| !e.done && now > e.deadline + 20.0);
         assert!(late.is_none(), "request {:?} got no answer in time", late.map(|(id, _)| id));
     }
 }
 
-/// One legal day from a seed: lists that come and go, endings of every kind, clients that leave.
+/// Runs one valid day from a seed: changes of the list, outcomes of every kind, clients that disconnect. Returns the
+/// number of sends.
 #[allow(clippy::too_many_lines, reason = "the steps of one generated day, in their order")]
 fn generated_day(seed: u64) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
@@ -765,11 +784,11 @@
         settings: settings.clone(),
         requests: BTreeMap::new(),
         servers: BTreeMap::new(),
-        announced_removed: BTreeMap::new(),
+        unavailable_since: BTreeMap::new(),
         grace_ms: 0.0,
     };
     let mut node = Node::new(settings, seed);
-    let mut out: Vec<(f64, u64, usize, AttemptOutcome)> = Vec::new();
+    let mut in_flight: Vec<(f64, u64, usize, AttemptOutcome)> = Vec::new();
     let mut sends = 0;
     let mut timers: Vec<(f64, u64)> = Vec::new();
     let mut probes: Vec<(f64, ServerId)> = Vec::new();
@@ -793,7 +812,7 @@
                 });
             }
             let complete = random.bool();
-            checker.list(now, &entries, complete);
+            checker.record_update(now, &entries, complete);
             events.push(BalancerEvent::EndpointsUpdated(if complete {
                 EndpointUpdate::Snapshot(entries)
             } else {
@@ -803,9 +822,9 @@
         if random.u32(..60) == 0 {
             events.push(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
         }
-        out.sort_by(|a, b| a.0.total_cmp(&b.0));
-        while out.first().is_some_and(|o| o.0 <= now) {
-            let (_, id, attempt, outcome) = out.remove(0);
+        in_flight.sort_by(|a, b| a.0.total_cmp(&b.0));
+        while in_flight.first().is_some_and(|attempt| attempt.0 <= now) {
+            let (_, id, attempt, outcome) = in_flight.remove(0);
             let entry = checker.requests.get_mut(&id).expect("sent");
             let sent_at = entry.attempts[attempt].1;
             events.push(BalancerEvent::AttemptEnded(AttemptEnd {
@@ -835,24 +854,24 @@
             events.push(BalancerEvent::ProbeEnded { server, outcome, report });
         }
         if random.u32(..40) == 0 && id > 20 {
-            let gone = id - 1 - random.u64(..20);
-            events.push(BalancerEvent::ClientDisconnected(RequestId(gone)));
+            let disconnected = id - 1 - random.u64(..20);
+            events.push(BalancerEvent::ClientDisconnected(RequestId(disconnected)));
         }
         let class = random.usize(..3);
         let budget = checker.settings.classes[class].deadline_ms * (0.3 + 0.7 * random.f64());
         checker
             .requests
-            .insert(id, Entry { class, deadline: now + budget, attempts: Vec::new(), done: false });
+            .insert(id, RequestRecord { class, deadline: now + budget, attempts: Vec::new(), done: false });
         events.push(BalancerEvent::RequestArrived(ClientRequest::new(RequestId(id), class, budget)));
         for mut event in events {
-            checker.learn(&mut event);
+            checker.record_event(&mut event);
             for action in node.feed(event) {
-                checker.act(now, &action);
+                checker.check_action(now, &action);
                 match action {
                     BalancerAction::Send { request, .. } => {
                         sends += 1;
                         let entry = &checker.requests[&request.0];
-                        let endings = [
+                        let failures = [
                             AttemptOutcome::Error,
                             AttemptOutcome::Rejected,
                             AttemptOutcome::Unreachable,
@@ -861,14 +880,14 @@
                             AttemptOutcome::NotSent,
                         ];
                         let ok = random.u32(..3) > 0;
-                        let outcome = if ok { AttemptOutcome::Served } else { endings[random.usize(..6)] };
+                        let outcome = if ok { AttemptOutcome::Served } else { failures[random.usize(..6)] };
                         let at = now + random.f64() * random.f64() * 900.0;
                         let (at, outcome) = if at > entry.deadline {
                             (entry.deadline, AttemptOutcome::TimedOut)
                         } else {
                             (at, outcome)
                         };
-                        out.push((at, request.0, entry.attempts.len() - 1, outcome));
+                        in_flight.push((at, request.0, entry.attempts.len() - 1, outcome));
                     }
                     BalancerAction::SetTimer { timer, after_ms } => timers.push((now + after_ms, timer)),
                     BalancerAction::Probe { server } => probes.push((now + random.f64() * 40.0, server)),
@@ -876,8 +895,8 @@
                 }
             }
         }
-        // The day moves in steps of up to 20 ms, which is the slack of the first rule.
-        checker.overdue(now - 20.0);
+        // Time advances in steps of up to 20 ms, which is the tolerance of the first rule.
+        checker.check_deadlines(now - 20.0);
     }
     sends
 }
@@ -885,12 +904,12 @@
 #[test]
 fn generated_days_break_no_rule() {
     let sends: usize = (0..72).map(generated_day).sum();
-    assert!(sends > 20_000, "{sends} sends are too few to mean much");
+    assert!(sends > 20_000, "{sends} sends are too few to be meaningful");
 }
 
-/// Events about things never heard of must not disturb anything.
+/// Events about unknown requests, servers and timers have no effect.
 #[test]
-fn unknown_ids_are_passed_over() {
+fn events_with_unknown_ids_are_ignored() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..2));
     assert!(node.end(77, 0, 5.0, AttemptOutcome::Served).is_empty());
--- a/crates/node-emulator/src/build.rs
+++ b/crates/node-emulator/src/build.rs
@@ -1,5 +1,5 @@
-//! Builds of this program that are measured side by side: each measure is a process of its own, which writes its
-//! figure in its report.
+//! Builds of this program that are measured side by side: each measurement is a process of its own, whose result is
+//! read from the report that it writes.
 
 use std::env;
 use std::fs::{self, File};
@@ -13,7 +13,7 @@
 
 use crate::quantity::Quantity;
 
-/// A measure that takes longer is ended.
+/// A measurement that takes longer is killed.
 const MEASURE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A build could not be measured.
@@ -26,7 +26,7 @@
     source: MeasureError,
 }
 
-/// Why one measure of a build failed.
+/// Why one measurement of a build failed.
 #[derive(Debug, thiserror::Error)]
 enum MeasureError {
     #[error("no temporary folder: {0}")]
@@ -47,10 +47,10 @@
     NoQuantity,
 }
 
-/// What a build's report tells of one quantity at one size.
+/// One quantity at one size, as a build's report has it.
 #[derive(Debug)]
 pub struct BuildMeasurement {
-    /// `None` where it could not be had.
+    /// `None` where the build could not measure it, see [`Point::value`](crate::slopes::Point::value).
     pub value: Option<f64>,
     /// The commit that is checked out where the binary lies, or `unknown`.
     pub commit: String,
@@ -65,20 +65,20 @@
 }
 
 impl Build {
-    /// The one that runs.
+    /// The build of the running process.
     ///
     /// # Errors
     ///
-    /// Where the system does not tell its path.
+    /// Where the path of the executable is unknown.
     pub fn this() -> io::Result<Self> {
         Self::at(&env::current_exe()?)
     }
 
-    /// The one at `path`.
+    /// The build whose binary is at `path`.
     ///
     /// # Errors
     ///
-    /// Where nothing is there.
+    /// Where there is no file at `path`.
     pub fn at(path: &Path) -> io::Result<Self> {
         let binary = path.canonicalize().map_err(|error| {
             io::Error::new(error.kind(), format!("cannot run the build {}: {error}", path.display()))
@@ -121,7 +121,7 @@
         command.args(["--log-level", "warn", "--memory-mb", &memory_mb.to_string(), "slopes"]);
         command.args(["--quantity", &quantity.name(), "--sizes", &size.to_string(), "--repeats", "1"]);
         command.args(["--seed", &seed.to_string(), "--report"]).arg(&report);
-        // Its report has the commit of the folder that it runs in.
+        // A report names the commit checked out in the working folder: run the build where its binary is.
         command.current_dir(&self.folder).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let status = wait(&mut command.spawn().map_err(MeasureError::Start)?)?;
         if !status.success() {
@@ -143,7 +143,7 @@
             Ok(Some(status)) => return Ok(status),
             Ok(None) if started.elapsed() < MEASURE_TIMEOUT => thread::sleep(Duration::from_millis(2)),
             unfinished => {
-                // It fails where the process has ended meanwhile.
+                // `kill` fails where the process has ended meanwhile.
                 let _ = child.kill();
                 let _ = child.wait();
                 return Err(unfinished.map_or_else(MeasureError::Wait, |_| MeasureError::TimedOut));
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -1,7 +1,7 @@
 //! The catalogue: every server of the fleet, versioned, with a bounded log of its changes.
 //!
-//! A server stands in a *slot*: a place in a rack that belongs to a service. What replaces it stands in the same slot
-//! under a new name. Names are numbers in disguise, so that no hollow node has to keep them.
+//! A server occupies a *slot*: a position in a rack that belongs to a service. A replacement occupies the same slot
+//! under a new name. Names encode the servers' numbers (indices), so that no emulated node has to store them.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-/// How many there are of each.
+/// The number of regions, zones, racks, services, servers and nodes of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Size {
     /// Regions; each has its own agent of discovery.
@@ -19,7 +19,7 @@
     pub zones: usize,
     /// Racks over all zones.
     pub racks: usize,
-    /// Services; each has an equal stretch of the slots.
+    /// Services; each has an equal range of the slots.
     pub services: usize,
     /// Servers over all services.
     pub servers: usize,
@@ -28,7 +28,7 @@
 }
 
 impl Size {
-    /// The rack of a slot: neighbours stand in different racks, so that a service spreads over all zones.
+    /// The rack of a slot: neighbouring slots are in different racks, so that a service spreads over all zones.
     #[must_use]
     pub fn rack(&self, slot: usize) -> usize {
         slot % self.racks
@@ -52,72 +52,72 @@
         zone % self.regions
     }
 
-    /// The slots that a rack passes as true.
+    /// The slots in the racks for which `of_rack` is true.
     pub fn slots(&self, of_rack: impl Fn(usize) -> bool) -> Vec<usize> {
         (0..self.servers).filter(|slot| of_rack(self.rack(*slot))).collect()
     }
 }
 
-/// What discovery says of a server.
+/// The state in which discovery lists a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
     /// It takes requests.
     Active,
-    /// It finishes what it has.
+    /// It drains: it finishes its requests in flight and takes no new ones.
     Leaving,
-    /// It is no longer there.
+    /// It is off the list.
     Left,
 }
 
-/// What becomes of a request to a server.
+/// What happens to a request to a server, whatever discovery lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// It is answered.
     Up,
-    /// The machine says nothing.
-    Silent,
-    /// No process is there any more.
-    Gone,
+    /// The machine does not respond: the request stays open until the client gives up.
+    Unresponsive,
+    /// The process has ended: the connection is refused, which status 410 stands for.
+    Terminated,
 }
 
-/// A server: past, present, or both in the course of time.
+/// A server that is or was in the fleet.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Where it stands.
+    /// The slot that it occupies.
     pub slot: usize,
-    /// What discovery says of it.
+    /// The state in which discovery lists it.
     pub phase: Phase,
-    /// What is true of it.
-    pub reach: Reach,
+    /// Whether it responds; discovery may not know.
+    pub reachability: Reachability,
     /// Its listed weight.
     pub weight: f64,
-    /// When it last started, as Unix time in milliseconds; 0 for long ago.
+    /// When it last started, as Unix time in milliseconds; 0 where it ran before the emulation began.
     pub up_since_ms: u64,
-    /// Requests that it holds.
+    /// Requests in flight at it.
     pub in_flight: u32,
 }
 
-/// An answer of discovery and what it holds.
+/// A response of discovery: a complete list, or the changes since a version.
 #[derive(Clone, Debug)]
-pub struct Answer {
-    /// The JSON.
+pub struct ListResponse {
+    /// The list as JSON.
     pub body: Bytes,
     /// Whether it is the complete list.
     pub complete: bool,
-    /// How many servers it names.
+    /// The number of servers in it.
     pub members: usize,
 }
 
 #[derive(Serialize)]
-struct List<'a> {
+struct ListBody<'a> {
     revision: u64,
     complete: bool,
-    members: Vec<Member<'a>>,
+    members: Vec<MemberBody<'a>>,
 }
 
 #[derive(Serialize)]
-struct Member<'a> {
+struct MemberBody<'a> {
     id: String,
     host_port: SocketAddr,
     locality: &'a str,
@@ -128,39 +128,40 @@
     up_since_ms: u64,
 }
 
-/// The name of the only machine kind.
+/// The name of the only kind of machine.
 pub const KIND: &str = "m1";
 
-/// The servers, the version of their list, and what changed lately.
+/// All servers, the version of their list, and its latest changes.
 pub struct Catalogue {
     size: Size,
     zones: Vec<String>,
-    /// Where the servers of each rack listen.
+    /// The address of the servers of each rack, by rack.
     addresses: Vec<SocketAddr>,
-    /// By number.
+    /// By number; a server that left keeps its number.
     servers: Vec<Server>,
-    /// The number of the server in each slot.
+    /// The number of the server in each slot, by slot.
     slots: Vec<usize>,
-    /// When each version came to be; the first is version 1.
+    /// When each version was published; the first is version 1, at index 0.
     published: Vec<Instant>,
-    /// Versions and the numbers of the servers that they changed.
+    /// Versions and the numbers of the servers that they changed, oldest first.
     log: VecDeque<(u64, usize)>,
-    log_most: usize,
-    /// The latest version whose changes are no longer in the log.
-    forgotten: u64,
-    complete: Option<Answer>,
-    /// Answers since earlier versions, as of the newest.
-    changes: HashMap<u64, Answer>,
+    max_log_entries: usize,
+    /// The latest version of which some change is no longer in the log; changes are answered from there on only.
+    last_truncated_revision: u64,
+    /// The complete list of the newest version, once it was asked for.
+    complete: Option<ListResponse>,
+    /// Changes since earlier versions up to the newest, by earlier version.
+    changes: HashMap<u64, ListResponse>,
 }
 
 impl Catalogue {
     /// The first version: every slot has a server that started long ago. The log holds at most `log_most` changes.
     #[must_use]
-    pub fn new(size: Size, addresses: Vec<SocketAddr>, log_most: usize) -> Self {
+    pub fn new(size: Size, addresses: Vec<SocketAddr>, max_log_entries: usize) -> Self {
         let server = |slot| Server {
             slot,
             phase: Phase::Active,
-            reach: Reach::Up,
+            reachability: Reachability::Up,
             weight: 1.0,
             up_since_ms: 0,
             in_flight: 0,
@@ -173,16 +174,16 @@
             slots: (0..size.servers).collect(),
             published: vec![Instant::now()],
             log: VecDeque::new(),
-            log_most,
-            forgotten: 1,
+            max_log_entries,
+            last_truncated_revision: 1,
             complete: None,
             changes: HashMap::new(),
         }
     }
 
-    /// A catalogue whose racks listen nowhere, to measure lists with.
+    /// A catalogue whose racks have addresses without listeners, to measure lists with.
     #[must_use]
-    pub fn unheard(size: Size) -> Self {
+    pub fn without_listeners(size: Size) -> Self {
         let address = |rack: usize| {
             let [.., third, fourth] = (rack as u32).to_be_bytes();
             SocketAddr::from((Ipv4Addr::new(127, 20, third, fourth), 8081))
@@ -190,7 +191,7 @@
         Self::new(size, (0..size.racks).map(address).collect(), 1 << 16)
     }
 
-    /// How many there are of each.
+    /// The sizes of the fleet.
     #[must_use]
     pub fn size(&self) -> Size {
         self.size
@@ -202,7 +203,7 @@
         self.published.len() as u64
     }
 
-    /// When a version came to be.
+    /// When a version was published; `None` for one that was not.
     #[must_use]
     pub fn published(&self, revision: u64) -> Option<Instant> {
         let at = usize::try_from(revision.checked_sub(1)?).ok()?;
@@ -214,7 +215,7 @@
         self.servers.get_mut(number)
     }
 
-    /// Where a server listens.
+    /// The address of a server.
     #[must_use]
     pub fn address(&self, number: usize) -> Option<SocketAddr> {
         self.servers.get(number).map(|server| self.addresses[self.size.rack(server.slot)])
@@ -227,7 +228,7 @@
         Some(self.size.region(self.size.zone(rack)))
     }
 
-    /// The numbers of the servers that now stand in these slots.
+    /// The numbers of the servers that now occupy these slots.
     #[must_use]
     pub fn numbers(&self, slots: &[usize]) -> Vec<usize> {
         slots.iter().map(|slot| self.slots[*slot]).collect()
@@ -235,7 +236,7 @@
 
     // ---- Changes
 
-    /// Servers begin to drain, or leave: one version.
+    /// Changes the listed state of servers, in one new version.
     pub fn set_phase(&mut self, numbers: &[usize], phase: Phase) {
         for number in numbers {
             let server = &mut self.servers[*number];
@@ -244,21 +245,22 @@
         self.commit(numbers);
     }
 
-    /// Processes end, stop answering or come to be heard again; discovery does not know.
-    pub fn set_reach(&mut self, numbers: &[usize], reach: Reach) {
-        numbers.iter().for_each(|number| self.servers[*number].reach = reach);
+    /// Sets whether servers respond; the list does not change.
+    pub fn set_reachability(&mut self, numbers: &[usize], reachability: Reachability) {
+        numbers.iter().for_each(|number| self.servers[*number].reachability = reachability);
     }
 
-    /// Servers restart under their names: one version.
+    /// Restarts servers under their names, in one new version.
     pub fn restart(&mut self, numbers: &[usize], up_since_ms: u64) {
         for number in numbers {
             let server = &mut self.servers[*number];
-            (server.phase, server.reach, server.up_since_ms) = (Phase::Active, Reach::Up, up_since_ms);
+            (server.phase, server.reachability, server.up_since_ms) =
+                (Phase::Active, Reachability::Up, up_since_ms);
         }
         self.commit(numbers);
     }
 
-    /// New servers come into these slots: one version. Those that stood there stay as they are, in the log.
+    /// Adds new servers in these slots, in one new version. The servers that occupied them keep their state.
     pub fn join(&mut self, slots: &[usize], up_since_ms: u64) {
         let first = self.servers.len();
         for slot in slots {
@@ -266,7 +268,7 @@
             self.servers.push(Server {
                 slot: *slot,
                 phase: Phase::Active,
-                reach: Reach::Up,
+                reachability: Reachability::Up,
                 weight: 1.0,
                 up_since_ms,
                 in_flight: 0,
@@ -275,8 +277,8 @@
         self.commit(&(first..self.servers.len()).collect::<Vec<_>>());
     }
 
-    /// The configuration of a service changes, here the weight of its servers: one version.
-    pub fn weigh(&mut self, service: usize, weight: f64) {
+    /// Changes the configuration of a service, here the weight of its servers, in one new version.
+    pub fn set_service_weight(&mut self, service: usize, weight: f64) {
         let slots = 0..self.size.servers;
         let of_service: Vec<_> = slots.filter(|slot| self.size.service(*slot) == service).collect();
         let numbers = self.numbers(&of_service);
@@ -284,37 +286,38 @@
         self.commit(&numbers);
     }
 
+    /// Publishes a new version in which these servers changed.
     fn commit(&mut self, numbers: &[usize]) {
         self.published.push(Instant::now());
         let revision = self.revision();
         self.log.extend(numbers.iter().map(|number| (revision, *number)));
-        while self.log.len() > self.log_most {
+        while self.log.len() > self.max_log_entries {
             let Some((dropped, _)) = self.log.pop_front() else { break };
-            self.forgotten = dropped;
+            self.last_truncated_revision = dropped;
         }
         self.complete = None;
         self.changes.clear();
     }
 
-    // ---- Answers
+    // ---- Responses
 
-    /// The complete list: made once for each version.
-    pub fn complete(&mut self) -> Answer {
+    /// The complete list; encoded once for each version.
+    pub fn complete(&mut self) -> ListResponse {
         if let Some(complete) = &self.complete {
             return complete.clone();
         }
-        // Those that left stand in no slot, but for machines that are gone and not replaced.
+        // Servers that left occupy no slot, except those of failed machines that were not replaced.
         let mut listed: BTreeSet<usize> = self.slots.iter().copied().collect();
         listed.extend((0..self.servers.len()).filter(|at| self.servers[*at].phase == Phase::Leaving));
         listed.retain(|at| self.servers[*at].phase != Phase::Left);
-        let complete = self.answer(true, listed);
+        let complete = self.encode(true, listed);
         self.complete = Some(complete.clone());
         complete
     }
 
     /// What changed since a version: the complete list where that is unknown or the log no longer reaches back to it.
-    pub fn since(&mut self, revision: u64) -> Answer {
-        if revision > self.revision() || revision < self.forgotten {
+    pub fn since(&mut self, revision: u64) -> ListResponse {
+        if revision > self.revision() || revision < self.last_truncated_revision {
             return self.complete();
         }
         if let Some(answer) = self.changes.get(&revision) {
@@ -322,23 +325,23 @@
         }
         let later = self.log.iter().rev().take_while(|(at, _)| *at > revision);
         let changed = later.map(|(_, number)| *number).collect();
-        let answer = self.answer(false, changed);
+        let answer = self.encode(false, changed);
         self.changes.insert(revision, answer.clone());
         answer
     }
 
-    fn answer(&self, complete: bool, numbers: BTreeSet<usize>) -> Answer {
+    fn encode(&self, complete: bool, numbers: BTreeSet<usize>) -> ListResponse {
         let members: Vec<_> = numbers.iter().map(|number| self.member(*number)).collect();
         let count = members.len();
-        let list = List { revision: self.revision(), complete, members };
+        let list = ListBody { revision: self.revision(), complete, members };
         let body = serde_json::to_vec(&list).expect("plain values").into();
-        Answer { body, complete, members: count }
+        ListResponse { body, complete, members: count }
     }
 
-    fn member(&self, number: usize) -> Member<'_> {
+    fn member(&self, number: usize) -> MemberBody<'_> {
         let server = &self.servers[number];
         let rack = self.size.rack(server.slot);
-        Member {
+        MemberBody {
             id: name(number),
             host_port: self.addresses[rack],
             locality: &self.zones[self.size.zone(rack)],
