--- a/crates/node-emulator/src/counters.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the hollow nodes of one thread saw.
+//! Counts and times that the emulated nodes of one thread record.
 
 use std::time::{Duration, Instant};
 
@@ -7,17 +7,17 @@
 
 /// A histogram of times, in microseconds up to an hour, to three digits.
 #[derive(Clone, Debug)]
-pub struct Times(Histogram<u64>);
+pub struct DurationHistogram(Histogram<u64>);
 
 const HOUR_US: u64 = 3_600_000_000;
 
-impl Default for Times {
+impl Default for DurationHistogram {
     fn default() -> Self {
         Self(Histogram::new_with_bounds(1, HOUR_US, 3).expect("sound bounds"))
     }
 }
 
-impl Times {
+impl DurationHistogram {
     /// Adds a time; one over an hour counts as an hour.
     pub fn add(&mut self, time: Duration) {
         self.0.saturating_record(u64::try_from(time.as_micros()).unwrap_or(HOUR_US).max(1));
@@ -32,7 +32,7 @@
         self.0.add(&other.0).expect("the same bounds");
     }
 
-    /// The usual figures.
+    /// Count, median, 99th percentile and maximum.
     #[must_use]
     pub fn summary(&self) -> Summary {
         let ms = |us: u64| us as f64 / 1000.0;
@@ -41,59 +41,59 @@
     }
 }
 
-/// Figures of a histogram of times, in milliseconds; 0 where it holds none.
+/// Summary of a [`DurationHistogram`], in milliseconds; 0 where it is empty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// Times recorded.
+    /// Number of recorded times.
     pub count: u64,
-    /// Half were no longer.
+    /// Median.
     pub p50_ms: f64,
-    /// 99 in 100 were no longer.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// How a version reached the nodes.
+/// How a version propagated to the nodes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spread {
-    /// Nodes that went from an older version to it, or past it.
+pub struct VersionPropagation {
+    /// Nodes that went from an older version to this one or a newer one.
     pub nodes: u64,
-    /// The longest that one of them took.
+    /// The longest time from its publication until one of them did.
     pub longest: Duration,
 }
 
 /// Counts and times of some nodes.
 #[derive(Clone, Debug, Default)]
 pub struct NodeCounters {
-    /// From a version's coming to be until a node held it or a later one.
-    pub lag: Times,
-    /// From a node's start until it held a list.
-    pub start: Times,
-    /// What a node's decisions took to take a list in.
-    pub endpoint_update: Times,
-    /// What they took for a request.
-    pub request: Times,
-    /// How much later than asked for the thread's event loop woke up: what it adds to all other times.
-    pub late: Times,
-    /// By version, from the first one of the play.
-    pub spread: Vec<Spread>,
-    /// Seconds, added up over nodes, on a version that was not the newest.
+    /// From the publication of a version until a node applied it or a later one.
+    pub lag: DurationHistogram,
+    /// From the start of a node until it applied its first list.
+    pub start: DurationHistogram,
+    /// Time in which a node's decisions applied a list.
+    pub endpoint_update: DurationHistogram,
+    /// Time in which they decided about a new request.
+    pub request: DurationHistogram,
+    /// By how much the thread's event loop woke up late: this is contained in all other times.
+    pub wake_up_delay: DurationHistogram,
+    /// By version.
+    pub propagation: Vec<VersionPropagation>,
+    /// Time on a version that was not the newest, summed over nodes.
     pub behind: Duration,
-    /// Answers of discovery that were read.
-    pub lists: u64,
+    /// Responses of discovery that were applied.
+    pub list_responses: u64,
     /// Complete lists among them.
     pub complete_lists: u64,
     /// Calls to discovery that failed or were not answered.
     pub failed_calls: u64,
     /// Node starts.
     pub starts: u64,
-    /// Requests that came.
+    /// Requests that arrived.
     pub requests: u64,
     /// Requests served.
     pub served: u64,
     /// Requests refused: trying again is harmless.
-    pub refused: u64,
+    pub rejected: u64,
     /// Requests failed.
     pub failed: u64,
     /// Attempts sent to servers.
@@ -103,7 +103,8 @@
 }
 
 impl NodeCounters {
-    /// A node has gone from one version to a newer one. `published` tells when a version came to be.
+    /// Records that a node went from version `from` to the newer version `to`; `published` returns when a version was
+    /// published.
     pub fn advanced(&mut self, now: Instant, from: u64, to: u64, published: impl Fn(u64) -> Option<Instant>) {
         let since = |version| published(version).map(|at| now.saturating_duration_since(at));
         self.behind += since(from + 1).unwrap_or_default();
@@ -111,34 +112,35 @@
             let Some(lag) = since(version) else { continue };
             self.lag.add(lag);
             let at = usize::try_from(version).unwrap_or(0);
-            if self.spread.len() <= at {
-                self.spread.resize(at + 1, Spread::default());
+            if self.propagation.len() <= at {
+                self.propagation.resize(at + 1, VersionPropagation::default());
             }
-            self.spread[at].nodes += 1;
-            self.spread[at].longest = self.spread[at].longest.max(lag);
+            self.propagation[at].nodes += 1;
+            self.propagation[at].longest = self.propagation[at].longest.max(lag);
         }
     }
 
-    /// Adds what other nodes saw.
+    /// Adds the counts and times of other nodes.
     pub fn merge(&mut self, other: &Self) {
         self.lag.merge(&other.lag);
         self.start.merge(&other.start);
         self.endpoint_update.merge(&other.endpoint_update);
         self.request.merge(&other.request);
-        self.late.merge(&other.late);
-        self.spread.resize(self.spread.len().max(other.spread.len()), Spread::default());
-        for (mine, other) in self.spread.iter_mut().zip(&other.spread) {
+        self.wake_up_delay.merge(&other.wake_up_delay);
+        self.propagation
+            .resize(self.propagation.len().max(other.propagation.len()), VersionPropagation::default());
+        for (mine, other) in self.propagation.iter_mut().zip(&other.propagation) {
             mine.nodes += other.nodes;
             mine.longest = mine.longest.max(other.longest);
         }
         self.behind += other.behind;
-        self.lists += other.lists;
+        self.list_responses += other.list_responses;
         self.complete_lists += other.complete_lists;
         self.failed_calls += other.failed_calls;
         self.starts += other.starts;
         self.requests += other.requests;
         self.served += other.served;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         self.failed += other.failed;
         self.sends += other.sends;
         self.probes += other.probes;
--- a/crates/node-emulator/src/discovery.rs
+++ b/crates/node-emulator/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in discovery: one agent for each region, as the protocol page's chapter 'Discovery' has it.
+//! The stand-in discovery service: one agent for each region, as in the chapter 'Discovery' of the protocol page.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -18,24 +18,24 @@
 use crate::traffic::Counted;
 use crate::world::{accept, World};
 
-/// No watch waits longer.
+/// Longest wait of a long poll.
 const MAX_LONG_POLL: Duration = Duration::from_secs(60);
 
-/// What is asked for.
+/// A request for the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum ListRequest {
     /// The complete list.
-    Whole,
-    /// What is newer than a version, once there is something.
-    Since {
-        /// The version that is held.
+    Complete,
+    /// The changes since a version, once there are any (a long poll).
+    ChangesSince {
+        /// The version that the client has.
         revision: u64,
         /// The longest wait.
         wait: Duration,
     },
 }
 
-impl Ask {
+impl ListRequest {
     /// Reads the path and query of a call; the error is the status to answer with.
     ///
     /// # Errors
@@ -56,7 +56,7 @@
             }
         }
         let wait = Duration::from_millis(wait_ms).min(MAX_LONG_POLL);
-        Ok(since.map_or(Self::Whole, |revision| Self::Since { revision, wait }))
+        Ok(since.map_or(Self::Complete, |revision| Self::ChangesSince { revision, wait }))
     }
 }
 
@@ -68,15 +68,15 @@
             // Small answers must not wait for the client's acknowledgement.
             let _ = stream.set_nodelay(true);
             let stream = TokioIo::new(Counted::new(stream, Arc::clone(&world.discovery)));
-            let service = service_fn(|request| answer(&world, region, request));
-            // It fails where the client breaks the connection off, as it does when the agent is silent.
+            let service = service_fn(|request| handle_request(&world, region, request));
+            // It fails where the client breaks the connection off, as it does when the agent is unresponsive.
             let _ = http1::Builder::new().serve_connection(stream, service).await;
         });
     })
     .await;
 }
 
-async fn answer(
+async fn handle_request(
     world: &World,
     region: usize,
     request: Request<Incoming>,
@@ -90,28 +90,28 @@
     if request.method() != Method::GET {
         return status(StatusCode::METHOD_NOT_ALLOWED);
     }
-    let ask = match Ask::parse(request.uri()) {
-        Ok(ask) => ask,
+    let list_request = match ListRequest::parse(request.uri()) {
+        Ok(list_request) => list_request,
         Err(code) => return status(code),
     };
-    if let Ask::Since { revision, wait } = ask {
-        // A wait that ends without news is answered as well.
+    if let ListRequest::ChangesSince { revision, wait } = list_request {
+        // A wait that ends without a change is answered as well.
         let _ = timeout(wait, world.newest().wait_for(|newest| *newest != revision)).await;
     }
-    // An agent that is silent leaves the call open: the client gives up, and this future is dropped.
+    // An unresponsive agent leaves the call open until the client gives up: then this future is dropped.
     world.wait_until_answering(region).await;
     let mut catalogue = world.catalogue();
-    let answer = match ask {
-        Ask::Whole => catalogue.complete(),
-        Ask::Since { revision, .. } => catalogue.since(revision),
+    let response_list = match list_request {
+        ListRequest::Complete => catalogue.complete(),
+        ListRequest::ChangesSince { revision, .. } => catalogue.since(revision),
     };
     drop(catalogue);
-    let count = match answer.members {
-        _ if answer.complete => &world.counts.complete_lists,
+    let count = match response_list.members {
+        _ if response_list.complete => &world.counts.complete_lists,
         0 => &world.counts.unchanged,
         _ => &world.counts.changes,
     };
     count.fetch_add(1, Relaxed);
     let response = Response::builder().header("Content-Type", "application/json");
-    Ok(response.body(Full::new(answer.body)).expect("a sound response"))
+    Ok(response.body(Full::new(response_list.body)).expect("a sound response"))
 }
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! A model of the fleet that the node serves in: a stand-in discovery, hollow servers and hollow nodes on loopback
-//! addresses of one process, driven by a scenario; and measures of single quantities against size.
+//! Emulates the fleet that the node serves in: a stand-in discovery service, servers and nodes on loopback addresses
+//! of one process, driven by a scenario ([`scenario_run`]); and measures single quantities against size ([`slopes`]).
 //!
-//! Hollow nodes run the project's own decisions ([`balancer::Balancer`]) and its own discovery client
-//! ([`balancer::net::discovery`]). What is hollow: clients, the work of the servers, and the node's own sockets to
-//! clients. All figures are those of the machine that the emulator runs on.
+//! Emulated nodes run the project's own decisions ([`balancer::Balancer`]) and its own discovery client
+//! ([`balancer::net::discovery`]). Clients, the work of the servers and the node's sockets to clients are emulated.
+//! All measured values are those of the machine that the emulator runs on.
 
 pub mod build;
 pub mod catalogue;
@@ -11,10 +11,10 @@
 pub mod discovery;
 pub mod fit;
 pub mod node;
-pub mod play;
 pub mod quantity;
 pub mod report;
 pub mod scenario;
+pub mod scenario_run;
 pub mod server;
 pub mod slopes;
 pub mod steps;
--- a/crates/node-emulator/src/main.rs
+++ b/crates/node-emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `node-emulator`: measures single quantities against size, and plays scenarios of the whole fleet.
+//! `node-emulator`: measures single quantities against size, and runs scenarios of the complete fleet.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use node_emulator::report::{self, Report};
 use node_emulator::scenario::Scenario;
 use node_emulator::usage::{self, Memory};
-use node_emulator::{play, slopes};
+use node_emulator::{scenario_run, slopes};
 use tracing::Level;
 
 /// A model of the fleet that the node serves in.
@@ -42,7 +42,8 @@
     /// Measures quantities against size, and fits a line to each.
     Slopes(SlopesArguments),
     /// Plays a scenario.
-    Play(PlayArguments),
+    #[command(name = "play")]
+    RunScenario(ScenarioArguments),
 }
 
 #[derive(clap::Args)]
@@ -68,15 +69,15 @@
 }
 
 #[derive(clap::Args)]
-struct PlayArguments {
+struct ScenarioArguments {
     /// The scenario, a TOML file.
     scenario: PathBuf,
     /// Threads that the hollow nodes are spread over.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=64))]
     node_threads: u16,
     /// All nodes have their first list within so many seconds, or the play does not begin.
-    #[arg(long, default_value_t = 300)]
-    start_most_s: u64,
+    #[arg(long = "start-most-s", value_name = "START_MOST_S", default_value_t = 300)]
+    start_timeout_s: u64,
     /// Takes the place of the scenario's seed.
     #[arg(long)]
     seed: Option<u64>,
@@ -92,11 +93,11 @@
         LogFormat::Text => log.with_ansi(false).init(),
         LogFormat::Json => log.json().init(),
     }
-    let done = match cli.command {
-        Command::Slopes(arguments) => run_slopes(arguments, cli.memory_mb),
-        Command::Play(arguments) => run_play(arguments, cli.memory_mb),
+    let outcome = match cli.command {
+        Command::Slopes(arguments) => run_slopes_command(arguments, cli.memory_mb),
+        Command::RunScenario(arguments) => run_scenario_command(arguments, cli.memory_mb),
     };
-    match done {
+    match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("node-emulator: {error}");
@@ -105,16 +106,16 @@
     }
 }
 
-type Done = Result<(), Box<dyn std::error::Error>>;
+type CommandResult = Result<(), Box<dyn std::error::Error>>;
 
-fn run_play(arguments: PlayArguments, memory_mb: u64) -> Done {
+fn run_scenario_command(arguments: ScenarioArguments, memory_mb: u64) -> CommandResult {
     let mut scenario = Scenario::read(&arguments.scenario)?;
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
-    let (node_threads, start_most_s) = (arguments.node_threads.into(), arguments.start_most_s);
-    let options = play::Options { node_threads, memory_mb, start_most_s };
+    let (node_threads, start_timeout_s) = (arguments.node_threads.into(), arguments.start_timeout_s);
+    let options = scenario_run::RunOptions { node_threads, memory_mb, start_timeout_s };
     let (commit, modified) = report::commit();
-    let played = play::play(&scenario, options)?;
-    print!("{}", play::table(&scenario, &played));
+    let measured = scenario_run::run(&scenario, options)?;
+    print!("{}", scenario_run::table(&scenario, &measured));
     let path = arguments.report.unwrap_or_else(|| format!("logs/play-{}.json", scenario.name).into());
     let report = Report {
         command: "play",
@@ -122,18 +123,18 @@
         commit,
         modified,
         settings: serde_json::json!({ "scenario": scenario, "options": options }),
-        memory: played.memory,
-        cpu_seconds: played.cpu_seconds,
-        traffic: played.traffic,
-        results: played.results,
+        memory: measured.memory,
+        cpu_seconds: measured.cpu_seconds,
+        traffic: measured.traffic,
+        results: measured.results,
     };
     report.write(&path)?;
     tracing::info!(path = %path.display(), "report written");
     Ok(())
 }
 
-fn run_slopes(arguments: SlopesArguments, memory_mb: u64) -> Done {
-    let options = slopes::Options {
+fn run_slopes_command(arguments: SlopesArguments, memory_mb: u64) -> CommandResult {
+    let options = slopes::SlopesOptions {
         quantities: arguments.quantities,
         sizes: arguments.sizes,
         repeats: arguments.repeats.into(),
--- a/crates/node-emulator/src/node/hollow_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -1,4 +1,4 @@
-//! One hollow node: its decisions, its pending requests and its subscription to discovery.
+//! One emulated node: its decisions, its pending requests and its subscription to discovery.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,36 +20,39 @@
 use super::thread::NodeThread;
 use crate::counters::NodeCounters;
 
-/// A request that a node holds.
+/// A request that has arrived at a node and is not finished.
 #[derive(Default)]
-pub(super) struct Taken {
+pub(super) struct PendingRequest {
+    /// Whether the client has its response.
     pub(super) answered: bool,
-    /// Each attempt, while it is out.
+    /// By attempt: its cancellation, while it is in flight.
     pub(super) attempts: Vec<Option<oneshot::Sender<()>>>,
 }
 
-/// A node that is all decisions and discovery.
-pub struct HollowNode {
+/// A node of which only the decisions and the discovery client are real.
+pub struct EmulatedNode {
     pub(super) thread: Rc<NodeThread>,
     pub(super) number: usize,
     pub(super) region: usize,
     pub(super) update_requested: Notify,
     pub(super) discovery_moved: Notify,
     pub(super) started: Instant,
+    /// The version of the list that the decisions have; `None` before the first.
     pub(super) revision: Cell<Option<u64>>,
-    pub(super) over: Cell<bool>,
+    /// Set when the node is to be restarted: later events are ignored.
+    pub(super) stopped: Cell<bool>,
     pub(super) balancer: RefCell<Balancer>,
-    pub(super) taken: RefCell<HashMap<RequestId, Taken>>,
+    pub(super) pending_requests: RefCell<HashMap<RequestId, PendingRequest>>,
     pub(super) last_request: Cell<u64>,
 }
 
-impl HollowNode {
+impl EmulatedNode {
     pub(super) fn new(thread: &Rc<NodeThread>, number: usize) -> Result<Rc<Self>, balancer::SettingsError> {
-        let size = thread.plan.size;
+        let size = thread.config.size;
         let zone = size.zone(number);
-        let mut settings = thread.plan.settings.clone();
+        let mut settings = thread.config.settings.clone();
         (settings.nodes, settings.node_index, settings.zone) = (size.nodes, number, zone);
-        let balancer = Balancer::new(settings, thread.plan.seed ^ number as u64)?;
+        let balancer = Balancer::new(settings, thread.config.seed ^ number as u64)?;
         thread.known_versions.set(number, 0);
         lock(&thread.counters).starts += 1;
         let node = Rc::new(Self {
@@ -60,25 +63,26 @@
             discovery_moved: Notify::new(),
             started: Instant::now(),
             revision: Cell::new(None),
-            over: Cell::new(false),
+            stopped: Cell::new(false),
             balancer: RefCell::new(balancer),
-            taken: RefCell::default(),
+            pending_requests: RefCell::default(),
             last_request: Cell::new(0),
         });
-        // As the real node does where lists are pushed.
+        // As a real node does where lists are pushed.
         node.update_requested.notify_one();
         Ok(node)
     }
 
-    /// The process has ended: what is still out concerns nobody.
+    /// Stops the node: outcomes of its attempts in flight are ignored.
     pub(super) fn end(&self) {
-        self.over.set(true);
-        self.taken.borrow_mut().clear();
+        self.stopped.set(true);
+        self.pending_requests.borrow_mut().clear();
     }
 
+    /// Reads the first list, then follows discovery for as long as the node runs.
     pub(super) async fn follow(self: Rc<Self>) {
         let known = {
-            let _permit = self.thread.starting.acquire().await;
+            let _permit = self.thread.start_permits.acquire().await;
             discovery::fetch_initial(&self).await
         };
         discovery::follow(self, known).await;
@@ -86,67 +90,73 @@
 
     // ---- Requests
 
-    pub(super) async fn take_requests(self: Rc<Self>) {
-        let rate = self.thread.plan.requests_per_s;
+    /// Starts requests at random times (a Poisson process) once the clients send.
+    pub(super) async fn generate_requests(self: Rc<Self>) {
+        let rate = self.thread.config.requests_per_s;
         if rate <= 0.0 {
             return;
         }
-        // It fails where the play has ended before its start.
-        let _ = self.thread.open.clone().wait_for(|open| *open).await;
-        let mut random = fastrand::Rng::with_seed(self.thread.plan.seed.rotate_left(32) ^ self.number as u64);
+        // It fails where the run ended before the clients were started.
+        let _ = self.thread.clients_started.clone().wait_for(|clients_started| *clients_started).await;
+        let mut random =
+            fastrand::Rng::with_seed(self.thread.config.seed.rotate_left(32) ^ self.number as u64);
         loop {
             let gap = -(1.0 - random.f64()).ln() / rate;
             sleep(Duration::from_secs_f64(gap)).await;
             if self.revision.get().is_some() {
-                let classes = self.thread.plan.settings.classes.len();
-                self.take(random.usize(0..classes));
+                let classes = self.thread.config.settings.classes.len();
+                self.start_request(random.usize(0..classes));
             }
         }
     }
 
-    pub(super) fn take(self: &Rc<Self>, class: usize) {
+    pub(super) fn start_request(self: &Rc<Self>, class: usize) {
         let id = RequestId(self.last_request.get() + 1);
         self.last_request.set(id.0);
-        self.taken.borrow_mut().insert(id, Taken::default());
-        let begun = Instant::now();
-        let budget_ms = self.thread.plan.settings.classes[class].deadline_ms;
+        self.pending_requests.borrow_mut().insert(id, PendingRequest::default());
+        let started_at = Instant::now();
+        let budget_ms = self.thread.config.settings.classes[class].deadline_ms;
         let actions = self.decide(BalancerEvent::RequestArrived(ClientRequest::new(id, class, budget_ms)));
         let mut counters = lock(&self.thread.counters);
-        counters.request.add(begun.elapsed());
+        counters.request.add(started_at.elapsed());
         counters.requests += 1;
         drop(counters);
-        self.carry_out(actions);
-        self.forget_if_over(id);
+        self.execute(actions);
+        self.remove_if_finished(id);
     }
 
     pub(super) fn handle(self: &Rc<Self>, event: BalancerEvent) {
         let actions = self.decide(event);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     pub(super) fn decide(&self, event: BalancerEvent) -> Vec<BalancerAction> {
         let mut actions = Vec::new();
-        if !self.over.get() {
+        if !self.stopped.get() {
             self.balancer.borrow_mut().handle(self.thread.world.now_ms(), event, &mut actions);
         }
         actions
     }
 
-    pub(super) fn carry_out(self: &Rc<Self>, actions: Vec<BalancerAction>) {
+    pub(super) fn execute(self: &Rc<Self>, actions: Vec<BalancerAction>) {
         for action in actions {
             match action {
                 BalancerAction::Send { request, server, .. } => self.send(request, server),
                 BalancerAction::Probe { server } => self.probe(server),
                 BalancerAction::Cancel { request, attempt } => {
-                    let mut taken = self.taken.borrow_mut();
-                    let out = taken.get_mut(&request).and_then(|held| held.attempts.get_mut(attempt));
-                    // Dropped, it tells the attempt to end.
-                    drop(out.and_then(Option::take));
+                    let mut pending_requests = self.pending_requests.borrow_mut();
+                    let cancellation = pending_requests
+                        .get_mut(&request)
+                        .and_then(|pending| pending.attempts.get_mut(attempt));
+                    // Dropping the sender cancels the attempt.
+                    drop(cancellation.and_then(Option::take));
                 }
                 BalancerAction::Reject { request, .. } => {
-                    self.answer(request, |counters| counters.refused += 1)
+                    self.finish_request(request, |counters| counters.rejected += 1)
+                }
+                BalancerAction::Fail { request } => {
+                    self.finish_request(request, |counters| counters.failed += 1)
                 }
-                BalancerAction::Fail { request } => self.answer(request, |counters| counters.failed += 1),
                 BalancerAction::Subscribe => self.update_requested.notify_one(),
                 BalancerAction::SetTimer { timer, after_ms } => {
                     let node = Rc::clone(self);
@@ -161,42 +171,46 @@
         }
     }
 
-    pub(super) fn answer(&self, request: RequestId, count: impl FnOnce(&mut NodeCounters)) {
-        if let Some(held) = self.taken.borrow_mut().get_mut(&request) {
-            if !std::mem::replace(&mut held.answered, true) {
+    /// Records the response to a client; only the first one counts.
+    pub(super) fn finish_request(&self, request: RequestId, count: impl FnOnce(&mut NodeCounters)) {
+        if let Some(pending) = self.pending_requests.borrow_mut().get_mut(&request) {
+            if !std::mem::replace(&mut pending.answered, true) {
                 count(&mut lock(&self.thread.counters));
             }
         }
-        self.forget_if_over(request);
+        self.remove_if_finished(request);
     }
 
-    pub(super) fn forget_if_over(&self, request: RequestId) {
-        let mut taken = self.taken.borrow_mut();
-        if taken.get(&request).is_some_and(|held| held.answered && held.attempts.iter().all(Option::is_none))
+    /// Removes a request that is answered and has no attempt in flight.
+    pub(super) fn remove_if_finished(&self, request: RequestId) {
+        let mut pending_requests = self.pending_requests.borrow_mut();
+        if pending_requests
+            .get(&request)
+            .is_some_and(|pending| pending.answered && pending.attempts.iter().all(Option::is_none))
         {
-            taken.remove(&request);
+            pending_requests.remove(&request);
         }
     }
 
     pub(super) fn send(self: &Rc<Self>, request: RequestId, server: ServerId) {
-        let mut taken = self.taken.borrow_mut();
-        let Some(held) = taken.get_mut(&request) else { return };
+        let mut pending_requests = self.pending_requests.borrow_mut();
+        let Some(pending) = pending_requests.get_mut(&request) else { return };
         let (stop, stopped) = oneshot::channel();
-        let attempt = held.attempts.len();
-        held.attempts.push(Some(stop));
+        let attempt = pending.attempts.len();
+        pending.attempts.push(Some(stop));
         lock(&self.thread.counters).sends += 1;
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let (outcome, report) = tokio::select! {
                 reply = node.thread.call(server, node.region, "/api") => reply,
                 _ = stopped => (AttemptOutcome::Cancelled, None),
             };
-            node.ended(request, attempt, begun.elapsed(), outcome, report);
+            node.on_attempt_ended(request, attempt, started_at.elapsed(), outcome, report);
         });
     }
 
-    pub(super) fn ended(
+    pub(super) fn on_attempt_ended(
         self: &Rc<Self>,
         request: RequestId,
         attempt: usize,
@@ -204,13 +218,13 @@
         outcome: AttemptOutcome,
         report: Option<LoadReport>,
     ) {
-        if let Some(held) = self.taken.borrow_mut().get_mut(&request) {
-            held.attempts[attempt] = None;
+        if let Some(pending) = self.pending_requests.borrow_mut().get_mut(&request) {
+            pending.attempts[attempt] = None;
         }
         if outcome == AttemptOutcome::Served {
-            self.answer(request, |counters| counters.served += 1);
+            self.finish_request(request, |counters| counters.served += 1);
         }
-        let complete = self.taken.borrow().get(&request).is_none_or(|held| held.answered);
+        let complete = self.pending_requests.borrow().get(&request).is_none_or(|pending| pending.answered);
         let elapsed_ms = elapsed.as_secs_f64() * 1000.0;
         self.handle(BalancerEvent::AttemptEnded(AttemptEnd {
             request,
@@ -220,7 +234,7 @@
             complete,
             report,
         }));
-        self.forget_if_over(request);
+        self.remove_if_finished(request);
     }
 
     pub(super) fn probe(self: &Rc<Self>, server: ServerId) {
@@ -233,7 +247,7 @@
     }
 }
 
-impl Subscriber for HollowNode {
+impl Subscriber for EmulatedNode {
     fn update_requested(&self) -> &Notify {
         &self.update_requested
     }
@@ -243,7 +257,7 @@
     }
 
     fn discovery_address(&self) -> SocketAddr {
-        self.thread.plan.agents[self.region]
+        self.thread.config.agents[self.region]
     }
 
     fn revision(&self) -> Option<u64> {
@@ -251,24 +265,24 @@
     }
 
     fn drain_grace(&self) -> Duration {
-        Duration::try_from_secs_f64(self.thread.plan.settings.drain_grace_ms / 1000.0).unwrap_or_default()
+        Duration::try_from_secs_f64(self.thread.config.settings.drain_grace_ms / 1000.0).unwrap_or_default()
     }
 
     fn apply(self: &Rc<Self>, list: ServerList) {
-        if self.over.get() {
+        if self.stopped.get() {
             return;
         }
         let before = self.revision.replace(Some(list.revision));
         let endpoint_update = endpoint_update(&list, &self.thread.zones);
         let (revision, complete) = (list.revision, list.complete);
         drop(list);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let actions = self.decide(BalancerEvent::EndpointsUpdated(endpoint_update));
-        // Only now do the decisions go by it.
+        // The time until here is that of the decisions; the lag of a version ends once they have it.
         let now = Instant::now();
         let mut counters = lock(&self.thread.counters);
-        counters.endpoint_update.add(now - begun);
-        counters.lists += 1;
+        counters.endpoint_update.add(now - started_at);
+        counters.list_responses += 1;
         counters.complete_lists += u64::from(complete);
         match before {
             None => counters.start.add(now - self.started),
@@ -280,7 +294,7 @@
         }
         drop(counters);
         self.thread.known_versions.set(self.number, revision);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn unavailable(self: &Rc<Self>) {
--- a/crates/node-emulator/src/node/endpoint_update.rs
+++ b/crates/node-emulator/src/node/endpoint_update.rs
@@ -1,21 +1,21 @@
-//! Lists of discovery as the decisions take them.
+//! Converts lists of discovery to the updates that the decisions take.
 
 use balancer::net::list::{ListDecoder, ListError, ListedMember, ServerList};
 use balancer::{wire, EndpointUpdate, ServerId};
 
-use crate::catalogue::{self};
+use crate::catalogue;
 
-/// A list of the protocol, from its JSON.
+/// Decodes a list of the discovery protocol.
 ///
 /// # Errors
 ///
-/// Where it is none.
+/// Where `body` is not such a list.
 pub fn read_list(body: &[u8]) -> Result<ServerList, ListError> {
     let mut decoder = ListDecoder::new(usize::MAX);
     decoder.feed(body).and_then(|()| decoder.finish())
 }
 
-/// A list as the decisions take it.
+/// The update of the decisions that a list stands for; servers with foreign names are left out.
 #[must_use]
 pub fn endpoint_update(list: &ServerList, zones: &[String]) -> EndpointUpdate {
     let entry = |member: &ListedMember| {
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -1,14 +1,14 @@
-//! Hollow nodes: the project's own decisions and its own discovery client, many to a thread.
+//! Emulated nodes: the project's own decisions and its own discovery client, many nodes to a thread.
 //!
-//! A thread's nodes share their connections to the hollow servers and their counters. A node keeps its `Balancer` and
-//! little more: the names of servers are their numbers, and their addresses the catalogue's.
+//! The nodes of a thread share their connections to the servers and their counters. A node owns its `Balancer` and
+//! little more: server names encode the servers' numbers, and addresses are looked up in the catalogue.
 
+mod emulated_node;
 mod endpoint_update;
-mod hollow_node;
 mod thread;
 
+pub use self::emulated_node::EmulatedNode;
 pub use self::endpoint_update::{endpoint_update, read_list};
-pub use self::hollow_node::HollowNode;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,29 +25,29 @@
 use crate::counters::NodeCounters;
 use crate::world::World;
 
-/// Nodes of a thread that may read their first list at once. They share one core, which real nodes do not: all at
-/// once each would miss the client's time limit for it.
+/// Nodes of a thread that may read their first list at once. They share one core, which real nodes do not: if all
+/// read at once, each would exceed the client's time-out.
 const MAX_CONCURRENT_STARTS: usize = 2;
 
-/// What all hollow nodes are configured with.
+/// The configuration that all emulated nodes share.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// How many there are of each.
+pub struct NodeConfig {
+    /// The sizes of the fleet.
     pub size: Size,
-    /// All random numbers follow from it.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Where the agent of each region listens.
+    /// The address of the discovery agent of each region, by region.
     pub agents: Vec<SocketAddr>,
-    /// The settings; `me` and `zone` are each node's own.
+    /// The settings of the decisions; `nodes`, `node_index` and `zone` are replaced by each node's own.
     pub settings: DecisionSettings,
-    /// Requests that come to one node in a second, on average.
+    /// Requests that arrive at one node in a second, on average.
     pub requests_per_s: f64,
 }
 
-/// What a thread of nodes is to do.
+/// A command to a thread of nodes.
 #[derive(Clone, Copy, Debug)]
-pub enum Command {
-    /// Ends a node, where it runs, and starts it.
+pub enum NodeCommand {
+    /// Starts a node, and stops it first if it runs.
     Start(usize),
 }
 
@@ -59,12 +59,12 @@
     counters.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The version that each node holds; 0 for none.
+/// The version of the list that each node has, by node; 0 for none.
 #[derive(Debug)]
 pub struct KnownVersions(Vec<std::sync::atomic::AtomicU64>);
 
 impl KnownVersions {
-    /// None holds any yet.
+    /// No node has a list yet.
     #[must_use]
     pub fn new(nodes: usize) -> Self {
         Self((0..nodes).map(|_| 0.into()).collect())
@@ -80,36 +80,36 @@
     }
 }
 
-/// Runs the nodes of a thread until no command can come any more; runs within a `LocalSet`.
+/// Runs the nodes of a thread until the sender of commands is dropped; must be called within a `LocalSet`.
 pub async fn run(
-    plan: Arc<Plan>,
+    config: Arc<NodeConfig>,
     world: Arc<World>,
     counters: SharedCounters,
     known_versions: Arc<KnownVersions>,
-    open: watch::Receiver<bool>,
-    mut commands: mpsc::UnboundedReceiver<Command>,
+    clients_started: watch::Receiver<bool>,
+    mut commands: mpsc::UnboundedReceiver<NodeCommand>,
 ) {
     let thread = Rc::new(NodeThread {
-        zones: catalogue::zone_names(plan.size),
-        plan,
+        zones: catalogue::zone_names(config.size),
+        config,
         world,
         counters,
         idle: RefCell::default(),
-        open,
+        clients_started,
         known_versions,
-        starting: Semaphore::new(MAX_CONCURRENT_STARTS),
+        start_permits: Semaphore::new(MAX_CONCURRENT_STARTS),
     });
     tokio::task::spawn_local(Rc::clone(&thread).measure_lateness());
-    let mut running: HashMap<usize, (Rc<HollowNode>, Vec<AbortHandle>)> = HashMap::new();
-    while let Some(Command::Start(number)) = commands.recv().await {
+    let mut running: HashMap<usize, (Rc<EmulatedNode>, Vec<AbortHandle>)> = HashMap::new();
+    while let Some(NodeCommand::Start(number)) = commands.recv().await {
         if let Some((old, tasks)) = running.remove(&number) {
             old.end();
             tasks.iter().for_each(AbortHandle::abort);
         }
-        match HollowNode::new(&thread, number) {
+        match EmulatedNode::new(&thread, number) {
             Ok(node) => {
                 let follow = tokio::task::spawn_local(Rc::clone(&node).follow());
-                let take = tokio::task::spawn_local(Rc::clone(&node).take_requests());
+                let take = tokio::task::spawn_local(Rc::clone(&node).generate_requests());
                 running.insert(number, (node, vec![follow.abort_handle(), take.abort_handle()]));
             }
             Err(error) => tracing::error!(number, %error, "a node cannot start"),
--- a/crates/node-emulator/src/node/thread.rs
+++ b/crates/node-emulator/src/node/thread.rs
@@ -1,4 +1,4 @@
-//! What the hollow nodes of one thread share: connections, counters and the plan.
+//! What the emulated nodes of one thread share: connections, counters and the configuration.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,31 +18,33 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::timeout;
 
-use super::{lock, KnownVersions, Plan, SharedCounters};
-use crate::catalogue::{self};
+use super::{lock, KnownVersions, NodeConfig, SharedCounters};
+use crate::catalogue;
 use crate::world::World;
 
-/// How often a thread sees how late it is.
+/// How often the wake-up delay of a thread is measured.
 pub(super) const LATENESS_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An answer of a hollow server is no longer than this.
+/// Longest body of a server's response.
 pub(super) const MAX_ANSWER_BYTES: usize = 1 << 10;
 
 /// Idle connections kept to the servers of one rack, for all nodes of a thread.
 pub(super) const MAX_IDLE_CONNECTIONS: usize = 32;
 
-/// The nodes of one thread and what they share.
+/// State that the nodes of one thread share.
 pub(super) struct NodeThread {
-    pub(super) plan: Arc<Plan>,
+    pub(super) config: Arc<NodeConfig>,
     pub(super) world: Arc<World>,
     pub(super) zones: Vec<String>,
     pub(super) counters: SharedCounters,
+    /// Idle connections, by the address of a rack.
     pub(super) idle: RefCell<HashMap<SocketAddr, Vec<SendRequest<Empty<Bytes>>>>>,
-    /// Raised for good when clients come.
-    pub(super) open: watch::Receiver<bool>,
-    /// Versions held by the nodes that run, for who waits until all have the newest.
+    /// Becomes true, for good, when the clients begin to send.
+    pub(super) clients_started: watch::Receiver<bool>,
+    /// Versions of the nodes' lists, from which the run sees whether all have the newest.
     pub(super) known_versions: Arc<KnownVersions>,
-    pub(super) starting: Semaphore,
+    /// Limits the first reads of a list to [`MAX_CONCURRENT_STARTS`](super::MAX_CONCURRENT_STARTS).
+    pub(super) start_permits: Semaphore,
 }
 
 impl NodeThread {
@@ -50,16 +52,18 @@
         loop {
             let due = Instant::now() + LATENESS_INTERVAL;
             tokio::time::sleep_until(due.into()).await;
-            lock(&self.counters).late.add(due.elapsed());
+            lock(&self.counters).wake_up_delay.add(due.elapsed());
         }
     }
 
-    /// The longest that an attempt may take.
-    pub(super) fn longest(&self) -> Duration {
-        let longest = self.plan.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
-        Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default()
+    /// The longest deadline of all request classes, which bounds an attempt.
+    pub(super) fn max_attempt_duration(&self) -> Duration {
+        let deadline_ms =
+            self.config.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
+        Duration::try_from_secs_f64(deadline_ms / 1000.0).unwrap_or_default()
     }
 
+    /// Sends a request to a server within the time-out of an attempt.
     pub(super) async fn call(
         &self,
         server: ServerId,
@@ -67,9 +71,10 @@
         path: &str,
     ) -> (AttemptOutcome, Option<LoadReport>) {
         let call = self.exchange(server, region, path);
-        timeout(self.longest(), call).await.unwrap_or((AttemptOutcome::TimedOut, None))
+        timeout(self.max_attempt_duration(), call).await.unwrap_or((AttemptOutcome::TimedOut, None))
     }
 
+    /// Sends a request to a server and reads its response, without a time-out.
     pub(super) async fn exchange(
         &self,
         server: ServerId,
@@ -79,7 +84,7 @@
         let Some(address) = self.world.catalogue().address(server.0) else {
             return (AttemptOutcome::Unreachable, None);
         };
-        let Some(mut sender) = self.connection(address).await else {
+        let Some(mut sender) = self.idle_or_new_connection(address).await else {
             return (AttemptOutcome::Unreachable, None);
         };
         let request = hyper::Request::get(path).header("Host", catalogue::name(server.0));
@@ -97,14 +102,17 @@
         let outcome = match head.status {
             _ if !complete => AttemptOutcome::Reset,
             StatusCode::OK => AttemptOutcome::Served,
-            // Stands for a refused connection.
+            // The emulated servers' stand-in for a refused connection.
             StatusCode::GONE => AttemptOutcome::Unreachable,
             _ => AttemptOutcome::Error,
         };
         (outcome, report)
     }
 
-    pub(super) async fn connection(&self, address: SocketAddr) -> Option<SendRequest<Empty<Bytes>>> {
+    pub(super) async fn idle_or_new_connection(
+        &self,
+        address: SocketAddr,
+    ) -> Option<SendRequest<Empty<Bytes>>> {
         loop {
             let kept = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
             let Some(mut kept) = kept else { break };
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -18,7 +18,9 @@
     /// Time in which a node starts from the list that it last knew, read already, by servers.
     NodeStart,
     /// Time in which the decisions take a complete list, by servers.
-    WholeList,
+    #[serde(rename = "whole-list")]
+    #[value(name = "whole-list")]
+    CompleteList,
     /// Time in which they take one change, by servers.
     OneChange,
     /// Time in which they take a request and its outcome, by servers.
@@ -50,7 +52,7 @@
         matches!(self, Self::TenantMemory | Self::BalancerMemory | Self::NodeMemory)
     }
 
-    /// What it is a measure of; `us` is what differs from run to run.
+    /// Its unit; only times (`us`) differ from run to run.
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// What its size counts.
+    /// What the size of the fleet is counted in.
     #[must_use]
     pub fn against(self) -> &'static str {
         match self {
@@ -72,7 +74,7 @@
         }
     }
 
-    pub(crate) fn usual_sizes(self) -> &'static [usize] {
+    pub(crate) fn default_sizes(self) -> &'static [usize] {
         match self.against() {
             "tenants" => &[100, 1_000, 10_000, 53_000],
             "watches" => &[100, 500, 1_000, 2_000],
--- a/crates/node-emulator/src/report.rs
+++ b/crates/node-emulator/src/report.rs
@@ -9,10 +9,10 @@
 use serde::Serialize;
 use tempfile::NamedTempFile;
 
-use crate::traffic::Sums;
+use crate::traffic::TrafficTotals;
 use crate::usage::Memory;
 
-/// A report could not be written; what stood at its place still stands.
+/// A report could not be written; an earlier one at the same path is unchanged.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot write the report {path}: {source}")]
 pub struct ReportError {
@@ -20,12 +20,12 @@
     source: io::Error,
 }
 
-/// What every run reports, whatever it measured.
+/// The report of a run; `results` depends on the command.
 #[derive(Debug, Serialize)]
 pub struct Report<S, R> {
     /// `play` or `slopes`.
     pub command: &'static str,
-    /// All random numbers follow from it.
+    /// Seed of all random numbers.
     pub seed: u64,
     /// The commit that was checked out where the run began, or `unknown`.
     pub commit: String,
@@ -38,13 +38,13 @@
     /// Processor seconds by role of thread.
     pub cpu_seconds: BTreeMap<String, f64>,
     /// Bytes and messages by role.
-    pub traffic: BTreeMap<String, Sums>,
+    pub traffic: BTreeMap<String, TrafficTotals>,
     /// What was measured.
     pub results: R,
 }
 
 impl<S: Serialize, R: Serialize> Report<S, R> {
-    /// Writes the report into a file beside `path`, and puts that in its place in one step.
+    /// Writes the report to a temporary file in the folder of `path`, and renames that to `path`.
     ///
     /// # Errors
     ///
@@ -60,7 +60,7 @@
     let mut file = BufWriter::new(NamedTempFile::new_in(folder)?);
     serde_json::to_writer_pretty(&mut file, report)?;
     file.write_all(b"\n")?;
-    // One that is dropped, here or above, takes its file along.
+    // A temporary file that is dropped on an error, here or above, is removed.
     let file = file.into_inner().map_err(IntoInnerError::into_error)?;
     file.as_file().sync_all()?;
     file.persist(path)?;
--- a/crates/node-emulator/src/scenario/check.rs
+++ b/crates/node-emulator/src/scenario/check.rs
@@ -9,19 +9,19 @@
 use super::{Load, Scenario};
 use crate::catalogue::Size;
 
-/// Nodes have so long to come to the newest version after the play, where the scenario says nothing.
-pub(super) const DEFAULT_SETTLE_S: f64 = 30.0;
+/// Default of [`Scenario::max_catch_up_s`].
+pub(super) const DEFAULT_MAX_CATCH_UP_S: f64 = 30.0;
 
-/// Each region has an address of its own.
+/// Most regions: each has a loopback address of its own.
 pub(super) const MAX_REGIONS: usize = 250;
 
-/// A play is no longer than a day, in seconds.
-pub(super) const LONGEST_S: f64 = 86_400.0;
+/// Longest scenario, a day, in seconds.
+pub(super) const MAX_DURATION_S: f64 = 86_400.0;
 
-/// No size is larger.
+/// Largest count of anything.
 pub(super) const MAX_SIZE: usize = 1_000_000;
 
-/// A fault at a place of the text.
+/// An invalid value and its position in the text.
 pub(super) struct Fault {
     pub(super) at: Range<usize>,
     pub(super) key: String,
@@ -36,8 +36,8 @@
     1 + text.bytes().take(at).filter(|byte| *byte == b'\n').count()
 }
 
-/// What the TOML reader has to say. It names a key only where that is missing or unknown; otherwise the key is the
-/// one of the line.
+/// Converts an error of the TOML parser. It names a key only where that is missing, unknown or duplicate; otherwise
+/// the key is that of the line.
 pub(super) fn toml_fault(text: &str, error: &toml::de::Error) -> Fault {
     let at = error.span().unwrap_or(0..0);
     let why = error.message().to_owned();
@@ -51,14 +51,14 @@
 
 pub(super) fn check_scenario(raw: RawScenario) -> Result<Scenario, Fault> {
     let name = raw.name.get_ref();
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    if name.is_empty() || name.len() > 64 || !name.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    if name.is_empty() || name.len() > 64 || !name.chars().all(is_allowed) {
         return fault(raw.name.span(), "name", "must be 1 to 64 letters, digits, `-` or `_`");
     }
-    let duration_s = within(&raw.duration_s, "duration_s", 0.1, LONGEST_S)?;
-    let settle_s = raw.settle_s.as_ref();
-    let settle_s =
-        settle_s.map_or(Ok(DEFAULT_SETTLE_S), |value| within(value, "settle_s", 0.0, LONGEST_S))?;
+    let duration_s = within(&raw.duration_s, "duration_s", 0.1, MAX_DURATION_S)?;
+    let max_catch_up_s = raw.max_catch_up_s.as_ref();
+    let max_catch_up_s = max_catch_up_s
+        .map_or(Ok(DEFAULT_MAX_CATCH_UP_S), |value| within(value, "settle_s", 0.0, MAX_DURATION_S))?;
     let size = check_size(&raw.size)?;
     let load = check_load(&raw.load)?;
     let events = raw.event.into_iter().map(|event| check_event(event, size, duration_s));
@@ -66,7 +66,7 @@
         name: raw.name.into_inner(),
         seed: raw.seed,
         duration_s,
-        settle_s,
+        max_catch_up_s,
         size,
         load,
         events: events.collect::<Result<_, _>>()?,
@@ -74,47 +74,46 @@
 }
 
 pub(super) fn check_size(raw: &RawSize) -> Result<Size, Fault> {
-    let count = |value: &Spanned<usize>, key, least: usize, why: &str, most: usize| match *value.get_ref() {
-        n if n < least || n == 0 => fault(value.span(), key, format!("must be at least {why}")),
-        n if n > most => fault(value.span(), key, format!("must be {most} at most")),
+    let count = |value: &Spanned<usize>, key, min: usize, why: &str, max: usize| match *value.get_ref() {
+        n if n < min || n == 0 => fault(value.span(), key, format!("must be at least {why}")),
+        n if n > max => fault(value.span(), key, format!("must be {max} at most")),
         n => Ok(n),
     };
     let regions = count(&raw.regions, "size.regions", 1, "1", MAX_REGIONS)?;
     let zones = count(&raw.zones, "size.zones", regions, "the number of regions", MAX_SIZE)?;
     let racks = count(&raw.racks, "size.racks", zones, "the number of zones", 1 << 16)?;
     let services = count(&raw.services, "size.services", 1, "1", MAX_SIZE)?;
-    let least = racks.max(services);
-    let servers =
-        count(&raw.servers, "size.servers", least, "the number of racks and of services", MAX_SIZE)?;
+    let min = racks.max(services);
+    let servers = count(&raw.servers, "size.servers", min, "the number of racks and of services", MAX_SIZE)?;
     let nodes = count(&raw.nodes, "size.nodes", 1, "1", MAX_SIZE)?;
     Ok(Size { regions, zones, racks, services, servers, nodes })
 }
 
 pub(super) fn check_load(raw: &RawLoad) -> Result<Load, Fault> {
-    let figure = |value: &Option<Spanned<f64>>, key, usual: f64, least, most| {
-        value.as_ref().map_or(Ok(usual), |value| within(value, key, least, most))
+    let number = |value: &Option<Spanned<f64>>, key, default: f64, min, max| {
+        value.as_ref().map_or(Ok(default), |value| within(value, key, min, max))
     };
-    let complete = |value: &Option<Spanned<usize>>, key, usual: usize| match value {
+    let integer = |value: &Option<Spanned<usize>>, key, default: usize| match value {
         Some(value) if *value.get_ref() == 0 || *value.get_ref() > MAX_SIZE => {
             fault(value.span(), key, format!("must be 1 to {MAX_SIZE}"))
         }
-        value => Ok(value.as_ref().map_or(usual, |value| *value.get_ref())),
+        value => Ok(value.as_ref().map_or(default, |value| *value.get_ref())),
     };
     Ok(Load {
-        requests_per_s: figure(&raw.requests_per_s, "load.requests_per_s", 0.0, 0.0, 1e6)?,
-        service_ms: figure(&raw.service_ms, "load.service_ms", 5.0, 0.0, 60_000.0)?,
-        aim_ms: figure(&raw.aim_ms, "load.aim_ms", 80.0, 1.0, 60_000.0)?,
-        deadline_ms: figure(&raw.deadline_ms, "load.deadline_ms", 400.0, 1.0, 60_000.0)?,
-        drain_grace_ms: figure(&raw.drain_grace_ms, "load.drain_grace_ms", 2_000.0, 0.0, 60_000.0)?,
-        max_attempts: complete(&raw.max_attempts, "load.max_attempts", 3)?,
-        log_entries: complete(&raw.log_entries, "load.log_entries", 65_536)?,
+        requests_per_s: number(&raw.requests_per_s, "load.requests_per_s", 0.0, 0.0, 1e6)?,
+        service_ms: number(&raw.service_ms, "load.service_ms", 5.0, 0.0, 60_000.0)?,
+        latency_target_ms: number(&raw.latency_target_ms, "load.aim_ms", 80.0, 1.0, 60_000.0)?,
+        deadline_ms: number(&raw.deadline_ms, "load.deadline_ms", 400.0, 1.0, 60_000.0)?,
+        drain_grace_ms: number(&raw.drain_grace_ms, "load.drain_grace_ms", 2_000.0, 0.0, 60_000.0)?,
+        max_attempts: integer(&raw.max_attempts, "load.max_attempts", 3)?,
+        log_entries: integer(&raw.log_entries, "load.log_entries", 65_536)?,
     })
 }
 
-pub(super) fn within(value: &Spanned<f64>, key: &str, least: f64, most: f64) -> Result<f64, Fault> {
-    let figure = *value.get_ref();
-    if figure.is_finite() && (least..=most).contains(&figure) {
-        return Ok(figure);
+pub(super) fn within(value: &Spanned<f64>, key: &str, min: f64, max: f64) -> Result<f64, Fault> {
+    let number = *value.get_ref();
+    if number.is_finite() && (min..=max).contains(&number) {
+        return Ok(number);
     }
-    fault(value.span(), key, format!("must be {least} to {most}"))
+    fault(value.span(), key, format!("must be {min} to {max}"))
 }
--- a/crates/node-emulator/src/scenario/event.rs
+++ b/crates/node-emulator/src/scenario/event.rs
@@ -6,24 +6,24 @@
 
 use super::check::{fault, within, Fault, MAX_SIZE};
 use super::file::RawEvent;
-use super::{Event, Kind};
+use super::{Event, EventKind};
 use crate::catalogue::Size;
 
-/// Takes the keys of an event one by one; what is left over does not belong to its kind.
-pub(super) struct Keys {
+/// Takes the keys of an event one by one; a key that is left over does not belong to its kind.
+pub(super) struct EventKeys {
     pub(super) raw: RawEvent,
     pub(super) span: Range<usize>,
     pub(super) duration_s: f64,
 }
 
-impl Keys {
-    pub(super) fn need<T>(&self, value: Option<T>, key: &str) -> Result<T, Fault> {
+impl EventKeys {
+    pub(super) fn required<T>(&self, value: Option<T>, key: &str) -> Result<T, Fault> {
         value.map_or_else(|| fault(self.span.clone(), key, "is missing"), Ok)
     }
 
-    /// A time within the play, in seconds.
+    /// A time within the duration of the scenario, in seconds.
     pub(super) fn time(&self, value: Option<Spanned<f64>>, key: &str) -> Result<f64, Fault> {
-        within(&self.need(value, key)?, key, 0.0, self.duration_s)
+        within(&self.required(value, key)?, key, 0.0, self.duration_s)
     }
 
     pub(super) fn index(
@@ -32,7 +32,7 @@
         key: &str,
         count: usize,
     ) -> Result<usize, Fault> {
-        let value = self.need(value, key)?;
+        let value = self.required(value, key)?;
         if *value.get_ref() < count {
             return Ok(value.into_inner());
         }
@@ -60,7 +60,7 @@
     }
 
     /// The event's kind with its keys, and how long it lasts, in seconds.
-    fn kind(&mut self, kind: &Spanned<String>, size: Size) -> Result<(Kind, f64), Fault> {
+    fn kind(&mut self, kind: &Spanned<String>, size: Size) -> Result<(EventKind, f64), Fault> {
         Ok(match kind.get_ref().as_str() {
             "ordinary-day" => self.ordinary_day()?,
             "rolling-replacement" => self.rolling_replacement()?,
@@ -68,56 +68,56 @@
                 let rack = self.raw.rack.take();
                 let rack = self.index(rack, "rack", size.racks)?;
                 let (noticed_s, for_s) = (self.noticed_s()?, self.for_s()?);
-                (Kind::RackLost { rack, noticed_s, for_s }, for_s)
+                (EventKind::RackLost { rack, noticed_s, for_s }, for_s)
             }
             "zone-lost" => {
                 let zone = self.raw.zone.take();
                 let zone = self.index(zone, "zone", size.zones)?;
                 let (noticed_s, for_s) = (self.noticed_s()?, self.for_s()?);
-                (Kind::ZoneLost { zone, noticed_s, for_s }, for_s)
+                (EventKind::ZoneLost { zone, noticed_s, for_s }, for_s)
             }
             "region-cut" => {
                 let (region, for_s) = (self.region(size)?, self.for_s()?);
-                (Kind::RegionCut { region, for_s }, for_s)
+                (EventKind::RegionPartitioned { region, for_s }, for_s)
             }
             "restart-nodes" => {
                 let (region, over_s) = (self.region(size)?, self.over_s()?);
-                (Kind::RestartNodes { region, over_s }, over_s)
+                (EventKind::RestartNodes { region, over_s }, over_s)
             }
             "configuration-storm" => {
                 let changes = self.raw.changes.take();
                 let changes = self.count(changes, "changes")?;
                 let over_s = self.over_s()?;
-                (Kind::ConfigurationStorm { changes, over_s }, over_s)
+                (EventKind::ConfigurationStorm { changes, over_s }, over_s)
             }
             "discovery-silent" => {
                 let for_s = self.for_s()?;
-                (Kind::DiscoverySilent { for_s }, for_s)
+                (EventKind::DiscoveryUnresponsive { for_s }, for_s)
             }
             other => return fault(kind.span(), "kind", format!("there is no event `{other}`")),
         })
     }
 
-    fn ordinary_day(&mut self) -> Result<(Kind, f64), Fault> {
+    fn ordinary_day(&mut self) -> Result<(EventKind, f64), Fault> {
         let speed = self.raw.speed.take();
         let speed = speed.map_or(Ok(1.0), |speed| within(&speed, "speed", 0.001, 100_000.0))?;
         let for_s = self.for_s()?;
-        Ok((Kind::OrdinaryDay { for_s, speed }, for_s))
+        Ok((EventKind::OrdinaryDay { for_s, speed }, for_s))
     }
 
-    fn rolling_replacement(&mut self) -> Result<(Kind, f64), Fault> {
+    fn rolling_replacement(&mut self) -> Result<(EventKind, f64), Fault> {
         let part = self.raw.part.take();
-        let part = within(&self.need(part, "part")?, "part", 0.0, 1.0)?;
+        let part = within(&self.required(part, "part")?, "part", 0.0, 1.0)?;
         let batches = self.raw.batches.take();
         let batches = self.count(batches, "batches")?;
         let drain = self.raw.drain_s.take();
         let (over_s, drain_s) = (self.over_s()?, self.time(drain, "drain_s")?);
-        Ok((Kind::RollingReplacement { part, batches, over_s, drain_s }, over_s + drain_s))
+        Ok((EventKind::RollingReplacement { part, batches, over_s, drain_s }, over_s + drain_s))
     }
 
     /// A count above zero.
     fn count(&self, value: Option<Spanned<usize>>, key: &str) -> Result<usize, Fault> {
-        let value = self.need(value, key)?;
+        let value = self.required(value, key)?;
         match *value.get_ref() {
             n if (1..=MAX_SIZE).contains(&n) => Ok(n),
             _ => fault(value.span(), key, format!("must be 1 to {MAX_SIZE}")),
@@ -126,20 +126,20 @@
 
     pub(super) fn nothing_left(&self) -> Result<(), Fault> {
         let raw = &self.raw;
-        let span = |value: &Option<Spanned<f64>>| value.as_ref().map(Spanned::span);
-        let complete = |value: &Option<Spanned<usize>>| value.as_ref().map(Spanned::span);
+        let number_span = |value: &Option<Spanned<f64>>| value.as_ref().map(Spanned::span);
+        let integer_span = |value: &Option<Spanned<usize>>| value.as_ref().map(Spanned::span);
         let left = [
-            ("for_s", span(&raw.for_s)),
-            ("over_s", span(&raw.over_s)),
-            ("noticed_s", span(&raw.noticed_s)),
-            ("drain_s", span(&raw.drain_s)),
-            ("speed", span(&raw.speed)),
-            ("part", span(&raw.part)),
-            ("batches", complete(&raw.batches)),
-            ("changes", complete(&raw.changes)),
-            ("rack", complete(&raw.rack)),
-            ("zone", complete(&raw.zone)),
-            ("region", complete(&raw.region)),
+            ("for_s", number_span(&raw.for_s)),
+            ("over_s", number_span(&raw.over_s)),
+            ("noticed_s", number_span(&raw.noticed_s)),
+            ("drain_s", number_span(&raw.drain_s)),
+            ("speed", number_span(&raw.speed)),
+            ("part", number_span(&raw.part)),
+            ("batches", integer_span(&raw.batches)),
+            ("changes", integer_span(&raw.changes)),
+            ("rack", integer_span(&raw.rack)),
+            ("zone", integer_span(&raw.zone)),
+            ("region", integer_span(&raw.region)),
         ];
         match left.into_iter().find_map(|(key, span)| Some((key, span?))) {
             Some((key, span)) => fault(span, key, "does not belong to an event of this kind"),
@@ -149,9 +149,9 @@
 }
 
 pub(super) fn check_event(event: Spanned<RawEvent>, size: Size, duration_s: f64) -> Result<Event, Fault> {
-    let mut keys = Keys { span: event.span(), raw: event.into_inner(), duration_s };
+    let mut keys = EventKeys { span: event.span(), raw: event.into_inner(), duration_s };
     let kind = keys.raw.kind.take();
-    let kind = keys.need(kind, "kind")?;
+    let kind = keys.required(kind, "kind")?;
     let at = keys.raw.at_s.take();
     let at_span = at.as_ref().map_or(keys.span.clone(), Spanned::span);
     let at_s = keys.time(at, "at_s")?;
--- a/crates/node-emulator/src/scenario/file.rs
+++ b/crates/node-emulator/src/scenario/file.rs
@@ -9,7 +9,8 @@
     pub(super) name: Spanned<String>,
     pub(super) seed: u64,
     pub(super) duration_s: Spanned<f64>,
-    pub(super) settle_s: Option<Spanned<f64>>,
+    #[serde(rename = "settle_s")]
+    pub(super) max_catch_up_s: Option<Spanned<f64>>,
     pub(super) size: RawSize,
     #[serde(default)]
     pub(super) load: RawLoad,
@@ -33,7 +34,8 @@
 pub(super) struct RawLoad {
     pub(super) requests_per_s: Option<Spanned<f64>>,
     pub(super) service_ms: Option<Spanned<f64>>,
-    pub(super) aim_ms: Option<Spanned<f64>>,
+    #[serde(rename = "aim_ms")]
+    pub(super) latency_target_ms: Option<Spanned<f64>>,
     pub(super) deadline_ms: Option<Spanned<f64>>,
     pub(super) drain_grace_ms: Option<Spanned<f64>>,
     pub(super) max_attempts: Option<Spanned<usize>>,
--- a/crates/node-emulator/src/scenario/mod.rs
+++ b/crates/node-emulator/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what a fleet is made of and what happens to it. README.md lists the keys.
+//! Scenario files: the sizes of a fleet, its load, and the events that happen to it. README.md lists the keys.
 
 mod check;
 mod event;
@@ -37,59 +37,61 @@
     },
 }
 
-/// What is played.
+/// A scenario: a fleet, its load and the events that happen to it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Scenario {
     /// Its name, for the report.
     pub name: String,
-    /// All random numbers follow from it.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How long it takes once all nodes hold a list, in seconds.
+    /// Duration once all nodes have a list, in seconds.
     pub duration_s: f64,
-    /// How long it goes on after that, in seconds, at the most: until all nodes hold the newest version.
-    pub settle_s: f64,
-    /// How many there are of each.
+    /// Longest wait after that, in seconds, until all nodes have the newest version.
+    #[serde(rename = "settle_s")]
+    pub max_catch_up_s: f64,
+    /// The sizes of the fleet.
     pub size: Size,
-    /// What comes in, and the settings of the nodes.
+    /// The load, and the settings of the nodes.
     pub load: Load,
-    /// What happens, in the file's order.
+    /// The events, in the file's order.
     pub events: Vec<Event>,
 }
 
-/// What comes in, and the settings of the nodes.
+/// The requests of clients, and the settings of the nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Load {
     /// Requests in a second, over all nodes.
     pub requests_per_s: f64,
-    /// What a server takes to answer, in milliseconds.
+    /// Time in which a server responds, in milliseconds.
     pub service_ms: f64,
-    /// Answers within this time have their full value, in milliseconds.
-    pub aim_ms: f64,
-    /// What a client waits, in milliseconds.
+    /// Responses within this time have their full value, in milliseconds.
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: f64,
+    /// Time that a client waits for a response, in milliseconds.
     pub deadline_ms: f64,
-    /// How long requests may go to a server that is announced to drain, in milliseconds.
+    /// How long requests may be sent to a server that is listed as draining, in milliseconds.
     pub drain_grace_ms: f64,
     /// Attempts allowed for one request.
     pub max_attempts: usize,
-    /// Changes that discovery's log holds.
+    /// Changes that the log of discovery retains.
     pub log_entries: usize,
 }
 
-/// Something that happens.
+/// An event of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
-    /// When, in seconds from the start of the play.
+    /// When it begins, in seconds from the begin of the run.
     pub at_s: f64,
-    /// What.
+    /// What happens.
     #[serde(flatten)]
-    pub kind: Kind,
+    pub kind: EventKind,
 }
 
-/// What can happen. Times are in seconds.
+/// The kinds of events. Times are in seconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
-pub enum Kind {
-    /// Machines fail, servers restart and the configuration changes as often as on a usual day.
+pub enum EventKind {
+    /// Machines fail, servers restart and the configuration changes as often as on an ordinary day.
     OrdinaryDay {
         /// For how long.
         for_s: f64,
@@ -98,7 +100,7 @@
     },
     /// Servers are replaced, one batch after the other.
     RollingReplacement {
-        /// The part of all servers.
+        /// The fraction of all servers, 0 to 1.
         part: f64,
         /// How many batches.
         batches: usize,
@@ -107,34 +109,35 @@
         /// How long a server drains.
         drain_s: f64,
     },
-    /// The machines of a rack vanish.
+    /// The machines of a rack fail.
     RackLost {
-        /// Which.
+        /// The rack.
         rack: usize,
-        /// Discovery takes its servers off the list after this time.
+        /// Discovery takes its servers off the list after this time, if they are not back before.
         noticed_s: f64,
         /// They come back warming up after this time.
         for_s: f64,
     },
-    /// The machines of a zone vanish.
+    /// The machines of a zone fail.
     ZoneLost {
-        /// Which.
+        /// The zone.
         zone: usize,
-        /// Discovery takes its servers off the list after this time.
+        /// Discovery takes its servers off the list after this time, if they are not back before.
         noticed_s: f64,
         /// They come back warming up after this time.
         for_s: f64,
     },
-    /// A region is cut off from the others: its nodes receive no updates, and no request crosses its border.
-    RegionCut {
-        /// Which.
+    /// A region is partitioned from the others: its nodes receive no updates, and no request crosses its border.
+    #[serde(rename = "region-cut")]
+    RegionPartitioned {
+        /// The region.
         region: usize,
         /// For how long.
         for_s: f64,
     },
     /// All nodes of a region are restarted.
     RestartNodes {
-        /// Which.
+        /// The region.
         region: usize,
         /// Evenly over this time.
         over_s: f64,
@@ -146,8 +149,9 @@
         /// Evenly over this time.
         over_s: f64,
     },
-    /// Discovery says nothing in any region.
-    DiscoverySilent {
+    /// Discovery is unresponsive in all regions.
+    #[serde(rename = "discovery-silent")]
+    DiscoveryUnresponsive {
         /// For how long.
         for_s: f64,
     },
--- a/crates/node-emulator/src/play/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -1,4 +1,4 @@
-//! All threads of a play, from their start to their end.
+//! The threads of a run: starts discovery, the servers and the nodes, and joins them at the end.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -10,29 +10,30 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::LocalSet;
 
-use super::{Options, PlayError};
+use super::{RunOptions, ScenarioRunError};
 use crate::catalogue::Catalogue;
 use crate::counters::NodeCounters;
-use crate::node::{self, Command, KnownVersions, Plan, SharedCounters};
+use crate::node::{self, KnownVersions, NodeCommand, NodeConfig, SharedCounters};
 use crate::scenario::Scenario;
 use crate::world::{self, World};
 use crate::{discovery, server};
 
-/// Second byte of the loopback addresses of discovery's agents, and of the racks.
+/// Second byte of the loopback addresses of the discovery agents.
 const AGENT_NETWORK: u8 = 10;
+/// Second byte of the loopback addresses of the racks.
 const RACK_NETWORK: u8 = 20;
 
-/// All threads of a play.
+/// All threads of a run and the state that they share.
 pub(super) struct RunningFleet {
     pub(super) world: Arc<World>,
     pub(super) known_versions: Arc<KnownVersions>,
     /// One for each thread of nodes.
     pub(super) counters: Vec<SharedCounters>,
-    commands: Vec<mpsc::UnboundedSender<Command>>,
-    /// Raised for good when clients begin to send.
-    pub(super) open: watch::Sender<bool>,
-    /// Raised when the threads are to end.
-    over: watch::Sender<bool>,
+    commands: Vec<mpsc::UnboundedSender<NodeCommand>>,
+    /// Becomes true, for good, when the clients begin to send.
+    pub(super) clients_started: watch::Sender<bool>,
+    /// Becomes true when the threads are to end.
+    shutdown: watch::Sender<bool>,
     threads: Vec<JoinHandle<io::Result<()>>>,
 }
 
@@ -58,13 +59,13 @@
     pub(super) fn start(
         scenario: &Scenario,
         settings: DecisionSettings,
-        options: Options,
-    ) -> Result<Self, PlayError> {
+        options: RunOptions,
+    ) -> Result<Self, ScenarioRunError> {
         let size = scenario.size;
         let agents = listeners(AGENT_NETWORK, size.regions)?;
         let racks = listeners(RACK_NETWORK, size.racks)?;
         let catalogue = Catalogue::new(size, addresses(&racks)?, scenario.load.log_entries);
-        let plan = Plan {
+        let config = NodeConfig {
             size,
             seed: scenario.seed,
             agents: addresses(&agents)?,
@@ -76,15 +77,15 @@
             known_versions: Arc::new(KnownVersions::new(size.nodes)),
             counters: Vec::new(),
             commands: Vec::new(),
-            open: watch::Sender::new(false),
-            over: watch::Sender::new(false),
+            clients_started: watch::Sender::new(false),
+            shutdown: watch::Sender::new(false),
             threads: Vec::new(),
         };
         fleet.spawn_discovery(agents)?;
         fleet.spawn_servers(racks, Duration::from_secs_f64(scenario.load.service_ms / 1000.0))?;
-        let plan = Arc::new(plan);
+        let config = Arc::new(config);
         for thread in 0..options.node_threads.clamp(1, size.nodes) {
-            fleet.spawn_nodes(thread, &plan)?;
+            fleet.spawn_nodes(thread, &config)?;
         }
         (0..size.nodes).for_each(|number| fleet.start_node(number));
         Ok(fleet)
@@ -110,31 +111,32 @@
         })
     }
 
-    fn spawn_nodes(&mut self, thread: usize, plan: &Arc<Plan>) -> io::Result<()> {
+    fn spawn_nodes(&mut self, thread: usize, config: &Arc<NodeConfig>) -> io::Result<()> {
         let counters: SharedCounters = Arc::new(Mutex::new(NodeCounters::default()));
         let (commands, received) = mpsc::unbounded_channel();
-        let (plan, world) = (Arc::clone(plan), Arc::clone(&self.world));
-        let (known_versions, open) = (Arc::clone(&self.known_versions), self.open.subscribe());
+        let (config, world) = (Arc::clone(config), Arc::clone(&self.world));
+        let (known_versions, clients_started) =
+            (Arc::clone(&self.known_versions), self.clients_started.subscribe());
         self.counters.push(Arc::clone(&counters));
         self.commands.push(commands);
         self.spawn(&format!("node-{thread}"), move || {
-            node::run(plan, world, counters, known_versions, open, received)
+            node::run(config, world, counters, known_versions, clients_started, received)
         })
     }
 
-    /// A thread with an event loop of its own, until the play is over.
+    /// Spawns a thread with an event loop of its own, which runs `work` until the shutdown.
     fn spawn<F: std::future::Future<Output = ()>>(
         &mut self,
         name: &str,
         work: impl FnOnce() -> F + Send + 'static,
     ) -> io::Result<()> {
-        let mut over = self.over.subscribe();
+        let mut shutdown = self.shutdown.subscribe();
         let thread = thread::Builder::new().name(name.to_owned()).spawn(move || {
             let runtime = runtime()?;
             LocalSet::new().block_on(&runtime, async move {
                 tokio::select! {
                     () = work() => {}
-                    _ = over.wait_for(|over| *over) => {}
+                    _ = shutdown.wait_for(|shutdown| *shutdown) => {}
                 }
             });
             Ok(())
@@ -143,18 +145,18 @@
         Ok(())
     }
 
-    /// Starts a node, after ending it where it runs.
+    /// Starts a node, and stops it first if it runs.
     pub(super) fn start_node(&self, number: usize) {
-        // It fails where the thread has panicked, which the end of the play reports.
-        let _ = self.commands[number % self.commands.len()].send(Command::Start(number));
+        // It fails where the thread has panicked, which `end` reports.
+        let _ = self.commands[number % self.commands.len()].send(NodeCommand::Start(number));
     }
 
-    /// Ends all threads.
-    pub(super) fn end(self) -> Result<(), PlayError> {
-        self.over.send_replace(true);
+    /// Ends and joins all threads.
+    pub(super) fn end(self) -> Result<(), ScenarioRunError> {
+        self.shutdown.send_replace(true);
         drop(self.commands);
         for thread in self.threads {
-            thread.join().map_err(|_| PlayError::Panicked)??;
+            thread.join().map_err(|_| ScenarioRunError::Panicked)??;
         }
         Ok(())
     }
--- a/crates/node-emulator/src/play/step.rs
+++ b/crates/node-emulator/src/scenario_run/step.rs
@@ -3,11 +3,11 @@
 use std::collections::HashMap;
 
 use super::running_fleet::RunningFleet;
-use crate::catalogue::{Catalogue, Phase, Reach};
+use crate::catalogue::{Catalogue, Phase, Reachability};
 use crate::steps::Step;
 
 impl RunningFleet {
-    /// Changes the servers that stand in slots now.
+    /// Changes the servers that occupy slots now.
     fn change_servers(&self, slots: &[usize], change: impl Fn(&mut Catalogue, &[usize])) {
         self.world.change(|catalogue| {
             let numbers = catalogue.numbers(slots);
@@ -15,8 +15,8 @@
         });
     }
 
-    /// Carries out a step. `batches` holds the servers that replacements have left draining.
-    pub(super) fn carry_out(&self, step: &Step, batches: &mut HashMap<usize, Vec<usize>>) {
+    /// Carries out a step. `batches` has the draining servers of each replacement that has begun and not ended.
+    pub(super) fn execute(&self, step: &Step, batches: &mut HashMap<usize, Vec<usize>>) {
         tracing::debug!(?step, "step");
         let up_since = self.world.now_ms() as u64;
         match step {
@@ -24,9 +24,8 @@
                 self.change_servers(slots, |c, numbers| c.set_phase(numbers, Phase::Leaving))
             }
             Step::Leave(slots) => self.change_servers(slots, remove),
-            Step::Silence(slots) => {
-                self.change_servers(slots, |c, numbers| c.set_reach(numbers, Reach::Silent))
-            }
+            Step::StopResponding(slots) => self
+                .change_servers(slots, |c, numbers| c.set_reachability(numbers, Reachability::Unresponsive)),
             Step::Unlist(slots) => self.change_servers(slots, |c, numbers| c.set_phase(numbers, Phase::Left)),
             Step::Return(slots) => self.change_servers(slots, |c, numbers| c.restart(numbers, up_since)),
             Step::Replace { batch, slots } => self.world.change(|catalogue| {
@@ -39,7 +38,9 @@
                 let old = batches.remove(batch).unwrap_or_default();
                 self.world.change(|catalogue| remove(catalogue, &old));
             }
-            Step::Weigh { service, weight } => self.world.change(|c| c.weigh(*service, *weight)),
+            Step::SetServiceWeight { service, weight } => {
+                self.world.change(|c| c.set_service_weight(*service, *weight))
+            }
             Step::Partition { region, partitioned } => self.world.set_partitioned(*region, *partitioned),
             Step::DiscoveryAnswering(answering) => {
                 (0..self.world.catalogue().size().regions)
@@ -50,8 +51,8 @@
     }
 }
 
-/// The processes of servers end, and discovery knows.
+/// The processes of servers end, and discovery takes them off the list.
 fn remove(catalogue: &mut Catalogue, numbers: &[usize]) {
-    catalogue.set_reach(numbers, Reach::Gone);
+    catalogue.set_reachability(numbers, Reachability::Terminated);
     catalogue.set_phase(numbers, Phase::Left);
 }
--- a/crates/node-emulator/src/play/table.rs
+++ b/crates/node-emulator/src/scenario_run/table.rs
@@ -1,8 +1,8 @@
-//! The table that a play ends with.
+//! The summary that is printed at the end of a run.
 
 use std::fmt::Write as _;
 
-use super::results::{Played, Results};
+use super::results::{ScenarioMeasurements, ScenarioResults};
 use crate::counters::Summary;
 use crate::scenario::Scenario;
 
@@ -17,13 +17,13 @@
     }
 }
 
-/// The short table that a play ends with.
+/// The summary of a run, a row for each measurement.
 #[must_use]
-pub fn table(scenario: &Scenario, played: &Played) -> String {
+pub fn table(scenario: &Scenario, measured: &ScenarioMeasurements) -> String {
     let mut table = Table::default();
-    add_course(&mut table, scenario, &played.results);
-    add_requests(&mut table, &played.results);
-    add_resources(&mut table, played);
+    add_course(&mut table, scenario, &measured.results);
+    add_requests(&mut table, &measured.results);
+    add_resources(&mut table, measured);
     table.0
 }
 
@@ -31,7 +31,7 @@
     format!("p50 {:.1}  p99 {:.1}  max {:.1} ms  ({})", s.p50_ms, s.p99_ms, s.max_ms, s.count)
 }
 
-fn add_course(table: &mut Table, scenario: &Scenario, r: &Results) {
+fn add_course(table: &mut Table, scenario: &Scenario, r: &ScenarioResults) {
     let size = scenario.size;
     table.row("scenario", format!("{} (seed {})", scenario.name, scenario.seed));
     table.row("nodes, servers, services", format!("{}, {}, {}", size.nodes, size.servers, size.services));
@@ -41,11 +41,11 @@
     table.row("all nodes on a version", times(&r.all_nodes_lag));
     table.row("nodes behind at the end", r.nodes_behind_at_end);
     table.row("on an old version", format!("{:.1} node seconds", r.node_seconds_behind));
-    table.row("decisions take a list", times(&r.take_list));
-    table.row("decisions take a request", times(&r.take_request));
-    table.row("node threads wake late by", times(&r.late));
+    table.row("decisions take a list", times(&r.apply_list));
+    table.row("decisions take a request", times(&r.decide_request));
+    table.row("node threads wake late by", times(&r.wake_up_delay));
     let a = &r.answers;
-    let (complete, changes, unchanged) = (a.complete_lists, a.change_answers, a.no_news_answers);
+    let (complete, changes, unchanged) = (a.complete_lists, a.change_answers, a.unchanged_answers);
     table.row(
         "answers of discovery",
         format!("{complete} whole lists, {changes} changes, {unchanged} no news"),
@@ -56,21 +56,21 @@
     }
 }
 
-fn add_requests(table: &mut Table, r: &Results) {
+fn add_requests(table: &mut Table, r: &ScenarioResults) {
     table.row(
         "requests",
-        format!("{}: {} served, {} refused, {} failed", r.requests, r.served, r.refused, r.failed),
+        format!("{}: {} served, {} refused, {} failed", r.requests, r.served, r.rejected, r.failed),
     );
     let a = &r.answers;
-    let (left, draining, silent) = (a.sends_to_left, a.sends_to_draining, a.sends_to_silent);
+    let (left, draining, unresponsive) = (a.sends_to_left, a.sends_to_draining, a.sends_to_unresponsive);
     table.row(
         "sends",
-        format!("{}: {left} to left, {draining} to draining, {silent} to silent servers", r.sends),
+        format!("{}: {left} to left, {draining} to draining, {unresponsive} to silent servers", r.sends),
     );
 }
 
-fn add_resources(table: &mut Table, played: &Played) {
-    for (role, sums) in &played.traffic {
+fn add_resources(table: &mut Table, measured: &ScenarioMeasurements) {
+    for (role, sums) in &measured.traffic {
         let (received, sent) = (sums.received_bytes, sums.sent_bytes);
         let (messages, connections) = (sums.messages, sums.connections);
         table.row(
@@ -78,15 +78,15 @@
             format!("{received}, {sent}; {messages} messages, {connections} new connections"),
         );
     }
-    for (role, seconds) in &played.cpu_seconds {
+    for (role, seconds) in &measured.cpu_seconds {
         table.row(&format!("{role}: processor"), format!("{seconds:.2} s"));
     }
-    let r = &played.results;
+    let r = &measured.results;
     let (bytes, core) = (r.control_bytes_per_node_s, r.core_percent_per_node);
     table.row("for one node", format!("{bytes:.0} bytes/s from discovery, {core:.3}% of a core"));
     let mib = |bytes: u64| bytes >> 20;
     table.row(
         "memory",
-        format!("{} MiB, {} at the peak", mib(played.memory.resident), mib(played.memory.peak)),
+        format!("{} MiB, {} at the peak", mib(measured.memory.resident), mib(measured.memory.peak)),
     );
 }
--- a/crates/node-emulator/src/play/timeline.rs
+++ b/crates/node-emulator/src/scenario_run/timeline.rs
@@ -1,36 +1,36 @@
-//! The course of a play: the first lists, the steps at their times, and the wait until all nodes have caught up.
+//! The phases of a run: the first lists, the steps at their times, and the wait until all nodes have caught up.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
 use tokio::time::{sleep, sleep_until, Interval};
 
-use super::results::{count_since, since, Played, Results};
+use super::results::{cpu_seconds_since, totals_since, ScenarioMeasurements, ScenarioResults};
 use super::running_fleet::RunningFleet;
-use super::{Options, PlayError};
+use super::{RunOptions, ScenarioRunError};
 use crate::counters::NodeCounters;
 use crate::node::lock;
 use crate::scenario::Scenario;
-use crate::steps::{steps, Timed};
-use crate::traffic::Sums;
+use crate::steps::{steps, TimedStep};
+use crate::traffic::TrafficTotals;
 use crate::usage::{self, Memory};
-use crate::world::CountSums;
+use crate::world::ResponseTotals;
 
 /// Progress is logged this often.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// How often the play checks whether all nodes have a list, or the newest one.
+/// How often it is checked whether all nodes have a list, or the newest one.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Readings at the begin of a play, when all nodes have a list.
+/// Counters at the begin of a run, when all nodes have a list.
 struct StartReadings {
     cpu_seconds: BTreeMap<String, f64>,
-    traffic: BTreeMap<String, Sums>,
-    answers: CountSums,
+    traffic: BTreeMap<String, TrafficTotals>,
+    answers: ResponseTotals,
     revision: u64,
 }
 
-/// A play that runs.
-struct Run<'a> {
+/// A run in progress.
+struct ScenarioRun<'a> {
     fleet: &'a RunningFleet,
     scenario: &'a Scenario,
     began_at: tokio::time::Instant,
@@ -39,13 +39,17 @@
 }
 
 impl RunningFleet {
-    /// Plays a scenario to its end.
-    pub(super) async fn run(&self, scenario: &Scenario, options: Options) -> Result<Played, PlayError> {
+    /// Runs a scenario to its end.
+    pub(super) async fn run(
+        &self,
+        scenario: &Scenario,
+        options: RunOptions,
+    ) -> Result<ScenarioMeasurements, ScenarioRunError> {
         let started_at = Instant::now();
         self.wait_for_first_lists(scenario, options).await?;
         let start_seconds = started_at.elapsed().as_secs_f64();
         tracing::info!(nodes = scenario.size.nodes, start_seconds, "all nodes have a list");
-        // The start has its own figures; the play's begin here.
+        // The start of the nodes is reported by its duration alone; all other measurements begin here.
         self.counters.iter().for_each(|counters| *lock(counters) = NodeCounters::default());
         let readings = StartReadings {
             cpu_seconds: usage::seconds_by_role(),
@@ -54,23 +58,33 @@
             revision: self.world.catalogue().revision(),
         };
         let steps = steps(scenario);
-        let mut run = Run::begin(self, scenario);
-        run.carry_out(&steps).await;
+        let mut run = ScenarioRun::begin(self, scenario);
+        run.execute(&steps).await;
         run.wait_for_newest_version().await;
         let seconds = run.began_at.elapsed().as_secs_f64();
         Ok(self.finish(scenario, &readings, (start_seconds, seconds), &steps))
     }
 
-    async fn wait_for_first_lists(&self, scenario: &Scenario, options: Options) -> Result<(), PlayError> {
+    async fn wait_for_first_lists(
+        &self,
+        scenario: &Scenario,
+        options: RunOptions,
+    ) -> Result<(), ScenarioRunError> {
         let started_at = Instant::now();
         let mut reported_at = started_at;
         loop {
             let (without, nodes) = (self.without_list(), scenario.size.nodes);
-            let within_s = options.start_most_s;
+            let within_s = options.start_timeout_s;
             if started_at.elapsed() >= Duration::from_secs(within_s) {
                 let complete_lists = self.world.counts.sums().complete_lists;
                 let sent_bytes = self.world.discovery.sums().sent_bytes;
-                return Err(PlayError::NeverListed { without, nodes, within_s, complete_lists, sent_bytes });
+                return Err(ScenarioRunError::NoInitialList {
+                    without,
+                    nodes,
+                    within_s,
+                    complete_lists,
+                    sent_bytes,
+                });
             }
             if without == 0 {
                 return Ok(());
@@ -83,39 +97,39 @@
         }
     }
 
-    /// Puts together what the play measured.
+    /// Assembles the measurements of the run.
     fn finish(
         &self,
         scenario: &Scenario,
         start: &StartReadings,
         (start_seconds, seconds): (f64, f64),
-        steps: &[Timed],
-    ) -> Played {
+        steps: &[TimedStep],
+    ) -> ScenarioMeasurements {
         let memory = Memory::now();
-        let cpu_seconds = since(&usage::seconds_by_role(), &start.cpu_seconds);
+        let cpu_seconds = cpu_seconds_since(&usage::seconds_by_role(), &start.cpu_seconds);
         let traffic: BTreeMap<_, _> = self.traffic();
         let traffic: BTreeMap<_, _> =
             traffic.iter().map(|(role, sums)| (role.clone(), sums.since(start.traffic[role]))).collect();
-        let answers = count_since(self.world.counts.sums(), start.answers);
+        let answers = totals_since(self.world.counts.sums(), start.answers);
         let mut counters = NodeCounters::default();
         self.counters.iter().for_each(|of_thread| counters.merge(&lock(of_thread)));
         let times = (start_seconds, seconds);
         let results = self.results(&counters, start.revision, times, steps, answers);
         let nodes = scenario.size.nodes as f64;
-        let results = Results {
+        let results = ScenarioResults {
             control_bytes_per_node_s: traffic["discovery"].sent_bytes as f64 / nodes / seconds,
             core_percent_per_node: 100.0 * cpu_seconds.get("node").copied().unwrap_or(0.0) / nodes / seconds,
             ..results
         };
-        Played { results, cpu_seconds, traffic, memory }
+        ScenarioMeasurements { results, cpu_seconds, traffic, memory }
     }
 }
 
-impl<'a> Run<'a> {
-    /// Lets clients send.
+impl<'a> ScenarioRun<'a> {
+    /// Begins the run: clients start to send.
     fn begin(fleet: &'a RunningFleet, scenario: &'a Scenario) -> Self {
         let began_at = tokio::time::Instant::now();
-        fleet.open.send_replace(true);
+        fleet.clients_started.send_replace(true);
         let progress = tokio::time::interval_at(began_at + PROGRESS_INTERVAL, PROGRESS_INTERVAL);
         Self { fleet, scenario, began_at, progress, steps_done: 0 }
     }
@@ -129,8 +143,8 @@
         tracing::info!(at_s, of_s = self.scenario.duration_s, steps = self.steps_done, behind, "playing");
     }
 
-    /// Carries out the steps at their times, until the end of the play.
-    async fn carry_out(&mut self, steps: &[Timed]) {
+    /// Carries out the steps at their times, until the end of the scenario.
+    async fn execute(&mut self, steps: &[TimedStep]) {
         let mut batches = HashMap::new();
         loop {
             let next = steps.get(self.steps_done);
@@ -138,7 +152,7 @@
             tokio::select! {
                 () = sleep_until(due) => {
                     let Some((_, step)) = next else { return };
-                    self.fleet.carry_out(step, &mut batches);
+                    self.fleet.execute(step, &mut batches);
                     self.steps_done += 1;
                 }
                 _ = self.progress.tick() => self.log_progress(),
@@ -148,7 +162,7 @@
 
     /// Waits until all nodes have the newest version, at most as long as the scenario allows.
     async fn wait_for_newest_version(&mut self) {
-        let until = self.ends_at() + Duration::from_secs_f64(self.scenario.settle_s);
+        let until = self.ends_at() + Duration::from_secs_f64(self.scenario.max_catch_up_s);
         while self.fleet.behind() > 0 && tokio::time::Instant::now() < until {
             tokio::select! {
                 () = sleep(POLL_INTERVAL) => {}
--- a/crates/node-emulator/src/server.rs
+++ b/crates/node-emulator/src/server.rs
@@ -1,7 +1,7 @@
-//! Hollow count servers: one listener for each rack, behind which all servers of that rack answer.
+//! The emulated servers: one listener for each rack, behind which all servers of that rack answer.
 //!
 //! A request names its server in `Host`, and the region that it comes from in `X-From`. A server that has left
-//! answers 410, where a real one could not be connected to; a unresponsive one leaves the request open.
+//! answers 410, where a connection to a real one would be refused; an unresponsive one leaves the request open.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -17,7 +17,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 
-use crate::catalogue::{self, Phase, Reach};
+use crate::catalogue::{self, Phase, Reachability};
 use crate::traffic::Counted;
 use crate::world::{accept, World};
 
@@ -28,7 +28,7 @@
         tokio::task::spawn_local(async move {
             let _ = stream.set_nodelay(true);
             let stream = TokioIo::new(Counted::new(stream, Arc::clone(&world.servers)));
-            let service = service_fn(|request| answer(&world, request, service_time));
+            let service = service_fn(|request| handle_request(&world, request, service_time));
             // It fails where the client breaks the connection off.
             let _ = http1::Builder::new().serve_connection(stream, service).await;
         });
@@ -36,7 +36,7 @@
     .await;
 }
 
-/// A request in flight at a server.
+/// Counts a request as in flight at its server until dropped.
 struct InFlightRequest<'a> {
     world: &'a World,
     number: usize,
@@ -59,7 +59,7 @@
     }
 }
 
-async fn answer(
+async fn handle_request(
     world: &World,
     request: Request<Incoming>,
     service_time: Duration,
@@ -71,17 +71,17 @@
     let (Some(number), Some(from)) = (number, from) else {
         return Ok(respond(StatusCode::NOT_FOUND, None));
     };
-    match world.reach(from, number) {
-        Reach::Gone => {
+    match world.reachability(from, number) {
+        Reachability::Terminated => {
             world.counts.to_removed.fetch_add(1, Relaxed);
             return Ok(respond(StatusCode::GONE, None));
         }
-        Reach::Silent => {
+        Reachability::Unresponsive => {
             world.counts.to_unresponsive.fetch_add(1, Relaxed);
             // Until the client gives up: then this future is dropped.
             std::future::pending::<()>().await;
         }
-        Reach::Up => {}
+        Reachability::Up => {}
     }
     let draining = world.catalogue().server(number).is_some_and(|server| server.phase != Phase::Active);
     if draining {
--- a/crates/node-emulator/src/slopes/bench.rs
+++ b/crates/node-emulator/src/slopes/bench.rs
@@ -1,4 +1,4 @@
-//! The measurements of one run, and what they share.
+//! Dispatches a quantity to its measurement, and owns what the measurements of one run share.
 
 use std::rc::Rc;
 
@@ -7,44 +7,47 @@
 
 use super::decisions::tenant_start;
 use super::discovery_cost::{change_bytes, make_list};
-use super::memory::MEMORY_GUESSED;
-use super::model::{fleet, SERVERS_A_SERVICE};
+use super::memory::ROUGH_MEMORY_SAMPLE_BYTES;
+use super::model::{fleet, SERVERS_PER_SERVICE};
 use super::{point, Point, SlopesError};
 use crate::catalogue::Catalogue;
 use crate::quantity::Quantity;
-use crate::traffic::Sums;
+use crate::traffic::TrafficTotals;
 use crate::world::World;
 
-/// A state that is kept until all memory is measured.
-pub(super) enum State {
-    Balancer(#[allow(dead_code, reason = "held for its memory")] Box<Balancer>),
-    Node(#[allow(dead_code, reason = "held for its memory")] Rc<Node>),
+/// An object that is retained until all memory is measured: memory that was freed would be reused unnoticed.
+pub(super) enum RetainedState {
+    Balancer(#[allow(dead_code, reason = "retained for its memory")] Box<Balancer>),
+    Node(#[allow(dead_code, reason = "retained for its memory")] Rc<Node>),
 }
 
+/// The measurements of one run.
 pub(super) struct Bench {
     pub(super) seed: u64,
-    pub(super) memory_seen: usize,
-    pub(super) traffic: Sums,
-    pub(super) states: Vec<State>,
+    /// Memory that objects are built up to before their size is computed.
+    pub(super) memory_sample_bytes: usize,
+    /// Traffic of discovery since it was last taken.
+    pub(super) traffic: TrafficTotals,
+    pub(super) retained_states: Vec<RetainedState>,
 }
 
-/// Bytes that the decisions take for each server, and a margin for what comes and goes. What a process measures after
-/// it has freed memory is too low: to be called first.
+/// Memory of the decisions for each server, in bytes, with a margin for temporary objects. To be called first: what a
+/// process measures after it has freed memory is too low.
 ///
 /// # Errors
 ///
-/// Where the decisions do not take the list.
+/// Where the list cannot be decoded or the decisions cannot be created.
 pub fn bytes_per_server() -> Result<u64, SlopesError> {
     const SERVERS: usize = 2_000;
     const MARGIN: f64 = 1.15;
-    let mut bench = Bench::new(1, MEMORY_GUESSED);
+    let mut bench = Bench::new(1, ROUGH_MEMORY_SAMPLE_BYTES);
     let bytes = bench.balancer_memory(SERVERS)? / SERVERS as f64;
     Ok((bytes * MARGIN).ceil() as u64)
 }
 
 impl Bench {
-    pub(super) fn new(seed: u64, memory_seen: usize) -> Self {
-        Self { seed, memory_seen, traffic: Sums::default(), states: Vec::new() }
+    pub(super) fn new(seed: u64, memory_sample_bytes: usize) -> Self {
+        Self { seed, memory_sample_bytes, traffic: TrafficTotals::default(), retained_states: Vec::new() }
     }
 
     pub(super) fn point(
@@ -59,10 +62,12 @@
             Quantity::NodeMemory => vec![self.node_memory(size)?],
             Quantity::TenantStart => tenant_start(size, repeats)?,
             Quantity::NodeStart => self.node_start(size, repeats)?,
-            Quantity::WholeList => self.snapshot(size, repeats)?,
+            Quantity::CompleteList => self.snapshot(size, repeats)?,
             Quantity::OneChange => self.one_change(size, repeats)?,
             Quantity::Request => self.request(size, repeats)?,
-            Quantity::ListBytes => vec![Catalogue::unheard(fleet(size)).complete().body.len() as f64],
+            Quantity::ListBytes => {
+                vec![Catalogue::without_listeners(fleet(size)).complete().body.len() as f64]
+            }
             Quantity::ChangeBytes => vec![change_bytes(size)],
             Quantity::ReadList => self.read_list(size, repeats)?.into_iter().map(|(cpu, _)| cpu).collect(),
             Quantity::ReadListTime => {
@@ -77,7 +82,7 @@
                 self.serve_change(size, repeats)?.into_iter().map(|(_, bytes)| bytes).collect()
             }
             Quantity::Connections => vec![self.connections(1, size)?],
-            Quantity::ServiceConnections => vec![self.connections(size, SERVERS_A_SERVICE)?],
+            Quantity::ServiceConnections => vec![self.connections(size, SERVERS_PER_SERVICE)?],
         };
         Ok(point(size, values))
     }
--- a/crates/node-emulator/src/slopes/decisions.rs
+++ b/crates/node-emulator/src/slopes/decisions.rs
@@ -1,4 +1,4 @@
-//! Times of the decisions by size, and the servers that a node connects to.
+//! Measures the times of the decisions, and the number of servers that a node connects to, by size.
 
 use std::collections::HashSet;
 use std::hint::black_box;
@@ -18,10 +18,10 @@
 use crate::catalogue::Catalogue;
 
 /// Requests at one node in a second: 120,000 over 2,000 nodes.
-pub(super) const REQUESTS_A_SECOND: f64 = 60.0;
+pub(super) const REQUESTS_PER_SECOND: f64 = 60.0;
 
 /// Requests of a minute: a connection that is not used for as long is closed.
-pub(super) const REQUESTS_A_MINUTE: u64 = 3_600;
+pub(super) const REQUESTS_PER_MINUTE: u64 = 3_600;
 
 pub(super) fn tenant_start(tenants: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
     let parties: Vec<_> =
@@ -29,12 +29,12 @@
     let classes = json!([{ "name": "all", "aim_ms": 80.0, "deadline_ms": 400.0, "effect": "safe" }]);
     let text = json!({ "classes": classes, "parties": parties }).to_string();
     let measure = |_| {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let facts = serde_json::Value::deserialize(&mut serde_json::Deserializer::from_str(&text));
-        let facts = facts.map_err(|error| SlopesError::Broken(error.to_string()))?;
-        let settings = wire::read_settings(&facts).map_err(|error| SlopesError::Broken(error.to_string()))?;
-        let balancer = Balancer::new(settings, 1).map_err(|error| SlopesError::Broken(error.to_string()))?;
-        let time = begun.elapsed();
+        let facts = facts.map_err(|error| SlopesError::Failed(error.to_string()))?;
+        let settings = wire::read_settings(&facts).map_err(|error| SlopesError::Failed(error.to_string()))?;
+        let balancer = Balancer::new(settings, 1).map_err(|error| SlopesError::Failed(error.to_string()))?;
+        let time = started_at.elapsed();
         drop(black_box(balancer));
         Ok(micros(time))
     };
@@ -44,12 +44,12 @@
 impl Bench {
     pub(super) fn node_start(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
         let size = fleet(servers);
-        let body = Catalogue::unheard(size).complete().body;
+        let body = Catalogue::without_listeners(size).complete().body;
         let measure = |_| {
             let config = config(size, self.seed, read(&body)?);
-            let begun = Instant::now();
-            let node = Node::start(config).map_err(|error| SlopesError::Broken(error.to_string()))?;
-            let time = begun.elapsed();
+            let started_at = Instant::now();
+            let node = Node::start(config).map_err(|error| SlopesError::Failed(error.to_string()))?;
+            let time = started_at.elapsed();
             drop(node);
             Ok(micros(time))
         };
@@ -57,10 +57,10 @@
     }
 
     pub(super) fn snapshot(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-        let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
+        let entries = entries(&mut Catalogue::without_listeners(fleet(servers)))?;
         let mut balancer = balancer(nodes(servers), self.seed)?;
         let mut actions = Vec::new();
-        // The first list builds what the later ones replace.
+        // The first list builds the tables that the later ones replace; only those are measured.
         balancer.handle(
             0.0,
             BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
@@ -68,15 +68,15 @@
         );
         let mut measure = || {
             let event = BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone()));
-            let begun = Instant::now();
+            let started_at = Instant::now();
             balancer.handle(1_000.0, event, &mut actions);
-            micros(begun.elapsed())
+            micros(started_at.elapsed())
         };
         Ok((0..repeats).map(|_| measure()).collect())
     }
 
     pub(super) fn one_change(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-        let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
+        let entries = entries(&mut Catalogue::without_listeners(fleet(servers)))?;
         let mut random = fastrand::Rng::with_seed(self.seed);
         let mut balancer = balancer(nodes(servers), self.seed)?;
         let mut actions = Vec::new();
@@ -85,12 +85,12 @@
             BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
             &mut actions,
         );
-        // In turn a server begins to drain, and is back.
+        // A server begins to drain and becomes active again, alternately.
         let mut measure = |_| {
             let mut changed = entries[random.usize(..entries.len())].clone();
             let back = changed.clone();
             changed.availability = balancer::Availability::Draining;
-            let begun = Instant::now();
+            let started_at = Instant::now();
             balancer.handle(
                 1_000.0,
                 BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![changed])),
@@ -101,7 +101,7 @@
                 BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![back])),
                 &mut actions,
             );
-            micros(begun.elapsed()) / 2.0
+            micros(started_at.elapsed()) / 2.0
         };
         Ok((0..repeats * 4).map(&mut measure).collect())
     }
@@ -110,12 +110,12 @@
         let mut service = Service::new(servers, nodes(servers), self.seed)?;
         let mut next = 0;
         let mut run = |requests: u64| {
-            let begun = Instant::now();
+            let started_at = Instant::now();
             for _ in 0..requests {
                 next += 1;
-                black_box(service.serve(next, next as f64 * 1000.0 / REQUESTS_A_SECOND));
+                black_box(service.serve(next, next as f64 * 1000.0 / REQUESTS_PER_SECOND));
             }
-            micros(begun.elapsed()) / requests as f64
+            micros(started_at.elapsed()) / requests as f64
         };
         run(500);
         Ok((0..repeats).map(|_| run(500)).collect())
@@ -127,13 +127,13 @@
         let nodes = if services == 1 { nodes(servers) } else { MAX_NODES };
         let service = |i| Service::new(servers, nodes, self.seed + i as u64);
         let mut all = (0..services).map(service).collect::<Result<Vec<_>, _>>()?;
-        let mut met = HashSet::new();
-        for request in 1..=REQUESTS_A_MINUTE {
+        let mut contacted = HashSet::new();
+        for request in 1..=REQUESTS_PER_MINUTE {
             let at = random.usize(0..services);
-            let server = all[at].serve(request, request as f64 * 1000.0 / REQUESTS_A_SECOND);
-            met.extend(server.map(|server| (at, server)));
+            let server = all[at].serve(request, request as f64 * 1000.0 / REQUESTS_PER_SECOND);
+            contacted.extend(server.map(|server| (at, server)));
         }
-        Ok(met.len() as f64)
+        Ok(contacted.len() as f64)
     }
 }
 
@@ -147,7 +147,7 @@
 impl Service {
     pub(super) fn new(servers: usize, nodes: usize, seed: u64) -> Result<Self, SlopesError> {
         let mut balancer = balancer(nodes, seed)?;
-        let entries = entries(&mut Catalogue::unheard(fleet(servers)))?;
+        let entries = entries(&mut Catalogue::without_listeners(fleet(servers)))?;
         balancer.handle(
             0.0,
             BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries)),
@@ -156,8 +156,8 @@
         Ok(Self { balancer, random: fastrand::Rng::with_seed(!seed), actions: Vec::new() })
     }
 
-    /// A request that comes at `now` to servers that hold one to three requests each, and take the longer the more:
-    /// where it was sent.
+    /// Runs a request that arrives at `now` (milliseconds), and returns the number of the server that it was sent to.
+    /// The server reports one to three requests in flight, and responds the slower the more it has.
     pub(super) fn serve(&mut self, id: u64, now: f64) -> Option<usize> {
         let request = RequestId(id);
         self.actions.clear();
@@ -170,9 +170,9 @@
             BalancerAction::Send { server, .. } => Some(server.0),
             _ => None,
         })?;
-        let held = f64::from(self.random.u8(1..=3));
-        let elapsed_ms = 5.0 * held * (0.5 + self.random.f64());
-        let report = Some(LoadReport { in_flight: Some(held), queued: None });
+        let in_flight = f64::from(self.random.u8(1..=3));
+        let elapsed_ms = 5.0 * in_flight * (0.5 + self.random.f64());
+        let report = Some(LoadReport { in_flight: Some(in_flight), queued: None });
         let attempt_end = AttemptEnd {
             request,
             attempt: 0,
--- a/crates/node-emulator/src/slopes/discovery_cost.rs
+++ b/crates/node-emulator/src/slopes/discovery_cost.rs
@@ -1,4 +1,4 @@
-//! Costs of discovery and of its client by size.
+//! Measures the costs of discovery and of its client by size.
 
 use std::hint::black_box;
 use std::io::{self, BufRead, BufReader, Read, Write as _};
@@ -20,7 +20,7 @@
 use crate::usage::{self, thread_time};
 use crate::world::{listen, World};
 
-/// Complete lists served for one measure.
+/// Complete lists sent for one measurement.
 pub(super) const LISTS: u32 = 20;
 
 impl Bench {
@@ -31,26 +31,27 @@
         servers: usize,
         repeats: usize,
     ) -> Result<Vec<(f64, f64)>, SlopesError> {
-        let world = Arc::new(World::new(Catalogue::unheard(fleet(servers))));
+        let world = Arc::new(World::new(Catalogue::without_listeners(fleet(servers))));
         world.catalogue().complete();
-        let (agent, served) = (listen(Ipv4Addr::LOCALHOST)?, Arc::clone(&world));
+        let (agent, world_of_agent) = (listen(Ipv4Addr::LOCALHOST)?, Arc::clone(&world));
         let address = agent.local_addr()?;
         let (end, ended) = oneshot::channel::<()>();
         let thread = std::thread::Builder::new().name("discovery-0".into()).spawn(move || {
-            on_loop(async move {
-                tokio::task::spawn_local(discovery::serve(agent, served, 0));
-                // The sender is dropped when all is read.
+            block_on_event_loop(async move {
+                tokio::task::spawn_local(discovery::serve(agent, world_of_agent, 0));
+                // The sender is dropped when all lists are read.
                 let _ = ended.await;
             })
         })?;
-        let values = on_loop(async move {
+        let values = block_on_event_loop(async move {
             let mut values = Vec::new();
             for _ in 0..repeats {
-                let reader = Rc::new(Reader { address, update_requested: Notify::new(), read: false.into() });
-                let (begun, cpu) = (Instant::now(), thread_time());
+                let reader =
+                    Rc::new(ListReader { address, update_requested: Notify::new(), read: false.into() });
+                let (started_at, cpu) = (Instant::now(), thread_time());
                 let connection = fetch_initial(&reader).await;
                 if reader.read.get() {
-                    values.push((micros(thread_time() - cpu), micros(begun.elapsed())));
+                    values.push((micros(thread_time() - cpu), micros(started_at.elapsed())));
                 } else {
                     tracing::warn!(servers, "the discovery client did not read the list");
                     break;
@@ -60,27 +61,27 @@
             values
         })?;
         drop(end);
-        thread.join().map_err(|_| SlopesError::Broken("the discovery thread panicked".into()))??;
+        thread.join().map_err(|_| SlopesError::Failed("the discovery thread panicked".into()))??;
         self.count(&world);
         Ok(values)
     }
 
     pub(super) fn serve_list(&mut self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-        let world = Arc::new(World::new(Catalogue::unheard(fleet(servers))));
+        let world = Arc::new(World::new(Catalogue::without_listeners(fleet(servers))));
         world.catalogue().complete();
         let agent = listen(Ipv4Addr::LOCALHOST)?;
         let address = agent.local_addr()?;
-        let served = Arc::clone(&world);
-        let values = on_loop(async move {
-            tokio::task::spawn_local(discovery::serve(agent, served, 0));
+        let world_of_agent = Arc::clone(&world);
+        let values = block_on_event_loop(async move {
+            tokio::task::spawn_local(discovery::serve(agent, world_of_agent, 0));
             let mut values = Vec::new();
             for _ in 0..repeats {
                 let cpu = thread_time();
-                beside(move || {
-                    let mut watcher = Watcher::connect(address)?;
+                run_in_thread(move || {
+                    let mut client = PollClient::connect(address)?;
                     for _ in 0..LISTS {
-                        watcher.ask("/catalog/members")?;
-                        watcher.answer()?;
+                        client.send_request("/catalog/members")?;
+                        client.read_response()?;
                     }
                     Ok(())
                 })
@@ -97,36 +98,38 @@
     /// change.
     pub(super) fn serve_change(
         &mut self,
-        watches: usize,
+        long_polls: usize,
         repeats: usize,
     ) -> Result<Vec<(f64, f64)>, SlopesError> {
-        usage::allow_descriptors(2 * watches as u64 + 100)?;
-        let world = Arc::new(World::new(Catalogue::unheard(fleet(1_000))));
+        usage::allow_descriptors(2 * long_polls as u64 + 100)?;
+        let world = Arc::new(World::new(Catalogue::without_listeners(fleet(1_000))));
         let agent = listen(Ipv4Addr::LOCALHOST)?;
         let address = agent.local_addr()?;
-        let served = Arc::clone(&world);
-        let values = on_loop(async move {
-            tokio::task::spawn_local(discovery::serve(agent, Arc::clone(&served), 0));
-            let mut watchers = beside(move || {
-                (0..watches).map(|_| Watcher::connect(address)).collect::<io::Result<Vec<_>>>()
+        let world_of_agent = Arc::clone(&world);
+        let values = block_on_event_loop(async move {
+            tokio::task::spawn_local(discovery::serve(agent, Arc::clone(&world_of_agent), 0));
+            let mut clients = run_in_thread(move || {
+                (0..long_polls).map(|_| PollClient::connect(address)).collect::<io::Result<Vec<_>>>()
             })
             .await?;
             let mut values = Vec::new();
             for round in 0..repeats {
-                let revision = served.catalogue().revision();
-                watchers = send_polls(watchers, revision).await?;
-                while served.discovery.sums().messages < (watches * (round + 1)) as u64 {
+                let revision = world_of_agent.catalogue().revision();
+                clients = send_polls(clients, revision).await?;
+                while world_of_agent.discovery.sums().messages < (long_polls * (round + 1)) as u64 {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
-                let (cpu, sent) = (thread_time(), served.discovery.sums().sent_bytes);
-                served.change(|catalogue| catalogue.restart(&[round % 1_000], 1 + round as u64));
-                watchers = beside(move || {
-                    watchers.iter_mut().try_for_each(Watcher::answer)?;
-                    Ok(watchers)
+                let (cpu, sent) = (thread_time(), world_of_agent.discovery.sums().sent_bytes);
+                world_of_agent.change(|catalogue| catalogue.restart(&[round % 1_000], 1 + round as u64));
+                clients = run_in_thread(move || {
+                    clients.iter_mut().try_for_each(PollClient::read_response)?;
+                    Ok(clients)
                 })
                 .await?;
-                values
-                    .push((micros(thread_time() - cpu), (served.discovery.sums().sent_bytes - sent) as f64));
+                values.push((
+                    micros(thread_time() - cpu),
+                    (world_of_agent.discovery.sums().sent_bytes - sent) as f64,
+                ));
             }
             Ok::<_, SlopesError>(values)
         })??;
@@ -136,41 +139,41 @@
 }
 
 /// Sends a long poll for changes after a version on each connection.
-async fn send_polls(mut watchers: Vec<Watcher>, revision: u64) -> io::Result<Vec<Watcher>> {
+async fn send_polls(mut clients: Vec<PollClient>, revision: u64) -> io::Result<Vec<PollClient>> {
     let path = format!("/catalog/members?since={revision}&timeout_ms=60000");
-    beside(move || {
-        watchers.iter_mut().try_for_each(|watcher| watcher.ask(&path))?;
-        Ok(watchers)
+    run_in_thread(move || {
+        clients.iter_mut().try_for_each(|client| client.send_request(&path))?;
+        Ok(clients)
     })
     .await
 }
 
 pub(super) fn make_list(servers: usize, repeats: usize) -> Vec<f64> {
-    let mut catalogue = Catalogue::unheard(fleet(servers));
+    let mut catalogue = Catalogue::without_listeners(fleet(servers));
     let mut measure = |round: usize| {
         catalogue.restart(&[round % servers], 1);
-        let begun = thread_time();
+        let started_at = thread_time();
         black_box(catalogue.complete());
-        micros(thread_time() - begun)
+        micros(thread_time() - started_at)
     };
     (0..repeats).map(&mut measure).collect()
 }
 
 pub(super) fn change_bytes(servers: usize) -> f64 {
-    let mut catalogue = Catalogue::unheard(fleet(servers));
+    let mut catalogue = Catalogue::without_listeners(fleet(servers));
     let before = catalogue.revision();
     catalogue.restart(&[servers / 2], 1_700_000_000_000);
     catalogue.since(before).body.len() as f64
 }
 
-/// Reads one list.
-pub(super) struct Reader {
+/// A subscriber that only records that a list was read.
+pub(super) struct ListReader {
     pub(super) address: SocketAddr,
     pub(super) update_requested: Notify,
     pub(super) read: std::cell::Cell<bool>,
 }
 
-impl Subscriber for Reader {
+impl Subscriber for ListReader {
     fn update_requested(&self) -> &Notify {
         &self.update_requested
     }
@@ -200,10 +203,10 @@
     fn unavailable(self: &Rc<Self>) {}
 }
 
-/// A plain client of discovery, for what is measured at discovery's end.
-pub(super) struct Watcher(BufReader<TcpStream>);
+/// A blocking client of discovery, for measurements on discovery's side.
+pub(super) struct PollClient(BufReader<TcpStream>);
 
-impl Watcher {
+impl PollClient {
     pub(super) fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
@@ -211,11 +214,11 @@
         Ok(Self(BufReader::with_capacity(1 << 14, stream)))
     }
 
-    pub(super) fn ask(&mut self, path: &str) -> io::Result<()> {
+    pub(super) fn send_request(&mut self, path: &str) -> io::Result<()> {
         write!(self.0.get_mut(), "GET {path} HTTP/1.1\r\nHost: discovery\r\n\r\n")
     }
 
-    pub(super) fn answer(&mut self) -> io::Result<()> {
+    pub(super) fn read_response(&mut self) -> io::Result<()> {
         let mut length = 0;
         loop {
             let mut line = String::new();
@@ -235,13 +238,13 @@
 }
 
 /// Runs a task and what it spawns on an event loop in this thread.
-pub(super) fn on_loop<T>(task: impl std::future::Future<Output = T>) -> io::Result<T> {
+pub(super) fn block_on_event_loop<T>(task: impl std::future::Future<Output = T>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(LocalSet::new().block_on(&runtime, task))
 }
 
-/// Lets blocking work run in a thread beside the event loop, and waits for it.
-pub(super) async fn beside<T: Send + 'static>(
+/// Runs blocking work in a thread of its own, and waits for it without blocking the event loop.
+pub(super) async fn run_in_thread<T: Send + 'static>(
     work: impl FnOnce() -> io::Result<T> + Send + 'static,
 ) -> io::Result<T> {
     let (done, result) = oneshot::channel();
--- a/crates/node-emulator/src/slopes/mod.rs
+++ b/crates/node-emulator/src/slopes/mod.rs
@@ -1,4 +1,4 @@
-//! Measures single quantities against size: each at several sizes, and a line is fitted to the points.
+//! Measures single quantities against size: each at several sizes, and fits a line to the points.
 
 mod bench;
 mod decisions;
@@ -19,25 +19,25 @@
 use serde::Serialize;
 
 use self::bench::Bench;
-use self::memory::{MEMORY_SEEN, STATE_BYTES};
+use self::memory::{MEMORY_SAMPLE_BYTES, STATE_BYTES};
 use crate::build::{Build, BuildError};
 use crate::fit::{fit, Fit};
 use crate::quantity::Quantity;
-use crate::traffic::Sums;
+use crate::traffic::TrafficTotals;
 use crate::usage::{self, TooFewDescriptors};
 
-/// What is measured, and how.
+/// The options of a run of measurements.
 #[derive(Clone, Debug, Serialize)]
-pub struct Options {
-    /// All, where none is named.
+pub struct SlopesOptions {
+    /// The quantities; all, if empty.
     pub quantities: Vec<Quantity>,
-    /// Each quantity's own, where none are named.
+    /// The sizes; each quantity's default ones, if empty.
     pub sizes: Vec<usize>,
     /// How often each point is measured.
     pub repeats: usize,
-    /// All random numbers follow from it.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Memory that may be needed, in MiB.
+    /// Limit of the estimated memory, in MiB.
     pub memory_mb: u64,
     /// An earlier build of this program, measured side by side.
     pub baseline: Option<PathBuf>,
@@ -46,29 +46,29 @@
 /// A quantity could not be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum SlopesError {
-    /// A size is too large or 0.
-    #[error("size {size} needs about {need_mb} MiB, and {most_mb} are allowed (--memory-mb)")]
+    /// The estimated memory for a size is over the limit.
+    #[error("size {size} needs about {need_mb} MiB, and {limit_mb} are allowed (--memory-mb)")]
     TooLarge {
         /// The size.
         size: usize,
-        /// What it needs.
+        /// The estimate, in MiB.
         need_mb: u64,
-        /// The limit.
-        most_mb: u64,
+        /// The limit, in MiB.
+        limit_mb: u64,
     },
-    /// There is nothing of size 0.
+    /// A size is 0.
     #[error("a size must be above 0")]
-    Zero,
-    /// Too many sockets.
+    ZeroSize,
+    /// More descriptors are required than allowed.
     #[error(transparent)]
     Descriptors(#[from] TooFewDescriptors),
     /// A socket, thread or event loop failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// What was to be measured did not work.
+    /// What was to be measured failed.
     #[error("{0}")]
-    Broken(String),
-    /// A build that is measured side by side could not be.
+    Failed(String),
+    /// A build that is measured side by side failed.
     #[error(transparent)]
     Build(#[from] BuildError),
 }
@@ -78,13 +78,16 @@
 pub struct Point {
     /// The size.
     pub size: usize,
-    /// The median; `None` where it could not be had, such as a list that the client does not read.
+    /// The median; `None` where the quantity cannot be measured at this size, such as a list that the client does not
+    /// read.
     pub value: Option<f64>,
-    /// The least.
-    pub least: f64,
-    /// The most.
-    pub most: f64,
-    /// Measures taken.
+    /// The minimum.
+    #[serde(rename = "least")]
+    pub min: f64,
+    /// The maximum.
+    #[serde(rename = "most")]
+    pub max: f64,
+    /// Number of measurements.
     pub count: usize,
 }
 
@@ -101,15 +104,15 @@
     pub points: Vec<Point>,
     /// `None` for fewer than two points.
     pub fit: Option<Fit>,
-    /// The same of an earlier build.
+    /// The same quantity of an earlier build.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub baseline: Option<Baseline>,
 }
 
-/// A quantity as an earlier build has it.
+/// The points of an earlier build.
 #[derive(Clone, Debug, Serialize)]
 pub struct Baseline {
-    /// The commit that its report tells: the one that is checked out where the binary lies.
+    /// The commit that its report names: the one that is checked out in the folder of the binary.
     pub commit: String,
     /// Whether files differed from that commit.
     pub modified: bool,
@@ -119,7 +122,7 @@
     pub fit: Option<Fit>,
 }
 
-/// Everything that a report of slopes has.
+/// The measurements of a run, with its use of resources.
 #[derive(Default)]
 pub struct Measured {
     /// By quantity, in a fixed order.
@@ -127,7 +130,7 @@
     /// Processor seconds by quantity, over all threads.
     pub cpu_seconds: BTreeMap<String, f64>,
     /// Bytes and messages of the stand-in discovery, by quantity.
-    pub traffic: BTreeMap<String, Sums>,
+    pub traffic: BTreeMap<String, TrafficTotals>,
 }
 
 /// Measures quantities one after the other.
@@ -135,21 +138,22 @@
 /// # Errors
 ///
 /// For the first that cannot be measured, and before any for a size that is out of range.
-pub fn measure(options: &Options) -> Result<Measured, SlopesError> {
+pub fn measure(options: &SlopesOptions) -> Result<Measured, SlopesError> {
     let quantities = options.quantities();
-    // States stay until all memory is measured: what was freed would be used again, unseen.
+    // Objects are retained until all memory is measured: freed memory would be reused unnoticed.
     let of_memory = quantities.iter().filter(|quantity| quantity.is_memory());
-    let states = of_memory.map(|quantity| options.sizes(*quantity).len()).sum::<usize>() * MEMORY_SEEN;
+    let states =
+        of_memory.map(|quantity| options.sizes(*quantity).len()).sum::<usize>() * MEMORY_SAMPLE_BYTES;
     for size in quantities.iter().flat_map(|quantity| options.sizes(*quantity)) {
-        allowed(size, states, options.memory_mb)?;
+        check_size(size, states, options.memory_mb)?;
     }
     match &options.baseline {
-        Some(baseline) => measure_beside(baseline, &quantities, options),
-        None => measure_alone(&quantities, options),
+        Some(baseline) => measure_with_baseline(baseline, &quantities, options),
+        None => measure_this_build(&quantities, options),
     }
 }
 
-impl Options {
+impl SlopesOptions {
     /// The quantities to measure. Memory comes first, before others have freed any.
     fn quantities(&self) -> Vec<Quantity> {
         let mut quantities = match self.quantities.as_slice() {
@@ -163,17 +167,17 @@
 
     fn sizes(&self, quantity: Quantity) -> Vec<usize> {
         match self.sizes.as_slice() {
-            [] => quantity.usual_sizes().to_vec(),
+            [] => quantity.default_sizes().to_vec(),
             some => some.to_vec(),
         }
     }
 }
 
 /// Measures quantities side by side with an earlier build.
-fn measure_beside(
+fn measure_with_baseline(
     baseline: &Path,
     quantities: &[Quantity],
-    options: &Options,
+    options: &SlopesOptions,
 ) -> Result<Measured, SlopesError> {
     let builds = [Build::this()?, Build::at(baseline)?];
     let mut measured = Measured::default();
@@ -184,12 +188,12 @@
 }
 
 /// Measures quantities of this build, in this process.
-fn measure_alone(quantities: &[Quantity], options: &Options) -> Result<Measured, SlopesError> {
+fn measure_this_build(quantities: &[Quantity], options: &SlopesOptions) -> Result<Measured, SlopesError> {
     let mut measured = Measured::default();
-    let mut bench = Bench::new(options.seed, MEMORY_SEEN);
+    let mut bench = Bench::new(options.seed, MEMORY_SAMPLE_BYTES);
     for &quantity in quantities {
         if !quantity.is_memory() {
-            bench.states.clear();
+            bench.retained_states.clear();
         }
         let before = usage::process_time();
         let mut points = Vec::new();
@@ -201,7 +205,7 @@
         let cpu = usage::process_time().saturating_sub(before).as_secs_f64();
         measured.cpu_seconds.insert(quantity.name(), cpu);
         let traffic = std::mem::take(&mut bench.traffic);
-        if traffic != Sums::default() {
+        if traffic != TrafficTotals::default() {
             measured.traffic.insert(format!("discovery, {}", quantity.name()), traffic);
         }
     }
@@ -214,17 +218,17 @@
 }
 
 fn fit_points(points: &[Point]) -> Option<Fit> {
-    let sound: Vec<_> = points.iter().filter_map(|p| Some((p.size as f64, p.value?))).collect();
-    fit(&sound)
+    let measured_points: Vec<_> = points.iter().filter_map(|p| Some((p.size as f64, p.value?))).collect();
+    fit(&measured_points)
 }
 
-/// Measures a quantity with this build and an earlier one: one process for each measure, in turns, so that what else
-/// the machine does falls on both alike.
+/// Measures a quantity with this build and an earlier one: one process for each measurement, in turns, so that
+/// other load of the machine affects both alike.
 fn compare(
     builds: &[Build; 2],
     quantity: Quantity,
     sizes: &[usize],
-    options: &Options,
+    options: &SlopesOptions,
 ) -> Result<Slope, SlopesError> {
     let repeats = if quantity.unit() == "us" { options.repeats } else { 1 };
     let mut points = [Vec::new(), Vec::new()];
@@ -232,7 +236,7 @@
     for &size in sizes {
         let mut values = [Vec::new(), Vec::new()];
         for round in 0..repeats {
-            // Neither is always the first.
+            // The builds take turns at being the first.
             for side in [round % 2, 1 - round % 2] {
                 let measured_point = builds[side].measure(quantity, size, options.seed, options.memory_mb)?;
                 values[side].extend(measured_point.value);
@@ -244,20 +248,21 @@
         for (points, values) in points.iter_mut().zip(values) {
             points.push(point(size, values));
         }
-        let [own, earlier] = points.each_ref().map(|points| points.last().and_then(|p| p.value));
-        tracing::info!(quantity = quantity.name(), size, value = own, baseline = earlier);
+        let [this_build, baseline_value] =
+            points.each_ref().map(|points| points.last().and_then(|p| p.value));
+        tracing::info!(quantity = quantity.name(), size, value = this_build, baseline = baseline_value);
     }
-    let [own, points] = points;
+    let [this_build, points] = points;
     let baseline = Baseline { commit, modified, fit: fit_points(&points), points };
-    Ok(slope(quantity, own, Some(baseline)))
+    Ok(slope(quantity, this_build, Some(baseline)))
 }
 
-fn allowed(size: usize, states: usize, most_mb: u64) -> Result<(), SlopesError> {
-    // A catalogue, its list in bytes, read and as entries, and the states that memory is told by.
+fn check_size(size: usize, states: usize, limit_mb: u64) -> Result<(), SlopesError> {
+    // A catalogue, its list encoded, decoded and as entries, and the objects that memory is measured with.
     let need_mb = (size.saturating_mul(4 * STATE_BYTES).saturating_add(states) >> 20) as u64;
     match size {
-        0 => Err(SlopesError::Zero),
-        _ if need_mb > most_mb => Err(SlopesError::TooLarge { size, need_mb, most_mb }),
+        0 => Err(SlopesError::ZeroSize),
+        _ if need_mb > limit_mb => Err(SlopesError::TooLarge { size, need_mb, limit_mb }),
         _ => Ok(()),
     }
 }
@@ -271,8 +276,8 @@
     Point {
         size,
         value: values.get(values.len() / 2).copied(),
-        least: values.first().copied().unwrap_or(0.0),
-        most: values.last().copied().unwrap_or(0.0),
+        min: values.first().copied().unwrap_or(0.0),
+        max: values.last().copied().unwrap_or(0.0),
         count: values.len(),
     }
 }
--- a/crates/node-emulator/src/slopes/model.rs
+++ b/crates/node-emulator/src/slopes/model.rs
@@ -1,4 +1,4 @@
-//! The fleets of a given size that are measured, and what their nodes are configured with.
+//! The fleets of a given size that are measured, and the configuration of their nodes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::catalogue::{zone_names, Catalogue, Size, KIND};
 use crate::node::{endpoint_update, read_list};
 
-/// The nodes of the whole fleet; smaller fleets have three nodes for two servers, as the bench's do.
+/// The nodes of the full-size fleet; smaller fleets have three nodes for two servers, as those of the bench do.
 pub(super) const MAX_NODES: usize = 2_000;
 
 /// Servers of a service, on average.
-pub(super) const SERVERS_A_SERVICE: usize = 32;
+pub(super) const SERVERS_PER_SERVICE: usize = 32;
 
 /// A fleet of so many servers of a single service, its other sizes in proportion.
 pub(super) fn fleet(servers: usize) -> Size {
@@ -24,7 +24,7 @@
         regions: 4.min(zones),
         zones,
         racks: (servers / 50).max(zones),
-        services: (servers / SERVERS_A_SERVICE).max(1),
+        services: (servers / SERVERS_PER_SERVICE).max(1),
         servers,
         nodes: nodes(servers),
     }
@@ -41,22 +41,22 @@
 }
 
 pub(super) fn read(body: &[u8]) -> Result<ServerList, SlopesError> {
-    read_list(body).map_err(|error| SlopesError::Broken(format!("a list: {error}")))
+    read_list(body).map_err(|error| SlopesError::Failed(format!("a list: {error}")))
 }
 
 pub(super) fn entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
     let list = read(&catalogue.complete().body)?;
     match endpoint_update(&list, &zone_names(catalogue.size())) {
         EndpointUpdate::Snapshot(entries) => Ok(entries),
-        _ => Err(SlopesError::Broken("the whole list is not whole".into())),
+        _ => Err(SlopesError::Failed("the whole list is not whole".into())),
     }
 }
 
 pub(super) fn balancer(nodes: usize, seed: u64) -> Result<Balancer, SlopesError> {
-    Balancer::new(settings(nodes), seed).map_err(|error| SlopesError::Broken(error.to_string()))
+    Balancer::new(settings(nodes), seed).map_err(|error| SlopesError::Failed(error.to_string()))
 }
 
-/// A real node's configuration, with nothing to talk to.
+/// A real node's configuration, whose addresses have no listeners.
 pub(super) fn config(size: Size, seed: u64, known: ServerList) -> Config {
     let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let names = SettingNames {
--- a/crates/node-emulator/src/slopes/table.rs
+++ b/crates/node-emulator/src/slopes/table.rs
@@ -1,11 +1,11 @@
-//! The table that a run of measurements ends with.
+//! The summary that is printed at the end of a run of measurements.
 
 use std::fmt::Write as _;
 
 use super::{Point, Slope};
 use crate::fit::Fit;
 
-/// The short table that a run ends with.
+/// The summary: points and line of each quantity.
 #[must_use]
 pub fn table(slopes: &[Slope]) -> String {
     let mut text = String::new();
@@ -40,7 +40,7 @@
     };
 }
 
-/// Four digits that count.
+/// Formats a value with four significant digits, at most six of them decimals.
 pub(super) fn figure(value: f64) -> String {
     let digits = if value == 0.0 { 0 } else { value.abs().log10().floor() as i32 };
     let decimals = usize::try_from(3 - digits).unwrap_or(0).min(6);
--- a/crates/node-emulator/src/steps.rs
+++ b/crates/node-emulator/src/steps.rs
@@ -1,112 +1,116 @@
-//! What a scenario's events come down to: steps at times, all drawn from its seed before the play begins.
+//! Expands a scenario's events to steps at times, all drawn from its seed before the run begins.
 
 use std::time::Duration;
 
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{EventKind, Scenario};
 
-/// On a usual day so many machines fail, ...
-const FAILURES_A_DAY: f64 = 130.0;
-/// ... so many servers are restarted or replaced, ...
-const RESTARTS_A_DAY: f64 = 4_100.0;
-/// ... and the configuration changes so often.
-const CHANGES_A_DAY: f64 = 1_300.0;
-const DAY_S: f64 = 86_400.0;
-/// A server that is restarted drains for so long, ...
+/// Machine failures on an ordinary day.
+const FAILURES_PER_DAY: f64 = 130.0;
+/// Restarts and replacements of servers on an ordinary day.
+const RESTARTS_PER_DAY: f64 = 4_100.0;
+/// Changes of the configuration on an ordinary day.
+const CHANGES_PER_DAY: f64 = 1_300.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+/// Time in which a restarted server drains, in seconds; a failed machine is taken off the list after the same time.
 const DRAIN_S: f64 = 2.0;
-/// ... and is back after so long. A failed machine is off the list after the first and back after the second.
-const BACK_S: f64 = 5.0;
+/// Time after which a restarted server or failed machine is back, in seconds from the begin of the drain or failure.
+const RESTART_S: f64 = 5.0;
 
-/// One thing done to the world. Servers are named by their slots.
+/// One change of the emulated fleet. Servers are identified by their slots.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Servers begin to drain.
     Drain(Vec<usize>),
-    /// Their processes end, and discovery knows.
+    /// The processes of servers end, and discovery takes them off the list.
     Leave(Vec<usize>),
-    /// Machines stop answering; discovery does not know yet.
-    Silence(Vec<usize>),
+    /// Machines stop responding; they stay on the list.
+    StopResponding(Vec<usize>),
     /// Discovery takes unresponsive servers off the list.
     Unlist(Vec<usize>),
-    /// Servers restart under their names.
+    /// Servers restart under their names and are listed again.
     Return(Vec<usize>),
-    /// New servers come into slots, and those that stood there begin to drain.
+    /// New servers are added in slots, and the servers that occupied them begin to drain.
     Replace {
-        /// Names what is replaced together.
+        /// Identifies the servers that are replaced together.
         batch: usize,
-        /// Where.
+        /// The slots.
         slots: Vec<usize>,
     },
-    /// What a batch replaced leaves.
+    /// The servers that a batch replaced end and leave the list.
     Retire {
         /// The batch.
         batch: usize,
     },
     /// The configuration of a service changes.
-    Weigh {
-        /// Which.
+    SetServiceWeight {
+        /// The service.
         service: usize,
         /// The new weight of its servers.
         weight: f64,
     },
-    /// A region is cut off or joined again.
+    /// A region is partitioned from the others, or the partition heals.
     Partition {
-        /// Which.
+        /// The region.
         region: usize,
-        /// Cut off, or joined.
+        /// Whether the partition begins or heals.
         partitioned: bool,
     },
-    /// The agents of all regions stop answering, or answer again.
+    /// The discovery agents of all regions stop responding, or respond again.
     DiscoveryAnswering(bool),
     /// Nodes are restarted.
     RestartNodes(Vec<usize>),
 }
 
-/// A step and when it is due, from the start of the play.
-pub type Timed = (Duration, Step);
+/// A step and when it is due, from the begin of the run.
+pub type TimedStep = (Duration, Step);
 
-/// All steps of a scenario in the order that they are due.
+/// All steps of a scenario in the order in which they are due.
 #[must_use]
-pub fn steps(scenario: &Scenario) -> Vec<Timed> {
-    let mut plan =
-        Plan { scenario, random: fastrand::Rng::with_seed(scenario.seed), batch: 0, steps: Vec::new() };
+pub fn steps(scenario: &Scenario) -> Vec<TimedStep> {
+    let mut generator = StepGenerator {
+        scenario,
+        random: fastrand::Rng::with_seed(scenario.seed),
+        batch: 0,
+        steps: Vec::new(),
+    };
     for event in &scenario.events {
-        plan.add(event.at_s, &event.kind);
+        generator.add(event.at_s, &event.kind);
     }
-    // What is due at the same time keeps the order of the file.
-    plan.steps.sort_by_key(|(at, _)| *at);
-    plan.steps
+    // A stable sort: steps due at the same time keep the order of the file.
+    generator.steps.sort_by_key(|(at, _)| *at);
+    generator.steps
 }
 
-struct Plan<'a> {
+struct StepGenerator<'a> {
     scenario: &'a Scenario,
     random: fastrand::Rng,
     batch: usize,
-    steps: Vec<Timed>,
+    steps: Vec<TimedStep>,
 }
 
-impl Plan<'_> {
+impl StepGenerator<'_> {
     fn push(&mut self, at_s: f64, step: Step) {
         self.steps.push((Duration::from_secs_f64(at_s), step));
     }
 
-    fn add(&mut self, at: f64, kind: &Kind) {
+    fn add(&mut self, at: f64, kind: &EventKind) {
         let size = self.scenario.size;
         match *kind {
-            Kind::OrdinaryDay { for_s, speed } => self.ordinary_day(at, for_s, speed),
-            Kind::RollingReplacement { part, batches, over_s, drain_s } => {
+            EventKind::OrdinaryDay { for_s, speed } => self.ordinary_day(at, for_s, speed),
+            EventKind::RollingReplacement { part, batches, over_s, drain_s } => {
                 self.rolling_replacement(at, part, batches, over_s, drain_s);
             }
-            Kind::RackLost { rack, noticed_s, for_s } => {
-                self.lose(at, &size.slots(|of| of == rack), noticed_s, for_s);
+            EventKind::RackLost { rack, noticed_s, for_s } => {
+                self.fail_machines(at, &size.slots(|of| of == rack), noticed_s, for_s);
             }
-            Kind::ZoneLost { zone, noticed_s, for_s } => {
-                self.lose(at, &size.slots(|rack| size.zone(rack) == zone), noticed_s, for_s);
+            EventKind::ZoneLost { zone, noticed_s, for_s } => {
+                self.fail_machines(at, &size.slots(|rack| size.zone(rack) == zone), noticed_s, for_s);
             }
-            Kind::RegionCut { region, for_s } => {
+            EventKind::RegionPartitioned { region, for_s } => {
                 self.push(at, Step::Partition { region, partitioned: true });
                 self.push(at + for_s, Step::Partition { region, partitioned: false });
             }
-            Kind::RestartNodes { region, over_s } => {
+            EventKind::RestartNodes { region, over_s } => {
                 let nodes = (0..size.nodes).filter(|node| size.region(size.zone(*node)) == region);
                 let nodes: Vec<usize> = nodes.collect();
                 for (i, node) in nodes.iter().enumerate() {
@@ -114,12 +118,12 @@
                     self.push(at, Step::RestartNodes(vec![*node]));
                 }
             }
-            Kind::ConfigurationStorm { changes, over_s } => {
+            EventKind::ConfigurationStorm { changes, over_s } => {
                 for i in 0..changes {
-                    self.weigh(at + over_s * i as f64 / changes as f64);
+                    self.set_service_weight(at + over_s * i as f64 / changes as f64);
                 }
             }
-            Kind::DiscoverySilent { for_s } => {
+            EventKind::DiscoveryUnresponsive { for_s } => {
                 self.push(at, Step::DiscoveryAnswering(false));
                 self.push(at + for_s, Step::DiscoveryAnswering(true));
             }
@@ -140,15 +144,15 @@
         }
     }
 
-    fn weigh(&mut self, at: f64) {
+    fn set_service_weight(&mut self, at: f64) {
         let service = self.random.usize(0..self.scenario.size.services);
         let weight = 0.5 + f64::from(self.random.u8(0..=10)) / 10.0;
-        self.push(at, Step::Weigh { service, weight });
+        self.push(at, Step::SetServiceWeight { service, weight });
     }
 
-    /// Machines vanish, are noticed to be gone, unless they are back before, and come back warming up.
-    fn lose(&mut self, at: f64, slots: &[usize], noticed_s: f64, for_s: f64) {
-        self.push(at, Step::Silence(slots.to_vec()));
+    /// Machines fail, are taken off the list unless they are back before, and come back warming up.
+    fn fail_machines(&mut self, at: f64, slots: &[usize], noticed_s: f64, for_s: f64) {
+        self.push(at, Step::StopResponding(slots.to_vec()));
         if noticed_s < for_s {
             self.push(at + noticed_s, Step::Unlist(slots.to_vec()));
         }
@@ -156,32 +160,32 @@
     }
 
     fn ordinary_day(&mut self, at: f64, for_s: f64, speed: f64) {
-        let times = |a_day: f64, random: &mut fastrand::Rng| {
+        let times = |per_day: f64, random: &mut fastrand::Rng| {
             let mut times = Vec::new();
             let mut next = at;
             loop {
-                next -= (1.0 - random.f64()).ln() * DAY_S / (a_day * speed);
+                next -= (1.0 - random.f64()).ln() * SECONDS_PER_DAY / (per_day * speed);
                 if next >= at + for_s {
                     return times;
                 }
                 times.push(next);
             }
         };
-        let failures = times(FAILURES_A_DAY, &mut self.random);
-        let restarts = times(RESTARTS_A_DAY, &mut self.random);
-        let changes = times(CHANGES_A_DAY, &mut self.random);
+        let failures = times(FAILURES_PER_DAY, &mut self.random);
+        let restarts = times(RESTARTS_PER_DAY, &mut self.random);
+        let changes = times(CHANGES_PER_DAY, &mut self.random);
         for at in failures {
             let slot = self.random.usize(0..self.scenario.size.servers);
-            self.lose(at, &[slot], DRAIN_S, BACK_S);
+            self.fail_machines(at, &[slot], DRAIN_S, RESTART_S);
         }
         for at in restarts {
             let slot = vec![self.random.usize(0..self.scenario.size.servers)];
             self.push(at, Step::Drain(slot.clone()));
             self.push(at + DRAIN_S, Step::Leave(slot.clone()));
-            self.push(at + BACK_S, Step::Return(slot));
+            self.push(at + RESTART_S, Step::Return(slot));
         }
         for at in changes {
-            self.weigh(at);
+            self.set_service_weight(at);
         }
     }
 }
--- a/crates/node-emulator/src/traffic.rs
+++ b/crates/node-emulator/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes and messages, counted where they pass.
+//! Counters of bytes, messages and connections by role (discovery, servers).
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// What one role has received and sent.
+/// Counters of one role.
 #[derive(Debug, Default)]
 pub struct Traffic {
     received: AtomicU64,
@@ -17,9 +17,9 @@
     connections: AtomicU64,
 }
 
-/// The sums of a [`Traffic`].
+/// A reading of [`Traffic`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Sums {
+pub struct TrafficTotals {
     /// Bytes received on its connections, heads included.
     pub received_bytes: u64,
     /// Bytes sent on its connections, heads included.
@@ -30,8 +30,8 @@
     pub connections: u64,
 }
 
-impl Sums {
-    /// What was added since an earlier reading.
+impl TrafficTotals {
+    /// The difference to an earlier reading.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -44,15 +44,15 @@
 }
 
 impl Traffic {
-    /// One more request.
+    /// Counts a request.
     pub fn message(&self) {
         self.messages.fetch_add(1, Relaxed);
     }
 
-    /// The sums so far.
+    /// The totals so far.
     #[must_use]
-    pub fn sums(&self) -> Sums {
-        Sums {
+    pub fn sums(&self) -> TrafficTotals {
+        TrafficTotals {
             received_bytes: self.received.load(Relaxed),
             sent_bytes: self.sent.load(Relaxed),
             messages: self.messages.load(Relaxed),
--- a/crates/node-emulator/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -1,4 +1,6 @@
-//! What all parts of a play share: the catalogue, what is silent or cut off, and the counts.
+//! State that all threads of a run share: the catalogue, outages of discovery, partitions, and counters.
+//!
+//! The steps of a scenario change it; discovery and the servers answer by it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -10,87 +12,90 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::catalogue::{Catalogue, Reach};
+use crate::catalogue::{Catalogue, Reachability};
 use crate::traffic::Traffic;
 
-/// Connections that may wait to be accepted: all nodes of a region may come at once.
+/// Connections that may wait to be accepted: all nodes of a region may connect at once.
 const BACKLOG: i32 = 4096;
 
 /// The state of a region.
 struct Region {
-    /// Whether its agent of discovery answers.
+    /// Whether its discovery agent responds.
     answering: watch::Sender<bool>,
-    /// Whether it is cut off from the other regions.
+    /// Whether it is partitioned from the other regions.
     partitioned: AtomicBool,
 }
 
-/// Shared by all threads of a play.
+/// The emulated fleet's state, shared by all threads of a run.
 pub struct World {
     catalogue: Mutex<Catalogue>,
+    /// The newest version of the catalogue, for long polls.
     newest: watch::Sender<u64>,
     regions: Vec<Region>,
     started: Instant,
     started_unix_ms: f64,
-    /// What the agents of discovery received and sent.
+    /// Traffic of the discovery agents.
     pub discovery: Arc<Traffic>,
-    /// What the servers received and sent.
+    /// Traffic of the servers.
     pub servers: Arc<Traffic>,
-    /// What was answered.
-    pub counts: Counts,
+    /// Counts of responses.
+    pub counts: ResponseCounts,
 }
 
-/// Counts of what discovery and the servers did.
+/// Counts of the responses of discovery and of the requests to servers, by kind.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct ResponseCounts {
     /// Complete lists sent.
     pub complete_lists: AtomicU64,
-    /// Answers with changes.
+    /// Responses of discovery with changes.
     pub changes: AtomicU64,
-    /// Answers that there are none.
+    /// Responses of discovery without a change.
     pub unchanged: AtomicU64,
-    /// Requests that came to servers that had left.
+    /// Requests to servers that had left.
     pub to_removed: AtomicU64,
-    /// Requests that came to draining servers.
+    /// Requests to draining servers.
     pub to_draining: AtomicU64,
-    /// Requests to machines that say nothing.
+    /// Requests to unresponsive or partitioned servers.
     pub to_unresponsive: AtomicU64,
 }
 
 /// A reading of [`Counts`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct CountSums {
+pub struct ResponseTotals {
     /// Complete lists sent.
     #[serde(rename = "whole_lists")]
     pub complete_lists: u64,
-    /// Answers with changes.
+    /// Responses of discovery with changes.
     pub change_answers: u64,
-    /// Answers that there are none.
-    pub no_news_answers: u64,
-    /// Requests that came to servers that had left.
+    /// Responses of discovery without a change.
+    #[serde(rename = "no_news_answers")]
+    pub unchanged_answers: u64,
+    /// Requests to servers that had left.
     pub sends_to_left: u64,
-    /// Requests that came to draining servers.
+    /// Requests to draining servers.
     pub sends_to_draining: u64,
-    /// Requests to machines that say nothing.
-    pub sends_to_silent: u64,
+    /// Requests to unresponsive or partitioned servers.
+    #[serde(rename = "sends_to_silent")]
+    pub sends_to_unresponsive: u64,
 }
 
-impl Counts {
+impl ResponseCounts {
     /// The counts so far.
     #[must_use]
-    pub fn sums(&self) -> CountSums {
-        CountSums {
+    pub fn sums(&self) -> ResponseTotals {
+        ResponseTotals {
             complete_lists: self.complete_lists.load(Relaxed),
             change_answers: self.changes.load(Relaxed),
-            no_news_answers: self.unchanged.load(Relaxed),
+            unchanged_answers: self.unchanged.load(Relaxed),
             sends_to_left: self.to_removed.load(Relaxed),
             sends_to_draining: self.to_draining.load(Relaxed),
-            sends_to_silent: self.to_unresponsive.load(Relaxed),
+            sends_to_unresponsive: self.to_unresponsive.load(Relaxed),
         }
     }
 }
 
 impl World {
-    /// A world in which all is well.
+    /// A fleet without faults.
     #[must_use]
     pub fn new(catalogue: Catalogue) -> Self {
         let region = |_| Region { answering: watch::Sender::new(true), partitioned: AtomicBool::new(false) };
@@ -105,7 +110,7 @@
                 .map_or(0.0, |unix| unix.as_secs_f64() * 1000.0),
             discovery: Arc::default(),
             servers: Arc::default(),
-            counts: Counts::default(),
+            counts: ResponseCounts::default(),
         }
     }
 
@@ -135,34 +140,34 @@
         self.newest.subscribe()
     }
 
-    /// Lets the agents of a region stop answering, or answer again.
+    /// Sets whether the discovery agent of a region responds.
     pub fn set_discovery_answering(&self, region: usize, answering: bool) {
         self.regions[region].answering.send_replace(answering);
     }
 
-    /// Waits until the agent of a region answers.
+    /// Waits until the discovery agent of a region responds.
     pub async fn wait_until_answering(&self, region: usize) {
         // The sender lives as long as the world.
         let _ = self.regions[region].answering.subscribe().wait_for(|answering| *answering).await;
     }
 
-    /// Cuts a region off from the others, its agent of discovery included, or joins it again.
+    /// Partitions a region from the others, which makes its discovery agent unresponsive, or heals the partition.
     pub fn set_partitioned(&self, region: usize, partitioned: bool) {
         self.regions[region].partitioned.store(partitioned, Relaxed);
         self.set_discovery_answering(region, !partitioned);
     }
 
-    /// What becomes of a request from a region to a server.
+    /// What happens to a request from a region to a server.
     #[must_use]
-    pub fn reach(&self, from: usize, number: usize) -> Reach {
+    pub fn reachability(&self, from: usize, number: usize) -> Reachability {
         let mut catalogue = self.catalogue();
-        let Some(region) = catalogue.region(number) else { return Reach::Gone };
-        let cut =
+        let Some(region) = catalogue.region(number) else { return Reachability::Terminated };
+        let is_partitioned =
             |region: usize| self.regions.get(region).is_some_and(|region| region.partitioned.load(Relaxed));
-        if from != region && (cut(from) || cut(region)) {
-            return Reach::Silent;
+        if from != region && (is_partitioned(from) || is_partitioned(region)) {
+            return Reachability::Unresponsive;
         }
-        catalogue.server(number).map_or(Reach::Gone, |server| server.reach)
+        catalogue.server(number).map_or(Reachability::Terminated, |server| server.reachability)
     }
 }
 
@@ -179,7 +184,7 @@
     Ok(socket.into())
 }
 
-/// Takes connections for as long as the thread runs, and passes each on.
+/// Accepts connections for as long as the thread runs, and hands each to `each`.
 pub async fn accept(listener: std::net::TcpListener, mut each: impl FnMut(tokio::net::TcpStream)) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
@@ -188,7 +193,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => each(stream),
-            // Out of descriptors, or a client that has left already: others may still come.
+            // Out of descriptors, or a client that has disconnected already: others may still connect.
             Err(error) => {
                 tracing::warn!(%error, "a connection cannot be accepted");
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
--- a/crates/node-emulator/tests/commands.rs
+++ b/crates/node-emulator/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Both commands at a small size, run as an operator would: counts and order, not times.
+//! Both commands at a small size, run as an operator would: checks counts and order, not times.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_play_of_all_events_ends_with_all_nodes_on_the_newest_version() {
+fn a_run_of_all_events_ends_with_all_nodes_on_the_newest_version() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("all.toml"), ALL).expect("written");
     let run = emulator(folder.path(), &["--log-format", "json", "play", "all.toml", "--node-threads", "2"]);
@@ -88,11 +88,12 @@
     assert_eq!(report["settings"]["scenario"]["events"][1]["rack"], 1);
     let results = &report["results"];
     let count = |key: &str| results[key].as_u64().unwrap_or_else(|| panic!("{key}: {}", results[key]));
-    // Two batches of two steps, three and three for what is lost, ten, six restarts, and two and two.
+    // Two batches of two steps, three each for rack and zone, ten changes, six restarts, two each for the partition
+    // and the outage of discovery.
     assert_eq!(count("steps"), 30);
-    // A batch joins, drains and leaves; what is lost is taken off the list and comes back.
+    // A batch joins, drains and leaves; lost racks and zones are taken off the list and come back.
     assert_eq!(count("versions"), 2 * 3 + 2 + 2 + 10);
-    // Those that are not restarted go through every version.
+    // Nodes that are not restarted go through every version.
     assert_eq!(count("versions_reached"), 20);
     assert_eq!(count("nodes_behind_at_end"), 0);
     let lag = results["node_lag"]["count"].as_u64().expect("a count");
@@ -159,14 +160,14 @@
 #[test]
 fn a_baseline_is_measured_at_the_same_sizes_as_often() {
     let folder = tempfile::tempdir().expect("a folder");
-    let slopes = ["slopes", "--quantity", "request", "--quantity", "list-bytes", "--sizes", "40,80"];
-    let baseline = |binary| [&slopes[..], &["--repeats", "3", "--baseline", binary]].concat();
+    let arguments = ["slopes", "--quantity", "request", "--quantity", "list-bytes", "--sizes", "40,80"];
+    let baseline = |binary| [&arguments[..], &["--repeats", "3", "--baseline", binary]].concat();
     let run = emulator(folder.path(), &baseline(env!("CARGO_BIN_EXE_node-emulator")));
     assert!(run.status.success(), "{}", text(&run.stderr));
     let report = report(&folder.path().join("logs/slopes.json"));
-    let told = report["results"].as_array().expect("slopes");
-    assert_eq!(told.iter().map(|slope| &slope["quantity"]).collect::<Vec<_>>(), ["request", "list-bytes"]);
-    for (slope, count) in told.iter().zip([3, 1]) {
+    let slopes = report["results"].as_array().expect("slopes");
+    assert_eq!(slopes.iter().map(|slope| &slope["quantity"]).collect::<Vec<_>>(), ["request", "list-bytes"]);
+    for (slope, count) in slopes.iter().zip([3, 1]) {
         for side in [slope, &slope["baseline"]] {
             let points = side["points"].as_array().expect("points");
             let counts: Vec<_> = points.iter().map(|point| (&point["size"], &point["count"])).collect();
@@ -175,10 +176,13 @@
         }
         assert!(slope["baseline"]["commit"].is_string() && slope["baseline"]["modified"].is_boolean());
     }
-    assert_eq!(told[1]["points"], told[1]["baseline"]["points"], "bytes are the same from the same binary");
+    assert_eq!(
+        slopes[1]["points"], slopes[1]["baseline"]["points"],
+        "bytes are the same from the same binary"
+    );
     let lines: Vec<_> = text(&run.stdout).lines().collect();
     assert!(lines[0].starts_with("request (us by servers):") && lines[2].starts_with("  baseline "));
-    // What cannot be run, or tells nothing, is named; the report that stands there stays.
+    // A build that cannot be run or writes no report is named in the error; the earlier report is kept.
     let kept = std::fs::read(folder.path().join("logs/slopes.json")).expect("a report");
     for (binary, why) in
         [("none", "cannot run the build none"), ("/bin/false", "request at 40: exit status: 1")]
@@ -193,7 +197,7 @@
 }
 
 #[test]
-fn what_cannot_be_run_is_reported_and_writes_nothing() {
+fn invalid_runs_are_reported_and_write_nothing() {
     let folder = tempfile::tempdir().expect("a folder");
     let write = |name: &str, from: &str, to: &str| {
         std::fs::write(folder.path().join(name), ALL.replacen(from, to, 1)).expect("written");
--- a/crates/node-emulator/tests/report.rs
+++ b/crates/node-emulator/tests/report.rs
@@ -1,4 +1,4 @@
-//! A report is there whole or not at all, and a line through points is the right one.
+//! A report is written atomically, and the fitted line is that of least squares.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use serde::ser::Error as _;
 use serde::{Serialize, Serializer};
 
-/// Comes last in the report, and fails.
+/// The last part of a report, whose serialization fails.
 struct Breaks;
 
 impl Serialize for Breaks {
@@ -24,7 +24,7 @@
         seed: 3,
         commit: "unknown".into(),
         modified: false,
-        // More than any buffer on the way holds.
+        // More than any buffer on the way to the file takes.
         settings: (0..100_000).collect(),
         memory: Memory::default(),
         cpu_seconds: BTreeMap::new(),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_report_that_breaks_off_leaves_the_last_one_and_nothing_else() {
+fn a_report_that_fails_to_serialize_leaves_the_previous_one_and_no_other_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("deep/report.json");
     report(41).write(&path).expect("written");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_report_that_cannot_be_moved_leaves_nothing() {
+fn a_report_that_cannot_be_renamed_leaves_no_file() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("report.json");
     // A folder of that name with something in it.
--- a/crates/node-emulator/tests/scenario.rs
+++ b/crates/node-emulator/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: the shipped ones are sound, and a bad one is told by key and line.
+//! Scenario files: the shipped ones are sound, and an invalid one is reported by key and line.
 
 use std::path::Path;
 use std::time::Duration;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_shipped_scenarios_are_sound_and_show_every_event() {
+fn the_shipped_scenarios_are_sound_and_contain_every_kind_of_event() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut kinds = Vec::new();
     for file in std::fs::read_dir(folder).expect("the folder") {
@@ -97,12 +97,14 @@
     assert_ne!(drawn, steps(&other));
 
     let of_rack = drawn.iter().filter(|(_, step)| match step {
-        Step::Silence(slots) | Step::Unlist(slots) | Step::Return(slots) => slots == &[5, 13, 21, 29, 37],
+        Step::StopResponding(slots) | Step::Unlist(slots) | Step::Return(slots) => {
+            slots == &[5, 13, 21, 29, 37]
+        }
         _ => false,
     });
     let seconds = |at: &Duration| at.as_secs_f64();
     assert_eq!(of_rack.map(|(at, _)| seconds(at)).collect::<Vec<_>>(), [1.0, 3.0, 7.0]);
-    // Each batch has its own servers, retired once each, as long after as they drain.
+    // Each batch has its own servers, which are retired once, at the end of their drain time.
     let mut replaced: Vec<usize> = Vec::new();
     for (at, step) in &drawn {
         if let Step::Replace { batch, slots } = step {
