--- a/crates/node-emulator/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -59,7 +59,7 @@
     pub to_unresponsive: AtomicU64,
 }
 
-/// A reading of [`Counts`].
+/// A reading of [`ResponseCounts`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ResponseTotals {
     /// Complete lists sent.
