--- a/crates/dispatch/src/model_versions.rs
+++ b/crates/dispatch/src/model_versions.rs
@@ -108,7 +108,7 @@
         let is_satisfied = match requirement {
             VersionRequirement::Any | VersionRequirement::AtLeast(..=INITIAL_VERSION) => return true,
             VersionRequirement::AtLeast(oldest) => known.is_some_and(|version| version >= oldest),
-            VersionRequirement::Exactly(wanted) => known == Some(wanted),
+            VersionRequirement::Exactly(required) => known == Some(required),
         };
         is_satisfied && !self.is_rejected(now, model, known)
     }
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -48,7 +48,7 @@
             self.servers.push(server);
         }
         for removed in known.values() {
-            self.queue_lengths.remove(removed.queue);
+            self.queue_lengths.remove(removed.queue_index);
         }
         let positions = self.servers.iter().enumerate();
         self.positions = positions.map(|(position, server)| (Arc::clone(&server.id), position)).collect();
@@ -75,7 +75,7 @@
         self.overwrite_unreported_lengths(now);
         let selected = self.best_server(now, criteria)?;
         self.queue_lengths.increment(selected);
-        let server = self.servers.iter_mut().find(|server| server.queue == selected)?;
+        let server = self.servers.iter_mut().find(|server| server.queue_index == selected)?;
         server.request_started();
         Some(SelectedServer {
             id: Arc::clone(&server.id),
@@ -104,8 +104,8 @@
             return;
         };
         server.record_load(now, load, slots);
-        let queue = server.queue;
-        self.queue_lengths.overwrite(queue, u64::from(load));
+        let queue_index = server.queue_index;
+        self.queue_lengths.overwrite(queue_index, u64::from(load));
     }
 
     pub(crate) fn server_mut(&mut self, id: &str) -> Option<&mut PooledServer> {
@@ -117,7 +117,7 @@
     fn overwrite_unreported_lengths(&mut self, now: Duration) {
         for server in &self.servers {
             if !server.has_fresh_report(now) {
-                self.queue_lengths.overwrite(server.queue, u64::from(server.in_flight));
+                self.queue_lengths.overwrite(server.queue_index, u64::from(server.in_flight));
             }
         }
     }
@@ -128,7 +128,7 @@
         let eligible = || self.servers.iter().filter(|server| is_eligible(server, now, criteria));
         let best_tier = eligible().map(|server| tier(server, now, criteria)).min()?;
         let candidates = || eligible().filter(|server| tier(server, now, criteria) == best_tier);
-        let ranked = |server: &PooledServer| (server.queue, preference(server, criteria));
+        let ranked = |server: &PooledServer| (server.queue_index, preference(server, criteria));
         let shortest = self.queue_lengths.shortest_preferring(candidates().map(ranked))?;
         // Without a maximum age, no connection is young enough.
         let max_age = criteria.max_idle_connection_age.unwrap_or_default();
@@ -173,7 +173,7 @@
 fn preference(server: &PooledServer, criteria: &SelectionCriteria<'_>) -> u8 {
     match criteria.prefix_cache_server {
         Some(cached) if *cached == server.id => 0,
-        _ if server.is_in_own_zone => 1,
+        _ if server.is_in_local_zone => 1,
         _ => 2,
     }
 }
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -54,9 +54,9 @@
     pub(crate) id: ServerId,
     pub(crate) address: SocketAddr,
     /// Its index in the pool's queue lengths.
-    pub(crate) queue: ServerIndex,
+    pub(crate) queue_index: ServerIndex,
     pub(crate) accepts_requests: bool,
-    pub(crate) is_in_own_zone: bool,
+    pub(crate) is_in_local_zone: bool,
     pub(crate) versions: ModelVersions,
     pub(crate) outlier: OutlierDetector,
     /// Requests of this process that are in flight.
@@ -73,17 +73,17 @@
 struct LoadReport {
     received_at: Duration,
     /// Its requests, running or queued, that were not in flight from this process.
-    load_of_others: u32,
+    load_from_other_senders: u32,
 }
 
 impl PooledServer {
-    pub(crate) fn new(entry: &ServerEntry, queue: ServerIndex) -> Self {
+    pub(crate) fn new(entry: &ServerEntry, queue_index: ServerIndex) -> Self {
         Self {
             id: Arc::clone(&entry.id),
             address: entry.address,
-            queue,
+            queue_index,
             accepts_requests: false,
-            is_in_own_zone: false,
+            is_in_local_zone: false,
             versions: ModelVersions::default(),
             outlier: OutlierDetector::default(),
             in_flight: 0,
@@ -98,7 +98,7 @@
         self.address = entry.address;
         self.slots = entry.slots;
         self.accepts_requests = entry.condition == ServerCondition::Open;
-        self.is_in_own_zone = &*entry.zone == zone;
+        self.is_in_local_zone = &*entry.zone == zone;
         self.versions.record_listed(&entry.models);
     }
 
@@ -107,8 +107,8 @@
         if slots > 0 {
             self.slots = slots;
         }
-        let load_of_others = load.saturating_sub(self.in_flight);
-        self.last_report = Some(LoadReport { received_at: now, load_of_others });
+        let load_from_other_senders = load.saturating_sub(self.in_flight);
+        self.last_report = Some(LoadReport { received_at: now, load_from_other_senders });
     }
 
     /// Counts a request as in flight. It takes the idle connection that was used last.
@@ -150,7 +150,7 @@
     /// Requests that the server could take now, as far as is known.
     pub(crate) fn free_capacity(&self, now: Duration) -> u32 {
         let fresh_report = self.last_report.filter(|_| self.has_fresh_report(now));
-        let load_of_others = fresh_report.map_or(0, |report| report.load_of_others);
-        self.capacity().saturating_sub(self.in_flight.saturating_add(load_of_others))
+        let load_from_other_senders = fresh_report.map_or(0, |report| report.load_from_other_senders);
+        self.capacity().saturating_sub(self.in_flight.saturating_add(load_from_other_senders))
     }
 }
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -95,13 +95,13 @@
             self.restart_timers(now);
             return Vec::new();
         }
-        let failed = self.newly_failed(now);
-        for name in &failed {
+        let suspected = self.newly_suspected(now);
+        for name in &suspected {
             if let Some(peer) = self.peers.get_mut(name) {
                 peer.is_suspected = true;
             }
         }
-        failed
+        suspected
     }
 
     /// Whether a peer is suspected. One that is not watched is not.
@@ -116,7 +116,7 @@
     }
 
     /// The peers that are to be suspected from now on, under the restrictions that [`Detector`] lists.
-    fn newly_failed(&self, now: Duration) -> Vec<String> {
+    fn newly_suspected(&self, now: Duration) -> Vec<String> {
         let trusted = self.peers.values().filter(|peer| !peer.is_suspected).count();
         let unresponsive = self.unresponsive_for(now, self.timing.unresponsive_timeout()).count();
         if unresponsive == trusted && trusted > 1 {
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -19,17 +19,17 @@
     const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
     let separator = 0;
     let bytes = member.bytes().chain(std::iter::once(separator)).chain(key.bytes());
-    mix(bytes.fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)))
+    finalize(bytes.fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)))
 }
 
 /// The finalizer of MurmurHash3: each bit of the input affects all bits of the result.
-fn mix(hash: u64) -> u64 {
+fn finalize(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     hash ^ (hash >> 33)
 }
 
 /// The score of a member for a key, both hashed.
-pub(crate) fn hashed_score(key: u64, member: u64) -> u64 {
+pub(crate) fn score_of_hashes(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
--- a/crates/membership/src/placement.rs
+++ b/crates/membership/src/placement.rs
@@ -5,10 +5,10 @@
 
 use std::cmp::Reverse;
 
-use crate::hash::{hash, hashed_score};
+use crate::hash::{hash, score_of_hashes};
 
 /// Makes the keys of monitoring differ from all others.
-const MONITOR_KEY: u64 = 0x6d6f_6e69_746f_7231;
+const MONITOR_KEY_SALT: u64 = 0x6d6f_6e69_746f_7231;
 
 /// The `count` members that rank first for the key, the highest score first. The order of `members` does not matter.
 #[must_use]
@@ -39,7 +39,7 @@
 }
 
 fn monitor_key(peer: &str) -> u64 {
-    hash(peer.as_bytes()) ^ MONITOR_KEY
+    hash(peer.as_bytes()) ^ MONITOR_KEY_SALT
 }
 
 /// The `count` members that rank first for the hashed key.
@@ -59,5 +59,5 @@
 
 /// The sort key of a member: the lowest ranks first. Names break ties between equal scores.
 fn rank(key: u64, member: &str) -> (Reverse<u64>, &str) {
-    (Reverse(hashed_score(key, hash(member.as_bytes()))), member)
+    (Reverse(score_of_hashes(key, hash(member.as_bytes()))), member)
 }
--- a/crates/rollout/src/planner.rs
+++ b/crates/rollout/src/planner.rs
@@ -153,9 +153,10 @@
 
     /// When the next load is expected to end, if a server waits for that to get its order.
     fn next_load_end(&self, now: Duration) -> Option<Duration> {
-        let waits =
-            |progress: &&ServerProgress| progress.can_take_order(now) && self.next_goal(progress).is_some();
-        self.servers.values().find(waits)?;
+        let awaits_order = |progress: &&ServerProgress| {
+            progress.can_receive_order(now) && self.next_goal(progress).is_some()
+        };
+        self.servers.values().find(awaits_order)?;
         let ends = self.servers.values().filter_map(ServerProgress::loading_until);
         ends.filter(|end| *end > now).min()
     }
@@ -211,7 +212,7 @@
             let zone = &progress.server.zone;
             if progress.is_loading(now) {
                 queue.count_loading(zone);
-            } else if progress.can_take_order(now) {
+            } else if progress.can_receive_order(now) {
                 let Some(goal) = self.next_goal(progress) else { continue };
                 let (running, id) = (progress.running, ServerId::clone(id));
                 queue.add(zone, OrderCandidate { running, id, goal });
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether an order may be sent now.
-    pub(crate) fn can_take_order(&self, now: Duration) -> bool {
+    pub(crate) fn can_receive_order(&self, now: Duration) -> bool {
         self.state == OrderState::Idle && self.retry_at <= now && !self.server.is_closing
     }
 
@@ -256,7 +256,7 @@
             return;
         }
         if report.occupied {
-            self.on_still_occupied(now, report);
+            self.on_occupied_report(now, report);
             return;
         }
         match &self.state {
@@ -277,18 +277,18 @@
 
     /// The report shows that the server carries out an order: the one that was sent, where that is possible, otherwise one
     /// of another sender. Another report follows.
-    fn on_still_occupied(&mut self, now: Duration, report: &ServerReport) {
-        let drains = |goal: &LoadGoal| goal.method == UpdateMethod::Drain && report.running > 0;
+    fn on_occupied_report(&mut self, now: Duration, report: &ServerReport) {
+        let is_draining_now = |goal: &LoadGoal| goal.method == UpdateMethod::Drain && report.running > 0;
         self.state = match std::mem::replace(&mut self.state, OrderState::Idle) {
             OrderState::Unknown | OrderState::Idle | OrderState::Busy { .. } => {
                 OrderState::Busy { since: now }
             }
             OrderState::Indeterminate { goal, since } => {
-                let is_draining = drains(&goal);
+                let is_draining = is_draining_now(&goal);
                 OrderState::Loading { goal, since, is_draining }
             }
             OrderState::Loading { goal, since, is_draining } => {
-                let is_draining = is_draining || drains(&goal);
+                let is_draining = is_draining || is_draining_now(&goal);
                 OrderState::Loading { goal, since, is_draining }
             }
             other => other,
