--- a/crates/hsq/src/lib.rs
+++ b/crates/hsq/src/lib.rs
@@ -1,11 +1,13 @@
-//! The array of queue lengths of the HSQ strategy, by which a server is selected for each request.
+//! Queue lengths of the HSQ load-balancing strategy, which selects the server of each request.
 //!
-//! HSQ is the strategy of Islam, "Network Load Balancing Methods", section IV.E: shortest queue with stale
-//! information, which keeps the history of the requests that were sent since that information was received. One array
-//! holds the known queue length of each server; each request goes to the shortest queue, with ties broken at random,
-//! and adds one to that length. A completed request doesn't lower it: only a fresh report of a server overwrites the
-//! length of that server, and with it the history. Callers whose servers send no reports overwrite the lengths
-//! themselves, as the crate `dispatch` does.
+//! HSQ is described by Islam, "Network Load Balancing Methods", section IV.E. It selects the shortest queue
+//! from stale queue lengths, to which it adds the requests that were sent since those lengths were reported
+//! (the history).
+//!
+//! [`QueueLengths`] holds the last known queue length of each server. A request is sent to the server with
+//! the shortest queue; ties are broken at random. Sending a request adds one to the length, and completing it
+//! subtracts nothing: only a fresh report of the server replaces its length and so discards the history.
+//! Callers whose servers send no reports overwrite the lengths themselves, as the crate `dispatch` does.
 //!
 //! ```
 //! use hsq::QueueLengths;
@@ -19,24 +21,25 @@
 //! assert_eq!(lengths.get(second), 2);
 //! ```
 
-/// The index of a server in the array.
+/// Index of a server in [`QueueLengths`]; valid until the server is removed.
 pub type ServerIndex = usize;
 
-/// The known queue length of each server.
+/// Last known queue length of each server, in requests: the last report plus the requests sent since.
 #[derive(Clone, Debug, Default)]
 pub struct QueueLengths {
-    /// In requests; `None` for an index that is free.
+    /// Queue length in requests, by server index; `None` if the index is free.
     lengths: Vec<Option<u64>>,
 }
 
 impl QueueLengths {
-    /// Creates an array without servers.
+    /// Creates queue lengths without any server.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a server. Until its first report its queue counts as long as the mean of the others.
+    /// Adds a server and returns its index. Its queue length starts at the mean of all others, until it is
+    /// overwritten.
     pub fn add(&mut self) -> ServerIndex {
         let initial = Some(self.mean());
         if let Some(free) = self.lengths.iter().position(Option::is_none) {
@@ -47,7 +50,7 @@
         self.lengths.len() - 1
     }
 
-    /// Removes a server. A server that is added later takes over its index.
+    /// Removes a server and frees its index, which a server that is added later reuses.
     pub fn remove(&mut self, server: ServerIndex) {
         self.lengths[server] = None;
     }
@@ -58,27 +61,31 @@
         self.lengths[server].unwrap_or(0)
     }
 
-    /// Counts a request that was sent to the server.
+    /// Adds a request that was sent to the server to its queue length.
     pub fn increment(&mut self, server: ServerIndex) {
         if let Some(length) = &mut self.lengths[server] {
             *length += 1;
         }
     }
 
-    /// Replaces the queue length of one server by a fresh report.
+    /// Replaces the queue length of one server by a fresh report, in requests.
     pub fn overwrite(&mut self, server: ServerIndex, reported: u64) {
         if let Some(length) = &mut self.lengths[server] {
             *length = reported;
         }
     }
 
-    /// Returns the candidate with the shortest queue; ties are broken at random.
+    /// Returns the candidate with the shortest queue, or `None` without candidates. Ties are broken at
+    /// random.
     pub fn shortest(&self, candidates: impl IntoIterator<Item = ServerIndex>) -> Option<ServerIndex> {
         self.shortest_preferring(candidates.into_iter().map(|server| (server, 0)))
     }
 
-    /// As [`Self::shortest`], but each candidate comes with a preference: among equal queue lengths the lowest
-    /// preference wins, and only ties of both are broken at random.
+    /// Returns the candidate with the shortest queue; of equally long queues, the one with the lowest
+    /// preference value.
+    ///
+    /// Each candidate is paired with its preference. Candidates that are equal in both are chosen from at
+    /// random. Returns `None` without candidates.
     pub fn shortest_preferring(
         &self,
         candidates: impl IntoIterator<Item = (ServerIndex, u8)>,
@@ -105,7 +112,7 @@
         best.map(|(_, server)| server)
     }
 
-    /// The mean over all servers, rounded to the nearest integer.
+    /// Returns the mean queue length of all servers, rounded to the nearest integer; 0 without servers.
     fn mean(&self) -> u64 {
         let (sum, servers) =
             self.lengths.iter().flatten().fold((0, 0), |(sum, servers), length| (sum + length, servers + 1));
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,28 +1,30 @@
-//! Failure detection by heartbeats.
+//! Failure detection: suspects peers whose heartbeats are missing.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// When a detector suspects a peer.
+/// Intervals and limits by which a [`Detector`] suspects peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DetectorTiming {
-    /// Time between two heartbeats of a peer.
+    /// Time between two consecutive heartbeats that a peer sends.
     pub heartbeat_interval: Duration,
-    /// Heartbeats that a peer may miss in a row before it is suspected.
+    /// Number of consecutive heartbeats that a peer may miss without being suspected.
     pub max_missed_heartbeats: u32,
-    /// Longest time between two ticks of the detector. After a longer one its own process was frozen.
+    /// Maximum time between two ticks of a running detector. A longer gap means that the process was frozen,
+    /// and restarts all timers.
     pub max_tick_gap: Duration,
 }
 
 impl DetectorTiming {
-    /// How long after its last heartbeat a peer is suspected.
+    /// Returns the time after the last heartbeat at which a peer is suspected: one interval more than the
+    /// permitted missed heartbeats take.
     #[must_use]
     pub fn failure_timeout(&self) -> Duration {
         self.heartbeat_interval * (self.max_missed_heartbeats + 1)
     }
 
-    /// One heartbeat interval less than the failure timeout. After it a peer counts as unresponsive, though not as
-    /// suspected yet.
+    /// Returns the time after the last heartbeat at which a peer counts as unresponsive, though not as
+    /// suspected yet: one heartbeat interval less than the failure timeout.
     fn unresponsive_timeout(&self) -> Duration {
         self.failure_timeout().saturating_sub(self.heartbeat_interval)
     }
@@ -38,38 +40,42 @@
     }
 }
 
+/// Detector state of one peer.
 #[derive(Clone, Copy, Debug)]
 struct Peer {
-    /// The latest heartbeat, or when the timers of this peer were started or restarted.
+    /// Time of the latest heartbeat, or of the start or restart of this peer's timer if that is later.
     last_heartbeat: Duration,
     is_suspected: bool,
 }
 
-/// Suspects peers that have failed, by their heartbeats and its own ticks. Times are monotonic and passed in by the
-/// caller.
+/// Suspects peers whose heartbeats are missing. The caller records heartbeats, calls [`Detector::tick`] and
+/// passes in the time, which is monotonic.
 ///
-/// Missing heartbeats prove little if the cause is probably local:
-/// - after a gap in its own ticks, this process was frozen, and all timers restart;
-/// - while all peers are unresponsive, this machine is partitioned from them, and none is suspected;
-/// - while more than half of the peers are unresponsive, the timeout doubles, and each tick suspects at most half of
-///   them.
+/// Missing heartbeats are weak evidence when their cause is probably local, so suspicion is restricted:
+/// - A gap between ticks longer than [`DetectorTiming::max_tick_gap`] means that this process was frozen: all
+///   timers restart.
+/// - While all peers that are not suspected are unresponsive, and there are several, this machine is assumed
+///   to be partitioned from them: none is suspected.
+/// - While more than half of the peers that are not suspected are unresponsive, the failure timeout doubles,
+///   and each tick suspects at most half of them.
 #[derive(Clone, Debug)]
 pub struct Detector {
     timing: DetectorTiming,
-    /// By name.
+    /// Watched peers by name.
     peers: BTreeMap<String, Peer>,
-    /// `None` before the first tick.
+    /// Time of the last tick; `None` before the first.
     last_tick: Option<Duration>,
 }
 
 impl Detector {
-    /// Creates a detector without peers.
+    /// Creates a detector that watches no peers.
     #[must_use]
     pub fn new(timing: DetectorTiming) -> Self {
         Self { timing, peers: BTreeMap::new(), last_tick: None }
     }
 
-    /// Sets the peers to watch. The timers of new ones start now; others keep their state.
+    /// Replaces the set of watched peers. The timers of new peers start now; peers that were watched before
+    /// keep their state.
     pub fn set_peers<Name: AsRef<str>>(&mut self, now: Duration, peers: impl IntoIterator<Item = Name>) {
         let mut earlier = std::mem::take(&mut self.peers);
         for name in peers {
@@ -79,7 +85,8 @@
         }
     }
 
-    /// Records a heartbeat of a peer, which is no longer suspected then.
+    /// Records a heartbeat of a peer and clears its suspicion. Heartbeats of peers that are not watched are
+    /// ignored.
     pub fn record_heartbeat(&mut self, now: Duration, peer: &str) {
         if let Some(peer) = self.peers.get_mut(peer) {
             peer.last_heartbeat = peer.last_heartbeat.max(now);
@@ -87,8 +94,8 @@
         }
     }
 
-    /// Checks all peers, and returns those that are suspected from now on. To be called once each heartbeat interval
-    /// or more often.
+    /// Checks all peers and returns the names of those that become suspected. The caller calls it at least
+    /// once per heartbeat interval.
     pub fn tick(&mut self, now: Duration) -> Vec<String> {
         let last_tick = self.last_tick.replace(now);
         if last_tick.is_some_and(|last_tick| now.saturating_sub(last_tick) > self.timing.max_tick_gap) {
@@ -104,18 +111,19 @@
         suspected
     }
 
-    /// Whether a peer is suspected. One that is not watched is not.
+    /// Returns whether a peer is suspected; `false` for a peer that is not watched.
     #[must_use]
     pub fn is_suspected(&self, peer: &str) -> bool {
         self.peers.get(peer).is_some_and(|peer| peer.is_suspected)
     }
 
-    /// The peers that are suspected.
+    /// Returns the names of the suspected peers, in ascending order.
     pub fn suspected(&self) -> impl Iterator<Item = &str> {
         self.peers.iter().filter(|(_, peer)| peer.is_suspected).map(|(name, _)| name.as_str())
     }
 
-    /// The peers that are to be suspected from now on, under the restrictions that [`Detector`] lists.
+    /// Returns the peers that become suspected now, under the restrictions in the description of
+    /// [`Detector`].
     fn newly_suspected(&self, now: Duration) -> Vec<String> {
         let trusted = self.peers.values().filter(|peer| !peer.is_suspected).count();
         let unresponsive = self.unresponsive_for(now, self.timing.unresponsive_timeout()).count();
@@ -129,13 +137,15 @@
         self.unresponsive_for(now, timeout * 2).take(trusted / 2).map(str::to_owned).collect()
     }
 
-    /// The peers whose last heartbeat is longer ago than the timeout, and that are not suspected yet.
+    /// Returns the peers that are not suspected and whose last heartbeat was received longer ago than
+    /// `timeout`.
     fn unresponsive_for(&self, now: Duration, timeout: Duration) -> impl Iterator<Item = &str> {
         let is_unresponsive =
             move |peer: &Peer| !peer.is_suspected && now.saturating_sub(peer.last_heartbeat) > timeout;
         self.peers.iter().filter(move |(_, peer)| is_unresponsive(peer)).map(|(name, _)| name.as_str())
     }
 
+    /// Restarts the timers of all peers. Suspected peers stay suspected.
     fn restart_timers(&mut self, now: Duration) {
         for peer in self.peers.values_mut() {
             peer.last_heartbeat = now;
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -1,18 +1,19 @@
-//! Hashes that are the same in all processes and all versions of the program.
+//! Stable hashes: the same input has the same hash in all processes and in all versions of the program.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Hashes bytes (XXH3, 64 bits).
+/// Hashes bytes with XXH3 to 64 bits.
 #[must_use]
 pub fn hash(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// The score of a member for a key; the member with the highest score ranks first.
+/// Returns the score of a member for a key; the member with the highest score ranks first.
 ///
-/// This is FNV-1a with a finalizer, not [`hash`]: the score fixes the order of the owners of a deployment's batch jobs.
-/// With another hash single deployments would gain or lose up to a tenth of their value, depending on the order that they
-/// happen to get, so a change has to wait until owners are spread evenly.
+/// The score is FNV-1a with a finalizer, not [`hash`]. It determines the order of the owners of a
+/// deployment's batch jobs. Owners are not spread evenly yet, so another hash, and with it another order,
+/// would change the value that a single deployment achieves by up to a tenth in either direction. The hash
+/// must not change before owners are spread evenly.
 #[must_use]
 pub fn rendezvous_score(member: &str, key: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -22,14 +23,15 @@
     finalize(bytes.fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)))
 }
 
-/// The finalizer of MurmurHash3: each bit of the input affects all bits of the result.
+/// Applies the 64-bit finalizer of MurmurHash3, by which each bit of the input affects all bits of the
+/// result.
 fn finalize(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     hash ^ (hash >> 33)
 }
 
-/// The score of a member for a key, both hashed.
+/// Returns the score of a member for a key, both given as hashes. The highest score ranks first.
 pub(crate) fn score_of_hashes(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,11 @@
 //! Placement by rendezvous hashing, and failure detection by heartbeats.
 //!
 //! - [`rendezvous_score`] orders the replicas of batch jobs; the store plane calls it.
-//! - [`rendezvous`] ranks members for a key, [`monitors`] and [`monitored_by`] spread the work of monitoring peers, and
-//!   [`Detector`] suspects peers whose heartbeats are missing. No service of this workspace calls them at present.
+//! - [`rendezvous`] ranks members for a key, [`monitors`] and [`monitored_by`] distribute the monitoring of
+//!   peers evenly over the members, and [`Detector`] suspects peers whose heartbeats are missing. No service
+//!   of this workspace calls them at present.
 //!
-//! Nothing here does I/O or reads a clock.
+//! This crate does no I/O and reads no clock.
 
 mod detector;
 mod hash;
--- a/crates/membership/src/placement.rs
+++ b/crates/membership/src/placement.rs
@@ -1,36 +1,40 @@
 //! Placement by rendezvous hashing.
 //!
-//! All processes that know the same members agree on every ranking. When a member joins or leaves, only the positions
-//! that it takes or held change.
+//! All processes with the same set of members compute the same ranking for a key. A member that joins or
+//! leaves does not change the relative order of the other members.
 
 use std::cmp::Reverse;
 
 use crate::hash::{hash, score_of_hashes};
 
-/// Makes the keys of monitoring differ from all others.
+/// Value by which the key hash of a monitored peer differs from the hash of an equal placement key: a peer
+/// and a placement key of the same name get unrelated rankings.
 const MONITOR_KEY_SALT: u64 = 0x6d6f_6e69_746f_7231;
 
-/// The `count` members that rank first for the key, the highest score first. The order of `members` does not matter.
+/// Returns the first `count` members in the ranking for the key, by descending score.
+///
+/// Returns all members if there are fewer than `count`. The order of `members` does not matter.
 #[must_use]
 pub fn rendezvous<'a, Name: AsRef<str>>(key: &[u8], members: &'a [Name], count: usize) -> Vec<&'a Name> {
     ranking(hash(key), members.iter(), count)
 }
 
-/// The peers that monitor `peer`: `count` of the other members, or all of them if there are fewer.
+/// Returns the members that monitor `peer`: `count` of the other members, or all of them if there are fewer.
 #[must_use]
 pub fn monitors<'a, Name: AsRef<str>>(peer: &str, members: &'a [Name], count: usize) -> Vec<&'a Name> {
     let others = members.iter().filter(|member| member.as_ref() != peer);
     ranking(monitor_key(peer), others, count)
 }
 
-/// The peers that `monitor` monitors: those that have it among their [`monitors`].
+/// Returns the peers that `monitor` has to monitor: each peer whose [`monitors`] include it.
 #[must_use]
 pub fn monitored_by<'a, Name: AsRef<str>>(monitor: &str, members: &'a [Name], count: usize) -> Vec<&'a Name> {
     let others = members.iter().filter(|member| member.as_ref() != monitor);
     others.filter(|peer| is_monitor(monitor, peer.as_ref(), members, count)).collect()
 }
 
-/// Whether fewer than `count` members rank before `monitor` for `peer`.
+/// Returns whether `monitor` is one of the `count` monitors of `peer`, without sorting: fewer than `count`
+/// other members rank before it.
 fn is_monitor<Name: AsRef<str>>(monitor: &str, peer: &str, members: &[Name], count: usize) -> bool {
     let key = monitor_key(peer);
     let own_rank = rank(key, monitor);
@@ -38,11 +42,12 @@
     others.filter(|member| rank(key, member) < own_rank).take(count).count() < count
 }
 
+/// Returns the hashed key by which the monitors of `peer` are ranked.
 fn monitor_key(peer: &str) -> u64 {
     hash(peer.as_bytes()) ^ MONITOR_KEY_SALT
 }
 
-/// The `count` members that rank first for the hashed key.
+/// Returns the first `count` members in the ranking for the hashed key.
 fn ranking<'a, Name: AsRef<str>>(
     key: u64,
     members: impl Iterator<Item = &'a Name>,
@@ -57,7 +62,8 @@
     ranked
 }
 
-/// The sort key of a member: the lowest ranks first. Names break ties between equal scores.
+/// Returns the sort key of a member, by which the highest score sorts first. Names break ties between equal
+/// scores.
 fn rank(key: u64, member: &str) -> (Reverse<u64>, &str) {
     (Reverse(score_of_hashes(key, hash(member.as_bytes()))), member)
 }
