--- a/crates/dispatch/src/criteria.rs
+++ b/crates/dispatch/src/criteria.rs
@@ -1,38 +1,45 @@
-//! What a request demands of the server that is selected for it.
+//! Requirements and preferences by which a server is selected for a request.
 
 use std::time::Duration;
 
 use configuration::Target;
 use state::ServerId;
 
-/// What a request demands of its server.
+/// Requirements and preferences of one attempt of a request, set by the caller of [`Dispatcher::select`].
+///
+/// [`Dispatcher::select`]: crate::Dispatcher::select
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionCriteria<'a> {
-    /// The services that the route names, with their weights.
+    /// Services that the route names, with their weights. A service with weight 0 gets no requests.
     pub targets: &'a [Target],
-    /// The model that the request names, if any.
+    /// Model that the request names; `None` if it names none, and then `version` is ignored.
     pub model: Option<&'a str>,
-    /// The version of that model.
+    /// Versions of `model` that may serve the request.
     pub version: VersionRequirement,
-    /// Servers that earlier attempts of the request were sent to; they are selected only if no other is eligible.
+    /// Servers that earlier attempts of the request were sent to. One of them is selected only if no other
+    /// server that lists the model is eligible.
     pub attempted: &'a [ServerId],
-    /// A server that wins ties, because the beginning of the prompt is in its prefix cache.
+    /// Server that wins ties of queue lengths, because its prefix cache holds the beginning of the prompt.
+    /// `None` if no such server is known.
     pub prefix_cache_server: Option<&'a ServerId>,
-    /// Whether only a server with free capacity is eligible, since the request can wait for one.
+    /// Restricts eligibility to servers with free capacity that list the model. Set for requests that can
+    /// wait until there is one.
     pub requires_free_capacity: bool,
-    /// An idle connection may be reused up to this age. Among equally suited servers, those with such a connection are
-    /// preferred, unless another one's queue is shorter by more than one request. `None` where the time to set up a
-    /// connection doesn't matter.
+    /// Maximum time since the last use of an idle connection that may be reused. Among servers of the same
+    /// tier, those with such a connection are preferred, unless another server's queue is shorter by more
+    /// than one request. `None` ignores idle connections, where the time to set up a connection is
+    /// irrelevant.
     pub max_idle_connection_age: Option<Duration>,
 }
 
-/// Which versions of its model a request may be served by.
+/// Versions of a model that may serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionRequirement {
-    /// Any version.
+    /// Accepts any version, also an unknown one.
     Any,
-    /// This version or a newer one.
+    /// Accepts this version and newer ones. Version 1 is the initial version, so `AtLeast(1)` accepts any
+    /// version.
     AtLeast(u64),
-    /// This version alone.
+    /// Accepts this version only.
     Exactly(u64),
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: a pool of servers for each service, and the draw of a service by its weight.
+//! The dispatcher: holds one pool of servers per service and draws the service of a request by weight.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,28 +11,30 @@
 use crate::pool::ServerPool;
 use crate::server::{PooledServer, RequestOutcome, SelectedServer};
 
-/// Selects servers by their load, health and versions, which requests and reports of the servers show.
+/// Selects servers by load, failures and model versions, which it learns from the server list, from the
+/// outcomes of requests and from the load reports of servers.
 ///
-/// What is known of a server is kept for as long as that incarnation is in the server list.
+/// The state of a server is kept for as long as the server list contains that incarnation.
 #[derive(Debug)]
 pub struct Dispatcher {
+    /// Zone of this process; servers of the same zone win ties.
     zone: Arc<str>,
-    /// By service.
+    /// Server pools by service name.
     pools: HashMap<Arc<str>, ServerPool>,
-    /// The service of each listed server.
+    /// Service name of each listed server.
     services: HashMap<ServerId, Arc<str>>,
-    /// The entries of the present list.
+    /// Entries of the current server list, in its order.
     entries: Vec<Arc<ServerEntry>>,
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher in this zone, without any servers.
+    /// Creates a dispatcher without servers. `zone` is the zone of this process.
     #[must_use]
     pub fn new(zone: Arc<str>) -> Self {
         Self { zone, pools: HashMap::new(), services: HashMap::new(), entries: Vec::new() }
     }
 
-    /// Takes over a newer server list.
+    /// Replaces the server list by a newer one.
     pub fn update(&mut self, list: &ServerList) {
         let earlier = std::mem::replace(&mut self.entries, list.servers.clone());
         if has_same_incarnations(&earlier, &list.servers) {
@@ -42,7 +44,8 @@
         }
     }
 
-    /// Takes over the entries that differ, of a list of the same servers: most lists of a rollout change a few versions.
+    /// Applies the changed entries of a list that has the same servers as the earlier one. During a rollout
+    /// most new lists change only the versions of a few servers.
     fn update_changed(&mut self, earlier: &[Arc<ServerEntry>], newer: &[Arc<ServerEntry>]) {
         let pairs = earlier.iter().zip(newer);
         for (_, entry) in pairs.filter(|(earlier, newer)| !Arc::ptr_eq(earlier, newer)) {
@@ -52,7 +55,8 @@
         }
     }
 
-    /// Takes over a list of other servers.
+    /// Rebuilds the pools from a list whose servers, or their services, differ from the earlier list. The
+    /// state of servers that stay in their service is kept.
     fn rebuild(&mut self, list: &ServerList) {
         let mut by_service: HashMap<&Arc<str>, Vec<&ServerEntry>> = HashMap::new();
         self.services.clear();
@@ -67,13 +71,14 @@
         }
     }
 
-    /// Whether this incarnation of a server is listed.
+    /// Returns whether the current list contains this incarnation of a server.
     #[must_use]
     pub fn is_listed(&self, id: &str) -> bool {
         self.services.contains_key(id)
     }
 
-    /// Selects a server and counts the request as in flight, until one call of [`Self::request_finished`].
+    /// Selects a server and counts a request to it as in flight until the caller reports its outcome with one
+    /// call of [`Self::request_finished`].
     ///
     /// Returns `None` if no server of the targets is eligible.
     pub fn select(&mut self, now: Duration, criteria: &SelectionCriteria<'_>) -> Option<SelectedServer> {
@@ -81,61 +86,68 @@
         self.pools.get_mut(&service)?.select(now, criteria)
     }
 
-    /// How many more requests the eligible servers have capacity for.
+    /// Returns the number of further requests that the eligible servers have capacity for. Ejected servers
+    /// count as 0.
     #[must_use]
     pub fn free_capacity(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> usize {
         self.target_pools(criteria).map(|pool| pool.free_capacity(now, criteria)).sum()
     }
 
-    /// How many requests the eligible servers take at once, those in flight included.
+    /// Returns the number of requests that the suitable servers can accept at the same time, including those
+    /// in flight. Suitable are servers that accept requests, list the model and satisfy the version
+    /// requirement.
     #[must_use]
     pub fn total_capacity(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> usize {
         self.target_pools(criteria).map(|pool| pool.total_capacity(now, criteria)).sum()
     }
 
-    /// Records that a request to this server is no longer in flight.
+    /// Records that a request to this server is no longer in flight, and how it ended. Ignored if the server
+    /// is no longer listed.
     pub fn request_finished(&mut self, now: Duration, id: &str, outcome: RequestOutcome) {
         if let Some(server) = self.server_mut(id) {
             server.request_finished(now, outcome);
         }
     }
 
-    /// Records the load that a server reported: its running and queued requests, and its slots.
+    /// Records the load that a server reported: the numbers of its running and queued requests and of its
+    /// slots. With 0 slots, the number known before is kept.
     pub fn record_load(&mut self, now: Duration, id: &str, running: u32, queued: u32, slots: u32) {
         if let Some(pool) = self.services.get(id).and_then(|service| self.pools.get_mut(service)) {
             pool.record_load(now, id, running.saturating_add(queued), slots);
         }
     }
 
-    /// Records that a server serves this version of a model.
+    /// Records that a response showed this version of a model. A version lower than the known one is ignored.
     pub fn record_version(&mut self, id: &str, model: &str, version: u64) {
         if let Some(server) = self.server_mut(id) {
             server.versions.record(model, version);
         }
     }
 
-    /// Records that a server rejected a request because it doesn't serve this version.
+    /// Records that a server rejected a request because it does not serve this version of the model.
     pub fn record_version_rejected(&mut self, now: Duration, id: &str, model: &str, version: u64) {
         if let Some(server) = self.server_mut(id) {
             server.versions.record_rejected(now, model, version);
         }
     }
 
-    /// Records that a server rejected a request for this model despite free capacity: it is loading a version.
+    /// Records that a server rejected a request for this model despite free capacity, which means that it is
+    /// loading another version.
     pub fn record_model_loading(&mut self, now: Duration, id: &str, model: &str) {
         if let Some(server) = self.server_mut(id) {
             server.versions.record_loading(now, model);
         }
     }
 
-    /// Records that a server serves requests for this model.
+    /// Records that a server served a request for this model, so that it is not loading another version.
     pub fn record_model_serving(&mut self, id: &str, model: &str) {
         if let Some(server) = self.server_mut(id) {
             server.versions.record_serving(model);
         }
     }
 
-    /// Draws a service by the weights of the targets, among those with an eligible server.
+    /// Draws one of the target services with an eligible server, with probabilities proportional to their
+    /// weights.
     fn draw_service(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> Option<Arc<str>> {
         let is_eligible = |target: &&Target| {
             target.weight > 0
@@ -160,7 +172,7 @@
         None
     }
 
-    /// The pools of the targets that get any requests of the route.
+    /// Returns the pools of the targets whose weight is not 0.
     fn target_pools<'a>(&'a self, criteria: &SelectionCriteria<'a>) -> impl Iterator<Item = &'a ServerPool> {
         let targets = criteria.targets.iter().filter(|target| target.weight > 0);
         targets.filter_map(|target| self.pools.get(&target.service))
@@ -171,7 +183,7 @@
     }
 }
 
-/// Whether two lists have the same servers, each in the same service.
+/// Returns whether two lists have the same incarnations in the same order, each in the same service.
 fn has_same_incarnations(earlier: &[Arc<ServerEntry>], newer: &[Arc<ServerEntry>]) -> bool {
     let is_same = |(a, b): (&Arc<ServerEntry>, &Arc<ServerEntry>)| {
         Arc::ptr_eq(a, b) || (a.id == b.id && a.service == b.service)
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,16 +1,18 @@
-//! Selection of a server for each request: load, versions of models, outliers, zones.
+//! Selection of a server for each request, by load, model versions, failures (outlier detection) and zone.
 //!
-//! Nothing here does I/O or reads a clock: times are arguments, counted from any fixed moment. Random draws come from
-//! the generator of the thread (`fastrand`). The data plane owns a [`Dispatcher`], asks it for a server before each
-//! attempt and reports the outcome of the attempt to it.
+//! This crate does no I/O and reads no clock: the caller passes in the time, counted from any fixed moment.
+//! Random draws use the thread-local generator of `fastrand`. The data plane owns a [`Dispatcher`], which
+//! selects a server for each attempt of a request, and reports the outcome of the attempt to it.
 //!
-//! A request passes these steps:
+//! A server is selected in three steps:
 //!
-//! 1. A service is drawn by the weights of the route, among services with an eligible server.
-//! 2. Of the eligible servers of that service, those of the best tier remain: if there are any, servers that list the
-//!    model, that this request has not been sent to, and that are not ejected as outliers.
-//! 3. Of these, the server with the shortest queue is selected (see [`hsq`]); an idle connection, a warm prefix cache
-//!    and the own zone break near ties.
+//! 1. A service is drawn at random by the weights of the route, among the services with an eligible server.
+//! 2. The eligible servers of that service are reduced to the best tier that is not empty. The best of all
+//!    tiers holds the servers that list the model, that no earlier attempt was sent to, and that are not
+//!    ejected as outliers.
+//! 3. Of that tier, the server with the shortest queue is selected (see [`hsq`]). A server with an idle
+//!    connection is preferred to one whose queue is shorter by a single request. Ties go to the server whose
+//!    prefix cache holds the prompt, then to servers of the local zone.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/dispatch/src/model_versions.rs
+++ b/crates/dispatch/src/model_versions.rs
@@ -1,4 +1,4 @@
-//! The versions of the models that one server serves, from the server list and from its responses.
+//! Model versions of one server, as known from the server list and from its responses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,39 +6,42 @@
 
 use crate::criteria::VersionRequirement;
 
-/// A server that rejected a version is not sent another request for it for this long.
+/// Time after a version rejection in which the server gets no further request that requires that version.
 const VERSION_REJECTION_TTL: Duration = Duration::from_millis(300);
 
-/// A server that is loading a model is not sent requests for it for this long; the time doubles with each further
-/// rejection that follows soon.
+/// Initial time in which a server that is loading a model gets no requests for it. It doubles with each
+/// further rejection within [`LOADING_BACKOFF_MEMORY`].
 const INITIAL_LOADING_BACKOFF: Duration = Duration::from_millis(100);
-/// The loading backoff does not grow beyond this.
+/// Maximum duration of a loading backoff.
 const MAX_LOADING_BACKOFF: Duration = Duration::from_millis(400);
-/// A rejection that comes this long after the end of the last backoff belongs to another load.
+/// Time after the end of a loading backoff in which a further rejection counts as caused by the same load. A
+/// later one starts again with [`INITIAL_LOADING_BACKOFF`].
 const LOADING_BACKOFF_MEMORY: Duration = Duration::from_millis(1000);
 
-/// The version that servers start with: every server of a model has it or a newer one.
+/// Version with which servers start. Every server of a model has this version or a newer one.
 const INITIAL_VERSION: u64 = 1;
 
-/// What is known of one server's versions. They only rise within one incarnation.
+/// Known model versions of one server. Within one incarnation, versions only increase.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ModelVersions {
-    /// The newest known version of each model.
+    /// Newest known version by model.
     known: BTreeMap<Arc<str>, u64>,
+    /// Latest version rejection, for whichever model; it replaces the one before.
     last_rejection: Option<VersionRejection>,
-    /// Models that the server seemed to be loading when it last rejected a request for them.
+    /// Latest loading backoff by model; removed when the server serves the model again.
     loading: BTreeMap<Arc<str>, LoadingBackoff>,
 }
 
-/// The time in which no request for a model goes to a server that seems to be loading it.
+/// Period in which a server gets no requests for a model, because it is probably loading another version of
+/// it.
 #[derive(Clone, Copy, Debug)]
 struct LoadingBackoff {
     until: Duration,
-    /// Its length, which doubles with each further rejection.
+    /// Length of the period, which doubles with each further rejection.
     duration: Duration,
 }
 
-/// A version that the server rejected, although it was known to serve it.
+/// Rejection of a request for a version that the server was known to serve.
 #[derive(Clone, Debug)]
 struct VersionRejection {
     model: Arc<str>,
@@ -47,14 +50,15 @@
 }
 
 impl ModelVersions {
-    /// Records the versions in a server list, which may be older than what responses showed.
+    /// Records the versions in the server list. Those older than the known versions are ignored: the list may
+    /// lag behind the responses.
     pub(crate) fn record_listed(&mut self, models: &BTreeMap<Arc<str>, u64>) {
         for (model, version) in models {
             self.record(model, *version);
         }
     }
 
-    /// Records a version that a response showed.
+    /// Records a version of a model; one lower than the known version is ignored.
     pub(crate) fn record(&mut self, model: &str, version: u64) {
         match self.known.get_mut(model) {
             Some(known) => *known = version.max(*known),
@@ -62,13 +66,14 @@
         }
     }
 
-    /// Records that the server rejected a request for this version.
+    /// Records that the server rejected a request because it does not serve this version.
     pub(crate) fn record_rejected(&mut self, now: Duration, model: &str, version: u64) {
         let valid_until = now + VERSION_REJECTION_TTL;
         self.last_rejection = Some(VersionRejection { model: model.into(), version, valid_until });
     }
 
-    /// Records that the server rejected a request for this model despite free capacity.
+    /// Records that the server rejected a request for this model despite free capacity, and starts a loading
+    /// backoff.
     pub(crate) fn record_loading(&mut self, now: Duration, model: &str) {
         let last = self.loading.get(model).filter(|last| now < last.until + LOADING_BACKOFF_MEMORY);
         let doubled = last.map(|backoff| backoff.duration * 2);
@@ -76,22 +81,24 @@
         self.loading.insert(model.into(), LoadingBackoff { until: now + duration, duration });
     }
 
-    /// Records that the server serves requests for this model, which ends its loading backoff.
+    /// Records that the server served a request for this model, which ends the loading backoff of the model.
     pub(crate) fn record_serving(&mut self, model: &str) {
         self.loading.remove(model);
     }
 
-    /// Returns the known version of a model.
+    /// Returns the known version of a model; `None` without a model or if none is known.
     pub(crate) fn get(&self, model: Option<&str>) -> Option<u64> {
         self.known.get(model?).copied()
     }
 
-    /// Whether the server may serve this model: it lists that model, or none at all.
+    /// Returns whether the server may serve this model: it lists the model, or lists no models at all. Always
+    /// `true` without a model.
     pub(crate) fn may_serve(&self, model: Option<&str>) -> bool {
         self.known.is_empty() || model.is_none_or(|model| self.known.contains_key(model))
     }
 
-    /// Whether the server satisfies the requirement and isn't loading the model.
+    /// Returns whether the server satisfies the version requirement and has no loading backoff for the model.
+    /// Always `true` without a model.
     pub(crate) fn satisfies(
         &self,
         now: Duration,
@@ -113,6 +120,7 @@
         is_satisfied && !self.is_rejected(now, model, known)
     }
 
+    /// Returns whether the server rejected this version of the model within [`VERSION_REJECTION_TTL`].
     fn is_rejected(&self, now: Duration, model: &str, version: Option<u64>) -> bool {
         let Some(rejection) = &self.last_rejection else {
             return false;
--- a/crates/dispatch/src/outlier.rs
+++ b/crates/dispatch/src/outlier.rs
@@ -1,31 +1,34 @@
-//! Outlier detection: servers that fail are ejected for a backoff that grows with their failures.
+//! Outlier detection: ejects servers that fail, for a time that grows with their failure score.
 
 use std::time::Duration;
 
-/// Ejection after a single failure; it doubles with each point of the failure score.
+/// Duration of the ejection at a failure score of 1. It doubles with each further point of the score.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// No ejection lasts longer.
+/// Maximum duration of an ejection.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// Ejection of a server that rejected a request for want of capacity.
+/// Duration of the ejection after a rejection for lack of capacity.
 const OVERLOAD_BACKOFF: Duration = Duration::from_millis(60);
-/// A success multiplies the failure score by this.
+/// Factor by which a success multiplies the failure score.
 const SUCCESS_DECAY: f64 = 0.7;
-/// A success below this failure score ends the ejection.
+/// Failure score below which a success ends the ejection. The score is compared after the success has decayed
+/// it.
 const REINSTATEMENT_SCORE: f64 = 0.5;
-/// The failure score does not rise beyond this.
+/// Maximum failure score.
 const MAX_FAILURE_SCORE: f64 = 7.0;
-/// What a failure adds to the failure score.
+/// Points that a failure adds to the failure score.
 const FAILURE_WEIGHT: f64 = 1.0;
-/// What an error response adds to the failure score.
+/// Points that an error response adds to the failure score.
 const ERROR_RESPONSE_WEIGHT: f64 = 0.4;
 
-/// Decides whether one server is ejected. An ejected server is still selected when no other is left.
+/// Decides whether one server is ejected. An ejected server is still selected if no other server is eligible.
 ///
-/// The failure score rises with each failure and decays with each success, so that a server which fails only part of
-/// its requests is ejected as well.
+/// The failure score rises with each failure and decays with each success, so that a server that fails only
+/// some of its requests is ejected as well.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OutlierDetector {
+    /// Between 0 and [`MAX_FAILURE_SCORE`]; rises with failures and decays with successes.
     failure_score: f64,
+    /// End of the ejection; in the past if the server is not ejected.
     ejected_until: Duration,
 }
 
@@ -41,17 +44,18 @@
         }
     }
 
-    /// Records that the server was unreachable, timed out, truncated its response or sent bytes that are no response.
+    /// Records that the server was unreachable, timed out, or sent a truncated or invalid response.
     pub(crate) fn record_failure(&mut self, now: Duration) {
         self.add_failure(now, FAILURE_WEIGHT);
     }
 
-    /// Records a complete response with an error of the server.
+    /// Records a complete response that reports an error of the server.
     pub(crate) fn record_error_response(&mut self, now: Duration) {
         self.add_failure(now, ERROR_RESPONSE_WEIGHT);
     }
 
-    /// Records a rejection for want of capacity, which is no failure.
+    /// Records a rejection for lack of capacity. It ejects the server briefly, but is not a failure and
+    /// leaves the failure score unchanged.
     pub(crate) fn record_overload(&mut self, now: Duration) {
         self.eject(now + OVERLOAD_BACKOFF);
     }
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -1,4 +1,4 @@
-//! The servers of one service: eligibility, tiers of suitability and the choice by queue length.
+//! The servers of one service: eligibility, suitability tiers and selection by queue length.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,34 +10,37 @@
 use crate::criteria::SelectionCriteria;
 use crate::server::{PooledServer, SelectedServer};
 
-/// A server with an idle connection is selected although another one's queue is shorter by this many requests, as
-/// setting up a connection takes longer.
+/// Number of requests by which the queue of a server with an idle connection may be longer than the shortest
+/// queue, and the server is still selected. Setting up a connection takes longer than waiting for that many
+/// requests.
 const IDLE_CONNECTION_QUEUE_ALLOWANCE: u64 = 1;
 
-/// How well a server suits a request; lower is better. Queue lengths are compared within the best tier only.
+/// Suitability of a server for a request, best tier first. Queue lengths are compared only within the best
+/// tier that has an eligible server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SuitabilityTier {
-    /// None of the following.
+    /// The server may serve the model, was not attempted and is not ejected.
     Healthy,
-    /// Ejected as an outlier.
+    /// The server is ejected as an outlier.
     Ejected,
-    /// An earlier attempt of the same request was sent to it.
+    /// An earlier attempt of the same request was sent to the server.
     Attempted,
-    /// It lists other models only.
+    /// The server lists only other models.
     ModelNotListed,
 }
 
-/// The servers of one service with their queue lengths.
+/// Servers of one service with their queue lengths.
 #[derive(Debug, Default)]
 pub(crate) struct ServerPool {
     queue_lengths: QueueLengths,
     servers: Vec<PooledServer>,
-    /// The index of each server in `servers`.
+    /// Index of each server in `servers`.
     positions: HashMap<ServerId, usize>,
 }
 
 impl ServerPool {
-    /// Takes over a newer list of the servers of this service.
+    /// Replaces the servers of this service by those of a newer list. Servers that stay keep their state and
+    /// queue length.
     pub(crate) fn update(&mut self, entries: &[&ServerEntry], zone: &str) {
         let mut known: HashMap<ServerId, PooledServer> =
             self.servers.drain(..).map(|server| (Arc::clone(&server.id), server)).collect();
@@ -54,19 +57,19 @@
         self.positions = positions.map(|(position, server)| (Arc::clone(&server.id), position)).collect();
     }
 
-    /// Takes over what a newer list says of one server.
+    /// Applies the entry of a newer list for one server.
     pub(crate) fn update_server(&mut self, entry: &ServerEntry, zone: &str) {
         if let Some(server) = self.server_mut(&entry.id) {
             server.update(entry, zone);
         }
     }
 
-    /// Whether any server may serve this request.
+    /// Returns whether any server is eligible for the request.
     pub(crate) fn has_eligible(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
         self.servers.iter().any(|server| is_eligible(server, now, criteria))
     }
 
-    /// Selects a server and counts the request as in flight there.
+    /// Selects a server and counts the request as in flight to it. Returns `None` if no server is eligible.
     pub(crate) fn select(
         &mut self,
         now: Duration,
@@ -84,21 +87,23 @@
         })
     }
 
-    /// Free capacity of the eligible servers that are not ejected, in requests.
+    /// Returns the free capacity of the eligible servers that are not ejected, in requests.
     pub(crate) fn free_capacity(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> usize {
         let eligible = self.servers.iter().filter(|server| is_eligible(server, now, criteria));
         let healthy = eligible.filter(|server| !server.outlier.is_ejected(now));
         healthy.map(|server| server.free_capacity(now) as usize).sum()
     }
 
-    /// Capacity of the servers that list the model and have the version, in requests.
+    /// Returns the capacity of the servers that accept requests, list the model and satisfy the version
+    /// requirement, in requests. It includes requests in flight.
     pub(crate) fn total_capacity(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> usize {
         let servers = self.servers.iter().filter(|server| serves(server, now, criteria));
         let listing = servers.filter(|server| server.versions.may_serve(criteria.model));
         listing.map(|server| server.capacity() as usize).sum()
     }
 
-    /// Records the load that a server reported: its requests, running or queued, and its slots.
+    /// Records the load that a server reported: the number of its running and queued requests, and of its
+    /// slots (0 if unknown).
     pub(crate) fn record_load(&mut self, now: Duration, id: &str, load: u32, slots: u32) {
         let Some(server) = self.server_mut(id) else {
             return;
@@ -112,8 +117,8 @@
         self.positions.get(id).map(|position| &mut self.servers[*position])
     }
 
-    /// For a server without a fresh report, the requests in flight from this process are the queue length. This
-    /// replaces the mean with which [`QueueLengths::add`] starts.
+    /// Sets the queue length of each server without a fresh report to its requests in flight from this
+    /// process. This also replaces the mean with which [`QueueLengths::add`] starts.
     fn overwrite_unreported_lengths(&mut self, now: Duration) {
         for server in &self.servers {
             if !server.has_fresh_report(now) {
@@ -122,15 +127,15 @@
         }
     }
 
-    /// Of the best tier, the server with the shortest queue. A server with an idle connection is preferred to it if
-    /// its queue is longer by at most [`IDLE_CONNECTION_QUEUE_ALLOWANCE`].
+    /// Returns the server of the best tier with the shortest queue, or the one with an idle connection if its
+    /// queue is longer by at most [`IDLE_CONNECTION_QUEUE_ALLOWANCE`].
     fn best_server(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> Option<ServerIndex> {
         let eligible = || self.servers.iter().filter(|server| is_eligible(server, now, criteria));
         let best_tier = eligible().map(|server| tier(server, now, criteria)).min()?;
         let candidates = || eligible().filter(|server| tier(server, now, criteria) == best_tier);
         let ranked = |server: &PooledServer| (server.queue_index, preference(server, criteria));
         let shortest = self.queue_lengths.shortest_preferring(candidates().map(ranked))?;
-        // Without a maximum age, no connection is young enough.
+        // Without a maximum age the limit is zero, which excludes every idle connection.
         let max_age = criteria.max_idle_connection_age.unwrap_or_default();
         let connected = candidates().filter(|server| server.has_idle_connection(now, max_age)).map(ranked);
         let Some(connected) = self.queue_lengths.shortest_preferring(connected) else {
@@ -141,22 +146,24 @@
     }
 }
 
-/// Whether the server may be selected for the request at all.
+/// Returns whether the server may be selected for the request.
 fn is_eligible(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
     serves(server, now, criteria)
         && (!criteria.requires_free_capacity || has_free_capacity(server, now, criteria))
 }
 
-/// Whether the server accepts requests and has the version that this one requires.
+/// Returns whether the server accepts requests and satisfies the version requirement of this one.
 fn serves(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
     server.accepts_requests && server.versions.satisfies(now, criteria.model, criteria.version)
 }
 
-/// A request that can wait for free capacity doesn't go to a server that lists other models only.
+/// Returns whether the server has free capacity for the request. A server that lists only other models counts
+/// as having none: a request that can wait for capacity is not sent to it.
 fn has_free_capacity(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
     server.free_capacity(now) > 0 && server.versions.may_serve(criteria.model)
 }
 
+/// Returns the suitability tier of the server for the request.
 fn tier(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> SuitabilityTier {
     if !server.versions.may_serve(criteria.model) {
         SuitabilityTier::ModelNotListed
@@ -169,7 +176,8 @@
     }
 }
 
-/// Breaks ties of queue lengths, lower first: the server whose prefix cache holds the prompt, then the own zone.
+/// Returns the rank by which ties of queue lengths are broken, the lowest first: 0 for the server whose
+/// prefix cache holds the prompt, 1 for servers of the local zone, 2 for all others.
 fn preference(server: &PooledServer, criteria: &SelectionCriteria<'_>) -> u8 {
     match criteria.prefix_cache_server {
         Some(cached) if *cached == server.id => 0,
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -1,4 +1,4 @@
-//! One server of a pool: its requests in flight, reported load, idle connections, versions and failures.
+//! State of one server of a pool: requests in flight, reported load, idle connections, versions and failures.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,69 +10,74 @@
 use crate::model_versions::ModelVersions;
 use crate::outlier::OutlierDetector;
 
-/// Requests that a server is sent beyond its slots, so that it has the next one at hand when a slot becomes free.
+/// Number of requests beyond its slots that a server gets, so that the next one is queued there when a slot
+/// becomes free.
 const MAX_QUEUED_PER_SERVER: u32 = 1;
-/// A load report is used for this long; afterwards nothing is known about the requests of other senders.
+/// Time for which a load report is valid. Without a valid report, the load from other senders counts as 0.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(1000);
 
-/// The server that was selected for a request.
+/// Server that was selected for an attempt of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SelectedServer {
-    /// Its incarnation.
+    /// Identity of the server's incarnation.
     pub id: ServerId,
-    /// Where it listens.
+    /// Address to which the request is sent.
     pub address: SocketAddr,
-    /// The version of the request's model that it is known to serve.
+    /// Version of the request's model that the server is known to serve. `None` if the request names no
+    /// model, or if no version is known.
     pub version: Option<u64>,
 }
 
-/// How a request to a server ended.
+/// Outcome of a request to a server, as far as it concerns the health of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// The server sent a complete response.
     Success,
-    /// The server sent a complete response with an error of its own.
+    /// The server sent a complete response that reports an error of the server.
     ServerError,
-    /// The server rejected the request for want of capacity.
+    /// The server rejected the request for lack of capacity.
     Overloaded,
-    /// No connection, a time-out, a truncated response, or bytes that are no response to the request.
+    /// No connection could be established, the request timed out, or the response was truncated or invalid.
     Failure,
-    /// The request was canceled, which says nothing about the server.
+    /// The request was canceled, which leaves the failure score of the server unchanged.
     Canceled,
 }
 
 impl RequestOutcome {
-    /// Whether the response was read to its end, so that its connection can be used again.
+    /// Returns whether the response was read completely, so that the connection can be reused.
     fn leaves_connection_usable(self) -> bool {
         matches!(self, Self::Success | Self::ServerError | Self::Overloaded)
     }
 }
 
-/// What is known of one server.
+/// Known state of one incarnation of a server.
 #[derive(Clone, Debug)]
 pub(crate) struct PooledServer {
     pub(crate) id: ServerId,
     pub(crate) address: SocketAddr,
-    /// Its index in the pool's queue lengths.
+    /// Index of the server in the queue lengths of the pool.
     pub(crate) queue_index: ServerIndex,
+    /// `false` while the server list shows the server as closing.
     pub(crate) accepts_requests: bool,
+    /// Whether the server is in the same zone as this process.
     pub(crate) is_in_local_zone: bool,
     pub(crate) versions: ModelVersions,
     pub(crate) outlier: OutlierDetector,
-    /// Requests of this process that are in flight.
+    /// Number of requests in flight from this process to the server.
     pub(crate) in_flight: u32,
-    /// Requests that it works on at once.
+    /// Number of requests that the server processes concurrently.
     slots: u32,
-    /// When each idle connection was used last, oldest first.
+    /// Time of last use of each idle connection, oldest first.
     idle_connections: Vec<Duration>,
+    /// `None` until the server has reported its load.
     last_report: Option<LoadReport>,
 }
 
-/// The load that a server reported.
+/// Load that a server reported.
 #[derive(Clone, Copy, Debug)]
 struct LoadReport {
     received_at: Duration,
-    /// Its requests, running or queued, that were not in flight from this process.
+    /// Number of running and queued requests beyond those that were in flight from this process.
     load_from_other_senders: u32,
 }
 
@@ -93,7 +98,7 @@
         }
     }
 
-    /// Takes over what a newer server list says.
+    /// Applies the entry of a newer server list. `zone` is the zone of this process.
     pub(crate) fn update(&mut self, entry: &ServerEntry, zone: &str) {
         self.address = entry.address;
         self.slots = entry.slots;
@@ -102,7 +107,8 @@
         self.versions.record_listed(&entry.models);
     }
 
-    /// Records the load that the server reported: its requests, running or queued, and its slots (0: unknown).
+    /// Records the load that the server reported: the number of its running and queued requests, and of its
+    /// slots (0 if unknown).
     pub(crate) fn record_load(&mut self, now: Duration, load: u32, slots: u32) {
         if slots > 0 {
             self.slots = slots;
@@ -111,13 +117,15 @@
         self.last_report = Some(LoadReport { received_at: now, load_from_other_senders });
     }
 
-    /// Counts a request as in flight. It takes the idle connection that was used last.
+    /// Counts a request as in flight. The request uses the most recently used idle connection, if there is
+    /// one.
     pub(crate) fn request_started(&mut self) {
         self.in_flight += 1;
         self.idle_connections.pop();
     }
 
-    /// Counts a request as finished, and its outcome for the health of the server.
+    /// Counts a request as no longer in flight and records its outcome for outlier detection. After a
+    /// complete response its connection becomes idle.
     pub(crate) fn request_finished(&mut self, now: Duration, outcome: RequestOutcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if outcome.leaves_connection_usable() {
@@ -132,22 +140,25 @@
         }
     }
 
-    /// Whether there is an idle connection that was used within `max_age`.
+    /// Returns whether an idle connection was last used less than `max_age` ago.
     pub(crate) fn has_idle_connection(&self, now: Duration, max_age: Duration) -> bool {
         self.idle_connections.last().is_some_and(|used| now.saturating_sub(*used) < max_age)
     }
 
-    /// Whether the last load report is recent.
+    /// Returns whether the last load report is still valid, by [`LOAD_REPORT_TTL`].
     pub(crate) fn has_fresh_report(&self, now: Duration) -> bool {
         self.last_report.is_some_and(|report| now.saturating_sub(report.received_at) < LOAD_REPORT_TTL)
     }
 
-    /// Requests that the server takes at once.
+    /// Returns the number of requests that may be sent to the server at the same time: its slots and the
+    /// queued ones.
     pub(crate) fn capacity(&self) -> u32 {
         self.slots.saturating_add(MAX_QUEUED_PER_SERVER)
     }
 
-    /// Requests that the server could take now, as far as is known.
+    /// Returns the number of further requests that may be sent to the server now: its capacity less the
+    /// requests in flight from this process and the load that other senders caused according to the last
+    /// valid report.
     pub(crate) fn free_capacity(&self, now: Duration) -> u32 {
         let fresh_report = self.last_report.filter(|_| self.has_fresh_report(now));
         let load_from_other_senders = fresh_report.map_or(0, |report| report.load_from_other_senders);
