--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -150,8 +150,8 @@
         self.last_report.is_some_and(|report| now.saturating_sub(report.received_at) < LOAD_REPORT_TTL)
     }
 
-    /// Returns the number of requests that may be sent to the server at the same time: its slots and the
-    /// queued ones.
+    /// Returns the number of requests that may be sent to the server at the same time: its slots plus
+    /// [`MAX_QUEUED_PER_SERVER`].
     pub(crate) fn capacity(&self) -> u32 {
         self.slots.saturating_add(MAX_QUEUED_PER_SERVER)
     }
--- a/crates/rollout/src/actions.rs
+++ b/crates/rollout/src/actions.rs
@@ -1,4 +1,4 @@
-//! The calls that the planner wants made, and their outcomes.
+//! Calls that the planner requests from its caller, and their outcomes.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,74 +7,76 @@
 
 use crate::server::{ModelName, ServerId};
 
-/// What happens to running requests when the weights change.
+/// Treatment of running requests when a server changes the weights of a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpdateMethod {
-    /// They complete first, with the old version.
+    /// Running requests complete with the old version before the load starts.
     #[serde(rename = "hold")]
     Drain,
-    /// They continue with the new version.
+    /// Running requests continue with the new version.
     #[serde(rename = "keep")]
     InPlace,
 }
 
-/// An order to load a version.
+/// Order to a server to load a version of a model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionOrder {
-    /// The server that is to load it.
+    /// Incarnation that is to load the version.
     pub server: ServerId,
-    /// Address of that server.
+    /// Address to which the order is sent. Another server may have taken over the address since the list was
+    /// read ([`OrderReply::WrongServer`]).
     pub address: SocketAddr,
-    /// The model.
+    /// Model whose weights change.
     pub model: ModelName,
-    /// The version to load.
+    /// Version to load; higher than the version that the server is known to have.
     pub version: u64,
-    /// What happens to running requests.
+    /// Treatment of the requests that are running at the server.
     pub method: UpdateMethod,
 }
 
-/// A request for the report of a server.
+/// Request for the report of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportRequest {
-    /// The server.
+    /// Incarnation whose report is requested.
     pub server: ServerId,
-    /// Address of that server.
+    /// Address to which the request is sent.
     pub address: SocketAddr,
 }
 
-/// A call to make now, once.
+/// Call that the caller makes once, immediately.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutAction {
-    /// Send an order; its outcome goes to [`Planner::on_order_reply`](crate::Planner::on_order_reply).
+    /// Send an order, and pass its outcome to [`Planner::on_order_reply`](crate::Planner::on_order_reply).
     SendOrder(VersionOrder),
-    /// Ask for a report; its outcome goes to [`Planner::on_report`](crate::Planner::on_report) or
+    /// Request a report, and pass it to [`Planner::on_report`](crate::Planner::on_report), or the failure to
     /// [`Planner::on_report_failure`](crate::Planner::on_report_failure).
     RequestReport(ReportRequest),
 }
 
-/// The outcome of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderReply {
-    /// Status 202: the server carries out the order.
+    /// Status 202: the server accepted the order and carries it out.
     Accepted,
-    /// Status 200: the server has the version already.
+    /// Status 200: the server already has the version.
     AlreadyLoaded,
-    /// Status 409: the server carries out another order.
+    /// Status 409: the server is carrying out another order.
     Busy,
-    /// Status 412: the server has seen a higher fencing token.
+    /// Status 412: the server has seen a higher fencing token, so the term of the sender has ended.
     Fenced,
-    /// Status 400: the platform does not know the version, or the order is malformed.
+    /// Status 400: the version does not exist on the platform, or the order is malformed.
     Invalid,
-    /// Status 421: another server has the address.
+    /// Status 421: another server listens on the address.
     WrongServer,
     /// The server did not accept the order, for instance because no connection could be established.
     NotAccepted,
-    /// The order was sent and there is no usable response: it may have been accepted.
+    /// The order was sent, but no usable response was received: the server may have accepted it.
     Indeterminate,
 }
 
 impl OrderReply {
-    /// The outcome that an HTTP status stands for.
+    /// Returns the outcome that an HTTP status of the response to an order means. Statuses without a defined
+    /// meaning are [`Self::Indeterminate`].
     #[must_use]
     pub fn from_status(status: u16) -> Self {
         match status {
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,14 @@
-//! Rollout of weight versions: which server loads which version, when and how.
+//! Rollout of weight versions: decides which server loads which version, when, and by which method.
 //!
-//! The holder of the leader lease owns one [`Planner`] for each of its terms. It passes in the target versions, the
-//! list of servers and the outcome of each call, and makes the calls that [`Planner::next_actions`] returns. The
-//! planner does no I/O and reads no clock: times are monotonic and passed in by the caller.
+//! The leader, which holds the leader lease, creates one [`Planner`] per term. It passes the target versions,
+//! the server list and the outcome of each call to the planner, and makes the calls that
+//! [`Planner::next_actions`] returns. The planner does no I/O and reads no clock: the caller passes in the
+//! time, which is monotonic.
 //!
-//! A server normally gets one order for each version, since orders and loads are expensive. That a load has completed
-//! is learned from the list of servers, from responses to requests, and from the server's reports. Only a few servers
-//! load at once ([`Pacing`]), so that the others go on serving.
+//! An order tells a server to load a version of a model. A server normally gets one order per version, since
+//! orders and loads are expensive. The planner learns that a load has completed from the server list, from
+//! responses to requests, and from reports that it requests from the server. [`Pacing`] limits how many
+//! servers load at the same time, so that the others continue to serve requests.
 
 mod actions;
 mod order_queue;
--- a/crates/rollout/src/order_queue.rs
+++ b/crates/rollout/src/order_queue.rs
@@ -1,7 +1,7 @@
-//! The servers that may get an order in one round of planning, in the order in which they get it.
+//! Queue of the servers that may get an order in one planning round.
 //!
-//! Built once for all orders of a round: a fleet may have thousands of servers, and a search among all of them for each
-//! order would take the square of that.
+//! The queue is built once per round. A fleet may have thousands of servers, and searching all of them for
+//! each order would take time quadratic in their number.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,59 +9,62 @@
 use crate::server::ServerId;
 use crate::server_progress::LoadGoal;
 
-/// A server that may get an order.
+/// Server that may get an order in this round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OrderCandidate {
-    /// Requests that run there.
+    /// Number of requests that are running at the server.
     pub(crate) running: u64,
     pub(crate) id: ServerId,
+    /// Version that the order would name.
     pub(crate) goal: LoadGoal,
 }
 
-/// The candidates of one zone.
+/// Candidates of one zone.
 #[derive(Debug, Default)]
 struct ZoneQueue {
-    /// How many servers of the zone load.
+    /// Number of servers of the zone that are loading a version.
     loading: usize,
-    /// The next one last.
+    /// Candidates in reverse order once sorted: the next one is last.
     candidates: Vec<OrderCandidate>,
 }
 
-/// The candidates of all zones.
+/// Candidates of all zones, and the number of servers that are loading a version.
 #[derive(Debug, Default)]
 pub(crate) struct OrderQueue {
     zones: BTreeMap<Arc<str>, ZoneQueue>,
-    /// How many servers load, in all zones.
+    /// Number of servers that are loading a version, over all zones.
     loading: usize,
 }
 
 impl OrderQueue {
-    /// Counts a server of a zone that loads.
+    /// Counts a server of this zone as loading.
     pub(crate) fn count_loading(&mut self, zone: &Arc<str>) {
         self.loading += 1;
         self.zone(zone).loading += 1;
     }
 
-    /// Adds a candidate of a zone.
+    /// Adds a candidate of this zone. The caller calls [`Self::sort`] after the last one.
     pub(crate) fn add(&mut self, zone: &Arc<str>, candidate: OrderCandidate) {
         self.zone(zone).candidates.push(candidate);
     }
 
-    /// Sorts the candidates of each zone: those with the fewest running requests are taken first, and among equals the
-    /// lowest id. To be called once all have been added.
+    /// Sorts the candidates of each zone by the number of their running requests, then by id, the lowest
+    /// first. Must be called after the last [`Self::add`] and before the first [`Self::take_next`].
     pub(crate) fn sort(&mut self) {
         for zone in self.zones.values_mut() {
             zone.candidates.sort_unstable_by(|a, b| (b.running, &b.id).cmp(&(a.running, &a.id)));
         }
     }
 
-    /// How many servers load.
+    /// Returns the number of servers that are loading a version, over all zones.
     pub(crate) fn loading(&self) -> usize {
         self.loading
     }
 
-    /// Takes the next candidate: one with the fewest running requests, and among equals one of the zone in which the
-    /// fewest servers load.
+    /// Removes and returns the next candidate, or `None` if none is left.
+    ///
+    /// The next candidate has the fewest running requests. Ties go to the zone in which the fewest servers
+    /// are loading, then to the lowest id.
     pub(crate) fn take_next(&mut self) -> Option<OrderCandidate> {
         let rank = |zone: &ZoneQueue| {
             let next = zone.candidates.last()?;
@@ -72,6 +75,7 @@
         zone.candidates.pop()
     }
 
+    /// Returns the queue of a zone, which is created if it does not exist.
     fn zone(&mut self, zone: &Arc<str>) -> &mut ZoneQueue {
         self.zones.entry(Arc::clone(zone)).or_default()
     }
--- a/crates/rollout/src/pacing.rs
+++ b/crates/rollout/src/pacing.rs
@@ -1,32 +1,35 @@
-//! How fast versions are rolled out.
+//! Limits and delays of a rollout.
 
 use std::time::Duration;
 
-/// Limits and delays of a [`Planner`](crate::Planner).
+/// Limits and delays by which a [`Planner`](crate::Planner) gives orders, requests reports and retries calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pacing {
-    /// So many servers may always load at once.
+    /// Number of servers that may always load at the same time, however few servers there are.
     pub min_concurrent_loads: usize,
-    /// One in so many servers may load at once, if that is more than `min_concurrent_loads`.
+    /// Number of servers per permitted concurrent load: one in this many servers may load at the same time,
+    /// rounded up, if that is more than `min_concurrent_loads`.
     pub servers_per_load: usize,
-    /// Expected duration of a load, without the time for running requests to complete.
+    /// Expected duration of a load, not counting the time that a server first waits for running requests to
+    /// complete.
     pub load_duration: Duration,
-    /// How long after the expected end of a load a report is requested to confirm it.
+    /// Delay between the expected end of a load and the request for the report that confirms it.
     pub confirmation_delay: Duration,
-    /// Maximum age of the values in a report. A report that was requested sooner after an order proves nothing about
-    /// the order.
+    /// Maximum age of the values in a report. A report that is requested sooner than this after an order may
+    /// show the state before the order.
     pub max_report_age: Duration,
-    /// Delay between the first two reports about one order; later delays grow.
+    /// Delay between the first two reports about one order. Each further delay is longer.
     pub initial_report_interval: Duration,
     /// Maximum delay between two reports about one order.
     pub max_report_interval: Duration,
-    /// Delay after a failed call; it doubles with each further failure.
+    /// Delay after a failed call. It doubles with each consecutive failure.
     pub initial_retry_delay: Duration,
     /// Maximum delay after a failed call.
     pub max_retry_delay: Duration,
-    /// A call without an outcome counts as failed after this time.
+    /// Time after which a call without an outcome counts as failed.
     pub call_timeout: Duration,
-    /// An order that waits for running requests counts as a load for at most this time; then other servers may load.
+    /// Maximum time for which a server that drains running requests before its load counts as loading. Other
+    /// servers may load afterwards.
     pub max_drain_time: Duration,
 }
 
--- a/crates/rollout/src/planner.rs
+++ b/crates/rollout/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: which server gets which order next.
+//! The planner: decides which server gets which order next.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,35 +10,37 @@
 use crate::server_progress::{LoadGoal, ServerProgress};
 use crate::wire::ServerReport;
 
-/// The version of a model that all servers are to load.
+/// Version that all servers of a model have to load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TargetVersion {
     version: u64,
-    /// When the planner learned of it; older targets are rolled out first.
+    /// Time at which the target was set; older targets are rolled out first.
     since: Duration,
 }
 
-/// Brings the servers to the target versions. One planner serves one term of a holder of the leader lease.
+/// Plans the calls that bring all servers to the target versions. A planner is used for one term of a leader.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
     pacing: Pacing,
     targets: BTreeMap<ModelName, TargetVersion>,
-    /// Models that are loaded with [`UpdateMethod::InPlace`]; all others with [`UpdateMethod::Drain`].
+    /// Models that are loaded with [`UpdateMethod::InPlace`]; all others are loaded with
+    /// [`UpdateMethod::Drain`].
     in_place_models: BTreeSet<ModelName>,
-    /// The servers of the newest list.
+    /// Servers of the newest server list.
     servers: BTreeMap<ServerId, ServerProgress>,
-    /// Set when a server has seen a higher fencing token, and never cleared.
+    /// Whether a server has seen a higher fencing token. Never reset to `false`.
     is_superseded: bool,
 }
 
 impl Planner {
-    /// A planner without servers and target versions.
+    /// Creates a planner without servers and target versions.
     #[must_use]
     pub fn new(pacing: Pacing) -> Self {
         Self { pacing, ..Self::default() }
     }
 
-    /// Sets the version of a model that the register names. Versions that are not higher than before are ignored.
+    /// Sets the target version of a model, as stored in the register. A version that is not higher than the
+    /// current target is ignored.
     pub fn set_target_version(&mut self, now: Duration, model: &str, version: u64) {
         match self.targets.get_mut(model) {
             Some(target) if target.version >= version => {}
@@ -49,13 +51,14 @@
         }
     }
 
-    /// Sets the models whose running requests may continue with a new version, because no route that uses them
-    /// requires a single version per request.
+    /// Sets the models whose running requests may continue with a new version, because no route that uses
+    /// them requires a single version per request. It replaces the models set before.
     pub fn set_in_place_models(&mut self, models: BTreeSet<ModelName>) {
         self.in_place_models = models;
     }
 
-    /// Sets the servers that the newest list shows. The progress of servers that it lacks is dropped.
+    /// Replaces the servers by those of the newest server list. The progress of servers that it lacks is
+    /// dropped.
     pub fn set_servers(&mut self, servers: impl IntoIterator<Item = RolloutServer>) {
         let mut earlier = std::mem::take(&mut self.servers);
         for server in servers {
@@ -71,21 +74,22 @@
         }
     }
 
-    /// Records a version that was seen in a response of the server.
+    /// Records a version that a response of the server showed.
     pub fn on_version_observed(&mut self, server: &str, model: &str, version: u64) {
         if let Some(progress) = self.servers.get_mut(server) {
             progress.record_version(&model.into(), version);
         }
     }
 
-    /// Sets how many requests run at the server, as far as the caller knows; idle servers are ordered first.
+    /// Sets the number of requests that are running at the server, as far as the caller knows. Servers with
+    /// fewer running requests get their orders first.
     pub fn set_running(&mut self, server: &str, running: u64) {
         if let Some(progress) = self.servers.get_mut(server) {
             progress.running = running;
         }
     }
 
-    /// Handles the outcome of an order.
+    /// Handles the outcome of an order that [`Planner::next_actions`] returned.
     pub fn on_order_reply(&mut self, now: Duration, server: &str, reply: OrderReply) {
         if reply == OrderReply::Fenced {
             self.is_superseded = true;
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Handles the report of a server.
+    /// Handles the report of a server that [`Planner::next_actions`] requested.
     pub fn on_report(&mut self, now: Duration, server: &str, report: &ServerReport) {
         if let Some(progress) = self.servers.get_mut(server) {
             progress.on_report(now, report);
@@ -109,25 +113,29 @@
         }
     }
 
-    /// Whether a server has seen a higher fencing token: the term has ended, and no more orders are given.
+    /// Returns whether a server has seen a higher fencing token. The term has then ended, and the planner
+    /// requests no more calls.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.is_superseded
     }
 
-    /// The version of the model that the server is known to have.
+    /// Returns the version of the model that the server is known to have; `None` if the server is not listed
+    /// or does not run the model.
     #[must_use]
     pub fn version(&self, server: &str, model: &str) -> Option<u64> {
         self.servers.get(server)?.version(model)
     }
 
-    /// Whether every server that is not closing is known to have the target version of each of its models.
+    /// Returns whether every server that is not closing is known to have the target version, or a higher one,
+    /// of each of its models.
     #[must_use]
     pub fn is_converged(&self) -> bool {
         self.open_servers().all(|progress| self.next_goal(progress).is_none())
     }
 
-    /// The calls to make now. Each is returned once; the caller passes in its outcome.
+    /// Returns the calls that the caller must make now, each only once. The caller passes the outcome of each
+    /// call back to the planner.
     pub fn next_actions(&mut self, now: Duration) -> Vec<RolloutAction> {
         if self.is_superseded {
             return Vec::new();
@@ -141,7 +149,8 @@
         actions
     }
 
-    /// When to call [`Planner::next_actions`] again if nothing happens before; `None` if there is nothing to wait for.
+    /// Returns the time at which [`Planner::next_actions`] must be called again unless an outcome or new
+    /// input arrives earlier; `None` if the planner waits for no point in time.
     #[must_use]
     pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
         if self.is_superseded {
@@ -151,7 +160,8 @@
         deadlines.chain(self.next_load_end(now)).min()
     }
 
-    /// When the next load is expected to end, if a server waits for that to get its order.
+    /// Returns the time at which the next load is expected to end; `None` if no load is in progress, or if no
+    /// server waits for the end of a load to get its order.
     fn next_load_end(&self, now: Duration) -> Option<Duration> {
         let awaits_order = |progress: &&ServerProgress| {
             progress.can_receive_order(now) && self.next_goal(progress).is_some()
@@ -161,7 +171,7 @@
         ends.filter(|end| *end > now).min()
     }
 
-    /// Servers that are to get their first order of this term have to report before.
+    /// Schedules a report of each server that needs an order and has not reported in this term.
     fn schedule_first_reports(&mut self, now: Duration) {
         let needs_report =
             |progress: &ServerProgress| progress.needs_first_report() && self.next_goal(progress).is_some();
@@ -174,6 +184,7 @@
         }
     }
 
+    /// Returns the requests for the reports that are due. The reports count as in flight from now on.
     fn take_due_reports(&mut self, now: Duration) -> Vec<RolloutAction> {
         let mut actions = Vec::new();
         for (id, progress) in &mut self.servers {
@@ -186,7 +197,8 @@
         actions
     }
 
-    /// The orders that servers may get now; they count as sent.
+    /// Returns the orders that servers may get now, up to the limit of concurrent loads. The orders count as
+    /// sent.
     fn take_orders(&mut self, now: Duration) -> Vec<VersionOrder> {
         let max_loads = self.max_concurrent_loads();
         let mut queue = self.order_queue(now);
@@ -205,7 +217,7 @@
         orders
     }
 
-    /// The servers that load, and those that may get an order.
+    /// Builds the queue of the servers that may get an order, and counts the servers that are loading.
     fn order_queue(&self, now: Duration) -> OrderQueue {
         let mut queue = OrderQueue::default();
         for (id, progress) in &self.servers {
@@ -222,16 +234,20 @@
         queue
     }
 
+    /// Returns the number of servers that may load at the same time, by [`Pacing`] and the number of servers
+    /// that are not closing.
     fn max_concurrent_loads(&self) -> usize {
         let share = self.open_servers().count().div_ceil(self.pacing.servers_per_load);
         self.pacing.min_concurrent_loads.max(share)
     }
 
+    /// Returns the servers that are not closing.
     fn open_servers(&self) -> impl Iterator<Item = &ServerProgress> {
         self.servers.values().filter(|progress| !progress.server.is_closing)
     }
 
-    /// What the server has to load next: of the models whose target version it lacks, the one with the oldest target.
+    /// Returns the version that the server has to load next: of the models with a target version above its
+    /// own, the one whose target was set first. Returns `None` if the server lacks no target version.
     fn next_goal(&self, progress: &ServerProgress) -> Option<LoadGoal> {
         let behind = self.targets.iter().filter(|(model, target)| {
             progress.version(model).is_some_and(|version| version < target.version)
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -1,4 +1,4 @@
-//! The progress of one server: which versions it has, and which order it carries out.
+//! Rollout progress of one server: the versions that it has and the order that it is carrying out.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,12 +9,14 @@
 use crate::server::{ModelName, RolloutServer};
 use crate::wire::ServerReport;
 
-/// After so many failed calls in a row a server no longer counts as loading, so that others may load.
+/// Number of consecutive failed calls after which a server no longer counts as loading, so that other servers
+/// may load.
 const MAX_COUNTED_FAILURES: u32 = 2;
-/// Retry delays double at most so often; far more often than the maximum delay allows.
+/// Maximum number of times that the retry delay doubles. It keeps the computed delay from overflowing; the
+/// delay reaches [`Pacing::max_retry_delay`] long before.
 const MAX_RETRY_DOUBLINGS: u32 = 8;
 
-/// A version that a server is to load.
+/// Version that a server has to load, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LoadGoal {
     pub(crate) model: ModelName,
@@ -22,45 +24,49 @@
     pub(crate) method: UpdateMethod,
 }
 
-/// What a server does about orders, as far as known.
+/// What is known about the orders of one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum OrderState {
-    /// Nothing is known about this incarnation: an earlier holder of the lease may have sent it an order.
+    /// Nothing is known yet in this term: an earlier leader may have sent the server an order. A report must
+    /// be received before the first order.
     Unknown,
-    /// The server carries out no order.
+    /// The server is carrying out no order.
     Idle,
-    /// The order was sent at `since`, and its outcome is awaited.
+    /// The order was sent at `since`, and its outcome is pending.
     InFlight { goal: LoadGoal, since: Duration },
-    /// The server carries out the order, which was accepted at `since`, or became indeterminate then and was confirmed by a
-    /// report. While it is draining, running requests complete before the load starts.
+    /// The server is carrying out the order. At `since` the order was accepted, or became indeterminate and
+    /// was later confirmed by a report. While `is_draining`, running requests complete before the load
+    /// starts.
     Loading { goal: LoadGoal, since: Duration, is_draining: bool },
-    /// The order was sent and has no usable response, which was known at `since`: the server may carry it out.
+    /// The order was sent, and at `since` it turned out to have no usable response: the server may be
+    /// carrying it out.
     Indeterminate { goal: LoadGoal, since: Duration },
-    /// The server carries out an order of another sender, or an earlier one of ours, as it last said at `since`.
+    /// The server is carrying out an order of another sender, or an earlier order of this planner, according
+    /// to its last response or report, at `since`.
     Busy { since: Duration },
-    /// Another server has the address.
+    /// Another server listens on the address; this incarnation gets no more calls.
     Replaced,
 }
 
-/// What the planner knows about one incarnation of a server.
+/// Rollout state of one incarnation of a server, as known to the planner.
 #[derive(Clone, Debug)]
 pub(crate) struct ServerProgress {
     pub(crate) server: RolloutServer,
-    /// Number of requests that run at the server, as far as known.
+    /// Last known number of requests that are running at the server.
     pub(crate) running: u64,
     pacing: Pacing,
-    /// The newest version of each model that was seen. An incarnation never goes back to a lower version.
+    /// Newest observed version of each model. An incarnation never returns to a lower version.
     versions: BTreeMap<ModelName, u64>,
     state: OrderState,
     report: ReportSchedule,
-    /// Calls that failed since the last one that succeeded.
+    /// Number of calls that failed since the last successful one.
     consecutive_failures: u32,
     /// No order is sent before this time.
     retry_at: Duration,
 }
 
 impl ServerProgress {
-    /// A server that was just listed.
+    /// Creates the state of a server that the list contains for the first time in this term.
     pub(crate) fn new(server: RolloutServer, pacing: &Pacing) -> Self {
         Self {
             versions: server.models.clone(),
@@ -74,7 +80,7 @@
         }
     }
 
-    /// Takes over what a newer list shows.
+    /// Replaces the list entry by that of a newer list, and records its versions.
     pub(crate) fn update_server(&mut self, server: RolloutServer) {
         for (model, version) in &server.models {
             self.record_version(model, *version);
@@ -82,13 +88,14 @@
         self.server = server;
     }
 
-    /// The newest version of the model that the server is known to have; `None` if it does not run the model.
+    /// Returns the newest version of the model that the server is known to have; `None` if it does not run
+    /// the model.
     pub(crate) fn version(&self, model: &str) -> Option<u64> {
         self.versions.get(model).copied()
     }
 
-    /// Records a version that was seen, which may complete the order in progress. Lower versions than known before
-    /// are outdated and change nothing.
+    /// Records an observed version, which may complete the order in progress. A version lower than the known
+    /// one is outdated and does not lower it.
     pub(crate) fn record_version(&mut self, model: &ModelName, version: u64) {
         let known = self.versions.entry(ModelName::clone(model)).or_insert(version);
         *known = version.max(*known);
@@ -97,22 +104,23 @@
         }
     }
 
-    /// Whether an order may be sent now.
+    /// Returns whether an order may be sent to the server now.
     pub(crate) fn can_receive_order(&self, now: Duration) -> bool {
         self.state == OrderState::Idle && self.retry_at <= now && !self.server.is_closing
     }
 
-    /// Whether the server must report before it may get its first order.
+    /// Returns whether a report of the server must be received before its first order may be sent.
     pub(crate) fn needs_first_report(&self) -> bool {
         self.state == OrderState::Unknown && !self.server.is_closing
     }
 
-    /// Whether the server counts as loading.
+    /// Returns whether the server counts as loading now.
     pub(crate) fn is_loading(&self, now: Duration) -> bool {
         self.loading_until().is_some_and(|until| now < until)
     }
 
-    /// Until when the server counts as loading, unless it is known to have completed before.
+    /// Returns the time until which the server counts as loading, unless the load is known to complete
+    /// earlier. Returns `None` if the server does not count as loading.
     pub(crate) fn loading_until(&self) -> Option<Duration> {
         if self.server.is_closing || self.consecutive_failures >= MAX_COUNTED_FAILURES {
             return None;
@@ -127,13 +135,13 @@
         }
     }
 
-    /// An order is sent now.
+    /// Records that an order is sent now, and cancels any report.
     pub(crate) fn on_order_sent(&mut self, now: Duration, goal: LoadGoal) {
         self.state = OrderState::InFlight { goal, since: now };
         self.report.cancel();
     }
 
-    /// Handles the outcome of the order in flight. Outcomes of other orders change nothing.
+    /// Handles the outcome of the order in flight. Ignored if no order is in flight.
     pub(crate) fn on_order_reply(&mut self, now: Duration, reply: OrderReply) {
         let OrderState::InFlight { goal, .. } = &self.state else { return };
         let goal = goal.clone();
@@ -156,9 +164,10 @@
         }
     }
 
-    /// Handles a report. One that is no longer awaited shows versions, and nothing else.
+    /// Handles a report. Of a report that was canceled while in flight, only the versions are recorded.
     pub(crate) fn on_report(&mut self, now: Duration, report: &ServerReport) {
-        // Before the versions are recorded: they may complete the order, and so cancel the report.
+        // Read this before recording the versions: a version may complete the order, which cancels the
+        // report.
         let in_flight_since = self.report.in_flight_since();
         for (model, version) in report.versions() {
             self.record_version(&model, version);
@@ -171,7 +180,8 @@
         }
     }
 
-    /// The request for a report failed.
+    /// Handles a failed request for a report: schedules it again after a delay. Ignored if no report is in
+    /// flight.
     pub(crate) fn on_report_failure(&mut self, now: Duration) {
         if self.report.in_flight_since().is_some() {
             let delay = self.record_failure();
@@ -179,17 +189,19 @@
         }
     }
 
-    /// Schedules a report for now, unless one is scheduled or in flight.
+    /// Schedules a report for now unless one is scheduled or in flight.
     pub(crate) fn ensure_report(&mut self, now: Duration) {
         self.report.ensure_scheduled(now);
     }
 
-    /// Whether a report is due; if so, the caller requests it at once.
+    /// Returns whether a report is due. If so, it counts as in flight, and the caller must request it
+    /// immediately.
     pub(crate) fn take_due_report(&mut self, now: Duration) -> bool {
         !self.server.is_closing && self.report.take_due(now)
     }
 
-    /// Turns calls without an outcome into failed ones.
+    /// Treats calls without an outcome after [`Pacing::call_timeout`] as failed; such an order becomes
+    /// indeterminate.
     pub(crate) fn expire_calls(&mut self, now: Duration) {
         if let OrderState::InFlight { since, .. } = self.state {
             if since + self.pacing.call_timeout <= now {
@@ -203,7 +215,8 @@
         }
     }
 
-    /// When something about this server is due next, apart from the end of its load.
+    /// Returns the time of the next event of this server: a report is due, a call times out, or an order may
+    /// be retried. The end of its load is not included ([`Self::loading_until`]).
     pub(crate) fn next_deadline(&self, now: Duration) -> Option<Duration> {
         if self.server.is_closing {
             return None;
@@ -217,7 +230,8 @@
         [report, reply, retry].into_iter().flatten().min()
     }
 
-    /// What the server loads, or may load, because of an order of this planner.
+    /// Returns the version that the server is loading, or may be loading, because of an order of this
+    /// planner.
     fn goal(&self) -> Option<&LoadGoal> {
         match &self.state {
             OrderState::InFlight { goal, .. }
@@ -227,7 +241,7 @@
         }
     }
 
-    /// No order is in progress any more; the next one may be sent at once.
+    /// Records that no order is in progress. The next order may be sent immediately.
     fn become_idle(&mut self) {
         self.state = OrderState::Idle;
         self.report.cancel();
@@ -235,7 +249,8 @@
         self.retry_at = Duration::ZERO;
     }
 
-    /// The server has accepted the order: a report is due once the load should have completed.
+    /// Records that the server accepted the order, and schedules a report for the time when the load should
+    /// have completed.
     fn start_loading(&mut self, now: Duration, goal: LoadGoal) {
         let is_draining = goal.method == UpdateMethod::Drain && self.running > 0;
         self.state = OrderState::Loading { goal, since: now, is_draining };
@@ -244,13 +259,14 @@
         self.report.schedule_first(due, &self.pacing);
     }
 
-    /// Enters a state in which only a report can tell what the server does.
+    /// Enters a state that only a report can resolve, and schedules that report. It is requested late enough
+    /// to show the state after the order.
     fn await_report(&mut self, now: Duration, state: OrderState) {
         self.state = state;
         self.report.schedule_first(now + self.pacing.max_report_age, &self.pacing);
     }
 
-    /// Concludes from a report, requested at `requested_at`, whether an order is still in progress.
+    /// Updates the order state by a report that was requested at `requested_at`.
     fn apply_report(&mut self, now: Duration, requested_at: Duration, report: &ServerReport) {
         if self.state == OrderState::Replaced {
             return;
@@ -264,7 +280,8 @@
             OrderState::Loading { since, .. }
             | OrderState::Indeterminate { since, .. }
             | OrderState::Busy { since } => {
-                // An earlier report may show the server as it was before it accepted the order.
+                // A report that was requested earlier may show the state before the server accepted the
+                // order.
                 if *since + self.pacing.max_report_age <= requested_at {
                     self.become_idle();
                 } else {
@@ -275,8 +292,9 @@
         }
     }
 
-    /// The report shows that the server carries out an order: the one that was sent, where that is possible, otherwise one
-    /// of another sender. Another report follows.
+    /// Handles a report according to which the server is carrying out an order. An order of this planner that
+    /// was accepted or is indeterminate is assumed to be that order; otherwise it is one of another sender.
+    /// Schedules another report unless an order is in flight.
     fn on_occupied_report(&mut self, now: Duration, report: &ServerReport) {
         let is_draining_now = |goal: &LoadGoal| goal.method == UpdateMethod::Drain && report.running > 0;
         self.state = match std::mem::replace(&mut self.state, OrderState::Idle) {
@@ -298,7 +316,7 @@
         }
     }
 
-    /// Counts a failed call, and returns the delay before the next.
+    /// Counts a failed call and returns the delay before the next one.
     fn record_failure(&mut self) -> Duration {
         let doublings = self.consecutive_failures.min(MAX_RETRY_DOUBLINGS);
         self.consecutive_failures += 1;
--- a/crates/rollout/src/wire.rs
+++ b/crates/rollout/src/wire.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of calls to a server.
+//! JSON bodies of orders to a server and of its reports.
 
 use std::collections::BTreeMap;
 
@@ -7,48 +7,48 @@
 use crate::actions::{UpdateMethod, VersionOrder};
 use crate::server::ModelName;
 
-/// The kind of an order that loads a version.
+/// Value of the field `order` for orders to load a version.
 const LOAD_VERSION: &str = "edition";
 
-/// A model in a report.
+/// Model in the report of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ModelReport {
-    /// The model.
+    /// Name of the model.
     pub name: ModelName,
-    /// The version of its weights.
+    /// Version of the model's weights that the server runs.
     #[serde(rename = "edition")]
     pub version: u64,
 }
 
-/// The report of a server about itself. Its values are some hundred milliseconds old.
+/// Report of a server about itself. Its values are a few hundred milliseconds old.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct ServerReport {
-    /// The models that it runs.
+    /// Models that the server runs, with their versions.
     #[serde(default)]
     pub models: Vec<ModelReport>,
-    /// Whether it carries out an order.
+    /// Whether the server is carrying out an order.
     #[serde(default)]
     pub occupied: bool,
-    /// Number of orders that it has accepted since its start.
+    /// Number of orders that the server has accepted since it started.
     #[serde(rename = "callCount", default)]
     pub orders_accepted: u64,
-    /// Number of queued requests.
+    /// Number of requests that are queued at the server.
     #[serde(rename = "queuedCount", default)]
     pub queued: u64,
-    /// Number of running requests.
+    /// Number of requests that are running at the server.
     #[serde(rename = "inTransit", default)]
     pub running: u64,
 }
 
 impl ServerReport {
-    /// The version of each model.
+    /// Returns the version of each model in the report.
     #[must_use]
     pub fn versions(&self) -> BTreeMap<ModelName, u64> {
         self.models.iter().map(|model| (ModelName::clone(&model.name), model.version)).collect()
     }
 }
 
-/// The body of an order.
+/// JSON body of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OrderBody<'a> {
     order: &'static str,
@@ -62,7 +62,8 @@
 }
 
 impl VersionOrder {
-    /// The body of the order, sent by the holder of the leader lease with its fencing token.
+    /// Returns the JSON body of the order. `holder` names the holder of the leader lease, which sends the
+    /// order, and `fencing_token` is the token of its term.
     #[must_use]
     pub fn body<'a>(&'a self, holder: &'a str, fencing_token: u64) -> OrderBody<'a> {
         OrderBody {
