--- a/crates/rollout/src/pacing.rs
+++ b/crates/rollout/src/pacing.rs
@@ -18,7 +18,8 @@
     /// Maximum age of the values in a report. A report that is requested sooner than this after an order may
     /// show the state before the order.
     pub max_report_age: Duration,
-    /// Delay between the first two reports about one order. Each further delay is longer.
+    /// Delay between the first two reports about one order. Each further delay is longer, up to
+    /// `max_report_interval`.
     pub initial_report_interval: Duration,
     /// Maximum delay between two reports about one order.
     pub max_report_interval: Duration,
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -292,9 +292,9 @@
         }
     }
 
-    /// Handles a report according to which the server is carrying out an order. An order of this planner that
-    /// was accepted or is indeterminate is assumed to be that order; otherwise it is one of another sender.
-    /// Schedules another report unless an order is in flight.
+    /// Handles a report according to which the server is carrying out an order, and schedules another report
+    /// unless an order is in flight. If an order of this planner was accepted or is indeterminate, the report
+    /// is taken to confirm it. Otherwise the server is carrying out an order of another sender.
     fn on_occupied_report(&mut self, now: Duration, report: &ServerReport) {
         let is_draining_now = |goal: &LoadGoal| goal.method == UpdateMethod::Drain && report.running > 0;
         self.state = match std::mem::replace(&mut self.state, OrderState::Idle) {
