--- a/crates/dispatch/tests/selection.rs
+++ b/crates/dispatch/tests/selection.rs
@@ -66,7 +66,7 @@
     selected
 }
 
-fn set(ids: &[&str]) -> BTreeSet<String> {
+fn ids(ids: &[&str]) -> BTreeSet<String> {
     ids.iter().map(ToString::to_string).collect()
 }
 
@@ -75,7 +75,7 @@
     let closing = ServerEntry { condition: ServerCondition::Closing, ..entry("b", "s") };
     let mut dispatcher = dispatcher(vec![entry("a", "s"), closing, entry("c", "other"), entry("d", "s")]);
     let targets = targets(&[("s", 1)]);
-    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &[]), 100), set(&["a", "d"]));
+    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &[]), 100), ids(&["a", "d"]));
 }
 
 #[test]
@@ -83,12 +83,12 @@
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     dispatcher.update(&list(vec![entry("b", "s")]));
     let targets = targets(&[("s", 1)]);
-    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &[]), 50), set(&["b"]));
+    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &[]), 50), ids(&["b"]));
     assert!(!dispatcher.is_listed("a"));
 }
 
 #[test]
-fn given_reports_when_selecting_then_the_shortest_queue_is_selected_and_grows() {
+fn given_load_reports_when_selecting_then_the_shortest_queue_is_selected_and_grows() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     dispatcher.record_load(NOW, "a", 1, 0, 4);
     dispatcher.record_load(NOW, "b", 3, 0, 4);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn given_a_newer_list_when_a_server_stays_then_its_queue_length_is_kept() {
+fn given_a_newer_list_when_a_server_stays_listed_then_its_queue_length_is_kept() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     dispatcher.record_load(NOW, "a", 4, 0, 4);
     dispatcher.record_load(NOW, "b", 0, 0, 4);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn given_requests_in_flight_and_no_report_when_selecting_then_they_are_the_queue_length() {
+fn given_requests_in_flight_and_no_report_when_selecting_then_they_count_as_the_queue_length() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     let targets = targets(&[("s", 1)]);
     let first = dispatcher.select(NOW, &criteria(&targets, &[])).expect("a server");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn given_a_split_when_selecting_then_weights_are_kept_and_zero_is_never_selected() {
+fn given_weighted_targets_when_selecting_then_shares_follow_the_weights_and_weight_zero_gets_none() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "t"), entry("c", "u")]);
     let targets = targets(&[("s", 90), ("t", 10), ("u", 0)]);
     let mut sends = BTreeMap::new();
@@ -135,32 +135,32 @@
 }
 
 #[test]
-fn given_a_split_when_one_service_has_no_server_then_the_other_gets_all() {
+fn given_weighted_targets_when_one_service_has_no_server_then_the_other_gets_all_requests() {
     let mut dispatcher = dispatcher(vec![entry("b", "t")]);
     let targets = targets(&[("s", 90), ("t", 10)]);
-    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &[]), 20), set(&["b"]));
+    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &[]), 20), ids(&["b"]));
 }
 
 #[parameterized(
     at_least = {VersionRequirement::AtLeast(3), &["b", "c"]},
     exactly = {VersionRequirement::Exactly(3), &["b"]},
     any = {VersionRequirement::Any, &["a", "b", "c"]},
-    first = {VersionRequirement::AtLeast(1), &["a", "b", "c"]},
+    initial = {VersionRequirement::AtLeast(1), &["a", "b", "c"]},
     too_new = {VersionRequirement::AtLeast(5), &[]},
 )]
-fn given_versions_when_selecting_then_only_fitting_servers_are_selected(
+fn given_a_version_requirement_when_selecting_then_only_servers_that_satisfy_it_are_selected(
     version: VersionRequirement,
-    fitting: &[&str],
+    expected: &[&str],
 ) {
     let servers = vec![with_version("a", 2), with_version("b", 3), with_version("c", 4), entry("d", "t")];
     let mut dispatcher = dispatcher(servers);
     let targets = targets(&[("s", 1)]);
     let criteria = SelectionCriteria { model: Some("m"), version, ..criteria(&targets, &[]) };
-    assert_eq!(selected(&mut dispatcher, &criteria, 100), set(fitting));
+    assert_eq!(selected(&mut dispatcher, &criteria, 100), ids(expected));
 }
 
 #[test]
-fn given_a_newer_version_in_a_response_when_an_older_list_comes_then_the_version_stays() {
+fn given_a_newer_version_in_a_response_when_an_older_list_is_applied_then_the_newer_version_is_kept() {
     let mut dispatcher = dispatcher(vec![with_version("a", 2)]);
     dispatcher.record_version("a", "m", 3);
     dispatcher.update(&list(vec![with_version("a", 2)]));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn given_a_rejected_version_when_selecting_then_the_server_is_left_out_for_a_moment() {
+fn given_a_rejected_version_when_selecting_then_the_server_is_excluded_for_a_limited_time() {
     let mut dispatcher = dispatcher(vec![with_version("a", 2)]);
     dispatcher.record_version_rejected(NOW, "a", "m", 2);
     let targets = targets(&[("s", 1)]);
@@ -188,17 +188,17 @@
 }
 
 #[test]
-fn given_attempted_servers_when_selecting_then_they_come_last() {
+fn given_an_attempted_server_when_selecting_then_it_is_selected_only_without_an_alternative() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     let targets = targets(&[("s", 1)]);
     let attempted = [ServerId::from("a")];
-    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &attempted), 50), set(&["b"]));
+    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &attempted), 50), ids(&["b"]));
     dispatcher.update(&list(vec![entry("a", "s")]));
-    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &attempted), 50), set(&["a"]));
+    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &attempted), 50), ids(&["a"]));
 }
 
 #[test]
-fn given_a_failed_server_when_selecting_then_it_is_ejected_for_a_time_that_grows() {
+fn given_repeated_failures_of_a_server_when_selecting_then_each_ejection_lasts_longer() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     let targets = targets(&[("s", 1)]);
     let mut ejections = Vec::new();
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn given_that_all_servers_failed_when_selecting_then_one_is_selected_all_the_same() {
+fn given_all_servers_ejected_when_selecting_then_one_is_still_selected() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     dispatcher.request_finished(NOW, "a", RequestOutcome::Failure);
     dispatcher.request_finished(NOW, "b", RequestOutcome::Failure);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn given_a_server_that_fails_every_other_request_when_selecting_then_it_stays_ejected() {
+fn given_a_server_that_fails_every_second_request_when_selecting_then_it_stays_ejected() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     for _ in 0..6 {
         dispatcher.request_finished(NOW, "a", RequestOutcome::Success);
@@ -245,15 +245,15 @@
 }
 
 #[test]
-fn given_a_tie_when_selecting_then_the_own_zone_is_preferred() {
+fn given_a_tie_when_selecting_then_the_local_zone_is_preferred() {
     let far = ServerEntry { zone: "far".into(), ..entry("b", "s") };
     let mut dispatcher = dispatcher(vec![entry("a", "s"), far]);
     let targets = targets(&[("s", 1)]);
-    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &[]), 50), set(&["a"]));
+    assert_eq!(selected(&mut dispatcher, &criteria(&targets, &[]), 50), ids(&["a"]));
 }
 
 #[test]
-fn given_full_servers_when_free_capacity_is_required_then_none_is_selected_until_one_ends() {
+fn given_a_full_server_when_free_capacity_is_required_then_it_is_not_selected_until_a_request_ends() {
     let mut dispatcher = dispatcher(vec![entry("a", "s")]);
     let targets = targets(&[("s", 1)]);
     let criteria = SelectionCriteria { requires_free_capacity: true, ..criteria(&targets, &[]) };
@@ -266,7 +266,8 @@
 }
 
 #[test]
-fn given_the_load_of_others_when_free_capacity_is_asked_then_it_counts_for_as_long_as_it_is_fresh() {
+fn given_reported_load_of_other_senders_when_computing_free_capacity_then_it_counts_while_the_report_is_valid(
+) {
     let mut dispatcher = dispatcher(vec![entry("a", "s")]);
     let targets = targets(&[("s", 1)]);
     let criteria = criteria(&targets, &[]);
@@ -277,12 +278,12 @@
 }
 
 #[test]
-fn given_a_server_with_the_prefix_cached_when_selecting_then_it_wins_ties_alone() {
+fn given_a_server_with_the_prefix_cached_when_selecting_then_it_wins_ties_only() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s"), entry("c", "s")]);
     let targets = targets(&[("s", 1)]);
     let cached = ServerId::from("b");
     let criteria = SelectionCriteria { prefix_cache_server: Some(&cached), ..criteria(&targets, &[]) };
-    assert_eq!(selected(&mut dispatcher, &criteria, 50), set(&["b"]));
+    assert_eq!(selected(&mut dispatcher, &criteria, 50), ids(&["b"]));
     for id in ["a", "b", "c"] {
         dispatcher.record_load(NOW, id, u32::from(id == "b"), 0, 4);
     }
@@ -290,18 +291,18 @@
 }
 
 #[test]
-fn given_a_model_when_selecting_then_servers_that_list_it_come_first() {
+fn given_a_model_when_selecting_then_servers_that_list_it_are_preferred() {
     let other = ServerEntry { models: BTreeMap::from([(Arc::from("other"), 1)]), ..entry("a", "s") };
     let mut dispatcher = dispatcher(vec![other.clone(), with_version("b", 1)]);
     let targets = targets(&[("s", 1)]);
     let criteria = SelectionCriteria { model: Some("m"), ..criteria(&targets, &[]) };
-    assert_eq!(selected(&mut dispatcher, &criteria, 50), set(&["b"]));
+    assert_eq!(selected(&mut dispatcher, &criteria, 50), ids(&["b"]));
     dispatcher.update(&list(vec![other]));
-    assert_eq!(selected(&mut dispatcher, &criteria, 50), set(&["a"]));
+    assert_eq!(selected(&mut dispatcher, &criteria, 50), ids(&["a"]));
 }
 
 #[test]
-fn given_a_server_with_an_idle_connection_when_queue_lengths_are_near_then_it_is_selected() {
+fn given_a_server_with_an_idle_connection_when_queue_lengths_are_equal_then_it_is_selected() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s"), entry("c", "s")]);
     let targets = targets(&[("s", 1)]);
     let criteria = SelectionCriteria {
@@ -318,7 +319,7 @@
 }
 
 #[test]
-fn given_an_idle_connection_that_is_too_old_when_a_request_comes_then_all_servers_are_selected_from() {
+fn given_an_idle_connection_beyond_the_maximum_age_when_selecting_then_its_server_is_not_preferred() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s"), entry("c", "s")]);
     let targets = targets(&[("s", 1)]);
     let criteria = SelectionCriteria {
@@ -338,7 +339,7 @@
 }
 
 #[test]
-fn given_an_idle_connection_when_its_server_has_two_requests_more_then_another_one_is_selected() {
+fn given_an_idle_connection_when_its_server_has_two_more_requests_then_another_server_is_selected() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     let targets = targets(&[("s", 1)]);
     let criteria = SelectionCriteria {
@@ -353,7 +354,7 @@
 }
 
 #[test]
-fn given_a_server_that_loads_a_model_when_another_model_is_requested_then_it_is_selected() {
+fn given_a_server_that_is_loading_a_model_when_another_model_is_requested_then_it_is_selected() {
     let entry = ServerEntry { models: [("m".into(), 1), ("n".into(), 1)].into(), ..entry("a", "s") };
     let mut dispatcher = dispatcher(vec![entry]);
     let targets = targets(&[("s", 1)]);
@@ -370,9 +371,9 @@
 
 #[parameterized(
     that_can_wait_for_capacity = { true, 5 },
-    that_cannot_wait = { false, 10 },
+    that_cannot_wait_for_capacity = { false, 10 },
 )]
-fn given_servers_of_other_models_when_a_request_with_a_model_comes_then_they_are_its_last_resort(
+fn given_a_server_that_lists_only_other_models_when_another_lists_the_model_then_only_that_one_is_selected(
     requires_free_capacity: bool,
     free_capacity: usize,
 ) {
@@ -390,8 +391,7 @@
 }
 
 #[test]
-fn given_a_newer_list_of_the_same_servers_when_selecting_then_what_changed_counts_and_what_is_known_is_kept()
-{
+fn given_a_newer_list_of_the_same_servers_when_applied_then_changes_take_effect_and_versions_are_kept() {
     let first = list(vec![with_version("a", 1), with_version("b", 1)]);
     let mut dispatcher = Dispatcher::new("near".into());
     dispatcher.update(&first);
@@ -402,22 +402,22 @@
     dispatcher.update(&newer);
     let targets = targets(&[("s", 1)]);
     let any = SelectionCriteria { model: Some("m"), ..criteria(&targets, &[]) };
-    assert_eq!(selected(&mut dispatcher, &any, 50), set(&["a"]));
+    assert_eq!(selected(&mut dispatcher, &any, 50), ids(&["a"]));
     let exact = |version| SelectionCriteria { version: VersionRequirement::Exactly(version), ..any };
-    assert_eq!(selected(&mut dispatcher, &exact(2), 50), set(&[]), "the response showed a newer version");
-    assert_eq!(selected(&mut dispatcher, &exact(3), 50), set(&["a"]));
+    assert_eq!(selected(&mut dispatcher, &exact(2), 50), ids(&[]), "the response showed a newer version");
+    assert_eq!(selected(&mut dispatcher, &exact(3), 50), ids(&["a"]));
 }
 
 #[test]
-fn given_a_list_with_a_server_in_another_service_when_selecting_then_it_is_selected_there_alone() {
+fn given_a_server_that_moved_to_another_service_when_selecting_then_only_that_service_selects_it() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     dispatcher.update(&list(vec![entry("a", "s"), entry("b", "other")]));
-    assert_eq!(selected(&mut dispatcher, &criteria(&targets(&[("s", 1)]), &[]), 50), set(&["a"]));
-    assert_eq!(selected(&mut dispatcher, &criteria(&targets(&[("other", 1)]), &[]), 50), set(&["b"]));
+    assert_eq!(selected(&mut dispatcher, &criteria(&targets(&[("s", 1)]), &[]), 50), ids(&["a"]));
+    assert_eq!(selected(&mut dispatcher, &criteria(&targets(&[("other", 1)]), &[]), 50), ids(&["b"]));
 }
 
 #[test]
-fn given_rejections_of_one_load_long_after_another_when_recorded_then_the_backoff_starts_anew() {
+fn given_a_rejection_long_after_the_last_backoff_when_recorded_then_the_initial_backoff_applies() {
     let entry = ServerEntry { models: [("m".into(), 1)].into(), ..entry("a", "s") };
     let mut dispatcher = dispatcher(vec![entry]);
     let targets = targets(&[("s", 1)]);
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn given_a_server_that_reports_a_load_beyond_all_numbers_when_selecting_then_it_counts_as_full() {
+fn given_a_reported_load_that_overflows_when_selecting_then_the_server_counts_as_full() {
     let mut dispatcher = dispatcher(vec![entry("a", "s")]);
     let targets = targets(&[("s", 1)]);
     let criteria = SelectionCriteria { requires_free_capacity: true, ..criteria(&targets, &[]) };
--- a/crates/membership/tests/detector.rs
+++ b/crates/membership/tests/detector.rs
@@ -6,7 +6,7 @@
 use yare::parameterized;
 
 /// Time between two ticks, in milliseconds.
-const TICK: u64 = 100;
+const TICK_INTERVAL: u64 = 100;
 const TIMING: DetectorTiming = DetectorTiming {
     heartbeat_interval: Duration::from_millis(300),
     max_missed_heartbeats: 4,
@@ -22,7 +22,7 @@
     now: u64,
     detector: Detector,
     names: Vec<String>,
-    alive: Vec<bool>,
+    responsive: Vec<bool>,
 }
 
 impl Simulation {
@@ -30,7 +30,7 @@
         let names: Vec<String> = (0..peers).map(|index| format!("peer-{index}")).collect();
         let mut detector = Detector::new(TIMING);
         detector.set_peers(ms(0), &names);
-        Self { now: 0, detector, alive: vec![true; peers], names }
+        Self { now: 0, detector, responsive: vec![true; peers], names }
     }
 
     /// Lets time pass; returns the peers that are newly suspected, and when.
@@ -38,7 +38,7 @@
         let end = self.now + milliseconds;
         let mut suspected = Vec::new();
         while self.now < end {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             self.send_heartbeats();
             let new = self.detector.tick(ms(self.now));
             suspected.extend(new.into_iter().map(|name| (self.now, name)));
@@ -53,8 +53,8 @@
 
     fn send_heartbeats(&mut self) {
         for (index, name) in self.names.iter().enumerate() {
-            let phase = index as u64 % 3 * TICK;
-            if self.alive[index] && (self.now + phase).is_multiple_of(300) {
+            let phase = index as u64 % 3 * TICK_INTERVAL;
+            if self.responsive[index] && (self.now + phase).is_multiple_of(300) {
                 self.detector.record_heartbeat(ms(self.now), name);
             }
         }
@@ -62,15 +62,15 @@
 }
 
 #[test]
-fn given_all_peers_alive_when_time_passes_then_none_is_suspected() {
+fn given_all_peers_responsive_when_time_passes_then_none_is_suspected() {
     assert_eq!(Simulation::new(5).run(60_000), []);
 }
 
 #[parameterized(one = { 1 }, three = { 3 }, many = { 8 })]
-fn given_a_peer_fails_when_it_missed_several_heartbeats_then_it_alone_is_suspected(peers: usize) {
+fn given_a_failed_peer_when_it_misses_several_heartbeats_then_only_it_is_suspected(peers: usize) {
     let mut simulation = Simulation::new(peers);
     simulation.run(3000);
-    simulation.alive[0] = false;
+    simulation.responsive[0] = false;
     assert_eq!(simulation.run(1200), [], "a few missed heartbeats are tolerated");
     let suspected = simulation.run(1200);
     assert_eq!(suspected.len(), 1);
@@ -80,18 +80,18 @@
 }
 
 #[test]
-fn given_a_suspected_peer_when_its_heartbeats_resume_then_it_is_trusted() {
+fn given_a_suspected_peer_when_its_heartbeats_resume_then_it_is_no_longer_suspected() {
     let mut simulation = Simulation::new(4);
-    simulation.alive[1] = false;
+    simulation.responsive[1] = false;
     simulation.run(5000);
     assert_eq!(simulation.detector.suspected().collect::<Vec<_>>(), ["peer-1"]);
-    simulation.alive[1] = true;
+    simulation.responsive[1] = true;
     assert_eq!(simulation.run(1000), []);
     assert_eq!(simulation.detector.suspected().count(), 0);
 }
 
 #[parameterized(short = { 1500 }, middle = { 3500 }, long = { 60_000 })]
-fn given_the_observer_is_frozen_when_it_wakes_then_it_gives_no_false_alarm(milliseconds: u64) {
+fn given_a_frozen_detector_when_it_resumes_then_no_responsive_peer_is_suspected(milliseconds: u64) {
     let mut simulation = Simulation::new(5);
     simulation.run(3000);
     simulation.freeze(milliseconds);
@@ -99,22 +99,22 @@
 }
 
 #[test]
-fn given_a_peer_fails_while_the_observer_is_frozen_when_it_wakes_then_the_peer_is_suspected_later() {
+fn given_a_peer_that_fails_while_the_detector_is_frozen_when_it_resumes_then_the_full_timeout_applies() {
     let mut simulation = Simulation::new(5);
     simulation.run(3000);
-    simulation.alive[2] = false;
+    simulation.responsive[2] = false;
     simulation.freeze(5000);
-    let woken = simulation.now;
+    let resumed_at = simulation.now;
     let suspected = simulation.run(10_000);
     assert_eq!(suspected.len(), 1);
-    assert!(suspected[0].0 >= woken + 1500, "the timers restart");
+    assert!(suspected[0].0 >= resumed_at + 1500, "the timers restart");
 }
 
 #[parameterized(two = { 2 }, three = { 3 }, eight = { 8 })]
 fn given_all_peers_unresponsive_at_once_when_time_passes_then_none_is_suspected(peers: usize) {
     let mut simulation = Simulation::new(peers);
     simulation.run(3000);
-    simulation.alive.fill(false);
+    simulation.responsive.fill(false);
     assert_eq!(simulation.run(60_000), []);
 }
 
@@ -122,7 +122,7 @@
 fn given_most_peers_unresponsive_when_time_passes_then_no_more_than_half_are_suspected_at_once() {
     let mut simulation = Simulation::new(6);
     simulation.run(3000);
-    simulation.alive[..4].fill(false);
+    simulation.responsive[..4].fill(false);
     let suspected = simulation.run(20_000);
     assert_eq!(suspected.len(), 4, "in the end all are found");
     assert!(suspected[0].0 >= 3000 + 3000 - 300, "after twice the time");
@@ -131,10 +131,10 @@
 }
 
 #[test]
-fn given_peers_fail_one_after_the_other_when_time_passes_then_each_is_found() {
+fn given_peers_that_fail_one_after_another_when_time_passes_then_each_is_suspected() {
     let mut simulation = Simulation::new(3);
     for index in 0..3 {
-        simulation.alive[index] = false;
+        simulation.responsive[index] = false;
         let suspected = simulation.run(10_000);
         assert_eq!(suspected.len(), 1);
         assert_eq!(suspected[0].1, simulation.names[index]);
@@ -142,12 +142,12 @@
 }
 
 #[test]
-fn given_new_peers_when_set_then_their_timers_start_now_and_others_keep_their_state() {
+fn given_new_peers_when_set_then_their_timers_start_and_other_peers_keep_their_state() {
     let mut simulation = Simulation::new(4);
-    simulation.alive[0] = false;
+    simulation.responsive[0] = false;
     simulation.run(5000);
     simulation.names.push("peer-new".to_owned());
-    simulation.alive.push(true);
+    simulation.responsive.push(true);
     simulation.detector.set_peers(ms(simulation.now), &simulation.names);
     assert!(simulation.detector.is_suspected("peer-0"));
     assert_eq!(simulation.run(10_000), []);
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -9,7 +9,7 @@
     ["vault-a-1", "vault-a-2", "vault-b-1", "vault-b-2", "vault-c-1", "vault-c-2", "x"];
 
 #[test]
-fn given_members_and_keys_when_ranked_then_scores_and_rankings_are_as_before() {
+fn given_members_and_keys_when_ranked_then_scores_and_rankings_match_the_golden_file() {
     let mut text = String::new();
     for name in MEMBERS {
         writeln!(text, "hash of {name}: {:016x}", hash(name.as_bytes())).expect("a string takes text");
--- a/crates/membership/tests/placement.rs
+++ b/crates/membership/tests/placement.rs
@@ -19,7 +19,7 @@
     empty = { "", 0x2d06_8005_38d3_94c2 },
     name = { "vault-bandung-a-1", 0x3b7c_5a56_b672_a485 },
 )]
-fn given_a_text_when_hashed_then_the_result_never_changes(text: &str, expected: u64) {
+fn given_a_text_when_hashed_then_the_hash_equals_the_pinned_value(text: &str, expected: u64) {
     assert_eq!(hash(text.as_bytes()), expected, "{:#x}", hash(text.as_bytes()));
 }
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn given_a_ranking_when_taken_longer_then_the_shorter_is_its_start() {
+fn given_two_counts_when_ranked_then_the_shorter_ranking_is_a_prefix_of_the_longer() {
     let members = member_names(9);
     for index in 0..100 {
         let all = rendezvous(&key(index), &members, 20);
@@ -65,9 +65,9 @@
 #[test]
 fn given_a_member_leaves_when_ranked_again_then_the_others_keep_their_order() {
     let members = member_names(8);
-    for leaver in 0..members.len() {
+    for removed_index in 0..members.len() {
         let mut rest = members.clone();
-        let removed = rest.remove(leaver);
+        let removed = rest.remove(removed_index);
         for index in 0..200 {
             let mut before = rendezvous(&key(index), &members, 8);
             before.retain(|member| **member != removed);
@@ -94,7 +94,9 @@
 }
 
 #[parameterized(small = { 11 }, middle = { 100 }, large = { 400 })]
-fn given_a_growing_fleet_when_monitored_then_the_work_of_a_member_stays_the_same(count: usize) {
+fn given_any_number_of_members_when_monitors_are_assigned_then_the_peers_per_monitor_are_bounded(
+    count: usize,
+) {
     let members = member_names(count);
     let mut max_monitored = 0;
     let mut sum = 0;
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn given_both_directions_when_compared_then_they_agree() {
+fn given_monitors_and_monitored_by_when_compared_then_they_agree() {
     let members = member_names(17);
     for member in &members {
         for other in &members {
@@ -122,14 +124,14 @@
 }
 
 #[parameterized(alone = { 1, 0 }, pair = { 2, 1 }, three = { 3, 2 })]
-fn given_few_members_when_monitored_then_all_others_do_it(count: usize, expected: usize) {
+fn given_few_members_when_monitors_are_assigned_then_all_others_monitor(count: usize, expected: usize) {
     let members = member_names(count);
     assert_eq!(monitors(&members[0], &members, 3).len(), expected);
     assert_eq!(monitored_by(&members[0], &members, 3).len(), expected);
 }
 
 #[test]
-fn given_no_members_when_ranked_then_there_is_none() {
+fn given_no_members_when_ranked_then_the_ranking_is_empty() {
     let none: [&str; 0] = [];
     assert!(rendezvous(b"key", &none, 3).is_empty());
 }
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -13,7 +13,7 @@
 pub const MODEL: &str = "finch";
 pub const OTHER_MODEL: &str = "wren";
 /// How long a load takes while few load.
-pub const LOAD: Duration = Duration::from_millis(400);
+pub const LOAD_DURATION: Duration = Duration::from_millis(400);
 /// How much the list lags behind the servers.
 const LIST_LAG: Duration = Duration::from_millis(1000);
 /// How often the list is read.
@@ -83,8 +83,8 @@
     }
 
     fn snapshot(&self, at: Duration) -> &ServerSnapshot {
-        let found = self.history.iter().rev().find(|snapshot| snapshot.at <= at);
-        found.unwrap_or(&self.history[0])
+        let latest = self.history.iter().rev().find(|snapshot| snapshot.at <= at);
+        latest.unwrap_or(&self.history[0])
     }
 
     pub fn version(&self, model: &str) -> u64 {
@@ -108,7 +108,7 @@
             return OrderReply::AlreadyLoaded;
         }
         let start = if order.method == UpdateMethod::Drain { now.max(self.busy_until) } else { now };
-        self.loading = Some((Arc::clone(&order.model), order.version, start + LOAD));
+        self.loading = Some((Arc::clone(&order.model), order.version, start + LOAD_DURATION));
         let versions = self.history.last().expect("never empty").versions.clone();
         self.history.push(ServerSnapshot { at: now, versions, occupied: true });
         self.orders_accepted.push((Arc::clone(&order.model), order.version));
@@ -198,7 +198,7 @@
         for (model, version) in self.targets.clone() {
             self.planner.set_target_version(self.now, &model, version);
         }
-        self.pass_list();
+        self.update_planner_servers();
     }
 
     /// The server crashes and comes back as a new incarnation with the versions that it had.
@@ -218,21 +218,21 @@
     /// Lets time pass until `end`.
     pub fn run_until(&mut self, end: Duration) {
         loop {
-            self.act();
+            self.perform_actions();
             let wake = self.planner.next_wakeup(self.now);
             assert!(wake.is_none_or(|wake| wake > self.now), "a wake-up that is due was left over");
             let event = self.events.iter().map(|(at, _)| *at).min();
             let next = [wake, event].into_iter().flatten().min().unwrap_or(end).min(end);
             self.now = self.now.max(next);
             self.servers.iter_mut().for_each(|server| server.advance(next));
-            self.deliver();
+            self.deliver_due_events();
             if next >= end {
                 return;
             }
         }
     }
 
-    fn act(&mut self) {
+    fn perform_actions(&mut self) {
         for action in self.planner.next_actions(self.now) {
             match action {
                 RolloutAction::SendOrder(order) => self.send_order(order),
@@ -280,7 +280,7 @@
         self.events.push((arrival + CALL_LATENCY, event));
     }
 
-    fn deliver(&mut self) {
+    fn deliver_due_events(&mut self) {
         let (due, later) = std::mem::take(&mut self.events).into_iter().partition(|(at, _)| *at <= self.now);
         self.events = later;
         for (_, event) in due {
@@ -294,11 +294,11 @@
     }
 
     fn read_list(&mut self) {
-        self.pass_list();
+        self.update_planner_servers();
         self.events.push((self.now + LIST_INTERVAL, FleetEvent::ListDue));
     }
 
-    fn pass_list(&mut self) {
+    fn update_planner_servers(&mut self) {
         let listed: Vec<RolloutServer> =
             self.servers.iter().map(|server| server.list_entry(self.now)).collect();
         self.planner.set_servers(listed);
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -9,7 +9,7 @@
     drain = { "order_hold.json", UpdateMethod::Drain },
     in_place = { "order_keep.json", UpdateMethod::InPlace },
 )]
-fn given_an_order_when_written_then_it_is_as_before(name: &str, method: UpdateMethod) {
+fn given_an_order_when_serialized_then_it_matches_the_golden_file(name: &str, method: UpdateMethod) {
     let order = VersionOrder {
         server: "i-1".into(),
         address: ([10, 0, 0, 1], 80).into(),
@@ -23,7 +23,7 @@
 
 /// A report is only read here, so that its files are what a server writes.
 #[test]
-fn given_a_report_when_read_then_its_values_are_as_before() {
+fn given_the_golden_report_when_deserialized_then_all_values_are_read() {
     let report = ServerReport {
         models: vec![
             ModelReport { name: "daka510000".into(), version: 3 },
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn given_an_empty_report_when_read_then_its_values_are_as_before() {
+fn given_the_golden_empty_report_when_deserialized_then_all_values_are_defaults() {
     let read: ServerReport =
         serde_json::from_str(&golden("report_empty.json", "{}")).expect("an empty report can be read");
     assert_eq!(read, ServerReport::default());
--- a/crates/rollout/tests/large_fleet.rs
+++ b/crates/rollout/tests/large_fleet.rs
@@ -28,7 +28,7 @@
 }
 
 /// Carries out actions as servers that do everything at once.
-fn carry_out(planner: &mut Planner, now: Duration, actions: Vec<RolloutAction>) -> usize {
+fn complete_immediately(planner: &mut Planner, now: Duration, actions: Vec<RolloutAction>) -> usize {
     let mut orders = 0;
     for action in actions {
         match action {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn given_thousands_of_servers_when_a_version_is_rolled_out_then_each_gets_one_order_in_time() {
+fn given_thousands_of_servers_when_a_version_is_rolled_out_then_each_gets_one_order_within_the_time_limit() {
     let mut planner = Planner::new(Pacing::default());
     planner.set_servers((0..SERVERS).map(server));
     planner.set_target_version(Duration::ZERO, MODEL, 2);
@@ -52,7 +52,7 @@
     let (mut now, mut orders) = (Duration::ZERO, 0);
     while !planner.is_converged() {
         let actions = planner.next_actions(now);
-        orders += carry_out(&mut planner, now, actions);
+        orders += complete_immediately(&mut planner, now, actions);
         let _ = planner.next_wakeup(now);
         now += Duration::from_millis(10);
         assert!(started.elapsed() < MAX_PLANNING_TIME, "{orders} orders after {now:?}");
--- a/crates/rollout/tests/stories.rs
+++ b/crates/rollout/tests/planner.rs
@@ -28,7 +28,7 @@
 }
 
 /// A planner that has seen a report of each of these idle servers.
-fn planner_of(pacing: Pacing, servers: &[RolloutServer]) -> Planner {
+fn planner_with_idle_servers(pacing: Pacing, servers: &[RolloutServer]) -> Planner {
     let mut planner = Planner::new(pacing);
     planner.set_servers(servers.iter().cloned());
     planner.set_target_version(ms(0), MODEL, 2);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn given_idle_servers_when_a_version_is_targeted_then_all_get_it_with_one_order_each() {
+fn given_idle_servers_when_a_version_is_targeted_then_all_load_it_with_one_order_each() {
     let mut fleet = ServerFleet::new(8);
     fleet.run_until(ms(500));
     fleet.set_target(MODEL, 2);
@@ -61,18 +61,18 @@
     some = { 8, 3 },
     many = { 38, 13 },
 )]
-fn given_busy_servers_when_a_version_is_targeted_then_a_third_of_them_loads_at_once(
+fn given_busy_servers_when_a_version_is_targeted_then_concurrent_loads_reach_but_do_not_exceed_the_limit(
     count: usize,
-    at_once: usize,
+    concurrent_loads: usize,
 ) {
     let mut fleet = ServerFleet::new(count);
     fleet.servers.iter_mut().for_each(|server| server.busy_until = ms(2000));
     fleet.set_target(MODEL, 2);
     fleet.run_until(ms(1900));
-    assert_eq!(fleet.orders.len(), at_once);
+    assert_eq!(fleet.orders.len(), concurrent_loads);
     fleet.run_until(ms(9000));
     assert!(fleet.all_have(MODEL, 2));
-    assert_eq!(fleet.max_loading, at_once);
+    assert_eq!(fleet.max_loading, concurrent_loads);
 }
 
 #[test]
@@ -85,15 +85,16 @@
 }
 
 #[test]
-fn given_a_rollout_in_progress_when_a_newer_version_is_targeted_then_the_first_is_skipped_where_it_can_be() {
+fn given_a_rollout_in_progress_when_a_newer_version_is_targeted_then_servers_without_an_order_skip_the_older()
+{
     let mut fleet = ServerFleet::new(8);
     fleet.set_target(MODEL, 2);
     fleet.run_until(ms(300));
     fleet.set_target(MODEL, 3);
     fleet.run_until(ms(6000));
     assert!(fleet.all_have(MODEL, 3));
-    let ordered_first = fleet.orders.iter().filter(|(_, order)| order.version == 2).count();
-    assert_eq!(ordered_first, 3, "only those that were in progress");
+    let orders_of_first = fleet.orders.iter().filter(|(_, order)| order.version == 2).count();
+    assert_eq!(orders_of_first, 3, "only those that were in progress");
     assert_eq!(fleet.orders.len(), 8 + 3);
 }
 
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn given_requests_run_when_they_drain_first_then_those_servers_count_as_loading_until_they_are_done() {
+fn given_running_requests_when_servers_drain_them_first_then_they_count_as_loading_until_the_load_ends() {
     let mut fleet = ServerFleet::new(8);
     fleet.servers.iter_mut().for_each(|server| server.busy_until = ms(2000));
     fleet.set_target(MODEL, 2);
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn given_requests_run_when_they_continue_then_loads_follow_each_other_at_once() {
+fn given_running_requests_when_versions_load_in_place_then_loads_do_not_wait_for_the_requests() {
     let mut fleet = ServerFleet::new(8);
     fleet.set_in_place(&[MODEL]);
     fleet.servers.iter_mut().for_each(|server| server.busy_until = ms(60_000));
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn given_replies_are_lost_when_orders_were_accepted_then_they_are_not_repeated() {
+fn given_accepted_orders_when_their_replies_are_lost_then_the_orders_are_not_repeated() {
     let mut fleet = ServerFleet::new(4);
     fleet.set_target(MODEL, 2);
     fleet.run_until(ms(8));
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn given_a_server_is_unresponsive_amid_its_order_when_it_responds_again_then_it_is_ordered_again() {
+fn given_a_server_unresponsive_during_its_order_when_it_responds_again_then_it_loads_the_version() {
     let mut fleet = ServerFleet::new(3);
     fleet.set_target(MODEL, 2);
     fleet.run_until(ms(8));
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn given_a_server_crashes_amid_its_load_when_it_is_back_with_the_old_version_then_it_is_ordered_again() {
+fn given_a_server_that_crashes_during_its_load_when_it_restarts_with_the_old_version_then_it_gets_an_order() {
     let mut fleet = ServerFleet::new(3);
     fleet.set_target(MODEL, 2);
     fleet.run_until(ms(100));
@@ -171,8 +172,8 @@
     assert_eq!(fleet.orders.len(), 4);
 }
 
-#[parameterized(early = { 20 }, amid = { 300 }, late = { 900 }, after = { 2500 })]
-fn given_the_holder_changes_when_orders_are_in_progress_then_none_is_repeated(at: u64) {
+#[parameterized(early = { 20 }, middle = { 300 }, late = { 900 }, after = { 2500 })]
+fn given_orders_in_progress_when_the_leader_changes_then_no_order_is_repeated(at: u64) {
     let mut fleet = ServerFleet::new(8);
     fleet.set_target(MODEL, 2);
     fleet.run_until(ms(at));
@@ -197,8 +198,8 @@
 }
 
 #[test]
-fn given_the_list_lags_when_a_server_is_done_then_it_is_not_ordered_again() {
-    let mut planner = planner_of(Pacing::default(), &[server(0, "a", 1)]);
+fn given_a_version_observed_in_a_response_when_the_list_lags_then_the_order_is_not_repeated() {
+    let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1)]);
     assert_eq!(orders(&planner.next_actions(ms(1))), [("i-0", 2, UpdateMethod::Drain)]);
     planner.on_order_reply(ms(5), "i-0", OrderReply::Accepted);
     planner.on_version_observed("i-0", MODEL, 2);
@@ -209,8 +210,8 @@
 }
 
 #[test]
-fn given_no_report_comes_when_the_list_shows_the_version_then_the_order_is_done() {
-    let mut planner = planner_of(Pacing::default(), &[server(0, "a", 1)]);
+fn given_an_accepted_order_when_the_list_shows_the_version_then_no_report_is_requested() {
+    let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1)]);
     assert_eq!(planner.next_actions(ms(1)).len(), 1);
     planner.on_order_reply(ms(5), "i-0", OrderReply::Accepted);
     planner.set_servers([server(0, "a", 2)]);
@@ -219,12 +220,13 @@
 }
 
 #[parameterized(requests_run = { 4, 0 }, idle = { 0, 1 })]
-fn given_a_report_amid_a_load_when_requests_run_then_the_server_goes_on_counting_as_loading(
+fn given_an_occupied_report_during_a_load_when_requests_run_then_the_server_still_counts_as_loading(
     running: u64,
-    ordered: usize,
+    expected_orders: usize,
 ) {
     let pacing = Pacing { min_concurrent_loads: 1, ..Pacing::default() };
-    let mut planner = planner_of(pacing, &[server(0, "a", 1), server(1, "a", 1), server(2, "a", 1)]);
+    let mut planner =
+        planner_with_idle_servers(pacing, &[server(0, "a", 1), server(1, "a", 1), server(2, "a", 1)]);
     assert_eq!(orders(&planner.next_actions(ms(1)))[0].0, "i-0");
     planner.on_order_reply(ms(1), "i-0", OrderReply::Accepted);
     assert!(planner.next_actions(ms(400)).is_empty());
@@ -233,11 +235,11 @@
     let actions = planner.next_actions(ms(651));
     assert!(matches!(actions[..], [RolloutAction::RequestReport(_)]), "{actions:?}");
     planner.on_report(ms(651), "i-0", &ServerReport { occupied: true, running, ..ServerReport::default() });
-    assert_eq!(orders(&planner.next_actions(ms(801))).len(), ordered);
+    assert_eq!(orders(&planner.next_actions(ms(801))).len(), expected_orders);
 }
 
 #[test]
-fn given_idle_and_busy_servers_when_ordered_then_the_idle_are_ordered_first_and_zones_are_spread() {
+fn given_idle_and_busy_servers_when_planning_then_idle_ones_get_orders_first_distributed_over_the_zones() {
     let servers = [
         server(0, "a", 1),
         server(1, "a", 1),
@@ -246,7 +248,7 @@
         server(4, "c", 1),
         server(5, "b", 1),
     ];
-    let mut planner = planner_of(Pacing::default(), &servers);
+    let mut planner = planner_with_idle_servers(Pacing::default(), &servers);
     planner.set_running("i-3", 5);
     let actions = planner.next_actions(ms(1));
     let ids: Vec<&str> = orders(&actions).iter().map(|(id, _, _)| *id).collect();
@@ -254,8 +256,8 @@
 }
 
 #[test]
-fn given_a_higher_fencing_token_was_seen_when_deciding_then_no_more_orders_are_given() {
-    let mut planner = planner_of(Pacing::default(), &[server(0, "a", 1), server(1, "b", 1)]);
+fn given_a_fenced_order_when_planning_then_no_more_orders_are_sent() {
+    let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1), server(1, "b", 1)]);
     assert_eq!(planner.next_actions(ms(1)).len(), 2);
     planner.on_order_reply(ms(2), "i-0", OrderReply::Fenced);
     planner.on_order_reply(ms(2), "i-1", OrderReply::NotAccepted);
@@ -265,8 +267,8 @@
 }
 
 #[test]
-fn given_another_server_has_the_address_when_answered_then_the_old_one_gets_nothing_more() {
-    let mut planner = planner_of(Pacing::default(), &[server(0, "a", 1)]);
+fn given_another_server_at_the_address_when_it_replies_then_the_replaced_server_gets_no_more_calls() {
+    let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1)]);
     assert_eq!(planner.next_actions(ms(1)).len(), 1);
     planner.on_order_reply(ms(2), "i-0", OrderReply::WrongServer);
     assert!(planner.next_actions(ms(9000)).is_empty());
@@ -274,8 +276,10 @@
 }
 
 #[parameterized(invalid = { OrderReply::Invalid }, not_accepted = { OrderReply::NotAccepted })]
-fn given_an_order_is_not_accepted_when_repeated_then_the_delays_grow(reply: OrderReply) {
-    let mut planner = planner_of(Pacing::default(), &[server(0, "a", 1)]);
+fn given_an_order_that_is_not_accepted_when_retried_then_the_delay_doubles_up_to_the_maximum(
+    reply: OrderReply,
+) {
+    let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1)]);
     let mut now = ms(1);
     let mut sent = Vec::new();
     while sent.len() < 6 {
@@ -290,8 +294,8 @@
 }
 
 #[test]
-fn given_another_order_in_progress_when_rejected_then_a_report_decides_when_to_order() {
-    let mut planner = planner_of(Pacing::default(), &[server(0, "a", 1)]);
+fn given_a_busy_server_when_reports_show_it_idle_then_the_order_is_sent_again() {
+    let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1)]);
     assert_eq!(planner.next_actions(ms(1)).len(), 1);
     planner.on_order_reply(ms(2), "i-0", OrderReply::Busy);
     assert!(planner.next_actions(ms(3)).is_empty());
@@ -312,25 +316,25 @@
 
 #[test]
 fn given_an_order_without_outcome_when_it_times_out_then_it_counts_as_indeterminate() {
-    let mut planner = planner_of(Pacing::default(), &[server(0, "a", 1)]);
+    let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1)]);
     assert_eq!(planner.next_actions(ms(1)).len(), 1);
-    let wake = planner.next_wakeup(ms(1)).expect("a time limit");
-    assert!(planner.next_actions(wake).is_empty());
-    let wake = planner.next_wakeup(wake).expect("a report is scheduled");
-    let actions = planner.next_actions(wake);
+    let deadline = planner.next_wakeup(ms(1)).expect("a time limit");
+    assert!(planner.next_actions(deadline).is_empty());
+    let deadline = planner.next_wakeup(deadline).expect("a report is scheduled");
+    let actions = planner.next_actions(deadline);
     assert!(matches!(actions[..], [RolloutAction::RequestReport(_)]), "{actions:?}");
 }
 
 #[test]
-fn given_lower_target_versions_when_set_then_the_highest_stays() {
-    let mut planner = planner_of(Pacing::default(), &[server(0, "a", 1)]);
+fn given_lower_target_versions_when_set_then_the_highest_is_kept() {
+    let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1)]);
     planner.set_target_version(ms(0), MODEL, 5);
     planner.set_target_version(ms(0), MODEL, 3);
     assert_eq!(orders(&planner.next_actions(ms(1))), [("i-0", 5, UpdateMethod::Drain)]);
 }
 
 #[test]
-fn given_a_server_is_ahead_when_a_version_is_targeted_then_it_is_never_lowered() {
+fn given_a_server_with_a_newer_version_when_an_older_one_is_targeted_then_it_gets_no_order() {
     let mut planner = Planner::new(Pacing::default());
     planner.set_servers([server(0, "a", 7)]);
     planner.set_target_version(ms(0), MODEL, 2);
@@ -338,7 +342,7 @@
 }
 
 #[test]
-fn given_random_faults_when_versions_follow_each_other_then_all_servers_get_the_last() {
+fn given_random_faults_when_several_versions_are_targeted_then_all_servers_load_the_last() {
     for seed in 0..200 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut fleet = ServerFleet::new(random.usize(1..12));
@@ -347,12 +351,12 @@
             if random.bool() {
                 fleet.set_target(OTHER_MODEL, version);
             }
-            let victim = random.usize(0..fleet.servers.len());
+            let faulty = random.usize(0..fleet.servers.len());
             match random.u8(0..5) {
-                0 => fleet.restart(victim),
-                1 => fleet.servers[victim].fault = CallFault::Unresponsive,
-                2 => fleet.servers[victim].fault = CallFault::RepliesLost,
-                3 => fleet.servers[victim].busy_until = fleet.now + ms(random.u64(0..4000)),
+                0 => fleet.restart(faulty),
+                1 => fleet.servers[faulty].fault = CallFault::Unresponsive,
+                2 => fleet.servers[faulty].fault = CallFault::RepliesLost,
+                3 => fleet.servers[faulty].busy_until = fleet.now + ms(random.u64(0..4000)),
                 _ => fleet.replace_planner(ms(random.u64(0..3000))),
             }
             fleet.run_until(fleet.now + ms(random.u64(1..4000)));
--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -7,7 +7,7 @@
 use yare::parameterized;
 
 #[test]
-fn given_an_order_when_written_then_it_is_as_servers_read_it() {
+fn given_an_order_when_serialized_then_it_has_the_field_names_that_servers_read() {
     let order = VersionOrder {
         server: "i-1".into(),
         address: ([10, 0, 0, 1], 80).into(),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn given_a_report_when_read_then_its_values_are_there() {
+fn given_a_report_of_a_server_when_deserialized_then_its_values_are_read() {
     let text = r#"{"leg":"both","models":[{"name":"daka510000","edition":1,"adapters":[]}],"occupied":true,"callCount":2,"queuedCount":1,"inTransit":12,"cacheUsed":41000,"cacheTotal":90000,"handles":0}"#;
     let report: ServerReport = serde_json::from_str(text).expect("it can be read");
     assert_eq!(report.versions(), BTreeMap::from([(Arc::from("daka510000"), 1)]));
@@ -34,6 +34,6 @@
     fenced = { 412, OrderReply::Fenced }, invalid = { 400, OrderReply::Invalid }, wrong_server = { 421, OrderReply::WrongServer },
     failure = { 500, OrderReply::Indeterminate },
 )]
-fn given_a_status_when_read_then_it_is_the_outcome(status: u16, expected: OrderReply) {
+fn given_a_status_when_converted_then_it_yields_the_outcome(status: u16, expected: OrderReply) {
     assert_eq!(OrderReply::from_status(status), expected);
 }
