--- a/crates/dispatch/tests/selection.rs
+++ b/crates/dispatch/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Selection of a server.
+//! Tests of the selection of a server by [`Dispatcher`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The servers that are selected in so many requests, each of which ends at once.
+/// Returns the ids of the servers selected for `times` consecutive requests, each canceled at once.
 fn selected(dispatcher: &mut Dispatcher, criteria: &SelectionCriteria<'_>, times: usize) -> BTreeSet<String> {
     let mut selected = BTreeSet::new();
     for _ in 0..times {
@@ -104,7 +104,7 @@
     dispatcher.record_load(NOW, "b", 0, 0, 4);
     dispatcher.update(&list(vec![entry("a", "s"), entry("b", "s"), entry("c", "other")]));
     let targets = targets(&[("s", 1)]);
-    let server = dispatcher.select(NOW, &criteria(&targets, &[])).expect("a server");
+    let server = dispatcher.select(NOW, &criteria(&targets, &[])).expect("an eligible server");
     assert_eq!(&*server.id, "b");
 }
 
@@ -112,11 +112,11 @@
 fn given_requests_in_flight_and_no_report_when_selecting_then_they_count_as_the_queue_length() {
     let mut dispatcher = dispatcher(vec![entry("a", "s"), entry("b", "s")]);
     let targets = targets(&[("s", 1)]);
-    let first = dispatcher.select(NOW, &criteria(&targets, &[])).expect("a server");
-    let second = dispatcher.select(NOW, &criteria(&targets, &[])).expect("a server");
+    let first = dispatcher.select(NOW, &criteria(&targets, &[])).expect("an eligible server");
+    let second = dispatcher.select(NOW, &criteria(&targets, &[])).expect("an eligible server");
     assert_ne!(first.id, second.id);
     dispatcher.request_finished(NOW, &first.id, RequestOutcome::Success);
-    let third = dispatcher.select(NOW, &criteria(&targets, &[])).expect("a server");
+    let third = dispatcher.select(NOW, &criteria(&targets, &[])).expect("an eligible server");
     assert_eq!(third.id, first.id);
 }
 
@@ -126,7 +126,7 @@
     let targets = targets(&[("s", 90), ("t", 10), ("u", 0)]);
     let mut sends = BTreeMap::new();
     for _ in 0..2000 {
-        let server = dispatcher.select(NOW, &criteria(&targets, &[])).expect("a server");
+        let server = dispatcher.select(NOW, &criteria(&targets, &[])).expect("an eligible server");
         dispatcher.request_finished(NOW, &server.id, RequestOutcome::Success);
         *sends.entry(server.id.to_string()).or_insert(0) += 1;
     }
@@ -207,7 +207,7 @@
         dispatcher.request_finished(now, "a", RequestOutcome::Failure);
         let failed_at = now;
         while (0..20).all(|_| {
-            let server = dispatcher.select(now, &criteria(&targets, &[])).expect("a server");
+            let server = dispatcher.select(now, &criteria(&targets, &[])).expect("an eligible server");
             dispatcher.request_finished(now, &server.id, RequestOutcome::Canceled);
             &*server.id == "b"
         }) {
@@ -237,7 +237,7 @@
     let targets = targets(&[("s", 1)]);
     let later = NOW + Duration::from_millis(120);
     let selected = (0..50).map(|_| {
-        let server = dispatcher.select(later, &criteria(&targets, &[])).expect("a server");
+        let server = dispatcher.select(later, &criteria(&targets, &[])).expect("an eligible server");
         dispatcher.request_finished(later, &server.id, RequestOutcome::Canceled);
         server.id
     });
@@ -287,7 +287,7 @@
     for id in ["a", "b", "c"] {
         dispatcher.record_load(NOW, id, u32::from(id == "b"), 0, 4);
     }
-    assert_ne!(&*dispatcher.select(NOW, &criteria).expect("a server").id, "b");
+    assert_ne!(&*dispatcher.select(NOW, &criteria).expect("an eligible server").id, "b");
 }
 
 #[test]
@@ -309,10 +309,10 @@
         max_idle_connection_age: Some(Duration::from_secs(3)),
         ..criteria(&targets, &[])
     };
-    let first = dispatcher.select(NOW, &criteria).expect("a server");
+    let first = dispatcher.select(NOW, &criteria).expect("an eligible server");
     dispatcher.request_finished(NOW, &first.id, RequestOutcome::Success);
     for _ in 0..20 {
-        let server = dispatcher.select(NOW, &criteria).expect("a server");
+        let server = dispatcher.select(NOW, &criteria).expect("an eligible server");
         assert_eq!(server.id, first.id);
         dispatcher.request_finished(NOW, &server.id, RequestOutcome::Success);
     }
@@ -326,12 +326,12 @@
         max_idle_connection_age: Some(Duration::from_secs(3)),
         ..criteria(&targets, &[])
     };
-    let first = dispatcher.select(NOW, &criteria).expect("a server");
+    let first = dispatcher.select(NOW, &criteria).expect("an eligible server");
     dispatcher.request_finished(NOW, &first.id, RequestOutcome::Success);
     let later = NOW + Duration::from_secs(4);
     let mut seen = BTreeSet::new();
     for _ in 0..100 {
-        let server = dispatcher.select(later, &criteria).expect("a server");
+        let server = dispatcher.select(later, &criteria).expect("an eligible server");
         seen.insert(server.id.to_string());
         dispatcher.request_finished(later, &server.id, RequestOutcome::Canceled);
     }
@@ -346,10 +346,10 @@
         max_idle_connection_age: Some(Duration::from_secs(3)),
         ..criteria(&targets, &[])
     };
-    let first = dispatcher.select(NOW, &criteria).expect("a server");
+    let first = dispatcher.select(NOW, &criteria).expect("an eligible server");
     dispatcher.request_finished(NOW, &first.id, RequestOutcome::Success);
     dispatcher.record_load(NOW, &first.id, 2, 0, 8);
-    let server = dispatcher.select(NOW, &criteria).expect("a server");
+    let server = dispatcher.select(NOW, &criteria).expect("an eligible server");
     assert_ne!(server.id, first.id);
 }
 
@@ -426,7 +426,7 @@
     for _ in 0..4 {
         dispatcher.record_model_loading(NOW, "a", "m");
     }
-    assert!(dispatcher.select(NOW + Duration::from_millis(350), &criteria).is_none(), "it has doubled");
+    assert!(dispatcher.select(NOW + Duration::from_millis(350), &criteria).is_none(), "backoff has doubled");
     let later = NOW + Duration::from_secs(60);
     dispatcher.record_model_loading(later, "a", "m");
     assert!(dispatcher.select(later + Duration::from_millis(50), &criteria).is_none());
--- a/crates/hsq/tests/queue_lengths.rs
+++ b/crates/hsq/tests/queue_lengths.rs
@@ -1,10 +1,11 @@
-//! The array of queue lengths.
+//! Tests of [`QueueLengths`].
 
 use std::collections::BTreeSet;
 
 use hsq::QueueLengths;
 use yare::parameterized;
 
+/// Returns queue lengths of one server per report, each overwritten by its report.
 fn lengths_with_reports(reports: &[u64]) -> QueueLengths {
     let mut lengths = QueueLengths::new();
     for report in reports {
--- a/crates/membership/tests/detector.rs
+++ b/crates/membership/tests/detector.rs
@@ -1,11 +1,11 @@
-//! Failure detection by heartbeats, with frozen observers and partitions.
+//! Tests of failure detection by heartbeats: failed peers, frozen detectors and partitions.
 
 use std::time::Duration;
 
 use membership::{Detector, DetectorTiming};
 use yare::parameterized;
 
-/// Time between two ticks, in milliseconds.
+/// Time between two ticks of the detector, in milliseconds.
 const TICK_INTERVAL: u64 = 100;
 const TIMING: DetectorTiming = DetectorTiming {
     heartbeat_interval: Duration::from_millis(300),
@@ -17,11 +17,12 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Peers that send heartbeats, each with its own phase, and a detector that ticks.
+/// Peers that send heartbeats at different phases, and a detector that ticks. Times are in milliseconds.
 struct Simulation {
     now: u64,
     detector: Detector,
     names: Vec<String>,
+    /// Whether each peer sends heartbeats, by its index in `names`.
     responsive: Vec<bool>,
 }
 
@@ -33,7 +34,7 @@
         Self { now: 0, detector, responsive: vec![true; peers], names }
     }
 
-    /// Lets time pass; returns the peers that are newly suspected, and when.
+    /// Advances the time. Returns the peers that become suspected, each with the time.
     fn run(&mut self, milliseconds: u64) -> Vec<(u64, String)> {
         let end = self.now + milliseconds;
         let mut suspected = Vec::new();
@@ -46,11 +47,12 @@
         suspected
     }
 
-    /// The process of the detector stands still: no heartbeat is read, no tick comes.
+    /// Freezes the process of the detector: time advances without heartbeats and ticks.
     fn freeze(&mut self, milliseconds: u64) {
         self.now += milliseconds;
     }
 
+    /// Records the heartbeats that responsive peers send now.
     fn send_heartbeats(&mut self) {
         for (index, name) in self.names.iter().enumerate() {
             let phase = index as u64 % 3 * TICK_INTERVAL;
@@ -76,7 +78,7 @@
     assert_eq!(suspected.len(), 1);
     assert_eq!(suspected[0].1, "peer-0");
     assert!(simulation.detector.is_suspected("peer-0"));
-    assert_eq!(simulation.run(20_000), [], "it is reported once");
+    assert_eq!(simulation.run(20_000), [], "a suspected peer is returned only once");
 }
 
 #[test]
@@ -107,7 +109,7 @@
     let resumed_at = simulation.now;
     let suspected = simulation.run(10_000);
     assert_eq!(suspected.len(), 1);
-    assert!(suspected[0].0 >= resumed_at + 1500, "the timers restart");
+    assert!(suspected[0].0 >= resumed_at + 1500, "the timers restart when the detector resumes");
 }
 
 #[parameterized(two = { 2 }, three = { 3 }, eight = { 8 })]
@@ -124,8 +126,8 @@
     simulation.run(3000);
     simulation.responsive[..4].fill(false);
     let suspected = simulation.run(20_000);
-    assert_eq!(suspected.len(), 4, "in the end all are found");
-    assert!(suspected[0].0 >= 3000 + 3000 - 300, "after twice the time");
+    assert_eq!(suspected.len(), 4, "all four failed peers are suspected in the end");
+    assert!(suspected[0].0 >= 3000 + 3000 - 300, "the timeout is doubled");
     let first = suspected.iter().filter(|(at, _)| *at == suspected[0].0).count();
     assert!(first <= 3);
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden file of the placement: scores and rankings on which all processes of a deployment agree.
+//! Golden file of hashes, scores and rankings, which must be the same in all processes and versions.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -12,22 +12,23 @@
 fn given_members_and_keys_when_ranked_then_scores_and_rankings_match_the_golden_file() {
     let mut text = String::new();
     for name in MEMBERS {
-        writeln!(text, "hash of {name}: {:016x}", hash(name.as_bytes())).expect("a string takes text");
+        writeln!(text, "hash of {name}: {:016x}", hash(name.as_bytes()))
+            .expect("writing to a string cannot fail");
     }
     for key in ["", "job-1", "4f1d33a0", "Zürich"] {
         for member in MEMBERS {
             let score = rendezvous_score(member, key);
             writeln!(text, "rendezvous score of {member} for {key:?}: {score:016x}")
-                .expect("a string takes text");
+                .expect("writing to a string cannot fail");
         }
         let ranking = rendezvous(key.as_bytes(), &MEMBERS, MEMBERS.len());
-        writeln!(text, "ranking for {key:?}: {ranking:?}").expect("a string takes text");
+        writeln!(text, "ranking for {key:?}: {ranking:?}").expect("writing to a string cannot fail");
     }
     for member in MEMBERS {
         let monitors = monitors(member, &MEMBERS, 3);
         let monitored = monitored_by(member, &MEMBERS, 3);
         writeln!(text, "{member}: monitors {monitors:?}, monitored {monitored:?}")
-            .expect("a string takes text");
+            .expect("writing to a string cannot fail");
     }
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/placement.txt");
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
--- a/crates/membership/tests/placement.rs
+++ b/crates/membership/tests/placement.rs
@@ -1,10 +1,11 @@
-//! Placement, and which peer monitors which.
+//! Tests of placement by rendezvous hashing and of the assignment of monitors.
 
 use std::collections::BTreeSet;
 
 use membership::{hash, monitored_by, monitors, rendezvous};
 use yare::parameterized;
 
+/// Number of keys that are placed.
 const KEYS: u64 = 20_000;
 
 fn member_names(count: usize) -> Vec<String> {
@@ -51,14 +52,14 @@
     let mut placed = vec![0_u64; count];
     for index in 0..KEYS {
         for member in rendezvous(&key(index), &members, replicas) {
-            let position = members.iter().position(|name| name == member).expect("a member");
+            let position = members.iter().position(|name| name == member).expect("a ranked name is a member");
             placed[position] += 1;
         }
     }
     let mean = (KEYS * replicas as u64) as f64 / count as f64;
     for share in placed {
         let deviation = (share as f64 - mean).abs() / mean;
-        assert!(deviation < 0.12, "{share} against a mean of {mean}");
+        assert!(deviation < 0.12, "a member has {share} keys, the mean is {mean}");
     }
 }
 
@@ -85,12 +86,12 @@
         let old = rendezvous(&key(index), &before, 1)[0];
         let new = rendezvous(&key(index), &after, 1)[0];
         if old != new {
-            assert_eq!(new, &after[9], "keys move to the new member alone");
+            assert_eq!(new, &after[9], "keys move only to the new member");
             moved += 1;
         }
     }
     let share = moved as f64 / KEYS as f64;
-    assert!((0.09..0.11).contains(&share), "{share}");
+    assert!((0.09..0.11).contains(&share), "{share} of all keys moved");
 }
 
 #[parameterized(small = { 11 }, middle = { 100 }, large = { 400 })]
@@ -109,7 +110,7 @@
         sum += monitored.len();
     }
     assert_eq!(sum, count * 3);
-    assert!(max_monitored <= 12, "{max_monitored} peers for one member");
+    assert!(max_monitored <= 12, "one member monitors {max_monitored} peers");
 }
 
 #[test]
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An in-memory fleet of model servers in simulated time.
+//! Simulated fleet of model servers, in memory and with simulated time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,36 +12,38 @@
 
 pub const MODEL: &str = "finch";
 pub const OTHER_MODEL: &str = "wren";
-/// How long a load takes while few load.
+/// Duration of a load, not counting the time for draining running requests.
 pub const LOAD_DURATION: Duration = Duration::from_millis(400);
-/// How much the list lags behind the servers.
+/// Time by which the server list lags behind the servers.
 const LIST_LAG: Duration = Duration::from_millis(1000);
-/// How often the list is read.
+/// Interval at which the planner gets a new server list.
 const LIST_INTERVAL: Duration = Duration::from_millis(1000);
-/// How old the values of a report are.
+/// Age of the values in a report.
 const REPORT_LAG: Duration = Duration::from_millis(200);
-/// How long a call takes.
+/// Latency of a call in each direction.
 const CALL_LATENCY: Duration = Duration::from_millis(4);
 
+/// Returns a duration of this many milliseconds.
 pub fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
+/// Returns the address of a server, whose last octet is the index of the server.
 pub fn address(index: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, index as u8], 8080))
 }
 
-/// What happens to the calls to a server.
+/// Fault of the calls to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
     None,
-    /// Calls are handled, and their replies are lost.
+    /// The server handles orders, but their replies are lost. Requests for reports fail.
     RepliesLost,
-    /// Calls are not handled.
+    /// The server handles no calls.
     Unresponsive,
 }
 
-/// The state of a server from some time on.
+/// State of a server from the time `at` until the next snapshot.
 #[derive(Clone, Debug)]
 struct ServerSnapshot {
     at: Duration,
@@ -49,15 +51,18 @@
     occupied: bool,
 }
 
+/// Simulated model server.
 pub struct FleetServer {
     pub id: Arc<str>,
     pub index: usize,
     pub zone: Arc<str>,
     pub is_closing: bool,
     pub fault: CallFault,
-    /// When the requests that run will have ended.
+    /// Time at which all running requests have completed.
     pub busy_until: Duration,
+    /// States in ascending order of time; never empty.
     history: Vec<ServerSnapshot>,
+    /// Model, version and end of the load in progress.
     loading: Option<(Arc<str>, u64, Duration)>,
     pub orders_accepted: Vec<(Arc<str>, u64)>,
     pub orders_received: usize,
@@ -82,19 +87,21 @@
         }
     }
 
+    /// Returns the state at a time, or the first state if the time is earlier.
     fn snapshot(&self, at: Duration) -> &ServerSnapshot {
         let latest = self.history.iter().rev().find(|snapshot| snapshot.at <= at);
         latest.unwrap_or(&self.history[0])
     }
 
     pub fn version(&self, model: &str) -> u64 {
-        self.history.last().expect("never empty").versions[model]
+        self.history.last().expect("the history is never empty").versions[model]
     }
 
+    /// Completes the load in progress if it has ended by `now`.
     fn advance(&mut self, now: Duration) {
         if self.loading.as_ref().is_some_and(|(_, _, until)| *until <= now) {
-            let (model, version, until) = self.loading.take().expect("just seen");
-            let mut versions = self.history.last().expect("never empty").versions.clone();
+            let (model, version, until) = self.loading.take().expect("a load is in progress");
+            let mut versions = self.history.last().expect("the history is never empty").versions.clone();
             versions.insert(model, version);
             self.history.push(ServerSnapshot { at: until, versions, occupied: false });
         }
@@ -109,7 +116,7 @@
         }
         let start = if order.method == UpdateMethod::Drain { now.max(self.busy_until) } else { now };
         self.loading = Some((Arc::clone(&order.model), order.version, start + LOAD_DURATION));
-        let versions = self.history.last().expect("never empty").versions.clone();
+        let versions = self.history.last().expect("the history is never empty").versions.clone();
         self.history.push(ServerSnapshot { at: now, versions, occupied: true });
         self.orders_accepted.push((Arc::clone(&order.model), order.version));
         OrderReply::Accepted
@@ -140,7 +147,7 @@
     }
 }
 
-/// An outcome in flight to the planner.
+/// Event that is delivered to the planner at its due time.
 enum FleetEvent {
     OrderReply(Arc<str>, OrderReply),
     Report(Arc<str>, ServerReport),
@@ -148,14 +155,17 @@
     ListDue,
 }
 
-/// Servers, a planner, and the calls between them.
+/// Servers, a planner, and the calls between them, in simulated time.
 pub struct ServerFleet {
     pub now: Duration,
     pub planner: Planner,
     pub servers: Vec<FleetServer>,
+    /// Orders with the times at which they were sent.
     pub orders: Vec<(Duration, VersionOrder)>,
+    /// Highest number of servers that were loading at the same time.
     pub max_loading: usize,
     targets: BTreeMap<Arc<str>, u64>,
+    /// Pending events with their due times, in no particular order.
     events: Vec<(Duration, FleetEvent)>,
 }
 
@@ -187,8 +197,8 @@
         self.planner.set_in_place_models(models);
     }
 
-    /// The holder of the lease changes: its successor does not know what was sent, and starts after a pause
-    /// (leases of two holders are `leaseMs` apart at least).
+    /// Replaces the planner, as after a change of the leader: the new planner does not know which orders were
+    /// sent, and starts after `pause`. (Leases of two holders are at least `leaseMs` apart.)
     pub fn replace_planner(&mut self, pause: Duration) {
         self.now += pause;
         let now = self.now;
@@ -201,9 +211,11 @@
         self.update_planner_servers();
     }
 
-    /// The server crashes and comes back as a new incarnation with the versions that it had.
+    /// Restarts a server after a crash, as a new incarnation with the versions that it had. A load in
+    /// progress is lost.
     pub fn restart(&mut self, index: usize) {
-        let versions = self.servers[index].history.last().expect("never empty").versions.clone();
+        let versions =
+            self.servers[index].history.last().expect("the history is never empty").versions.clone();
         let server = &mut self.servers[index];
         server.id = format!("{}'", server.id).into();
         server.loading = None;
@@ -211,16 +223,17 @@
         server.history = vec![ServerSnapshot { at: Duration::ZERO, versions, occupied: false }];
     }
 
+    /// Returns whether every server that is not closing has exactly this version of the model.
     pub fn all_have(&self, model: &str, version: u64) -> bool {
         self.servers.iter().filter(|server| !server.is_closing).all(|server| server.version(model) == version)
     }
 
-    /// Lets time pass until `end`.
+    /// Advances the simulated time to `end`, with all calls and events until then.
     pub fn run_until(&mut self, end: Duration) {
         loop {
             self.perform_actions();
             let wake = self.planner.next_wakeup(self.now);
-            assert!(wake.is_none_or(|wake| wake > self.now), "a wake-up that is due was left over");
+            assert!(wake.is_none_or(|wake| wake > self.now), "the next wake-up is not in the future");
             let event = self.events.iter().map(|(at, _)| *at).min();
             let next = [wake, event].into_iter().flatten().min().unwrap_or(end).min(end);
             self.now = self.now.max(next);
@@ -232,6 +245,7 @@
         }
     }
 
+    /// Makes the calls that the planner returns.
     fn perform_actions(&mut self) {
         for action in self.planner.next_actions(self.now) {
             match action {
@@ -245,7 +259,7 @@
         assert_eq!(
             self.targets.get(&order.model),
             Some(&order.version),
-            "only the newest target version is ordered"
+            "an order does not name the newest target version"
         );
         let arrival = self.now + CALL_LATENCY;
         let reply = match self.servers.iter_mut().find(|server| server.index == usize::from(octet(&order))) {
@@ -280,6 +294,7 @@
         self.events.push((arrival + CALL_LATENCY, event));
     }
 
+    /// Passes all events that are due to the planner.
     fn deliver_due_events(&mut self) {
         let (due, later) = std::mem::take(&mut self.events).into_iter().partition(|(at, _)| *at <= self.now);
         self.events = later;
@@ -293,11 +308,13 @@
         }
     }
 
+    /// Passes the server list to the planner, and schedules the next list.
     fn read_list(&mut self) {
         self.update_planner_servers();
         self.events.push((self.now + LIST_INTERVAL, FleetEvent::ListDue));
     }
 
+    /// Passes the server list to the planner, as of [`LIST_LAG`] ago.
     fn update_planner_servers(&mut self) {
         let listed: Vec<RolloutServer> =
             self.servers.iter().map(|server| server.list_entry(self.now)).collect();
@@ -305,9 +322,10 @@
     }
 }
 
+/// Returns the last octet of the address of the order, which is the index of the server.
 fn octet(order: &VersionOrder) -> u8 {
     match order.address {
         SocketAddr::V4(address) => address.ip().octets()[3],
-        SocketAddr::V6(_) => unreachable!("the fleet has no such addresses"),
+        SocketAddr::V6(_) => unreachable!("the fleet has only IPv4 addresses"),
     }
 }
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the rollout: the JSON bodies of calls to a server.
+//! Golden files of the JSON bodies of calls to a server: orders and reports.
 
 use std::path::Path;
 
@@ -17,11 +17,11 @@
         version: 3,
         method,
     };
-    let body = serde_json::to_string(&order.body("machine-7/17a2", 41)).expect("an order can be written");
+    let body = serde_json::to_string(&order.body("machine-7/17a2", 41)).expect("an order can be serialized");
     assert_eq!(body, golden(name, &body));
 }
 
-/// A report is only read here, so that its files are what a server writes.
+/// Reports are only deserialized by this crate, so the golden files of reports hold what a server writes.
 #[test]
 fn given_the_golden_report_when_deserialized_then_all_values_are_read() {
     let report = ServerReport {
@@ -36,18 +36,19 @@
     };
     let written = r#"{"leg":"both","models":[{"name":"daka510000","edition":3,"adapters":[]},{"name":"daka510001","edition":1,"adapters":["a"]}],"occupied":true,"callCount":2,"queuedCount":5,"inTransit":12,"cacheUsed":41000,"cacheTotal":90000,"handles":0}"#;
     let read: ServerReport =
-        serde_json::from_str(&golden("report.json", written)).expect("a report can be read");
+        serde_json::from_str(&golden("report.json", written)).expect("a report can be deserialized");
     assert_eq!(read, report);
 }
 
 #[test]
 fn given_the_golden_empty_report_when_deserialized_then_all_values_are_defaults() {
-    let read: ServerReport =
-        serde_json::from_str(&golden("report_empty.json", "{}")).expect("an empty report can be read");
+    let read: ServerReport = serde_json::from_str(&golden("report_empty.json", "{}"))
+        .expect("an empty report can be deserialized");
     assert_eq!(read, ServerReport::default());
 }
 
-/// The content of a golden file. A missing file is a failure; `GOLDEN_WRITE=1` writes it.
+/// Returns the content of a golden file. Panics if the file does not exist; with `GOLDEN_WRITE=1` a missing
+/// file is first created with the content `written`.
 fn golden(name: &str, written: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
--- a/crates/rollout/tests/large_fleet.rs
+++ b/crates/rollout/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Planning for thousands of servers takes time that grows with their number, not with its square.
+//! Planning time of a rollout over thousands of servers: it must not grow with the square of their number.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,8 @@
 
 const SERVERS: usize = 3_000;
 const MODEL: &str = "m";
-/// Far above what the rollout takes (a second in a debug build), and far below what it took when each order was searched
-/// for among all servers (minutes).
+/// Maximum time for planning the rollout. It takes a second in a debug build, and took minutes when the
+/// server of each order was searched for among all servers.
 const MAX_PLANNING_TIME: Duration = Duration::from_secs(20);
 
 fn server(index: usize) -> RolloutServer {
@@ -20,14 +20,16 @@
     }
 }
 
+/// Returns the report of a server that is carrying out no order and has this version.
 fn idle_report(version: u64) -> ServerReport {
     let text = format!(
         r#"{{"models":[{{"name":"{MODEL}","edition":{version}}}],"occupied":false,"callCount":0,"queuedCount":0,"inTransit":0}}"#
     );
-    serde_json::from_str(&text).expect("a report")
+    serde_json::from_str(&text).expect("a report can be deserialized")
 }
 
-/// Carries out actions as servers that do everything at once.
+/// Passes the outcomes of the actions to the planner as if each server replied and loaded at once. Returns
+/// the number of orders.
 fn complete_immediately(planner: &mut Planner, now: Duration, actions: Vec<RolloutAction>) -> usize {
     let mut orders = 0;
     for action in actions {
@@ -55,7 +57,10 @@
         orders += complete_immediately(&mut planner, now, actions);
         let _ = planner.next_wakeup(now);
         now += Duration::from_millis(10);
-        assert!(started.elapsed() < MAX_PLANNING_TIME, "{orders} orders after {now:?}");
+        assert!(
+            started.elapsed() < MAX_PLANNING_TIME,
+            "the time limit was exceeded after {orders} orders and {now:?} of simulated time"
+        );
     }
     assert_eq!(orders, SERVERS);
 }
--- a/crates/rollout/tests/planner.rs
+++ b/crates/rollout/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Rollouts of weight versions over an in-memory fleet.
+//! Tests of [`Planner`], alone and with a simulated fleet of servers.
 
 mod common;
 
@@ -9,6 +9,7 @@
 use rollout::{OrderReply, Pacing, Planner, RolloutAction, RolloutServer, ServerReport, UpdateMethod};
 use yare::parameterized;
 
+/// Returns a list entry of a server with this version of [`MODEL`].
 fn server(index: usize, zone: &str, version: u64) -> RolloutServer {
     RolloutServer {
         id: format!("i-{index}").into(),
@@ -19,6 +20,7 @@
     }
 }
 
+/// Returns the server, version and method of each order among the actions.
 fn orders<'a>(actions: &'a [RolloutAction]) -> Vec<(&'a str, u64, UpdateMethod)> {
     let order = |action: &'a RolloutAction| match action {
         RolloutAction::SendOrder(order) => Some((&*order.server, order.version, order.method)),
@@ -27,14 +29,15 @@
     actions.iter().filter_map(order).collect()
 }
 
-/// A planner that has seen a report of each of these idle servers.
+/// Returns a planner with version 2 of [`MODEL`] as target, after each of these servers has reported that it
+/// is idle.
 fn planner_with_idle_servers(pacing: Pacing, servers: &[RolloutServer]) -> Planner {
     let mut planner = Planner::new(pacing);
     planner.set_servers(servers.iter().cloned());
     planner.set_target_version(ms(0), MODEL, 2);
     for action in planner.next_actions(ms(0)) {
         let RolloutAction::RequestReport(request) = action else {
-            panic!("servers report before their first order")
+            panic!("an order was sent before the first report of a server")
         };
         planner.on_report(ms(0), &request.server, &ServerReport::default());
     }
@@ -47,13 +50,16 @@
     fleet.run_until(ms(500));
     fleet.set_target(MODEL, 2);
     fleet.run_until(ms(2200));
-    assert!(fleet.all_have(MODEL, 2), "three rounds of a load and a little more are enough");
+    assert!(fleet.all_have(MODEL, 2), "three rounds of loads take longer than 1.7 s");
     assert_eq!(fleet.orders.len(), 8);
-    assert!(fleet.max_loading <= 3, "{} loaded at once", fleet.max_loading);
+    assert!(fleet.max_loading <= 3, "{} servers loaded at the same time", fleet.max_loading);
     fleet.run_until(ms(9000));
     assert!(fleet.planner.is_converged());
     assert_eq!(fleet.orders.len(), 8);
-    assert!(fleet.servers.iter().all(|server| server.reports_requested <= 3), "reports are expensive");
+    assert!(
+        fleet.servers.iter().all(|server| server.reports_requested <= 3),
+        "a server got more than 3 report requests"
+    );
 }
 
 #[parameterized(
@@ -94,7 +100,7 @@
     fleet.run_until(ms(6000));
     assert!(fleet.all_have(MODEL, 3));
     let orders_of_first = fleet.orders.iter().filter(|(_, order)| order.version == 2).count();
-    assert_eq!(orders_of_first, 3, "only those that were in progress");
+    assert_eq!(orders_of_first, 3, "only the orders in progress name the older version");
     assert_eq!(fleet.orders.len(), 8 + 3);
 }
 
@@ -105,7 +111,7 @@
     fleet.set_target(OTHER_MODEL, 2);
     fleet.run_until(ms(8000));
     assert!(fleet.all_have(MODEL, 2) && fleet.all_have(OTHER_MODEL, 2));
-    assert_eq!(fleet.orders.len(), 16, "no order met another one");
+    assert_eq!(fleet.orders.len(), 16, "each server gets one order per model");
     assert!(fleet.max_loading <= 3);
 }
 
@@ -115,7 +121,7 @@
     fleet.servers.iter_mut().for_each(|server| server.busy_until = ms(2000));
     fleet.set_target(MODEL, 2);
     fleet.run_until(ms(1900));
-    assert_eq!(fleet.orders.len(), 3, "the others go on serving");
+    assert_eq!(fleet.orders.len(), 3, "the other servers continue to serve requests");
     fleet.run_until(ms(9000));
     assert!(fleet.all_have(MODEL, 2));
     assert_eq!(fleet.orders.len(), 8);
@@ -287,7 +293,7 @@
             sent.push(now);
             planner.on_order_reply(now, "i-0", reply);
         }
-        now = planner.next_wakeup(now).expect("it is retried");
+        now = planner.next_wakeup(now).expect("the order is retried");
     }
     let delays: Vec<u128> = sent.windows(2).map(|pair| (pair[1] - pair[0]).as_millis()).collect();
     assert_eq!(delays, [500, 1000, 2000, 4000, 4000]);
@@ -318,7 +324,7 @@
 fn given_an_order_without_outcome_when_it_times_out_then_it_counts_as_indeterminate() {
     let mut planner = planner_with_idle_servers(Pacing::default(), &[server(0, "a", 1)]);
     assert_eq!(planner.next_actions(ms(1)).len(), 1);
-    let deadline = planner.next_wakeup(ms(1)).expect("a time limit");
+    let deadline = planner.next_wakeup(ms(1)).expect("the order has a timeout");
     assert!(planner.next_actions(deadline).is_empty());
     let deadline = planner.next_wakeup(deadline).expect("a report is scheduled");
     let actions = planner.next_actions(deadline);
--- a/crates/rollout/tests/wire.rs
+++ b/crates/rollout/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The bodies of calls to a server, and the outcomes of their statuses.
+//! JSON bodies of calls to a server, and the outcomes that its response statuses mean.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
         version: 2,
         method: UpdateMethod::Drain,
     };
-    let body = serde_json::to_string(&order.body("node-7", 41)).expect("it can be written");
+    let body = serde_json::to_string(&order.body("node-7", 41)).expect("an order can be serialized");
     let expected = r#"{"order":"edition","model":"daka510000","edition":2,"method":"hold","holder":"node-7","fence":41}"#;
     assert_eq!(body, expected);
 }
@@ -23,7 +23,7 @@
 #[test]
 fn given_a_report_of_a_server_when_deserialized_then_its_values_are_read() {
     let text = r#"{"leg":"both","models":[{"name":"daka510000","edition":1,"adapters":[]}],"occupied":true,"callCount":2,"queuedCount":1,"inTransit":12,"cacheUsed":41000,"cacheTotal":90000,"handles":0}"#;
-    let report: ServerReport = serde_json::from_str(text).expect("it can be read");
+    let report: ServerReport = serde_json::from_str(text).expect("a report can be deserialized");
     assert_eq!(report.versions(), BTreeMap::from([(Arc::from("daka510000"), 1)]));
     assert!(report.occupied);
     assert_eq!((report.orders_accepted, report.queued, report.running), (2, 1, 12));
