--- a/crates/dispatch/src/criteria.rs
+++ b/crates/dispatch/src/criteria.rs
@@ -27,8 +27,8 @@
     pub requires_free_capacity: bool,
     /// Maximum time since the last use of an idle connection that may be reused. Among servers of the same
     /// tier, those with such a connection are preferred, unless another server's queue is shorter by more
-    /// than one request. `None` ignores idle connections, where the time to set up a connection is
-    /// irrelevant.
+    /// than one request. `None` if the time to set up a connection is irrelevant for the request: idle
+    /// connections are then ignored.
     pub max_idle_connection_age: Option<Duration>,
 }
 
--- a/crates/dispatch/src/model_versions.rs
+++ b/crates/dispatch/src/model_versions.rs
@@ -26,7 +26,7 @@
 pub(crate) struct ModelVersions {
     /// Newest known version by model.
     known: BTreeMap<Arc<str>, u64>,
-    /// Latest version rejection, for whichever model; it replaces the one before.
+    /// Latest version rejection, of any model; only one is kept.
     last_rejection: Option<VersionRejection>,
     /// Latest loading backoff by model; removed when the server serves the model again.
     loading: BTreeMap<Arc<str>, LoadingBackoff>,
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -10,9 +10,9 @@
 use crate::criteria::SelectionCriteria;
 use crate::server::{PooledServer, SelectedServer};
 
-/// Number of requests by which the queue of a server with an idle connection may be longer than the shortest
-/// queue, and the server is still selected. Setting up a connection takes longer than waiting for that many
-/// requests.
+/// Number of requests by which the queue of a server with an idle connection may exceed the shortest queue
+/// without the server losing its preference, since setting up a connection takes longer than waiting for that
+/// many requests.
 const IDLE_CONNECTION_QUEUE_ALLOWANCE: u64 = 1;
 
 /// Suitability of a server for a request, best tier first. Queue lengths are compared only within the best
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -10,8 +10,8 @@
 use crate::model_versions::ModelVersions;
 use crate::outlier::OutlierDetector;
 
-/// Number of requests beyond its slots that a server gets, so that the next one is queued there when a slot
-/// becomes free.
+/// Number of requests beyond its slots that may be sent to a server, so that the next one is already queued
+/// there when a slot becomes free.
 const MAX_QUEUED_PER_SERVER: u32 = 1;
 /// Time for which a load report is valid. Without a valid report, the load from other senders counts as 0.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(1000);
