--- a/crates/storage/src/ring.rs
+++ b/crates/storage/src/ring.rs
@@ -202,7 +202,7 @@
         if record.len() > limit {
             return Err(StorageError::RecordTooLarge { length: record.len(), limit });
         }
-        if !self.has_room(record.len()) {
+        if !self.record_fits(record.len()) {
             let begun = self.flush(batch).and_then(|()| self.begin_segment());
             begun.inspect_err(|error| batch.failure = Some(error.clone()))?;
         }
@@ -211,7 +211,7 @@
         Ok(position)
     }
 
-    fn has_room(&self, length: usize) -> bool {
+    fn record_fits(&self, length: usize) -> bool {
         let end = self.tail.offset + (self.staged.bytes.len() + RECORD_HEADER_BYTES + length) as u64;
         !self.tail.is_sealed && end <= self.directory.options().segment_bytes
     }
--- a/crates/storage/src/simulated/disk.rs
+++ b/crates/storage/src/simulated/disk.rs
@@ -22,13 +22,13 @@
 
     /// The file system of a process that starts now.
     pub fn file_system(&self) -> Arc<dyn FileSystem> {
-        let incarnation = self.shared.lock().incarnation;
-        Arc::new(SimulatedFileSystem::new(Arc::clone(&self.shared), incarnation))
+        let process = self.shared.lock().process;
+        Arc::new(SimulatedFileSystem::new(Arc::clone(&self.shared), process))
     }
 
     /// Kills the process: its files stay as they are, its handles fail from now on.
     pub fn kill(&self) {
-        self.shared.lock().incarnation += 1;
+        self.shared.lock().process += 1;
         self.shared.notify();
     }
 
--- a/crates/storage/src/simulated/disk_state.rs
+++ b/crates/storage/src/simulated/disk_state.rs
@@ -31,8 +31,8 @@
     pub random: fastrand::Rng,
     /// Space in bytes; unlimited if `None`.
     pub capacity: Option<u64>,
-    /// Counts the processes that were killed; handles of an earlier incarnation fail.
-    pub incarnation: u64,
+    /// Counts the processes that were killed; handles of an earlier process fail.
+    pub process: u64,
     /// Writes and syncs block.
     pub is_stalled: bool,
     /// The next so many syncs of files fail.
@@ -54,25 +54,25 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The disk for a handle of the incarnation.
-    pub fn lock_for(&self, incarnation: u64) -> io::Result<MutexGuard<'_, DiskState>> {
+    /// The disk for a handle of the process.
+    pub fn lock_for(&self, process: u64) -> io::Result<MutexGuard<'_, DiskState>> {
         let state = self.lock();
-        check_incarnation(&state, incarnation)?;
+        check_process(&state, process)?;
         Ok(state)
     }
 
     /// As [`Self::lock_for`], after waiting while the disk is stalled.
-    pub fn lock_when_ready(&self, incarnation: u64) -> io::Result<MutexGuard<'_, DiskState>> {
-        let is_waiting = |state: &mut DiskState| state.is_stalled && state.incarnation == incarnation;
+    pub fn lock_when_ready(&self, process: u64) -> io::Result<MutexGuard<'_, DiskState>> {
+        let is_waiting = |state: &mut DiskState| state.is_stalled && state.process == process;
         let waited = self.changed.wait_while(self.lock(), is_waiting);
         let state = waited.unwrap_or_else(PoisonError::into_inner);
-        check_incarnation(&state, incarnation)?;
+        check_process(&state, process)?;
         Ok(state)
     }
 }
 
-fn check_incarnation(state: &DiskState, incarnation: u64) -> io::Result<()> {
-    if state.incarnation == incarnation {
+fn check_process(state: &DiskState, process: u64) -> io::Result<()> {
+    if state.process == process {
         return Ok(());
     }
     Err(io::Error::new(io::ErrorKind::BrokenPipe, "the process has ended"))
@@ -85,7 +85,7 @@
             files: BTreeMap::new(),
             random: fastrand::Rng::with_seed(seed),
             capacity: None,
-            incarnation: 0,
+            process: 0,
             is_stalled: false,
             failing_syncs: 0,
             counters: DiskCounters::default(),
