--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: typed calls to peers.
+//! [`Client`]: typed calls to other processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::error::CallError;
 use crate::transport::{HttpTransport, Transport};
 
-/// Makes calls to peers; clones share the transport and its connections.
+/// Makes typed calls to other processes. Clones share the transport and its connections.
 #[derive(Clone)]
 pub struct Client {
     transport: Arc<dyn Transport>,
@@ -23,27 +23,29 @@
 }
 
 impl Client {
-    /// A client over HTTP with no connection yet.
+    /// Creates a client over HTTP. It opens connections when calls need them.
     ///
     /// # Panics
     ///
-    /// If the HTTP client cannot be set up, which takes no I/O.
+    /// Panics if the HTTP client cannot be set up. The setup needs no I/O.
     #[must_use]
     pub fn new() -> Self {
         Self::with_transport(Arc::new(HttpTransport::new()))
     }
 
-    /// A client over another transport.
+    /// Creates a client over the given transport, for example a simulated one.
     #[must_use]
     pub fn with_transport(transport: Arc<dyn Transport>) -> Self {
         Self { transport }
     }
 
-    /// Calls `path` at a peer's `address` (host and port) and waits for its reply for `timeout` at most.
+    /// Calls `path` at a peer's `address` (host and port) and waits at most `timeout` for its reply. The call
+    /// is not retried.
     ///
     /// # Errors
     ///
-    /// If there is no reply; see [`CallError::may_have_run`].
+    /// Fails if there is no valid reply. [`CallError::may_have_run`] tells whether the peer may have executed
+    /// the call.
     pub async fn call<Request, Reply>(
         &self,
         address: &str,
--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -1,27 +1,28 @@
-//! The encoding of messages: `bincode` with its standard configuration.
+//! Encoding of messages: `bincode` with its standard configuration.
 //!
-//! Fields and variants are encoded by position: their names may change, but not their order, number or types.
+//! Fields and variants are encoded by position. Their names may change between versions of the software, but
+//! not their order, number or types.
 
 use std::fmt;
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Encodes a message.
+/// Encodes a message for [`decode`].
 ///
 /// # Panics
 ///
-/// Never for the message types of this system: only types that cannot be serialized at all would fail.
+/// Panics for types that cannot be serialized at all. No message type of this system is one.
 #[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     bincode::serde::encode_to_vec(message, bincode::config::standard()).expect("messages can be serialized")
 }
 
-/// Decodes a message.
+/// Decodes a message that takes up all of `bytes`.
 ///
 /// # Errors
 ///
-/// If the bytes do not encode a message of this type, or if further bytes follow it.
+/// Fails if the bytes do not encode a message of type `T`, or if further bytes follow it.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     match bincode::serde::decode_from_slice(bytes, bincode::config::standard()) {
         Ok((message, read)) if read == bytes.len() => Ok(message),
@@ -29,13 +30,13 @@
     }
 }
 
-/// The bytes do not encode a message of the expected type.
+/// Error of [`decode`]: the bytes do not encode exactly one message of the expected type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DecodeError;
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the bytes are no message of the expected type")
+        f.write_str("the bytes do not encode a message of the expected type")
     }
 }
 
--- a/crates/rpc/src/error.rs
+++ b/crates/rpc/src/error.rs
@@ -1,24 +1,25 @@
-//! Errors of calls.
+//! [`CallError`]: the reasons why a call fails.
 
 use std::fmt;
 
-/// Why a call has no reply.
+/// Reason why a call returned no reply. The variants differ in whether the peer may have executed the call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// The connection failed: the peer has not received the call.
+    /// No connection could be established, so the peer has not received the call. Contains the cause.
     NotSent(String),
-    /// The peer may have executed the call: it timed out, or the connection broke off.
+    /// The call timed out, the connection broke or the reply could not be decoded, so the peer may have
+    /// executed the call. Contains the cause.
     Unknown(String),
-    /// The peer did not execute the call, and replied with this HTTP status.
+    /// The peer did not execute the call and replied with this HTTP status.
     Rejected(u16),
 }
 
 impl CallError {
-    /// Accepts the status of a reply that carries a result.
+    /// Checks that the HTTP status of a response is 200, which means that its body is the encoded reply.
     ///
     /// # Errors
     ///
-    /// [`CallError::Rejected`] for every status but 200.
+    /// Returns [`CallError::Rejected`] for every other status.
     pub fn check_status(status: u16) -> Result<(), Self> {
         match status {
             200 => Ok(()),
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Whether the peer may have executed the call.
+    /// Returns whether the peer may have executed the call. If not, a retry cannot execute it twice.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Unknown(_))
@@ -36,9 +37,9 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(cause) => write!(f, "not sent: {cause}"),
-            Self::Unknown(cause) => write!(f, "no reply: {cause}"),
-            Self::Rejected(status) => write!(f, "rejected with status {status}"),
+            Self::NotSent(cause) => write!(f, "the call was not sent: {cause}"),
+            Self::Unknown(cause) => write!(f, "no valid reply, the call may have been executed: {cause}"),
+            Self::Rejected(status) => write!(f, "the peer rejected the call with HTTP status {status}"),
         }
     }
 }
--- a/crates/rpc/src/http.rs
+++ b/crates/rpc/src/http.rs
@@ -1,21 +1,22 @@
-//! Setup of the HTTP clients of the system, which make each call at most once.
+//! Setup of HTTP clients that send each call at most once.
 
 use std::time::Duration;
 
 use reqwest::{redirect, retry, Client, ClientBuilder};
 
-/// An HTTP client that never retries a call, follows no redirects and ignores proxies of the environment: whether a
-/// failed call may have run must stay known to its caller.
+/// Creates an HTTP client that never retries a call, follows no redirects and ignores the proxy settings of
+/// the environment. A hidden retry, redirect or proxy would prevent the caller from telling whether a failed
+/// call may have been executed.
 ///
 /// # Panics
 ///
-/// When the HTTP client cannot be set up, which takes no I/O.
+/// Panics if the HTTP client cannot be set up. The setup needs no I/O.
 #[must_use]
 pub fn http_client(connect_timeout: Duration) -> Client {
     build(http_client_builder(connect_timeout))
 }
 
-/// The setup of [`http_client`], for further settings.
+/// Returns a builder with the settings of [`http_client`], to which others can be added.
 pub(crate) fn http_client_builder(connect_timeout: Duration) -> ClientBuilder {
     Client::builder()
         .connect_timeout(connect_timeout)
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,8 +1,9 @@
 //! Calls between the processes of the system: `bincode` bodies over HTTP.
 //!
-//! A caller posts an encoded request to a path of a peer's internal address and reads the encoded reply. Each plane
-//! owns its paths; [`handler`] turns an async function into an endpoint for one. A call is made at most once: a
-//! [`CallError`] says whether the peer may have executed it, and the caller decides about retries.
+//! A caller posts an encoded request to a path at a peer's internal address and decodes the reply. The
+//! control plane and the store plane each define their own paths; [`handler`] creates the endpoint of a path
+//! from an async function. A call is sent at most once. If it fails, [`CallError`] tells whether the peer may
+//! have executed it, and the caller decides whether to retry.
 //!
 //! ```no_run
 //! use std::time::Duration;
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: endpoints for typed calls.
+//! The server side of typed calls: endpoints and the HTTP server.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 
 use crate::codec::{decode, encode};
 
-/// Length of the longest request, in bytes.
+/// Maximum length of the body of a request in bytes. Replies are not limited.
 pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Makes an endpoint of an async function.
+/// Creates an endpoint that decodes a request, calls an async function with it and encodes the reply.
 ///
-/// Where the function returns `None`, the response is 503, and a request that can't be decoded gets 400: the caller
-/// takes both for a call that was not executed ([`CallError::Rejected`](crate::CallError::Rejected)). So a function may
-/// return `None` after a change only if its callers handle every error alike. A body of more than [`MAX_MESSAGE_BYTES`]
-/// gets 413.
+/// The status of the response is 503 if the function returns `None`, 400 if the request cannot be decoded,
+/// and 413 if the body is longer than [`MAX_MESSAGE_BYTES`]. The caller treats each of them as a call that
+/// was not executed ([`CallError::Rejected`](crate::CallError::Rejected)). A function that has already
+/// changed state may therefore return `None` only if its callers handle all errors alike.
 pub fn handler<Request, Reply, Function, ReplyFuture>(
     function: Function,
 ) -> impl Endpoint<Output = poem::Response>
@@ -56,11 +56,11 @@
     })
 }
 
-/// Serves `app` on `listener` until the process ends.
+/// Serves the endpoints of `app` on `listener` until the future is dropped.
 ///
 /// # Errors
 ///
-/// If the listener fails permanently.
+/// Fails if the listener fails permanently.
 pub async fn serve(
     listener: tokio::net::TcpListener,
     app: impl IntoEndpoint + 'static,
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -1,4 +1,4 @@
-//! The transport of encoded calls between processes: HTTP, or another one in simulations.
+//! Transport of encoded calls between processes: HTTP, or a replacement in simulations.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use crate::error::CallError;
 use crate::http::{build, http_client_builder};
 
-/// How long a new connection may take to be established.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A connection is closed if the peer's TCP does not acknowledge sent data within this time.
+/// Maximum time without an acknowledgement of sent data by the peer's TCP before the connection is closed.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(800);
-/// An idle connection is closed after this time.
+/// Time after which an idle connection is closed.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Carries encoded calls to other processes.
+/// Sends encoded calls to other processes.
 pub trait Transport: Send + Sync {
-    /// Sends an encoded request to `path` at a peer and waits for its encoded reply for `timeout` at most. The call is
-    /// made once.
+    /// Sends an encoded request to `path` at a peer's `address` (host and port) and waits at most `timeout`
+    /// for the encoded reply. Implementations must not retry.
     fn call<'a>(
         &'a self,
         address: &'a str,
@@ -28,7 +28,7 @@
     ) -> BoxFuture<'a, Result<Bytes, CallError>>;
 }
 
-/// Carries calls over HTTP; connections are pooled.
+/// Sends calls as HTTP POST requests over pooled connections.
 pub struct HttpTransport {
     http: reqwest::Client,
 }
@@ -40,11 +40,11 @@
 }
 
 impl HttpTransport {
-    /// A transport with no connection yet.
+    /// Creates a transport without connections. They are opened when calls need them.
     ///
     /// # Panics
     ///
-    /// If the HTTP client cannot be set up, which takes no I/O.
+    /// Panics if the HTTP client cannot be set up. The setup needs no I/O.
     #[must_use]
     pub fn new() -> Self {
         let builder = http_client_builder(CONNECT_TIMEOUT)
@@ -71,6 +71,7 @@
     }
 }
 
+/// Classifies a failure of the HTTP client by whether a connection had been established.
 fn call_error(error: &reqwest::Error) -> CallError {
     if error.is_connect() {
         CallError::NotSent(error.to_string())
--- a/crates/storage/src/append_queue.rs
+++ b/crates/storage/src/append_queue.rs
@@ -1,7 +1,7 @@
 //! The queue between the callers of a journal and the writer of its ring.
 //!
-//! The writer takes all queued records at once, so that they share one sync of the disk. It runs on a thread of its
-//! own ([`AppendQueue::run`]) or, in simulations, as a future ([`AppendQueue::run_paced`]).
+//! The writer takes all queued records at once, so that they share one sync of the disk. It runs on a
+//! separate thread ([`AppendQueue::run`]) or, in simulations, as a future ([`AppendQueue::run_paced`]).
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
@@ -11,33 +11,33 @@
 use crate::ring::{AppendOutcome, Ring, RingUsage};
 use crate::Position;
 
-/// A record to append, and who waits for the outcome.
+/// A record to append, with the channel on which its caller waits for the outcome.
 pub(crate) struct AppendRequest {
     pub record: Vec<u8>,
     pub sender: oneshot::Sender<AppendOutcome>,
 }
 
-/// Records that wait for the writer.
+/// Records that the writer has not taken yet, and the state shared between callers and writer.
 pub(crate) struct AppendQueue {
     state: Mutex<QueueState>,
-    /// Wakes a writer on a thread.
+    /// Wakes a writer that runs on a thread.
     changed: Condvar,
-    /// Wakes a writer that is a future.
+    /// Wakes a writer that runs as a future.
     queued: Notify,
 }
 
 struct QueueState {
     requests: Vec<AppendRequest>,
-    /// Records before this position are no longer needed; the ring learns of it with the next batch.
+    /// Records before this position are no longer needed. The writer passes it on with the next batch.
     released: Position,
-    /// Usage of the ring after the last batch.
+    /// Usage of the ring after the last batch was written.
     usage: RingUsage,
     is_closed: bool,
-    /// The writer waits for `changed`.
+    /// Whether the writer thread waits on `changed`, so that it must be notified.
     is_writer_idle: bool,
 }
 
-/// What the writer takes from the queue at once.
+/// Requests that the writer takes from the queue at once and writes together.
 struct Batch {
     requests: Vec<AppendRequest>,
     released: Position,
@@ -50,7 +50,7 @@
 }
 
 impl AppendQueue {
-    /// The queue of a ring that was just opened.
+    /// Creates an empty queue for a ring that was just opened.
     pub fn new(ring: &Ring) -> Self {
         let state = QueueState {
             requests: Vec::new(),
@@ -82,20 +82,21 @@
         self.lock().usage
     }
 
-    /// Ends the writer once the queue is empty.
+    /// Ends a writer that runs on a thread, once the queue is empty.
     pub fn close(&self) {
         self.lock().is_closed = true;
         self.changed.notify_one();
     }
 
-    /// Writes what is queued, until the queue is closed and empty.
+    /// Writes the queued records, batch by batch, until the queue is closed and empty.
     pub fn run(&self, mut ring: Ring) {
         while let Some(batch) = self.next_batch() {
             self.write(&mut ring, batch);
         }
     }
 
-    /// Writes what is queued each time that a future of `pace` completes, until dropped.
+    /// Writes the queued records as one batch each time that a future made by `pace` completes. Never
+    /// completes; the caller ends it by dropping the future.
     pub async fn run_paced(
         self: Arc<Self>,
         mut ring: Ring,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Waits for requests; `None` when the queue is closed and empty.
+    /// Blocks until there are requests; returns `None` once the queue is closed and empty.
     fn next_batch(&self) -> Option<Batch> {
         let mut state = self.lock();
         while state.requests.is_empty() {
@@ -133,7 +134,7 @@
         let outcomes = ring.append(&records);
         self.lock().usage = ring.usage();
         for (sender, outcome) in senders.into_iter().zip(outcomes) {
-            // The caller may have stopped waiting.
+            // The send fails if the caller has dropped its future, which is no error.
             let _ = sender.send(outcome);
         }
     }
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,65 +1,75 @@
-//! Errors of the storage.
+//! Errors of rings and journals.
 
 use std::fmt;
 use std::io;
 
-/// Why a record is not durable, or a journal can't be opened.
+/// Reason why a record could not be made durable, or why a ring could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StorageError {
-    /// The disk is full. The same append may succeed once there is space.
+    /// The disk or the quota is full. The same append may succeed once space is freed.
     NoSpace,
-    /// Every segment holds records that were not released.
+    /// Every segment contains records that were not released. The same append may succeed after a release.
     RingFull,
-    /// The record does not fit into a segment.
+    /// The record is longer than a segment allows.
     RecordTooLarge {
-        /// The length of the record in bytes.
+        /// Length of the rejected record in bytes.
         length: usize,
-        /// The length of the longest record that fits, in bytes.
+        /// Maximum length of a record in bytes, see
+        /// [`RingOptions::max_record_bytes`](crate::RingOptions::max_record_bytes).
         limit: usize,
     },
-    /// A ring needs at least two segments, each with room for a record, and their number and size must fit into 32
-    /// bits.
+    /// The options are invalid: a ring needs at least two segments, each with space for a record, and their
+    /// number and size must fit into 32 bits.
     InvalidOptions,
-    /// The files were written with other options.
+    /// The ring on the disk was created with other options than it was opened with.
     OptionsChanged {
-        /// The size of a segment on the disk, in bytes.
+        /// Size of a segment of the ring on the disk, in bytes.
         segment_bytes: u64,
-        /// The number of segments on the disk.
+        /// Number of segments of the ring on the disk.
         segments: u64,
     },
-    /// Records are missing that were durable.
+    /// Records that were durable are missing or damaged.
     Corrupt {
-        /// The segment in which they are missing, counted from the first one ever written.
+        /// Number of the segment with the missing records, counted from the first one ever written.
         segment: u64,
     },
     /// An operation of the disk failed.
     Disk {
-        /// The kind of the I/O error.
+        /// Kind of the I/O error, for callers that distinguish between failures.
         kind: io::ErrorKind,
-        /// The message of the I/O error.
+        /// Text of the I/O error, for logs.
         message: String,
     },
-    /// The writer of the journal has ended.
+    /// The writer of the journal ended before it reported the outcome of the append. The record may be
+    /// durable.
     Closed,
 }
 
 impl fmt::Display for StorageError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoSpace => write!(formatter, "the disk is full"),
-            Self::RingFull => write!(formatter, "every segment holds records that were not released"),
+            Self::NoSpace => write!(formatter, "no space is left on the disk or in the quota"),
+            Self::RingFull => {
+                write!(formatter, "the ring is full: every segment contains records that were not released")
+            }
             Self::RecordTooLarge { length, limit } => {
-                write!(formatter, "a record of {length} bytes exceeds the limit of {limit}")
+                write!(formatter, "a record of {length} bytes exceeds the limit of {limit} bytes")
             }
-            Self::InvalidOptions => write!(formatter, "a ring needs two segments with room for a record"),
+            Self::InvalidOptions => write!(
+                formatter,
+                "invalid options: a ring needs two or more segments with space for a record, each below 4 GiB"
+            ),
             Self::OptionsChanged { segment_bytes, segments } => {
-                write!(formatter, "the ring on the disk has {segments} segments of {segment_bytes} bytes")
+                write!(
+                    formatter,
+                    "options differ from the ring on the disk: {segments} segments of {segment_bytes} bytes"
+                )
             }
             Self::Corrupt { segment } => {
                 write!(formatter, "durable records of segment {segment} are missing")
             }
-            Self::Disk { message, .. } => write!(formatter, "the disk failed: {message}"),
-            Self::Closed => write!(formatter, "the journal is closed"),
+            Self::Disk { message, .. } => write!(formatter, "a disk operation failed: {message}"),
+            Self::Closed => write!(formatter, "the writer of the journal has ended"),
         }
     }
 }
--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -1,74 +1,74 @@
-//! The operations of the file system that a ring needs.
+//! Traits for the operations of a file system that a ring needs.
 
 use std::io;
 use std::path::Path;
 
-/// A file system, real or [simulated](crate::simulated).
+/// A file system: [native](crate::NativeFileSystem) or [simulated](crate::simulated).
 pub trait FileSystem: Send + Sync {
-    /// Creates a folder and its parents, if need be.
+    /// Creates a folder and its parents, unless they exist.
     ///
     /// # Errors
     ///
-    /// What the file system reports, such as a missing permission.
+    /// Returns the error of the file system, for example for a missing permission.
     fn create_directory(&self, directory: &Path) -> io::Result<()>;
-    /// The names of the files in a folder.
+    /// Returns the names of the files in a folder, without their path and in no particular order.
     ///
     /// # Errors
     ///
-    /// What the file system reports, such as a folder that does not exist.
+    /// Returns the error of the file system, for example if the folder does not exist.
     fn list(&self, directory: &Path) -> io::Result<Vec<String>>;
-    /// Opens a file to read and write; creates an empty one if there is none.
+    /// Opens a file for reading and writing; creates an empty one if it does not exist.
     ///
     /// # Errors
     ///
-    /// What the file system reports, such as a full disk.
+    /// Returns the error of the file system, for example if the disk is full.
     fn open(&self, path: &Path) -> io::Result<Box<dyn File>>;
-    /// Gives a file another name; replaces a file that has it.
+    /// Renames a file; replaces an existing file at `to`.
     ///
     /// # Errors
     ///
-    /// What the file system reports, such as a file that does not exist.
+    /// Returns the error of the file system, for example if `from` does not exist.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
-    /// Makes the names in a folder durable.
+    /// Makes the names of the files in a folder durable.
     ///
     /// # Errors
     ///
-    /// What the disk reports; then nothing is known about which names are durable.
+    /// Returns the error of the disk. It is then unknown which names are durable.
     fn sync_directory(&self, directory: &Path) -> io::Result<()>;
-    /// A random number, for incarnations and generations; a simulation gives it by its seed.
+    /// Draws a random number, for incarnations and generations. In a simulation, the seed determines it.
     fn random(&self) -> u64;
 }
 
-/// An open file.
+/// An open file, accessed by offset.
 pub trait File: Send {
-    /// Its length in bytes.
+    /// Returns the length of the file in bytes.
     ///
     /// # Errors
     ///
-    /// What the file system reports.
+    /// Returns the error of the file system.
     fn length(&mut self) -> io::Result<u64>;
-    /// Changes its length; new bytes are zero.
+    /// Truncates or extends the file to `length` bytes; new bytes are zero.
     ///
     /// # Errors
     ///
-    /// What the file system reports, such as a full disk.
+    /// Returns the error of the file system, for example if the disk is full.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
-    /// Reads from `offset` on until the buffer is full or the file ends; returns how many bytes were read.
+    /// Reads from `offset` until the buffer is full or the file ends, and returns the number of bytes read.
     ///
     /// # Errors
     ///
-    /// What the disk reports, such as a bad sector.
+    /// Returns the error of the disk, for example for a bad sector.
     fn read_at(&mut self, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
-    /// Writes all bytes at `offset`. After a failure some of them may be written.
+    /// Writes all bytes at `offset`. After a failure, some of them may have been written.
     ///
     /// # Errors
     ///
-    /// What the disk reports, such as no space left.
+    /// Returns the error of the disk, for example if no space is left.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Makes its bytes and its length durable.
+    /// Makes the bytes and the length of the file durable.
     ///
     /// # Errors
     ///
-    /// What the disk reports; then nothing is known about which writes since the last sync are durable.
+    /// Returns the error of the disk. It is then unknown which writes since the last sync are durable.
     fn sync(&mut self) -> io::Result<()>;
 }
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -1,12 +1,13 @@
-//! The bytes of a segment: a header, then records one after the other.
+//! Binary format of a segment: a header, followed by records without gaps.
 //!
-//! Each record names its sequence number, the *generation* of its writer (a random number, drawn at each start
-//! and after each failure) and the generation of the record before it. Bytes that an earlier use of the file left
-//! behind never continue the chain.
+//! Each record contains its sequence number, the *generation* of its writer (a random number drawn at each
+//! open of the ring and after each failed write) and the generation of the previous record. The records thus
+//! form a chain, which bytes left from an earlier use of the file cannot continue. All integers are
+//! little-endian.
 
-/// Length of the header of a segment.
+/// Length of the header of a segment, including its checksum.
 pub(crate) const SEGMENT_HEADER_BYTES: usize = 64;
-/// Length of the header of a record.
+/// Length of the header of a record; the content of the record follows it.
 pub(crate) const RECORD_HEADER_BYTES: usize = 32;
 
 /// The first bytes of each segment; the last one is the version of the format.
@@ -14,29 +15,29 @@
 const CHECKSUM_BYTES: usize = 4;
 const SEGMENT_CHECKSUM_OFFSET: usize = SEGMENT_HEADER_BYTES - CHECKSUM_BYTES;
 
-/// How far the chain of records goes.
+/// End of a chain of records: what the header of the next record must contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ChainEnd {
-    /// The sequence number of the next record.
+    /// Sequence number of the next record.
     pub next_sequence: u64,
-    /// The generation of the last record.
+    /// Generation of the last record; 0 if there is none.
     pub generation: u64,
 }
 
-/// The header of a segment.
+/// Decoded header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SegmentHeader {
-    /// The incarnation of the ring.
+    /// Random number drawn when the ring was created. Segments with another one belong to another ring.
     pub incarnation: u64,
     /// Number of the segment, counted from the first one ever written.
     pub index: u64,
-    /// Where the chain ends before this segment.
+    /// End of the chain of records before this segment.
     pub chain: ChainEnd,
     /// Records below this sequence number were released before this segment was begun.
     pub released: u64,
-    /// The size of each segment in bytes.
+    /// Size of each segment of the ring in bytes.
     pub segment_bytes: u64,
-    /// The number of segments.
+    /// Number of segments of the ring.
     pub segments: u32,
 }
 
@@ -61,6 +62,7 @@
         bytes
     }
 
+    /// Decodes a header; `None` if its checksum or its magic number is wrong.
     pub(crate) fn decode(bytes: &[u8; SEGMENT_HEADER_BYTES]) -> Option<Self> {
         let checksum = crc32fast::hash(&bytes[..SEGMENT_CHECKSUM_OFFSET]);
         let is_valid = read_u32(bytes, SEGMENT_CHECKSUM_OFFSET) == checksum && read_u64(bytes, 0) == MAGIC;
@@ -75,12 +77,12 @@
     }
 }
 
-/// The header of a record.
+/// Decoded header of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RecordHeader {
-    /// Checksum of the rest of this header and of the content.
+    /// CRC-32 of the rest of the header and of the content.
     checksum: u32,
-    /// Length of the content.
+    /// Length of the content in bytes.
     pub length: u32,
     sequence: u64,
     pub generation: u64,
@@ -88,6 +90,7 @@
 }
 
 impl RecordHeader {
+    /// Decodes a header without a check of its checksum, which also covers the content.
     pub(crate) fn decode(bytes: &[u8; RECORD_HEADER_BYTES]) -> Self {
         Self {
             checksum: read_u32(bytes, 0),
@@ -98,12 +101,12 @@
         }
     }
 
-    /// Whether this is the header of the next record of the chain; its checksum is still to be verified.
+    /// Returns whether this is the header of the next record of the chain. Does not check the checksum.
     pub(crate) fn continues(&self, chain: ChainEnd) -> bool {
         self.sequence == chain.next_sequence && self.previous_generation == chain.generation
     }
 
-    /// Whether the checksum matches this header and the content.
+    /// Returns whether the checksum matches this header and `content`.
     pub(crate) fn verifies(&self, content: &[u8]) -> bool {
         let mut hasher = crc32fast::Hasher::new();
         hasher.update(&self.encode()[CHECKSUM_BYTES..]);
@@ -122,7 +125,7 @@
     }
 }
 
-/// Adds a record to `buffer`; returns the new end of the chain.
+/// Appends an encoded record to `buffer` and returns the new end of the chain.
 pub(crate) fn append_record(
     buffer: &mut Vec<u8>,
     chain: ChainEnd,
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -1,4 +1,4 @@
-//! The handle by which the asynchronous parts of a process append to a ring.
+//! [`Journal`]: the handle with which asynchronous code appends to a ring.
 
 use std::future::Future;
 use std::path::Path;
@@ -14,17 +14,17 @@
     FileSystem, NativeFileSystem, Position, Ring, RingIdentity, RingOptions, RingUsage, StorageError,
 };
 
-/// Name of the thread that waits for the disk.
+/// Name of the thread that writes to the ring and blocks on the disk.
 const THREAD_NAME: &str = "journal";
 
-/// What was found when a journal was opened.
+/// Contents and identity of a ring, as found when its journal was opened.
 #[derive(Clone, Debug)]
 pub struct Recovered {
-    /// The records that survive, oldest first. Some of them may have been released.
+    /// All records that were recovered, oldest first. Some of them may have been released before.
     pub records: Vec<(Position, Vec<u8>)>,
-    /// A random number, drawn when the ring was created; a replaced disk has another.
+    /// Random number drawn when the ring was created. It changes when the disk is replaced or wiped.
     pub incarnation: u64,
-    /// Whether the ring was created when it was opened.
+    /// Whether this open created the ring because the folder contained none.
     pub is_new: bool,
 }
 
@@ -34,7 +34,8 @@
     }
 }
 
-/// Appends records to a ring. Clones share it; dropping the last one ends it, after what was appended.
+/// Appends records to a ring. Clones share the ring. If the journal has a writer thread, that thread writes
+/// the records still queued when the last clone is dropped, and ends.
 #[derive(Clone)]
 pub struct Journal {
     backend: Backend,
@@ -42,27 +43,28 @@
 
 #[derive(Clone)]
 enum Backend {
-    /// A writer of its own takes the records from a queue.
+    /// A thread or a future takes the records from a queue and writes them.
     Queued(Arc<QueueHandle>),
-    /// The caller of `append` waits for the disk.
+    /// `append` writes the record itself and blocks on the disk.
     Inline(Arc<Mutex<Ring>>),
 }
 
 impl Journal {
-    /// Opens or creates the ring in a folder; returns the records that survive. Blocks on the disk.
+    /// Opens or creates the ring in a folder on the native file system and returns the recovered records.
+    /// Blocks on the disk.
     ///
     /// # Errors
     ///
-    /// As [`Ring::open`].
+    /// Returns the errors of [`Ring::open`], or an error if the writer thread cannot be started.
     pub fn open(directory: &Path, options: RingOptions) -> Result<(Self, Recovered), Report<StorageError>> {
         Self::open_on(Arc::new(NativeFileSystem), directory, options)
     }
 
-    /// As [`Journal::open`], on another file system.
+    /// Does the same as [`Journal::open`] on the given file system.
     ///
     /// # Errors
     ///
-    /// As [`Ring::open`].
+    /// Returns the errors of [`Journal::open`].
     pub fn open_on(
         file_system: Arc<dyn FileSystem>,
         directory: &Path,
@@ -72,12 +74,12 @@
         Ok((Self::spawn_writer(ring)?, recovered))
     }
 
-    /// As [`Journal::open`], but hands each record to `visitor` as it is read instead of collecting them all.
-    /// The records of the result are empty.
+    /// Does the same as [`Journal::open`], but passes each record to `visitor` as it is read instead of
+    /// collecting them all: [`Recovered::records`] is empty.
     ///
     /// # Errors
     ///
-    /// As [`Ring::open`].
+    /// Returns the errors of [`Journal::open`].
     pub fn open_with(
         directory: &Path,
         options: RingOptions,
@@ -87,13 +89,13 @@
         Ok((Self::spawn_writer(ring)?, Recovered::new(identity, Vec::new())))
     }
 
-    /// A journal without a thread, whose records become durable some time later: for simulations. The future that
-    /// is returned writes what is queued, in batches, each time that a future of `pace` completes; nothing is written
-    /// after it is dropped.
+    /// Opens a journal for simulations, with a future in place of the writer thread. After records are
+    /// queued, the returned future awaits a future made by `pace`, then writes all queued records as one
+    /// batch. Nothing is written after the returned future is dropped.
     ///
     /// # Errors
     ///
-    /// As [`Ring::open`].
+    /// Returns the errors of [`Ring::open`].
     pub fn open_paced(
         file_system: Arc<dyn FileSystem>,
         directory: &Path,
@@ -106,11 +108,12 @@
         Ok((Self::queued(queue), recovered, writer))
     }
 
-    /// A journal without a thread, whose [`append`](Journal::append) waits for the disk itself: for simulations.
+    /// Opens a journal for simulations, without a thread: [`append`](Journal::append) writes the record
+    /// before it returns.
     ///
     /// # Errors
     ///
-    /// As [`Ring::open`].
+    /// Returns the errors of [`Ring::open`].
     pub fn open_inline(
         file_system: Arc<dyn FileSystem>,
         directory: &Path,
@@ -132,13 +135,13 @@
         Self { backend: Backend::Queued(Arc::new(QueueHandle { queue })) }
     }
 
-    /// Appends a record; completes when it is durable. The record takes its position when this is called, not when
-    /// the future is first polled, and is written even if the future is dropped.
+    /// Appends a record and completes when it is durable. The order of the records is the order of the calls,
+    /// not of the first polls of the futures. The record is written even if the future is dropped.
     ///
     /// # Errors
     ///
-    /// When the record is too long, the ring is full, or the disk failed. After a failure of the disk the records that
-    /// were queued together with this one fail too; later appends try again.
+    /// Fails if the record is too long, the ring is full or the disk fails. If the ring is
+    /// full or the disk fails, the unwritten records of the same batch fail too; later appends try again.
     pub fn append(&self, record: Vec<u8>) -> impl Future<Output = Result<Position, StorageError>> + Send {
         let (sender, receiver) = oneshot::channel();
         match &self.backend {
@@ -151,7 +154,8 @@
         async move { receiver.await.unwrap_or(Err(StorageError::Closed)) }
     }
 
-    /// Declares that the records before `position` are no longer needed. Takes effect with the next append.
+    /// Declares that the records before `position` are no longer needed. With a queue, the ring applies the
+    /// release when it writes the next batch.
     pub fn release(&self, position: Position) {
         match &self.backend {
             Backend::Queued(handle) => handle.queue.release(position),
@@ -159,7 +163,7 @@
         }
     }
 
-    /// How full the ring was after the last append.
+    /// Returns how full the ring was after the last batch was written, or when it was opened.
     pub fn usage(&self) -> RingUsage {
         match &self.backend {
             Backend::Queued(handle) => handle.queue.usage(),
@@ -184,7 +188,7 @@
     ring.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Closes the queue when the last clone of the journal is dropped.
+/// Closes the queue, and so ends its writer thread, when the last clone of the journal is dropped.
 struct QueueHandle {
     queue: Arc<AppendQueue>,
 }
--- a/crates/storage/src/layout.rs
+++ b/crates/storage/src/layout.rs
@@ -1,7 +1,8 @@
-//! The files of a ring: how many there are, how they are named, and their headers.
+//! The files of a ring: their number, size and names, and access to their headers.
 //!
-//! A ring is a folder of equally long files. Segments are numbered from 0 on for as long as the ring exists; segment
-//! `index` is in the file `ring-{index % segments}`, so each file is used again once its records were released.
+//! A ring is a folder of files of equal size. Its segments are numbered consecutively from 0 and numbers are
+//! never reused. Segment `index` is stored in the file `ring-{index % segments}`, so each file is overwritten
+//! once its records are released.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -9,17 +10,18 @@
 use crate::format::{ChainEnd, SegmentHeader, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES};
 use crate::{File, FileSystem, StorageError};
 
-/// Number and size of the files of a ring. They can't be changed later.
+/// Number and size of the files of a ring. An existing ring can only be opened with the options it was
+/// created with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingOptions {
-    /// The size of each file in bytes. A record must fit into one.
+    /// Size of each file in bytes. It limits the length of a record, as a record cannot span two files.
     pub segment_bytes: u64,
-    /// The number of files, two at least. They are created when they are first needed.
+    /// Number of files, at least two. Each is created when it is first needed.
     pub segments: usize,
 }
 
 impl RingOptions {
-    /// The length of the longest record that fits, in bytes.
+    /// Returns the maximum length of a record in bytes: the size of a segment without the two headers.
     pub fn max_record_bytes(&self) -> usize {
         (self.segment_bytes as usize).saturating_sub(SEGMENT_HEADER_BYTES + RECORD_HEADER_BYTES)
     }
@@ -33,11 +35,11 @@
     }
 }
 
-/// The sequence number of a record; later records have greater ones.
+/// Sequence number of a record. Each record of a ring has a greater one than all records before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position(pub u64);
 
-/// The folder that contains a ring.
+/// Folder that contains the files of a ring.
 pub(crate) struct RingDirectory {
     file_system: Arc<dyn FileSystem>,
     path: PathBuf,
@@ -45,7 +47,7 @@
 }
 
 impl RingDirectory {
-    /// Creates the folder if need be.
+    /// Validates the options and creates the folder if it does not exist.
     pub fn create(
         file_system: Arc<dyn FileSystem>,
         path: &Path,
@@ -60,12 +62,12 @@
         self.options
     }
 
-    /// A random number of the file system.
+    /// Draws a random number from the file system.
     pub fn random(&self) -> u64 {
         self.file_system.random()
     }
 
-    /// Makes the names of the files durable.
+    /// Syncs the folder, so that the names of its files are durable.
     pub fn sync(&self) -> Result<(), StorageError> {
         Ok(self.file_system.sync_directory(&self.path)?)
     }
@@ -75,7 +77,7 @@
         Ok(self.file_system.open(&self.path.join(segment_name(slot)))?)
     }
 
-    /// The header of each file, where there is a valid one.
+    /// Reads the header of each file; `None` for a file that does not exist or has no valid header.
     pub fn read_headers(&self) -> Result<Vec<Option<SegmentHeader>>, StorageError> {
         let names = self.file_system.list(&self.path)?;
         let mut headers = Vec::with_capacity(self.options.segments);
@@ -90,7 +92,7 @@
         Ok(headers)
     }
 
-    /// Begins a segment: its header is durable when this returns, and so is the name of its file.
+    /// Begins a segment: writes its header and makes the header and the name of the file durable.
     pub fn begin_segment(&self, header: &SegmentHeader) -> Result<Box<dyn File>, StorageError> {
         let mut file = self.open_segment(header.index)?;
         let is_new = file.length()? != self.options.segment_bytes;
@@ -105,7 +107,7 @@
         Ok(file)
     }
 
-    /// The header of segment `index` of a ring with these options.
+    /// Builds the header of segment `index` from the arguments and the options of the ring.
     pub fn header(&self, incarnation: u64, index: u64, chain: ChainEnd, released: u64) -> SegmentHeader {
         SegmentHeader {
             incarnation,
@@ -118,14 +120,14 @@
     }
 }
 
-/// The first part of the name of each file.
+/// Prefix of the name of each file; the number of the file follows.
 const SEGMENT_NAME_PREFIX: &str = "ring-";
 
 fn segment_name(slot: usize) -> String {
     format!("{SEGMENT_NAME_PREFIX}{slot:03}")
 }
 
-/// Whether a file of this name belongs to a ring.
+/// Returns whether a file of this name belongs to a ring.
 pub(crate) fn is_segment_name(name: &str) -> bool {
     name.starts_with(SEGMENT_NAME_PREFIX)
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,23 +1,25 @@
 //! Durable state in a ring of preallocated files.
 //!
-//! A [`Journal`] appends records and reports when they are durable; its owner appends what it still needs again from
-//! time to time and releases what lies before. The calls of the disk run on a thread of their own, so that a
-//! stalled disk blocks nothing else.
+//! A [`Journal`] appends records and reports when they are durable. To free space, its owner periodically
+//! appends the state that it still needs again and releases all records before it. A separate thread makes
+//! the calls to the disk, so that a stalled disk blocks nothing else.
 //!
 //! # Guarantees
 //!
 //! - An acknowledged record survives the end of the process and a loss of power until it is released.
-//! - A record whose append failed, or was not yet acknowledged, may be present after a restart or not; if it is, it
-//!   is at the position where it was appended, and never after a record that was acknowledged later.
-//! - Released records may still be returned by the next start.
-//! - What a start returns is durable before it is returned.
+//! - A record whose append failed or was not yet acknowledged may or may not be present after a restart. If
+//!   it is, it is at the position where it was appended, and never after a record that was acknowledged
+//!   later.
+//! - The next open may still return released records.
+//! - All records that an open returns are durable when it completes.
 //!
 //! # Modules
 //!
-//! `format` defines the bytes, `layout` the files, `recovery` reads them, [`Ring`] appends to them, and `append_queue`
-//! connects the ring with the callers of a [`Journal`]. All of them use the disk through [`FileSystem`], which is
-//! either that of the operating system or the [`simulated`] one. [`set_aside`] takes a ring out of use whose records its
-//! owner cannot read.
+//! `format` defines the bytes of a segment and `layout` the files of a ring. `recovery` reads the files when
+//! a ring is opened, with the help of `read_ahead`. [`Ring`] appends to them, and `append_queue` passes
+//! records from the callers of a [`Journal`] to the ring. All modules access the disk through [`FileSystem`],
+//! implemented by [`NativeFileSystem`] and by the [`simulated`] disk. [`set_aside`] renames the files of a
+//! ring whose records its owner cannot read.
 
 mod append_queue;
 mod error;
--- a/crates/storage/src/native.rs
+++ b/crates/storage/src/native.rs
@@ -1,4 +1,4 @@
-//! The file system of the operating system.
+//! [`FileSystem`] over the file system of the operating system.
 
 use std::fs;
 use std::hash::{BuildHasher, RandomState};
@@ -7,7 +7,7 @@
 
 use crate::{File, FileSystem};
 
-/// The file system of the operating system.
+/// Accesses the file system of the operating system. Its calls block.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeFileSystem;
 
@@ -37,16 +37,17 @@
         fs::File::open(directory)?.sync_all()
     }
 
-    /// Drawn from the keys that the standard library takes from the system.
+    /// Hashes the process id with the random keys that the standard library takes from the operating system.
     fn random(&self) -> u64 {
         RandomState::new().hash_one(std::process::id())
     }
 }
 
-/// A file that remembers its cursor, so that sequential reads and writes do not seek.
+/// An open file with its current cursor, so that sequential reads and writes need no seek.
 struct NativeFile {
     file: fs::File,
-    /// Offset of the next read or write; unknown after a failure.
+    /// Offset of the operating system's cursor; `None` after a failed operation, as the offset is then
+    /// unknown.
     cursor: Option<u64>,
 }
 
--- a/crates/storage/src/read_ahead.rs
+++ b/crates/storage/src/read_ahead.rs
@@ -3,14 +3,14 @@
 use crate::format::{RecordHeader, RECORD_HEADER_BYTES};
 use crate::{File, StorageError};
 
-/// The least number of bytes that one read asks for, if the segment has so many left.
+/// Minimum number of bytes that one read of the file requests, unless fewer are left in the segment.
 const READ_AHEAD_BYTES: usize = 32 * 1024;
 
-/// A part of a segment in memory. Offsets may only go forward.
+/// Buffer for a part of a segment. The offsets that are read must not decrease.
 pub(crate) struct ReadAheadBuffer<'a> {
     file: &'a mut dyn File,
     segment_bytes: u64,
-    /// Offset of `bytes` in the segment.
+    /// Offset of the first of `bytes` in the segment.
     start: u64,
     bytes: Vec<u8>,
 }
@@ -20,14 +20,15 @@
         Self { file, segment_bytes, start: 0, bytes: Vec::new() }
     }
 
-    /// The record header at `offset`, not yet verified; `None` if the segment ends before it is complete.
+    /// Returns the record header at `offset` without a check of its checksum; `None` if the segment ends
+    /// before the end of the header.
     pub fn read_record_header(&mut self, offset: u64) -> Result<Option<RecordHeader>, StorageError> {
         let bytes = self.read(offset, RECORD_HEADER_BYTES)?;
         let bytes = bytes.and_then(|bytes| bytes.first_chunk::<RECORD_HEADER_BYTES>());
         Ok(bytes.map(RecordHeader::decode))
     }
 
-    /// `length` bytes from `offset` on; `None` if the segment ends before them.
+    /// Returns the `length` bytes at `offset`; `None` if they reach beyond the end of the segment.
     pub fn read(&mut self, offset: u64, length: usize) -> Result<Option<&[u8]>, StorageError> {
         let end = offset + length as u64;
         if end > self.segment_bytes {
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -5,32 +5,35 @@
 use crate::read_ahead::ReadAheadBuffer;
 use crate::{File, Position, StorageError};
 
-/// Receives the records as they are read, oldest first.
+/// Callback that receives each record as it is read, oldest first.
 pub(crate) type RecordVisitor<'a> = &'a mut dyn FnMut(Position, Vec<u8>);
 
-/// A segment that holds records which may not be released yet.
+/// A segment that may contain records that are not released, so that its file cannot be reused.
 #[derive(Clone, Copy)]
 pub(crate) struct LiveSegment {
+    /// Number of the segment, counted from the first one ever written.
     pub index: u64,
-    /// Sequence number of the first record.
+    /// Sequence number of the first record of the segment.
     pub first_sequence: u64,
 }
 
-/// The state in which a ring is opened: where the next record goes.
+/// State of a ring after its recovery or creation, from which appends continue.
 pub(crate) struct RingState {
+    /// Random number drawn when the ring was created.
     pub incarnation: u64,
-    /// Oldest first; never empty.
+    /// Segments that cannot be reused yet, oldest first; never empty.
     pub segments: Vec<LiveSegment>,
+    /// End of the chain of recovered records.
     pub chain: ChainEnd,
     /// Offset of the next record in the newest segment.
     pub offset: u64,
-    /// Records below this sequence number are released.
+    /// Records below this sequence number are released, according to the header of the newest segment.
     pub released: u64,
-    /// The newest segment.
+    /// File of the newest segment.
     pub file: Box<dyn File>,
 }
 
-/// Reads the ring in a folder; `None` if there is none.
+/// Reads the ring in a folder and makes all its records durable; `None` if there is no ring.
 pub(crate) fn recover(
     directory: &RingDirectory,
     visitor: RecordVisitor<'_>,
@@ -56,7 +59,8 @@
     let mut scan = SegmentScan::new(file.as_mut(), chain, options);
     scan.run(None, visitor)?;
     let (chain, offset) = (scan.chain, scan.offset);
-    // Records of a process that was killed may not be durable yet. Older segments were synced before this one.
+    // The process that wrote these records may have been killed before it synced them. The older segments
+    // were synced before this one was begun.
     file.sync()?;
     let segment = |header: &SegmentHeader| LiveSegment {
         index: header.index,
@@ -75,9 +79,11 @@
     Err(StorageError::OptionsChanged { segment_bytes: header.segment_bytes, segments })
 }
 
-/// The segments up to the newest that may contain records that were not released, oldest first.
+/// Returns the headers of all segments that may contain records that were not released, oldest first and up
+/// to the newest segment.
 ///
-/// Only the file that is used next may be without a valid header: it was about to be overwritten.
+/// A header may be missing only in the file that is used next, as its overwriting may have been interrupted.
+/// Any other missing header means that durable records are lost.
 fn live_segments(
     headers: &[Option<SegmentHeader>],
     newest: &SegmentHeader,
@@ -100,30 +106,30 @@
     Ok(live)
 }
 
-/// A scan of the records of one segment.
+/// Sequential scan of the records of one segment.
 struct SegmentScan<'a> {
     buffer: ReadAheadBuffer<'a>,
-    /// Where the chain ends after the records that were read.
+    /// End of the chain after the records read so far.
     chain: ChainEnd,
-    /// Offset behind the records that were read.
+    /// Offset of the next record to read.
     offset: u64,
 }
 
 impl<'a> SegmentScan<'a> {
-    /// `chain` is where the chain of records ends before this segment.
+    /// Creates a scan from the first record. `chain` is the end of the chain before this segment.
     fn new(file: &'a mut dyn File, chain: ChainEnd, options: RingOptions) -> Self {
         let buffer = ReadAheadBuffer::new(file, options.segment_bytes);
         Self { buffer, chain, offset: SEGMENT_HEADER_BYTES as u64 }
     }
 
-    /// Reads records up to the sequence number `until`, or as far as the chain goes.
+    /// Reads records until the sequence number of the next one is `until`, or until the chain ends.
     fn run(&mut self, until: Option<u64>, visitor: RecordVisitor<'_>) -> Result<(), StorageError> {
         while until != Some(self.chain.next_sequence) && self.read_record(visitor)? {}
         Ok(())
     }
 
-    /// Reads the next record of the chain; false if there is none, or if its checksum is wrong: then its write was not
-    /// complete when the process ended, or the disk has damaged it.
+    /// Reads the next record of the chain; returns false if there is none or if its checksum is wrong. A
+    /// wrong checksum means that the write was interrupted or that the bytes on the disk are damaged.
     fn read_record(&mut self, visitor: RecordVisitor<'_>) -> Result<bool, StorageError> {
         let header = self.buffer.read_record_header(self.offset)?;
         let Some(header) = header.filter(|header| header.continues(self.chain)) else {
--- a/crates/storage/src/ring.rs
+++ b/crates/storage/src/ring.rs
@@ -1,4 +1,4 @@
-//! [`Ring`] appends records to a ring of files. It calls the disk itself, one call after the other, without threads.
+//! [`Ring`]: appends records to a ring of files. All its calls are synchronous and block on the disk.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -9,59 +9,64 @@
 use crate::recovery::{recover, LiveSegment, RecordVisitor, RingState};
 use crate::{File, FileSystem, StorageError};
 
-/// A buffer that is larger than this is shrunk before the next append.
+/// Capacity in bytes to which the buffer of staged records is shrunk after each write, so that one large
+/// batch does not hold its memory until the process ends.
 const MAX_RETAINED_BUFFER_BYTES: usize = 256 * 1024;
-/// The sequence number of the first record.
+/// Sequence number of the first record of a new ring. No record has number 0.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// The position of a record, once it is durable.
+/// Result of an append: the position of the record, which is then durable, or the reason why it is not.
 pub(crate) type AppendOutcome = Result<Position, StorageError>;
 
 /// How full a ring is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RingUsage {
-    /// Bytes of the segments that can't be reused yet.
+    /// Size in bytes of the older segments that cannot be reused yet and of the written part of the newest
+    /// one.
     pub used_bytes: u64,
-    /// Bytes of all segments.
+    /// Size of all segments together in bytes, including those not created yet.
     pub capacity_bytes: u64,
 }
 
-/// Which ring was opened.
+/// Identity of an opened ring, which tells a new ring from one that was reopened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingIdentity {
-    /// A random number, drawn when the ring was created.
+    /// Random number drawn when the ring was created. It stays the same until the ring is lost or set aside.
     pub incarnation: u64,
-    /// Whether the ring was created when it was opened.
+    /// Whether this open created the ring because the folder contained none.
     pub is_new: bool,
 }
 
-/// A ring of files. Its calls block on the disk; [`Journal`](crate::Journal) runs them on a thread.
+/// An open ring of files. Its calls block on the disk; [`Journal`](crate::Journal) makes them on a separate
+/// thread.
 pub struct Ring {
     directory: RingDirectory,
     incarnation: u64,
-    /// Oldest first.
+    /// Segments that cannot be reused yet, oldest first; never empty.
     segments: VecDeque<LiveSegment>,
     tail: Tail,
-    /// Where the durable records end.
+    /// End of the chain of durable records.
     chain: ChainEnd,
-    /// Drawn again at each start and after each failure, so that what a failed write left behind is never read as a
-    /// successor of what is written over it.
+    /// Random number of the records written from now on. It is drawn anew at each open and after each failed
+    /// write, so that bytes left by a failed write never appear to follow the records that overwrite them.
     generation: u64,
+    /// Records before this position are no longer needed.
     released: Position,
     staged: StagedRecords,
 }
 
-/// The newest segment.
+/// The newest segment, to which records are added.
 struct Tail {
     file: Box<dyn File>,
-    /// Offset of the next record.
+    /// Offset of the next record in the file.
     offset: u64,
-    /// The next segment may have been begun on the disk: nothing may be added to this one.
+    /// Whether the header of the next segment may already be on the disk. No record may then be added to this
+    /// segment.
     is_sealed: bool,
 }
 
 impl Tail {
-    /// A segment that holds no records yet.
+    /// Creates the state of a segment that contains only its header.
     fn empty(file: Box<dyn File>) -> Self {
         Self { file, offset: SEGMENT_HEADER_BYTES as u64, is_sealed: false }
     }
@@ -78,7 +83,7 @@
 struct StagedRecords {
     bytes: Vec<u8>,
     count: usize,
-    /// Where the chain ends after them.
+    /// End of the chain after the staged records.
     chain: ChainEnd,
 }
 
@@ -102,9 +107,9 @@
 
 /// Progress of one call of [`Ring::append`].
 struct AppendBatch {
-    /// Of the records so far, in their order.
+    /// Outcomes of the records processed so far, in the order of the records.
     outcomes: Vec<AppendOutcome>,
-    /// A failure of the disk, after which no further record is written.
+    /// Failure to write records or to begin a segment; all later records of the batch fail with this error.
     failure: Option<StorageError>,
 }
 
@@ -113,7 +118,7 @@
         Self { outcomes: Vec::with_capacity(records), failure: None }
     }
 
-    /// Turns the last `count` successes, which were staged but not written, into failures.
+    /// Replaces the last `count` successful outcomes by `error`: their records were staged, but not written.
     fn fail_staged(&mut self, count: usize, error: &StorageError) {
         let staged = self.outcomes.iter_mut().rev().filter(|outcome| outcome.is_ok()).take(count);
         for outcome in staged {
@@ -123,12 +128,12 @@
 }
 
 impl Ring {
-    /// Opens or creates a ring; hands its records to `visitor`, oldest first.
+    /// Opens or creates the ring in a folder and passes its records to `visitor`, oldest first.
     ///
     /// # Errors
     ///
-    /// If the options can't be used or differ from those of the ring, if records are missing that were durable, or if
-    /// the disk fails.
+    /// Fails if the options are invalid or differ from those of the existing ring, if durable records are
+    /// missing, or if the disk fails.
     pub fn open(
         file_system: Arc<dyn FileSystem>,
         directory: &Path,
@@ -162,8 +167,8 @@
         ring
     }
 
-    /// Appends records and makes them durable; returns the outcome of each, in their order. After a failure of the
-    /// disk, the remaining records fail too.
+    /// Appends records, makes them durable and returns one outcome per record, in the same order. After the
+    /// ring is full or the disk fails, the remaining records fail with the same error.
     pub fn append<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Vec<Result<Position, StorageError>> {
         let mut batch = AppendBatch::with_capacity(records.len());
         for record in records {
@@ -173,12 +178,13 @@
             };
             batch.outcomes.push(outcome);
         }
-        // A failure is reported by the outcomes.
+        // On failure, the outcomes of the staged records contain the error.
         let _ = self.flush(&mut batch);
         batch.outcomes
     }
 
-    /// Declares that the records before `position` are no longer needed.
+    /// Declares that the records before `position` are no longer needed. A segment can be reused once all its
+    /// records are released.
     pub fn release(&mut self, position: Position) {
         self.released = self.released.max(position);
         while self.segments.get(1).is_some_and(|second| second.first_sequence <= self.released.0) {
@@ -186,7 +192,7 @@
         }
     }
 
-    /// How full the ring is.
+    /// Returns how full the ring is.
     pub fn usage(&self) -> RingUsage {
         let options = self.directory.options();
         let full_segments = self.segments.len().saturating_sub(1) as u64;
@@ -196,7 +202,8 @@
         }
     }
 
-    /// Stages a record; what was staged before is written first if they don't fit into one segment.
+    /// Stages a record. If it does not fit into the newest segment, first writes the staged records and
+    /// begins the next segment.
     fn stage(&mut self, record: &[u8], batch: &mut AppendBatch) -> AppendOutcome {
         let limit = self.directory.options().max_record_bytes();
         if record.len() > limit {
@@ -211,12 +218,13 @@
         Ok(position)
     }
 
+    /// Returns whether a record of `length` bytes fits into the newest segment after the staged records.
     fn record_fits(&self, length: usize) -> bool {
         let end = self.tail.offset + (self.staged.bytes.len() + RECORD_HEADER_BYTES + length) as u64;
         !self.tail.is_sealed && end <= self.directory.options().segment_bytes
     }
 
-    /// Writes what is staged; on failure, the outcomes of the staged records become failures.
+    /// Writes and syncs the staged records. On failure, replaces their outcomes by the error.
     fn flush(&mut self, batch: &mut AppendBatch) -> Result<(), StorageError> {
         if self.staged.count == 0 {
             return Ok(());
@@ -233,8 +241,8 @@
         written
     }
 
-    /// Goes on to the next file. Its header is durable before a record is written to it, and so are all records
-    /// before it.
+    /// Begins the next segment. Its header and all records of the earlier segments are durable before the
+    /// first record is written to it.
     fn begin_segment(&mut self) -> Result<(), StorageError> {
         if self.segments.len() >= self.directory.options().segments {
             return Err(StorageError::RingFull);
@@ -250,7 +258,7 @@
     }
 }
 
-/// Creates the first segment of a new ring.
+/// Creates the first segment of a new ring and draws the incarnation.
 fn create(directory: &RingDirectory) -> Result<RingState, StorageError> {
     let chain = ChainEnd { next_sequence: FIRST_SEQUENCE, generation: 0 };
     let header = directory.header(directory.random(), 0, chain, 0);
--- a/crates/storage/src/set_aside.rs
+++ b/crates/storage/src/set_aside.rs
@@ -1,4 +1,4 @@
-//! Sets the files of a ring aside that cannot be trusted any more, so that a new one can be created.
+//! Renames the files of a ring whose records cannot be trusted, so that the next open creates a new one.
 
 use std::io;
 use std::path::Path;
@@ -6,30 +6,32 @@
 use crate::layout::is_segment_name;
 use crate::FileSystem;
 
-/// Present while files are being set aside: a start that finds it continues, as some of the files may be renamed already,
-/// and the others alone could be taken for an older state of the ring.
+/// Name of the marker file that exists while the files of a ring are being renamed. A process that finds it
+/// when it starts must complete the renames: the files that still have their old names could be read as an
+/// older state of the ring.
 const IN_PROGRESS: &str = "setting-aside";
-/// The name of that file afterwards.
+/// Name of the marker file once all files of the ring are renamed.
 const DONE: &str = "set-aside";
-/// Put before the name of a file that was set aside.
+/// Prefix of the new name of each renamed file.
 const PREFIX: &str = "unreadable-";
 
-/// Whether an earlier call of [`set_aside`] was interrupted and must be repeated before the ring is opened.
+/// Returns whether an earlier call of [`set_aside`] was interrupted and must be repeated before the ring is
+/// opened. Creates the folder if it does not exist.
 ///
 /// # Errors
 ///
-/// What the file system reports, such as a folder that cannot be read.
+/// Returns the error of the file system, for example if the folder cannot be read.
 pub fn is_set_aside_interrupted(file_system: &dyn FileSystem, directory: &Path) -> io::Result<bool> {
     file_system.create_directory(directory)?;
     Ok(file_system.list(directory)?.iter().any(|name| name == IN_PROGRESS))
 }
 
-/// Renames the files of the ring in a folder, durably. They replace files that were set aside before. Their bytes stay;
-/// the next open of the ring creates a new one with another incarnation.
+/// Renames all files of the ring in `directory`, durably, without a change of their contents. They replace
+/// the files of an earlier call. The next open of the ring creates a new one with another incarnation.
 ///
 /// # Errors
 ///
-/// What the file system reports; then the call must be repeated.
+/// Returns the error of the file system. The call must then be repeated before the ring is opened.
 pub fn set_aside(file_system: &dyn FileSystem, directory: &Path) -> io::Result<()> {
     drop(file_system.open(&directory.join(IN_PROGRESS))?);
     file_system.sync_directory(directory)?;
--- a/crates/storage/src/simulated.rs
+++ b/crates/storage/src/simulated.rs
@@ -1,8 +1,9 @@
-//! A disk in memory that loses power, fills up and stalls on command.
+//! Simulated disk in memory for tests: loss of power, lack of space, stalls, failing syncs and damaged bytes
+//! can be injected.
 //!
-//! After a loss of power, a file has everything that its last sync covered; each later write is complete, lost or torn,
-//! as a [`WriteFaultModel`] decides. The name of a file that was neither synced itself nor covered by a sync of its
-//! folder survives or not, as the model decides too.
+//! After a loss of power, a file contains all writes that its last sync covered. For each later write, a
+//! [`WriteFaultModel`] decides whether it is complete, lost or torn. The model also decides whether a new
+//! file survives that neither was synced itself nor is in a folder synced since.
 
 mod content;
 mod disk;
--- a/crates/storage/src/simulated/content.rs
+++ b/crates/storage/src/simulated/content.rs
@@ -1,13 +1,13 @@
-//! A simulated file: visible and durable content, and the changes that no sync covers.
+//! A simulated file: its visible and durable content, and its unsynced changes.
 
 use std::path::Path;
 
 use super::write_faults::{PendingWrite, WriteFaultModel, WriteOutcome};
 
-/// Space is allocated in pages of this size.
+/// Size of the pages in which space is allocated.
 const PAGE_BYTES: u64 = 4096;
 
-/// Bytes with a length; what lies behind the bytes is zero and allocates no space.
+/// Content of a file. The file is zero from the end of `bytes` to `length`; that part allocates no space.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Content {
     bytes: Vec<u8>,
@@ -19,11 +19,12 @@
         self.length
     }
 
-    /// Allocated space in bytes: whole pages.
+    /// Returns the allocated space in bytes, rounded up to whole pages.
     pub(super) fn allocated(&self) -> u64 {
         (self.bytes.len() as u64).next_multiple_of(PAGE_BYTES)
     }
 
+    /// Reads up to the end of the content and returns the number of bytes read.
     pub(super) fn read(&self, offset: u64, buffer: &mut [u8]) -> usize {
         let count = self.length.saturating_sub(offset).min(buffer.len() as u64) as usize;
         let stored = self.bytes.get(offset as usize..).unwrap_or_default();
@@ -48,7 +49,7 @@
     }
 }
 
-/// A change that no sync covers.
+/// A change of a file that was not synced yet.
 #[derive(Clone, Debug)]
 enum UnsyncedChange {
     Write { offset: u64, bytes: Vec<u8> },
@@ -83,12 +84,14 @@
     }
 }
 
-/// A file: its content as programs read it, its durable content, and the changes between the two.
+/// A file: the content that processes read, the durable content, and the unsynced changes that lead from the
+/// durable to the visible content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StoredFile {
     visible: Content,
     durable: Content,
     changes: Vec<UnsyncedChange>,
+    /// Whether the file itself, apart from its content, survives a loss of power.
     pub(super) is_name_durable: bool,
 }
 
@@ -121,7 +124,7 @@
         self.changes.iter().map(move |change| change.pending(path))
     }
 
-    /// Reduces the file to what survives a loss of power; false if the file itself does not.
+    /// Applies a loss of power to the file; returns false if the file does not survive.
     pub(super) fn lose_power(&mut self, path: &Path, faults: &mut dyn WriteFaultModel) -> bool {
         if !self.is_name_durable && !faults.keeps_name(path) {
             return false;
@@ -135,7 +138,7 @@
         true
     }
 
-    /// Flips all bits of one byte, as a defect of the medium would.
+    /// Flips all bits of the byte at `offset`, in the visible and in the durable content.
     pub(super) fn corrupt(&mut self, offset: u64) {
         let mut byte = [0];
         self.visible.read(offset, &mut byte);
--- a/crates/storage/src/simulated/disk.rs
+++ b/crates/storage/src/simulated/disk.rs
@@ -1,4 +1,4 @@
-//! The handle by which a test controls the simulated disk.
+//! [`SimulatedDisk`]: the handle with which a test controls the simulated disk.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -8,72 +8,76 @@
 use super::write_faults::{PendingWrite, WriteFaultModel};
 use crate::FileSystem;
 
-/// A disk in memory. Clones are the same disk.
+/// A simulated disk in memory, used by one process at a time. Clones refer to the same disk.
 #[derive(Clone)]
 pub struct SimulatedDisk {
     shared: Arc<SharedDisk>,
 }
 
 impl SimulatedDisk {
-    /// An empty disk; the same seed gives the same random numbers.
+    /// Creates an empty disk. `seed` determines the random numbers of its file systems.
     pub fn new(seed: u64) -> Self {
         Self { shared: Arc::new(SharedDisk::new(DiskState::new(seed))) }
     }
 
-    /// The file system of a process that starts now.
+    /// Returns the file system of the current process: it works until the next [`kill`](Self::kill).
     pub fn file_system(&self) -> Arc<dyn FileSystem> {
         let process = self.shared.lock().process;
         Arc::new(SimulatedFileSystem::new(Arc::clone(&self.shared), process))
     }
 
-    /// Kills the process: its files stay as they are, its handles fail from now on.
+    /// Kills the current process: its file system and open files fail from now on. Unsynced changes remain
+    /// visible to the next process.
     pub fn kill(&self) {
         self.shared.lock().process += 1;
         self.shared.notify();
     }
 
-    /// Cuts the power; what was not synced is subject to `faults`. Implies [`kill`](Self::kill).
+    /// Simulates a loss of power and kills the process. `faults` decides which unsynced changes survive.
     pub fn lose_power(&self, faults: &mut dyn WriteFaultModel) {
         self.kill();
         let mut state = self.shared.lock();
         state.files.retain(|path, file| file.lose_power(path, faults));
     }
 
-    /// Replaces the disk by an empty one; implies [`kill`](Self::kill).
+    /// Deletes all files, as if the disk was replaced by an empty one, and kills the process.
     pub fn wipe(&self) {
         self.kill();
         self.shared.lock().files.clear();
     }
 
-    /// Limits the space in bytes; `None` lifts the limit. Space that was written once stays allocated.
+    /// Limits the space of the disk to `bytes`; `None` means unlimited. Writes to space that is already
+    /// allocated succeed in any case.
     pub fn set_capacity(&self, bytes: Option<u64>) {
         self.shared.lock().capacity = bytes;
     }
 
-    /// Allocated space in bytes.
+    /// Returns the allocated space in bytes.
     pub fn allocated(&self) -> u64 {
         self.shared.lock().allocated()
     }
 
-    /// While the disk is stalled, writes and syncs block.
+    /// Sets whether the disk is stalled. Writes and syncs block until it no longer is; reads do not.
     pub fn set_stalled(&self, is_stalled: bool) {
         self.shared.lock().is_stalled = is_stalled;
         self.shared.notify();
     }
 
-    /// The next syncs of files fail; what they should have covered is not durable.
+    /// Makes the next `count` syncs of files fail, which leaves the changes unsynced. Syncs of folders
+    /// succeed.
     pub fn fail_syncs(&self, count: usize) {
         self.shared.lock().failing_syncs = count;
     }
 
-    /// Flips all bits of one byte.
+    /// Flips all bits of the byte at `offset` of a file, as a defect of the medium would. Does nothing if the
+    /// file does not exist.
     pub fn corrupt(&self, path: &Path, offset: u64) {
         if let Some(file) = self.shared.lock().files.get_mut(path) {
             file.corrupt(offset);
         }
     }
 
-    /// Passes each change that no sync covers to `visitor`, in the order of the files.
+    /// Passes each unsynced change to `visitor`, ordered by path and then by age, oldest first.
     pub fn for_each_pending(&self, mut visitor: impl FnMut(&PendingWrite<'_>)) {
         let state = self.shared.lock();
         for (path, file) in &state.files {
@@ -81,12 +85,13 @@
         }
     }
 
-    /// Counts of the calls so far.
+    /// Returns the counts of bytes and calls since the disk was created.
     pub fn counters(&self) -> DiskCounters {
         self.shared.lock().counters
     }
 
-    /// A separate disk with the same content, and the same changes not yet synced.
+    /// Returns an independent disk with the same files, unsynced changes, random numbers to come and
+    /// capacity. Its counters start at zero; it is not stalled and no sync is set to fail.
     pub fn duplicate(&self) -> Self {
         let state = self.shared.lock();
         let duplicate = Self::new(0);
--- a/crates/storage/src/simulated/disk_state.rs
+++ b/crates/storage/src/simulated/disk_state.rs
@@ -1,4 +1,4 @@
-//! State of the simulated disk, shared by all its handles.
+//! State of the simulated disk, shared by its control handle, file systems and open files.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,35 +7,36 @@
 
 use super::content::StoredFile;
 
-/// Counts of the calls of the disk.
+/// Counters of the operations on the disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskCounters {
-    /// Bytes that were read.
+    /// Number of bytes read.
     pub read_bytes: u64,
-    /// Calls that wrote.
+    /// Number of calls that wrote to a file, including those that failed for lack of space.
     pub writes: u64,
-    /// Syncs of files and folders.
+    /// Number of syncs of files and folders, including failed ones.
     pub syncs: u64,
 }
 
-/// The disk, shared by its handles.
+/// State of the disk behind a lock, shared by all handles.
 pub(super) struct SharedDisk {
     state: Mutex<DiskState>,
-    /// Wakes calls that wait while the disk is stalled.
+    /// Wakes the calls that wait for the end of a stall.
     changed: Condvar,
 }
 
-/// Files and faults of the disk.
+/// Files of the disk and the faults injected into it.
 pub(super) struct DiskState {
     pub files: BTreeMap<PathBuf, StoredFile>,
     pub random: fastrand::Rng,
-    /// Space in bytes; unlimited if `None`.
+    /// Maximum allocated space in bytes; unlimited if `None`.
     pub capacity: Option<u64>,
-    /// Counts the processes that were killed; handles of an earlier process fail.
+    /// Number of processes killed so far, which identifies the current one. Handles of earlier processes
+    /// fail.
     pub process: u64,
-    /// Writes and syncs block.
+    /// Whether writes and syncs block.
     pub is_stalled: bool,
-    /// The next so many syncs of files fail.
+    /// Number of syncs of files that will still fail.
     pub failing_syncs: usize,
     pub counters: DiskCounters,
 }
@@ -45,7 +46,7 @@
         Self { state: Mutex::new(state), changed: Condvar::new() }
     }
 
-    /// Wakes the calls that wait while the disk is stalled.
+    /// Wakes the calls that wait for the end of a stall. Must be called when a stall or the process ends.
     pub fn notify(&self) {
         self.changed.notify_all();
     }
@@ -54,14 +55,15 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The disk for a handle of the process.
+    /// Locks the state for a handle of `process`; fails if that process was killed.
     pub fn lock_for(&self, process: u64) -> io::Result<MutexGuard<'_, DiskState>> {
         let state = self.lock();
         check_process(&state, process)?;
         Ok(state)
     }
 
-    /// As [`Self::lock_for`], after waiting while the disk is stalled.
+    /// Waits until the disk is not stalled, then locks the state as [`Self::lock_for`] does. Fails at once if
+    /// the process is killed while it waits.
     pub fn lock_when_ready(&self, process: u64) -> io::Result<MutexGuard<'_, DiskState>> {
         let is_waiting = |state: &mut DiskState| state.is_stalled && state.process == process;
         let waited = self.changed.wait_while(self.lock(), is_waiting);
@@ -75,11 +77,11 @@
     if state.process == process {
         return Ok(());
     }
-    Err(io::Error::new(io::ErrorKind::BrokenPipe, "the process has ended"))
+    Err(io::Error::new(io::ErrorKind::BrokenPipe, "the process that opened this file system was killed"))
 }
 
 impl DiskState {
-    /// An empty disk; the same seed gives the same random numbers.
+    /// Creates an empty disk without faults. `seed` determines its random numbers.
     pub fn new(seed: u64) -> Self {
         Self {
             files: BTreeMap::new(),
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Allocated space in bytes.
+    /// Returns the allocated space of all files in bytes.
     pub fn allocated(&self) -> u64 {
         self.files.values().map(|file| file.visible().allocated()).sum()
     }
@@ -101,7 +103,7 @@
         self.files.get_mut(path).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Writes as much as there is space for; fails if that is not all.
+    /// Writes the bytes for which there is space; fails with `StorageFull` if these are not all.
     pub fn write(&mut self, path: &Path, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.counters.writes += 1;
         let allocated = self.file(path)?.visible().allocated();
@@ -125,7 +127,7 @@
         self.counters.syncs += 1;
         if self.failing_syncs > 0 {
             self.failing_syncs -= 1;
-            return Err(io::Error::other("sync failed"));
+            return Err(io::Error::other("injected sync failure"));
         }
         self.file(path)?.sync();
         Ok(())
--- a/crates/storage/src/simulated/file_system.rs
+++ b/crates/storage/src/simulated/file_system.rs
@@ -1,4 +1,4 @@
-//! The file system of a process on the simulated disk.
+//! The file system through which a simulated process accesses the disk.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,8 @@
 use super::disk_state::SharedDisk;
 use crate::{File, FileSystem};
 
-/// The file system of one process. Its calls, and those of its files, fail after the process was killed.
+/// File system of one simulated process. Its calls and those of its open files fail once the process is
+/// killed; only [`random`](FileSystem::random) still works. Folders need not exist.
 pub struct SimulatedFileSystem {
     shared: Arc<SharedDisk>,
     process: u64,
--- a/crates/storage/src/simulated/write_faults.rs
+++ b/crates/storage/src/simulated/write_faults.rs
@@ -1,46 +1,46 @@
-//! Models of what a loss of power leaves of unsynced writes.
+//! Models that decide which unsynced changes survive a loss of power.
 
 use std::ops::Range;
 use std::path::Path;
 
-/// A change of a file that no sync covers.
+/// An unsynced change of a file: a write or a change of its length.
 #[derive(Clone, Debug)]
 pub struct PendingWrite<'a> {
-    /// The file.
+    /// Path of the changed file.
     pub path: &'a Path,
-    /// Where it was written; the new length for a change of the length.
+    /// Offset of the first written byte; for a change of the length, the new length of the file.
     pub offset: u64,
-    /// How many bytes were written; zero for a change of the length.
+    /// Number of written bytes; zero for a change of the length.
     pub length: usize,
 }
 
-/// What a loss of power leaves of a write.
+/// Part of an unsynced change that survives a loss of power.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// All of it.
+    /// The whole change survives.
     Complete,
-    /// Nothing.
+    /// Nothing survives.
     Lost,
-    /// These ranges of its bytes.
+    /// These ranges of the written bytes survive, counted from the first. A change of the length is lost.
     Torn(Vec<Range<usize>>),
 }
 
 impl WriteOutcome {
-    /// Only this range of the bytes is left.
+    /// Creates the outcome of a write of which only one range of bytes survives.
     pub fn torn(range: Range<usize>) -> Self {
         Self::Torn(std::iter::once(range).collect())
     }
 }
 
-/// Decides what a loss of power leaves of unsynced writes and names.
+/// Decides which unsynced changes and new files survive a loss of power.
 pub trait WriteFaultModel {
-    /// What is left of a write. Called for the writes to one file in their order.
+    /// Decides how much of a change survives. Called for the changes of a file from the oldest to the newest.
     fn write_outcome(&mut self, write: &PendingWrite<'_>) -> WriteOutcome;
-    /// Whether the name of a new file survives.
+    /// Decides whether a new file survives whose name is not durable yet.
     fn keeps_name(&mut self, path: &Path) -> bool;
 }
 
-/// Loses everything that was not synced.
+/// Model in which no unsynced change and no unsynced name survives.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoseEverything;
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Loses nothing.
+/// Model in which all unsynced changes and names survive.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeepEverything;
 
@@ -68,18 +68,19 @@
     }
 }
 
-/// Draws the outcome for each write and name.
+/// Model that draws the outcome of each change and name at random.
 #[derive(Clone, Debug)]
 pub struct RandomWriteFaults {
     random: fastrand::Rng,
 }
 
 impl RandomWriteFaults {
-    /// The same seed gives the same outcomes.
+    /// Creates a model whose outcomes are determined by `seed`.
     pub fn new(seed: u64) -> Self {
         Self { random: fastrand::Rng::with_seed(seed) }
     }
 
+    /// Draws a torn outcome: a prefix survives, a range in the middle, or all but a range in the middle.
     fn tear(&mut self, length: usize) -> WriteOutcome {
         let mut bounds = [self.random.usize(..=length), self.random.usize(..=length)];
         bounds.sort_unstable();
