--- a/crates/rpc/tests/golden.rs
+++ b/crates/rpc/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden files: the encoding of messages, and calls as they travel over HTTP.
 //!
-//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that processes of two versions
-//! could not talk to each other.
+//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that processes of two
+//! versions could not talk to each other.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -27,6 +27,7 @@
     assert_eq!(text, golden, "{}", path.display());
 }
 
+/// Formats bytes as hexadecimal digits, 32 bytes per line.
 fn to_hex(bytes: &[u8]) -> String {
     let mut text = String::new();
     for line in bytes.chunks(32) {
@@ -41,9 +42,9 @@
 /// A message with a field of each kind that the messages of the system have.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Message {
-    truth: bool,
-    small: u8,
-    middle: u32,
+    boolean: bool,
+    byte: u8,
+    medium: u32,
     large: u64,
     negative: i64,
     fraction: f64,
@@ -67,9 +68,9 @@
 
 fn message() -> Message {
     Message {
-        truth: true,
-        small: 200,
-        middle: 70_000,
+        boolean: true,
+        byte: 200,
+        medium: 70_000,
         large: u64::MAX,
         negative: -300,
         fraction: 0.75,
@@ -86,12 +87,13 @@
 }
 
 #[test]
-fn given_a_message_when_encoded_then_its_bytes_are_golden() {
+fn given_a_message_when_encoded_then_its_bytes_match_the_golden_file() {
     let bytes = rpc::encode(&message());
     check_golden("message.hex", &to_hex(&bytes));
     assert_eq!(rpc::decode(&bytes), Ok(message()));
 }
 
+/// Starts a peer that doubles numbers at `/double` and returns its address.
 async fn start_peer() -> String {
     let double = |number: u64| async move { number.checked_mul(2) };
     let routes = Route::new().at("/double", poem::post(rpc::handler(double)));
@@ -112,6 +114,7 @@
     format!("{}\n{}", lines.collect::<String>(), to_hex(&bytes[end..]))
 }
 
+/// Sends a request over a new connection and returns all bytes of the response.
 async fn exchange(address: &str, method: &str, path: &str, body: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     let length = body.len();
@@ -120,19 +123,19 @@
     );
     stream.write_all(&[head.as_bytes(), body].concat()).await.expect("the request is sent");
     let mut response = Vec::new();
-    stream.read_to_end(&mut response).await.expect("the response comes back");
+    stream.read_to_end(&mut response).await.expect("the response can be read");
     response
 }
 
 #[parameterized(
     reply = { "response-reply.txt", "POST", "/double", rpc::encode(&21_u64) },
-    not_carried_out = { "response-not-carried-out.txt", "POST", "/double", rpc::encode(&u64::MAX) },
+    not_executed = { "response-not-carried-out.txt", "POST", "/double", rpc::encode(&u64::MAX) },
     malformed = { "response-malformed.txt", "POST", "/double", rpc::encode(&"no number") },
     unknown_path = { "response-unknown-path.txt", "POST", "/none", rpc::encode(&21_u64) },
     other_method = { "response-other-method.txt", "GET", "/double", Vec::new() },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_call_when_answered_then_the_response_is_golden(
+async fn given_a_call_when_answered_then_the_response_matches_the_golden_file(
     name: &str,
     method: &str,
     path: &str,
@@ -152,7 +155,7 @@
         head_end.is_some_and(|end| request.len() >= end + 4 + body_bytes)
     };
     while !is_complete(&request) {
-        stream.read_buf(&mut request).await.expect("the request comes");
+        stream.read_buf(&mut request).await.expect("the request can be read");
     }
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", reply.len());
     stream.write_all(&[head.as_bytes(), &reply].concat()).await.expect("the reply is sent");
@@ -160,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn given_a_call_when_sent_then_the_request_is_golden() {
+async fn given_a_call_when_sent_then_the_request_matches_the_golden_file() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let body_bytes = rpc::encode(&message()).len();
--- a/crates/storage/tests/full_disk.rs
+++ b/crates/storage/tests/full_disk.rs
@@ -8,7 +8,7 @@
 use yare::parameterized;
 
 #[test]
-fn given_no_space_for_the_first_file_when_opened_then_it_fails_and_works_later() {
+fn given_no_space_for_the_first_file_when_opened_then_it_fails_until_space_is_freed() {
     let disk = SimulatedDisk::new(21);
     disk.set_capacity(Some(0));
     assert_eq!(try_open(disk.file_system()).map(|_| ()), Err(StorageError::NoSpace));
@@ -36,7 +36,9 @@
     killed = { false },
     power_lost = { true },
 )]
-fn given_a_disk_that_fills_up_when_space_returns_then_nothing_is_lost(loses_power: bool) {
+fn given_a_full_disk_when_space_is_freed_then_appends_succeed_and_no_durable_record_is_lost(
+    loses_power: bool,
+) {
     let disk = SimulatedDisk::new(22);
     let (mut ring, _, _) = open(&disk);
     // One page is taken by the first file; the second file does not fit.
@@ -47,7 +49,7 @@
         assert_eq!(append(&mut ring, &[99; 5]), Err(StorageError::NoSpace));
     }
     disk.set_capacity(None);
-    append(&mut ring, b"after").expect("there is space again");
+    append(&mut ring, b"after").expect("the append succeeds");
     if loses_power {
         disk.lose_power(&mut LoseEverything);
     } else {
@@ -59,7 +61,7 @@
 }
 
 #[test]
-fn given_no_space_when_a_smaller_record_follows_then_it_is_not_put_behind_a_begun_segment() {
+fn given_a_failed_start_of_a_segment_when_appending_then_the_previous_segment_is_not_extended() {
     let disk = SimulatedDisk::new(23);
     let (mut ring, _, _) = open(&disk);
     append_filled(&mut ring, 1, 250);
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn given_a_batch_that_meets_a_full_disk_when_appended_then_what_was_written_is_acknowledged() {
+fn given_too_little_space_for_a_batch_when_appended_then_exactly_the_written_records_are_acknowledged() {
     let disk = SimulatedDisk::new(24);
     let (mut ring, _, _) = open(&disk);
     disk.set_capacity(Some(4096));
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden files: the bytes of a small ring that wrapped around, and what a start reads from them.
 //!
-//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that a ring could not be read by
-//! another version. The forms of single headers are checked in `golden/format.rs`.
+//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that a ring could not be
+//! read by another version. The forms of single headers are checked in `golden/format.rs`.
 
 mod common;
 #[path = "golden/check.rs"]
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn given_a_ring_that_wrapped_around_when_written_then_its_files_are_golden() {
+fn given_a_ring_that_wrapped_around_when_written_then_its_files_match_the_golden_files() {
     let disk = SimulatedDisk::new(51);
     write_ring(&disk);
     for slot in 0..OPTIONS.segments {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn given_golden_files_of_a_ring_when_opened_then_its_records_are_found_and_appends_go_on() {
+fn given_golden_files_of_a_ring_when_opened_then_its_records_are_recovered_and_appends_succeed() {
     let disk = SimulatedDisk::new(52);
     for slot in 0..OPTIONS.segments {
         write_segment(&disk, slot, &from_hex(&read_golden(&golden_name(slot))));
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn given_appends_when_awaited_then_they_are_durable() {
+fn given_appends_when_completed_then_the_records_are_durable() {
     let disk = SimulatedDisk::new(31);
     let journal = open(&disk, OPTIONS);
     let positions: Vec<_> = runtime().block_on(async {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn given_a_stalled_disk_when_records_queue_then_nothing_blocks_and_they_share_a_sync() {
+fn given_a_stalled_disk_when_records_are_appended_then_callers_do_not_block_and_records_share_syncs() {
     let disk = SimulatedDisk::new(32);
     let journal = open(&disk, RingOptions { segment_bytes: 1 << 16, segments: 2 });
     let before = disk.counters();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn given_a_dropped_future_when_another_append_completes_then_both_records_are_there() {
+fn given_a_dropped_append_future_when_a_later_append_completes_then_both_records_are_durable() {
     let disk = SimulatedDisk::new(33);
     let journal = open(&disk, OPTIONS);
     drop(journal.append(b"one".to_vec()));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn given_a_killed_process_when_it_appends_then_it_fails() {
+fn given_a_killed_process_when_it_appends_then_the_append_fails() {
     let disk = SimulatedDisk::new(34);
     let journal = open(&disk, OPTIONS);
     disk.kill();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn given_releases_when_records_go_on_then_the_ring_never_fills() {
+fn given_released_records_when_appending_many_laps_then_the_ring_never_fills() {
     let disk = SimulatedDisk::new(35);
     let journal = open(&disk, OPTIONS);
     runtime().block_on(async {
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn given_the_file_system_of_the_machine_when_opened_again_then_the_records_are_there() {
+fn given_the_native_file_system_when_reopened_then_the_records_are_found() {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("journal").join("nested");
     let _ = std::fs::remove_dir_all(&directory);
     let (journal, first) = Journal::open(&directory, OPTIONS).expect("it opens");
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -24,12 +24,12 @@
 
 /// The half of a torn write that is on the disk.
 #[derive(Clone, Copy)]
-enum WrittenHalf {
+enum SurvivingPart {
     Before,
     After,
 }
 
-impl WrittenHalf {
+impl SurvivingPart {
     fn range(self, split: usize, length: usize) -> Range<usize> {
         match self {
             Self::Before => 0..split,
@@ -52,34 +52,34 @@
 }
 
 #[parameterized(
-    record_head = { 50, WrittenHalf::Before },
-    record_tail = { 50, WrittenHalf::After },
-    segment_header_head = { 380, WrittenHalf::Before },
-    segment_header_tail = { 380, WrittenHalf::After },
+    start_of_record = { 50, SurvivingPart::Before },
+    end_of_record = { 50, SurvivingPart::After },
+    start_of_segment_header = { 380, SurvivingPart::Before },
+    end_of_segment_header = { 380, SurvivingPart::After },
 )]
-fn given_a_torn_write_when_power_is_lost_then_only_complete_records_are_found(
+fn given_a_torn_write_when_recovered_then_only_complete_records_are_found(
     filled: usize,
-    half: WrittenHalf,
+    part: SurvivingPart,
 ) {
     let record: Vec<u8> = (1..=90).collect();
     let (disk, length) = disk_with_unsynced(&record, filled);
     assert!(length > 0);
     for split in 0..=length {
         let copy = disk.duplicate();
-        copy.lose_power(&mut KeepRange(half.range(split, length)));
+        copy.lose_power(&mut KeepRange(part.range(split, length)));
         let (mut ring, mut records, _) = open(&copy);
         let acknowledged: Vec<_> = records.drain(..2).map(|(_, record)| record).collect();
         assert_eq!(acknowledged, [vec![1; filled], vec![2; 10]], "split {split}");
         let torn: Vec<_> = records.into_iter().map(|(_, record)| record).collect();
         assert!(torn.is_empty() || torn == std::slice::from_ref(&record), "split {split}");
-        append(&mut ring, b"next").expect("appends go on");
+        append(&mut ring, b"next").expect("the append succeeds");
         copy.kill();
         assert_eq!(contents(&copy).last(), Some(&b"next".to_vec()), "split {split}");
     }
 }
 
 #[test]
-fn given_a_failed_batch_when_its_place_is_used_again_then_its_rest_does_not_come_back() {
+fn given_a_failed_batch_when_partly_overwritten_then_its_remaining_records_do_not_reappear() {
     let disk = SimulatedDisk::new(12);
     let (mut ring, _, _) = open(&disk);
     disk.fail_syncs(1);
@@ -91,12 +91,13 @@
 }
 
 #[test]
-fn given_a_dropped_write_before_a_kept_one_when_records_go_on_then_the_kept_one_stays_dropped() {
+fn given_a_lost_record_before_a_surviving_one_when_appending_then_the_surviving_one_does_not_reappear() {
     let disk = SimulatedDisk::new(13);
     let (mut ring, _, _) = open(&disk);
     append(&mut ring, b"first").expect("durable");
     disk.fail_syncs(1);
     ring.append(&[b"lost", b"kept"]);
+    // 32 bytes is the length of a record header.
     let lost_bytes = 32 + b"lost".len();
     disk.lose_power(&mut KeepRange(lost_bytes..usize::MAX));
     let (mut ring, records, _) = open(&disk);
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn given_a_killed_process_when_its_records_are_found_then_they_survive_a_loss_of_power() {
+fn given_recovered_unsynced_records_when_power_is_lost_then_they_survive() {
     let disk = SimulatedDisk::new(14);
     let (mut ring, _, _) = open(&disk);
     disk.fail_syncs(1);
--- a/crates/storage/tests/random_history.rs
+++ b/crates/storage/tests/random_history.rs
@@ -1,7 +1,7 @@
 //! Random histories of appends, releases, kills, losses of power, full disks and failing syncs.
 //!
-//! Each record holds the number of its append. After each start, everything that was durable and not released is
-//! there, in the order of the appends, and nothing that an earlier start did not return reappears.
+//! Each record holds the number of its append. After each start, everything that was durable and not released
+//! is there, in the order of the appends, and nothing that an earlier start did not return reappears.
 
 mod common;
 
@@ -16,6 +16,7 @@
 use storage::{File, FileSystem, Position, Ring};
 use yare::parameterized;
 
+/// Number of steps of a history: operations, faults and attempts to open the ring.
 const STEPS: usize = 150;
 
 /// A broken guarantee.
@@ -36,11 +37,15 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TornRecord => f.write_str("a record is not complete"),
-            Self::OutOfOrder { append, newest } => write!(f, "append {append} was returned after {newest:?}"),
-            Self::Reappeared { append } => write!(f, "append {append} reappeared"),
-            Self::Lost { append, position } => write!(f, "append {append} at {position:?} is lost"),
-            Self::Corrupt { segment } => write!(f, "segment {segment} is corrupt"),
+            Self::TornRecord => f.write_str("a returned record has another content than any append"),
+            Self::OutOfOrder { append, newest } => {
+                write!(f, "the record of append {append} was returned after that of append {newest:?}")
+            }
+            Self::Reappeared { append } => write!(f, "the record of append {append} reappeared"),
+            Self::Lost { append, position } => {
+                write!(f, "the durable record of append {append} at {position:?} is lost")
+            }
+            Self::Corrupt { segment } => write!(f, "segment {segment} was reported as corrupt"),
         }
     }
 }
@@ -48,6 +53,7 @@
 /// What the ring must keep.
 #[derive(Default)]
 struct Model {
+    /// Number of appends so far.
     appends: u32,
     /// Durable records by position.
     durable: BTreeMap<Position, u32>,
@@ -86,12 +92,14 @@
     }
 }
 
+/// Builds the record of an append: its number, followed by `length` bytes derived from it.
 fn record_of(append: u32, length: usize) -> Vec<u8> {
     let mut record = append.to_le_bytes().to_vec();
     record.resize(4 + length, append as u8);
     record
 }
 
+/// Returns the number of the append that wrote a record; `None` if the record is not complete.
 fn number_of(record: &[u8]) -> Option<u32> {
     let append = u32::from_le_bytes(*record.first_chunk::<4>()?);
     (record == record_of(append, record.len() - 4)).then_some(append)
@@ -105,7 +113,7 @@
     let mut ring = None;
     for _ in 0..STEPS {
         let Some(open_ring) = ring.as_mut() else {
-            ring = start(&wrap(disk.file_system()), &mut model)?;
+            ring = open_and_check(&wrap(disk.file_system()), &mut model)?;
             if ring.is_none() {
                 disk.set_capacity(None);
                 disk.fail_syncs(0);
@@ -132,7 +140,7 @@
 }
 
 /// Starts the ring, if the disk lets it.
-fn start(file_system: &Arc<dyn FileSystem>, model: &mut Model) -> Result<Option<Ring>, Violation> {
+fn open_and_check(file_system: &Arc<dyn FileSystem>, model: &mut Model) -> Result<Option<Ring>, Violation> {
     match try_open(Arc::clone(file_system)) {
         Ok((ring, records, _)) => model.check(&records).map(|()| Some(ring)),
         Err(storage::StorageError::Corrupt { segment }) => Err(Violation::Corrupt { segment }),
@@ -166,12 +174,12 @@
 }
 
 #[parameterized(
-    first = { 0..1000 },
-    second = { 1000..2000 },
-    third = { 2000..3000 },
-    fourth = { 3000..4000 },
+    seeds_from_0 = { 0..1000 },
+    seeds_from_1000 = { 1000..2000 },
+    seeds_from_2000 = { 2000..3000 },
+    seeds_from_3000 = { 3000..4000 },
 )]
-fn given_random_faults_when_started_again_then_what_was_durable_is_there(seeds: std::ops::Range<u64>) {
+fn given_random_faults_when_reopened_then_all_durable_records_are_found(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         if let Err(violation) = run(seed, |file_system| file_system) {
             panic!("seed {seed}: {violation}");
@@ -180,21 +188,21 @@
 }
 
 /// A file system that makes some mistake.
-struct Faulty {
+struct DefectiveFileSystem {
     inner: Arc<dyn FileSystem>,
-    fault: Fault,
+    defect: Defect,
 }
 
 /// A mistake that the check must detect.
 #[derive(Clone, Copy, PartialEq)]
-enum Fault {
+enum Defect {
     /// Syncs of files do nothing.
-    NoSync,
+    IneffectiveSyncs,
     /// All random numbers are equal, so that generations are.
-    NoGenerations,
+    EqualRandomNumbers,
 }
 
-impl FileSystem for Faulty {
+impl FileSystem for DefectiveFileSystem {
     fn create_directory(&self, directory: &Path) -> io::Result<()> {
         self.inner.create_directory(directory)
     }
@@ -205,7 +213,7 @@
 
     fn open(&self, path: &Path) -> io::Result<Box<dyn File>> {
         let inner = self.inner.open(path)?;
-        Ok(Box::new(FaultyFile { inner, fault: self.fault }))
+        Ok(Box::new(DefectiveFile { inner, defect: self.defect }))
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
@@ -217,19 +225,19 @@
     }
 
     fn random(&self) -> u64 {
-        match self.fault {
-            Fault::NoSync => self.inner.random(),
-            Fault::NoGenerations => 1,
+        match self.defect {
+            Defect::IneffectiveSyncs => self.inner.random(),
+            Defect::EqualRandomNumbers => 1,
         }
     }
 }
 
-struct FaultyFile {
+struct DefectiveFile {
     inner: Box<dyn File>,
-    fault: Fault,
+    defect: Defect,
 }
 
-impl File for FaultyFile {
+impl File for DefectiveFile {
     fn length(&mut self) -> io::Result<u64> {
         self.inner.length()
     }
@@ -247,7 +255,7 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        if self.fault == Fault::NoSync {
+        if self.defect == Defect::IneffectiveSyncs {
             return Ok(());
         }
         self.inner.sync()
@@ -255,10 +263,11 @@
 }
 
 #[parameterized(
-    syncs_that_do_nothing = { Fault::NoSync },
-    equal_generations = { Fault::NoGenerations },
+    ineffective_syncs = { Defect::IneffectiveSyncs },
+    equal_generations = { Defect::EqualRandomNumbers },
 )]
-fn given_a_seeded_fault_when_checked_then_it_is_detected(fault: Fault) {
-    let detected = (0..3000).any(|seed| run(seed, |inner| Arc::new(Faulty { inner, fault })).is_err());
+fn given_a_defective_file_system_when_histories_are_checked_then_a_violation_is_detected(defect: Defect) {
+    let detected =
+        (0..3000).any(|seed| run(seed, |inner| Arc::new(DefectiveFileSystem { inner, defect })).is_err());
     assert!(detected);
 }
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn given_a_lost_disk_when_opened_then_the_incarnation_is_another() {
+fn given_a_wiped_disk_when_opened_then_the_incarnation_changes() {
     let disk = SimulatedDisk::new(1);
     let (_, _, first) = open(&disk);
     disk.wipe();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn given_records_when_power_is_lost_then_all_acknowledged_ones_are_found_in_order() {
+fn given_acknowledged_records_when_power_is_lost_then_all_are_recovered_in_order() {
     let disk = SimulatedDisk::new(2);
     let (mut ring, _, _) = open(&disk);
     let outcomes = ring.append(&[b"one".as_slice(), b"", b"three"]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn given_many_laps_when_opened_then_stale_segments_are_not_read_as_records() {
+fn given_a_ring_that_wrapped_around_often_when_opened_then_overwritten_records_are_not_recovered() {
     let disk = SimulatedDisk::new(3);
     let (mut ring, _, _) = open(&disk);
     for number in 0..200_u8 {
@@ -57,11 +57,11 @@
     let first = 200 - found.len();
     let expected: Vec<_> = (first..200).map(|number| vec![number as u8; 100]).collect();
     assert_eq!(found, expected);
-    assert!(found.len() <= 8, "released segments are not read again: {}", found.len());
+    assert!(found.len() <= 8, "released segments were read: {} records found", found.len());
 }
 
 #[test]
-fn given_a_full_ring_when_released_then_appends_go_on() {
+fn given_a_full_ring_when_records_are_released_then_appends_succeed_again() {
     let disk = SimulatedDisk::new(4);
     let (mut ring, _, _) = open(&disk);
     let mut last = Position(0);
@@ -76,14 +76,14 @@
     let full = ring.usage();
     ring.release(last);
     assert!(ring.usage().used_bytes < full.used_bytes / 2);
-    let next = append(&mut ring, &[8; 200]).expect("there is room again");
+    let next = append(&mut ring, &[8; 200]).expect("the append succeeds");
     assert_eq!(next, Position(last.0 + 1));
     disk.lose_power(&mut LoseEverything);
     assert_eq!(contents(&disk).last(), Some(&vec![8; 200]));
 }
 
 #[test]
-fn given_a_new_ring_when_asked_then_its_usage_is_small() {
+fn given_a_new_ring_when_opened_then_its_usage_is_small() {
     let (ring, _, _) = open(&SimulatedDisk::new(5));
     let RingUsage { used_bytes, capacity_bytes } = ring.usage();
     assert_eq!(capacity_bytes, 2048);
@@ -91,10 +91,13 @@
 }
 
 #[parameterized(
-    longest = { 0, true },
-    longer = { 1, false },
+    at_the_limit = { 0, true },
+    above_the_limit = { 1, false },
 )]
-fn given_a_record_near_the_limit_when_appended_then_only_what_fits_is_taken(excess: usize, fits: bool) {
+fn given_a_record_near_the_limit_when_appended_then_it_is_accepted_only_if_it_fits(
+    excess: usize,
+    fits: bool,
+) {
     let disk = SimulatedDisk::new(6);
     let (mut ring, _, _) = open(&disk);
     let limit = OPTIONS.max_record_bytes();
@@ -111,7 +114,7 @@
     in_a_record_header = { 64 + 9 },
     in_the_segment_header = { 20 },
 )]
-fn given_damage_to_an_older_segment_when_opened_then_it_is_reported(offset: u64) {
+fn given_a_corrupt_older_segment_when_opened_then_the_segment_is_reported(offset: u64) {
     let disk = SimulatedDisk::new(7);
     let (mut ring, _, _) = open(&disk);
     for number in 0..8 {
@@ -125,16 +128,16 @@
 
 #[parameterized(
     one_segment = { RingOptions { segment_bytes: 512, segments: 1 } },
-    no_room = { RingOptions { segment_bytes: 96, segments: 4 } },
+    no_space_for_a_record = { RingOptions { segment_bytes: 96, segments: 4 } },
 )]
-fn given_useless_options_when_opened_then_they_are_rejected(options: RingOptions) {
+fn given_invalid_options_when_opened_then_they_are_rejected(options: RingOptions) {
     let disk = SimulatedDisk::new(8);
     let outcome = Ring::open(disk.file_system(), Path::new(DIRECTORY), options, &mut |_, _| {});
     assert_eq!(outcome.map(|_| ()), Err(StorageError::InvalidOptions));
 }
 
 #[test]
-fn given_other_options_when_opened_then_nothing_is_touched() {
+fn given_changed_options_when_opened_then_it_fails_and_the_records_are_kept() {
     let disk = SimulatedDisk::new(9);
     let (mut ring, _, _) = open(&disk);
     append_filled(&mut ring, 1, 10);
@@ -147,14 +150,14 @@
 }
 
 #[test]
-fn given_a_large_ring_with_few_records_when_opened_then_little_is_read() {
+fn given_a_large_ring_with_few_records_when_reopened_then_few_bytes_are_read() {
     let disk = SimulatedDisk::new(10);
     let options = RingOptions { segment_bytes: 1 << 20, segments: 16 };
-    let start = || Ring::open(disk.file_system(), Path::new(DIRECTORY), options, &mut |_, _| {});
-    let (mut ring, _) = start().expect("the ring opens");
+    let open_large = || Ring::open(disk.file_system(), Path::new(DIRECTORY), options, &mut |_, _| {});
+    let (mut ring, _) = open_large().expect("the ring opens");
     append_filled(&mut ring, 1, 1000);
     let before = disk.counters();
-    start().expect("the ring opens");
+    open_large().expect("the ring opens");
     let after = disk.counters();
     assert!(after.read_bytes - before.read_bytes < 80_000, "{after:?}");
     assert!(after.syncs - before.syncs <= 2, "{after:?}");
--- a/crates/storage/tests/set_aside.rs
+++ b/crates/storage/tests/set_aside.rs
@@ -8,26 +8,27 @@
 use storage::simulated::{LoseEverything, SimulatedDisk};
 use storage::{is_set_aside_interrupted, set_aside};
 
-fn names(disk: &SimulatedDisk) -> Vec<String> {
+/// Returns the names of all files in the folder of the ring.
+fn file_names(disk: &SimulatedDisk) -> Vec<String> {
     disk.file_system().list(Path::new(DIRECTORY)).expect("it can be listed")
 }
 
 #[test]
-fn given_a_ring_when_it_is_set_aside_then_its_files_stay_and_the_next_ring_is_another() {
+fn given_a_ring_when_set_aside_then_its_files_are_kept_and_the_next_open_creates_a_new_ring() {
     let disk = SimulatedDisk::new(1);
     let (mut ring, _, first) = open(&disk);
     assert!(ring.append(&[b"one"]).iter().all(Result::is_ok));
     drop(ring);
     set_aside(&*disk.file_system(), Path::new(DIRECTORY)).expect("it is set aside");
     disk.lose_power(&mut LoseEverything);
-    assert!(names(&disk).iter().any(|name| name == "unreadable-ring-000"), "{:?}", names(&disk));
+    assert!(file_names(&disk).iter().any(|name| name == "unreadable-ring-000"), "{:?}", file_names(&disk));
     let (_, records, second) = open(&disk);
     assert!(second.is_new && second.incarnation != first.incarnation);
     assert!(records.is_empty(), "{records:?}");
 }
 
 #[test]
-fn given_a_set_aside_that_was_interrupted_when_checked_then_it_is_known_until_it_is_repeated() {
+fn given_an_interrupted_set_aside_when_checked_then_it_is_reported_until_repeated() {
     let disk = SimulatedDisk::new(2);
     drop(open(&disk));
     let (file_system, directory) = (disk.file_system(), Path::new(DIRECTORY));
