--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over the loopback address.
+//! Typed calls between a client and a server over the loopback address.
 
 use std::time::Duration;
 
--- a/crates/rpc/tests/golden.rs
+++ b/crates/rpc/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Golden files: the encoding of messages, and calls as they travel over HTTP.
+//! Golden files: the encoding of messages, and the bytes of HTTP requests and responses of calls.
 //!
-//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that processes of two
-//! versions could not talk to each other.
+//! A run with `GOLDEN_WRITE=1` creates missing files. A difference means that processes of this version and
+//! of earlier ones cannot call each other.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -17,7 +17,8 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Compares `text` with a golden file byte for byte.
+/// Asserts that `text` equals a golden file byte for byte. With `GOLDEN_WRITE` set, creates the file if it is
+/// missing.
 fn check_golden(name: &str, text: &str) {
     let path: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
@@ -39,7 +40,8 @@
     text
 }
 
-/// A message with a field of each kind that the messages of the system have.
+/// Message with a field of each type that occurs in the messages of the system. The order of the fields is
+/// golden.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Message {
     boolean: bool,
@@ -103,7 +105,8 @@
     address
 }
 
-/// The head as text, except for the value of the `date` header and the port; the body in hexadecimal digits.
+/// Formats an HTTP message: the head as text, with placeholders for the date and the address, which vary
+/// between runs, and the body as hexadecimal digits.
 fn describe(bytes: &[u8], address: &str) -> String {
     let end = bytes.windows(4).position(|window| window == b"\r\n\r\n").expect("the head ends") + 4;
     let head = String::from_utf8(bytes[..end].to_vec()).expect("the head is text");
@@ -146,7 +149,8 @@
     check_golden(name, &describe(&response, &address));
 }
 
-/// Reads a request up to the end of its body, and answers it with `reply`.
+/// Accepts one connection, reads a request with a body of `body_bytes`, responds with `reply` and returns the
+/// request.
 async fn answer_once(listener: TcpListener, body_bytes: usize, reply: Vec<u8>) -> Vec<u8> {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut request = Vec::new();
--- a/crates/storage/tests/full_disk.rs
+++ b/crates/storage/tests/full_disk.rs
@@ -1,4 +1,4 @@
-//! Disks without space.
+//! Rings on disks that run out of space.
 
 mod common;
 
@@ -18,7 +18,7 @@
     append_filled(&mut ring, 1, 10);
 }
 
-/// Appends until there is no space; returns how many records are durable.
+/// Appends records until there is no space; returns the number of durable records.
 fn fill(ring: &mut Ring) -> u8 {
     let mut count = 0;
     loop {
@@ -41,7 +41,7 @@
 ) {
     let disk = SimulatedDisk::new(22);
     let (mut ring, _, _) = open(&disk);
-    // One page is taken by the first file; the second file does not fit.
+    // One page of 4096 bytes is allocated for the first file; the second file does not fit.
     disk.set_capacity(Some(4096));
     let durable = fill(&mut ring);
     assert!(durable > 0);
@@ -65,7 +65,8 @@
     let disk = SimulatedDisk::new(23);
     let (mut ring, _, _) = open(&disk);
     append_filled(&mut ring, 1, 250);
-    // The header of the next segment reaches its file, but is not synced.
+    // The record does not fit into the first segment. The header of the next segment is written, but not
+    // synced.
     disk.fail_syncs(1);
     append(&mut ring, &[2; 250]).expect_err("the sync fails");
     append_filled(&mut ring, 3, 10);
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,7 +1,8 @@
-//! Golden files: the bytes of a small ring that wrapped around, and what a start reads from them.
+//! Golden files: the bytes of a small ring that wrapped around, and the records that an open recovers from
+//! them.
 //!
-//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that a ring could not be
-//! read by another version. The forms of single headers are checked in `golden/format.rs`.
+//! A run with `GOLDEN_WRITE=1` creates missing files. A difference means that this version and earlier ones
+//! cannot read each other's rings. `golden/format.rs` checks the encoding of single headers and records.
 
 mod common;
 #[path = "golden/check.rs"]
@@ -36,7 +37,7 @@
     file.sync().expect("it can be synced");
 }
 
-/// A ring that wrapped around, was released in part, was opened twice and met a failed sync.
+/// Writes a ring that wrapped around, was partly released, was opened twice and had a failed sync.
 fn write_ring(disk: &SimulatedDisk) {
     let (mut ring, _, _) = open(disk);
     for number in 1..=12 {
@@ -61,7 +62,8 @@
     }
 }
 
-/// What a start found, a record a line, without the names of the code.
+/// Describes the result of an open. The text contains no Rust names, so that renames do not change the golden
+/// file.
 fn describe(ring: &Ring, records: &Records, identity: RingIdentity) -> String {
     let RingIdentity { incarnation, is_new } = identity;
     let RingUsage { used_bytes, capacity_bytes } = ring.usage();
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal and its thread.
+//! [`Journal`] with its writer thread and inline.
 
 mod common;
 
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! Losses of power in the middle of a write.
+//! Recovery after losses of power that tear or drop unsynced writes.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use storage::simulated::{PendingWrite, SimulatedDisk, WriteFaultModel, WriteOutcome};
 use yare::parameterized;
 
-/// Keeps the same range of each write, and each name.
+/// Fault model in which the same range of each write and all names survive.
 struct KeepRange(Range<usize>);
 
 impl WriteFaultModel for KeepRange {
@@ -22,7 +22,7 @@
     }
 }
 
-/// The half of a torn write that is on the disk.
+/// Part of a torn write that survives: the bytes before or after the split.
 #[derive(Clone, Copy)]
 enum SurvivingPart {
     Before,
@@ -38,7 +38,9 @@
     }
 }
 
-/// A disk with acknowledged records, and a write of `length` bytes that no sync covers.
+/// Creates a disk with two acknowledged records and the unsynced writes of a failed append of `record`;
+/// returns it with the length of the longest unsynced write. The first acknowledged record has `filled`
+/// bytes, which decides whether `record` fits into the same segment.
 fn disk_with_unsynced(record: &[u8], filled: usize) -> (SimulatedDisk, usize) {
     let disk = SimulatedDisk::new(11);
     let (mut ring, _, _) = open(&disk);
--- a/crates/storage/tests/random_history.rs
+++ b/crates/storage/tests/random_history.rs
@@ -1,7 +1,7 @@
 //! Random histories of appends, releases, kills, losses of power, full disks and failing syncs.
 //!
-//! Each record holds the number of its append. After each start, everything that was durable and not released
-//! is there, in the order of the appends, and nothing that an earlier start did not return reappears.
+//! Each record contains the number of its append. After each open, all durable records that were not released
+//! must be found in the order of the appends, and no record may reappear that an earlier open did not return.
 
 mod common;
 
@@ -19,18 +19,18 @@
 /// Number of steps of a history: operations, faults and attempts to open the ring.
 const STEPS: usize = 150;
 
-/// A broken guarantee.
+/// Violation of a guarantee of the ring.
 #[derive(Debug)]
 enum Violation {
-    /// A record was returned that was never appended in this form.
+    /// The content of a returned record is not that of any append.
     TornRecord,
-    /// A record was returned after one that was appended later.
+    /// A record was returned after `newest`, which was appended later or is the same record.
     OutOfOrder { append: u32, newest: Option<u32> },
-    /// A record was returned that an earlier start did not return.
+    /// A record was returned although it was missing after an earlier open.
     Reappeared { append: u32 },
-    /// A durable record that was not released is missing.
+    /// A durable record that was not released was not returned.
     Lost { append: u32, position: Position },
-    /// The start failed on a segment that it took for corrupt.
+    /// The open reported a corrupt segment, although no step of a history damages synced bytes.
     Corrupt { segment: u64 },
 }
 
@@ -50,21 +50,21 @@
     }
 }
 
-/// What the ring must keep.
+/// Expected state of the ring.
 #[derive(Default)]
 struct Model {
     /// Number of appends so far.
     appends: u32,
-    /// Durable records by position.
+    /// Numbers of the appends whose records are durable, by position.
     durable: BTreeMap<Position, u32>,
-    /// Appends since the last start that failed; they may be found by the next start.
+    /// Failed appends since the last open. The next open may return their records or not.
     uncertain: Vec<u32>,
     /// Records below this position are released.
     released: u64,
 }
 
 impl Model {
-    /// Checks what a start found, and takes it as durable.
+    /// Checks the records that an open returned. They are durable from then on.
     fn check(&mut self, records: &[(Position, Vec<u8>)]) -> Result<(), Violation> {
         let mut found = BTreeMap::new();
         let mut newest = None;
@@ -105,7 +105,7 @@
     (record == record_of(append, record.len() - 4)).then_some(append)
 }
 
-/// One random history on a disk, seen through a file system that `wrap` may make worse.
+/// Runs one random history. `wrap` may replace the file system of each process by a defective one.
 fn run(seed: u64, wrap: impl Fn(Arc<dyn FileSystem>) -> Arc<dyn FileSystem>) -> Result<(), Violation> {
     let mut random = fastrand::Rng::with_seed(seed);
     let disk = SimulatedDisk::new(seed);
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-/// Starts the ring, if the disk lets it.
+/// Opens the ring and checks its records; `None` if the disk is full or fails.
 fn open_and_check(file_system: &Arc<dyn FileSystem>, model: &mut Model) -> Result<Option<Ring>, Violation> {
     match try_open(Arc::clone(file_system)) {
         Ok((ring, records, _)) => model.check(&records).map(|()| Some(ring)),
@@ -187,18 +187,18 @@
     }
 }
 
-/// A file system that makes some mistake.
+/// File system with a defect, to show that [`Model::check`] detects violations.
 struct DefectiveFileSystem {
     inner: Arc<dyn FileSystem>,
     defect: Defect,
 }
 
-/// A mistake that the check must detect.
+/// Defect of a file system that makes the ring violate its guarantees.
 #[derive(Clone, Copy, PartialEq)]
 enum Defect {
-    /// Syncs of files do nothing.
+    /// Syncs of files succeed without any effect.
     IneffectiveSyncs,
-    /// All random numbers are equal, so that generations are.
+    /// All random numbers are equal, so all generations are equal too.
     EqualRandomNumbers,
 }
 
--- a/crates/storage/tests/set_aside.rs
+++ b/crates/storage/tests/set_aside.rs
@@ -1,4 +1,4 @@
-//! A ring whose records cannot be trusted is set aside, and another one is created in its place.
+//! [`set_aside`]: the files of a ring are renamed, and the next open creates a new ring.
 
 mod common;
 
