--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -12,8 +12,8 @@
 async fn start_peer() -> String {
     let double = |number: u64| async move { number.checked_mul(2) };
     let routes = Route::new().at("/double", poem::post(rpc::handler(double)));
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     tokio::spawn(rpc::serve(listener, routes));
     address
 }
@@ -38,8 +38,8 @@
 
 #[tokio::test]
 async fn given_a_port_without_a_listener_when_called_then_the_call_was_not_sent() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     drop(listener);
     let result: Result<u64, _> = Client::new().call(&address, "/double", &1_u64, TIMEOUT).await;
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
--- a/crates/rpc/tests/golden.rs
+++ b/crates/rpc/tests/golden.rs
@@ -40,8 +40,7 @@
     text
 }
 
-/// Message with a field of each type that occurs in the messages of the system. The order of the fields is
-/// golden.
+/// Message with a field of each type that occurs in the messages of the system. Fields are encoded in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Message {
     boolean: bool,
@@ -99,8 +98,8 @@
 async fn start_peer() -> String {
     let double = |number: u64| async move { number.checked_mul(2) };
     let routes = Route::new().at("/double", poem::post(rpc::handler(double)));
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     tokio::spawn(rpc::serve(listener, routes));
     address
 }
@@ -119,7 +118,7 @@
 
 /// Sends a request over a new connection and returns all bytes of the response.
 async fn exchange(address: &str, method: &str, path: &str, body: &[u8]) -> Vec<u8> {
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("the connection is established");
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: {address}\r\ncontent-length: {length}\r\nconnection: close\r\n\r\n"
@@ -149,10 +148,9 @@
     check_golden(name, &describe(&response, &address));
 }
 
-/// Accepts one connection, reads a request with a body of `body_bytes`, responds with `reply` and returns the
-/// request.
+/// Accepts one connection, reads a request with a body of `body_bytes`, replies and returns the request.
 async fn answer_once(listener: TcpListener, body_bytes: usize, reply: Vec<u8>) -> Vec<u8> {
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let (mut stream, _) = listener.accept().await.expect("the connection is established");
     let mut request = Vec::new();
     let is_complete = |request: &[u8]| {
         let head_end = request.windows(4).position(|window| window == b"\r\n\r\n");
@@ -168,8 +166,8 @@
 
 #[tokio::test]
 async fn given_a_call_when_sent_then_the_request_matches_the_golden_file() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     let body_bytes = rpc::encode(&message()).len();
     let peer = tokio::spawn(answer_once(listener, body_bytes, rpc::encode(&42_u64)));
     let reply: Result<u64, _> = Client::new().call(&address, "/double", &message(), TIMEOUT).await;
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -40,8 +40,7 @@
         /// Text of the I/O error, for logs.
         message: String,
     },
-    /// The writer of the journal ended before it reported the outcome of the append. The record may be
-    /// durable.
+    /// The writer of the journal ended without an outcome of the append. The record may be durable.
     Closed,
 }
 
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -140,8 +140,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the record is too long, the ring is full or the disk fails. If the ring is
-    /// full or the disk fails, the unwritten records of the same batch fail too; later appends try again.
+    /// Fails if the record is too long, the ring is full or the disk fails. In the last two cases, all
+    /// records of the batch that are not written yet fail too. Later appends try again.
     pub fn append(&self, record: Vec<u8>) -> impl Future<Output = Result<Position, StorageError>> + Send {
         let (sender, receiver) = oneshot::channel();
         match &self.backend {
--- a/crates/storage/src/native.rs
+++ b/crates/storage/src/native.rs
@@ -46,8 +46,7 @@
 /// An open file with its current cursor, so that sequential reads and writes need no seek.
 struct NativeFile {
     file: fs::File,
-    /// Offset of the operating system's cursor; `None` after a failed operation, as the offset is then
-    /// unknown.
+    /// Offset of the operating system's cursor; `None` after a failure, as it is then unknown.
     cursor: Option<u64>,
 }
 
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads the records of a ring when it is opened.
+//! Recovery: reads the records of a ring when it is opened and determines where appends continue.
 
 use crate::format::{ChainEnd, SegmentHeader, RECORD_HEADER_BYTES, SEGMENT_HEADER_BYTES};
 use crate::layout::{RingDirectory, RingOptions};
--- a/crates/storage/src/ring.rs
+++ b/crates/storage/src/ring.rs
@@ -21,8 +21,7 @@
 /// How full a ring is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RingUsage {
-    /// Size in bytes of the older segments that cannot be reused yet and of the written part of the newest
-    /// one.
+    /// Bytes of the older segments that cannot be reused yet and of the written part of the newest one.
     pub used_bytes: u64,
     /// Size of all segments together in bytes, including those not created yet.
     pub capacity_bytes: u64,
@@ -37,8 +36,7 @@
     pub is_new: bool,
 }
 
-/// An open ring of files. Its calls block on the disk; [`Journal`](crate::Journal) makes them on a separate
-/// thread.
+/// An open ring of files. Its calls block on the disk; [`Journal`](crate::Journal) moves them to a thread.
 pub struct Ring {
     directory: RingDirectory,
     incarnation: u64,
@@ -60,8 +58,7 @@
     file: Box<dyn File>,
     /// Offset of the next record in the file.
     offset: u64,
-    /// Whether the header of the next segment may already be on the disk. No record may then be added to this
-    /// segment.
+    /// Whether the header of the next segment may be on the disk. This segment must then not be extended.
     is_sealed: bool,
 }
 
@@ -167,8 +164,8 @@
         ring
     }
 
-    /// Appends records, makes them durable and returns one outcome per record, in the same order. After the
-    /// ring is full or the disk fails, the remaining records fail with the same error.
+    /// Appends records, makes them durable and returns one outcome per record, in the same order. A record
+    /// that is too long fails alone. If the ring is full or the disk fails, all records not yet written fail.
     pub fn append<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Vec<Result<Position, StorageError>> {
         let mut batch = AppendBatch::with_capacity(records.len());
         for record in records {
--- a/crates/storage/src/simulated/disk.rs
+++ b/crates/storage/src/simulated/disk.rs
@@ -46,8 +46,8 @@
         self.shared.lock().files.clear();
     }
 
-    /// Limits the space of the disk to `bytes`; `None` means unlimited. Writes to space that is already
-    /// allocated succeed in any case.
+    /// Limits the space of the disk to `bytes`; `None` means unlimited. Space that was allocated before stays
+    /// allocated, even if it exceeds the limit.
     pub fn set_capacity(&self, bytes: Option<u64>) {
         self.shared.lock().capacity = bytes;
     }
@@ -63,8 +63,7 @@
         self.shared.notify();
     }
 
-    /// Makes the next `count` syncs of files fail, which leaves the changes unsynced. Syncs of folders
-    /// succeed.
+    /// Makes the next `count` syncs of files fail and leave all changes unsynced. Syncs of folders succeed.
     pub fn fail_syncs(&self, count: usize) {
         self.shared.lock().failing_syncs = count;
     }
--- a/crates/storage/src/simulated/disk_state.rs
+++ b/crates/storage/src/simulated/disk_state.rs
@@ -31,8 +31,7 @@
     pub random: fastrand::Rng,
     /// Maximum allocated space in bytes; unlimited if `None`.
     pub capacity: Option<u64>,
-    /// Number of processes killed so far, which identifies the current one. Handles of earlier processes
-    /// fail.
+    /// Number of processes killed so far. It identifies the current process; handles of earlier ones fail.
     pub process: u64,
     /// Whether writes and syncs block.
     pub is_stalled: bool,
--- a/crates/storage/tests/full_disk.rs
+++ b/crates/storage/tests/full_disk.rs
@@ -65,8 +65,7 @@
     let disk = SimulatedDisk::new(23);
     let (mut ring, _, _) = open(&disk);
     append_filled(&mut ring, 1, 250);
-    // The record does not fit into the first segment. The header of the next segment is written, but not
-    // synced.
+    // The record needs a new segment, whose header is written but not synced.
     disk.fail_syncs(1);
     append(&mut ring, &[2; 250]).expect_err("the sync fails");
     append_filled(&mut ring, 3, 10);
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,5 +1,4 @@
-//! Golden files: the bytes of a small ring that wrapped around, and the records that an open recovers from
-//! them.
+//! Golden files: the bytes of a small ring that wrapped around, and the records recovered from them.
 //!
 //! A run with `GOLDEN_WRITE=1` creates missing files. A difference means that this version and earlier ones
 //! cannot read each other's rings. `golden/format.rs` checks the encoding of single headers and records.
@@ -25,16 +24,16 @@
 
 fn read_segment(disk: &SimulatedDisk, slot: usize) -> Vec<u8> {
     let mut file = disk.file_system().open(&segment_path(slot)).expect("the segment opens");
-    let mut bytes = vec![0; file.length().expect("it has a length") as usize];
-    let count = file.read_at(0, &mut bytes).expect("it can be read");
+    let mut bytes = vec![0; file.length().expect("the segment has a length") as usize];
+    let count = file.read_at(0, &mut bytes).expect("the segment can be read");
     assert_eq!(count, bytes.len());
     bytes
 }
 
 fn write_segment(disk: &SimulatedDisk, slot: usize, bytes: &[u8]) {
     let mut file = disk.file_system().open(&segment_path(slot)).expect("the segment opens");
-    file.write_at(0, bytes).expect("it can be written");
-    file.sync().expect("it can be synced");
+    file.write_at(0, bytes).expect("the segment can be written");
+    file.sync().expect("the segment can be synced");
 }
 
 /// Writes a ring that wrapped around, was partly released, was opened twice and had a failed sync.
@@ -62,8 +61,7 @@
     }
 }
 
-/// Describes the result of an open. The text contains no Rust names, so that renames do not change the golden
-/// file.
+/// Describes the result of an open without Rust names, so that renames do not change the golden file.
 fn describe(ring: &Ring, records: &Records, identity: RingIdentity) -> String {
     let RingIdentity { incarnation, is_new } = identity;
     let RingUsage { used_bytes, capacity_bytes } = ring.usage();
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -13,11 +13,12 @@
 use tokio::runtime::{Builder, Runtime};
 
 fn runtime() -> Runtime {
-    Builder::new_current_thread().build().expect("a runtime")
+    Builder::new_current_thread().build().expect("the runtime starts")
 }
 
 fn open(disk: &SimulatedDisk, options: RingOptions) -> Journal {
-    let (journal, _) = Journal::open_on(disk.file_system(), Path::new(DIRECTORY), options).expect("it opens");
+    let (journal, _) =
+        Journal::open_on(disk.file_system(), Path::new(DIRECTORY), options).expect("the journal opens");
     journal
 }
 
@@ -47,9 +48,9 @@
     disk.set_stalled(false);
     runtime().block_on(async {
         for append in appends {
-            append.await.expect("durable");
+            append.await.expect("the record is durable");
         }
-        last.await.expect("durable");
+        last.await.expect("the record is durable");
     });
     let after = disk.counters();
     assert!(after.syncs - before.syncs <= 2, "{before:?} {after:?}");
@@ -61,7 +62,7 @@
     let disk = SimulatedDisk::new(33);
     let journal = open(&disk, OPTIONS);
     drop(journal.append(b"one".to_vec()));
-    runtime().block_on(journal.append(b"two".to_vec())).expect("durable");
+    runtime().block_on(journal.append(b"two".to_vec())).expect("the record is durable");
     disk.kill();
     assert_eq!(contents(&disk), [b"one", b"two"]);
 }
@@ -81,14 +82,14 @@
     let journal = open(&disk, OPTIONS);
     runtime().block_on(async {
         for number in 0..100 {
-            let position = journal.append(vec![number; 100]).await.expect("durable");
+            let position = journal.append(vec![number; 100]).await.expect("the record is durable");
             journal.release(position);
             let usage = journal.usage();
             assert!(usage.used_bytes <= usage.capacity_bytes);
         }
     });
     let (_, recovered) =
-        Journal::open_on(disk.file_system(), Path::new(DIRECTORY), OPTIONS).expect("it opens");
+        Journal::open_on(disk.file_system(), Path::new(DIRECTORY), OPTIONS).expect("the journal opens");
     assert_eq!(recovered.records.last(), Some(&(Position(100), vec![99; 100])));
 }
 
@@ -96,7 +97,7 @@
 fn given_an_inline_journal_when_polled_once_then_the_append_is_complete() {
     let disk = SimulatedDisk::new(36);
     let opened = Journal::open_inline(disk.file_system(), Path::new(DIRECTORY), OPTIONS);
-    let (journal, recovered) = opened.expect("it opens");
+    let (journal, recovered) = opened.expect("the journal opens");
     let mut append = pin!(journal.append(b"one".to_vec()));
     let mut context = Context::from_waker(Waker::noop());
     assert!(recovered.is_new);
@@ -107,17 +108,17 @@
 fn given_the_native_file_system_when_reopened_then_the_records_are_found() {
     let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("journal").join("nested");
     let _ = std::fs::remove_dir_all(&directory);
-    let (journal, first) = Journal::open(&directory, OPTIONS).expect("it opens");
+    let (journal, first) = Journal::open(&directory, OPTIONS).expect("the journal opens");
     runtime().block_on(async {
         for number in 0..20 {
-            let position = journal.append(vec![number; 90]).await.expect("durable");
+            let position = journal.append(vec![number; 90]).await.expect("the record is durable");
             journal.release(position);
         }
     });
-    let (_, second) = Journal::open(&directory, OPTIONS).expect("it opens");
+    let (_, second) = Journal::open(&directory, OPTIONS).expect("the journal opens");
     let mut visited = Vec::new();
     let opened = Journal::open_with(&directory, OPTIONS, |position, record| visited.push((position, record)));
-    let (_, third) = opened.expect("it opens");
+    let (_, third) = opened.expect("the journal opens");
     assert!(first.is_new && !second.is_new);
     assert_eq!(first.incarnation, second.incarnation);
     assert_eq!(second.records.last(), Some(&(Position(20), vec![19; 90])));
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -80,6 +80,8 @@
     }
 }
 
+/// "new-1" replaces "old-1", so that the bytes of "old-2" follow it. The generation drawn after the failed
+/// write keeps "old-2" from continuing the chain.
 #[test]
 fn given_a_failed_batch_when_partly_overwritten_then_its_remaining_records_do_not_reappear() {
     let disk = SimulatedDisk::new(12);
@@ -87,16 +89,18 @@
     disk.fail_syncs(1);
     let failed = ring.append(&[b"old-1", b"old-2"]);
     assert!(failed.iter().all(Result::is_err));
-    append(&mut ring, b"new-1").expect("durable");
+    append(&mut ring, b"new-1").expect("the record is durable");
     disk.kill();
     assert_eq!(contents(&disk), [b"new-1"]);
 }
 
+/// "next" replaces "lost" with the same length, so that the bytes of "kept" follow it. The generation drawn
+/// at the open keeps "kept" from continuing the chain.
 #[test]
 fn given_a_lost_record_before_a_surviving_one_when_appending_then_the_surviving_one_does_not_reappear() {
     let disk = SimulatedDisk::new(13);
     let (mut ring, _, _) = open(&disk);
-    append(&mut ring, b"first").expect("durable");
+    append(&mut ring, b"first").expect("the record is durable");
     disk.fail_syncs(1);
     ring.append(&[b"lost", b"kept"]);
     // 32 bytes is the length of a record header.
@@ -104,11 +108,12 @@
     disk.lose_power(&mut KeepRange(lost_bytes..usize::MAX));
     let (mut ring, records, _) = open(&disk);
     assert_eq!(records.len(), 1);
-    append(&mut ring, b"next").expect("durable");
+    append(&mut ring, b"next").expect("the record is durable");
     disk.kill();
     assert_eq!(contents(&disk), [b"first".to_vec(), b"next".to_vec()]);
 }
 
+/// An open syncs the records that it returns, as their writer may have been killed before its own sync.
 #[test]
 fn given_recovered_unsynced_records_when_power_is_lost_then_they_survive() {
     let disk = SimulatedDisk::new(14);
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -36,7 +36,7 @@
     let disk = SimulatedDisk::new(2);
     let (mut ring, _, _) = open(&disk);
     let outcomes = ring.append(&[b"one".as_slice(), b"", b"three"]);
-    append(&mut ring, b"four").expect("durable");
+    append(&mut ring, b"four").expect("the record is durable");
     disk.lose_power(&mut LoseEverything);
     let (_, records, _) = open(&disk);
     let positions: Vec<_> = records.iter().map(|(position, _)| *position).collect();
--- a/crates/storage/tests/set_aside.rs
+++ b/crates/storage/tests/set_aside.rs
@@ -10,7 +10,7 @@
 
 /// Returns the names of all files in the folder of the ring.
 fn file_names(disk: &SimulatedDisk) -> Vec<String> {
-    disk.file_system().list(Path::new(DIRECTORY)).expect("it can be listed")
+    disk.file_system().list(Path::new(DIRECTORY)).expect("the folder can be listed")
 }
 
 #[test]
@@ -19,7 +19,7 @@
     let (mut ring, _, first) = open(&disk);
     assert!(ring.append(&[b"one"]).iter().all(Result::is_ok));
     drop(ring);
-    set_aside(&*disk.file_system(), Path::new(DIRECTORY)).expect("it is set aside");
+    set_aside(&*disk.file_system(), Path::new(DIRECTORY)).expect("the ring is set aside");
     disk.lose_power(&mut LoseEverything);
     assert!(file_names(&disk).iter().any(|name| name == "unreadable-ring-000"), "{:?}", file_names(&disk));
     let (_, records, second) = open(&disk);
@@ -32,12 +32,12 @@
     let disk = SimulatedDisk::new(2);
     drop(open(&disk));
     let (file_system, directory) = (disk.file_system(), Path::new(DIRECTORY));
-    assert!(!is_set_aside_interrupted(&*file_system, directory).expect("it can be listed"));
-    drop(file_system.open(&directory.join("setting-aside")).expect("it can be created"));
-    file_system.sync_directory(directory).expect("it is durable");
+    assert!(!is_set_aside_interrupted(&*file_system, directory).expect("the folder can be listed"));
+    drop(file_system.open(&directory.join("setting-aside")).expect("the marker file can be created"));
+    file_system.sync_directory(directory).expect("the folder is synced");
     disk.lose_power(&mut LoseEverything);
     let file_system = disk.file_system();
-    assert!(is_set_aside_interrupted(&*file_system, directory).expect("it can be listed"));
-    set_aside(&*file_system, directory).expect("it is set aside");
-    assert!(!is_set_aside_interrupted(&*file_system, directory).expect("it can be listed"));
+    assert!(is_set_aside_interrupted(&*file_system, directory).expect("the folder can be listed"));
+    set_aside(&*file_system, directory).expect("the ring is set aside");
+    assert!(!is_set_aside_interrupted(&*file_system, directory).expect("the folder can be listed"));
 }
