--- a/crates/settings/src/node_settings.rs
+++ b/crates/settings/src/node_settings.rs
@@ -180,7 +180,9 @@
 fn check_port_range(ports: &(u16, u16)) -> Result<(), ValidationError> {
     let (first, last) = *ports;
     if first == 0 || first > last {
-        return Err(ValidationError::new("innerPorts").with_message("innerPorts is no range of ports".into()));
+        return Err(ValidationError::new("innerPorts").with_message(
+            "innerPorts is not a range of ports: the first port is 0 or above the last".into(),
+        ));
     }
     Ok(())
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -150,8 +150,8 @@
     missing_in_section = {
         "[7660,7675]", "[7660,7675]\n[cloud]\nperS = 2", "the settings cannot be read: line 5 ([cloud]): missing field `address`"
     },
-    invalid = {
-        "[7660,7675]", "[7675,7660]", "the settings cannot be used: innerPorts is no range of ports"
+    invalid_value = {
+        "[7660,7675]", "[7675,7660]", "the settings cannot be used: innerPorts is not a range of ports: the first port is 0 or above the last"
     },
     two_invalid = {
         "[7660,7675]",
