--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -54,7 +54,7 @@
                 return Err(JobError::DuplicateItem(Arc::clone(&item.id)));
             }
             let reward = item.reward.as_ref().map_or("", |reward| &reward.body);
-            if decode(&item.body).is_none() || decode(reward).is_none() {
+            if decode_base64(&item.body).is_none() || decode_base64(reward).is_none() {
                 return Err(JobError::InvalidBody(Arc::clone(&item.id)));
             }
         }
@@ -66,7 +66,7 @@
     /// Decodes the body. The result is empty if the body is not base64; [`Job::parse`] rejects such items.
     #[must_use]
     pub fn decoded_body(&self) -> Vec<u8> {
-        decode(&self.body).unwrap_or_default()
+        decode_base64(&self.body).unwrap_or_default()
     }
 }
 
@@ -74,11 +74,11 @@
     /// Decodes the body. The result is empty if the body is not base64; [`Job::parse`] rejects such items.
     #[must_use]
     pub fn decoded_body(&self) -> Vec<u8> {
-        decode(&self.body).unwrap_or_default()
+        decode_base64(&self.body).unwrap_or_default()
     }
 }
 
-fn decode(body: &str) -> Option<Vec<u8>> {
+fn decode_base64(body: &str) -> Option<Vec<u8>> {
     STANDARD.decode(body).ok()
 }
 
--- a/crates/batch/src/replication/replicas.rs
+++ b/crates/batch/src/replication/replicas.rs
@@ -151,7 +151,7 @@
         &mut self,
         job: &JobId,
         term: OwnershipTerm,
-        claimant: LogEnd,
+        claimant_end: LogEnd,
     ) -> (ReplicaReply, Vec<Record>) {
         if let Some(rejection) = self.rejection(job, term) {
             return (rejection, Vec::new());
@@ -163,7 +163,7 @@
             records.push(Record::Promise { job: Arc::clone(job), term });
         }
         let LogEnd { accepted, length } = log.end();
-        let (start, entries) = log.entries_ahead_of(claimant);
+        let (start, entries) = log.entries_ahead_of(claimant_end);
         (ReplicaReply::Promised { term, accepted, length, start, entries }, records)
     }
 
--- a/crates/batch/src/schedule/groups.rs
+++ b/crates/batch/src/schedule/groups.rs
@@ -18,21 +18,21 @@
     /// late.
     items: Vec<ItemIndex>,
     /// Number of items whose result is not recorded.
-    unrecorded: usize,
-    /// Number of items whose output is not complete.
+    unrecorded_items: usize,
+    /// Number of items whose text is not complete.
     ungenerated_items: usize,
 }
 
 impl Group {
     fn add(&mut self, item: ItemIndex) {
         self.items.push(item);
-        self.unrecorded += 1;
+        self.unrecorded_items += 1;
         self.ungenerated_items += 1;
     }
 
     /// Whether the results of all items of the group are recorded.
     pub fn is_complete(&self) -> bool {
-        self.unrecorded == 0
+        self.unrecorded_items == 0
     }
 
     /// Number of items whose text is not complete.
@@ -44,7 +44,7 @@
     pub fn on_phase_change(&mut self, before: ItemPhase, after: ItemPhase) {
         self.ungenerated_items += usize::from(before.is_generated());
         self.ungenerated_items -= usize::from(after.is_generated());
-        self.unrecorded -= usize::from(after == ItemPhase::Recorded);
+        self.unrecorded_items -= usize::from(after == ItemPhase::Recorded);
     }
 
     /// Whether at least one item of the group was started and did not return to [`ItemPhase::Pending`].
--- a/crates/batch/src/schedule/job_schedule.rs
+++ b/crates/batch/src/schedule/job_schedule.rs
@@ -124,11 +124,11 @@
     /// retry.
     #[must_use]
     pub fn next_retry(&self, now: Duration) -> Option<Duration> {
-        let later = |phase: &ItemPhase| match *phase {
+        let start_after_now = |phase: &ItemPhase| match *phase {
             ItemPhase::Pending(not_before) if not_before > now => Some(not_before),
             _ => None,
         };
-        self.phases.iter().filter_map(later).min()
+        self.phases.iter().filter_map(start_after_now).min()
     }
 
     /// Ranks the groups that are not complete. Groups that may be carried over from an earlier batch job come
--- a/crates/batch/tests/cluster/checker.rs
+++ b/crates/batch/tests/cluster/checker.rs
@@ -20,11 +20,11 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Changed { position } => write!(f, "position {position} changed"),
+            Self::Changed { position } => write!(f, "the committed entry at position {position} changed"),
             Self::Lost { term, committed, expected } => {
                 write!(f, "the owner of {term:?} has {committed} of {expected} committed entries")
             }
-            Self::DuplicateTerm(term) => write!(f, "{term:?} was used twice"),
+            Self::DuplicateTerm(term) => write!(f, "two claims use the term {term:?}"),
         }
     }
 }
--- a/crates/batch/tests/cluster/faults.rs
+++ b/crates/batch/tests/cluster/faults.rs
@@ -3,7 +3,8 @@
 /// A fault in the implementation of all stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    Nothing,
+    /// The stores behave correctly.
+    None,
     /// Promises are not written to the disk.
     ForgetsPromises,
     /// Replies are sent before their records are on the disk.
--- a/crates/batch/tests/cluster/machine.rs
+++ b/crates/batch/tests/cluster/machine.rs
@@ -73,8 +73,8 @@
     /// Restarts the machine from its disk. A random number of the pending writes, in their order, still
     /// reaches the disk.
     pub fn crash(&mut self, random: &mut Rng) {
-        let survives = random.usize(0..=self.pending_writes.len());
-        for write in self.pending_writes.drain(..).take(survives) {
+        let written = random.usize(0..=self.pending_writes.len());
+        for write in self.pending_writes.drain(..).take(written) {
             self.disk.extend(write.records);
         }
         self.replicas = Replicas::recover(self.disk.clone());
@@ -97,7 +97,8 @@
     /// Whether the store durably rejects owners of epochs before `epoch`, and all entries of its log are
     /// committed in `epoch` or later.
     pub fn has_migrated(&self, job: &JobId, epoch: u64) -> bool {
-        let rejects_older = self.disk.iter().any(|record| matches!(record, Record::Epoch(e) if *e >= epoch));
+        let rejects_older =
+            self.disk.iter().any(|record| matches!(record, Record::Epoch(raised) if *raised >= epoch));
         let is_committed = self.replicas.log(job).is_none_or(|log| {
             log.entries.is_empty() || (log.accepted.epoch >= epoch && self.committed_epoch >= epoch)
         });
--- a/crates/batch/tests/cluster/message.rs
+++ b/crates/batch/tests/cluster/message.rs
@@ -31,8 +31,9 @@
 }
 
 impl Message {
-    /// What the sender of a request learns if this message is lost; `None` for a heartbeat.
-    pub fn lost(self) -> Option<Self> {
+    /// The message that replaces this one if it is lost: a request or its reply ends in [`Message::NoReply`]
+    /// to the owner, a heartbeat in nothing.
+    pub fn replacement_if_lost(self) -> Option<Self> {
         match self {
             Self::Request { from, owner, to, .. } => Some(Self::NoReply { to: from, owner, from: to }),
             Self::Reply { to, owner, from, .. } => Some(Self::NoReply { to, owner, from }),
--- a/crates/batch/tests/cluster/mod.rs
+++ b/crates/batch/tests/cluster/mod.rs
@@ -63,7 +63,7 @@
         let machines: Vec<Machine> = (1..=members + spares).map(|id| Machine::new(id as StoreId)).collect();
         let present = machines.iter().take(members).map(|machine| machine.id).collect();
         let mut random = Rng::with_seed(seed);
-        let weights = Weights::draw(&mut random);
+        let weights = Weights::random(&mut random);
         let loss_percent = random.u32(1..40);
         let mut cluster = Self {
             random,
@@ -137,7 +137,7 @@
 
     fn step(&mut self) -> Result<(), Violation> {
         let machine = self.random_machine();
-        match self.weights.pick(&mut self.random) {
+        match self.weights.random_step(&mut self.random) {
             Step::Claim => self.claim(machine)?,
             Step::Append => self.append(machine),
             Step::Send => self.send_requests(machine),
@@ -216,7 +216,7 @@
         let message = self.network.swap_remove(self.random.usize(..self.network.len()));
         let drawn = self.random.u32(0..100);
         if drawn < self.loss_percent {
-            self.network.extend(message.lost());
+            self.network.extend(message.replacement_if_lost());
             return;
         }
         if drawn >= 100 - DUPLICATE_PERCENT {
--- a/crates/batch/tests/cluster/steps.rs
+++ b/crates/batch/tests/cluster/steps.rs
@@ -33,24 +33,24 @@
 pub struct Weights(Vec<(Step, u32)>);
 
 impl Weights {
-    pub fn draw(random: &mut Rng) -> Self {
-        let mut up_to = |step, max_weight: u32| (step, random.u32(1..=max_weight));
+    pub fn random(random: &mut Rng) -> Self {
+        let mut random_weight = |step, max_weight: u32| (step, random.u32(1..=max_weight));
         Self(vec![
-            up_to(Step::Claim, 20),
-            up_to(Step::Append, 150),
+            random_weight(Step::Claim, 20),
+            random_weight(Step::Append, 150),
             (Step::Send, 400),
             (Step::Deliver, 1500),
             (Step::Flush, 600),
-            up_to(Step::Crash, 30),
-            up_to(Step::CrashAll, 3),
-            up_to(Step::LoseDisk, 4),
-            up_to(Step::ReportCommitted, 40),
-            up_to(Step::UpdateView, 60),
-            up_to(Step::ChangeStoreSet, 20),
+            random_weight(Step::Crash, 30),
+            random_weight(Step::CrashAll, 3),
+            random_weight(Step::LoseDisk, 4),
+            random_weight(Step::ReportCommitted, 40),
+            random_weight(Step::UpdateView, 60),
+            random_weight(Step::ChangeStoreSet, 20),
         ])
     }
 
-    pub fn pick(&self, random: &mut Rng) -> Step {
+    pub fn random_step(&self, random: &mut Rng) -> Step {
         let mut drawn = random.u32(..self.0.iter().map(|(_, weight)| weight).sum::<u32>());
         for (step, weight) in &self.0 {
             if drawn < *weight {
--- a/crates/batch/tests/cluster/store_set.rs
+++ b/crates/batch/tests/cluster/store_set.rs
@@ -20,10 +20,10 @@
             return;
         }
         let view = self.machines[index].view.clone();
-        let next = if self.fault == Fault::KeepsIdentityWithoutDisk { id } else { self.next_id };
+        let new_id = if self.fault == Fault::KeepsIdentityWithoutDisk { id } else { self.next_id };
         self.next_id += 1;
         self.lost_disks.insert(id);
-        self.machines[index] = Machine { view, ..Machine::new(next) };
+        self.machines[index] = Machine { view, ..Machine::new(new_id) };
     }
 
     /// Begins a change of the store set if none is in progress; otherwise completes the change if enough
@@ -53,8 +53,8 @@
     /// replaced first, otherwise a random one.
     fn begin_change(&mut self) {
         let present = &self.view.replicas.present;
-        let is_alive = |id: &StoreId| self.machines.iter().any(|machine| machine.id == *id);
-        let lost = present.iter().position(|id| !is_alive(id));
+        let has_disk = |id: &StoreId| self.machines.iter().any(|machine| machine.id == *id);
+        let lost = present.iter().position(|id| !has_disk(id));
         let ids = self.machines.iter().map(|machine| machine.id);
         let candidates: Vec<StoreId> = ids.filter(|id| !present.contains(id)).collect();
         if candidates.is_empty() {
--- a/crates/batch/tests/exploration.rs
+++ b/crates/batch/tests/exploration.rs
@@ -14,14 +14,14 @@
     five_stores = { 5, 2, 0..1500 },
     one_store_replaced = { 1, 1, 0..1000 },
 )]
-fn given_faults_when_owners_commit_then_nothing_is_lost_or_changed(
+fn given_faults_when_owners_commit_then_no_committed_entry_is_lost_or_changed(
     members: usize,
     spares: usize,
     seeds: std::ops::Range<u64>,
 ) {
     let (mut committed, mut changes) = (0, 0);
     for seed in seeds {
-        let mut cluster = Cluster::new(seed, members, spares, Fault::Nothing);
+        let mut cluster = Cluster::new(seed, members, spares, Fault::None);
         if let Err(violation) = cluster.run(STEPS) {
             panic!("seed {seed}: {violation}");
         }
@@ -29,13 +29,13 @@
         changes += cluster.completed_changes();
         match cluster.recover() {
             Ok(true) => {}
-            Ok(false) => panic!("seed {seed}: no entry can be added after the faults"),
+            Ok(false) => panic!("seed {seed}: no owner commits a further entry after the faults have ended"),
             Err(violation) => panic!("seed {seed}: {violation}"),
         }
     }
 
-    assert!(committed > 1000, "the exploration commits too few entries: {committed}");
-    assert!(changes > 100, "the exploration changes the store set too rarely: {changes}");
+    assert!(committed > 1000, "the runs commit too few entries to be meaningful: {committed}");
+    assert!(changes > 100, "the runs complete too few changes of the store set to be meaningful: {changes}");
 }
 
 /// Checks that the random runs detect faulty implementations, so that their success is meaningful.
@@ -44,8 +44,8 @@
     early_replies = { Fault::RepliesBeforeSync },
     old_identity_without_disk = { Fault::KeepsIdentityWithoutDisk },
 )]
-fn given_a_faulty_store_when_explored_then_it_is_caught(fault: Fault) {
-    let caught = (0..3000).any(|seed| Cluster::new(seed, 3, 1, fault).run(STEPS).is_err());
+fn given_a_faulty_store_when_explored_then_a_violation_is_found(fault: Fault) {
+    let is_found = (0..3000).any(|seed| Cluster::new(seed, 3, 1, fault).run(STEPS).is_err());
 
-    assert!(caught, "{fault:?} was not caught");
+    assert!(is_found, "no run with the fault {fault:?} violates an invariant");
 }
--- a/crates/batch/tests/golden.rs
+++ b/crates/batch/tests/golden.rs
@@ -100,7 +100,7 @@
     Record::Promise { job: "job-1".into(), term: term(1) }
 }
 
-fn record_write() -> Record {
+fn record_append() -> Record {
     Record::Append { job: "job-1".into(), term: term(2), start: 513, entries: entries() }
 }
 
@@ -108,16 +108,16 @@
     Record::Snapshot { job: "job-1".into(), promised: term(3), accepted: term(2), entries: entries() }
 }
 
-fn record_forget() -> Record {
+fn record_delete() -> Record {
     Record::Delete { job: "job-1".into() }
 }
 
 #[parameterized(
     epoch = { "record-epoch.hex", record_epoch() },
     promise = { "record-promise.hex", record_promise() },
-    write = { "record-write.hex", record_write() },
+    append = { "record-write.hex", record_append() },
     snapshot = { "record-snapshot.hex", record_snapshot() },
-    forget = { "record-forget.hex", record_forget() },
+    delete = { "record-forget.hex", record_delete() },
 )]
 fn given_a_record_when_encoded_then_its_bytes_are_golden(name: &str, record: Record) {
     check_encoding(name, &record);
@@ -125,9 +125,9 @@
 
 /// A store writes a list of [`Record`]s as a single record of its journal.
 #[test]
-fn given_a_list_of_records_when_encoded_as_on_disk_then_its_bytes_are_golden() {
+fn given_a_list_of_records_when_encoded_then_its_bytes_are_golden() {
     let records: Vec<Record> =
-        vec![record_epoch(), record_promise(), record_write(), record_snapshot(), record_forget()];
+        vec![record_epoch(), record_promise(), record_append(), record_snapshot(), record_delete()];
     check_encoding("journal-records.hex", &records);
 }
 
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn given_parts_of_entries_when_encoded_then_their_bytes_are_golden() {
+fn given_a_term_a_submitted_job_and_results_when_encoded_then_their_bytes_are_golden() {
     check_encoding("ballot.hex", &term(4));
     check_encoding("submitted-job.hex", &submitted_job());
     check_encoding("item-result-delivered.hex", &delivered_result());
@@ -150,16 +150,16 @@
 }
 
 #[parameterized(
-    claim = {
+    prepare = {
         "request-claim.hex",
         ReplicaRequest::Prepare { term: term(5), accepted: term(4), length: 301 },
     },
-    write = {
+    append = {
         "request-write.hex",
         ReplicaRequest::Append { term: term(5), adopted: term(3), start: 2, entries: entries() },
     },
     query = { "request-query.hex", ReplicaRequest::Query },
-    forget = { "request-forget.hex", ReplicaRequest::Delete { term: term(6) } },
+    delete = { "request-forget.hex", ReplicaRequest::Delete { term: term(6) } },
 )]
 fn given_a_replica_request_when_encoded_then_its_bytes_are_golden(name: &str, request: ReplicaRequest) {
     check_encoding(name, &request);
@@ -176,24 +176,24 @@
             entries: entries(),
         },
     },
-    written = { "reply-written.hex", ReplicaReply::Appended { term: term(5), length: 305 } },
-    behind = {
+    appended = { "reply-written.hex", ReplicaReply::Appended { term: term(5), length: 305 } },
+    log_mismatch = {
         "reply-behind.hex",
         ReplicaReply::LogMismatch { term: term(5), accepted: term(2), length: 17 },
     },
     rejected = { "reply-rejected.hex", ReplicaReply::Rejected { promised: term(7) } },
-    holds = { "reply-holds.hex", ReplicaReply::Status { promised: term(7), length: 18 } },
-    forgotten = { "reply-forgotten.hex", ReplicaReply::Deleted { term: term(6) } },
+    status = { "reply-holds.hex", ReplicaReply::Status { promised: term(7), length: 18 } },
+    deleted = { "reply-forgotten.hex", ReplicaReply::Deleted { term: term(6) } },
 )]
 fn given_a_replica_reply_when_encoded_then_its_bytes_are_golden(name: &str, reply: ReplicaReply) {
     check_encoding(name, &reply);
 }
 
 #[parameterized(
-    unreadable = { "job-error-unreadable.hex", JobError::Malformed("expected value".to_owned()) },
-    empty = { "job-error-empty.hex", JobError::NoItems },
-    repeated = { "job-error-repeated.hex", JobError::DuplicateItem("item-1".into()) },
-    bad_body = { "job-error-bad-body.hex", JobError::InvalidBody("item-2".into()) },
+    malformed = { "job-error-unreadable.hex", JobError::Malformed("expected value".to_owned()) },
+    no_items = { "job-error-empty.hex", JobError::NoItems },
+    duplicate_item = { "job-error-repeated.hex", JobError::DuplicateItem("item-1".into()) },
+    invalid_body = { "job-error-bad-body.hex", JobError::InvalidBody("item-2".into()) },
 )]
 fn given_a_job_error_when_encoded_then_its_bytes_are_golden(name: &str, error: JobError) {
     check_encoding(name, &error);
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn given_a_fresh_job_when_items_start_then_group_by_group_and_required_groups_first() {
+fn given_a_new_job_when_items_start_then_groups_start_in_order_and_the_required_ones_are_needed() {
     let mut schedule = JobSchedule::new(&job(4, 2, Some(3)));
 
     let started = start_all(&mut schedule, START);
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn given_no_required_number_when_items_start_then_all_groups_are_needed() {
+fn given_no_number_of_required_groups_when_items_start_then_all_groups_are_needed() {
     let mut schedule = JobSchedule::new(&job(3, 2, None));
 
     assert!(start_all(&mut schedule, START).iter().all(|candidate| candidate.needed));
 }
 
 #[test]
-fn given_items_of_one_group_apart_when_they_start_then_together() {
+fn given_groups_with_interleaved_items_when_items_start_then_one_group_starts_after_the_other() {
     let mut job = job(2, 2, None);
     job.items = vec![item(0, Some(0), 1), item(1, Some(1), 1), item(2, Some(0), 1), item(3, Some(1), 1)];
     let mut schedule = JobSchedule::new(&job);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn given_items_without_group_when_recorded_then_each_is_a_complete_group() {
+fn given_items_without_a_group_when_one_is_recorded_then_it_counts_as_a_complete_group() {
     let mut job = job(0, 0, Some(1));
     job.items = vec![item(0, None, 1), item(1, None, 1)];
     let mut schedule = JobSchedule::new(&job);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn given_items_of_different_length_when_a_group_starts_then_longest_first() {
+fn given_a_group_with_items_of_different_length_when_it_starts_then_longer_items_start_first() {
     let mut job = job(1, 3, None);
     job.items = vec![item(0, Some(0), 5), item(1, Some(0), 9), item(2, Some(0), 7)];
     let mut schedule = JobSchedule::new(&job);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn given_a_failed_item_in_a_started_group_when_the_next_starts_then_it_precedes_fresh_groups() {
+fn given_a_failed_item_of_a_started_group_when_the_next_item_starts_then_it_precedes_groups_not_started() {
     let mut schedule = JobSchedule::new(&job(6, 2, None));
     for index in 0..8 {
         schedule.set_phase(index, ItemPhase::Streaming);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn given_two_started_groups_when_the_next_starts_then_that_with_fewer_unfinished_items() {
+fn given_two_started_groups_when_the_next_item_starts_then_it_is_of_the_group_with_fewer_unfinished_items() {
     let mut schedule = JobSchedule::new(&job(4, 3, None));
     record(&mut schedule, [6, 9, 10]);
 
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn given_groups_that_may_be_carried_over_when_others_are_nearer_to_completion_then_carried_over_come_first() {
+fn given_groups_that_may_be_carried_over_when_others_are_nearer_to_completion_then_the_former_start_first() {
     let mut schedule = JobSchedule::new(&job(6, 2, Some(4)));
     record(&mut schedule, [4, 6, 8]);
 
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn given_required_groups_are_complete_when_the_first_are_not_then_these_are_still_needed() {
+fn given_enough_complete_groups_when_one_that_may_be_carried_over_is_incomplete_then_it_is_still_needed() {
     let mut schedule = JobSchedule::new(&job(6, 1, Some(2)));
     record(&mut schedule, [2, 3]);
 
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn given_a_backoff_when_it_is_over_then_the_item_may_start() {
+fn given_an_item_in_backoff_when_the_backoff_ends_then_the_item_may_start() {
     let mut schedule = JobSchedule::new(&job(1, 1, None));
     schedule.set_phase(0, ItemPhase::Pending(seconds(2)));
 
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn given_a_recorded_item_when_set_pending_then_it_stays_recorded() {
+fn given_a_recorded_item_when_its_phase_is_set_again_then_it_stays_recorded() {
     let mut schedule = JobSchedule::new(&job(1, 2, None));
     record(&mut schedule, [0]);
 
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn given_streams_when_they_end_then_their_number_falls() {
+fn given_streaming_items_when_some_leave_the_phase_then_the_number_of_streams_decreases() {
     let mut schedule = JobSchedule::new(&job(1, 3, None));
     start_all(&mut schedule, START);
 
@@ -182,7 +182,11 @@
     needed_late = { true, 8, Urgency::Late },
     not_needed = { false, 10, Urgency::Surplus },
 )]
-fn given_an_item_when_ranked_then_by_need_and_due_time(needed: bool, due: u64, urgency: Urgency) {
+fn given_an_item_when_its_precedence_is_computed_then_need_and_due_time_decide_the_urgency(
+    needed: bool,
+    due: u64,
+    urgency: Urgency,
+) {
     let item_finished = Duration::from_millis(9_500);
     let forecast = JobForecast { due: seconds(due), item_finished, ..JobForecast::default() };
 
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn given_items_of_several_jobs_when_ranked_then_in_time_then_due_then_fewer_streams() {
+fn given_items_of_several_jobs_when_sorted_then_by_urgency_then_due_time_then_number_of_streams() {
     let precedence = |needed, due, streaming| {
         let forecast =
             JobForecast { due: seconds(due), streaming, item_finished: seconds(5), ..JobForecast::default() };
@@ -211,7 +215,7 @@
 }
 
 #[test]
-fn given_jobs_with_time_enough_when_ranked_then_the_one_with_the_fewest_remaining_goes_first() {
+fn given_jobs_when_sorted_then_behind_schedule_by_due_time_and_on_schedule_by_fewest_remaining_items() {
     let precedence = |due, needed_remaining, all_finished| {
         let forecast = JobForecast {
             due: seconds(due),
@@ -223,16 +227,16 @@
         Precedence::new(ItemCandidate { index: 0, needed: true }, forecast)
     };
     let (short, long) = (precedence(12, 40, 3), precedence(8, 160, 6));
-    let (late, later) = (precedence(5, 200, 6), precedence(7, 10, 8));
+    let (behind_due_first, behind_due_second) = (precedence(5, 200, 6), precedence(7, 10, 8));
 
-    let mut ranked = vec![long, later, short, late];
+    let mut ranked = vec![long, behind_due_second, short, behind_due_first];
     ranked.sort();
 
-    assert_eq!(ranked, [late, later, short, long]);
+    assert_eq!(ranked, [behind_due_first, behind_due_second, short, long]);
 }
 
 #[test]
-fn given_a_job_when_groups_become_complete_then_only_the_groups_still_required_remain() {
+fn given_required_groups_when_they_become_complete_then_the_number_of_needed_items_decreases() {
     let mut schedule = JobSchedule::new(&job(4, 3, Some(2)));
     assert_eq!(schedule.needed_remaining(), 6);
 
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -47,7 +47,7 @@
 /// Returns an error if the document is invalid or its version is not above `current_version`.
 pub fn replace(current_version: u64, body: &[u8]) -> Result<String, ConfigurationError> {
     let configuration = Configuration::parse(body)?;
-    check_newer(configuration.version(), current_version)?;
+    check_version_increases(configuration.version(), current_version)?;
     String::from_utf8(body.to_vec()).map_err(|error| ConfigurationError::malformed_document(&error))
 }
 
@@ -64,13 +64,13 @@
     let patch: Patch = parse(body)?;
     let current: Fields = parse(current_document.as_bytes())?;
     let current_version: u64 = current.get("edition").map_or(Ok(0), |text| parse(text.get().as_bytes()))?;
-    check_newer(patch.version, current_version)?;
+    check_version_increases(patch.version, current_version)?;
     let document = apply(current, patch)?;
     Configuration::parse(document.as_bytes())?;
     Ok(document)
 }
 
-fn check_newer(version: u64, current: u64) -> Result<(), ConfigurationError> {
+fn check_version_increases(version: u64, current: u64) -> Result<(), ConfigurationError> {
     if version <= current {
         return Err(ConfigurationError::StaleVersion { version, current });
     }
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -87,10 +87,10 @@
 pub(crate) fn limits(document: LimitsDocument) -> ConfigurationLimits {
     let default = ConfigurationLimits::default();
     ConfigurationLimits {
-        head_bytes: integer(document.head_bytes).unwrap_or(default.head_bytes),
-        body_bytes: integer(document.body_bytes).unwrap_or(default.body_bytes),
-        head_timeout: duration(document.head_timeout).unwrap_or(default.head_timeout),
-        idle_timeout: duration(document.idle_timeout).unwrap_or(default.idle_timeout),
+        head_bytes: to_integer(document.head_bytes).unwrap_or(default.head_bytes),
+        body_bytes: to_integer(document.body_bytes).unwrap_or(default.body_bytes),
+        head_timeout: to_duration(document.head_timeout).unwrap_or(default.head_timeout),
+        idle_timeout: to_duration(document.idle_timeout).unwrap_or(default.idle_timeout),
     }
 }
 
@@ -110,17 +110,17 @@
         let models = document.models.unwrap_or_default();
         Self {
             slots: document.slots.map_or(0, |Count(count)| count),
-            cache_tokens: integer(document.cache_tokens).unwrap_or(0),
-            cache_bytes_per_token: integer(document.cache_bytes_per_token).unwrap_or(0),
+            cache_tokens: to_integer(document.cache_tokens).unwrap_or(0),
+            cache_bytes_per_token: to_integer(document.cache_bytes_per_token).unwrap_or(0),
             link_mbps: document.link_mbps.unwrap_or(0.0),
-            progress_interval_tokens: integer(document.progress_interval_tokens).unwrap_or(0),
+            progress_interval_tokens: to_integer(document.progress_interval_tokens).unwrap_or(0),
             models: models.into_iter().map(|model| model.name.into()).collect(),
         }
     }
 }
 
 fn compile_route(document: RouteDocument, services: &Services) -> Result<Route, ConfigurationError> {
-    let timeout = duration(document.timeout).unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = to_duration(document.timeout).unwrap_or(DEFAULT_TIMEOUT);
     if timeout.is_zero() {
         return Err(ConfigurationError::ZeroTimeout { route: document.name });
     }
@@ -131,13 +131,13 @@
         prefix: document.prefix.into(),
         kind: RouteKind::from_keyword(&document.kind),
         timeout,
-        latency_target: duration(document.latency_target).unwrap_or(timeout),
+        latency_target: to_duration(document.latency_target).unwrap_or(timeout),
         urgency: document.urgency.map_or(0, |Count(count)| count),
         targets,
         max_attempts: document.max_attempts.map_or(DEFAULT_MAX_ATTEMPTS, |Count(count)| count.max(1)),
         resume: document.resume.0,
         single_version: document.single_version.0,
-        delivery_due: duration(document.delivery_due),
+        delivery_due: to_duration(document.delivery_due),
         shelf_life: document.shelf_life.map(|Seconds(duration)| duration),
         prefix_affinity: document.prefix_affinity.0,
     })
@@ -196,11 +196,11 @@
     }
 }
 
-/// The integer part of a number; numbers below 0 count as 0.
-fn integer(number: Option<f64>) -> Option<u64> {
+/// Converts a number to its integer part; negative numbers become 0.
+fn to_integer(number: Option<f64>) -> Option<u64> {
     number.map(|number| number as u64)
 }
 
-fn duration(milliseconds: Option<Milliseconds>) -> Option<Duration> {
+fn to_duration(milliseconds: Option<Milliseconds>) -> Option<Duration> {
     milliseconds.map(|Milliseconds(duration)| duration)
 }
--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -70,12 +70,12 @@
     /// that requires a single version sends requests to a service with the model.
     #[must_use]
     pub fn models_of_mixed_versions(&self) -> BTreeSet<Arc<str>> {
-        let strict_routes = self.routes.iter().filter(|route| route.single_version);
-        let strict_models: BTreeSet<&Arc<str>> =
-            strict_routes.flat_map(|route| self.models_of(route)).collect();
+        let single_version_routes = self.routes.iter().filter(|route| route.single_version);
+        let single_version_models: BTreeSet<&Arc<str>> =
+            single_version_routes.flat_map(|route| self.models_of(route)).collect();
         let engines = self.services.values().filter_map(|service| service.engine.as_ref());
         let models = engines.flat_map(|engine| &engine.models);
-        models.filter(|model| !strict_models.contains(model)).cloned().collect()
+        models.filter(|model| !single_version_models.contains(model)).cloned().collect()
     }
 
     /// The route of a request: among the routes of its host, the route with the longest prefix that its path
--- a/crates/configuration/tests/golden.rs
+++ b/crates/configuration/tests/golden.rs
@@ -13,7 +13,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-fn golden(name: &str) -> String {
+fn read_golden(name: &str) -> String {
     std::fs::read_to_string(golden_path(name)).expect("the golden file exists")
 }
 
@@ -21,7 +21,7 @@
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(golden_path(name), actual).expect("the golden file can be written");
     }
-    assert_eq!(actual, golden(name), "{name}");
+    assert_eq!(actual, read_golden(name), "{name}");
 }
 
 /// Formats each value with its name in the operator's documents, one per line.
@@ -89,49 +89,49 @@
 
 #[parameterized(full = { "configuration-full" }, defaults = { "configuration-defaults" })]
 fn given_a_document_when_parsed_then_each_field_has_its_golden_value(name: &str) {
-    let document = golden(&format!("{name}.json"));
+    let document = read_golden(&format!("{name}.json"));
     let configuration = Configuration::parse(document.as_bytes()).expect("the golden file is valid");
     assert_golden(&format!("{name}.txt"), &render_configuration(&configuration));
 }
 
 #[test]
-fn given_a_complete_document_when_put_then_it_is_stored_byte_for_byte() {
-    let document = golden("configuration-full.json");
-    let stored = replace(6, document.as_bytes()).expect("the golden file is valid");
-    assert_golden("replaced.json", &stored);
-    assert_eq!(stored, document);
+fn given_a_complete_document_when_it_replaces_the_current_one_then_its_text_is_unchanged() {
+    let document = read_golden("configuration-full.json");
+    let replaced = replace(6, document.as_bytes()).expect("the golden file is valid");
+    assert_golden("replaced.json", &replaced);
+    assert_eq!(replaced, document);
 }
 
 #[test]
-fn given_a_patch_when_applied_then_the_stored_document_is_the_golden_one() {
-    let patched =
-        patch(&golden("configuration-full.json"), golden("patch.json").as_bytes()).expect("it is valid");
+fn given_a_patch_when_applied_then_the_new_document_is_golden() {
+    let patched = patch(&read_golden("configuration-full.json"), read_golden("patch.json").as_bytes())
+        .expect("it is valid");
     assert_golden("patched.json", &patched);
 }
 
 /// One error of each variant, with a name.
 fn error_variants() -> Vec<(&'static str, ConfigurationError)> {
-    let text = str::to_owned;
+    let owned = str::to_owned;
     vec![
         (
             "cut short",
-            ConfigurationError::Malformed { field: text("routes[0].depot"), cause: text("the cause") },
+            ConfigurationError::Malformed { field: owned("routes[0].depot"), cause: owned("the cause") },
         ),
-        ("unusable", ConfigurationError::Invalid { field: text("."), cause: text("the cause") }),
+        ("unusable", ConfigurationError::Invalid { field: owned("."), cause: owned("the cause") }),
         ("old version", ConfigurationError::StaleVersion { version: 7, current: 8 }),
-        ("unknown service", ConfigurationError::UnknownService { route: text("r"), service: text("s") }),
+        ("unknown service", ConfigurationError::UnknownService { route: owned("r"), service: owned("s") }),
         (
             "same host and prefix",
-            ConfigurationError::DuplicatePrefix { first: text("r-1"), second: text("r-2") },
+            ConfigurationError::DuplicatePrefix { first: owned("r-1"), second: owned("r-2") },
         ),
-        ("no weight", ConfigurationError::ZeroWeights { route: text("r") }),
-        ("no time-out", ConfigurationError::ZeroTimeout { route: text("r") }),
-        ("same name", ConfigurationError::DuplicateName { list: "routes", name: text("r") }),
+        ("no weight", ConfigurationError::ZeroWeights { route: owned("r") }),
+        ("no time-out", ConfigurationError::ZeroTimeout { route: owned("r") }),
+        ("same name", ConfigurationError::DuplicateName { list: "routes", name: owned("r") }),
     ]
 }
 
 #[test]
-fn given_each_error_when_answered_then_status_field_and_text_are_golden() {
+fn given_each_error_variant_when_displayed_then_status_field_and_text_are_golden() {
     let mut rendered = String::new();
     for (name, error) in error_variants() {
         let (status, field) = (error.status(), error.field());
@@ -170,8 +170,8 @@
 ];
 
 #[test]
-fn given_a_faulty_document_when_put_then_status_field_and_text_are_golden() {
-    let document = golden("configuration-full.json");
+fn given_an_invalid_document_when_it_replaces_the_current_one_then_status_field_and_text_are_golden() {
+    let document = read_golden("configuration-full.json");
     let mut rendered = String::new();
     for (name, good, bad) in DOCUMENT_FAULTS {
         assert!(document.contains(good), "{name}");
@@ -201,13 +201,13 @@
 ];
 
 #[test]
-fn given_a_value_of_another_type_when_put_then_status_field_and_text_are_golden() {
-    let document = golden("configuration-full.json");
+fn given_a_value_of_the_wrong_type_when_the_document_is_replaced_then_status_field_and_text_are_golden() {
+    let document = read_golden("configuration-full.json");
     let mut rendered = String::new();
     for (name, good, bad) in TYPE_FAULTS {
         assert!(document.contains(good), "{name}");
-        let faulty = if good.is_empty() { (*bad).to_owned() } else { document.replacen(good, bad, 1) };
-        let error = replace(6, faulty.as_bytes()).expect_err(name);
+        let invalid = if good.is_empty() { (*bad).to_owned() } else { document.replacen(good, bad, 1) };
+        let error = replace(6, invalid.as_bytes()).expect_err(name);
         let (status, field) = (error.status(), error.field());
         writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
     }
@@ -231,8 +231,8 @@
 ];
 
 #[test]
-fn given_a_faulty_patch_when_applied_then_status_field_and_text_are_golden() {
-    let document = golden("configuration-full.json");
+fn given_an_invalid_patch_when_applied_then_status_field_and_text_are_golden() {
+    let document = read_golden("configuration-full.json");
     let mut rendered = String::new();
     for (name, body) in PATCH_FAULTS {
         let error = patch(&document, body.as_bytes()).expect_err(name);
--- a/crates/settings/src/node_settings.rs
+++ b/crates/settings/src/node_settings.rs
@@ -172,8 +172,8 @@
         format!("{}:{}", self.ip, self.internal_ports.0)
     }
 
-    fn serves(&self, caller: &str) -> bool {
-        self.serves.iter().any(|name| name == caller)
+    fn serves(&self, kind: &str) -> bool {
+        self.serves.iter().any(|name| name == kind)
     }
 }
 
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -73,9 +73,9 @@
         "withstand.machines" => settings.fault_tolerance.machines,
         "withstand.zones" => settings.fault_tolerance.zones,
         "withstand.regions" => settings.fault_tolerance.regions,
-        "cloud.address" => settings.platform_list.as_ref().map(|cloud| &cloud.address),
-        "cloud.perS" => settings.platform_list.as_ref().map(|cloud| cloud.max_calls_per_second),
-        "cloud.lagMs" => settings.platform_list.as_ref().map(|cloud| cloud.lag()),
+        "cloud.address" => settings.platform_list.as_ref().map(|list| &list.address),
+        "cloud.perS" => settings.platform_list.as_ref().map(|list| list.max_calls_per_second),
+        "cloud.lagMs" => settings.platform_list.as_ref().map(|list| list.lag()),
     }
 }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -65,7 +65,7 @@
 "#;
 
 #[test]
-fn given_the_example_when_read_then_every_figure_is_there() {
+fn given_a_complete_file_when_parsed_then_all_values_are_read() {
     let settings = NodeSettings::parse(EXAMPLE_FILE).expect("the example is valid");
     assert_eq!(settings.machine_name, "counter-bandung-a-1");
     assert!(settings.serves_clients() && settings.serves_control() && !settings.serves_store());
@@ -84,14 +84,14 @@
     assert_eq!(settings.timing_rules.leader_handover_interval(), Duration::from_millis(2500));
     assert_eq!(settings.timing_rules.again(), Duration::ZERO);
     assert_eq!(settings.heartbeat_interval(), Duration::from_millis(1200));
-    let cloud = settings.platform_list.expect("it is in the file");
-    assert_eq!(cloud.lag(), Duration::from_millis(800));
-    assert!((cloud.max_calls_per_second - 44.0).abs() < f64::EPSILON);
+    let platform_list = settings.platform_list.expect("the file contains the section");
+    assert_eq!(platform_list.lag(), Duration::from_millis(800));
+    assert!((platform_list.max_calls_per_second - 44.0).abs() < f64::EPSILON);
 }
 
 #[test]
-fn given_only_the_needed_fields_when_read_then_defaults_hold() {
-    let settings = NodeSettings::parse(MINIMAL_FILE).expect("valid");
+fn given_only_the_required_fields_when_parsed_then_the_others_have_their_defaults() {
+    let settings = NodeSettings::parse(MINIMAL_FILE).expect("the settings file is valid");
     assert_eq!(settings.data_dir, None);
     assert_eq!(settings.platform_list, None);
     assert_eq!(settings.listen_addresses.client, None);
@@ -103,18 +103,18 @@
 }
 
 #[test]
-fn given_empty_sections_when_read_then_defaults_hold() {
+fn given_empty_sections_when_parsed_then_their_fields_have_their_defaults() {
     let text =
         format!("{MINIMAL_FILE}\n[posts]\n[limits]\n[withstand]\n[timetable]\n[cloud]\naddress = \"a:1\"\n");
-    let settings = NodeSettings::parse(&text).expect("valid");
+    let settings = NodeSettings::parse(&text).expect("the settings file is valid");
     assert!(settings.resource_limits.cpu_share > 0.0);
-    assert!(settings.platform_list.expect("it is in the file").max_calls_per_second > 0.0);
+    assert!(settings.platform_list.expect("the file contains the section").max_calls_per_second > 0.0);
 }
 
 #[test]
-fn given_empty_texts_when_read_then_they_count_as_absent() {
-    let settings =
-        NodeSettings::parse(&format!("{MINIMAL_FILE}\ndataDir = \"\"\nposts.front = \"\"\n")).expect("valid");
+fn given_empty_strings_when_parsed_then_they_count_as_absent() {
+    let settings = NodeSettings::parse(&format!("{MINIMAL_FILE}\ndataDir = \"\"\nposts.front = \"\"\n"))
+        .expect("the settings file is valid");
     assert_eq!(settings.data_dir, None);
     assert_eq!(settings.listen_addresses.client, None);
 }
@@ -123,51 +123,61 @@
     no_station = { r#"station = "s""#, "", "station" },
     empty_station = { r#"station = "s""#, r#"station = """#, "station" },
     number_for_ip = { r#"ip = "10.1.0.12""#, "ip = 5", "ip" },
-    ports_turned = { "[7660,7675]", "[7675,7660]", "innerPorts" },
+    ports_in_descending_order = { "[7660,7675]", "[7675,7660]", "innerPorts" },
     one_port = { "[7660,7675]", "[7660]", "innerPorts" },
     port_too_large = { "[7660,7675]", "[7660,99999]", "innerPorts" },
-    below_0 = { "station", "timetable.leaseMs = -5\nstation", "leaseMs" },
-    no_share = { "station", "limits.cpuShare = 0\nstation", "cpuShare" },
-    no_address = { "station", "posts.front = \"nowhere\"\nstation", "front" },
-    no_rate = { "station", "cloud.address = \"a:1\"\ncloud.perS = 0\nstation", "perS" },
+    negative_duration = { "station", "timetable.leaseMs = -5\nstation", "leaseMs" },
+    zero_cpu_share = { "station", "limits.cpuShare = 0\nstation", "cpuShare" },
+    malformed_address = { "station", "posts.front = \"nowhere\"\nstation", "front" },
+    zero_call_rate = { "station", "cloud.address = \"a:1\"\ncloud.perS = 0\nstation", "perS" },
 )]
-fn given_one_fault_when_read_then_the_error_names_the_field(good: &str, bad: &str, field: &str) {
-    let error = NodeSettings::parse(&MINIMAL_FILE.replacen(good, bad, 1)).expect_err("invalid");
+fn given_an_invalid_field_when_parsed_then_the_error_is_one_line_and_names_the_field(
+    good: &str,
+    bad: &str,
+    field: &str,
+) {
+    let error =
+        NodeSettings::parse(&MINIMAL_FILE.replacen(good, bad, 1)).expect_err("the settings file is invalid");
     assert!(error.to_string().contains(field), "{error}");
     assert_eq!(error.to_string().lines().count(), 1, "{error}");
 }
 
 #[parameterized(
-    malformed = {
+    wrong_type = {
         "ip = \"10.1.0.12\"", "ip = 5",
         "the settings cannot be read: line 3 (ip = 5): invalid type: integer `5`, expected a string"
     },
-    no_toml = {
+    not_toml = {
         "ip = \"10.1.0.12\"", "ip = ",
         "the settings cannot be read: line 3 (ip =): string values must be quoted, expected literal string"
     },
-    missing = { "station = \"s\"", "", "the settings cannot be read: missing field `station`" },
-    missing_in_section = {
+    missing_field = { "station = \"s\"", "", "the settings cannot be read: missing field `station`" },
+    missing_field_in_section = {
         "[7660,7675]", "[7660,7675]\n[cloud]\nperS = 2", "the settings cannot be read: line 5 ([cloud]): missing field `address`"
     },
     invalid_value = {
         "[7660,7675]", "[7675,7660]", "the settings cannot be used: innerPorts is not a range of ports: the first port is 0 or above the last"
     },
-    two_invalid = {
+    two_invalid_values = {
         "[7660,7675]",
         "[7660,7675]\ntimetable.leaseMs = -1\ntimetable.touchMs = -1",
         "the settings cannot be used: timetable.leaseMs is below 0; \
          timetable.touchMs is below 0"
     },
 )]
-fn given_a_faulty_file_when_read_then_the_error_says_where_and_why(good: &str, bad: &str, expected: &str) {
-    let error = NodeSettings::parse(&MINIMAL_FILE.replacen(good, bad, 1)).expect_err("invalid");
+fn given_an_invalid_file_when_parsed_then_the_error_contains_place_and_cause(
+    good: &str,
+    bad: &str,
+    expected: &str,
+) {
+    let error =
+        NodeSettings::parse(&MINIMAL_FILE.replacen(good, bad, 1)).expect_err("the settings file is invalid");
     assert_eq!(error.to_string(), expected);
 }
 
 #[test]
-fn given_no_file_when_loaded_then_the_error_names_the_path() {
-    let error = NodeSettings::load(Path::new("no/such/file.toml")).expect_err("it is not there");
+fn given_a_missing_file_when_loaded_then_the_error_contains_its_path() {
+    let error = NodeSettings::load(Path::new("no/such/file.toml")).expect_err("the file does not exist");
     assert!(matches!(error, SettingsError::FileUnreadable { .. }));
     assert!(error.to_string().contains("no/such/file.toml"));
 }
