--- a/crates/batch/src/replication/ownership.rs
+++ b/crates/batch/src/replication/ownership.rs
@@ -89,7 +89,7 @@
         &self.replicas
     }
 
-    /// The current phase.
+    /// The phase that the ownership is in.
     #[must_use]
     pub fn phase(&self) -> OwnershipPhase {
         self.phase
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn given_jobs_when_sorted_then_behind_schedule_by_due_time_and_on_schedule_by_fewest_remaining_items() {
+fn given_jobs_when_sorted_then_those_behind_schedule_come_first_and_others_by_fewest_needed_items() {
     let precedence = |due, needed_remaining, all_finished| {
         let forecast = JobForecast {
             due: seconds(due),
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -65,7 +65,7 @@
 }
 
 impl ConfigurationError {
-    /// Wraps a parser's error that does not tell the field.
+    /// Wraps a parser's error that contains no field path.
     pub(crate) fn malformed_document(error: &impl fmt::Display) -> Self {
         Self::Malformed { field: DOCUMENT_ROOT.to_owned(), cause: error.to_string() }
     }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -5,8 +5,9 @@
 //! functions return the text of the new document, which is stored unchanged. [`Configuration::parse`] checks
 //! such a text and compiles it for matching.
 //!
-//! The operator defines the names of the JSON fields. [`ConfigurationError`] uses these names, and the
-//! comment of each public field begins with its name in JSON.
+//! The operator defines the names of the JSON fields. [`ConfigurationError`] uses these names. The comments
+//! of the fields of [`Route`], [`Target`], [`Service`], [`Engine`] and [`ConfigurationLimits`] begin with
+//! them.
 
 mod change;
 mod compile;
--- a/crates/configuration/src/limits.rs
+++ b/crates/configuration/src/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// How large the requests of clients may be, and how long clients may take to send them.
+/// Limits on the size of the requests of clients, and on the time that clients may take to send them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationLimits {
     /// `labelBytes`: largest head of a request, in bytes; 16 KiB by default.
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How the requests of a route are executed and answered.
+/// Kind of a route, which determines how its requests are executed and answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// Requests are idempotent: one request of a client may run on several servers.
--- a/crates/settings/src/node_settings.rs
+++ b/crates/settings/src/node_settings.rs
@@ -63,10 +63,10 @@
     /// `firstStart`: whether the entire system starts for the first time, with empty disks.
     #[serde(rename = "firstStart", default)]
     pub first_start: bool,
-    /// `countsForQuorum`: whether [`FaultTolerance`] limits the unavailability of the machine.
+    /// `countsForQuorum`: whether the machine counts towards the limits of [`FaultTolerance`].
     #[serde(rename = "countsForQuorum", default)]
     pub counts_for_quorum: bool,
-    /// `dataDir`: directory for data; `None` on a machine without a disk.
+    /// `dataDir`: directory for data on the machine's disk; `None` on a machine without a disk.
     #[serde(rename = "dataDir", default, deserialize_with = "empty_as_none")]
     pub data_dir: Option<PathBuf>,
     #[serde(rename = "beatMs", default)]
@@ -74,10 +74,10 @@
     /// `contracts`: names of the parts of the platform's rules that are in force.
     #[serde(default)]
     pub contracts: Vec<String>,
-    /// `zones`: the region of each zone.
+    /// `zones`: the region of each zone, by the name of the zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// `[posts]`: where the process listens.
+    /// `[posts]`: addresses at which the process listens.
     #[serde(rename = "posts", default)]
     pub listen_addresses: ListenAddresses,
     /// `[limits]`: resources that the process may use.
@@ -128,8 +128,8 @@
     /// # Errors
     ///
     /// Returns [`SettingsError::Malformed`] if the text is not TOML, lacks a required field, or has a field
-    /// of the wrong type, and [`SettingsError::Invalid`] if a value fails a check. Both errors contain the
-    /// field's name.
+    /// of the wrong type, and [`SettingsError::Invalid`] if a value fails a check. Both errors describe
+    /// the place of the fault: the line or the field.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| SettingsError::malformed(text, &error))?;
         settings.validate().map_err(|errors| SettingsError::invalid(&errors))?;
