--- a/crates/configuration/tests/change.rs
+++ b/crates/configuration/tests/change.rs
@@ -82,7 +82,7 @@
     string_for_list_of_names = { r#"{"edition":9,"strike":{"routes":"r-second"}}"# },
 )]
 fn given_an_invalid_patch_when_applied_then_it_is_rejected_with_a_cause(body: &str) {
-    let error = patch(DOCUMENT, body.as_bytes()).expect_err("the document is invalid");
+    let error = patch(DOCUMENT, body.as_bytes()).expect_err("the patch is invalid");
     assert_eq!(error.status(), 400);
     assert!(!error.to_string().is_empty());
 }
--- a/crates/configuration/tests/golden.rs
+++ b/crates/configuration/tests/golden.rs
@@ -105,7 +105,7 @@
 #[test]
 fn given_a_patch_when_applied_then_the_new_document_is_golden() {
     let patched = patch(&read_golden("configuration-full.json"), read_golden("patch.json").as_bytes())
-        .expect("it is valid");
+        .expect("the golden patch is valid");
     assert_golden("patched.json", &patched);
 }
 
