--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -1,4 +1,4 @@
-//! The candidate: wins the lease in rounds of requests to all grantors, and renews it.
+//! The candidate: requests the lease from all grantors in rounds, holds it, and renews it.
 
 use std::time::Duration;
 
@@ -8,61 +8,70 @@
 use crate::round::Round;
 use crate::{GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
 
-// All times of a candidate are fractions of the TTL.
+// Each constant is a divisor of the TTL, so that all times of a candidate scale with it.
 
-/// The lease is held for this fraction less than its TTL, since clocks run at different speeds.
+/// A holder stops holding the lease this fraction of the TTL before the grants expire, since clocks run at
+/// different speeds.
 const SAFETY_MARGIN_DIVISOR: u32 = 10;
-/// A holder renews after this fraction of the TTL.
+/// A holder starts a renewal round after this fraction of the TTL, counted from the start of the round that
+/// it won.
 const RENEWAL_DIVISOR: u32 = 3;
-/// A round that is not won is abandoned after this fraction of the TTL.
+/// A round that was not won is abandoned when this fraction of the TTL has passed since its start.
 const ROUND_TIMEOUT_DIVISOR: u32 = 6;
-/// A clock that goes back by more than this fraction of the TTL cannot be trusted, and the lease is dropped.
+/// A clock that steps back by more than this fraction of the TTL cannot be trusted, and the candidate drops
+/// the lease. Smaller differences are tolerated.
 const MAX_CLOCK_STEP_BACK_DIVISOR: u32 = 20;
-/// A rejected candidate retries after a random part of this fraction of the TTL.
+/// Upper bound of the random delay before a lost round is retried, as a fraction of the TTL.
 const MAX_RETRY_JITTER_DIVISOR: u32 = 4;
-/// A deferring candidate waits for this fraction of the TTL in addition: for the longest jitter of the others.
+/// A deferring candidate waits for this additional fraction of the TTL, which equals the longest random delay
+/// of the other candidates, so that all of them retry first.
 const DEFERRAL_DIVISOR: u32 = MAX_RETRY_JITTER_DIVISOR;
 
-/// What the caller of a candidate has to do.
+/// Action that a [`Candidate`] requires from its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateAction {
-    /// Call [`Candidate::start_round`], and send the request to all grantors.
+    /// Call [`Candidate::start_round`], and send the request that it returns to all grantors.
     StartRound,
-    /// The round is lost: call [`Candidate::abandon_round`], and send the release, if any, to all grantors.
+    /// The round timed out or can no longer be won. Call [`Candidate::abandon_round`], and send the release
+    /// that it returns, if any, to all grantors.
     AbandonRound,
-    /// Wait until this time or the next reply, whichever comes first.
+    /// Wait until this time on the candidate's clock or until the next reply, whichever is earlier.
     WaitUntil(Duration),
 }
 
-/// A process that competes for the lease.
+/// Process that competes for the lease. It holds no lease at first.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Unique to one run of the process.
+    /// Name that is unique to one run of the process.
     name: String,
+    /// Duration of the grants that this candidate requests.
     ttl: Duration,
-    /// Number of the newest round.
+    /// Number of the newest round; 0 before the first.
     term: u64,
-    /// The latest time that was passed in.
+    /// Latest time that the caller passed in.
     latest_now: Duration,
-    /// The lease is held before this time; zero if it was never won, or was given up.
+    /// End of the lease, exclusive. Zero if the lease was never won, was resigned, or was dropped when the
+    /// clock stepped back.
     expires_at: Duration,
-    /// No round starts before this time.
+    /// Earliest start of the next round.
     next_round_at: Duration,
-    /// The round in progress, or the last one if it was won.
+    /// Round in progress, or the last round if it was won; otherwise `None`.
     round: Option<Round>,
-    /// Source of the jitter.
+    /// Source of the random delays between rounds.
     random: Rng,
-    /// See [`Candidate::set_deferring`].
+    /// Whether other candidates are to win the lease before this one; set by [`Candidate::set_deferring`].
     is_deferring: bool,
-    /// See [`Candidate::set_bootstrap_grantors`].
+    /// Whether the grantors are those of the cluster's first start; set by
+    /// [`Candidate::set_bootstrap_grantors`].
     has_bootstrap_grantors: bool,
 }
 
 impl Candidate {
-    /// Creates a candidate. No other process may have its `name`, nor may an earlier run of this one have had it.
+    /// Creates a candidate that requests grants of length `ttl`. The name must be unique: no other process
+    /// and no earlier run of this process may have used it.
     pub fn new(name: impl Into<String>, ttl: Duration) -> Self {
         let name = name.into();
-        // Seeded by the name, so that candidates draw different jitters.
+        // The name is the seed, so that candidates with different names draw different delays.
         let random = Rng::with_seed(xxh3_64(name.as_bytes()));
         Self {
             name,
@@ -78,20 +87,21 @@
         }
     }
 
-    /// Sets whether other candidates are to win the lease before this one. A deferring candidate only waits longer
-    /// after the end of another holder's lease.
+    /// Sets whether other candidates are to win the lease before this one. A deferring candidate differs from
+    /// others only in its longer wait after the lease of another holder has expired.
     pub fn set_deferring(&mut self, is_deferring: bool) {
         self.is_deferring = is_deferring;
     }
 
-    /// Sets whether the grantors of the next rounds are those of the cluster's first start. No lease can have been won
-    /// with others before, so there is no need to wait until the grantors have been committed for one TTL.
+    /// Sets whether the grantors of the next rounds are those of the cluster's first start. No lease can have
+    /// been won from an earlier set, so the candidate need not wait until the grantors have been committed
+    /// for one TTL.
     pub fn set_bootstrap_grantors(&mut self, has_bootstrap_grantors: bool) {
         self.has_bootstrap_grantors = has_bootstrap_grantors;
     }
 
-    /// Starts a round at these grantors, the acceptors of the register as of `revision`, and returns the request to
-    /// send to each. Replies to earlier rounds no longer count.
+    /// Starts a round with these grantors, which are the acceptors of the register as of `revision`. Returns
+    /// the request to send to each of them. Replies to earlier rounds no longer count.
     pub fn start_round(&mut self, now: Duration, revision: u64, grantors: &[GrantorId]) -> LeaseRequest {
         self.advance(now);
         self.term += 1;
@@ -106,7 +116,8 @@
         }
     }
 
-    /// Handles the reply of a grantor to the request of this term.
+    /// Handles the reply of the grantor `from` to the request of round `term`. Replies to other rounds than
+    /// the newest are ignored.
     pub fn on_reply(&mut self, term: u64, from: GrantorId, reply: &LeaseReply) {
         if term != self.term {
             return;
@@ -121,22 +132,23 @@
         }
     }
 
-    /// Whether this candidate holds the lease.
+    /// Returns whether this candidate holds the lease at `now`.
     pub fn holds_lease(&self, now: Duration) -> bool {
         !self.has_clock_stepped_back(now) && now.max(self.latest_now) < self.expires_at
     }
 
-    /// When the lease expires, if it is not renewed.
+    /// Returns when the lease expires if it is not renewed; zero if none was won since the start,
+    /// the last resignation or the last step back of the clock.
     pub fn expires_at(&self) -> Duration {
         self.expires_at
     }
 
-    /// The number of the newest round.
+    /// Returns the number of the newest round; 0 before the first.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// What to do now.
+    /// Returns the action that the caller has to take at `now`.
     pub fn next_action(&mut self, now: Duration) -> CandidateAction {
         self.advance(now);
         match &self.round {
@@ -153,10 +165,10 @@
         }
     }
 
-    /// Ends the present round without the lease.
+    /// Ends the current round without winning the lease, and schedules the next one.
     ///
-    /// Unless the lease of an earlier round is still held, returns the release of this round's grants, so that
-    /// candidates that split the votes do not block each other for a whole TTL.
+    /// Unless the lease from an earlier round is still held, returns a release of this round's grants.
+    /// Without it, candidates that split the votes would block each other for a whole TTL.
     pub fn abandon_round(&mut self, now: Duration) -> Option<LeaseRelease> {
         self.advance(now);
         let round = self.round.take()?;
@@ -165,7 +177,8 @@
         (!is_holder).then(|| self.release())
     }
 
-    /// Steps down at once, and returns the release to send to all grantors.
+    /// Gives up the lease at once, and returns the release to send to all grantors. The next round starts one
+    /// TTL later.
     pub fn resign(&mut self, now: Duration) -> LeaseRelease {
         self.advance(now);
         self.round = None;
@@ -178,9 +191,9 @@
         LeaseRelease { holder: self.name.clone(), term: self.term }
     }
 
-    /// How long to wait after a lost round. A holder retries soon, and so does a candidate after a split vote. Where
-    /// another candidate was granted a majority, the next round waits until its lease expires. The jitter spreads the
-    /// retries of candidates.
+    /// Returns the delay between a lost round and the next one. A holder retries soon, and so does a
+    /// candidate after a split vote. If a majority has granted the lease to another candidate, the next round
+    /// starts after that lease has expired. The jitter keeps candidates from retrying at the same time.
     fn retry_delay(&mut self, lost: &Round, is_holder: bool) -> Duration {
         let jitter = self.random_below(self.ttl / MAX_RETRY_JITTER_DIVISOR);
         if is_holder {
@@ -195,14 +208,14 @@
         }
     }
 
-    /// A random duration below `limit`.
+    /// Draws a random duration below `limit`, in whole microseconds.
     fn random_below(&mut self, limit: Duration) -> Duration {
         let limit = (limit.as_micros() as u64).max(1);
         Duration::from_micros(self.random.u64(..limit))
     }
 
-    /// Records the time. After a step back of the clock nothing that was timed with it counts any more: the lease and the
-    /// round are dropped, and the next round waits for one TTL.
+    /// Records the current time. If the clock has stepped back, earlier readings are no longer comparable:
+    /// the lease and the round are dropped, and the next round starts after one TTL.
     fn advance(&mut self, now: Duration) {
         if self.has_clock_stepped_back(now) {
             self.latest_now = now;
@@ -213,6 +226,7 @@
         self.latest_now = self.latest_now.max(now);
     }
 
+    /// Returns whether `now` is earlier than the latest recorded time by more than the tolerated difference.
     fn has_clock_stepped_back(&self, now: Duration) -> bool {
         now + self.ttl / MAX_CLOCK_STEP_BACK_DIVISOR < self.latest_now
     }
--- a/crates/lease/src/grantor.rs
+++ b/crates/lease/src/grantor.rs
@@ -4,47 +4,52 @@
 
 use crate::{GrantorId, LeaseRelease, LeaseReply, LeaseRequest};
 
-/// One of the grantors. Its state is kept in memory only.
+/// Grantor of the lease, which runs beside one acceptor of the register. Its state is kept in memory only.
 #[derive(Clone, Debug)]
 pub struct Grantor {
+    /// Incarnation of the acceptor beside which this grantor runs.
     id: GrantorId,
     /// Longest duration of a grant.
     ttl: Duration,
-    /// Nothing is granted before this time: a grant from before a restart may still be valid.
+    /// Earliest time of a grant. Before it, a grant from before a restart may still be valid.
     grants_from: Duration,
-    /// The newest grant, which may have expired.
+    /// Newest grant, which may have expired. `None` if there was none, or if the last one was released.
     grant: Option<Grant>,
-    /// The newest set of grantors that was observed, committed or not, in the order of the register's value.
+    /// Newest set of grantors that was observed, whether committed or not, in the order of the register's
+    /// value.
     observed_grantors: Vec<GrantorId>,
-    /// Revision in which that set was first observed. Candidates that know an older revision are rejected: they may
-    /// count on grantors that were removed.
+    /// Revision in which `observed_grantors` was first observed. Requests with an older revision are
+    /// rejected, since they may rely on grantors that were removed.
     min_revision: u64,
+    /// Newest set of grantors that is known to be committed; `None` if none was learned.
     committed: Option<CommittedGrantors>,
 }
 
-/// A set of grantors that is known to be committed.
+/// Set of grantors that is known to be committed.
 #[derive(Clone, Debug)]
 struct CommittedGrantors {
-    /// The newest revision with this set.
+    /// Newest revision of the register with this set.
     revision: u64,
-    /// In ascending order.
+    /// Grantors of the set, in ascending order.
     grantors: Vec<GrantorId>,
-    /// When this grantor first learned that the set is committed.
+    /// Time at which this grantor first learned that the set is committed.
     known_since: Duration,
 }
 
+/// Grant of the lease to one candidate.
 #[derive(Clone, Debug)]
 struct Grant {
+    /// Name of the candidate.
     holder: String,
-    /// The newest round of the holder.
+    /// Newest round of the holder that was granted.
     term: u64,
-    /// The grant is valid before this time.
+    /// End of the grant, exclusive.
     expires_at: Duration,
 }
 
 impl Grantor {
-    /// Creates a grantor that grants nothing for one `ttl` after `now`, since it may have forgotten a grant from
-    /// before a restart. Create a new one when its acceptor becomes a member.
+    /// Creates a grantor that rejects all requests for one `ttl` after `now`, since it may have lost a grant
+    /// from before a restart. Create a new grantor when the acceptor beside it becomes a member.
     pub fn new(id: GrantorId, now: Duration, ttl: Duration) -> Self {
         Self {
             id,
@@ -57,10 +62,10 @@
         }
     }
 
-    /// Records the grantors as of a revision that is committed or not.
+    /// Records the grantors as of a revision, whether that revision is committed or not.
     ///
-    /// Call it when the acceptor of this machine accepts or learns a value, before it replies: then a majority knows
-    /// of a change before the change is committed.
+    /// Call it when the acceptor of this machine accepts or learns a value, before the acceptor replies. A
+    /// majority of the grantors has then observed a change before the change is committed.
     pub fn observe(&mut self, revision: u64, grantors: &[GrantorId]) {
         if revision > self.min_revision && self.observed_grantors != grantors {
             self.min_revision = revision;
@@ -68,7 +73,8 @@
         }
     }
 
-    /// Records the grantors of a committed revision, as soon as this process knows that it is committed.
+    /// Records the grantors of a committed revision. Call it as soon as this process has learned of the
+    /// commit.
     pub fn learn(&mut self, now: Duration, revision: u64, grantors: &[GrantorId]) {
         let grantors = sorted(grantors);
         match &mut self.committed {
@@ -78,10 +84,10 @@
         }
     }
 
-    /// Handles a request.
+    /// Handles a request for the lease, and returns the reply to send to the candidate.
     ///
-    /// Rejects grants longer than the TTL of this grantor, and candidates that ask another grantor, such as one at
-    /// the same address whose disk was lost.
+    /// Rejects requests for longer grants than the TTL of this grantor, with an outdated revision, or for
+    /// other grantors than this one, such as one that ran at the same address on a disk that was lost.
     pub fn handle(&mut self, now: Duration, request: &LeaseRequest) -> LeaseReply {
         if now < self.grants_from {
             return rejected("", self.grants_from - now);
@@ -99,7 +105,7 @@
         LeaseReply::Granted { committed_for_ms }
     }
 
-    /// Ends the grant of a candidate that releases it, unless the grant belongs to a later round.
+    /// Ends the grant of the candidate that sent `release`, unless the grant belongs to a later round.
     pub fn release(&mut self, release: &LeaseRelease) {
         let is_released = |grant: &Grant| grant.holder == release.holder && grant.term <= release.term;
         if self.grant.as_ref().is_some_and(is_released) {
@@ -107,7 +113,7 @@
         }
     }
 
-    /// The holder of the grant, if there is a valid one.
+    /// Returns the name of the candidate whose grant is valid at `now`, if any.
     pub fn holder(&self, now: Duration) -> Option<&str> {
         self.valid_grant(now).map(|grant| grant.holder.as_str())
     }
@@ -116,7 +122,8 @@
         self.grant.as_ref().filter(|grant| now < grant.expires_at)
     }
 
-    /// Grants or renews the lease. A request that arrives after a later one of the same holder shortens nothing.
+    /// Grants or renews the lease. A delayed request, handled after a later one of the same holder, neither
+    /// lowers the term nor shortens the grant.
     fn record_grant(&mut self, request: &LeaseRequest, expires_at: Duration) {
         let own = self.grant.take().filter(|grant| grant.holder == request.holder);
         let (term, expires_at) = match own {
@@ -126,7 +133,8 @@
         self.grant = Some(Grant { holder: request.holder.clone(), term, expires_at });
     }
 
-    /// For how long these have been known as the committed grantors; zero if they are not.
+    /// Returns for how long this grantor has known that these are the committed grantors; zero if it knows
+    /// another set or none.
     fn committed_for(&self, now: Duration, grantors: &[GrantorId]) -> Duration {
         let committed = self.committed.as_ref().filter(|committed| committed.grantors == sorted(grantors));
         committed.map_or(Duration::ZERO, |committed| now.saturating_sub(committed.known_since))
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -1,52 +1,55 @@
 //! Messages between candidates and grantors.
 //!
-//! They are encoded by position (`bincode`) between processes: variants and fields keep their order and types.
+//! The encoding (`bincode`) identifies variants and fields by their position: keep their order and types.
 
 use serde::{Deserialize, Serialize};
 
-/// Identity of a grantor: the incarnation of the acceptor beside which it runs.
+/// Identity of a grantor: the incarnation of the acceptor beside which the grantor runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantorId(pub u64);
 
-/// Asks a grantor for the lease, or for its renewal.
+/// Request of a candidate to a grantor for the lease, or for a renewal of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// Name of the candidate, unique to one run of its process.
     pub holder: String,
-    /// Number of the candidate's round.
+    /// Number of the candidate's round, which rises with each round.
     pub term: u64,
     /// Requested duration of the grant, in milliseconds.
     pub ttl_ms: u64,
-    /// Revision of the state from which the candidate knows the grantors.
+    /// Revision of the register's value from which the candidate took `grantors`.
     pub revision: u64,
-    /// All grantors of the round.
+    /// All grantors of the round. A grantor that is not among them rejects the request.
     pub grantors: Vec<GrantorId>,
 }
 
-/// The reply to a [`LeaseRequest`].
+/// Reply of a grantor to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseReply {
-    /// The lease is granted, from when the grantor handled the request.
+    /// The lease is granted for the requested duration, which starts when the grantor handles the request.
     Granted {
-        /// For how long the grantor has known that the grantors of the request are the committed ones, in
-        /// milliseconds; 0 if it knows others.
+        /// Time for which the grantor has known that the grantors of the request are the committed ones, in
+        /// milliseconds; 0 if it knows another set or none.
         committed_for_ms: u64,
     },
     /// The lease is not granted.
     Rejected {
-        /// The candidate that has the grant. Empty if none has, and the grantor waits until grants that it may have
-        /// given before a restart have expired, or does not accept the request at all.
+        /// Name of the candidate that has the grant. Empty if none has: the grantor is new, and waits until
+        /// grants from before a restart must have expired, or it does not accept the request (too long,
+        /// outdated, or addressed to other grantors).
         holder: String,
-        /// For how long yet, in milliseconds.
+        /// Time until the grant or the wait after a restart ends, in milliseconds; 0 if the request is not
+        /// accepted.
         remaining_ms: u64,
     },
 }
 
-/// Returns the grants of a candidate that does not hold the lease, or no longer wants it.
+/// Message by which a candidate gives back its grants, because it lost the round or resigned the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRelease {
     /// Name of the candidate.
     pub holder: String,
-    /// The candidate's newest round: a grant of a later round is kept.
+    /// Newest round of the candidate. Grants of later rounds are kept, so a delayed release does not end
+    /// them.
     pub term: u64,
 }
--- a/crates/lease/src/round.rs
+++ b/crates/lease/src/round.rs
@@ -5,26 +5,34 @@
 
 use crate::{GrantorId, LeaseReply};
 
-/// The state of a round.
+/// State of one round: the grantors that were asked, and their replies.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
     started_at: Duration,
+    /// Grantors that were sent the request.
     grantors: Vec<GrantorId>,
+    /// Grantors that have granted the lease in this round.
     granted: BTreeSet<GrantorId>,
+    /// Last rejection of each grantor that has rejected the request.
     rejected: BTreeMap<GrantorId, Rejection>,
-    /// Whether no lease that was won with another set of grantors can still be valid, so that a majority of these
-    /// grantors is enough. So it is if the lease was held when this round started, if the grantors are the bootstrap
-    /// ones, or once a grantor has known for one TTL that they are the committed ones.
+    /// Whether no other candidate can still hold a lease from another set of grantors, so that a majority of
+    /// these grantors suffices. This is the case if the candidate held the lease when the round started, if
+    /// the grantors are those of the cluster's first start, or once a grantor has known for one TTL that they
+    /// are the committed ones.
     are_grantors_stable: bool,
 }
 
+/// Content of a [`LeaseReply::Rejected`].
 #[derive(Clone, Debug)]
 struct Rejection {
+    /// Candidate that has the grant; empty if none has.
     holder: String,
+    /// Time until the grant expires, or until the grantor starts to grant after a restart.
     remaining: Duration,
 }
 
 impl Round {
+    /// Starts a round at `now`, without any replies.
     pub(crate) fn new(now: Duration, grantors: &[GrantorId], are_grantors_stable: bool) -> Self {
         Self {
             started_at: now,
@@ -35,12 +43,12 @@
         }
     }
 
-    /// When the round started. Grants last from then on at least.
+    /// Returns the start of the round. Every grant of the round starts at this time or later.
     pub(crate) fn started_at(&self) -> Duration {
         self.started_at
     }
 
-    /// Records the reply of a grantor; replies of others do not count.
+    /// Records the reply of a grantor of this round. Replies from other grantors are ignored.
     pub(crate) fn record(&mut self, from: GrantorId, reply: &LeaseReply, ttl: Duration) {
         if !self.grantors.contains(&from) {
             return;
@@ -57,21 +65,22 @@
         }
     }
 
-    /// Whether the lease is won.
+    /// Returns whether the replies so far win the lease.
     pub(crate) fn is_won(&self) -> bool {
         self.are_grantors_stable && self.is_majority(self.granted.len())
     }
 
-    /// Whether so many grantors have rejected the request that no majority is left.
+    /// Returns whether the grantors that have not rejected the request are too few for a majority.
     pub(crate) fn cannot_be_won(&self) -> bool {
         let may_grant = self.grantors.iter().filter(|grantor| !self.rejected.contains_key(grantor)).count();
         !self.is_majority(may_grant)
     }
 
-    /// For how long yet a majority has granted the lease to one other holder; `None` if there is no such holder.
+    /// Returns the time until the last grant to the holder named by a majority expires; `None` if no majority
+    /// names the same holder.
     ///
-    /// Grantors that reject without a grant, such as restarted ones, name an empty holder. It counts like any other: while
-    /// a majority of the grantors waits after a restart, the candidate waits too.
+    /// Grantors that reject without a grant, such as restarted ones, name an empty holder. It counts like any
+    /// other holder: while a majority of the grantors waits after a restart, the candidate waits too.
     pub(crate) fn majority_holder_remaining(&self) -> Option<Duration> {
         let holders = self.rejected.values().map(|rejection| &rejection.holder);
         let holder = holders.max_by_key(|holder| self.rejections_for(holder).count())?;
@@ -81,11 +90,12 @@
         self.rejections_for(holder).map(|rejection| rejection.remaining).max()
     }
 
-    /// The rejections because this holder has the grant.
+    /// Returns the rejections that name this holder.
     fn rejections_for<'a>(&'a self, holder: &'a str) -> impl Iterator<Item = &'a Rejection> {
         self.rejected.values().filter(move |rejection| rejection.holder == holder)
     }
 
+    /// Returns whether `count` grantors are a majority of the round's grantors.
     fn is_majority(&self, count: usize) -> bool {
         count > self.grantors.len() / 2
     }
--- a/crates/lease/tests/common/changes.rs
+++ b/crates/lease/tests/common/changes.rs
@@ -10,7 +10,8 @@
 pub const CHANGE_INTERVAL: Duration = Duration::from_millis(800);
 /// Sometimes no change is made for this long, so that a lease can be won.
 const LONG_CHANGE_INTERVAL: Duration = Duration::from_secs(12);
-/// Candidates, and grantors outside of the majority that accepted a change, learn of it up to this much later.
+/// Candidates, and grantors outside of the majority that accepted a change, learn of it up to this much
+/// later.
 const MAX_UPDATE_DELAY_MS: u64 = 20_000;
 /// Sets of grantors do not shrink below this.
 const MIN_GRANTORS: usize = 3;
@@ -53,8 +54,8 @@
         self.spread_change(&before);
     }
 
-    /// Majorities of the grantors before and after know of a change when it is committed; the others learn of it
-    /// later.
+    /// Majorities of the grantors before and after know of a change when it is committed; the others learn of
+    /// it later.
     fn spread_change(&mut self, before: &[GrantorId]) {
         let mut informed = self.random_majority(before.to_vec());
         informed.extend(self.random_majority(self.committed.grantors.clone()));
--- a/crates/lease/tests/common/faults.rs
+++ b/crates/lease/tests/common/faults.rs
@@ -24,8 +24,8 @@
     AnyRevision,
     /// Candidates win with grantors that became the committed ones a moment ago.
     NewGrantors,
-    /// A restarted process has the name of its earlier run, and so takes over its grants, while the earlier run goes
-    /// on.
+    /// A restarted process has the name of its earlier run, and so takes over its grants, while the earlier
+    /// run goes on.
     SharedName,
 }
 
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Sets back the clock of a grantor, or of a candidate that reads it at once: a step back that is shorter than
-    /// the time since the last reading cannot be noticed.
+    /// Sets back the clock of a grantor, or of a candidate that reads it at once: a step back that is shorter
+    /// than the time since the last reading cannot be noticed.
     fn set_clock_back(&mut self) {
         let picked = self.pick_machine();
         let step = Duration::from_millis(self.random.u64(1000..5000));
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -1,7 +1,8 @@
 //! Candidates and grantors on clocks of their own, with an unreliable network between them.
 //!
-//! [`Simulation`] owns everything and lets time pass; `process` holds clocks and processes, `network` the messages
-//! in flight, `faults` what goes wrong, and `changes` how the set of grantors changes and who learns of it when.
+//! [`Simulation`] owns everything and lets time pass; `process` holds clocks and processes, `network` the
+//! messages in flight, `faults` what goes wrong, and `changes` how the set of grantors changes and who learns
+//! of it when.
 
 mod changes;
 mod faults;
--- a/crates/lease/tests/common/process.rs
+++ b/crates/lease/tests/common/process.rs
@@ -57,7 +57,8 @@
     pub known: GrantorSet,
 }
 
-/// The name of a candidate. It seeds the candidate's jitter: with another text the tests would explore other runs.
+/// The name of a candidate. It seeds the candidate's jitter: with another text the tests would explore other
+/// runs.
 pub fn candidate_name(run: u64) -> String {
     format!("life-{run}")
 }
--- a/crates/register/examples/embed.rs
+++ b/crates/register/examples/embed.rs
@@ -1,7 +1,7 @@
 //! The register without the daemons: three acceptors in one process, one change, one confirmation.
 //!
-//! A real program keeps each acceptor on its own machine. It writes [`Acceptor::state`] to a disk and syncs it before
-//! a reply with `must_persist` is sent, and it carries requests and replies over a network.
+//! A real program keeps each acceptor on its own machine. It writes [`Acceptor::state`] to a disk and syncs
+//! it before a reply with `must_persist` is sent, and it carries requests and replies over a network.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -52,8 +52,8 @@
     }
 }
 
-/// Changes the text, in two quorum rounds. `None` if a majority is missing or another proposer has a higher ballot:
-/// retry under a new ballot.
+/// Changes the text, in two quorum rounds. `None` if a majority is missing or another proposer has a higher
+/// ballot: retry under a new ballot.
 fn change(
     cluster: &mut Cluster,
     ballots: &mut BallotSource,
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -4,42 +4,44 @@
 
 use crate::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, RegisterValue, ReplyOutcome, Versioned};
 
-/// The durable state of an acceptor.
+/// State that an acceptor keeps on its disk across restarts.
 ///
-/// It is encoded by position (`bincode`) on disk: the fields keep their order and types.
+/// The encoding on disk (`bincode`) identifies fields by their position: keep their order and types.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorState<V> {
     /// Incarnation of the disk that holds this state.
     pub incarnation: Incarnation,
-    /// The highest promised ballot: nothing below it is accepted. Never below the ballot of `accepted`.
+    /// Highest promised ballot; the default ballot if none was promised. Requests with a lower ballot are
+    /// rejected. Never below the ballot of `accepted`.
     pub promised: Ballot,
-    /// The value that was accepted with the highest ballot. Never older than `committed`.
+    /// Value that was accepted with the highest ballot; `None` if nothing was accepted or learned. Never
+    /// older than `committed`.
     pub accepted: Option<Versioned<V>>,
-    /// The newest value known to be committed.
+    /// Newest value known to be committed; `None` if no committed value was learned.
     pub committed: Option<Versioned<V>>,
 }
 
 impl<V> AcceptorState<V> {
-    /// The state of a disk that was just initialized.
+    /// Creates the state of a newly initialized disk: nothing is promised, accepted or learned.
     pub fn empty(incarnation: Incarnation) -> Self {
         Self { incarnation, promised: Ballot::default(), accepted: None, committed: None }
     }
 }
 
-/// The reply to a request, and whether it has to wait for the disk.
+/// Reply to a request, and whether the state must be durable before the reply is sent.
 #[derive(Clone, Debug)]
 pub struct PendingReply<V> {
-    /// The reply to send.
+    /// Reply to send to the proposer. Discard it if the state must be durable and the write fails.
     pub reply: AcceptorReply<V>,
-    /// Whether [`Acceptor::state`] must be durable before the reply is sent.
+    /// Whether [`Acceptor::state`] must be durable before `reply` is sent.
     pub must_persist: bool,
 }
 
-/// An acceptor of the register.
+/// Acceptor of the register: handles the requests of proposers and holds the resulting state in memory.
 ///
-/// If its state cannot be made durable, the reply must not be sent. The state in memory may stay ahead of the disk:
-/// each promise and each acceptance requires that the whole state is durable, also a repeated one, since the write
-/// of the first may still be in flight.
+/// The caller makes the state durable. If that fails, the reply must not be sent; the state in memory may
+/// then stay ahead of the disk. Each promise and each acceptance requires the whole state to be durable. This
+/// includes the reply to a repeated request, since the write for the first one may still be in flight.
 #[derive(Clone, Debug)]
 pub struct Acceptor<V> {
     state: AcceptorState<V>,
@@ -51,12 +53,12 @@
         Self { state }
     }
 
-    /// The state to make durable.
+    /// Returns the state that the caller has to make durable.
     pub fn state(&self) -> &AcceptorState<V> {
         &self.state
     }
 
-    /// Handles a request.
+    /// Applies a request to the state and returns the reply.
     pub fn handle(&mut self, request: AcceptorRequest<V>) -> PendingReply<V> {
         match request {
             AcceptorRequest::Prepare(ballot) => self.prepare(ballot),
@@ -70,7 +72,8 @@
         }
     }
 
-    /// Records the first value of the register, if this disk never promised, accepted or learned anything.
+    /// Records the first value of the register, unless this disk has already promised, accepted or learned
+    /// something.
     ///
     /// Replies [`ReplyOutcome::Learned`] if the value was recorded, else [`ReplyOutcome::Current`].
     pub fn initialize(&mut self, first: Versioned<V>) -> PendingReply<V> {
@@ -81,6 +84,7 @@
         self.reply(ReplyOutcome::Learned, is_changed)
     }
 
+    /// Returns whether this disk has never promised, accepted or learned anything.
     fn is_untouched(&self) -> bool {
         let state = &self.state;
         state.promised == Ballot::default() && state.accepted.is_none() && state.committed.is_none()
@@ -92,7 +96,8 @@
     }
 
     fn prepare(&mut self, ballot: Ballot) -> PendingReply<V> {
-        // The promised ballot itself is no rejection: it belongs to the same proposal, whose request was repeated.
+        // An equal ballot is not rejected: no ballot is used twice, so this is a repeated request of the same
+        // proposal.
         if ballot < self.state.promised {
             return self.reply(ReplyOutcome::Rejected(self.state.promised), false);
         }
@@ -111,8 +116,8 @@
 
     /// Records a committed value and returns whether the state has changed.
     ///
-    /// The value also becomes the accepted one, unless a newer value was accepted. That is not a vote for it: the
-    /// value has its majorities already.
+    /// The value also becomes the accepted one, unless a newer value was accepted. This does not count as a
+    /// vote: the required majorities have accepted the value already.
     fn learn(&mut self, committed: Versioned<V>) -> bool {
         if ballot_of(&self.state.committed) >= Some(committed.ballot) {
             return false;
@@ -125,7 +130,8 @@
         true
     }
 
-    /// The values of this acceptor if one of them is newer than `known`, otherwise only their ballots.
+    /// Returns the values of this acceptor if one of them is newer than `known`, otherwise only their
+    /// ballots.
     fn newer_than(&self, known: Ballot) -> ReplyOutcome<V> {
         let accepted = ballot_of(&self.state.accepted);
         let committed = ballot_of(&self.state.committed);
--- a/crates/register/src/ballot.rs
+++ b/crates/register/src/ballot.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number of a proposal. Ballots order proposals, and no proposer uses one twice.
+/// Number of a proposal. Ballots are ordered by round, then by proposer, and no ballot is used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Compared first: the ballot of the higher round wins.
+    /// Round number, which each proposer chooses above the rounds that it has observed. Compared first.
     pub round: u64,
-    /// Random number that the proposing process drew at its start. Makes ballots of the same round unique.
+    /// Random number that the proposing process drew at its start. Distinguishes ballots of the same round.
     pub proposer: u64,
 }
 
@@ -15,17 +15,18 @@
 #[derive(Clone, Debug)]
 pub struct BallotSource {
     proposer: u64,
-    /// The highest round that was issued or observed.
+    /// Highest round that was issued or observed; 0 at first.
     round: u64,
 }
 
 impl BallotSource {
-    /// Creates the source of a process that drew the random number `proposer` at its start.
+    /// Creates the ballot source of a process. `proposer` is the random number that the process drew at its
+    /// start.
     pub fn new(proposer: u64) -> Self {
         Self { proposer, round: 0 }
     }
 
-    /// Records a ballot of any proposer, so that the next one issued is higher.
+    /// Records a ballot of any proposer, so that the next ballot issued here is higher.
     pub fn observe(&mut self, seen: Ballot) {
         self.round = self.round.max(seen.round);
     }
--- a/crates/register/src/confirmation.rs
+++ b/crates/register/src/confirmation.rs
@@ -1,4 +1,5 @@
-//! Checks with one round of reads that a known committed value is the newest (read repair).
+//! Checks with one round of reads that a committed value is the newest one, and brings lagging acceptors up
+//! to date (read repair).
 
 use std::collections::HashMap;
 
@@ -8,30 +9,31 @@
     ReplyOutcome, Versioned,
 };
 
-/// What a confirmation has found after a reply.
+/// Result of a confirmation, judged by the replies received so far.
 #[derive(Clone, Debug)]
 pub enum ConfirmationStatus<V> {
-    /// More replies are needed.
+    /// The replies do not suffice yet, or the last reply does not count. Wait for more.
     Pending,
-    /// Nothing newer was committed when the confirmation started.
+    /// No newer value was committed when the confirmation started.
     Confirmed,
-    /// This newer value is committed: adopt it, and confirm it in turn.
+    /// A newer value, given here, is committed. Adopt it, and start a confirmation of that value.
     Superseded(Versioned<V>),
-    /// A majority has replied, and a value with this newer ballot was accepted somewhere. It may or may not be
-    /// committed. If that does not change, a [`Proposal`](crate::Proposal) that changes nothing decides it.
+    /// A majority has replied, and at least one acceptor has accepted a value with this newer ballot, which
+    /// may or may not be committed. If further replies do not settle that, make a
+    /// [`Proposal`](crate::Proposal) that proposes the value it reads unchanged.
     Undecided(Ballot),
 }
 
-/// One round of reads at the acceptors of a known committed value.
+/// One round of reads at the acceptors of a committed value, which shows whether a newer value is committed.
 #[derive(Clone, Debug)]
 pub struct Confirmation<V> {
-    /// The value to confirm; it is committed.
+    /// Value to confirm, which is committed.
     known: Versioned<V>,
-    /// The last reply of each acceptor of `known`.
+    /// Ballots from the last reply of each acceptor of `known`.
     replies: HashMap<Incarnation, AcceptorBallots>,
 }
 
-/// The ballots of one acceptor's values.
+/// Ballots of the accepted and the committed value of one acceptor; `None` where it has no such value.
 #[derive(Clone, Copy, Debug)]
 struct AcceptorBallots {
     accepted: Option<Ballot>,
@@ -39,7 +41,7 @@
 }
 
 impl<V: RegisterValue> Confirmation<V> {
-    /// Starts to confirm `known`, which must be committed, and returns the requests to send.
+    /// Starts a confirmation of `known`, which must be committed, and returns the requests to send.
     pub fn start(known: Versioned<V>) -> (Self, Vec<AddressedRequest<V>>) {
         let request = AcceptorRequest::ReadNewer(known.ballot);
         let acceptors = known.value.acceptors().iter();
@@ -49,14 +51,15 @@
         (Self { known, replies: HashMap::new() }, requests)
     }
 
-    /// The value that is being confirmed.
+    /// Returns the value that is being confirmed.
     pub fn known(&self) -> &Versioned<V> {
         &self.known
     }
 
     /// Handles the reply of `from` to a request of this confirmation.
     ///
-    /// Replies of another disk at the address of `from`, and of machines that are no acceptors, do not count.
+    /// A reply does not count if it comes from another disk at the address of `from`, or from a machine that
+    /// is not an acceptor of the value.
     pub fn on_reply(&mut self, from: &Member, reply: AcceptorReply<V>) -> ConfirmationStatus<V> {
         if from.incarnation != reply.incarnation || !self.is_acceptor(reply.incarnation) {
             return ConfirmationStatus::Pending;
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Requests that bring acceptors up to date which have replied and do not know the committed value yet.
+    /// Returns learn requests for the acceptors that have replied and have not recorded the value as
+    /// committed.
     pub fn catch_up_requests(&self) -> Vec<AddressedRequest<V>> {
         let acceptors = self.known.value.acceptors().iter();
         let lagging = acceptors.filter(|member| {
@@ -98,8 +102,11 @@
         self.known.value.acceptors().iter().any(|member| member.incarnation == incarnation)
     }
 
-    /// A committed successor was accepted by a majority of these acceptors, which shares a member with each of their
-    /// majorities. So a majority that has accepted nothing newer confirms, whatever the others have accepted.
+    /// Derives the status from the replies so far.
+    ///
+    /// A committed successor of the value was accepted by a majority of the value's acceptors, and any two
+    /// majorities share a member. So a majority that has accepted nothing newer confirms the value, whatever
+    /// the remaining acceptors have accepted.
     fn status(&self) -> ConfirmationStatus<V> {
         let majority = majority(self.known.value.acceptors().len());
         let known = Some(self.known.ballot);
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -1,31 +1,32 @@
 //! A replicated compare-and-swap register without a log or a leader (CASPaxos).
 //!
-//! The crate holds the protocol only, as state machines without I/O, clocks or threads; the caller carries
-//! requests and replies over a network and makes the state of its acceptor durable:
+//! The crate contains only the protocol, as state machines without I/O, clocks or threads. The caller
+//! transports requests and replies over a network and makes the state of its acceptor durable:
 //!
-//! - an [`Acceptor`] handles requests, and says when its state must be durable before the reply is sent;
+//! - an [`Acceptor`] handles requests, and reports when its state must be durable before the reply is sent;
 //! - a [`Proposal`] makes one change in two quorum rounds, prepare and accept;
-//! - a [`Confirmation`] checks with one round of reads that a known committed value is the newest.
+//! - a [`Confirmation`] checks with one round of reads that a committed value is the newest.
 //!
-//! `examples/embed.rs` connects them in one process. The control plane runs them over HTTP.
+//! `examples/embed.rs` connects these parts within one process. The control plane runs them over HTTP.
 //!
-//! The names are those of the paper: Denis Rystsov, "CASPaxos: Replicated State Machines without logs", 2018.
+//! The terms are those of the paper: Denis Rystsov, "CASPaxos: Replicated State Machines without logs", 2018.
 //!
 //! # Why changing the acceptors is safe
 //!
-//! Each value names the acceptors that are responsible for it ([`RegisterValue::acceptors`]). The set of acceptors
-//! changes by at most one addition and one removal at a time ([`is_single_step`]), and only on top of a value that
-//! is known to be committed.
+//! Each value names the acceptors that are responsible for it ([`RegisterValue::acceptors`]). The set of
+//! acceptors changes by at most one addition and one removal at a time ([`is_single_step`]), and only on top
+//! of a value that is known to be committed.
 //!
 //! - A value whose acceptors differ from those of its predecessor names the predecessor's acceptors too
 //!   ([`Versioned::previous_acceptors`]). It is committed when a majority of both sets has accepted it.
-//! - A proposer that reads a value which is not known to be committed needs promises from majorities of both sets,
-//!   and proposes nothing but a value with the same two sets in its place.
-//! - Once a proposer knows that the change is committed, it needs the earlier set no longer
+//! - A proposer may read a value that is not known to be committed. It then needs promises from majorities of
+//!   both sets, and replaces the value only by a value with the same two sets.
+//! - Once a proposer has learned that the change is committed, it no longer needs the earlier set
 //!   ([`Versioned::predecessor`]).
 //!
-//! So the successor of a committed value was accepted by a majority of that value's acceptors. A proposer that
-//! starts from any committed value sees the successor, or something newer, and follows the chain to its end.
+//! So the successor of a committed value was accepted by a majority of that value's acceptors. A proposer
+//! that starts from any committed value reads the successor or a newer value, and repeats this until it
+//! reaches the newest value.
 
 mod acceptor;
 mod ballot;
--- a/crates/register/src/messages.rs
+++ b/crates/register/src/messages.rs
@@ -1,48 +1,49 @@
 //! Messages between proposers and acceptors.
 //!
-//! They are encoded by position (`bincode`) between processes: variants and fields keep their order and types.
+//! The encoding (`bincode`) identifies variants and fields by their position: keep their order and types.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Ballot, Incarnation, Member, Versioned};
 
-/// A request of a proposer to an acceptor.
+/// Request of a proposer to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcceptorRequest<V> {
-    /// Promise to accept nothing below this ballot.
+    /// Asks for a promise to reject all requests below this ballot, and for the accepted value.
     Prepare(Ballot),
-    /// Accept this value.
+    /// Asks to accept this value, unless a higher ballot was promised.
     Accept(Versioned<V>),
-    /// Learn that this value is committed.
+    /// Reports that this value is committed.
     Learn(Versioned<V>),
-    /// Return the newest accepted value and the newest value known to be committed.
+    /// Asks for the newest accepted value and the newest value known to be committed.
     Read,
-    /// The same as `Read`, but without the values if neither is newer than this ballot.
+    /// Asks for the same values as `Read`, or only for their ballots if neither value is newer than this
+    /// ballot.
     ReadNewer(Ballot),
 }
 
-/// A request together with the acceptor to which it goes.
+/// Request together with the acceptor that is to handle it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedRequest<V> {
-    /// The acceptor. Only a reply from this incarnation counts.
+    /// Acceptor that is to handle the request. Only a reply from its incarnation counts.
     pub to: Member,
-    /// The request to send.
+    /// Request to send to the address of `to`.
     pub request: AcceptorRequest<V>,
 }
 
-/// The reply of an acceptor.
+/// Reply of an acceptor to any request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptorReply<V> {
     /// Incarnation of the disk that replies. The reply counts only for the member with this incarnation.
     pub incarnation: Incarnation,
-    /// What the acceptor did, or the state that it was asked for.
+    /// Effect of the request, or the values that it asked for.
     pub outcome: ReplyOutcome<V>,
 }
 
-/// What an acceptor replies to a request.
+/// Effect of a request on an acceptor, or the values that the request asked for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplyOutcome<V> {
-    /// The promise is given. Holds the value that was accepted with the highest ballot so far.
+    /// The ballot is promised. Contains the value that was accepted with the highest ballot so far, if any.
     Promised(Option<Versioned<V>>),
     /// The value is accepted.
     Accepted,
@@ -50,18 +51,18 @@
     Rejected(Ballot),
     /// The committed value is recorded.
     Learned,
-    /// The values of the acceptor.
+    /// Values of the acceptor, in reply to `Read` or `ReadNewer`, or to an initialization that was refused.
     Current {
-        /// The value that was accepted with the highest ballot.
+        /// Value that was accepted with the highest ballot; `None` if none was accepted.
         accepted: Option<Versioned<V>>,
-        /// The newest value known to be committed.
+        /// Newest value known to be committed; `None` if none was learned.
         committed: Option<Versioned<V>>,
     },
-    /// Neither value is newer than the ballot of the request.
+    /// Reply to `ReadNewer`: neither value is newer than the ballot of the request.
     NothingNewer {
-        /// Ballot of the value that was accepted with the highest ballot.
+        /// Highest ballot with which a value was accepted; `None` if none was accepted.
         accepted: Option<Ballot>,
-        /// Ballot of the newest value known to be committed.
+        /// Ballot of the newest value known to be committed; `None` if none was learned.
         committed: Option<Ballot>,
     },
 }
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -1,4 +1,4 @@
-//! The proposer's side of one change: a prepare round and an accept round.
+//! The proposer's part of one change to the register: a prepare round and an accept round.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -10,48 +10,50 @@
     ReplyOutcome, Versioned,
 };
 
-/// What to do after a reply.
+/// Next step of a proposer after it has received a reply.
 #[derive(Clone, Debug)]
 pub enum ProposalStep<V> {
-    /// Nothing: more replies are needed, or this one came too late to matter.
+    /// Wait for more replies: the last one completed nothing, or it arrived too late to have an effect.
     Wait,
-    /// Send these requests as well.
+    /// Send these additional prepare requests: the value that was read names further acceptors.
     Send(Vec<AddressedRequest<V>>),
-    /// The promises are complete, and this is the current value. Continue with [`Proposal::propose`].
+    /// The required majorities have promised, and the current value of the register is given here. Continue
+    /// with [`Proposal::propose`].
     Prepared(Versioned<V>),
-    /// This value is committed. It is not the proposed one if [`Proposal::propose`] had to propose the value that
-    /// was read once more.
+    /// The value given here is committed. It differs from the value passed to [`Proposal::propose`] if that
+    /// function had to propose the value that was read instead.
     Committed(Versioned<V>),
-    /// Another proposer uses this higher ballot. The value may still be committed by a later proposal that reads it.
+    /// Another proposer uses the higher ballot given here, and this proposal has ended. Its value may still
+    /// be committed by a later proposal that reads it.
     Preempted(Ballot),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProposalPhase {
-    /// Collects promises.
+    /// Promises are being collected.
     Preparing,
-    /// The promises are complete; the value to propose is awaited.
+    /// The required majorities have promised; the caller has not passed the value to propose yet.
     Prepared,
-    /// Collects acceptances.
+    /// Acceptances are being collected.
     Accepting,
-    /// Committed, or preempted by a higher ballot.
+    /// The value is committed, or a higher ballot preempted the proposal.
     Finished,
 }
 
-/// A proposal under one ballot.
+/// Proposal under one ballot, in the prepare round or the accept round.
 ///
-/// Pass in only replies to this proposal's own requests: a reply does not name the ballot that it answers.
+/// Pass in only replies to the requests of this proposal: a reply does not contain the ballot of its request.
 #[derive(Clone, Debug)]
 pub struct Proposal<V> {
     ballot: Ballot,
-    /// The committed value from which the proposal started.
+    /// Committed value from which the proposal started.
     base: Versioned<V>,
-    /// The value with the highest ballot that was read so far, at first `base`. Never older than `base`.
+    /// Value with the highest ballot that was read so far; initially `base`, and never older than `base`.
     current: Versioned<V>,
-    /// The value that was sent to be accepted. `None` before the accept round, and after a preemption.
+    /// Value in the accept requests. `None` before the accept round, and after a preemption.
     proposed: Option<Versioned<V>>,
     phase: ProposalPhase,
-    /// The acceptors that were sent a prepare request, each once.
+    /// Acceptors that were sent a prepare request, without duplicates.
     prepare_sent_to: Vec<Member>,
     /// Acceptors that have promised this ballot.
     promises: HashSet<Incarnation>,
@@ -62,7 +64,7 @@
 }
 
 impl<V: RegisterValue> Proposal<V> {
-    /// Starts from `base`, which must be committed, under a ballot that was never used.
+    /// Starts a proposal from `base`, which must be committed, under a ballot that was not used before.
     ///
     /// Returns the proposal and the prepare requests to send.
     pub fn start(ballot: Ballot, base: Versioned<V>) -> (Self, Vec<AddressedRequest<V>>) {
@@ -81,22 +83,22 @@
         (proposal, requests)
     }
 
-    /// The ballot of this proposal.
+    /// Returns the ballot of this proposal.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Whether the value that was read is known to be committed.
+    /// Returns whether the value that was read is known to be committed.
     ///
-    /// If not, this proposal cannot change the acceptors: propose the value unchanged, and start again from the
-    /// committed result.
+    /// If it is not, this proposal cannot change the acceptors. Propose the value unchanged, and start
+    /// another proposal from the committed result.
     pub fn is_known_committed(&self) -> bool {
         self.current.ballot == self.base.ballot
     }
 
     /// Handles the reply of `from` to one of this proposal's requests.
     ///
-    /// A reply of another disk at the address of `from` does not count.
+    /// A reply from another disk at the address of `from` does not count.
     pub fn on_reply(&mut self, from: &Member, reply: AcceptorReply<V>) -> ProposalStep<V> {
         if from.incarnation != reply.incarnation {
             return ProposalStep::Wait;
@@ -113,9 +115,10 @@
 
     /// Proposes a value in place of the one that was read, and returns the accept requests to send.
     ///
-    /// Returns nothing unless the last step was [`ProposalStep::Prepared`]. A value with other acceptors is proposed
-    /// only if the value that was read [is known to be committed](Self::is_known_committed) and
-    /// [one step](is_single_step) leads to them; otherwise the value that was read is proposed again unchanged.
+    /// Returns no requests unless the last step was [`ProposalStep::Prepared`]. A value with other acceptors
+    /// is proposed only if the value that was read [is known to be committed](Self::is_known_committed) and
+    /// its acceptors can be changed to the new ones in [one step](is_single_step). Otherwise the value that
+    /// was read is proposed again unchanged.
     pub fn propose(&mut self, value: V) -> Vec<AddressedRequest<V>> {
         if self.phase != ProposalPhase::Prepared {
             return Vec::new();
@@ -128,7 +131,8 @@
         requests_to_all(&proposed, AcceptorRequest::Accept)
     }
 
-    /// After [`ProposalStep::Committed`]: requests that let the previous and the new acceptors learn the value.
+    /// Returns requests that report the committed value to its previous and its new acceptors. Returns none
+    /// before [`ProposalStep::Committed`].
     pub fn learn_requests(&self) -> Vec<AddressedRequest<V>> {
         match &self.proposed {
             Some(committed) if self.phase == ProposalPhase::Finished => {
@@ -138,18 +142,19 @@
         }
     }
 
-    /// Whether a value may be proposed on top of the one that was read: it has the same acceptors, or one step leads to
-    /// its acceptors from those of a committed value.
+    /// Returns whether a value may replace the one that was read: it has the same acceptors, or the value
+    /// that was read is known to be committed and its acceptors can be changed to the new ones in one step.
     fn may_follow(&self, value: &V) -> bool {
         let current = self.current.value.acceptors();
         same_members(current, value.acceptors())
             || (self.is_known_committed() && is_single_step(current, value.acceptors()))
     }
 
-    /// The acceptors of the committed value that `value` is made from, if they differ from its own, and the ballot of
-    /// that committed value.
+    /// Returns the acceptors and the ballot of the committed value from which `value` is derived, or an empty
+    /// set and the default ballot if that value has the same acceptors as `value`.
     ///
-    /// A value that takes the place of one that is not known to be committed has the same origin as that one.
+    /// If the value that was read may stem from an uncommitted change of the acceptors, `value` replaces it
+    /// and gets the same previous acceptors and predecessor.
     fn origin_of(&self, value: &V) -> (Arc<[Member]>, Ballot) {
         let current = self.current.value.acceptors();
         if self.depends_on_previous_acceptors() {
@@ -161,10 +166,11 @@
         }
     }
 
-    /// Whether the value that was read may stem from a change of the acceptors that is not committed yet.
+    /// Returns whether the value that was read may stem from a change of the acceptors that is not committed
+    /// yet.
     ///
-    /// It does not if the base is newer than the committed value from which the acceptors were changed: then the base
-    /// is that change or comes after it, and has the same acceptors as the value that was read.
+    /// That is ruled out if the base is newer than the committed value from which the acceptors were changed.
+    /// The base then is that change or a later value, and has the same acceptors as the value that was read.
     fn depends_on_previous_acceptors(&self) -> bool {
         !self.is_known_committed() && self.current.predecessor >= self.base.ballot
     }
@@ -190,7 +196,8 @@
         }
     }
 
-    /// Whether majorities of all sets of acceptors have promised that may be responsible for the current value.
+    /// Returns whether a majority has promised in each set of acceptors that may be responsible for the
+    /// current value.
     fn has_all_promises(&self) -> bool {
         let has_current = if self.depends_on_previous_acceptors() {
             has_both_majorities(&self.current, &self.promises)
@@ -200,7 +207,8 @@
         has_current && has_majority(self.base.value.acceptors(), &self.promises)
     }
 
-    /// Prepare requests to the acceptors of the current value that were not sent one yet.
+    /// Returns prepare requests for the acceptors of the current value that were not sent one yet. They
+    /// include its previous acceptors, if the change of the acceptors may be uncommitted.
     fn prepare_requests(&mut self) -> Vec<AddressedRequest<V>> {
         let depends_on_previous = self.depends_on_previous_acceptors();
         let previous: &[Member] = if depends_on_previous { &self.current.previous_acceptors } else { &[] };
@@ -243,8 +251,9 @@
         ProposalStep::Preempted(promised)
     }
 
-    /// Whether the rejections leave no way to go on. A proposal that prepares gives up at the first one, since
-    /// nothing is lost by a higher ballot; one whose value was sent goes on as long as it can be committed.
+    /// Returns whether the rejections end this proposal. In the prepare round the first rejection does, since
+    /// no value was sent yet and a retry under a higher ballot loses nothing. In the accept round the
+    /// proposal continues as long as the required majorities are possible.
     fn is_preempted(&self) -> bool {
         match (self.phase, &self.proposed) {
             (ProposalPhase::Preparing, _) => true,
@@ -258,14 +267,15 @@
     }
 }
 
-/// Whether a majority of the value's acceptors is among the votes, and of its previous acceptors, if any.
+/// Returns whether `votes` contains a majority of the value's acceptors and, if it has previous acceptors, a
+/// majority of those too.
 fn has_both_majorities<V: RegisterValue>(versioned: &Versioned<V>, votes: &HashSet<Incarnation>) -> bool {
     let previous = &versioned.previous_acceptors;
     let has_previous = previous.is_empty() || has_majority(previous, votes);
     has_previous && has_majority(versioned.value.acceptors(), votes)
 }
 
-/// One request about a value to each of its previous and its own acceptors.
+/// Builds one request about a value for each of its acceptors and previous acceptors.
 fn requests_to_all<V: RegisterValue>(
     versioned: &Versioned<V>,
     request: impl Fn(Versioned<V>) -> AcceptorRequest<V>,
@@ -274,7 +284,8 @@
     members.into_iter().map(|to| AddressedRequest { to, request: request(versioned.clone()) }).collect()
 }
 
-/// The members of both sets, each incarnation once.
+/// Returns the members of both sets, with each incarnation once. Where both name one, the entry of `left` is
+/// kept.
 fn union(left: &[Member], right: &[Member]) -> Vec<Member> {
     let mut members = left.to_vec();
     for member in right {
--- a/crates/register/src/quorum.rs
+++ b/crates/register/src/quorum.rs
@@ -4,18 +4,18 @@
 
 use crate::{Incarnation, Member};
 
-/// How many of `count` acceptors are a majority.
+/// Returns the number of acceptors that form a majority of `count`.
 pub(crate) fn majority(count: usize) -> usize {
     count / 2 + 1
 }
 
-/// Whether a majority of `members` is among `votes`. An empty set of members has no majority.
+/// Returns whether `votes` contains a majority of `members`. An empty set of members has no majority.
 pub(crate) fn has_majority(members: &[Member], votes: &HashSet<Incarnation>) -> bool {
     let count = members.iter().filter(|member| votes.contains(&member.incarnation)).count();
     count >= majority(members.len())
 }
 
-/// Whether so many of `members` are among `rejections` that the others are no majority.
+/// Returns whether the members that are not in `rejections` are too few for a majority of `members`.
 pub(crate) fn is_majority_impossible(members: &[Member], rejections: &HashSet<Incarnation>) -> bool {
     let remaining = members.iter().filter(|member| !rejections.contains(&member.incarnation)).count();
     remaining < majority(members.len())
--- a/crates/register/src/reconfiguration.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -4,16 +4,16 @@
 
 use crate::{Incarnation, Member};
 
-/// Whether both sets name the same disks, whatever their order and addresses.
+/// Returns whether both sets contain the same incarnations. Order, names and addresses are not compared.
 pub fn same_members(left: &[Member], right: &[Member]) -> bool {
     incarnations(left) == incarnations(right)
 }
 
-/// Whether the acceptors may change from one set to the other in one step.
+/// Returns whether the acceptors may be changed from one set to the other in one step.
 ///
-/// A step adds at most one member and removes at most one, so that one member may replace another. It names no
-/// member twice and leaves at least one. Majorities of both sets commit it. Larger steps would be as safe, but would
-/// wait for several machines that are new.
+/// A step adds at most one member and removes at most one, so a step can replace one member by another. The
+/// resulting set contains no member twice and is not empty. A step is committed by majorities of both sets.
+/// Larger steps would be as safe, but their commit would have to wait for several new machines.
 pub fn is_single_step(from: &[Member], to: &[Member]) -> bool {
     let (before, after) = (incarnations(from), incarnations(to));
     let has_duplicates = after.len() != to.len();
@@ -22,28 +22,29 @@
     !to.is_empty() && !has_duplicates && added <= 1 && removed <= 1
 }
 
-/// The members with `added`, which replaces an entry of the same incarnation.
+/// Returns the members with `added` at the end, in place of an entry of the same incarnation if there is one.
 pub fn with_member(members: &[Member], added: Member) -> Vec<Member> {
     let mut changed = without_member(members, added.incarnation);
     changed.push(added);
     changed
 }
 
-/// The members with `added` in place of the member of incarnation `removed`.
+/// Returns the members without the member of incarnation `removed`, and with `added` at the end.
 pub fn with_member_replaced(members: &[Member], removed: Incarnation, added: Member) -> Vec<Member> {
     with_member(&without_member(members, removed), added)
 }
 
-/// The members without the one of incarnation `removed`.
+/// Returns the members without the member of incarnation `removed`.
 pub fn without_member(members: &[Member], removed: Incarnation) -> Vec<Member> {
     members.iter().filter(|member| member.incarnation != removed).cloned().collect()
 }
 
-/// The acceptors after the next step from `current` towards `target`; `None` if no step is left to take.
+/// Returns the acceptors after the next step from `current` towards `target`; `None` if no step remains.
 ///
-/// A new acceptor replaces one that is not in the target set, if there is one. Otherwise a step adds before it
-/// removes: a set that shrank first would depend on acceptors that may be the next to fail. The last acceptor is
-/// never removed.
+/// A step replaces an acceptor that is not in the target set by a new one, as long as there are both. After
+/// that the remaining new acceptors are added, or the remaining old ones removed. Additions never wait for
+/// removals: a set that shrank first would depend on acceptors that may be the next to fail. The last
+/// acceptor is never removed.
 pub fn next_step(current: &[Member], target: &[Member]) -> Option<Vec<Member>> {
     let (present, kept) = (incarnations(current), incarnations(target));
     let added = target.iter().find(|member| !present.contains(&member.incarnation));
--- a/crates/register/src/value.rs
+++ b/crates/register/src/value.rs
@@ -1,4 +1,4 @@
-//! The value of the register, and its version.
+//! The value of the register, with the ballot under which it was proposed.
 
 use std::sync::Arc;
 
@@ -6,35 +6,40 @@
 
 use crate::{Ballot, Member};
 
-/// A value that names the acceptors responsible for it.
+/// Value of the register. Each value names the acceptors that are responsible for it.
 pub trait RegisterValue: Clone {
-    /// The acceptors of this value: a majority of them must accept it, and must promise before it is replaced.
+    /// Returns the acceptors of this value. A majority of them must accept it to commit it, and a majority
+    /// must promise before another value replaces it.
     fn acceptors(&self) -> &[Member];
 }
 
-/// A value with the ballot under which it was proposed.
+/// Value with the ballot under which it was proposed, which serves as its version.
 ///
-/// Versions with the same ballot are the same version, since no ballot is used twice.
+/// Two versions with the same ballot are equal, since no ballot is used twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versioned<V> {
-    /// Ballot of the proposal.
+    /// Ballot of the proposal that proposed the value. Newer values have higher ballots.
     pub ballot: Ballot,
-    /// The value itself.
+    /// Content of the register, shared between copies of this version.
     pub value: Arc<V>,
-    /// Acceptors of the committed value that this one was made from, if they differ from its own; else empty.
+    /// Acceptors of the committed value from which this value was derived, if they differ from its acceptors;
+    /// else empty.
     ///
-    /// Until this value is known to be committed, it needs a majority of these acceptors as well as of its own.
+    /// Until this value is known to be committed, promises and acceptances are needed from a majority of
+    /// these acceptors and from a majority of the value's acceptors.
     pub previous_acceptors: Arc<[Member]>,
-    /// Ballot of the committed value that this one was made from, if [`previous_acceptors`] is not empty.
+    /// Ballot of the committed value from which this value was derived, if [`previous_acceptors`] is not
+    /// empty; else the default ballot.
     ///
-    /// A proposer that knows a newer committed value does not need the previous acceptors any more.
+    /// A proposer that starts from a newer committed value does not need the previous acceptors.
     ///
     /// [`previous_acceptors`]: Self::previous_acceptors
     pub predecessor: Ballot,
 }
 
 impl<V> Versioned<V> {
-    /// Creates a value whose acceptors are those of the value before it, such as the first value.
+    /// Creates a version whose acceptors did not change from its predecessor, or the first version of the
+    /// register.
     pub fn new(ballot: Ballot, value: Arc<V>) -> Self {
         Self { ballot, value, previous_acceptors: Arc::default(), predecessor: Ballot::default() }
     }
--- a/crates/register/tests/common/simulation/mod.rs
+++ b/crates/register/tests/common/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! Machines, proposers and an unreliable network, driven by a random number generator.
 //!
-//! [`Simulation`] owns everything and draws what happens next; `machine` holds what happens to machines and their
-//! disks, `proposer` what proposers do, `network` the messages in flight.
+//! [`Simulation`] owns everything and draws what happens next; `machine` holds what happens to machines and
+//! their disks, `proposer` what proposers do, `network` the messages in flight.
 
 mod machine;
 mod network;
--- a/crates/register/tests/disk_loss.rs
+++ b/crates/register/tests/disk_loss.rs
@@ -1,5 +1,5 @@
-//! A change is interrupted at any point, and one machine loses its disk: the others complete or discard the change, and
-//! the machine becomes an acceptor again.
+//! A change is interrupted at any point, and one machine loses its disk: the others complete or discard the
+//! change, and the machine becomes an acceptor again.
 
 mod common;
 
--- a/crates/register/tests/exhaustive.rs
+++ b/crates/register/tests/exhaustive.rs
@@ -1,5 +1,5 @@
-//! Every order of a few concurrent proposals: each request is handled at any time or never, and each reply arrives
-//! or is lost.
+//! Every order of a few concurrent proposals: each request is handled at any time or never, and each reply
+//! arrives or is lost.
 
 mod common;
 
--- a/crates/register/tests/golden.rs
+++ b/crates/register/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden files of the register: how its messages and its durable state are encoded between processes and on disk.
+//! Golden files of the register: how its messages and its durable state are encoded between processes and on
+//! disk.
 
 use std::fmt::Debug;
 use std::path::Path;
--- a/crates/register/tests/random_exploration.rs
+++ b/crates/register/tests/random_exploration.rs
@@ -1,5 +1,5 @@
-//! Random explorations: loss, repetition and reordering of messages, restarts, lost disks, concurrent proposers
-//! and changes of the acceptors. Committed values must follow one from the other.
+//! Random explorations: loss, repetition and reordering of messages, restarts, lost disks, concurrent
+//! proposers and changes of the acceptors. Committed values must follow one from the other.
 
 mod common;
 
