--- a/crates/lease/src/grantor.rs
+++ b/crates/lease/src/grantor.rs
@@ -12,7 +12,7 @@
     /// Longest duration of a grant.
     ttl: Duration,
     /// Earliest time of a grant. Before it, a grant from before a restart may still be valid.
-    grants_from: Duration,
+    earliest_grant_at: Duration,
     /// Newest grant, which may have expired. `None` if there was none, or if the last one was released.
     grant: Option<Grant>,
     /// Newest set of grantors that was observed, whether committed or not, in the order of the register's
@@ -54,7 +54,7 @@
         Self {
             id,
             ttl,
-            grants_from: now + ttl,
+            earliest_grant_at: now + ttl,
             grant: None,
             observed_grantors: Vec::new(),
             min_revision: 0,
@@ -89,16 +89,16 @@
     /// Rejects requests for longer grants than the TTL of this grantor, with an outdated revision, or for
     /// other grantors than this one, such as one that ran at the same address on a disk that was lost.
     pub fn handle(&mut self, now: Duration, request: &LeaseRequest) -> LeaseReply {
-        if now < self.grants_from {
-            return rejected("", self.grants_from - now);
+        if now < self.earliest_grant_at {
+            return rejection("", self.earliest_grant_at - now);
         }
         let requested_ttl = Duration::from_millis(request.ttl_ms);
-        let is_addressed = request.grantors.contains(&self.id);
-        if !is_addressed || requested_ttl > self.ttl || request.revision < self.min_revision {
-            return rejected("", Duration::ZERO);
+        let is_named_in_request = request.grantors.contains(&self.id);
+        if !is_named_in_request || requested_ttl > self.ttl || request.revision < self.min_revision {
+            return rejection("", Duration::ZERO);
         }
         if let Some(grant) = self.valid_grant(now).filter(|grant| grant.holder != request.holder) {
-            return rejected(&grant.holder, grant.expires_at - now);
+            return rejection(&grant.holder, grant.expires_at - now);
         }
         self.record_grant(request, now + requested_ttl);
         let committed_for_ms = self.committed_for(now, &request.grantors).as_millis() as u64;
@@ -125,8 +125,8 @@
     /// Grants or renews the lease. A delayed request, handled after a later one of the same holder, neither
     /// lowers the term nor shortens the grant.
     fn record_grant(&mut self, request: &LeaseRequest, expires_at: Duration) {
-        let own = self.grant.take().filter(|grant| grant.holder == request.holder);
-        let (term, expires_at) = match own {
+        let previous = self.grant.take().filter(|grant| grant.holder == request.holder);
+        let (term, expires_at) = match previous {
             Some(grant) => (grant.term.max(request.term), grant.expires_at.max(expires_at)),
             None => (request.term, expires_at),
         };
@@ -147,6 +147,6 @@
     grantors
 }
 
-fn rejected(holder: &str, remaining: Duration) -> LeaseReply {
+fn rejection(holder: &str, remaining: Duration) -> LeaseReply {
     LeaseReply::Rejected { holder: holder.to_owned(), remaining_ms: remaining.as_millis() as u64 }
 }
--- a/crates/lease/src/round.rs
+++ b/crates/lease/src/round.rs
@@ -12,9 +12,9 @@
     /// Grantors that were sent the request.
     grantors: Vec<GrantorId>,
     /// Grantors that have granted the lease in this round.
-    granted: BTreeSet<GrantorId>,
+    granted_by: BTreeSet<GrantorId>,
     /// Last rejection of each grantor that has rejected the request.
-    rejected: BTreeMap<GrantorId, Rejection>,
+    rejections: BTreeMap<GrantorId, Rejection>,
     /// Whether no other candidate can still hold a lease from another set of grantors, so that a majority of
     /// these grantors suffices. This is the case if the candidate held the lease when the round started, if
     /// the grantors are those of the cluster's first start, or once a grantor has known for one TTL that they
@@ -37,8 +37,8 @@
         Self {
             started_at: now,
             grantors: grantors.to_vec(),
-            granted: BTreeSet::new(),
-            rejected: BTreeMap::new(),
+            granted_by: BTreeSet::new(),
+            rejections: BTreeMap::new(),
             are_grantors_stable,
         }
     }
@@ -55,24 +55,24 @@
         }
         match reply {
             LeaseReply::Granted { committed_for_ms } => {
-                self.granted.insert(from);
+                self.granted_by.insert(from);
                 self.are_grantors_stable |= Duration::from_millis(*committed_for_ms) >= ttl;
             }
             LeaseReply::Rejected { holder, remaining_ms } => {
                 let remaining = Duration::from_millis(*remaining_ms);
-                self.rejected.insert(from, Rejection { holder: holder.clone(), remaining });
+                self.rejections.insert(from, Rejection { holder: holder.clone(), remaining });
             }
         }
     }
 
     /// Returns whether the replies so far win the lease.
     pub(crate) fn is_won(&self) -> bool {
-        self.are_grantors_stable && self.is_majority(self.granted.len())
+        self.are_grantors_stable && self.is_majority(self.granted_by.len())
     }
 
     /// Returns whether the grantors that have not rejected the request are too few for a majority.
     pub(crate) fn cannot_be_won(&self) -> bool {
-        let may_grant = self.grantors.iter().filter(|grantor| !self.rejected.contains_key(grantor)).count();
+        let may_grant = self.grantors.iter().filter(|grantor| !self.rejections.contains_key(grantor)).count();
         !self.is_majority(may_grant)
     }
 
@@ -82,17 +82,17 @@
     /// Grantors that reject without a grant, such as restarted ones, name an empty holder. It counts like any
     /// other holder: while a majority of the grantors waits after a restart, the candidate waits too.
     pub(crate) fn majority_holder_remaining(&self) -> Option<Duration> {
-        let holders = self.rejected.values().map(|rejection| &rejection.holder);
-        let holder = holders.max_by_key(|holder| self.rejections_for(holder).count())?;
-        if !self.is_majority(self.rejections_for(holder).count()) {
+        let holders = self.rejections.values().map(|rejection| &rejection.holder);
+        let holder = holders.max_by_key(|holder| self.rejections_naming(holder).count())?;
+        if !self.is_majority(self.rejections_naming(holder).count()) {
             return None;
         }
-        self.rejections_for(holder).map(|rejection| rejection.remaining).max()
+        self.rejections_naming(holder).map(|rejection| rejection.remaining).max()
     }
 
     /// Returns the rejections that name this holder.
-    fn rejections_for<'a>(&'a self, holder: &'a str) -> impl Iterator<Item = &'a Rejection> {
-        self.rejected.values().filter(move |rejection| rejection.holder == holder)
+    fn rejections_naming<'a>(&'a self, holder: &'a str) -> impl Iterator<Item = &'a Rejection> {
+        self.rejections.values().filter(move |rejection| rejection.holder == holder)
     }
 
     /// Returns whether `count` grantors are a majority of the round's grantors.
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -67,8 +67,8 @@
                 let is_changed = self.learn(committed);
                 self.reply(ReplyOutcome::Learned, is_changed)
             }
-            AcceptorRequest::Read => self.reply(self.current(), false),
-            AcceptorRequest::ReadNewer(known) => self.reply(self.newer_than(known), false),
+            AcceptorRequest::Read => self.reply(self.current_values(), false),
+            AcceptorRequest::ReadNewer(known) => self.reply(self.values_newer_than(known), false),
         }
     }
 
@@ -77,15 +77,15 @@
     ///
     /// Replies [`ReplyOutcome::Learned`] if the value was recorded, else [`ReplyOutcome::Current`].
     pub fn initialize(&mut self, first: Versioned<V>) -> PendingReply<V> {
-        if !self.is_untouched() {
-            return self.reply(self.current(), false);
+        if !self.has_empty_state() {
+            return self.reply(self.current_values(), false);
         }
         let is_changed = self.learn(first);
         self.reply(ReplyOutcome::Learned, is_changed)
     }
 
     /// Returns whether this disk has never promised, accepted or learned anything.
-    fn is_untouched(&self) -> bool {
+    fn has_empty_state(&self) -> bool {
         let state = &self.state;
         state.promised == Ballot::default() && state.accepted.is_none() && state.committed.is_none()
     }
@@ -132,16 +132,16 @@
 
     /// Returns the values of this acceptor if one of them is newer than `known`, otherwise only their
     /// ballots.
-    fn newer_than(&self, known: Ballot) -> ReplyOutcome<V> {
+    fn values_newer_than(&self, known: Ballot) -> ReplyOutcome<V> {
         let accepted = ballot_of(&self.state.accepted);
         let committed = ballot_of(&self.state.committed);
         if accepted.max(committed) > Some(known) {
-            return self.current();
+            return self.current_values();
         }
         ReplyOutcome::NothingNewer { accepted, committed }
     }
 
-    fn current(&self) -> ReplyOutcome<V> {
+    fn current_values(&self) -> ReplyOutcome<V> {
         let AcceptorState { accepted, committed, .. } = &self.state;
         ReplyOutcome::Current { accepted: accepted.clone(), committed: committed.clone() }
     }
--- a/crates/register/src/confirmation.rs
+++ b/crates/register/src/confirmation.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use crate::quorum::majority;
+use crate::quorum::majority_size;
 use crate::{
     AcceptorReply, AcceptorRequest, AddressedRequest, Ballot, Incarnation, Member, RegisterValue,
     ReplyOutcome, Versioned,
@@ -108,7 +108,7 @@
     /// majorities share a member. So a majority that has accepted nothing newer confirms the value, whatever
     /// the remaining acceptors have accepted.
     fn status(&self) -> ConfirmationStatus<V> {
-        let majority = majority(self.known.value.acceptors().len());
+        let majority = majority_size(self.known.value.acceptors().len());
         let known = Some(self.known.ballot);
         let without_newer = self.replies.values().filter(|ballots| ballots.accepted <= known).count();
         if without_newer >= majority {
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -123,12 +123,13 @@
         if self.phase != ProposalPhase::Prepared {
             return Vec::new();
         }
-        let value = if self.may_follow(&value) { Arc::new(value) } else { Arc::clone(&self.current.value) };
-        let (previous_acceptors, predecessor) = self.origin_of(&value);
+        let value =
+            if self.is_valid_successor(&value) { Arc::new(value) } else { Arc::clone(&self.current.value) };
+        let (previous_acceptors, predecessor) = self.predecessor_of(&value);
         let proposed = Versioned { ballot: self.ballot, value, previous_acceptors, predecessor };
         self.phase = ProposalPhase::Accepting;
         self.proposed = Some(proposed.clone());
-        requests_to_all(&proposed, AcceptorRequest::Accept)
+        requests_to_acceptors(&proposed, AcceptorRequest::Accept)
     }
 
     /// Returns requests that report the committed value to its previous and its new acceptors. Returns none
@@ -136,7 +137,7 @@
     pub fn learn_requests(&self) -> Vec<AddressedRequest<V>> {
         match &self.proposed {
             Some(committed) if self.phase == ProposalPhase::Finished => {
-                requests_to_all(committed, AcceptorRequest::Learn)
+                requests_to_acceptors(committed, AcceptorRequest::Learn)
             }
             _ => Vec::new(),
         }
@@ -144,7 +145,7 @@
 
     /// Returns whether a value may replace the one that was read: it has the same acceptors, or the value
     /// that was read is known to be committed and its acceptors can be changed to the new ones in one step.
-    fn may_follow(&self, value: &V) -> bool {
+    fn is_valid_successor(&self, value: &V) -> bool {
         let current = self.current.value.acceptors();
         same_members(current, value.acceptors())
             || (self.is_known_committed() && is_single_step(current, value.acceptors()))
@@ -155,7 +156,7 @@
     ///
     /// If the value that was read may stem from an uncommitted change of the acceptors, `value` replaces it
     /// and gets the same previous acceptors and predecessor.
-    fn origin_of(&self, value: &V) -> (Arc<[Member]>, Ballot) {
+    fn predecessor_of(&self, value: &V) -> (Arc<[Member]>, Ballot) {
         let current = self.current.value.acceptors();
         if self.depends_on_previous_acceptors() {
             (Arc::clone(&self.current.previous_acceptors), self.current.predecessor)
@@ -185,7 +186,7 @@
             self.current = newer;
             requests = self.prepare_requests();
         }
-        if self.has_all_promises() {
+        if self.has_required_promises() {
             self.phase = ProposalPhase::Prepared;
             return ProposalStep::Prepared(self.current.clone());
         }
@@ -198,9 +199,9 @@
 
     /// Returns whether a majority has promised in each set of acceptors that may be responsible for the
     /// current value.
-    fn has_all_promises(&self) -> bool {
+    fn has_required_promises(&self) -> bool {
         let has_current = if self.depends_on_previous_acceptors() {
-            has_both_majorities(&self.current, &self.promises)
+            has_required_majorities(&self.current, &self.promises)
         } else {
             has_majority(self.current.value.acceptors(), &self.promises)
         };
@@ -230,7 +231,7 @@
         }
         self.acceptances.insert(from);
         match &self.proposed {
-            Some(proposed) if has_both_majorities(proposed, &self.acceptances) => {
+            Some(proposed) if has_required_majorities(proposed, &self.acceptances) => {
                 self.phase = ProposalPhase::Finished;
                 ProposalStep::Committed(proposed.clone())
             }
@@ -269,14 +270,14 @@
 
 /// Returns whether `votes` contains a majority of the value's acceptors and, if it has previous acceptors, a
 /// majority of those too.
-fn has_both_majorities<V: RegisterValue>(versioned: &Versioned<V>, votes: &HashSet<Incarnation>) -> bool {
+fn has_required_majorities<V: RegisterValue>(versioned: &Versioned<V>, votes: &HashSet<Incarnation>) -> bool {
     let previous = &versioned.previous_acceptors;
     let has_previous = previous.is_empty() || has_majority(previous, votes);
     has_previous && has_majority(versioned.value.acceptors(), votes)
 }
 
 /// Builds one request about a value for each of its acceptors and previous acceptors.
-fn requests_to_all<V: RegisterValue>(
+fn requests_to_acceptors<V: RegisterValue>(
     versioned: &Versioned<V>,
     request: impl Fn(Versioned<V>) -> AcceptorRequest<V>,
 ) -> Vec<AddressedRequest<V>> {
