--- a/crates/register/examples/embed.rs
+++ b/crates/register/examples/embed.rs
@@ -1,7 +1,7 @@
-//! The register without the daemons: three acceptors in one process, one change, one confirmation.
+//! Uses the register without the daemons: three acceptors in one process, one change and one confirmation.
 //!
 //! A real program keeps each acceptor on its own machine. It writes [`Acceptor::state`] to a disk and syncs
-//! it before a reply with `must_persist` is sent, and it carries requests and replies over a network.
+//! it before a reply with `must_persist` is sent, and it transports requests and replies over a network.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
     ConfirmationStatus, Incarnation, Member, Proposal, ProposalStep, RegisterValue, Versioned,
 };
 
-/// What the register holds. A value names its own acceptors.
+/// Value of the register: a text and the acceptors that are responsible for it.
 #[derive(Clone, Debug)]
 struct ExampleValue {
     acceptors: Vec<Member>,
@@ -24,13 +24,13 @@
     }
 }
 
-/// The acceptors, with neither a network nor disks.
+/// Acceptors in memory, which are called directly and write to no disk.
 struct Cluster {
     acceptors: Vec<(Incarnation, Acceptor<ExampleValue>)>,
 }
 
 impl Cluster {
-    /// Acceptors on fresh disks that have recorded the first value.
+    /// Creates the acceptors of `first` with empty state, and records `first` at each.
     fn start(first: &Versioned<ExampleValue>) -> Self {
         let start = |member: &Member| {
             let mut acceptor = Acceptor::new(AcceptorState::empty(member.incarnation));
@@ -40,7 +40,7 @@
         Self { acceptors: first.value.acceptors.iter().map(start).collect() }
     }
 
-    /// Lets one acceptor handle a request; `None` if there is no disk of that incarnation.
+    /// Passes a request to its acceptor and returns the reply; `None` if no acceptor has that incarnation.
     fn call(&mut self, request: AddressedRequest<ExampleValue>) -> Option<AcceptorReply<ExampleValue>> {
         let acceptor =
             self.acceptors.iter_mut().find(|(incarnation, _)| *incarnation == request.to.incarnation);
@@ -52,9 +52,9 @@
     }
 }
 
-/// Changes the text, in two quorum rounds. `None` if a majority is missing or another proposer has a higher
-/// ballot: retry under a new ballot.
-fn change(
+/// Changes the text in two quorum rounds, and returns the committed value. Returns `None` if no majority
+/// replies or if another proposer uses a higher ballot. The caller may then retry under a new ballot.
+fn change_text(
     cluster: &mut Cluster,
     ballots: &mut BallotSource,
     known: &Versioned<ExampleValue>,
@@ -88,7 +88,7 @@
     None
 }
 
-/// Whether a majority confirms that nothing newer is committed.
+/// Returns whether a majority confirms that no newer value than `known` is committed.
 fn is_newest(cluster: &mut Cluster, known: &Versioned<ExampleValue>) -> bool {
     let (mut confirmation, requests) = Confirmation::start(known.clone());
     requests.into_iter().any(|request| {
@@ -111,11 +111,13 @@
 
     let mut cluster = Cluster::start(&first);
     let mut ballots = BallotSource::new(fastrand::u64(..));
-    match change(&mut cluster, &mut ballots, &first, "second") {
+    match change_text(&mut cluster, &mut ballots, &first, "second") {
         Some(committed) => {
             let confirmed = is_newest(&mut cluster, &committed);
             println!("{:?} is committed, confirmed: {confirmed}", committed.value.text);
         }
-        None => println!("no majority, or another proposer was first"),
+        None => println!(
+            "the change was not committed: no majority replied, or another proposer used a higher ballot"
+        ),
     }
 }
--- a/crates/register/tests/common/mod.rs
+++ b/crates/register/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the register tests.
+//! Values, members and replies for the tests of the register.
 #![allow(dead_code, reason = "each test program uses some of the helpers")]
 
 pub mod oracle;
@@ -11,12 +11,12 @@
     ReplyOutcome, Versioned,
 };
 
-/// A value that records all changes that led to it.
+/// Register value that records all changes from which it resulted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
-    /// The changes, oldest first.
+    /// Numbers of the changes, oldest first.
     pub changes: Vec<u32>,
-    /// The acceptors.
+    /// Acceptors that are responsible for the value.
     pub acceptors: Vec<Member>,
 }
 
@@ -27,28 +27,28 @@
 }
 
 impl History {
-    /// The value with one more change.
+    /// Returns the value with one more change.
     pub fn with_change(&self, change: u32) -> Self {
         let mut changed = self.clone();
         changed.changes.push(change);
         changed
     }
 
-    /// The value with one more change, and other acceptors.
+    /// Returns the value with one more change and with other acceptors.
     pub fn with_acceptors(&self, change: u32, acceptors: Vec<Member>) -> Self {
         Self { acceptors, ..self.with_change(change) }
     }
 
-    /// Whether this value came before the other one, or is the same.
+    /// Returns whether `later` descends from this value or has the same changes.
     pub fn is_prefix_of(&self, later: &Self) -> bool {
         later.changes.starts_with(&self.changes)
     }
 }
 
-/// A request of a proposer to an acceptor.
+/// Request of a proposer, with the acceptor that receives it.
 pub type Request = AddressedRequest<History>;
 
-/// The machine of this number, with a disk of that incarnation.
+/// Returns the member for the machine with this number, whose disk has this incarnation.
 pub fn member_with_disk(machine: usize, incarnation: u64) -> Member {
     Member {
         name: format!("machine-{machine}"),
@@ -57,48 +57,48 @@
     }
 }
 
-/// The machine of this number with its first disk.
+/// Returns the member for the machine with this number and its first disk.
 pub fn member(machine: usize) -> Member {
     member_with_disk(machine, first_incarnation(machine).0)
 }
 
-/// The machines of these numbers with their first disks.
+/// Returns the members for the machines with these numbers and their first disks.
 pub fn members(machines: &[usize]) -> Vec<Member> {
     machines.iter().map(|machine| member(*machine)).collect()
 }
 
-/// The incarnation of a machine's first disk.
+/// Returns the incarnation of a machine's first disk.
 pub fn first_incarnation(machine: usize) -> Incarnation {
     Incarnation(machine as u64 + 1)
 }
 
-/// The number of a member's machine.
+/// Returns the number of a member's machine.
 pub fn machine_of(member: &Member) -> usize {
     let number = member.name.strip_prefix("machine-").and_then(|number| number.parse().ok());
     number.expect("the name ends with the number of the machine")
 }
 
-/// The ballot of this round.
+/// Returns the ballot of this round; the proposer is always 1.
 pub fn ballot(round: u64) -> Ballot {
     Ballot { round, proposer: 1 }
 }
 
-/// A value under the ballot of this round.
+/// Returns a value with the ballot of this round.
 pub fn versioned(round: u64, changes: &[u32], acceptors: Vec<Member>) -> Versioned<History> {
     Versioned::new(ballot(round), Arc::new(History { changes: changes.to_vec(), acceptors }))
 }
 
-/// The reply of a member.
+/// Returns a reply from the disk of this member.
 pub fn reply(from: &Member, outcome: ReplyOutcome<History>) -> AcceptorReply<History> {
     AcceptorReply { incarnation: from.incarnation, outcome }
 }
 
-/// The names of the machines to which requests go.
+/// Returns the names of the machines that receive these requests.
 pub fn receivers(requests: &[Request]) -> Vec<&str> {
     requests.iter().map(|request| request.to.name.as_str()).collect()
 }
 
-/// The value that a request asks to accept, if it is such a request.
+/// Returns the value of an accept request; `None` for other requests.
 pub fn accept_value(request: &Request) -> Option<&Versioned<History>> {
     match &request.request {
         AcceptorRequest::Accept(proposed) => Some(proposed),
--- a/crates/register/tests/common/oracle.rs
+++ b/crates/register/tests/common/oracle.rs
@@ -1,4 +1,4 @@
-//! Observes all proposals and acceptances, and reports when the register is broken.
+//! Observes all proposals and acceptances, and reports violations of the register's safety.
 
 use std::collections::{HashMap, HashSet};
 
@@ -6,16 +6,20 @@
 
 use super::History;
 
-/// Checks the safety of the register against everything that happened.
+/// Checks each event of a simulation against the events before it. Finds values that do not descend from a
+/// committed one, ballots that are used twice, and wrong claims that a value is committed or the newest.
 #[derive(Clone, Debug, Default)]
 pub struct Oracle {
+    /// Proposed values by their ballots.
     proposed: HashMap<Ballot, Proposed>,
-    /// The values that majorities have accepted, in the order in which that happened.
+    /// Values that were accepted by the required majorities, in the order in which that happened. The first
+    /// value of the register comes first.
     chosen: Vec<Versioned<History>>,
-    /// The first violation that was found.
+    /// Description of the first violation that was found.
     pub violation: Option<String>,
 }
 
+/// Proposed value and the disks on which its acceptance is durable.
 #[derive(Clone, Debug)]
 struct Proposed {
     value: Versioned<History>,
@@ -24,22 +28,25 @@
 }
 
 impl Oracle {
-    /// The oracle of a register that starts with this value.
+    /// Creates the oracle of a register whose first value is `first`.
     pub fn new(first: Versioned<History>) -> Self {
         Self { chosen: vec![first], ..Self::default() }
     }
 
-    /// How many values were chosen, the first one included.
+    /// Returns the number of chosen values, including the first value of the register.
     pub fn chosen_count(&self) -> usize {
         self.chosen.len()
     }
 
-    /// The chosen value with the highest ballot.
+    /// Returns the chosen value with the highest ballot.
     pub fn newest_chosen(&self) -> &Versioned<History> {
-        self.chosen.iter().max_by_key(|chosen| chosen.ballot).expect("the first value")
+        self.chosen
+            .iter()
+            .max_by_key(|chosen| chosen.ballot)
+            .expect("the first value of the register is chosen")
     }
 
-    /// A proposer sends a value to be accepted.
+    /// Records that a proposer sends a value to be accepted.
     pub fn on_propose(&mut self, value: Versioned<History>) {
         for chosen in &self.chosen {
             check_order(chosen, &value, &mut self.violation);
@@ -51,7 +58,7 @@
         }
     }
 
-    /// The value of this ballot is durable at an acceptor that had not promised a higher one.
+    /// Records that an acceptor has accepted the value with this ballot and that the acceptance is durable.
     pub fn on_durable(&mut self, ballot: Ballot, acceptor: Incarnation) {
         let Some(proposed) = self.proposed.get_mut(&ballot) else {
             return;
@@ -70,14 +77,17 @@
         }
     }
 
-    /// A proposer takes this value as committed.
+    /// Checks a value that a proposer considers committed.
     pub fn on_committed(&mut self, value: &Versioned<History>) {
         if !self.chosen.contains(value) {
-            self.record_violation(format!("{value:?} was taken as committed and is not"));
+            self.record_violation(format!(
+                "a proposer considers {value:?} committed, but the required majorities did not accept it"
+            ));
         }
     }
 
-    /// A proposer takes the value of this ballot as the newest; `newest_before` was chosen when it asked.
+    /// Checks a confirmation that the value with the ballot `known` is the newest. `newest_before` is the
+    /// ballot of the newest value that was chosen when the confirmation started.
     pub fn on_confirmed(&mut self, known: Ballot, newest_before: Ballot) {
         if known < newest_before {
             self.record_violation(format!("{known:?} was confirmed after {newest_before:?} was committed"));
@@ -89,11 +99,11 @@
     }
 }
 
-/// Each value with a higher ballot than a chosen one must descend from it.
+/// Checks that `other` descends from the chosen value if it has a higher ballot.
 fn check_order(chosen: &Versioned<History>, other: &Versioned<History>, violation: &mut Option<String>) {
     let is_derived = chosen.value.is_prefix_of(&other.value);
     if other.ballot > chosen.ballot && !is_derived {
-        violation.get_or_insert(format!("{other:?} does not follow {chosen:?}, which is committed"));
+        violation.get_or_insert(format!("{other:?} does not descend from {chosen:?}, which is committed"));
     }
 }
 
--- a/crates/register/tests/common/simulation/machine.rs
+++ b/crates/register/tests/common/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! Machines with their acceptors and disks.
+//! Machines of the simulation, with their acceptors and disks.
 
 use std::collections::VecDeque;
 
@@ -11,27 +11,27 @@
 use super::{SeededFault, Simulation};
 use crate::common::{first_incarnation, machine_of, History};
 
-/// A state in flight to the disk.
+/// State that is being written to the disk.
 struct PendingWrite {
     state: AcceptorState<History>,
     /// Whether the state was changed by an acceptance.
     is_acceptance: bool,
-    /// Sent when the state is durable.
+    /// Reply to send when the state is durable; `None` if it was sent already because of a seeded fault.
     reply: Option<Message>,
 }
 
-/// A machine that may be an acceptor.
+/// Machine that is or may become an acceptor.
 pub struct Machine {
-    /// `None` while the machine is down.
+    /// Acceptor in memory; `None` while the machine is down.
     acceptor: Option<Acceptor<History>>,
-    /// What is on the disk.
+    /// State on the disk.
     pub durable: AcceptorState<History>,
-    /// Oldest first.
+    /// Writes that are not durable yet, oldest first.
     writes: VecDeque<PendingWrite>,
 }
 
 impl Machine {
-    /// The machine of this number with its first disk, on which the first value may be.
+    /// Creates the machine with this number and its first disk, on which `first` is recorded if given.
     pub fn new(number: usize, first: Option<&Versioned<History>>) -> Self {
         let mut acceptor = Acceptor::new(AcceptorState::empty(first_incarnation(number)));
         if let Some(first) = first {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The oldest write of some machine becomes durable.
+    /// Completes the oldest pending write of a random machine, and sends its reply.
     pub(super) fn finish_write(&mut self) {
         let picked = self.pick_machine();
         let machine = &mut self.machines[picked];
@@ -79,7 +79,7 @@
         self.network.extend(write.reply);
     }
 
-    /// A machine goes down or comes back with what was durable.
+    /// Stops a random machine or restarts it from its durable state. Writes in flight are lost.
     pub(super) fn restart_machine(&mut self) {
         let picked = self.pick_machine();
         let machine = &mut self.machines[picked];
@@ -96,18 +96,20 @@
         machine.acceptor = Some(Acceptor::new(state));
     }
 
+    /// Replaces the disk of a random machine by an empty one with a new incarnation.
     pub(super) fn lose_disk(&mut self) {
         let picked = self.pick_machine();
         if self.keeps_majority && !self.has_majority_without(self.machines[picked].durable.incarnation) {
             return;
         }
-        self.next_incarnation += 1;
-        let durable = AcceptorState::empty(Incarnation(self.next_incarnation));
+        self.last_incarnation += 1;
+        let durable = AcceptorState::empty(Incarnation(self.last_incarnation));
         let acceptor = Some(Acceptor::new(durable.clone()));
         self.machines[picked] = Machine { acceptor, durable, writes: VecDeque::new() };
     }
 
-    /// Whether a majority of the newest value's acceptors still has its disks, also if this one is lost.
+    /// Returns whether a majority of the newest value's acceptors still has its disks once the disk `lost` is
+    /// lost too.
     fn has_majority_without(&self, lost: Incarnation) -> bool {
         let acceptors = self.oracle.newest_chosen().value.acceptors();
         let has_disk = |member: &&Member| {
--- a/crates/register/tests/common/simulation/mod.rs
+++ b/crates/register/tests/common/simulation/mod.rs
@@ -16,57 +16,60 @@
 use network::Message;
 use proposer::Proposer;
 
-/// A mistake in the use of the register that the oracle must find.
+/// Deliberate mistake in the use of the register, which the oracle must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededFault {
     /// No mistake.
     None,
-    /// An acceptor forgets its promise when it restarts.
+    /// A restarted acceptor has lost its promise.
     ForgottenPromise,
-    /// An acceptor forgets what it accepted when it restarts.
+    /// A restarted acceptor has lost its accepted value and keeps only the committed one.
     ForgottenValue,
     /// A reply is sent before the state is durable.
     ReplyBeforeDurable,
-    /// Replies count whatever disk they come from.
+    /// Replies from any disk count as replies from the expected one.
     AnyIncarnation,
-    /// A proposal starts from a value that is accepted somewhere, but not known to be committed.
+    /// A proposal starts from a value that an acceptor has accepted, but that is not known to be committed.
     UncommittedBase,
 }
 
-/// The size of a simulation.
+/// Number of machines and proposers in a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterSize {
-    /// Machines that are acceptors at first.
+    /// Number of machines that are acceptors at first.
     pub acceptors: usize,
-    /// Further machines, which may become acceptors.
+    /// Number of further machines, which may become acceptors.
     pub spares: usize,
     /// Number of proposers.
     pub proposers: usize,
 }
 
-/// A cluster in which messages are lost, repeated and reordered, and machines restart and lose their disks.
+/// Simulated cluster in which messages are lost, repeated and reordered, and machines restart and lose their
+/// disks.
 pub struct Simulation {
     random: Rng,
     fault: SeededFault,
-    /// Whether disks are lost only as long as a majority of the acceptors keeps theirs.
+    /// Whether a disk is lost only if a majority of the acceptors keeps its disks.
     keeps_majority: bool,
-    /// Whether most changes are changes of the acceptors.
+    /// Whether most proposals change the acceptors.
     changes_acceptors_often: bool,
     machines: Vec<Machine>,
     proposers: Vec<Proposer>,
     network: Vec<Message>,
+    /// Number of the next change of a value.
     next_change: u32,
-    next_incarnation: u64,
-    /// Observes what happens.
+    /// Incarnation of the newest disk that replaced a lost one; 100 if none was lost.
+    last_incarnation: u64,
+    /// Oracle that checks every event.
     pub oracle: Oracle,
-    /// Confirmations so far.
+    /// Number of successful confirmations so far.
     pub confirmations: usize,
-    /// Changes of the acceptors so far.
+    /// Number of committed changes of the acceptors so far.
     pub acceptor_changes: usize,
 }
 
 impl Simulation {
-    /// A cluster whose first value is at all first acceptors.
+    /// Creates a cluster whose first acceptors have all recorded the first value.
     pub fn new(seed: u64, size: ClusterSize, fault: SeededFault) -> Self {
         let acceptors: Vec<_> = (0..size.acceptors).collect();
         let first = versioned(0, &[], members(&acceptors));
@@ -81,14 +84,14 @@
             proposers: (0..size.proposers).map(proposer).collect(),
             network: Vec::new(),
             next_change: 1,
-            next_incarnation: 100,
+            last_incarnation: 100,
             oracle: Oracle::new(first.clone()),
             confirmations: 0,
             acceptor_changes: 0,
         }
     }
 
-    /// Lets random events happen until the oracle finds a violation.
+    /// Executes up to `steps` random events. Stops when the oracle finds a violation.
     pub fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.step();
@@ -108,7 +111,7 @@
             950..970 => self.restart_machine(),
             970..971 => self.lose_disk(),
             971..985 => self.restart_proposer(),
-            _ => self.learn_somewhere(),
+            _ => self.learn_from_random_machine(),
         }
     }
 
--- a/crates/register/tests/common/simulation/network.rs
+++ b/crates/register/tests/common/simulation/network.rs
@@ -1,29 +1,31 @@
-//! Messages in flight: delivered in any order, lost, or delivered twice.
+//! Messages in flight, which are delivered in any order, lost, or delivered twice.
 
 use register::{AcceptorReply, AcceptorRequest, Member};
 
 use super::Simulation;
 use crate::common::{History, Request};
 
-/// Identity of a proposal or a confirmation, so that replies to earlier ones are told apart.
+/// Identity of a proposal or a confirmation, by which replies to earlier tasks are recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TaskId {
+    /// Index of the proposer.
     pub proposer: usize,
-    /// The number of this task among those of the proposer.
+    /// Number of the task, counted per proposer.
     pub number: u64,
 }
 
+/// Content of a message.
 #[derive(Clone, Debug)]
 pub enum Payload {
     Request(AcceptorRequest<History>),
     Reply(AcceptorReply<History>),
 }
 
-/// A request to an acceptor, or its reply.
+/// Request to an acceptor, or the reply to it.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub task: TaskId,
-    /// The acceptor to which the request went.
+    /// Acceptor that receives the request, or that was asked and replies.
     pub member: Member,
     pub payload: Payload,
 }
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Sends requests of the proposer's present task.
+    /// Sends requests of the current task of a proposer.
     pub(super) fn send(&mut self, proposer: usize, requests: Vec<Request>) {
         let task = TaskId { proposer, number: self.proposers[proposer].task_number };
         let messages = requests.into_iter().map(|Request { to, request }| Message {
--- a/crates/register/tests/common/simulation/proposer.rs
+++ b/crates/register/tests/common/simulation/proposer.rs
@@ -1,4 +1,4 @@
-//! Proposers: each makes proposals and confirmations, one at a time.
+//! Proposers of the simulation. Each makes proposals and confirmations, one at a time.
 
 use register::{
     is_single_step, with_member, with_member_replaced, without_member, AcceptorReply, Ballot, BallotSource,
@@ -9,27 +9,33 @@
 use super::{SeededFault, Simulation};
 use crate::common::{accept_value, member_with_disk, History, Request};
 
-/// Changes that would lead to more acceptors are not proposed.
+/// Largest number of acceptors that a proposer proposes.
 const MAX_ACCEPTORS: usize = 5;
 
+/// Current activity of a proposer.
 enum ProposerTask {
     Idle,
     Proposal(Box<Proposal<History>>),
-    Confirmation { confirmation: Confirmation<History>, newest_before: Ballot },
+    /// Confirmation, with the ballot of the newest value that was chosen when it started.
+    Confirmation {
+        confirmation: Confirmation<History>,
+        newest_before: Ballot,
+    },
 }
 
-/// A process that proposes changes.
+/// Process that proposes changes and confirms values.
 pub struct Proposer {
     ballots: BallotSource,
-    /// The newest value that it knows to be committed.
+    /// Newest value that this proposer knows to be committed.
     known: Versioned<History>,
     task: ProposerTask,
-    /// The number of the present task; replies to earlier ones are ignored.
+    /// Number of the current task. Replies to earlier tasks are ignored.
     pub task_number: u64,
 }
 
 impl Proposer {
-    /// An idle proposer that draws ballots as `identity` and knows that a value is committed.
+    /// Creates an idle proposer whose ballots contain `identity`, and which starts from the committed value
+    /// `known`.
     pub fn new(identity: u64, known: Versioned<History>) -> Self {
         Self { ballots: BallotSource::new(identity), known, task: ProposerTask::Idle, task_number: 0 }
     }
@@ -49,7 +55,8 @@
 }
 
 impl Simulation {
-    /// The process of a proposer restarts, with what some machine knows to be committed.
+    /// Restarts a random proposer. It starts from the committed value on a random machine's disk, if there is
+    /// one.
     pub(super) fn restart_proposer(&mut self) {
         let picked = self.pick_proposer();
         let machine = self.pick_machine();
@@ -61,8 +68,8 @@
         self.proposers[picked] = Proposer { task_number, ..restarted };
     }
 
-    /// Some proposer learns what some machine knows to be committed.
-    pub(super) fn learn_somewhere(&mut self) {
+    /// Lets a random proposer learn the committed value on a random machine's disk.
+    pub(super) fn learn_from_random_machine(&mut self) {
         let picked = self.pick_proposer();
         let machine = self.pick_machine();
         let state = &self.machines[machine].durable;
@@ -76,7 +83,8 @@
         }
     }
 
-    /// A proposer abandons its task and starts another.
+    /// Lets a random proposer start a proposal or a confirmation. A busy proposer abandons its task in one of
+    /// ten cases, and otherwise continues it.
     pub(super) fn start_task(&mut self) {
         let picked = self.pick_proposer();
         let is_idle = matches!(self.proposers[picked].task, ProposerTask::Idle);
@@ -143,40 +151,40 @@
         self.send(picked, requests);
     }
 
-    /// A change, a change of the acceptors, or the same value.
+    /// Draws the value to propose: a changed one, one with other acceptors, or the current one.
     fn next_value(&mut self, current: &Versioned<History>) -> History {
         let change = self.next_change;
         self.next_change += 1;
-        let present = current.value.acceptors();
+        let acceptors = current.value.acceptors();
         let first_kind = if self.changes_acceptors_often { 3 } else { 0 };
         match self.random.u8(first_kind..10) {
             0..4 => current.value.with_change(change),
             4 => History::clone(&current.value),
             5..7 => {
-                let added = with_member(present, self.any_member());
+                let added = with_member(acceptors, self.random_member());
                 with_valid_acceptors(current, change, added)
             }
             7 => {
-                let removed = present[self.random.usize(..present.len())].incarnation;
-                let replaced = with_member_replaced(present, removed, self.any_member());
+                let removed = acceptors[self.random.usize(..acceptors.len())].incarnation;
+                let replaced = with_member_replaced(acceptors, removed, self.random_member());
                 with_valid_acceptors(current, change, replaced)
             }
             8 => {
-                // Two steps in one, which a proposal must not take.
-                let removed = present[self.random.usize(..present.len())].incarnation;
-                let replaced = with_member_replaced(present, removed, self.any_member());
-                let twice = with_member(&replaced, self.any_member());
-                current.value.with_acceptors(change, twice)
+                // Two steps at once, which a proposal must refuse.
+                let removed = acceptors[self.random.usize(..acceptors.len())].incarnation;
+                let replaced = with_member_replaced(acceptors, removed, self.random_member());
+                let two_changes = with_member(&replaced, self.random_member());
+                current.value.with_acceptors(change, two_changes)
             }
             _ => {
-                let removed = present[self.random.usize(..present.len())].incarnation;
-                with_valid_acceptors(current, change, without_member(present, removed))
+                let removed = acceptors[self.random.usize(..acceptors.len())].incarnation;
+                with_valid_acceptors(current, change, without_member(acceptors, removed))
             }
         }
     }
 
-    /// Some machine with its present disk.
-    fn any_member(&mut self) -> Member {
+    /// Returns the member for a random machine with its current disk.
+    fn random_member(&mut self) -> Member {
         let picked = self.pick_machine();
         member_with_disk(picked, self.machines[picked].durable.incarnation.0)
     }
@@ -218,7 +226,8 @@
     }
 }
 
-/// The value with other acceptors, or with another change if these can't be reached in one step.
+/// Returns the value with other acceptors. If these are too many or cannot be reached in one step, returns
+/// the value with a plain change instead.
 fn with_valid_acceptors(current: &Versioned<History>, change: u32, acceptors: Vec<Member>) -> History {
     if !is_single_step(current.value.acceptors(), &acceptors) || acceptors.len() > MAX_ACCEPTORS {
         return current.value.with_change(change);
--- a/crates/register/tests/disk_loss.rs
+++ b/crates/register/tests/disk_loss.rs
@@ -1,5 +1,6 @@
-//! A change is interrupted at any point, and one machine loses its disk: the others complete or discard the
-//! change, and the machine becomes an acceptor again.
+//! Tests the recovery from a lost disk. A change is interrupted after any number of requests, and one machine
+//! loses its disk. The other machines must complete or discard the change, and the machine must become an
+//! acceptor again.
 
 mod common;
 
@@ -11,16 +12,17 @@
 };
 use yare::parameterized;
 
-/// Proposals that a recovery may take at most.
+/// Largest number of proposals that a recovery may take.
 const MAX_PROPOSALS: usize = 12;
-/// Incarnation of the new disk.
-const NEW_DISK: u64 = 100;
+/// Incarnation of the empty disk that replaces the lost one.
+const NEW_INCARNATION: u64 = 100;
 
-/// Machines that reply at once, until a number of requests was handled.
+/// Machines that reply at once, until a given number of requests was handled.
 struct Cluster {
     random: Rng,
+    /// Acceptors by the number of their machine.
     acceptors: Vec<Acceptor<History>>,
-    /// Requests that are still handled; further ones are lost.
+    /// Number of further requests that are handled. All requests after them are lost.
     request_budget: usize,
 }
 
@@ -37,16 +39,20 @@
     }
 
     fn lose_disk(&mut self, machine: usize) {
-        self.acceptors[machine] = Acceptor::new(AcceptorState::empty(Incarnation(NEW_DISK)));
+        self.acceptors[machine] = Acceptor::new(AcceptorState::empty(Incarnation(NEW_INCARNATION)));
     }
 
-    /// The newest value that any machine knows to be committed.
+    /// Returns the newest value that any machine has recorded as committed.
     fn known(&self) -> Versioned<History> {
         let committed = self.acceptors.iter().filter_map(|acceptor| acceptor.state().committed.clone());
-        committed.max_by_key(|committed| committed.ballot).expect("some machine kept a value")
+        committed
+            .max_by_key(|committed| committed.ballot)
+            .expect("at least one machine has recorded a committed value")
     }
 
-    /// Runs a proposal; the change sees the current value, and whether it is known to be committed.
+    /// Runs a proposal and returns the committed value; `None` if it was preempted or its requests were lost.
+    ///
+    /// `change` gets the value that was read, and whether it is known to be committed.
     fn run_proposal(
         &mut self,
         ballots: &mut BallotSource,
@@ -55,7 +61,7 @@
         let base = self.known();
         ballots.observe(base.ballot);
         let (mut proposal, mut requests) = Proposal::start(ballots.next_ballot(), base);
-        while let Some(Request { to, request }) = self.pick(&mut requests) {
+        while let Some(Request { to, request }) = self.take_random_request(&mut requests) {
             let machine = machine_of(&to);
             let reply = self.acceptors[machine].handle(request).reply;
             match proposal.on_reply(&to, reply) {
@@ -78,7 +84,8 @@
         None
     }
 
-    fn pick(&mut self, requests: &mut Vec<Request>) -> Option<Request> {
+    /// Removes a random request, if one is left and the request budget is not used up.
+    fn take_random_request(&mut self, requests: &mut Vec<Request>) -> Option<Request> {
         if requests.is_empty() || self.request_budget == 0 {
             return None;
         }
@@ -98,10 +105,11 @@
     }
 }
 
-/// The change that is interrupted.
+/// Change that is interrupted.
 #[derive(Clone, Copy)]
 enum Change {
-    Plain,
+    /// Changes the value and keeps the acceptors.
+    Content,
     Add,
     Remove,
     Replace,
@@ -109,45 +117,47 @@
 
 impl Change {
     fn apply(self, current: &History) -> History {
-        let present = current.acceptors();
+        let acceptors = current.acceptors();
         match self {
-            Self::Plain => current.with_change(1),
-            Self::Add => current.with_acceptors(1, with_member(present, member_with_disk(3, 4))),
-            Self::Remove => current.with_acceptors(1, without_member(present, Incarnation(4))),
+            Self::Content => current.with_change(1),
+            Self::Add => current.with_acceptors(1, with_member(acceptors, member_with_disk(3, 4))),
+            Self::Remove => current.with_acceptors(1, without_member(acceptors, Incarnation(4))),
             Self::Replace => current
-                .with_acceptors(1, with_member_replaced(present, Incarnation(2), member_with_disk(3, 4))),
+                .with_acceptors(1, with_member_replaced(acceptors, Incarnation(2), member_with_disk(3, 4))),
         }
     }
 }
 
-/// The members with the new disk of that machine in place of its old one.
-fn with_new_disk(present: &[Member], machine: usize) -> Vec<Member> {
-    let others = without_member(present, Incarnation(machine as u64 + 1));
-    with_member(&others, member_with_disk(machine, NEW_DISK))
+/// Returns the members with the new disk of a machine in place of its first one.
+fn with_new_disk(acceptors: &[Member], machine: usize) -> Vec<Member> {
+    let others = without_member(acceptors, Incarnation(machine as u64 + 1));
+    with_member(&others, member_with_disk(machine, NEW_INCARNATION))
 }
 
 #[parameterized(
-    plain = { &[0, 1, 2], Change::Plain },
-    plain_of_five = { &[0, 1, 2, 3, 4], Change::Plain },
+    content = { &[0, 1, 2], Change::Content },
+    content_of_five = { &[0, 1, 2, 3, 4], Change::Content },
     added = { &[0, 1, 2], Change::Add },
     removed = { &[0, 1, 2, 3], Change::Remove },
     replaced = { &[0, 1, 2], Change::Replace },
     removed_of_five = { &[0, 1, 2, 3, 4], Change::Remove },
 )]
-fn given_an_interrupted_change_when_a_disk_is_lost_then_the_machine_joins_again(
+fn given_an_interrupted_change_when_a_disk_is_lost_then_the_machine_becomes_an_acceptor_again(
     first_acceptors: &[usize],
     change: Change,
 ) {
     for seed in 0..40 {
         for request_budget in 0..=18 {
             for lost in 0..first_acceptors.len() {
-                recover(seed, request_budget, lost, first_acceptors, change);
+                check_recovery(seed, request_budget, lost, first_acceptors, change);
             }
         }
     }
 }
 
-fn recover(seed: u64, request_budget: usize, lost: usize, first_acceptors: &[usize], change: Change) {
+/// Interrupts a change after `request_budget` requests, replaces the disk of the machine `lost`, and checks
+/// that the machine becomes an acceptor again without the loss of an acknowledged change.
+fn check_recovery(seed: u64, request_budget: usize, lost: usize, first_acceptors: &[usize], change: Change) {
     let first = versioned(0, &[], members(first_acceptors));
     let mut cluster = Cluster::new(seed, 5, &first);
     cluster.request_budget = request_budget;
@@ -168,12 +178,15 @@
             continue;
         };
         if let Some(acknowledged) = &acknowledged {
-            assert!(acknowledged.value.is_prefix_of(&committed.value), "{context}");
+            assert!(
+                acknowledged.value.is_prefix_of(&committed.value),
+                "{context}: an acknowledged change was lost"
+            );
         }
-        let present = committed.value.acceptors();
-        if same_members(present, &with_new_disk(present, lost)) {
+        let acceptors = committed.value.acceptors();
+        if same_members(acceptors, &with_new_disk(acceptors, lost)) {
             return;
         }
     }
-    panic!("{context}: the machine did not join again");
+    panic!("{context}: the machine did not become an acceptor again within {MAX_PROPOSALS} proposals");
 }
--- a/crates/register/tests/exhaustive.rs
+++ b/crates/register/tests/exhaustive.rs
@@ -14,43 +14,47 @@
 };
 use yare::parameterized;
 
-/// What a proposer is to change.
+/// Change that a proposer makes.
 #[derive(Clone, Copy, Debug)]
 enum Change {
+    /// Changes the value and keeps the acceptors.
     Content,
     AddAcceptor(usize),
     RemoveAcceptor(usize),
+    /// Replaces the first machine by the second.
     ReplaceAcceptor(usize, usize),
 }
 
 impl Change {
     fn apply(self, current: &History, number: u32) -> History {
-        let present = current.acceptors();
+        let acceptors = current.acceptors();
         match self {
             Self::Content => current.with_change(number),
-            Self::AddAcceptor(added) => current.with_acceptors(number, with_member(present, member(added))),
+            Self::AddAcceptor(added) => current.with_acceptors(number, with_member(acceptors, member(added))),
             Self::RemoveAcceptor(removed) => {
-                current.with_acceptors(number, without_member(present, first_incarnation(removed)))
+                current.with_acceptors(number, without_member(acceptors, first_incarnation(removed)))
             }
             Self::ReplaceAcceptor(removed, added) => {
-                let replaced = with_member_replaced(present, first_incarnation(removed), member(added));
+                let replaced = with_member_replaced(acceptors, first_incarnation(removed), member(added));
                 current.with_acceptors(number, replaced)
             }
         }
     }
 }
 
-/// A state of the exploration.
+/// State of the exploration: all acceptors, proposals and requests in flight.
 #[derive(Clone)]
 struct ClusterState {
     acceptors: Vec<Acceptor<History>>,
     proposals: Vec<Proposal<History>>,
+    /// Progress of each proposal, in the order of `proposals`.
     progress: Vec<ProposalProgress>,
-    /// Requests not handled yet, with the index of their proposal.
+    /// Requests that were not handled yet, with the index of their proposal.
     in_flight: Vec<(usize, Request)>,
     oracle: Oracle,
 }
 
+/// Current round of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Round {
     Prepare,
@@ -58,22 +62,23 @@
     Finished,
 }
 
-/// What a proposal has received, as far as it makes a difference to what it does next: the order does not.
+/// Replies that a proposal has received, as far as they affect its next actions. The order of the replies
+/// does not.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ProposalProgress {
     round: Round,
-    /// Replies in the present round: the machine, and the code of its outcome.
+    /// Replies in the current round, as the machine and the code of the outcome.
     replies: BTreeSet<(usize, u64)>,
-    /// Ballot of the value that was read.
-    read: Option<Ballot>,
-    /// Machines that accepted the value, whether their replies arrived or not.
+    /// Ballot of the value that was read; `None` in the prepare round.
+    read_ballot: Option<Ballot>,
+    /// Machines that have accepted the value, whether or not their replies arrived.
     accepted_by: BTreeSet<usize>,
 }
 
 impl ProposalProgress {
     fn new() -> Self {
         let (replies, accepted_by) = (BTreeSet::new(), BTreeSet::new());
-        Self { round: Round::Prepare, replies, read: None, accepted_by }
+        Self { round: Round::Prepare, replies, read_ballot: None, accepted_by }
     }
 
     fn enter(&mut self, round: Round) {
@@ -82,13 +87,13 @@
     }
 }
 
-/// What makes two states equal.
+/// Part of a state that identifies it: states with equal keys are explored once.
 #[derive(Hash)]
 struct StateKey {
-    /// The promised and the accepted ballot of each acceptor.
+    /// Promised and accepted ballot of each acceptor.
     acceptors: Vec<(Ballot, Option<Ballot>)>,
     progress: Vec<ProposalProgress>,
-    /// Proposal, machine, and whether it is a prepare request.
+    /// Requests in flight: the index of the proposal, the machine, and whether it is a prepare request.
     in_flight: Vec<(usize, usize, bool)>,
 }
 
@@ -118,6 +123,7 @@
         state
     }
 
+    /// Returns a hash of the key of this state.
     fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.key().hash(&mut hasher);
@@ -140,7 +146,7 @@
         self.in_flight.extend(requests.into_iter().map(|request| (number, request)));
     }
 
-    /// A request is handled; its reply arrives or is lost.
+    /// Handles the request at index `picked`. Its reply then arrives or is lost.
     fn handle(&mut self, picked: usize, reply_arrives: bool, changes: &[Change]) {
         let (number, Request { to, request }) = self.in_flight.swap_remove(picked);
         let machine = machine_of(&to);
@@ -152,7 +158,7 @@
         if !reply_arrives {
             return;
         }
-        self.progress[number].replies.insert((machine, code_of(&reply.outcome)));
+        self.progress[number].replies.insert((machine, outcome_code(&reply.outcome)));
         match self.proposals[number].on_reply(&to, reply) {
             ProposalStep::Wait => {}
             ProposalStep::Preempted(_) => self.progress[number].enter(Round::Finished),
@@ -163,7 +169,7 @@
             }
             ProposalStep::Prepared(current) => {
                 self.progress[number].enter(Round::Accept);
-                self.progress[number].read = Some(current.ballot);
+                self.progress[number].read_ballot = Some(current.ballot);
                 let next = changes[number].apply(&current.value, number as u32 + 1);
                 let requests = self.proposals[number].propose(next);
                 if let Some(proposed) = requests.first().and_then(accept_value) {
@@ -174,7 +180,7 @@
         }
     }
 
-    /// Whether the reply to this request can still make a difference to its proposal.
+    /// Returns whether the reply to the request at index `picked` can still affect its proposal.
     fn is_reply_relevant(&self, picked: usize) -> bool {
         let (number, request) = &self.in_flight[picked];
         match self.progress[*number].round {
@@ -185,8 +191,8 @@
     }
 }
 
-/// Distinguishes outcomes as far as a proposal does.
-fn code_of(outcome: &ReplyOutcome<History>) -> u64 {
+/// Returns a code that is equal for outcomes that a proposal does not distinguish.
+fn outcome_code(outcome: &ReplyOutcome<History>) -> u64 {
     match outcome {
         ReplyOutcome::Promised(accepted) => accepted.as_ref().map_or(0, |accepted| accepted.ballot.round + 1),
         ReplyOutcome::Accepted => 1000,
@@ -201,18 +207,18 @@
     a_change_and_a_removed_acceptor = { &[0, 1, 2], 3, &[Change::Content, Change::RemoveAcceptor(2)] },
     an_added_and_a_removed_acceptor = { &[0, 1], 3, &[Change::AddAcceptor(2), Change::RemoveAcceptor(1)] },
     a_change_and_a_replaced_acceptor = { &[0, 1, 2], 4, &[Change::Content, Change::ReplaceAcceptor(2, 3)] },
-    two_that_replace_one_another = { &[0, 1], 4, &[Change::ReplaceAcceptor(1, 2), Change::ReplaceAcceptor(0, 3)] },
-    an_added_acceptor_twice = { &[0], 3, &[Change::AddAcceptor(1), Change::AddAcceptor(2)] },
+    two_replaced_acceptors = { &[0, 1], 4, &[Change::ReplaceAcceptor(1, 2), Change::ReplaceAcceptor(0, 3)] },
+    two_added_acceptors = { &[0], 3, &[Change::AddAcceptor(1), Change::AddAcceptor(2)] },
 )]
-fn given_concurrent_proposals_when_all_orders_are_tried_then_values_follow_one_another(
+fn given_concurrent_proposals_when_all_orders_are_explored_then_each_value_descends_from_the_committed_ones(
     first_acceptors: &[usize],
     machines: usize,
     changes: &[Change],
 ) {
     let mut seen = HashSet::new();
-    let mut open = vec![ClusterState::new(first_acceptors, machines, changes)];
+    let mut unexplored = vec![ClusterState::new(first_acceptors, machines, changes)];
     let mut max_chosen = 0;
-    while let Some(state) = open.pop() {
+    while let Some(state) = unexplored.pop() {
         if !seen.insert(state.digest()) {
             continue;
         }
@@ -225,10 +231,10 @@
                 }
                 let mut next = state.clone();
                 next.handle(picked, reply_arrives, changes);
-                open.push(next);
+                unexplored.push(next);
             }
         }
     }
     println!("{} states, up to {max_chosen} values", seen.len());
-    assert_eq!(max_chosen, changes.len() + 1, "some order commits all of them");
+    assert_eq!(max_chosen, changes.len() + 1, "at least one order commits all changes");
 }
--- a/crates/register/tests/golden.rs
+++ b/crates/register/tests/golden.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use yare::parameterized;
 
-/// A value of the register in place of the control state.
+/// Register value of these tests, simpler than the one of the control plane.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct ExampleValue {
     text: String,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A value after a change of the acceptors, with every field set.
+/// Returns a value as after a change of the acceptors, in which every field is set.
 fn versioned(round: u64) -> Versioned<ExampleValue> {
     Versioned {
         ballot: ballot(round),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn given_the_parts_of_a_message_when_encoded_then_they_are_as_before() {
+fn given_the_parts_of_a_message_when_encoded_then_they_are_equal_to_the_golden_file() {
     assert_golden("ballot.hex", &ballot(300));
     assert_golden("incarnation.hex", &member(1).incarnation);
     assert_golden("member.hex", &member(1));
@@ -60,7 +60,10 @@
     read = { "request_read.hex", AcceptorRequest::Read },
     read_newer = { "request_read_newer.hex", AcceptorRequest::ReadNewer(ballot(302)) },
 )]
-fn given_a_request_when_encoded_then_it_is_as_before(name: &str, request: AcceptorRequest<ExampleValue>) {
+fn given_a_request_when_encoded_then_it_is_equal_to_the_golden_file(
+    name: &str,
+    request: AcceptorRequest<ExampleValue>,
+) {
     assert_golden(name, &request);
 }
 
@@ -91,12 +94,15 @@
         "reply_nothing_newer_committed.hex", ReplyOutcome::NothingNewer { accepted: None, committed: Some(ballot(300)) }
     },
 )]
-fn given_a_reply_when_encoded_then_it_is_as_before(name: &str, outcome: ReplyOutcome<ExampleValue>) {
+fn given_a_reply_when_encoded_then_it_is_equal_to_the_golden_file(
+    name: &str,
+    outcome: ReplyOutcome<ExampleValue>,
+) {
     assert_golden(name, &reply(outcome));
 }
 
 #[parameterized(
-    full = {
+    all_fields_set = {
         "acceptor_state.hex",
         AcceptorState {
             incarnation: member(3).incarnation,
@@ -107,13 +113,17 @@
     },
     empty = { "acceptor_state_empty.hex", AcceptorState::empty(member(3).incarnation) },
 )]
-fn given_a_durable_state_when_encoded_then_it_is_as_before(name: &str, state: AcceptorState<ExampleValue>) {
+fn given_a_durable_state_when_encoded_then_it_is_equal_to_the_golden_file(
+    name: &str,
+    state: AcceptorState<ExampleValue>,
+) {
     assert_golden(name, &state);
 }
 
-/// Compares the encoding of a message with its golden file, and decodes the file to an equal message.
+/// Checks that the encoding of a message equals its golden file, and that the file decodes to an equal
+/// message.
 ///
-/// A missing file is a failure; `GOLDEN_WRITE=1` writes it.
+/// A missing file is a failure, unless `GOLDEN_WRITE=1` is set: then the file is created.
 fn assert_golden<T>(name: &str, message: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -129,12 +139,13 @@
     assert_eq!(&decoded, message, "{name}");
 }
 
-/// Lowercase hexadecimal digits, 32 bytes a line.
+/// Encodes bytes as lowercase hexadecimal digits, 32 bytes per line.
 fn to_hex(bytes: &[u8]) -> String {
     let line = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
     bytes.chunks(32).map(line).collect()
 }
 
+/// Decodes hexadecimal digits, and ignores white space between them.
 fn from_hex(text: &str) -> Vec<u8> {
     let digits: Vec<char> = text.chars().filter(|character| !character.is_whitespace()).collect();
     let byte = |pair: &[char]| u8::from_str_radix(&String::from_iter(pair), 16).expect("hexadecimal digits");
--- a/crates/register/tests/proposal.rs
+++ b/crates/register/tests/proposal.rs
@@ -1,4 +1,4 @@
-//! The prepare and accept rounds of a proposal.
+//! Tests the prepare and accept rounds of a proposal, also with changes of the acceptors.
 
 mod common;
 
@@ -8,10 +8,12 @@
 use register::{Proposal, ProposalStep, ReplyOutcome, Versioned};
 use yare::parameterized;
 
+/// Starts a proposal of round 10 from `base`.
 fn start(base: &Versioned<History>) -> Proposal<History> {
     Proposal::start(ballot(10), base.clone()).0
 }
 
+/// Delivers the promise of a machine, with the value that it has accepted.
 fn promise(
     proposal: &mut Proposal<History>,
     machine: usize,
@@ -20,16 +22,18 @@
     proposal.on_reply(&member(machine), reply(&member(machine), ReplyOutcome::Promised(accepted)))
 }
 
+/// Delivers the acceptance of a machine.
 fn accept(proposal: &mut Proposal<History>, machine: usize) -> ProposalStep<History> {
     proposal.on_reply(&member(machine), reply(&member(machine), ReplyOutcome::Accepted))
 }
 
+/// Delivers the rejection of a machine that has promised the ballot of `round`.
 fn reject(proposal: &mut Proposal<History>, machine: usize, round: u64) -> ProposalStep<History> {
     proposal.on_reply(&member(machine), reply(&member(machine), ReplyOutcome::Rejected(ballot(round))))
 }
 
-/// A proposal that has read a committed value of three acceptors.
-fn read_committed() -> (Proposal<History>, Versioned<History>) {
+/// Returns a proposal with promises from two of three acceptors, and the committed value that it has read.
+fn prepared_proposal() -> (Proposal<History>, Versioned<History>) {
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let mut proposal = start(&base);
     promise(&mut proposal, 0, Some(base.clone()));
@@ -38,7 +42,7 @@
 }
 
 #[test]
-fn given_three_acceptors_when_two_answer_each_round_then_the_value_is_committed() {
+fn given_three_acceptors_when_two_reply_in_each_round_then_the_value_is_committed() {
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let (mut proposal, requests) = Proposal::start(ballot(10), base.clone());
     assert_eq!(receivers(&requests), ["machine-0", "machine-1", "machine-2"]);
@@ -59,7 +63,7 @@
 }
 
 #[test]
-fn given_repeated_replies_of_one_acceptor_when_counted_then_they_are_one() {
+fn given_repeated_replies_of_one_acceptor_when_handled_then_they_count_once() {
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let mut proposal = start(&base);
     for _ in 0..3 {
@@ -73,7 +77,7 @@
 }
 
 #[test]
-fn given_a_machine_with_another_disk_when_it_answers_then_it_has_no_vote() {
+fn given_a_machine_with_another_disk_when_it_replies_then_the_reply_does_not_count() {
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let mut proposal = start(&base);
     promise(&mut proposal, 0, None);
@@ -88,7 +92,7 @@
     majority_of_the_newer_one_last = { 0, 3 },
     majority_of_the_base_last = { 3, 0 },
 )]
-fn given_a_newer_value_with_other_acceptors_when_seen_then_both_majorities_must_promise(
+fn given_a_newer_value_with_other_acceptors_when_read_then_majorities_of_both_sets_must_promise(
     second: usize,
     third: usize,
 ) {
@@ -106,7 +110,7 @@
 }
 
 #[test]
-fn given_an_undecided_value_when_other_acceptors_are_proposed_then_it_is_proposed_again_instead() {
+fn given_an_undecided_value_when_other_acceptors_are_proposed_then_it_is_proposed_unchanged_instead() {
     let base = versioned(1, &[1], members(&[0, 1, 2]));
     let newer = versioned(5, &[1, 2], members(&[0, 1, 2]));
     let mut proposal = start(&base);
@@ -123,10 +127,13 @@
 #[parameterized(
     old_majority_only = { &[0, 1], false },
     both_majorities = { &[0, 1, 3], true },
-    all_but_the_new_one = { &[0, 1, 2], true },
+    majorities_without_the_new_one = { &[0, 1, 2], true },
 )]
-fn given_an_added_acceptor_when_accepted_then_both_majorities_count(accepting: &[usize], commits: bool) {
-    let (mut proposal, base) = read_committed();
+fn given_an_added_acceptor_when_accepted_then_majorities_of_both_sets_are_required(
+    accepting: &[usize],
+    commits: bool,
+) {
+    let (mut proposal, base) = prepared_proposal();
     let requests = proposal.propose(base.value.with_acceptors(2, members(&[0, 1, 2, 3])));
     assert_eq!(requests.len(), 4);
     let steps = accepting.iter().map(|machine| accept(&mut proposal, *machine));
@@ -135,8 +142,8 @@
 }
 
 #[test]
-fn given_a_removed_acceptor_when_committed_then_it_learns_it_too() {
-    let (mut proposal, base) = read_committed();
+fn given_a_removed_acceptor_when_the_removal_is_committed_then_it_learns_the_value_too() {
+    let (mut proposal, base) = prepared_proposal();
     proposal.propose(base.value.with_acceptors(2, members(&[0, 1])));
     accept(&mut proposal, 0);
     accept(&mut proposal, 1);
@@ -144,8 +151,8 @@
 }
 
 #[test]
-fn given_two_replaced_acceptors_when_proposed_then_the_value_stays() {
-    let (mut proposal, base) = read_committed();
+fn given_two_replaced_acceptors_when_proposed_then_the_value_that_was_read_is_proposed_instead() {
+    let (mut proposal, base) = prepared_proposal();
     let requests = proposal.propose(base.value.with_acceptors(2, members(&[0, 3, 4])));
     assert!(requests
         .iter()
@@ -162,8 +169,8 @@
 }
 
 #[test]
-fn given_one_rejection_when_accepting_then_the_others_may_still_commit() {
-    let (mut proposal, base) = read_committed();
+fn given_one_rejection_when_accepting_then_the_other_acceptors_may_still_commit() {
+    let (mut proposal, base) = prepared_proposal();
     proposal.propose(base.value.with_change(2));
     assert!(matches!(reject(&mut proposal, 0, 12), ProposalStep::Wait));
     accept(&mut proposal, 1);
@@ -172,7 +179,7 @@
 
 #[test]
 fn given_a_majority_of_rejections_when_accepting_then_the_proposal_is_preempted() {
-    let (mut proposal, base) = read_committed();
+    let (mut proposal, base) = prepared_proposal();
     proposal.propose(base.value.with_change(2));
     accept(&mut proposal, 1);
     assert!(matches!(reject(&mut proposal, 0, 12), ProposalStep::Wait));
@@ -190,7 +197,7 @@
     assert!(matches!(accept(&mut proposal, 1), ProposalStep::Wait));
 }
 
-/// A removal that only the remaining acceptor has accepted.
+/// Returns a committed value with the acceptors 0 and 1, and an undecided value that removes acceptor 0.
 fn undecided_removal() -> (Versioned<History>, Versioned<History>) {
     let base = versioned(1, &[1], members(&[0, 1]));
     let removal = versioned(5, &[1, 2], members(&[1]));
@@ -200,7 +207,7 @@
 }
 
 #[test]
-fn given_a_change_on_an_undecided_removal_when_the_removal_is_known_then_the_removed_is_no_longer_needed() {
+fn given_a_change_after_a_removal_when_the_removal_is_known_to_be_committed_then_the_removed_is_not_needed() {
     let (_, removal) = undecided_removal();
     let change = versioned(7, &[1, 2, 3], members(&[1]));
     let change = Versioned {
@@ -219,8 +226,10 @@
 }
 
 #[test]
-fn given_acceptors_that_were_put_back_when_read_from_a_value_before_then_those_between_must_promise_too() {
-    // The base has the same acceptors as the newest value, but those in between were others.
+fn given_an_acceptor_added_and_removed_after_the_base_when_the_removal_is_undecided_then_it_must_promise_too()
+{
+    // The base has the same acceptors as the newest value, but a value between them had an additional
+    // acceptor.
     let base = versioned(1, &[1], members(&[1]));
     let added = versioned(3, &[1, 2], members(&[0, 1]));
     let removal = versioned(5, &[1, 2, 3], members(&[1]));
@@ -232,7 +241,7 @@
 }
 
 #[test]
-fn given_an_undecided_removal_when_proposed_again_then_the_acceptors_before_it_must_accept_too() {
+fn given_an_undecided_removal_when_proposed_again_then_the_removed_acceptor_must_accept_too() {
     let (base, removal) = undecided_removal();
     let mut proposal = start(&base);
     promise(&mut proposal, 0, Some(base.clone()));
@@ -248,7 +257,7 @@
 }
 
 #[test]
-fn given_an_undecided_removal_when_read_from_an_older_value_then_the_acceptors_before_it_must_promise_too() {
+fn given_an_undecided_removal_when_read_from_an_older_base_then_the_removed_acceptor_must_promise_too() {
     let (_, removal) = undecided_removal();
     let mut proposal = start(&versioned(0, &[], members(&[1])));
     let step = promise(&mut proposal, 1, Some(removal.clone()));
@@ -257,13 +266,13 @@
 }
 
 #[test]
-fn given_a_committed_value_when_changed_then_the_acceptors_before_are_named_only_if_they_differ() {
-    let previous_of = |value: History| {
-        let (mut proposal, _) = read_committed();
+fn given_a_committed_value_when_changed_then_its_acceptors_are_named_as_previous_only_if_they_differ() {
+    let previous_acceptors_of = |value: History| {
+        let (mut proposal, _) = prepared_proposal();
         let requests = proposal.propose(value);
         accept_value(&requests[0]).expect("an accept request").previous_acceptors.to_vec()
     };
-    let (_, base) = read_committed();
-    assert_eq!(previous_of(base.value.with_change(2)), []);
-    assert_eq!(previous_of(base.value.with_acceptors(2, members(&[0, 1]))), members(&[0, 1, 2]));
+    let (_, base) = prepared_proposal();
+    assert_eq!(previous_acceptors_of(base.value.with_change(2)), []);
+    assert_eq!(previous_acceptors_of(base.value.with_acceptors(2, members(&[0, 1]))), members(&[0, 1, 2]));
 }
--- a/crates/register/tests/random_exploration.rs
+++ b/crates/register/tests/random_exploration.rs
@@ -1,5 +1,5 @@
 //! Random explorations: loss, repetition and reordering of messages, restarts, lost disks, concurrent
-//! proposers and changes of the acceptors. Committed values must follow one from the other.
+//! proposers and changes of the acceptors. Each committed value must descend from the one before.
 
 mod common;
 
@@ -8,8 +8,10 @@
 use common::simulation::{ClusterSize, SeededFault, Simulation};
 use yare::parameterized;
 
+/// Number of random events in one run.
 const STEPS: usize = 4000;
 
+/// Runs a simulation until the oracle finds a violation, for at most `STEPS` events.
 fn simulate(seed: u64, size: ClusterSize, fault: SeededFault) -> Simulation {
     let mut simulation = Simulation::new(seed, size, fault);
     simulation.run(STEPS);
@@ -25,7 +27,7 @@
     five = { ClusterSize { acceptors: 5, spares: 0, proposers: 3 }, 0..1500 },
     one_and_three_spares = { ClusterSize { acceptors: 1, spares: 3, proposers: 2 }, 0..1500 },
 )]
-fn given_any_faults_when_values_are_committed_then_each_follows_the_one_before(
+fn given_any_faults_when_values_are_committed_then_each_descends_from_the_one_before(
     size: ClusterSize,
     seeds: Range<u64>,
 ) {
@@ -41,9 +43,12 @@
     }
     println!("{size:?} chosen={chosen} confirmations={confirmations} acceptor_changes={acceptor_changes}");
     let runs = seeds.count();
-    assert!(chosen > 3 * runs, "the exploration gets somewhere: {chosen} in {runs} runs");
-    assert!(confirmations > runs / 2, "values are confirmed: {confirmations} in {runs} runs");
-    assert!(acceptor_changes > runs / 2, "acceptors change: {acceptor_changes} in {runs} runs");
+    assert!(chosen > 3 * runs, "too few values were chosen: {chosen} in {runs} runs");
+    assert!(confirmations > runs / 2, "too few values were confirmed: {confirmations} in {runs} runs");
+    assert!(
+        acceptor_changes > runs / 2,
+        "the acceptors changed too rarely: {acceptor_changes} times in {runs} runs"
+    );
 }
 
 #[parameterized(
@@ -53,7 +58,7 @@
     any_incarnation = { SeededFault::AnyIncarnation },
     uncommitted_base = { SeededFault::UncommittedBase },
 )]
-fn given_a_seeded_fault_when_explored_then_it_is_found(fault: SeededFault) {
+fn given_a_seeded_fault_when_explored_then_the_oracle_finds_a_violation(fault: SeededFault) {
     let size = ClusterSize { acceptors: 3, spares: 2, proposers: 3 };
     let found = (0..20_000).find(|seed| simulate(*seed, size, fault).oracle.violation.is_some());
     println!("{fault:?}: first seed {found:?}");
--- a/crates/register/tests/reconfiguration.rs
+++ b/crates/register/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes of the set of acceptors, and ballots.
+//! Tests the steps between two sets of acceptors, and the order of issued ballots.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use yare::parameterized;
 
 #[parameterized(
-    same = { &[0, 1, 2], &[2, 1, 0], true },
+    same_set_in_other_order = { &[0, 1, 2], &[2, 1, 0], true },
     added = { &[0, 1, 2], &[0, 1, 2, 3], true },
     removed = { &[0, 1, 2, 3], &[0, 1, 3], true },
     replaced = { &[0, 1, 2], &[0, 1, 3], true },
@@ -15,10 +15,10 @@
     two_removed = { &[0, 1, 2, 3], &[0, 1], false },
     one_replaced_by_two = { &[0, 1, 2], &[0, 1, 3, 4], false },
     two_added = { &[0, 1, 2], &[0, 1, 2, 3, 4], false },
-    none_left = { &[0], &[], false },
-    twice = { &[0, 1], &[0, 1, 1], false },
+    last_one_removed = { &[0], &[], false },
+    named_twice = { &[0, 1], &[0, 1, 1], false },
 )]
-fn given_two_sets_when_compared_then_single_steps_are_recognized(
+fn given_two_sets_when_compared_then_only_single_steps_are_allowed(
     from: &[usize],
     to: &[usize],
     allowed: bool,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn given_a_replaced_disk_when_stepped_then_the_new_one_takes_the_place_of_the_old_one_at_once() {
+fn given_a_replaced_disk_when_stepped_then_one_step_replaces_the_old_incarnation_by_the_new_one() {
     let current = members(&[0, 1, 2]);
     let target = vec![member(0), member(1), member_with_disk(2, 30)];
     let step = next_step(&current, &target).expect("a step");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn given_more_to_add_than_to_remove_when_stepped_then_each_step_is_allowed_and_the_set_never_shrinks_first() {
+fn given_more_additions_than_removals_when_stepped_then_each_step_is_allowed_and_the_set_never_shrinks() {
     let target = members(&[0, 3, 4, 5]);
     let mut current = members(&[0, 1, 2]);
     let mut sizes = Vec::new();
@@ -51,19 +51,19 @@
 }
 
 #[test]
-fn given_one_acceptor_when_the_target_is_empty_then_it_stays() {
+fn given_one_acceptor_when_the_target_is_empty_then_it_is_not_removed() {
     assert_eq!(next_step(&members(&[0]), &[]), None);
 }
 
 #[test]
-fn given_members_when_one_is_added_or_removed_then_each_is_named_once() {
+fn given_members_when_one_is_added_again_or_removed_then_no_member_is_named_twice() {
     let current = members(&[0, 1]);
     assert_eq!(with_member(&current, member(1)), current);
     assert_eq!(without_member(&current, member(0).incarnation), members(&[1]));
 }
 
 #[test]
-fn given_observed_ballots_when_the_next_is_issued_then_the_next_is_above_all_of_them() {
+fn given_observed_ballots_when_the_next_is_issued_then_it_is_higher_than_all_of_them() {
     let mut ballots = BallotSource::new(4);
     ballots.observe(Ballot { round: 8, proposer: 9 });
     ballots.observe(Ballot { round: 3, proposer: 9 });
