--- a/crates/lease/tests/candidate.rs
+++ b/crates/lease/tests/candidate.rs
@@ -1,4 +1,4 @@
-//! The rounds of a candidate, and what it does between them.
+//! Tests the rounds of a candidate, and its actions between rounds.
 
 use std::time::Duration;
 
@@ -6,9 +6,10 @@
 use yare::parameterized;
 
 const TTL: Duration = Duration::from_secs(3);
+/// Time at which the first round starts.
 const START: Duration = Duration::from_secs(100);
 
-/// A grant by one that has known the grantors for long.
+/// Grant by a grantor that has known for one TTL that the grantors are the committed ones.
 const GRANTED: LeaseReply = LeaseReply::Granted { committed_for_ms: 3000 };
 
 fn ms(milliseconds: u64) -> Duration {
@@ -23,8 +24,8 @@
     LeaseReply::Rejected { holder: holder.to_owned(), remaining_ms }
 }
 
-/// A candidate that has won its first round.
-fn winner() -> Candidate {
+/// Returns a candidate that has won its first round, at `START`.
+fn lease_holder() -> Candidate {
     let mut candidate = Candidate::new("one", TTL);
     let request = candidate.start_round(START, 1, &grantors(3));
     candidate.on_reply(request.term, GrantorId(0), &GRANTED);
@@ -53,14 +54,14 @@
 
 #[test]
 fn given_a_majority_when_time_passes_then_the_lease_expires_before_the_grants_do() {
-    let candidate = winner();
+    let candidate = lease_holder();
     assert!(candidate.holds_lease(START + ms(2600)));
     assert!(!candidate.holds_lease(START + ms(2800)));
     assert!(candidate.expires_at() < START + TTL);
 }
 
 #[test]
-fn given_replies_of_an_earlier_round_or_of_others_when_handled_then_they_do_not_count() {
+fn given_replies_to_an_earlier_round_or_of_other_grantors_when_handled_then_they_do_not_count() {
     let mut candidate = Candidate::new("one", TTL);
     let earlier = candidate.start_round(START, 1, &grantors(3));
     let later = candidate.start_round(START + TTL, 1, &grantors(3));
@@ -73,8 +74,8 @@
 }
 
 #[test]
-fn given_a_holder_when_it_renews_then_the_lease_goes_on() {
-    let mut candidate = winner();
+fn given_a_holder_when_it_renews_then_the_lease_is_extended() {
+    let mut candidate = lease_holder();
     assert_eq!(candidate.next_action(START), CandidateAction::WaitUntil(START + ms(1000)));
     let renewal = START + ms(1000);
     assert_eq!(candidate.next_action(renewal), CandidateAction::StartRound);
@@ -88,7 +89,7 @@
 
 #[test]
 fn given_a_holder_when_a_renewal_is_lost_then_it_keeps_the_lease_and_retries_soon() {
-    let mut candidate = winner();
+    let mut candidate = lease_holder();
     let renewal = START + ms(1000);
     candidate.start_round(renewal, 1, &grantors(3));
     let late = renewal + ms(500);
@@ -101,21 +102,23 @@
 }
 
 #[test]
-fn given_grantors_that_are_new_when_a_majority_grants_then_nothing_is_won_before_one_of_them_has_known_them_for_a_ttl(
-) {
+fn given_new_grantors_when_a_majority_grants_then_one_must_have_known_the_set_for_one_ttl() {
     let mut candidate = Candidate::new("one", TTL);
     let request = candidate.start_round(START, 2, &grantors(3));
     for grantor in 0..2 {
         candidate.on_reply(request.term, GrantorId(grantor), &LeaseReply::Granted { committed_for_ms: 2999 });
     }
-    assert!(!candidate.holds_lease(START), "a lease that was won with the grantors before may still last");
+    assert!(
+        !candidate.holds_lease(START),
+        "a lease that was won from the earlier grantors may still be valid"
+    );
     candidate.on_reply(request.term, GrantorId(2), &GRANTED);
     assert!(candidate.holds_lease(START));
 }
 
 #[test]
-fn given_a_holder_when_the_grantors_change_then_it_renews_at_once() {
-    let mut candidate = winner();
+fn given_a_holder_when_the_grantors_change_then_it_renews_with_the_new_set_at_once() {
+    let mut candidate = lease_holder();
     let request = candidate.start_round(START + ms(1000), 2, &grantors(4));
     for grantor in 1..4 {
         candidate.on_reply(request.term, GrantorId(grantor), &LeaseReply::Granted { committed_for_ms: 0 });
@@ -124,8 +127,8 @@
 }
 
 #[test]
-fn given_a_holder_whose_lease_has_ended_when_the_grantors_change_then_it_waits_as_others_do() {
-    let mut candidate = winner();
+fn given_an_expired_lease_when_the_grantors_change_then_the_former_holder_cannot_win_at_once() {
+    let mut candidate = lease_holder();
     let late = START + TTL;
     let request = candidate.start_round(late, 2, &grantors(3));
     for grantor in 0..3 {
@@ -135,7 +138,7 @@
 }
 
 #[test]
-fn given_a_split_vote_when_lost_then_the_grants_are_released_and_the_delay_is_short() {
+fn given_a_split_vote_when_the_round_is_abandoned_then_the_grants_are_released_and_the_delay_is_short() {
     let mut candidate = Candidate::new("one", TTL);
     let request = candidate.start_round(START, 1, &grantors(3));
     candidate.on_reply(request.term, GrantorId(0), &GRANTED);
@@ -151,7 +154,7 @@
 }
 
 #[test]
-fn given_another_holder_when_rejected_then_the_next_round_waits_for_its_end() {
+fn given_another_holder_when_rejected_then_the_next_round_starts_after_its_lease_expires() {
     let mut candidate = Candidate::new("one", TTL);
     let request = candidate.start_round(START, 1, &grantors(3));
     for grantor in [0, 1] {
@@ -159,13 +162,13 @@
     }
     candidate.abandon_round(START);
     let CandidateAction::WaitUntil(until) = candidate.next_action(START) else {
-        panic!("it waits");
+        panic!("the candidate does not wait after a lost round");
     };
     assert!(until >= START + ms(2000) && until < START + ms(2800), "{until:?}");
 }
 
 #[test]
-fn given_candidates_when_some_defer_then_all_that_do_not_retry_first() {
+fn given_deferring_candidates_when_rejected_then_all_others_retry_before_them() {
     let next_round_at = |name: String, is_deferring: bool| {
         let mut candidate = Candidate::new(name, TTL);
         candidate.set_deferring(is_deferring);
@@ -176,44 +179,45 @@
         candidate.abandon_round(START + ms(1));
         match candidate.next_action(START + ms(1)) {
             CandidateAction::WaitUntil(until) => until,
-            action => panic!("it does not wait: {action:?}"),
+            action => panic!("the candidate does not wait after a lost round: {action:?}"),
         }
     };
-    let last_eager = (0..50).map(|number| next_round_at(format!("eager-{number}"), false)).max();
+    // The names are the seeds of the jitter.
+    let last_other = (0..50).map(|number| next_round_at(format!("eager-{number}"), false)).max();
     let deferring: Vec<Duration> =
         (0..50).map(|number| next_round_at(format!("late-{number}"), true)).collect();
-    assert!(deferring.iter().min() > last_eager.as_ref());
+    assert!(deferring.iter().min() > last_other.as_ref());
     assert!(
         deferring.iter().all(|until| *until < START + ms(1001) + TTL / 2),
-        "it waits no longer than that"
+        "a deferring candidate waits for less than half a TTL after the other lease has expired"
     );
 }
 
 #[test]
 fn given_several_candidates_when_rejected_then_they_retry_at_different_times() {
-    let retries = |name: &str| {
+    let action_after_lost_round = |name: &str| {
         let mut candidate = Candidate::new(name, TTL);
         candidate.start_round(START, 1, &grantors(3));
         candidate.abandon_round(START + TTL);
         candidate.next_action(START + TTL)
     };
-    assert_ne!(retries("one"), retries("two"));
-    assert_ne!(retries("two"), retries("three"));
+    assert_ne!(action_after_lost_round("one"), action_after_lost_round("two"));
+    assert_ne!(action_after_lost_round("two"), action_after_lost_round("three"));
 }
 
 #[test]
 fn given_a_holder_when_it_resigns_then_it_no_longer_holds_the_lease() {
-    let mut candidate = winner();
+    let mut candidate = lease_holder();
     let release = candidate.resign(START + ms(5));
     assert_eq!(release.term, candidate.term());
     assert!(!candidate.holds_lease(START + ms(5)));
 }
 
 #[test]
-fn given_a_clock_that_goes_back_when_read_then_the_lease_is_dropped() {
-    let mut candidate = winner();
+fn given_a_clock_that_steps_back_when_read_then_the_lease_is_dropped() {
+    let mut candidate = lease_holder();
     candidate.next_action(START + ms(900));
-    assert!(candidate.holds_lease(START + ms(890)), "a time that was read a little earlier is no step back");
+    assert!(candidate.holds_lease(START + ms(890)), "a time that is 10 ms earlier is not a step back");
     let back = START - ms(500);
     assert!(!candidate.holds_lease(back));
     candidate.next_action(back);
--- a/crates/lease/tests/common/changes.rs
+++ b/crates/lease/tests/common/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the set of grantors, and who learns of them when.
+//! Changes of the set of grantors, and their delayed propagation to candidates and grantors.
 
 use std::time::Duration;
 
@@ -8,31 +8,35 @@
 
 /// Time between two changes of the grantors: several changes fit in one TTL.
 pub const CHANGE_INTERVAL: Duration = Duration::from_millis(800);
-/// Sometimes no change is made for this long, so that a lease can be won.
+/// Time until the next change after a random fourth of the changes, long enough for a lease to be won.
 const LONG_CHANGE_INTERVAL: Duration = Duration::from_secs(12);
-/// Candidates, and grantors outside of the majority that accepted a change, learn of it up to this much
-/// later.
+/// Longest delay, in milliseconds, until candidates and the grantors outside the majorities that accepted a
+/// change learn of it.
 const MAX_UPDATE_DELAY_MS: u64 = 20_000;
-/// Sets of grantors do not shrink below this.
+/// Smallest size to which a set of grantors is shrunk.
 const MIN_GRANTORS: usize = 3;
 
-/// The grantors as of a revision.
+/// Grantors as of a revision of the register.
 #[derive(Clone, Debug, Default)]
 pub struct GrantorSet {
     pub revision: u64,
     pub grantors: Vec<GrantorId>,
 }
 
-/// A machine's candidate or grantor learns of a set of grantors.
+/// Message by which a machine's candidate or grantor learns of a set of grantors.
 pub struct GrantorSetUpdate {
+    /// Time of the simulation at which the message arrives.
     due: Duration,
+    /// Whether the candidate's process learns of the set; otherwise the acceptor beside the grantor does.
     is_for_candidate: bool,
+    /// Index of the machine.
     machine: usize,
     set: GrantorSet,
 }
 
 impl Simulation {
-    /// Adds, removes or replaces a grantor.
+    /// Adds, removes or replaces a random grantor. A removal that would leave too few grantors changes only
+    /// the revision.
     pub(super) fn change_grantors(&mut self) {
         let interval = if self.random.u8(..4) == 0 { LONG_CHANGE_INTERVAL } else { CHANGE_INTERVAL };
         self.next_change = self.time + interval;
@@ -51,12 +55,12 @@
             grantors.push(id);
         }
         self.committed.revision += 1;
-        self.spread_change(&before);
+        self.schedule_updates(&before);
     }
 
-    /// Majorities of the grantors before and after know of a change when it is committed; the others learn of
-    /// it later.
-    fn spread_change(&mut self, before: &[GrantorId]) {
+    /// Schedules the updates after a change. Majorities of the grantors before and after the change learn of
+    /// it when it is committed; all other grantors, and the candidates, learn of it later.
+    fn schedule_updates(&mut self, before: &[GrantorId]) {
         let mut informed = self.random_majority(before.to_vec());
         informed.extend(self.random_majority(self.committed.grantors.clone()));
         for machine in 0..self.grantors.len() {
@@ -67,13 +71,15 @@
         }
     }
 
+    /// Returns the smallest possible majority, with random members.
     fn random_majority(&mut self, mut grantors: Vec<GrantorId>) -> Vec<GrantorId> {
         self.random.shuffle(&mut grantors);
         grantors.truncate(grantors.len() / 2 + 1);
         grantors
     }
 
-    /// In milliseconds; mostly short.
+    /// Draws the longest delay of an update, in milliseconds: the maximum in one of four cases, else a
+    /// hundredth of it.
     fn max_update_delay(&mut self) -> u64 {
         if self.random.u8(..4) == 0 {
             MAX_UPDATE_DELAY_MS
@@ -100,7 +106,8 @@
         }
     }
 
-    /// The machine's acceptor accepts or learns a set.
+    /// Lets the acceptor of a machine accept or learn a set, unless it has a newer one. The grantor observes
+    /// the result.
     fn update_grantor(&mut self, machine: usize, set: GrantorSet) {
         if set.revision > self.accepted[machine].revision {
             self.accepted[machine] = set;
@@ -108,18 +115,18 @@
         self.observe_accepted(machine);
     }
 
-    /// The machine's process learns that a set is committed.
+    /// Lets the process on a machine learn that a set is committed, unless it has learned of a newer one.
     fn update_candidate(&mut self, machine: usize, set: GrantorSet) {
-        let contender = &mut self.candidates[machine].state;
-        if set.revision > contender.known.revision {
+        let process = &mut self.candidates[machine].state;
+        if set.revision > process.known.revision {
             let grantor = &mut self.grantors[machine];
             let now = grantor.now(self.time);
             grantor.state.learn(now, set.revision, &set.grantors);
-            contender.known = set;
+            process.known = set;
         }
     }
 
-    /// The grantor observes what is on its acceptor's disk.
+    /// Lets the grantor of a machine observe the set on the disk of its acceptor.
     pub(super) fn observe_accepted(&mut self, machine: usize) {
         if self.faults.seeded != SeededFault::AnyRevision {
             let accepted = &self.accepted[machine];
--- a/crates/lease/tests/common/faults.rs
+++ b/crates/lease/tests/common/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a simulation.
+//! Faults that are injected into a simulation.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 /// Longest time for which a process is frozen, in milliseconds.
 const MAX_FREEZE_MS: u64 = 6000;
 
-/// A mistake in the use of the lease that the check must find.
+/// Deliberate mistake in the use of the lease, which must lead to two holders at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SeededFault {
     /// No mistake.
     None,
-    /// A restarted grantor grants at once.
+    /// A restarted grantor grants at once instead of after one TTL.
     GrantsAfterRestart,
-    /// Replies to earlier rounds count for the present one.
+    /// Replies to earlier rounds count as replies to the current round.
     AnyTerm,
-    /// Grantors grant to candidates that know an older set.
+    /// Grantors also grant requests with an older set of grantors than they have observed.
     AnyRevision,
-    /// Candidates win with grantors that became the committed ones a moment ago.
+    /// Candidates can win at once with grantors that have just been committed.
     NewGrantors,
-    /// A restarted process has the name of its earlier run, and so takes over its grants, while the earlier
-    /// run goes on.
+    /// All restarted candidates have the same name, also on different machines, so that grants to one of them
+    /// count for the others.
     SharedName,
 }
 
@@ -34,21 +34,22 @@
 pub struct Faults {
     /// Processes restart.
     pub restarts: bool,
-    /// Processes freeze and thaw.
+    /// Processes stop for up to `MAX_FREEZE_MS` and then continue.
     pub freezes: bool,
-    /// Messages are lost, late or doubled.
+    /// Messages are lost, delayed or duplicated.
     pub bad_network: bool,
-    /// Clocks go back.
+    /// Clocks are set back.
     pub clock_jumps: bool,
     /// Grantors are added and removed.
     pub grantor_changes: bool,
-    /// Machines that have no grantor of the committed set lose their disks.
+    /// Machines whose grantors are not in the committed set lose their disks.
     pub lost_disks: bool,
-    /// A mistake in the use of the lease.
+    /// Mistake in the use of the lease that the simulation makes.
     pub seeded: SeededFault,
 }
 
 impl Simulation {
+    /// Injects random faults of the enabled kinds; called once in each tick.
     pub(super) fn inject_faults(&mut self) {
         let faults = self.faults;
         if faults.restarts && self.random.u16(..1000) == 0 {
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Restarts the grantor of a random machine, with another clock.
     fn restart_grantor(&mut self) {
         let picked = self.pick_machine();
         let grantor = &mut self.grantors[picked];
@@ -83,7 +85,8 @@
         self.observe_accepted(picked);
     }
 
-    /// A machine that was replaced comes back with an empty disk.
+    /// Replaces the disk of a random machine by an empty one with a new grantor id, unless its grantor is in
+    /// the committed set.
     fn lose_disk(&mut self) {
         let picked = self.pick_machine();
         if self.committed.grantors.contains(&self.ids[picked]) {
@@ -95,6 +98,7 @@
         grantor.state = Grantor::new(self.ids[picked], grantor.clock.now(self.time), TTL);
     }
 
+    /// Restarts the candidate of a random machine, with another clock and normally with a new name.
     fn restart_candidate(&mut self) {
         let picked = self.pick_machine();
         let run = self.next_run;
@@ -109,7 +113,7 @@
         process.state.run = run;
     }
 
-    /// Freezes a candidate or a grantor.
+    /// Freezes the candidate or the grantor of a random machine.
     fn freeze(&mut self) {
         let picked = self.pick_machine();
         let until = self.time + Duration::from_millis(self.random.u64(..MAX_FREEZE_MS));
@@ -120,8 +124,8 @@
         }
     }
 
-    /// Sets back the clock of a grantor, or of a candidate that reads it at once: a step back that is shorter
-    /// than the time since the last reading cannot be noticed.
+    /// Sets back the clock of a random grantor or candidate. A frozen candidate is left out: it cannot detect
+    /// a step back that is shorter than the time since its last reading of the clock.
     fn set_clock_back(&mut self) {
         let picked = self.pick_machine();
         let step = Duration::from_millis(self.random.u64(1000..5000));
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Candidates and grantors on clocks of their own, with an unreliable network between them.
+//! Simulation of candidates and grantors, each with its own clock, and of an unreliable network between them.
 //!
-//! [`Simulation`] owns everything and lets time pass; `process` holds clocks and processes, `network` the
-//! messages in flight, `faults` what goes wrong, and `changes` how the set of grantors changes and who learns
-//! of it when.
+//! [`Simulation`] holds the whole state and advances the time. `process` contains clocks and processes,
+//! `network` the messages in flight, `faults` the injected faults, and `changes` the changes of the set of
+//! grantors.
 
 mod changes;
 mod faults;
@@ -17,46 +17,54 @@
 use changes::{GrantorSet, GrantorSetUpdate};
 pub use faults::{Faults, SeededFault};
 use network::{Envelope, Message};
-use process::{candidate_name, Clock, Contender, Process};
+use process::{candidate_name, CandidateState, Clock, Process};
 
-/// Length of the lease.
+/// Duration of the lease.
 pub const TTL: Duration = Duration::from_secs(3);
+/// Simulated time between two steps of the simulation.
 const TICK: Duration = Duration::from_millis(5);
-/// A machine's grantor gets an id higher by this with each disk that the machine loses.
+/// Difference between the grantor ids of a machine before and after the loss of its disk. The number of
+/// machines is smaller, so that the id modulo this number identifies the machine.
 const ID_STEP_PER_DISK: u64 = 100;
 
-/// The machine of a grantor.
+/// Returns the index of the machine on which a grantor runs.
 fn machine_of(grantor: GrantorId) -> usize {
     (grantor.0 % ID_STEP_PER_DISK) as usize
 }
 
-/// Machines with a grantor and a candidate each.
+/// Simulated cluster of machines, each with a grantor and a candidate.
 pub struct Simulation {
     random: Rng,
     faults: Faults,
+    /// Time since the start of the simulation. The clocks of the processes deviate from it.
     time: Duration,
     grantors: Vec<Process<Grantor>>,
-    /// The id of each machine's grantor, by its present disk.
+    /// Current id of each machine's grantor, which changes with its disk.
     ids: Vec<GrantorId>,
-    candidates: Vec<Process<Contender>>,
+    candidates: Vec<Process<CandidateState>>,
+    /// Messages in flight.
     network: Vec<Envelope>,
-    /// The committed set of grantors.
+    /// Committed set of grantors.
     committed: GrantorSet,
+    /// Updates about changes of the grantors that have not arrived yet.
     updates: Vec<GrantorSetUpdate>,
-    /// The newest set of grantors that each machine's acceptor has accepted or learned.
+    /// Newest set of grantors that each machine's acceptor has accepted or learned.
     accepted: Vec<GrantorSet>,
+    /// Number of the next run of a candidate's process.
     next_run: u64,
+    /// Time of the next change of the grantors.
     next_change: Duration,
-    /// Ticks in which some candidate held the lease.
+    /// Number of ticks in which at least one candidate held the lease.
     pub held_ticks: u32,
-    /// All ticks.
+    /// Number of all ticks.
     pub ticks: u32,
-    /// When two candidates held the lease at once.
+    /// Time at which two candidates held the lease at once; `None` if this never happened.
     pub two_holders_at: Option<Duration>,
 }
 
 impl Simulation {
-    /// A cluster with as many candidates as machines; the first `members` machines have the first grantors.
+    /// Creates a cluster with a candidate on each machine. The grantors of the first `members` machines are
+    /// the first committed set.
     pub fn new(seed: u64, machines: usize, members: usize, faults: Faults) -> Self {
         let mut random = Rng::with_seed(seed);
         let ids: Vec<_> = (0..machines as u64).map(GrantorId).collect();
@@ -72,7 +80,7 @@
             .collect();
         let candidates = grantors.iter().zip(0..).map(|(grantor, run)| {
             let candidate = Candidate::new(candidate_name(run), TTL);
-            Process::new(Contender { candidate, run, known: first.clone() }, grantor.clock.clone())
+            Process::new(CandidateState { candidate, run, known: first.clone() }, grantor.clock.clone())
         });
         Self {
             random,
@@ -93,7 +101,7 @@
         }
     }
 
-    /// Lets time pass, at most until two candidates hold the lease at once.
+    /// Advances the simulation by `length`, or until two candidates hold the lease at once.
     pub fn run(&mut self, length: Duration) {
         let end = self.time + length;
         while self.time < end && self.two_holders_at.is_none() {
@@ -102,7 +110,7 @@
             self.deliver_updates();
             self.deliver_due_messages();
             for candidate in 0..self.candidates.len() {
-                self.act(candidate);
+                self.perform_next_action(candidate);
             }
             self.count_holders();
         }
@@ -110,7 +118,8 @@
 
     fn count_holders(&mut self) {
         let time = self.time;
-        let holds = |process: &&Process<Contender>| process.state.candidate.holds_lease(process.now(time));
+        let holds =
+            |process: &&Process<CandidateState>| process.state.candidate.holds_lease(process.now(time));
         let holders = self.candidates.iter().filter(holds).count();
         self.ticks += 1;
         self.held_ticks += u32::from(holders > 0);
@@ -119,15 +128,15 @@
         }
     }
 
-    /// Does what a candidate wants done.
-    fn act(&mut self, picked: usize) {
+    /// Performs the next action of a candidate, unless it is frozen.
+    fn perform_next_action(&mut self, picked: usize) {
         let time = self.time;
         let process = &mut self.candidates[picked];
         if process.is_frozen(time) {
             return;
         }
         let now = process.now(time);
-        let Contender { candidate, run, known } = &mut process.state;
+        let CandidateState { candidate, run, known } = &mut process.state;
         let grantors = known.grantors.clone();
         match candidate.next_action(now) {
             CandidateAction::WaitUntil(_) => {}
--- a/crates/lease/tests/common/network.rs
+++ b/crates/lease/tests/common/network.rs
@@ -1,4 +1,4 @@
-//! Messages in flight, which may be lost, late or doubled.
+//! Messages in flight, which may be lost, delayed or duplicated.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 
 /// Longest delay of a message, in milliseconds.
 const MAX_DELAY_MS: u64 = 40;
-/// Longest delay of a late message, in milliseconds.
+/// Longest delay of one in twenty messages on a bad network, in milliseconds; longer than the lease.
 const MAX_LATE_DELAY_MS: u64 = 8000;
 
-/// A message between a candidate and a grantor.
+/// Message between a candidate and a grantor. `run` is the run of the candidate's process that sent the
+/// request.
 #[derive(Clone)]
 pub enum Message {
     Request { run: u64, request: LeaseRequest, to: GrantorId },
@@ -19,14 +20,18 @@
     Release { release: LeaseRelease, to: GrantorId },
 }
 
-/// A message in flight.
+/// Message in flight.
 pub struct Envelope {
+    /// Time of the simulation at which the message arrives.
     due: Duration,
+    /// Index of the candidate that sends or receives the message.
     candidate: usize,
     message: Message,
 }
 
 impl Simulation {
+    /// Sends a message with a random delay. A bad network loses 10 % of the messages, duplicates 10 %, and
+    /// delays 5 % of the copies for longer.
     pub(super) fn send(&mut self, candidate: usize, message: Message) {
         let copies = match self.random.u8(..100) {
             0..10 if self.faults.bad_network => 0,
@@ -41,6 +46,7 @@
         }
     }
 
+    /// Delivers the due messages in random order. Messages to frozen processes stay in flight.
     pub(super) fn deliver_due_messages(&mut self) {
         let envelopes = std::mem::take(&mut self.network);
         let (mut due, later): (Vec<_>, Vec<_>) =
@@ -52,7 +58,7 @@
         }
     }
 
-    /// Whether a message is due and its receiver is not frozen.
+    /// Returns whether a message is due and its receiver is not frozen.
     fn is_deliverable(&self, envelope: &Envelope) -> bool {
         let is_frozen = match &envelope.message {
             Message::Request { to, .. } | Message::Release { to, .. } => {
--- a/crates/lease/tests/common/process.rs
+++ b/crates/lease/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! Processes with clocks of their own, which may be frozen.
+//! Simulated processes, each with its own clock, which may be frozen.
 
 use std::time::Duration;
 
@@ -7,12 +7,14 @@
 
 use super::changes::GrantorSet;
 
-/// A clock that started at another time, and runs a little too fast.
+/// Clock with a random offset from the time of the simulation, which runs up to 1 % too fast.
 #[derive(Clone, Debug)]
 pub struct Clock {
+    /// Reading at the start of the simulation.
     offset: Duration,
+    /// Excess speed, in parts per million.
     drift_ppm: u32,
-    /// By how much the clock was set back.
+    /// Total time by which the clock was set back.
     pub set_back: Duration,
 }
 
@@ -22,16 +24,17 @@
         Self { offset, drift_ppm: random.u32(..10_000), set_back: Duration::ZERO }
     }
 
-    /// What the clock shows at this time of the simulation.
+    /// Returns the reading of the clock at this time of the simulation.
     pub fn now(&self, time: Duration) -> Duration {
         (self.offset + time + time * self.drift_ppm / 1_000_000).saturating_sub(self.set_back)
     }
 }
 
-/// A grantor or a candidate with its clock.
+/// Grantor or candidate with its clock.
 pub struct Process<T> {
     pub state: T,
     pub clock: Clock,
+    /// Time of the simulation until which the process handles no messages and takes no actions.
     pub frozen_until: Duration,
 }
 
@@ -49,16 +52,17 @@
     }
 }
 
-/// A candidate, and what its process knows of the grantors.
-pub struct Contender {
+/// Candidate with the state of its process.
+pub struct CandidateState {
     pub candidate: Candidate,
-    /// Distinguishes the runs of a process between restarts.
+    /// Number that distinguishes the runs of a process between restarts.
     pub run: u64,
+    /// Newest committed set of grantors that the process has learned.
     pub known: GrantorSet,
 }
 
-/// The name of a candidate. It seeds the candidate's jitter: with another text the tests would explore other
-/// runs.
+/// Returns the name of the candidate of a run. It is the seed of the candidate's jitter: another text would
+/// change the runs that the tests explore.
 pub fn candidate_name(run: u64) -> String {
     format!("life-{run}")
 }
--- a/crates/lease/tests/golden.rs
+++ b/crates/lease/tests/golden.rs
@@ -9,7 +9,7 @@
 use yare::parameterized;
 
 #[test]
-fn given_a_request_when_encoded_then_it_is_as_before() {
+fn given_a_request_when_encoded_then_it_is_equal_to_the_golden_file() {
     let request = LeaseRequest {
         holder: "machine-1/17a2".to_owned(),
         term: 300,
@@ -26,18 +26,19 @@
     rejected = { "reply_held.hex", LeaseReply::Rejected { holder: "machine-2/8f".to_owned(), remaining_ms: 900 } },
     rejected_without_holder = { "reply_held_by_nobody.hex", LeaseReply::Rejected { holder: String::new(), remaining_ms: 0 } },
 )]
-fn given_a_reply_when_encoded_then_it_is_as_before(name: &str, reply: LeaseReply) {
+fn given_a_reply_when_encoded_then_it_is_equal_to_the_golden_file(name: &str, reply: LeaseReply) {
     assert_golden(name, &reply);
 }
 
 #[test]
-fn given_a_release_when_encoded_then_it_is_as_before() {
+fn given_a_release_when_encoded_then_it_is_equal_to_the_golden_file() {
     assert_golden("release.hex", &LeaseRelease { holder: "machine-1/17a2".to_owned(), term: 301 });
 }
 
-/// Compares the encoding of a message with its golden file, and decodes the file to an equal message.
+/// Checks that the encoding of a message equals its golden file, and that the file decodes to an equal
+/// message.
 ///
-/// A missing file is a failure; `GOLDEN_WRITE=1` writes it.
+/// A missing file is a failure, unless `GOLDEN_WRITE=1` is set: then the file is created.
 fn assert_golden<T>(name: &str, message: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
@@ -53,12 +54,13 @@
     assert_eq!(&decoded, message, "{name}");
 }
 
-/// Lowercase hexadecimal digits, 32 bytes a line.
+/// Encodes bytes as lowercase hexadecimal digits, 32 bytes per line.
 fn to_hex(bytes: &[u8]) -> String {
     let line = |bytes: &[u8]| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
     bytes.chunks(32).map(line).collect()
 }
 
+/// Decodes hexadecimal digits, and ignores white space between them.
 fn from_hex(text: &str) -> Vec<u8> {
     let digits: Vec<char> = text.chars().filter(|character| !character.is_whitespace()).collect();
     let byte = |pair: &[char]| u8::from_str_radix(&String::from_iter(pair), 16).expect("hexadecimal digits");
--- a/crates/lease/tests/random_exploration.rs
+++ b/crates/lease/tests/random_exploration.rs
@@ -1,4 +1,5 @@
-//! Candidates and grantors under random faults: never do two candidates hold the lease at once.
+//! Simulates candidates and grantors under random faults. Two candidates must never hold the lease at the
+//! same time.
 
 mod common;
 
@@ -7,6 +8,7 @@
 use common::{Faults, SeededFault, Simulation};
 use yare::parameterized;
 
+/// A network and machines without faults.
 const NO_FAULTS: Faults = Faults {
     restarts: false,
     freezes: false,
@@ -16,6 +18,7 @@
     lost_disks: false,
     seeded: SeededFault::None,
 };
+/// All faults of the environment, but no mistake in the use of the lease.
 const ALL_FAULTS: Faults = Faults {
     restarts: true,
     freezes: true,
@@ -25,7 +28,8 @@
     lost_disks: true,
     seeded: SeededFault::None,
 };
-const LENGTH: Duration = Duration::from_secs(120);
+/// Simulated time of one run.
+const SIMULATED_TIME: Duration = Duration::from_secs(120);
 
 #[parameterized(
     no_faults = { 5, 3, NO_FAULTS, 90 },
@@ -47,21 +51,25 @@
     let (mut held, mut ticks) = (0, 0);
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed, machines, members, faults);
-        simulation.run(LENGTH);
-        assert_eq!(simulation.two_holders_at, None, "seed {seed}");
+        simulation.run(SIMULATED_TIME);
+        assert_eq!(simulation.two_holders_at, None, "seed {seed}: two candidates held the lease");
         held += simulation.held_ticks;
         ticks += simulation.ticks;
     }
     println!("{faults:?}: held for {held} of {ticks} ticks");
-    assert!(held > ticks / 100 * min_percent, "the lease is held: {held} of {ticks}");
+    assert!(held > ticks / 100 * min_percent, "the lease was held too rarely: in {held} of {ticks} ticks");
 }
 
 #[test]
-fn given_many_candidates_when_they_start_together_then_one_soon_holds_the_lease() {
+fn given_many_candidates_when_they_start_together_then_one_holds_the_lease_within_seconds() {
     for seed in 0..60 {
         let mut simulation = Simulation::new(seed, 9, 3, NO_FAULTS);
         simulation.run(Duration::from_secs(8));
-        assert!(simulation.held_ticks > 100, "seed {seed}: held for {} ticks", simulation.held_ticks);
+        assert!(
+            simulation.held_ticks > 100,
+            "seed {seed}: the lease was held for only {} ticks",
+            simulation.held_ticks
+        );
     }
 }
 
@@ -72,10 +80,10 @@
     new_grantors = { SeededFault::NewGrantors },
     shared_names = { SeededFault::SharedName },
 )]
-fn given_a_seeded_fault_when_explored_then_it_is_found(seeded: SeededFault) {
+fn given_a_seeded_fault_when_explored_then_two_holders_are_found(seeded: SeededFault) {
     let found = (0..500).find(|seed| {
         let mut simulation = Simulation::new(*seed, 6, 3, Faults { seeded, ..ALL_FAULTS });
-        simulation.run(LENGTH);
+        simulation.run(SIMULATED_TIME);
         simulation.two_holders_at.is_some()
     });
     println!("{seeded:?}: first seed {found:?}");
