--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -129,9 +129,9 @@
     }
 
     /// Performs the next action of a candidate, unless it is frozen.
-    fn perform_next_action(&mut self, picked: usize) {
+    fn perform_next_action(&mut self, candidate_index: usize) {
         let time = self.time;
-        let process = &mut self.candidates[picked];
+        let process = &mut self.candidates[candidate_index];
         if process.is_frozen(time) {
             return;
         }
@@ -145,13 +145,13 @@
                 let request = candidate.start_round(now, known.revision, &known.grantors);
                 let run = *run;
                 for to in grantors {
-                    self.send(picked, Message::Request { run, request: request.clone(), to });
+                    self.send(candidate_index, Message::Request { run, request: request.clone(), to });
                 }
             }
             CandidateAction::AbandonRound => {
                 let Some(release) = candidate.abandon_round(now) else { return };
                 for to in grantors {
-                    self.send(picked, Message::Release { release: release.clone(), to });
+                    self.send(candidate_index, Message::Release { release: release.clone(), to });
                 }
             }
         }
--- a/crates/lease/tests/golden.rs
+++ b/crates/lease/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files of the lease: how its messages are encoded between processes.
+//! Checks with golden files that the encoding of the messages between processes does not change.
 
 use std::fmt::Debug;
 use std::path::Path;
--- a/crates/register/tests/common/oracle.rs
+++ b/crates/register/tests/common/oracle.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Records that an acceptor has accepted the value with this ballot and that the acceptance is durable.
+    /// Records that an acceptor, which had not promised a higher ballot, has accepted the value with this
+    /// ballot, and that the acceptance is durable.
     pub fn on_durable(&mut self, ballot: Ballot, acceptor: Incarnation) {
         let Some(proposed) = self.proposed.get_mut(&ballot) else {
             return;
--- a/crates/register/tests/common/simulation/machine.rs
+++ b/crates/register/tests/common/simulation/machine.rs
@@ -96,7 +96,8 @@
         machine.acceptor = Some(Acceptor::new(state));
     }
 
-    /// Replaces the disk of a random machine by an empty one with a new incarnation.
+    /// Replaces the disk of a random machine by an empty one with a new incarnation. If `keeps_majority` is
+    /// set, this happens only while a majority of the acceptors keeps its disks.
     pub(super) fn lose_disk(&mut self) {
         let picked = self.pick_machine();
         if self.keeps_majority && !self.has_majority_without(self.machines[picked].durable.incarnation) {
@@ -108,8 +109,8 @@
         self.machines[picked] = Machine { acceptor, durable, writes: VecDeque::new() };
     }
 
-    /// Returns whether a majority of the newest value's acceptors still has its disks once the disk `lost` is
-    /// lost too.
+    /// Returns whether a majority of the newest value's acceptors still has its disks after the disk `lost`
+    /// is lost, too.
     fn has_majority_without(&self, lost: Incarnation) -> bool {
         let acceptors = self.oracle.newest_chosen().value.acceptors();
         let has_disk = |member: &&Member| {
--- a/crates/register/tests/common/simulation/mod.rs
+++ b/crates/register/tests/common/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! Machines, proposers and an unreliable network, driven by a random number generator.
+//! Simulation of machines, proposers and an unreliable network, driven by a random number generator.
 //!
-//! [`Simulation`] owns everything and draws what happens next; `machine` holds what happens to machines and
-//! their disks, `proposer` what proposers do, `network` the messages in flight.
+//! [`Simulation`] holds the whole state and draws the next event. `machine` contains the events of machines
+//! and disks, `proposer` those of proposers, and `network` the messages in flight.
 
 mod machine;
 mod network;
@@ -49,7 +49,7 @@
 pub struct Simulation {
     random: Rng,
     fault: SeededFault,
-    /// Whether a disk is lost only if a majority of the acceptors keeps its disks.
+    /// Whether a disk may be lost only while a majority of the acceptors keeps its disks.
     keeps_majority: bool,
     /// Whether most proposals change the acceptors.
     changes_acceptors_often: bool,
--- a/crates/register/tests/common/simulation/proposer.rs
+++ b/crates/register/tests/common/simulation/proposer.rs
@@ -125,30 +125,30 @@
         }
     }
 
-    fn on_step(&mut self, picked: usize, step: ProposalStep<History>) {
+    fn on_step(&mut self, proposer_index: usize, step: ProposalStep<History>) {
         match step {
             ProposalStep::Wait => {}
-            ProposalStep::Send(requests) => self.send(picked, requests),
-            ProposalStep::Prepared(current) => self.propose(picked, &current),
-            ProposalStep::Committed(value) => self.on_committed(picked, value),
+            ProposalStep::Send(requests) => self.send(proposer_index, requests),
+            ProposalStep::Prepared(current) => self.propose(proposer_index, &current),
+            ProposalStep::Committed(value) => self.on_committed(proposer_index, value),
             ProposalStep::Preempted(ballot) => {
-                let proposer = &mut self.proposers[picked];
+                let proposer = &mut self.proposers[proposer_index];
                 proposer.ballots.observe(ballot);
                 proposer.task = ProposerTask::Idle;
             }
         }
     }
 
-    fn propose(&mut self, picked: usize, current: &Versioned<History>) {
+    fn propose(&mut self, proposer_index: usize, current: &Versioned<History>) {
         let value = self.next_value(current);
-        let ProposerTask::Proposal(proposal) = &mut self.proposers[picked].task else {
+        let ProposerTask::Proposal(proposal) = &mut self.proposers[proposer_index].task else {
             return;
         };
         let requests = proposal.propose(value);
         if let Some(proposed) = requests.first().and_then(accept_value) {
             self.oracle.on_propose(proposed.clone());
         }
-        self.send(picked, requests);
+        self.send(proposer_index, requests);
     }
 
     /// Draws the value to propose: a changed one, one with other acceptors, or the current one.
@@ -189,9 +189,9 @@
         member_with_disk(picked, self.machines[picked].durable.incarnation.0)
     }
 
-    fn on_committed(&mut self, picked: usize, value: Versioned<History>) {
+    fn on_committed(&mut self, proposer_index: usize, value: Versioned<History>) {
         self.oracle.on_committed(&value);
-        let proposer = &mut self.proposers[picked];
+        let proposer = &mut self.proposers[proposer_index];
         let ProposerTask::Proposal(proposal) = std::mem::replace(&mut proposer.task, ProposerTask::Idle)
         else {
             return;
@@ -200,11 +200,16 @@
             self.acceptor_changes += 1;
         }
         proposer.learn(value);
-        self.send(picked, proposal.learn_requests());
+        self.send(proposer_index, proposal.learn_requests());
     }
 
-    fn on_status(&mut self, picked: usize, status: ConfirmationStatus<History>, newest_before: Ballot) {
-        let proposer = &mut self.proposers[picked];
+    fn on_status(
+        &mut self,
+        proposer_index: usize,
+        status: ConfirmationStatus<History>,
+        newest_before: Ballot,
+    ) {
+        let proposer = &mut self.proposers[proposer_index];
         match status {
             ConfirmationStatus::Pending => return,
             ConfirmationStatus::Confirmed => {
@@ -214,7 +219,7 @@
                     return;
                 };
                 let requests = confirmation.catch_up_requests();
-                self.send(picked, requests);
+                self.send(proposer_index, requests);
             }
             ConfirmationStatus::Superseded(newer) => {
                 self.oracle.on_committed(&newer);
@@ -222,7 +227,7 @@
             }
             ConfirmationStatus::Undecided(ballot) => proposer.ballots.observe(ballot),
         }
-        self.proposers[picked].task = ProposerTask::Idle;
+        self.proposers[proposer_index].task = ProposerTask::Idle;
     }
 }
 
--- a/crates/register/tests/exhaustive.rs
+++ b/crates/register/tests/exhaustive.rs
@@ -1,5 +1,5 @@
-//! Every order of a few concurrent proposals: each request is handled at any time or never, and each reply
-//! arrives or is lost.
+//! Explores every order of events of a few concurrent proposals. Each request is handled at any time or
+//! never, and each reply arrives or is lost.
 
 mod common;
 
@@ -69,7 +69,7 @@
     round: Round,
     /// Replies in the current round, as the machine and the code of the outcome.
     replies: BTreeSet<(usize, u64)>,
-    /// Ballot of the value that was read; `None` in the prepare round.
+    /// Ballot of the value that was read; `None` until the prepare round is complete.
     read_ballot: Option<Ballot>,
     /// Machines that have accepted the value, whether or not their replies arrived.
     accepted_by: BTreeSet<usize>,
--- a/crates/register/tests/golden.rs
+++ b/crates/register/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files of the register: how its messages and its durable state are encoded between processes and on
-//! disk.
+//! Checks with golden files that the encoding of messages between processes, and of the durable state on
+//! disk, does not change.
 
 use std::fmt::Debug;
 use std::path::Path;
--- a/crates/register/tests/random_exploration.rs
+++ b/crates/register/tests/random_exploration.rs
@@ -1,4 +1,4 @@
-//! Random explorations: loss, repetition and reordering of messages, restarts, lost disks, concurrent
+//! Explores random runs with lost, repeated and reordered messages, restarts, lost disks, concurrent
 //! proposers and changes of the acceptors. Each committed value must descend from the one before.
 
 mod common;
