--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -10,8 +10,8 @@
 
 // Each constant is a divisor of the TTL, so that all times of a candidate scale with it.
 
-/// A holder stops holding the lease this fraction of the TTL before the grants expire, since clocks run at
-/// different speeds.
+/// A holder stops holding the lease this fraction of the TTL before the first grant can expire, since clocks
+/// run at different speeds.
 const SAFETY_MARGIN_DIVISOR: u32 = 10;
 /// A holder starts a renewal round after this fraction of the TTL, counted from the start of the round that
 /// it won.
--- a/crates/lease/tests/random_exploration.rs
+++ b/crates/lease/tests/random_exploration.rs
@@ -56,7 +56,7 @@
         held += simulation.held_ticks;
         ticks += simulation.ticks;
     }
-    println!("{faults:?}: held for {held} of {ticks} ticks");
+    println!("{faults:?}: the lease was held in {held} of {ticks} ticks");
     assert!(held > ticks / 100 * min_percent, "the lease was held too rarely: in {held} of {ticks} ticks");
 }
 
--- a/crates/register/src/ballot.rs
+++ b/crates/register/src/ballot.rs
@@ -14,6 +14,7 @@
 /// Issues the ballots of one process. No ballot is issued twice.
 #[derive(Clone, Debug)]
 pub struct BallotSource {
+    /// Random number that the process drew at its start.
     proposer: u64,
     /// Highest round that was issued or observed; 0 at first.
     round: u64,
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -28,6 +28,7 @@
     Preempted(Ballot),
 }
 
+/// Progress of a proposal. Replies that belong to another phase are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProposalPhase {
     /// Promises are being collected.
@@ -45,6 +46,7 @@
 /// Pass in only replies to the requests of this proposal: a reply does not contain the ballot of its request.
 #[derive(Clone, Debug)]
 pub struct Proposal<V> {
+    /// Ballot of all requests of this proposal.
     ballot: Ballot,
     /// Committed value from which the proposal started.
     base: Versioned<V>,
--- a/crates/register/tests/exhaustive.rs
+++ b/crates/register/tests/exhaustive.rs
@@ -235,6 +235,6 @@
             }
         }
     }
-    println!("{} states, up to {max_chosen} values", seen.len());
+    println!("explored {} states, in which up to {max_chosen} values were chosen", seen.len());
     assert_eq!(max_chosen, changes.len() + 1, "at least one order commits all changes");
 }
--- a/crates/register/tests/proposal.rs
+++ b/crates/register/tests/proposal.rs
@@ -270,7 +270,10 @@
     let previous_acceptors_of = |value: History| {
         let (mut proposal, _) = prepared_proposal();
         let requests = proposal.propose(value);
-        accept_value(&requests[0]).expect("an accept request").previous_acceptors.to_vec()
+        accept_value(&requests[0])
+            .expect("the first request is an accept request")
+            .previous_acceptors
+            .to_vec()
     };
     let (_, base) = prepared_proposal();
     assert_eq!(previous_acceptors_of(base.value.with_change(2)), []);
--- a/crates/register/tests/reconfiguration.rs
+++ b/crates/register/tests/reconfiguration.rs
@@ -30,7 +30,7 @@
 fn given_a_replaced_disk_when_stepped_then_one_step_replaces_the_old_incarnation_by_the_new_one() {
     let current = members(&[0, 1, 2]);
     let target = vec![member(0), member(1), member_with_disk(2, 30)];
-    let step = next_step(&current, &target).expect("a step");
+    let step = next_step(&current, &target).expect("a step remains towards the target");
     assert!(is_single_step(&current, &step));
     assert!(same_members(&step, &target));
     assert_eq!(next_step(&step, &target), None);
