--- a/crates/balancer-node/src/bin/balancer-simhost.rs
+++ b/crates/balancer-node/src/bin/balancer-simhost.rs
@@ -1,7 +1,8 @@
-//! Drives balancers over the text protocol on standard input and output, one for each instance.
+//! Runs one balancer per instance, driven by a simulated host over a text protocol on standard input and
+//! output.
 //!
-//! The host sends batches of lines; each batch is answered with the actions it leads to and a line `NEXT`. Errors of
-//! the protocol end the program with one line on standard error.
+//! The host sends batches of lines, each ended by `EOB`. The program answers a batch with the resulting
+//! actions and a line `NEXT`. A protocol error ends the program with one line on standard error.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,34 +13,35 @@
 use balancer::wire::{one_line, Dialect, Line, RosterMember, Rosters, WireError, ROSTERS};
 use balancer::{Balancer, BalancerAction};
 
-/// One instance: its balancer, and its mapping of server names to numbers.
+/// One instance: its balancer and the conversion of its messages.
 struct Instance {
     balancer: Balancer,
     dialect: Dialect,
 }
 
-/// A list of which some entries have not arrived yet.
+/// A roster of which some entries have not arrived yet.
 struct PartialRoster {
     number: usize,
-    /// Entries that it will have.
+    /// Number of entries of the complete roster.
     length: usize,
     members: Vec<RosterMember>,
 }
 
-/// All instances, and what they share.
+/// All instances, and the state that they share.
 #[derive(Default)]
 struct SimulatedHost {
-    /// Time of the simulated clock, in milliseconds.
+    /// Time of the simulated clock in milliseconds, from the last message `CLOCK`.
     now: f64,
     instances: BTreeMap<String, Instance>,
     rosters: Rosters,
     partial_roster: Option<PartialRoster>,
-    /// Messages and instances that have been reported as ignored.
+    /// Names of messages and instances that were reported as ignored, so that each is reported once.
     ignored: BTreeSet<String>,
     reply: String,
     actions: Vec<BalancerAction>,
 }
 
+/// Position in the input after a line.
 #[derive(PartialEq)]
 enum Progress {
     WithinBatch,
@@ -47,6 +49,7 @@
 }
 
 impl SimulatedHost {
+    /// Processes one line of input and appends the resulting actions to the reply.
     fn take_line(&mut self, text: &str) -> Result<Progress, WireError> {
         if let Some(roster) = self.partial_roster.take() {
             self.take_roster_member(roster, text)?;
@@ -69,8 +72,8 @@
             "REGISTRY" | "CALL" | "ACK_FIRST" | "ENDED" | "HANGUP" | "FIRED" | "HEALTH" => {
                 self.handle_event(&line)?;
             }
-            "FROM_PEER" => {} // balancers exchange no messages
-            other => self.ignore(other, "passed over an unknown message"),
+            "FROM_PEER" => {} // balancers do not exchange messages
+            other => self.ignore(other, "ignoring messages of an unknown kind"),
         }
         Ok(Progress::WithinBatch)
     }
@@ -97,6 +100,7 @@
         Ok(())
     }
 
+    /// Adds the next entry to an incomplete roster; the last entry completes it.
     fn take_roster_member(&mut self, mut roster: PartialRoster, text: &str) -> Result<(), WireError> {
         roster.members.push(RosterMember::parse(text)?);
         if roster.members.len() < roster.length {
@@ -110,7 +114,7 @@
     fn handle_event(&mut self, line: &Line<'_>) -> Result<(), WireError> {
         let node = line.text("node")?;
         let Some(instance) = self.instances.get_mut(node) else {
-            self.ignore(node, "passed over a message to an instance that is not running");
+            self.ignore(node, "ignoring messages to an instance that is not running");
             return Ok(());
         };
         let Some(event) = instance.dialect.event(line, &self.rosters)? else {
@@ -130,7 +134,7 @@
         Ok(())
     }
 
-    /// Reports once that messages of a kind, or to an instance, are ignored.
+    /// Reports on standard error that messages of a kind or to an instance are ignored, once for each `what`.
     fn ignore(&mut self, what: &str, reason: &str) {
         if self.ignored.insert(what.to_owned()) {
             eprintln!("balancer-simhost: {reason}: {}", one_line(what));
@@ -138,7 +142,7 @@
     }
 }
 
-/// Why the program ends before its input does.
+/// Error that ends the program before the end of its input.
 enum HostError {
     Read(io::Error),
     Reply(io::Error),
@@ -148,8 +152,8 @@
 impl fmt::Display for HostError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Read(error) => error.fmt(f),
-            Self::Reply(error) => write!(f, "cannot reply: {error}"),
+            Self::Read(error) => write!(f, "cannot read standard input: {error}"),
+            Self::Reply(error) => write!(f, "cannot write the reply to standard output: {error}"),
             Self::Line { message, error } => write!(f, "{message}: {error}"),
         }
     }
@@ -166,7 +170,7 @@
     }
 }
 
-/// Answers batches until the input ends; `line_number` is that of the line read last.
+/// Answers batches until the input ends. Keeps the number of the last line read in `line_number`.
 fn run(input: &mut impl BufRead, output: &mut impl Write, line_number: &mut u64) -> Result<(), HostError> {
     let mut host = SimulatedHost::default();
     let mut text = String::new();
--- a/crates/balancer-node/src/decisions/admission.rs
+++ b/crates/balancer-node/src/decisions/admission.rs
@@ -1,39 +1,39 @@
-//! Admission: whether a request is admitted, its longest expected wait, and probes before the first attempt.
+//! Admission control: the bound on the expected wait of a request, and the probes before its first attempt.
 
 use super::{estimates::RECENT_OUTCOMES, Balancer, Context, PendingRequest};
 use crate::interface::*;
 
-/// Part of the latency target that the expected wait may take, so that most answers are in time; and the part
-/// of that bound which remains for a request of the lowest value.
+/// Maximum expected wait as a fraction of the latency target, so that most answers are in time; and the
+/// fraction of that bound that applies to a request of the lowest value.
 const MAX_WAIT_FRACTION: f64 = 0.45;
 const MIN_VALUE_FRACTION: f64 = 0.5;
 
-/// The same with stale counts: the queues are known late, and a tight bound would reject too much.
+/// The same two with stale counts: they lag behind the queues, and a tight bound would reject too much.
 const STALE_MAX_WAIT_FRACTION: f64 = 0.75;
 const STALE_MIN_VALUE_FRACTION: f64 = 0.9;
 
-/// With stale counts a request over the bound is admitted with probability (bound / expected)^(1 / this).
+/// With stale counts, a request over the bound is admitted with probability (bound / wait)^(1 / this).
 const ADMISSION_JITTER_EXPONENT: f64 = 0.2;
 
-/// Requests in a server's queue, beside those in service, that an expected wait of the full target allows.
+/// Maximum number of queued requests per server, besides those in service, at a bound of the full target.
 const MAX_QUEUED: f64 = 3.0;
 
-/// The power by which the part of attempts that was not rejected tightens the bound of admission.
+/// With stale counts, the bound is multiplied by the fraction of attempts not rejected, to this power.
 const REJECTION_EXPONENT: f64 = 2.0;
 
-/// How far the bound of admission moves towards the full latency target where counts were just probed.
+/// With probed counts, the fractions above are moved this far towards one: fresh counts need less margin.
 const PROBED_CONFIDENCE: f64 = 0.4;
 
-/// Retries as a share of requests, so that they cannot multiply an overload.
+/// Maximum mean number of retries per request, so that retries cannot amplify an overload.
 const RETRY_RATIO: f64 = 0.2;
 
-/// Part of its latency target that a request waits for probes.
+/// Maximum time that a request waits for probes, as a fraction of its latency target.
 const PROBE_TIMEOUT_FRACTION: f64 = 0.1;
 
-/// Least capacity of a token bucket: a node's share of a quota may be under one request a second.
+/// Minimum capacity of a token bucket: a node's share of a quota may be below one request per second.
 const MIN_BURST: f64 = 4.0;
 
-/// Limits a tenant to the node's share of its quota. A new bucket is full.
+/// Token bucket that limits a tenant to this node's share of its quota. A new bucket is full.
 pub(super) struct TokenBucket {
     rate_per_s: f64,
     tokens: f64,
@@ -45,7 +45,7 @@
         Self { rate_per_s, tokens: f64::INFINITY, refilled_at: 0.0 }
     }
 
-    /// Takes a token, and returns whether there was one.
+    /// Refills the bucket for the time elapsed and takes one token. Returns whether a token was available.
     fn try_acquire(&mut self, now: f64) -> bool {
         let elapsed_ms = (now - std::mem::replace(&mut self.refilled_at, now)).max(0.0);
         self.tokens += self.rate_per_s * elapsed_ms / 1000.0;
@@ -56,9 +56,9 @@
     }
 }
 
-/// Moves `fraction` towards one by `rest`: 0 leaves it, 1 gives one.
-fn soften(fraction: f64, rest: f64) -> f64 {
-    fraction + (1.0 - fraction) * rest
+/// Interpolates linearly between `fraction` (`weight` 0) and one (`weight` 1).
+fn soften(fraction: f64, weight: f64) -> f64 {
+    fraction + (1.0 - fraction) * weight
 }
 
 impl Balancer {
@@ -72,9 +72,9 @@
         let within_quota = self.quotas.get_mut(request.tenant).is_none_or(|bucket| bucket.try_acquire(now));
         let mut max_wait = self.max_expected_wait(class, within_quota);
         if self.signals.stale {
-            // Rejections are known at once, counts late: else the rest of a fleet would be overloaded.
+            // Rejections are known before counts: without this, the other servers would be overloaded.
             max_wait *= (1.0 - self.estimates.rejection_rate(now)).powf(REJECTION_EXPONENT);
-            // Random, so that nodes with few requests each admit a fraction together, not all or nothing.
+            // Random, so that nodes with few requests each admit a fraction of them, not all or none.
             max_wait /= self.random.f64().powf(ADMISSION_JITTER_EXPONENT);
         }
         let expires_at = now + request.budget_ms;
@@ -83,7 +83,7 @@
             pending.probing = self.pick(now, &pending, f64::INFINITY, self.signals.probes_per_request);
         }
         for &server in &pending.probing {
-            // Counts like a send until a report arrives: else one that never answers is probed for ever.
+            // Counts a probe like a send until a report arrives, or a silent server would be probed forever.
             self.endpoints.get_mut(server).expect("in use").count.iter_mut().for_each(|count| *count += 1.0);
             cx.actions.push(BalancerAction::Probe { server: ServerId(server) });
         }
@@ -97,12 +97,12 @@
         cx.set_request_timer(id, latency_target_ms.min(request.budget_ms) * PROBE_TIMEOUT_FRACTION);
     }
 
-    /// Makes the first attempt of a request, once its probes were answered or its timer has fired.
+    /// Makes the first attempt of a request, or gives up, once its probes have ended or its timer has fired.
     pub(super) fn dispatch(&mut self, cx: &mut Context, id: RequestId) {
         let Some(index) = self.awaiting_probes.iter().position(|waiting| *waiting == id) else { return };
         self.awaiting_probes.remove(index);
         let Some(mut request) = self.pending.remove(&id) else { return };
-        // If no probed server answered, all are overloaded: nothing is sent without a report.
+        // If no probed server answered, all count as overloaded: the request is not sent without a report.
         let load_known = !self.signals.probing || !request.probed.is_empty();
         let max = usize::from(load_known && self.settings.max_attempts > 0);
         if let Some(&server) = self.pick(cx.now, &request, request.max_wait, max).first() {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Handles the end of a probe. The request is sent once all of its probes have ended.
+    /// Handles the end of a probe, and dispatches the requests whose last probe it was.
     pub(super) fn probe_ended(&mut self, cx: &mut Context, server: usize, served: bool) {
         let mut due = Vec::new();
         for id in &self.awaiting_probes {
@@ -132,30 +132,30 @@
         due.into_iter().for_each(|id| self.dispatch(cx, id));
     }
 
-    /// The longest expected wait in ms for which a request is admitted: late ones must not delay the others.
+    /// Returns the maximum expected wait in ms for admission: late requests must not delay others.
     fn max_expected_wait(&self, class: usize, within_quota: bool) -> f64 {
         let (estimates, overall) = (&self.estimates, &self.estimates.overall);
-        // A node that has just started has no latency samples to reject by, unless it probes for counts.
+        // A node without probes rejects nothing until it has enough latency samples to estimate waits.
         if !self.signals.probing && overall.samples < RECENT_OUTCOMES {
             return f64::INFINITY;
         }
         let fraction = self.target_fraction(class, within_quota);
-        // A class of low value must not fill the queues in which others would be late: their targets count.
+        // The queues must also stay short enough for the latency targets of all classes of higher value.
         let (own, all) = (self.value_density(class), 0..self.settings.classes.len());
         let more_valuable = all.filter(|k| *k == class || self.value_density(*k) > own);
         let target = |k: usize| self.settings.classes[k].latency_target_ms / estimates.relative_latency(k);
         let in_time = more_valuable.map(target).fold(f64::INFINITY, f64::min) * fraction;
-        // Nor may any class fill them further than keeps servers busy: longer queues give no more throughput.
+        // No class may queue more than keeps servers busy: longer queues add no throughput.
         let max_requests = estimates.in_service.map_or(f64::INFINITY, |busy| busy + MAX_QUEUED * fraction);
         in_time.min(max_requests * overall.latency / overall.depth)
     }
 
-    /// The part of its latency target that a request may be expected to wait.
+    /// Returns the maximum expected wait of a request as a fraction of its latency target.
     fn target_fraction(&self, class: usize, within_quota: bool) -> f64 {
         let quota = if within_quota { 1.0 } else { self.settings.over_quota_value };
         let best = (0..self.settings.classes.len()).map(|k| self.value_density(k)).fold(0.0, f64::max);
         let value = if best > 0.0 { self.value_density(class) * quota / best } else { 1.0 };
-        // Late answers cost less where they keep some value; counts just probed need less margin.
+        // Late answers cost less if they keep some value; counts just probed need less margin.
         let late_value = self.settings.classes[class].late_value;
         let late = if self.signals.probing { PROBED_CONFIDENCE } else { late_value };
         if !self.signals.stale {
--- a/crates/balancer-node/src/decisions/attempts.rs
+++ b/crates/balancer-node/src/decisions/attempts.rs
@@ -1,35 +1,35 @@
-//! The attempts of an admitted request until its final answer: sending, stalled attempts, retries.
+//! Attempts of an admitted request until its final answer: sending, cancelling stalled attempts, retrying.
 
 use super::estimates::{OPTIMISTIC_LATENCY, REJECTION_HALF_LIFE};
 use super::{Balancer, Context};
 use crate::interface::*;
 
-/// Parts of the deduplication window within which a retry must be decided, and must have been sent.
+/// Fractions of the deduplication window within which a retry must be decided, and must have been sent.
 const MAX_SEND_WINDOW_FRACTION: f64 = 0.8;
 const MAX_CONNECT_WINDOW_FRACTION: f64 = 0.9;
 
 /// An attempt is stalled after this many latency targets (a lower bound would duplicate more work than it
-/// saves) and this many times its expected wait, if its server has answered nothing since it was sent.
+/// saves) and this many times its expected wait, if its server has answered no attempt since it was sent.
 const MIN_STALL_TARGETS: f64 = 1.5;
 const MIN_STALL_WAITS: f64 = 3.0;
 
-/// Attempts of the node in flight at a server before one of them counts as stalled.
+/// Minimum number of this node's attempts in flight at a server for one of them to count as stalled.
 const MIN_STALLED_IN_FLIGHT: usize = 3;
 
-/// One attempt of a request.
+/// One attempt of a request, kept after its end until the request is finished.
 pub(super) struct Attempt {
     pub(super) target: ServerEntry,
     pub(super) sent_at: f64,
-    /// Requests at its server when it was sent, as far as the node knew.
+    /// Number of requests at the server when the attempt was sent, including it, by this node's information.
     pub(super) depth: f64,
-    /// Time from which on it may be cancelled as stalled.
+    /// Time in ms from which the attempt may be cancelled as stalled.
     pub(super) stalls_at: f64,
     pub(super) in_flight: bool,
-    /// Cancelled as stalled: its end counts as a failure of its server.
+    /// Whether it was cancelled as stalled: its end then counts as a failure of its server.
     pub(super) stalled: bool,
 }
 
-/// A request that was admitted, until its final answer and the end of its last attempt.
+/// A request from its arrival until it has its final answer and its last attempt has ended.
 #[derive(Default)]
 pub(super) struct PendingRequest {
     pub(super) class: usize,
@@ -37,34 +37,34 @@
     pub(super) attempts: Vec<Attempt>,
     /// Index of the first attempt that may have run or may still run.
     pub(super) may_have_run: Option<usize>,
-    /// The final answer was given, or the client has disconnected.
+    /// Whether the final answer was given or the client has disconnected.
     pub(super) answered: bool,
-    /// Servers probed before the first attempt: those that have not answered yet, and those that have.
+    /// Servers probed before the first attempt: `probing` have not answered yet, `probed` have.
     pub(super) probing: Vec<usize>,
     pub(super) probed: Vec<usize>,
-    /// The longest expected wait for which it is admitted.
+    /// Maximum expected wait in ms for which the request is admitted.
     pub(super) max_wait: f64,
 }
 
 impl PendingRequest {
-    /// The server of the last attempt, while that is in flight.
+    /// Returns the server of the last attempt if that attempt is in flight.
     fn server_in_flight(&self) -> Option<usize> {
         self.attempts.last().filter(|last| last.in_flight).map(|last| last.target.server.0)
     }
 
-    /// Whether it is answered and no attempt is in flight.
+    /// Returns whether the request is answered and none of its attempts is in flight.
     fn is_finished(&self) -> bool {
         self.answered && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run or may still run.
     pub(super) fn first_run(&self) -> Option<&Attempt> {
         self.may_have_run.map(|attempt| &self.attempts[attempt])
     }
 }
 
 impl Balancer {
-    /// Starts an attempt at a server.
+    /// Sends an attempt to a server, and sets a timer if the attempt may later be cancelled as stalled.
     pub(super) fn send(&mut self, cx: &mut Context, id: RequestId, to: usize, request: &mut PendingRequest) {
         let target = self.endpoints.get_mut(to).expect("in use");
         target.in_flight += 1;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Handles the timer of a request: cancels all stalled attempts at the server that it waits for.
+    /// Handles the timer of a request: cancels all stalled attempts at the server of its last attempt.
     pub(super) fn cancel_stalled(&mut self, cx: &mut Context, id: RequestId) {
         let Some(server) = self.pending.get(&id).and_then(PendingRequest::server_in_flight) else { return };
         let waiting = self.pending.iter().filter(|(_, request)| request.server_in_flight() == Some(server));
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The attempt of a request that is to be cancelled, if any: one that another server may repeat.
+    /// Returns the index of the last attempt if it is stalled and another server may repeat it.
     fn stalled_attempt(&mut self, now: f64, request: &mut PendingRequest) -> Option<usize> {
         let last = request.attempts.len().checked_sub(1)?;
         let attempt = &request.attempts[last];
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether the class allows a retry after attempts that may have run; `with_last` counts the last as one.
+    /// Returns whether the class allows a retry at `now`. `with_last`: the last attempt may have run, too.
     fn may_repeat(&self, now: f64, request: &PendingRequest, with_last: bool) -> bool {
         let last = request.attempts.last().filter(|_| with_last);
         let Some(first) = request.first_run().or(last) else { return true };
@@ -157,12 +157,12 @@
         idempotency == Idempotency::Safe || idempotency.window_ms().is_some_and(in_window)
     }
 
-    /// Makes another attempt where class, deadline and retry budget allow it, else gives the final answer.
+    /// Makes another attempt if class, deadline and retry budget allow it, else gives the final answer.
     fn retry_or_give_up(&mut self, cx: &mut Context, id: RequestId, request: &mut PendingRequest) {
         let attempts_left = request.attempts.len() < self.settings.max_attempts;
         let in_budget = attempts_left && self.retry_tokens >= 1.0;
         if in_budget && cx.now < request.expires_at && self.may_repeat(cx.now, request, false) {
-            // Else retries would overload the servers that do not reject yet (incident ia94218).
+            // Unbounded retries would overload the servers that do not reject yet (incident ia94218).
             let bounded = self.signals.probing || self.signals.stale;
             let max_wait = if bounded { request.max_wait } else { f64::INFINITY };
             if let Some(&server) = self.pick(cx.now, request, max_wait, 1).first() {
@@ -175,7 +175,7 @@
         request.answered = true;
     }
 
-    /// Gives the final answer to a request that is not served: a rejection only if a client's retry is safe.
+    /// Gives the final answer to a request that was not served: a rejection only if a retry is safe.
     pub(super) fn give_up(&mut self, cx: &mut Context, id: RequestId, request: &PendingRequest) {
         let idempotency = self.settings.classes[request.class].idempotency;
         let retry_is_safe = request.may_have_run.is_none() || idempotency.allows_repeat_anywhere();
@@ -184,21 +184,21 @@
         cx.actions.push(if retry_is_safe { reject } else { BalancerAction::Fail { request: id } });
     }
 
-    /// When a rejected client should retry, in milliseconds from now.
+    /// Returns the time after which a rejected client should retry, in milliseconds from now.
     fn retry_after_ms(&self, now: f64) -> f64 {
         let (estimates, overall) = (&self.estimates, &self.estimates.overall);
-        // The time that a server takes for one of its requests: the next slot is free by then.
+        // Time per request at a server: a slot is expected to be free by then.
         let unknown = estimates.latency_target * OPTIMISTIC_LATENCY;
         let service_ms = if overall.samples > 0.0 { overall.latency / overall.depth } else { unknown };
         if !self.signals.stale {
             return service_ms;
         }
-        // With stale counts: until the servers have worked off their load, longer where they reject, too.
+        // With stale counts: the time to work off the load of a server, and more if servers reject requests.
         let rejecting_ms = estimates.rejection_rate(now) * REJECTION_HALF_LIFE * estimates.latency_target;
         service_ms * estimates.load_level(now) + rejecting_ms
     }
 
-    /// Handles a client's disconnect: cancels its attempts, where that is allowed.
+    /// Handles the disconnect of a client: cancels the attempts of its request if the settings allow it.
     pub(super) fn client_disconnected(&mut self, cx: &mut Context, id: RequestId) {
         let Some(request) = self.pending.get_mut(&id) else { return };
         request.answered = true;
--- a/crates/balancer-node/src/decisions/endpoint_table.rs
+++ b/crates/balancer-node/src/decisions/endpoint_table.rs
@@ -1,37 +1,37 @@
-//! The table of servers: those that are listed, and removed ones with attempts still in flight.
+//! Table of servers: those in the server list, and removed ones with attempts still in flight.
 
 use std::collections::HashMap;
 
 use super::estimates::Pace;
 use crate::{interface::*, ring::Ring, ring::RingEntry};
 
-/// For more entries than this in one update the ring is rebuilt: moving each one would cost more.
+/// Number of entries in one update above which the ring is rebuilt: moving each entry would cost more.
 const MAX_RING_MOVES: usize = 300;
 
-/// The state of one server, as this node knows it.
+/// State of one server, as seen by this node.
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) entry: ServerEntry,
-    /// HSQ's queue length: the last reported one plus this node's sends since; and the time of that report.
+    /// HSQ count: requests in the last report plus this node's sends and probes since; and the report's time.
     pub(super) count: Option<f64>,
     pub(super) reported_at: Option<f64>,
-    /// This node's attempts in flight; while there are any, the server stays in the table.
+    /// This node's attempts in flight. The server stays in the table until it is zero.
     pub(super) in_flight: usize,
     pub(super) pace: Pace,
     pub(super) consecutive_failures: u32,
     pub(super) last_answer_at: f64,
-    /// Set while it is ejected; after this time it is on trial until it serves a request.
+    /// End of the ejection in ms. Stays set until the server serves a request; after the end it gets trials.
     pub(super) ejected_until: Option<f64>,
 }
 
 impl Server {
-    /// Milliseconds since it started; infinite if it started long ago.
+    /// Returns the time since the process started, in milliseconds; infinite if it started long ago.
     pub(super) fn age(&self, now: f64) -> f64 {
         now - self.entry.started_at.unwrap_or(f64::NEG_INFINITY)
     }
 }
 
-/// The servers and the ring of the ready ones. Server numbers grow for ever; slots are reused.
+/// All servers, and the ring of the ready ones. Server numbers are never reused; slots are.
 pub(super) struct EndpointTable {
     pub(super) slots: Vec<Server>,
     free: Vec<usize>,
@@ -53,7 +53,7 @@
         self.slot_of.get(&server).map(|slot| &mut self.slots[*slot])
     }
 
-    /// Removes a server that is not listed and has no attempt in flight; returns whether it was removed.
+    /// Removes a server if it is not listed and has no attempt in flight; returns whether that was so.
     pub(super) fn remove_unreferenced(&mut self, server: usize) -> bool {
         let listed = |server: &Server| server.entry.availability != Availability::Removed;
         let unreferenced = self.get(server).is_some_and(|server| server.in_flight == 0 && !listed(server));
@@ -64,7 +64,7 @@
         unreferenced
     }
 
-    /// Applies the entries of an update; with `complete`, servers that it does not name are removed.
+    /// Applies the entries of an update. If it is `complete`, servers without an entry are removed.
     pub(super) fn update(&mut self, entries: Vec<ServerEntry>, complete: bool) {
         let rebuild = complete || entries.len() > MAX_RING_MOVES;
         for server in self.slots.iter_mut().filter(|_| complete) {
@@ -75,7 +75,7 @@
             let slot = self.slot(entry.server.0);
             let from = self.ring_entry(slot).filter(|_| !rebuild);
             let server = &mut self.slots[slot];
-            // A restarted process inherits no statistics of its predecessor.
+            // A restarted process does not inherit the statistics of the previous one.
             if server.entry.started_at != entry.started_at {
                 *server = Server { in_flight: server.in_flight, ..Server::default() };
             }
@@ -105,7 +105,7 @@
         })
     }
 
-    /// The entry of a ready server on the ring, with whether the server is in another zone.
+    /// Returns the ring entry of a server and whether its zone is another one; `None` if it is not ready.
     fn ring_entry(&self, slot: usize) -> Option<(bool, RingEntry)> {
         let entry = &self.slots[slot].entry;
         let ready = entry.availability == Availability::Ready;
--- a/crates/balancer-node/src/decisions/estimates.rs
+++ b/crates/balancer-node/src/decisions/estimates.rs
@@ -1,47 +1,47 @@
-//! Running estimates: the pace of servers and classes, the load level of the fleet, rejections and arrivals.
-//! Times are milliseconds; half-lives are given in mean latency targets of the classes.
+//! Running estimates: latency of servers and classes, load level of the fleet, rejections and arrivals.
+//! Times are in milliseconds; half-lives are constants in mean latency targets of the classes.
 
 use crate::interface::*;
 
-/// Window of the running means of one server, in outcomes; those over all servers have four times as many.
+/// Window of the running means of one server, in outcomes. Means over all servers use four times as many.
 pub(super) const RECENT_OUTCOMES: f64 = 16.0;
 
-/// Weight of the mean over all servers in the estimate of one server, in outcomes.
+/// Weight of the prior (the mean over all servers) in the estimate of one server, in outcomes.
 const PRIOR_WEIGHT: f64 = 4.0;
 
-/// The load level follows new reports with this half-life, and each moves it by at least this part.
+/// Half-life with which the load level follows new reports, and the minimum weight of each report.
 const LEVEL_GAIN_HALF_LIFE: f64 = 2.0;
 const MIN_LEVEL_GAIN: f64 = 0.15;
 
-/// Without reports the load level decays to that of an idle fleet with this half-life, so rejections end.
+/// Half-life of the load level without reports. It decays to that of an idle fleet, so that rejections end.
 const LEVEL_DECAY_HALF_LIFE: f64 = 6.0;
 
-/// Upper bound of the latency that is assumed without recent samples, in mean latency targets.
+/// Maximum latency assumed without recent samples, in mean latency targets.
 pub(super) const OPTIMISTIC_LATENCY: f64 = 0.25;
 
-/// Half-life of the rejection rate, and the number of attempts that it is averaged over.
+/// Half-life of the rejection rate, and the number of attempts over which it is averaged.
 pub(super) const REJECTION_HALF_LIFE: f64 = 20.0;
 const REJECTION_WINDOW: f64 = 6.0;
 
-/// Requests that an idle server reports: the one that it has just answered.
+/// Number of requests in the report of an idle server: it counts the request that it has just answered.
 pub(super) const IDLE_REQUESTS: f64 = 1.0;
 
-/// Reports of more requests than this are ignored: such a count would never be the lowest again.
+/// Reports of more requests than this are ignored: a server with such a count would never be selected again.
 const MAX_REPORTED_REQUESTS: f64 = 100_000.0;
 
-/// The fraction of a weight that remains after `elapsed`.
+/// Returns the fraction of a weight that remains after `elapsed`, in the unit of `half_life`.
 pub(super) fn decay(elapsed: f64, half_life: f64) -> f64 {
     0.5_f64.powf(elapsed / half_life)
 }
 
-/// A latency, and the number of requests that the server had meanwhile.
+/// A latency in ms, and the number of requests that were at the server during it.
 #[derive(Clone, Copy)]
 pub(super) struct LatencyAtDepth {
     pub(super) latency: f64,
     pub(super) depth: f64,
 }
 
-/// Running means of the latency and the depth, with the weight of the samples in them.
+/// Running means of latency and depth. Their quotient is the time per request. `samples` is their weight.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Pace {
     pub(super) latency: f64,
@@ -51,7 +51,7 @@
 }
 
 impl Pace {
-    /// The weight that the samples still have: old ones must not outweigh recent ones.
+    /// Returns the weight of the samples, decayed to `now`: old ones must not outweigh recent ones.
     fn weight(&self, now: f64, half_life: f64) -> f64 {
         self.samples * decay(now - self.updated_at, half_life)
     }
@@ -63,29 +63,29 @@
         self.updated_at = now;
     }
 
-    /// Mean latency and depth: these samples, weighted against a prior.
+    /// Returns the means of latency and depth, weighted against a prior.
     pub(super) fn blend(&self, now: f64, half_life: f64, prior: LatencyAtDepth) -> LatencyAtDepth {
         let weight = self.weight(now, half_life);
-        let mix = |own: f64, prior: f64| (own * weight + prior * PRIOR_WEIGHT) / (weight + PRIOR_WEIGHT);
+        let mix = |mean: f64, prior: f64| (mean * weight + prior * PRIOR_WEIGHT) / (weight + PRIOR_WEIGHT);
         LatencyAtDepth { latency: mix(self.latency, prior.latency), depth: mix(self.depth, prior.depth) }
     }
 }
 
-/// Estimates over all servers. The latency target is the mean of the classes'.
+/// Estimates over all servers. `latency_target` is the mean of the latency targets of the classes, in ms.
 #[derive(Default)]
 pub(super) struct Estimates {
     pub(super) latency_target: f64,
     classes: Vec<Pace>,
     pub(super) overall: Pace,
-    /// Recent mean of the reported requests at a server, over all servers, and the time of the last report.
+    /// Recent mean of the reported number of requests at a server, and the time of the last report.
     load_level: f64,
     reported_at: f64,
-    /// Recent mean of the requests in service at a server (not queued), where reports have both numbers.
+    /// Recent mean of the requests in service (not queued) at a server; `None` before a report with both.
     pub(super) in_service: Option<f64>,
-    /// Recent fraction of attempts that full servers rejected, and when the last attempt ended.
+    /// Recent fraction of attempts that full servers rejected, and the time when the last attempt ended.
     rejected: f64,
     rejected_at: f64,
-    /// Mean time between requests, and the arrival of the last one.
+    /// Mean time between requests in ms, and the arrival time of the last one.
     pub(super) arrival_gap: f64,
     last_arrival: f64,
 }
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Ratio of the latency of a class to that of all requests.
+    /// Returns the ratio of the latency of a class to the latency of all requests; one without samples.
     pub(super) fn relative_latency(&self, class: usize) -> f64 {
         let ratio = self.classes[class].latency / self.overall.latency;
         Some(ratio).filter(|r| r.is_finite() && *r > 0.0).unwrap_or(1.0)
     }
 
-    /// The fraction of attempts that full servers reject, decayed to `now`.
+    /// Returns the fraction of attempts that full servers reject, decayed to `now`.
     pub(super) fn rejection_rate(&self, now: f64) -> f64 {
         self.rejected * decay(now - self.rejected_at, REJECTION_HALF_LIFE * self.latency_target)
     }
@@ -126,13 +126,13 @@
         self.rejected_at = now;
     }
 
-    /// Mean requests at a server over all servers, decayed to `now`.
+    /// Returns the mean number of requests at a server over all servers, decayed to `now`.
     pub(super) fn load_level(&self, now: f64) -> f64 {
         let kept = decay(now - self.reported_at, LEVEL_DECAY_HALF_LIFE * self.latency_target);
         IDLE_REQUESTS + (self.load_level - IDLE_REQUESTS) * kept
     }
 
-    /// Records a report of the requests at a server, and of those in service, if it has that number.
+    /// Records the reported requests at a server, and those in service if the report has that number.
     pub(super) fn record_load(&mut self, now: f64, requests: f64, in_service: Option<f64>) {
         let kept = decay(now - self.reported_at, LEVEL_GAIN_HALF_LIFE * self.latency_target);
         self.load_level = requests + (self.load_level - requests) * kept.min(1.0 - MIN_LEVEL_GAIN);
@@ -144,7 +144,7 @@
     }
 }
 
-/// The number of requests in a report; with `stale` counts, one in service is added to a queue length.
+/// Returns the requests in a report; with `stale` counts, one in service is added to a queue length.
 pub(super) fn reported_requests(report: &LoadReport, stale: bool) -> Option<f64> {
     let in_service = if stale { IDLE_REQUESTS } else { 0.0 };
     let requests = report.in_flight.or(report.queued.map(|queued| queued + in_service));
--- a/crates/balancer-node/src/decisions/health.rs
+++ b/crates/balancer-node/src/decisions/health.rs
@@ -1,21 +1,21 @@
-//! Outlier ejection, and the records that the end of an attempt updates: pace, health and rejections.
+//! Outlier ejection, and the update of pace, health and rejections at the end of an attempt.
 
 use super::attempts::Attempt;
 use super::estimates::{reported_requests, LatencyAtDepth, IDLE_REQUESTS, RECENT_OUTCOMES};
 use super::{endpoint_table::Server, Balancer, Context, NODES_PER_SERVER};
 use crate::interface::*;
 
-/// Consecutive failures that eject a server, and for how long, in mean latency targets.
+/// Number of consecutive failures that eject a server, and the ejection time in mean latency targets.
 const EJECTION_FAILURES: u32 = 3;
 const EJECTION_TIME: f64 = 2.0;
 
-/// Among many nodes each sends to a server seldom: there one failure ejects it, and for longer. Otherwise
-/// each node would lose requests until it has seen enough failures itself.
+/// The same with more than `NODES_PER_SERVER` nodes: each seldom sends to a given server, and would lose
+/// requests until it has seen several failures itself.
 const STALE_EJECTION_FAILURES: u32 = 1;
 const STALE_EJECTION_TIME: f64 = 30.0;
 
 impl Balancer {
-    /// Records the end of an attempt with its server and the estimates.
+    /// Updates the server and the estimates at the end of an attempt.
     pub(super) fn record_end(&mut self, cx: &mut Context, class: usize, attempt: &Attempt, end: &AttemptEnd) {
         use AttemptOutcome::{Error, Rejected, Served, TimedOut};
         let (now, number, outcome) = (cx.now, attempt.target.server.0, end.outcome);
@@ -40,19 +40,19 @@
             let server = self.endpoints.get_mut(number).expect("in use");
             server.consecutive_failures = 0;
             if server.ejected_until.take().is_some() {
-                cx.actions.push(BalancerAction::Log(format!("server {number} is back")));
+                cx.actions.push(BalancerAction::Log(format!("server {number} is no longer ejected")));
             }
         } else if self.is_failure(class, attempt, end) {
             self.record_failure(cx, number);
         }
     }
 
-    /// Whether an attempt's end counts as a failure of its server.
+    /// Returns whether the end of an attempt counts as a failure of its server.
     fn is_failure(&self, class: usize, attempt: &Attempt, end: &AttemptEnd) -> bool {
         use AttemptOutcome::{Cancelled, Error, NotSent, Rejected, Reset, Served, TimedOut, Unreachable};
         match end.outcome {
             Error | Unreachable | Reset => true,
-            // A time-out within the latency target says nothing about the server.
+            // A timeout before the latency target is due to the client's short budget, not to the server.
             TimedOut => end.elapsed_ms >= self.settings.classes[class].latency_target_ms,
             Cancelled => attempt.stalled,
             // A full server is busy, not unhealthy.
@@ -61,7 +61,7 @@
     }
 
     fn record_pace(&mut self, now: f64, class: usize, attempt: &Attempt, end: &AttemptEnd) {
-        // With stale counts the node's own requests in flight say nothing of the queue: a report does.
+        // With stale counts, the queue is known from a report, not from this node's requests in flight.
         let report = end.report.filter(|_| self.signals.stale);
         let reported = report.and_then(|report| reported_requests(&report, true));
         let depth = reported.map_or(attempt.depth, |requests| requests.max(IDLE_REQUESTS));
@@ -76,7 +76,7 @@
         );
     }
 
-    /// Ejects servers that fail quickly, hang or are unreachable: their low counts alone would favour them.
+    /// Ejects servers that fail quickly, hang or are unreachable: their low counts would attract requests.
     fn record_failure(&mut self, cx: &mut Context, number: usize) {
         let many_nodes = self.signals.stale && self.settings.nodes as f64 > NODES_PER_SERVER;
         let max_failures = if many_nodes { STALE_EJECTION_FAILURES } else { EJECTION_FAILURES };
@@ -87,7 +87,7 @@
         let failed_enough = server.consecutive_failures >= max_failures;
         let due = server.ejected_until.map_or(failed_enough, |until| until <= cx.now);
         if due && server.ejected_until.replace(until).is_none() {
-            cx.actions.push(BalancerAction::Log(format!("server {number} is taken out")));
+            cx.actions.push(BalancerAction::Log(format!("server {number} is ejected after failed attempts")));
         }
     }
 }
--- a/crates/balancer-node/src/decisions/mod.rs
+++ b/crates/balancer-node/src/decisions/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of a node: [`Balancer`] hands each event to the module that decides about it.
+//! The decision logic of a node: [`Balancer`] passes each event to the submodule that handles it.
 
 mod admission;
 mod attempts;
@@ -16,22 +16,22 @@
 use self::{estimates::Estimates, slow_start::SlowStart, subscription::Subscription};
 use crate::{interface::*, ring::Ring};
 
-/// About how many nodes share a server: connections stay few and warm, and each node uses its servers often.
+/// Target number of nodes that send to one server. A low number keeps connections few and in regular use.
 const NODES_PER_SERVER: f64 = 12.0;
 
-/// Servers that a node's subset has at least, where there are as many, and the most that are probed.
+/// Minimum size of a node's subset of servers, if as many are ready; and maximum number of probes a request.
 const MIN_SUBSET_SIZE: usize = 3;
 
-/// The golden ratio's fraction: its multiples spread node numbers evenly over a ring.
+/// Fractional part of the golden ratio: its multiples, modulo one, spread the nodes evenly over a ring.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// Part of the result that may be spent on probing servers before each send.
+/// Maximum price of the probes for one request, as a fraction of the result, like `probe_price`.
 const PROBE_BUDGET: f64 = 0.008;
 
-/// The timer of the next subscription. The timer of a request is its id plus one.
+/// Timer number for the next subscription. The timer number of a request is its id plus one.
 const RESUBSCRIBE_TIMER: u64 = 0;
 
-/// What each event handler is given: the time in milliseconds, and the list to append its actions to.
+/// Input and output of an event handler: the current time in ms, and the list to which it appends actions.
 struct Context<'a> {
     now: f64,
     actions: &'a mut Vec<BalancerAction>,
@@ -43,12 +43,12 @@
     }
 }
 
-/// By which signals this node learns the load of servers, as the settings determine.
+/// The signals by which this node learns the load of servers. They follow from the settings and never change.
 struct LoadSignals {
-    /// The number of servers probed before the first attempt of each request, and whether any are.
+    /// Number of servers probed before the first attempt of each request; `probing` if it is not zero.
     probes_per_request: usize,
     probing: bool,
-    /// Other nodes also send to the servers and there are no probes: reported counts are out of date.
+    /// Whether reported counts are out of date when used: other nodes also send, and there are no probes.
     stale: bool,
     /// Whether load reports arrive, with responses or with the probes before each send.
     reports_arrive: bool,
@@ -56,9 +56,9 @@
 
 impl LoadSignals {
     fn new(settings: &DecisionSettings) -> Self {
-        // None are probed where a few nodes' responses keep counts fresh, or where peers may talk.
+        // No probes if responses keep the counts of a few nodes fresh, or if nodes may exchange messages.
         let outdated = !settings.responses_carry_load || settings.nodes as f64 > NODES_PER_SERVER;
-        // Each node pays the price of a probe for every request. Without reports probing is useless.
+        // Probes are paid for with every request. They are useless if they carry no load report.
         let affordable = (PROBE_BUDGET / settings.probe_price).clamp(0.0, MIN_SUBSET_SIZE as f64) as usize;
         let useful = settings.probes && settings.probes_carry_load && !settings.peers && outdated;
         let probes_per_request = if useful { affordable } else { 0 };
@@ -68,21 +68,21 @@
     }
 }
 
-/// The decision logic of one node. See the [crate] page for an example.
+/// Decision logic of one node, without clock, threads or I/O. The [crate] documentation has an example.
 pub struct Balancer {
     settings: DecisionSettings,
-    /// The order of draws is part of the behaviour: the same seed and events give the same actions.
+    /// The same seed and events give the same actions, so the order of draws is part of the behaviour.
     random: fastrand::Rng,
     signals: LoadSignals,
     endpoints: EndpointTable,
     subscription: Subscription,
     pending: HashMap<RequestId, PendingRequest>,
-    /// Requests whose first attempt waits for probes, in order of arrival.
+    /// Requests whose first attempt waits for the answers of probes, in order of arrival.
     awaiting_probes: Vec<RequestId>,
     estimates: Estimates,
-    /// The remaining quota of each tenant.
+    /// Token buckets that limit each tenant to this node's share of its quota, by tenant index.
     quotas: Vec<TokenBucket>,
-    /// Retries that may still be made; each request adds a fraction of one.
+    /// Retry budget: each retry takes one token, each request adds `RETRY_RATIO` tokens.
     retry_tokens: f64,
     slow_start: SlowStart,
 }
@@ -93,7 +93,7 @@
     /// Names the first setting that is out of range.
     pub fn new(settings: DecisionSettings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        // Each node uses an equal subset of a ring that all nodes order alike, from a position of its own.
+        // All nodes order the ring alike and use subsets of equal size; each starts at a different position.
         let start = ((settings.node_index + 1) as f64 * GOLDEN_RATIO_FRACTION).fract();
         let ring = Ring::new(start, NODES_PER_SERVER / settings.nodes as f64, MIN_SUBSET_SIZE);
         let bucket = |quota: &f64| TokenBucket::new(quota / settings.nodes as f64);
@@ -112,8 +112,8 @@
         })
     }
 
-    /// Handles one event that happened at `now`, in milliseconds of a clock that never runs backwards, and
-    /// appends the actions to carry out. Events about unknown requests, servers or timers are ignored.
+    /// Handles one event that happened at `now`, in milliseconds of a monotonic clock, and appends the
+    /// actions to carry out. Events about unknown requests, servers or timers are ignored.
     pub fn handle(&mut self, now: f64, event: BalancerEvent, actions: &mut Vec<BalancerAction>) {
         let cx = &mut Context { now, actions };
         match event {
--- a/crates/balancer-node/src/decisions/selection.rs
+++ b/crates/balancer-node/src/decisions/selection.rs
@@ -1,18 +1,18 @@
-//! Selection of a server, by HSQ (Islam, "Network Load Balancing Methods", IV.E): the lowest count gets the
-//! request, and a fresh report overwrites its server's count.
+//! Selection of a server by HSQ (Islam, "Network Load Balancing Methods", IV.E): the server with the lowest
+//! count gets the request, and a new report overwrites the count of its server.
 
 use super::estimates::{reported_requests, IDLE_REQUESTS};
 use super::{expectation::Candidate, Balancer, PendingRequest};
 use crate::interface::*;
 
-/// A server expected to take this many times the best one's time is not selected. Over 2: counts decide.
+/// Servers with more than this many times the shortest expected wait are excluded. Over 2, so counts decide.
 const MAX_WAIT_RATIO: f64 = 2.5;
 
-/// Most servers of each part of the ring, near and far, that are considered for one request, to save time.
+/// Maximum number of near and of far servers that are considered for one request, to save time.
 pub(super) const MAX_CANDIDATES_PER_PART: usize = 64;
 
 impl Balancer {
-    /// A report overwrites the count of its server alone, completely: it counts the requests of all nodes.
+    /// Overwrites the count of the reporting server: a report covers the requests of all nodes.
     pub(super) fn record_load_report(&mut self, now: f64, server: usize, report: &LoadReport) {
         let stale = self.signals.stale;
         let Some(requests) = reported_requests(report, stale) else { return };
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Up to `n` eligible servers with the lowest ranks, ties broken at random. None with an expected wait
-    /// over `max_wait`, unless it is idle.
+    /// Returns up to `n` eligible servers with the lowest ranks, ties broken at random. Servers with an
+    /// expected wait over `max_wait` are excluded unless they are idle.
     pub(super) fn pick(&mut self, now: f64, request: &PendingRequest, max_wait: f64, n: usize) -> Vec<usize> {
         let mut candidates = self.candidates(now, request);
         self.keep_preferred(&mut candidates, max_wait);
@@ -39,21 +39,21 @@
         selected
     }
 
-    /// Removes candidates to which others are preferred.
+    /// Removes candidates that are less healthy, too slow or, if near ones suffice, in other zones.
     fn keep_preferred(&self, candidates: &mut Vec<Candidate>, max_wait: f64) {
-        // Unhealthy servers, and those of earlier attempts, remain only where there are no others.
+        // Unhealthy servers, and those of earlier attempts, remain only if there are no others.
         let best_tier = candidates.iter().map(|c| c.health_tier).min();
         candidates.retain(|c| Some(c.health_tier) == best_tier && (c.idle || c.wait <= max_wait));
         let shortest = candidates.iter().map(|c| c.wait).fold(f64::INFINITY, f64::min);
         let (probing, stale) = (self.signals.probing, self.signals.stale);
         let bound = if probing || stale { max_wait } else { shortest * MAX_WAIT_RATIO };
-        // Nodes that stay in their own zones overload each other's servers less. But with stale counts a node
-        // notices too late that its zone fills up: there only the price of crossing favours the zone.
+        // Nodes that stay in their own zones overload each other's servers less. With stale counts, a node
+        // notices too late that its zone fills up: then only the price of crossing favours the zone.
         let near_only = !probing && !stale && candidates.iter().any(|c| c.near && c.wait <= bound);
         candidates.retain(|c| (c.idle || c.wait <= bound) && (c.near || !near_only));
     }
 
-    /// All servers that the rules and slow start allow for this request.
+    /// Returns the servers that deduplication, probing and slow start allow for a request.
     fn candidates(&mut self, now: f64, request: &PendingRequest) -> Vec<Candidate> {
         let subset = self.endpoints.ring.subset(MAX_CANDIDATES_PER_PART, &mut self.random);
         let subset_size = subset.len();
@@ -85,7 +85,7 @@
         candidates
     }
 
-    /// The slots of eligible servers: those that deduplicate a request that may have run, else the subset.
+    /// Returns slots of servers: if the request may have run, those that deduplicate it, else `subset`.
     fn eligible(&self, request: &PendingRequest, subset: Vec<usize>) -> Vec<usize> {
         let Some(first) = request.first_run() else { return subset };
         let idempotency = self.settings.classes[request.class].idempotency;
--- a/crates/balancer-node/src/decisions/subscription.rs
+++ b/crates/balancer-node/src/decisions/subscription.rs
@@ -1,23 +1,23 @@
-//! Updates of the server list, and the subscription that brings them.
+//! Updates of the server list, and the subscription to them with its retries.
 
 use super::{Balancer, Context, RESUBSCRIBE_TIMER};
 use crate::interface::*;
 
-/// The longest backoff, as a part of the longest poll interval; each failed call doubles it up to that.
+/// Maximum backoff as a fraction of `max_poll_interval_ms`, and the number of failed calls that double it.
 const MAX_RESUBSCRIBE_FRACTION: f64 = 0.25;
 const MAX_DOUBLINGS: i32 = 4;
 
-/// A change counts as announced after this time. The backoff is no longer than this part of it: two of them,
-/// each with a call that times out, are over by then.
+/// Time in ms after which a change of the list counts as announced. The maximum backoff is also this fraction
+/// of it, so that two backoffs, each with a call that times out, fit into it.
 const ANNOUNCED_WITHIN_MS: f64 = 6_000.0;
 const MAX_ANNOUNCED_FRACTION: f64 = 0.4;
 
-/// Where lists are pushed, the backoff is also no longer than this part of the drain grace. Its upper bound
-/// is no shorter than this time, whatever the settings say.
+/// With `DiscoveryMode::Push`, the maximum backoff is also at most this fraction of the drain grace. It is
+/// never below `MIN_RESUBSCRIBE_MS`, whatever the settings say.
 const MAX_PUSH_GRACE_FRACTION: f64 = 0.25;
 const MIN_RESUBSCRIBE_MS: f64 = 50.0;
 
-/// The subscription to the server list.
+/// State of the subscription to the server list. `failed_calls` counts up to `MAX_DOUBLINGS`.
 #[derive(Default)]
 pub(super) struct Subscription {
     subscribed: bool,
@@ -26,7 +26,7 @@
 }
 
 impl Subscription {
-    /// The timer of the next subscription has fired.
+    /// Handles the resubscribe timer: subscribes again if a retry was scheduled.
     pub(super) fn retry(&mut self, cx: &mut Context) {
         if std::mem::take(&mut self.retry_scheduled) {
             cx.actions.push(BalancerAction::Subscribe);
@@ -35,7 +35,7 @@
 
     fn updated(&mut self, cx: &mut Context, mode: DiscoveryMode) {
         if std::mem::take(&mut self.failed_calls) > 0 {
-            cx.actions.push(BalancerAction::Log("the list of servers comes again".into()));
+            cx.actions.push(BalancerAction::Log("the server list is updated again".into()));
         }
         if mode == DiscoveryMode::Subscribe && !self.subscribed {
             self.subscribed = true;
@@ -43,13 +43,13 @@
         }
     }
 
-    /// A call failed: sets the timer of the next one, unless that is set already.
+    /// Handles a failed call: sets the timer for the next call unless it is already set.
     fn failed(&mut self, cx: &mut Context, max_backoff_ms: f64, random: &mut fastrand::Rng) {
         if std::mem::replace(&mut self.retry_scheduled, true) {
             return;
         }
         if self.failed_calls == 0 {
-            cx.actions.push(BalancerAction::Log("the list of servers does not come".into()));
+            cx.actions.push(BalancerAction::Log("failed to update the server list; will retry".into()));
         }
         let backoff_ms = max_backoff_ms / 2_f64.powi(MAX_DOUBLINGS - self.failed_calls);
         let after_ms = backoff_ms * (0.5 + 0.5 * random.f64());
@@ -58,17 +58,17 @@
     }
 }
 
-/// The longest backoff between two calls, in milliseconds.
+/// Returns the maximum backoff between two calls, in milliseconds.
 fn max_backoff_ms(settings: &DecisionSettings) -> f64 {
     let max = settings.max_poll_interval_ms * MAX_RESUBSCRIBE_FRACTION;
     let max = max.min(ANNOUNCED_WITHIN_MS * MAX_ANNOUNCED_FRACTION);
-    let by_grace = settings.drain_grace_ms * MAX_PUSH_GRACE_FRACTION;
-    let max = if settings.discovery == DiscoveryMode::Push { max.min(by_grace) } else { max };
+    let grace_limit = settings.drain_grace_ms * MAX_PUSH_GRACE_FRACTION;
+    let max = if settings.discovery == DiscoveryMode::Push { max.min(grace_limit) } else { max };
     max.max(MIN_RESUBSCRIBE_MS)
 }
 
 impl Balancer {
-    /// Handles an update of the server list, or the failure of a call for one.
+    /// Handles an update of the server list, or a failed call or broken subscription.
     pub(super) fn update_endpoints(&mut self, cx: &mut Context, update: EndpointUpdate) {
         let (entries, complete) = match update {
             EndpointUpdate::Delta(entries) => (entries, false),
--- a/crates/balancer-node/src/interface/endpoints.rs
+++ b/crates/balancer-node/src/interface/endpoints.rs
@@ -1,44 +1,44 @@
-//! Servers as discovery describes them to the decision module.
+//! Servers and updates of the server list, as discovery passes them to the decision logic.
 
-/// A server, numbered by the embedding node and never reused for another one.
+/// Identifies a server. The embedding node assigns the number and never reuses it for another server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub usize);
 
-/// What discovery reports about a server's readiness.
+/// Whether a server accepts requests, as reported by discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes requests.
+    /// Accepts new requests.
     Ready,
-    /// It finishes its work; nothing new may be sent.
+    /// Finishes the requests that it has; no new request may be sent to it.
     Draining,
-    /// It has been removed, or was never there.
+    /// Was removed from the server list, or was never in it.
     #[default]
     Removed,
 }
 
-/// One server of an [`EndpointUpdate`].
+/// State of one server in an [`EndpointUpdate`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// Number of the server, the same in all updates.
     pub server: ServerId,
-    /// Whether it takes requests.
+    /// Whether requests may be sent to the server.
     pub availability: Availability,
-    /// When its process last started, in milliseconds of the clock of events; `None` means long ago.
+    /// Time of the last start of the server process, in ms of the clock of events; `None` means long ago.
     pub started_at: Option<f64>,
-    /// Its cell.
+    /// Index of its cell; a deduplication group may be one cell.
     pub cell: usize,
-    /// Its zone.
+    /// Index of its zone; requests from a node in another zone have a price.
     pub zone: usize,
-    /// Its machine kind.
+    /// Index of its machine kind, below [`DecisionSettings::kinds`](crate::DecisionSettings::kinds).
     pub kind: usize,
-    /// Its weight, see [`WeightMeaning`](crate::WeightMeaning).
+    /// Listed weight; [`WeightMeaning`](crate::WeightMeaning) tells how to interpret it.
     pub weight: f64,
-    /// A hash of its name, the same at every node: it orders the servers alike for all.
+    /// Hash of the server's name, the same at every node: all nodes order the servers alike by it.
     pub key: u64,
 }
 
 impl ServerEntry {
-    /// A server of the first zone, cell and kind that started long ago.
+    /// Creates an entry of the first zone, cell and kind, with weight 1, started long ago.
     #[must_use]
     pub fn new(server: ServerId, availability: Availability) -> Self {
         Self {
@@ -54,15 +54,15 @@
     }
 }
 
-/// An update of the server list from discovery.
+/// Update of the server list, or the failure to get one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// Only the servers that changed.
+    /// Entries of the servers that changed; all others stay as they are.
     Delta(Vec<ServerEntry>),
-    /// The complete list: a server that is absent has been removed.
+    /// Complete list: servers without an entry have been removed.
     Snapshot(Vec<ServerEntry>),
-    /// The complete list as last known, perhaps from long ago.
+    /// Complete list from a cache, possibly outdated.
     CachedSnapshot(Vec<ServerEntry>),
-    /// A call failed or the subscription broke; the previous list stands.
+    /// A call failed or the subscription broke; the previous list stays in force.
     Unavailable,
 }
--- a/crates/balancer-node/src/interface/events.rs
+++ b/crates/balancer-node/src/interface/events.rs
@@ -1,168 +1,168 @@
-//! What happens to a node, and what the decision module asks it to do.
+//! Events that a node passes to the decision logic, and actions that the decision logic returns.
 
 use super::{EndpointUpdate, ServerId};
 
-/// A client's request, numbered by the embedding node and never reused.
+/// Identifies a client's request. The embedding node assigns the number and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A client's request.
+/// A client's request at its arrival.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Its id.
+    /// Number under which later events and actions refer to the request.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of its class in [`DecisionSettings::classes`](crate::DecisionSettings::classes).
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of its tenant in [`DecisionSettings::quotas_per_s`](crate::DecisionSettings::quotas_per_s).
     pub tenant: usize,
     /// Time until the client gives up waiting for the answer, in milliseconds.
     pub budget_ms: f64,
-    /// Work it is expected to need on a standard core, in milliseconds.
+    /// Expected processing time on a standard core, in milliseconds; `None` if unknown.
     pub cost_ms: Option<f64>,
-    /// Whether the client repeats a request that it sent before.
+    /// Whether the client sent the same request before.
     pub is_retry: bool,
 }
 
 impl ClientRequest {
-    /// A request of the first tenant that is not a retry.
+    /// Creates a request of the first tenant that is not a retry and has no known cost.
     #[must_use]
     pub fn new(id: RequestId, class: usize, budget_ms: f64) -> Self {
         Self { id, class, tenant: 0, budget_ms, cost_ms: None, is_retry: false }
     }
 }
 
-/// A server's own account of its load; a figure that it does not report is absent.
+/// Load reported by a server itself; `None` for a figure that it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight at the server, over all nodes.
+    /// Number of requests in flight at the server, from all nodes.
     pub in_flight: Option<f64>,
-    /// Requests in the server's queue.
+    /// Number of requests in the server's queue, from all nodes.
     pub queued: Option<f64>,
 }
 
-/// How an attempt ended.
+/// Result of an attempt or of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The server served the request.
     Served,
-    /// An error answer; it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// Rejected by a full server; it never ran.
+    /// A full server rejected the request, which did not run.
     Rejected,
-    /// No answer in time; it may have run.
+    /// No answer arrived in time; the request may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established; the request did not run.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The node cancelled the attempt; the request may have run.
     Cancelled,
-    /// It was never sent.
+    /// The node never sent the attempt; the request did not run.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether the request may have taken effect at the server.
+    /// Returns whether the request may have taken effect at the server.
     #[must_use]
     pub fn may_have_run(self) -> bool {
         !matches!(self, Self::Rejected | Self::Unreachable | Self::NotSent)
     }
 }
 
-/// The end of one attempt.
+/// End of one attempt. A second end of the same attempt is ignored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// Request to which the attempt belongs.
     pub request: RequestId,
-    /// The attempt, numbered from zero in the order of sending.
+    /// Index of the attempt within the request, from zero in the order of sending.
     pub attempt: usize,
-    /// Time since it was sent, in milliseconds.
+    /// Time since the attempt was sent, in milliseconds.
     pub elapsed_ms: f64,
-    /// How it ended.
+    /// Result of the attempt.
     pub outcome: AttemptOutcome,
-    /// Whether the client has its final answer, from this attempt or before it.
+    /// Whether the client has its final answer, from this attempt or an earlier one.
     pub complete: bool,
     /// The server's load report, if the answer carried one.
     pub report: Option<LoadReport>,
 }
 
-/// What happens to a node.
+/// Event that a node passes to [`Balancer::handle`](crate::Balancer::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum BalancerEvent {
-    /// Discovery sent an update, or failed to.
+    /// Discovery sent an update of the server list, or failed to.
     EndpointsUpdated(EndpointUpdate),
-    /// A client's request, which now needs exactly one final answer.
+    /// A client's request arrived; it must get exactly one final answer.
     RequestArrived(ClientRequest),
-    /// A streamed answer has begun; the attempt belongs to the client from now on.
+    /// A streamed answer began; from now on the node passes this attempt's answer to the client.
     StreamStarted {
-        /// The request.
+        /// Request that is answered.
         request: RequestId,
-        /// The attempt.
+        /// Index of the attempt that is streamed.
         attempt: usize,
     },
-    /// An attempt ended.
+    /// An attempt ended, with or without a final answer to the client.
     AttemptEnded(AttemptEnd),
-    /// The client disconnected; no answer is needed any more.
+    /// The client disconnected; the request needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A timer set by [`BalancerAction::SetTimer`] fired.
+    /// The timer with this number, set by [`BalancerAction::SetTimer`], fired.
     TimerFired(u64),
-    /// A probe was answered, or failed.
+    /// A probe was answered or failed.
     ProbeEnded {
-        /// The server.
+        /// Server that was probed.
         server: ServerId,
-        /// How it ended.
+        /// Result of the probe; `Served` if the server answered.
         outcome: AttemptOutcome,
-        /// The server's load report, if there was one.
+        /// The server's load report, if the answer carried one.
         report: Option<LoadReport>,
     },
 }
 
-/// What the node is to do.
+/// Action that the node must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BalancerAction {
-    /// Start an attempt.
+    /// Sends the next attempt of a request.
     Send {
-        /// The request.
+        /// Request to send; its attempts are numbered from zero in the order of these actions.
         request: RequestId,
-        /// The server.
+        /// Server to send it to.
         server: ServerId,
-        /// Milliseconds from now after which nothing of it may be sent any more, where the deduplication
-        /// window of its class sets a limit.
+        /// Time from now, in milliseconds, after which nothing of the attempt may be sent any more. `None`
+        /// unless the deduplication window of the class sets a limit.
         within_ms: Option<f64>,
     },
-    /// Ask a server for its load report.
+    /// Asks a server for its load report.
     Probe {
-        /// The server.
+        /// Server to probe.
         server: ServerId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt, whose end must still be reported.
     Cancel {
-        /// The request.
+        /// Request to which the attempt belongs.
         request: RequestId,
-        /// The attempt.
+        /// Index of the attempt within the request.
         attempt: usize,
     },
-    /// Final answer: rejected, and safe to retry.
+    /// Gives the final answer that the request was rejected and is safe to retry.
     Reject {
-        /// The request.
+        /// Request to answer.
         request: RequestId,
-        /// Milliseconds after which the client should retry, where a hint may be given.
+        /// Time after which the client should retry, in ms; `None` if the settings allow no hint.
         retry_after_ms: Option<f64>,
     },
-    /// Final answer: failed, perhaps after taking effect.
+    /// Gives the final answer that the request failed; it may have taken effect.
     Fail {
-        /// The request.
+        /// Request to answer.
         request: RequestId,
     },
-    /// Subscribe to the changes of the server list.
+    /// Subscribes to changes of the server list, or asks for the list again.
     Subscribe,
-    /// Feed back [`BalancerEvent::TimerFired`] after a while.
+    /// Requests a [`BalancerEvent::TimerFired`] after some time.
     SetTimer {
-        /// Returned with the event.
+        /// Number to pass with the event.
         timer: u64,
-        /// Milliseconds from now.
+        /// Time from now, in milliseconds.
         after_ms: f64,
     },
-    /// A line for the operators' log.
+    /// Writes a line to the operators' log.
     Log(String),
 }
--- a/crates/balancer-node/src/interface/mod.rs
+++ b/crates/balancer-node/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the decision module: its settings, events and actions.
+//! Interface of the decision logic: its settings, events and actions.
 //!
-//! Times are milliseconds. Events carry durations; the instant they happened at is given to
-//! [`Balancer::handle`](crate::Balancer::handle) beside them.
+//! All times are in milliseconds. Events carry durations only; the time of an event is a separate argument of
+//! [`Balancer::handle`](crate::Balancer::handle).
 
 mod endpoints;
 mod events;
--- a/crates/balancer-node/src/interface/settings.rs
+++ b/crates/balancer-node/src/interface/settings.rs
@@ -1,38 +1,38 @@
-//! Settings of the decision module, and the check of their ranges.
+//! Settings of the decision logic, and the check of their ranges.
 
 use std::fmt;
 
 use super::ServerEntry;
 
-/// The servers that share one deduplication table for requests with an idempotency key.
+/// Group of servers that share one deduplication table for requests with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every server.
+    /// All servers share one table.
     All,
-    /// The servers of one zone.
+    /// The servers of one zone share a table.
     Zone,
-    /// The servers of one cell.
+    /// The servers of one cell share a table.
     Cell,
 }
 
-/// What running a request twice does.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated freely.
+    /// The request may be repeated at any server and at any time.
     Safe,
-    /// Repeats carry an idempotency key and are discarded, for a while, by the servers that know the key.
+    /// Repeats carry an idempotency key. The servers of the group discard them within a time window.
     Keyed {
-        /// The servers that discard repeats.
+        /// Servers that share the deduplication table with the server of the first attempt.
         group: DeduplicationScope,
-        /// For how long, in milliseconds from the sending of the first attempt that may have run.
+        /// Length of the window in milliseconds, from the sending of the first attempt that may have run.
         window_ms: f64,
     },
-    /// It must never run twice.
+    /// The request must never run twice.
     Unsafe,
 }
 
 impl Idempotency {
-    /// Whether a request that may have run at `first` may be sent to `other`.
+    /// Returns whether a request that may have run at `first` may be sent to `other` (within the window).
     #[must_use]
     pub fn allows_repeat(self, first: &ServerEntry, other: &ServerEntry) -> bool {
         match self {
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Whether a request that may have run may be sent to any server.
+    /// Returns whether a request that may have run may be sent to any server (within the window).
     #[must_use]
     pub fn allows_repeat_anywhere(self) -> bool {
         matches!(self, Self::Safe | Self::Keyed { group: DeduplicationScope::All, .. })
     }
 
-    /// For how long repeats are discarded, in milliseconds, where they are.
+    /// Returns the length of the deduplication window in milliseconds; `None` without deduplication.
     #[must_use]
     pub fn window_ms(self) -> Option<f64> {
         match self {
@@ -59,99 +59,100 @@
     }
 }
 
-/// A class of requests.
+/// A class of requests with the same targets, value and idempotency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Latency target in milliseconds: answers within it have the full value.
+    /// Latency target in milliseconds; answers within it have the full value.
     pub latency_target_ms: f64,
-    /// What a client waits in all, over every attempt, in milliseconds.
+    /// Total time that a client waits, over all attempts, in milliseconds.
     pub deadline_ms: f64,
-    /// What running a request twice does.
+    /// Whether a request of the class may run more than once.
     pub idempotency: Idempotency,
-    /// Value of an answer within the latency target.
+    /// Value of an answer within the latency target, relative to the other classes.
     pub value: f64,
-    /// Fraction of the value that a later answer keeps.
+    /// Fraction of the value that an answer after the latency target has.
     pub late_value: f64,
 }
 
 impl RequestClass {
-    /// A class of value one whose late answers have no value.
+    /// Creates a class of value 1 whose late answers have no value.
     #[must_use]
     pub fn new(latency_target_ms: f64, deadline_ms: f64, idempotency: Idempotency) -> Self {
         Self { latency_target_ms, deadline_ms, idempotency, value: 1.0, late_value: 0.0 }
     }
 }
 
-/// How the list of servers reaches a node.
+/// How updates of the server list reach a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed without a subscription.
+    /// Changes are pushed to every node without a subscription.
     Push,
-    /// Changes come only to a node that has subscribed.
+    /// Changes are sent only to nodes that have subscribed.
     Subscribe,
 }
 
-/// What the listed weight of a server means.
+/// Meaning of the weight of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// Nothing: it is always one.
+    /// No meaning; the weight is always 1.
     None,
-    /// The server's size.
+    /// Size of the server.
     Size,
-    /// The server's size lowered by its load of some time ago.
+    /// Size of the server, reduced by its load at an earlier time.
     Live,
 }
 
-/// What a balancer is configured with at its start. Times are milliseconds.
+/// Settings of a balancer, fixed at its creation. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecisionSettings {
-    /// Classes of requests; a request names one by index.
+    /// Classes of requests; a request refers to its class by index.
     pub classes: Vec<RequestClass>,
-    /// Requests per second that each tenant may send through all nodes together.
+    /// Quota of each tenant in requests per second, over all nodes. Tenants without an entry have no quota.
     pub quotas_per_s: Vec<f64>,
-    /// Fraction of the value that a request beyond its tenant's quota keeps.
+    /// Fraction of its value that a request beyond the quota of its tenant keeps.
     pub over_quota_value: f64,
-    /// Number of nodes that share the servers.
+    /// Number of nodes that share the servers, at least 1.
     pub nodes: usize,
-    /// The node's own number among them, from zero.
+    /// Index of this node among the nodes, from zero.
     pub node_index: usize,
-    /// The node's own zone.
+    /// Index of the zone of this node.
     pub zone: usize,
-    /// Number of machine kinds.
+    /// Number of machine kinds of the servers.
     pub kinds: usize,
-    /// How the list of servers arrives.
+    /// How updates of the server list reach this node.
     pub discovery: DiscoveryMode,
-    /// What the listed weights mean.
+    /// Meaning of the weights in the server list.
     pub weights: WeightMeaning,
-    /// A node without a subscription must poll discovery again within this time.
+    /// Maximum time between two polls of discovery by a node without a subscription.
     pub max_poll_interval_ms: f64,
-    /// Requests may still be sent to a server for this long after discovery announced that it drains or is removed.
+    /// Time after the announcement of a drain or removal in which requests may still be sent to the server.
     pub drain_grace_ms: f64,
-    /// Attempts allowed for one request; with zero, every request is rejected.
+    /// Maximum number of attempts of one request; with zero, every request is rejected.
     pub max_attempts: usize,
     /// Whether two attempts of one request may be in flight at once.
     pub hedging: bool,
-    /// Whether an attempt may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// The longest retry hint that a client may be given; `None` where none may be given.
+    /// Maximum retry hint in an answer to a client; `None` if hints are not allowed.
     pub max_retry_after_ms: Option<f64>,
     /// Whether servers may be probed.
     pub probes: bool,
-    /// Whether nodes may send each other messages.
+    /// Whether nodes may exchange messages.
     pub peers: bool,
-    /// Whether responses carry the load report.
+    /// Whether responses carry a load report.
     pub responses_carry_load: bool,
-    /// Whether probes carry it. Where neither does, no report ever comes.
+    /// Whether answers to probes carry a load report. If responses do not either, no report ever arrives.
     pub probes_carry_load: bool,
-    /// Price of one probe for each request, as a fraction of the result.
+    /// Price of sending one probe for each request, as a fraction of the result.
     pub probe_price: f64,
-    /// A server that has just started has at least this fraction of its capacity.
+    /// Minimum fraction of its capacity that a server has at its start.
     pub warmup_initial_fraction: f64,
-    /// Time after which it has all of it.
+    /// Time from its start after which a server has its full capacity.
     pub warmup_ms: f64,
-    /// A warming server is overloaded when sent more than this multiple of its capacity ...
+    /// Multiple of its capacity above which a warming server is overloaded, if sustained for
+    /// `warmup_overload_ms`.
     pub warmup_overload_factor: f64,
-    /// ... for this long.
+    /// Time over which the load of a warming server is compared with `warmup_overload_factor`.
     pub warmup_overload_ms: f64,
     /// Price of wasted server work, as a fraction of the result.
     pub waste_price: f64,
@@ -160,7 +161,7 @@
 }
 
 impl DecisionSettings {
-    /// Settings for one node with these classes; the rest is what an unrestricted site would use.
+    /// Creates settings for a single node with these classes and without restrictions.
     #[must_use]
     pub fn new(classes: Vec<RequestClass>) -> Self {
         Self {
@@ -193,21 +194,21 @@
         }
     }
 
-    /// Mean latency target of the classes, in milliseconds: the time scale of all estimates.
+    /// Returns the mean latency target of the classes in ms, which is the time scale of all estimates.
     pub(crate) fn mean_latency_target_ms(&self) -> f64 {
         self.classes.iter().map(|c| c.latency_target_ms).sum::<f64>() / self.classes.len() as f64
     }
 
-    /// The longest deadline of any class, in milliseconds.
+    /// Returns the longest deadline of all classes, in milliseconds.
     pub(crate) fn longest_deadline_ms(&self) -> f64 {
         self.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max)
     }
 
-    /// Checks that every figure is in range.
+    /// Checks that every number is in its range.
     ///
     /// # Errors
     ///
-    /// Names the first setting that is not.
+    /// Returns an error that names the first setting out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         require(!self.classes.is_empty(), "classes")?;
         self.classes.iter().try_for_each(RequestClass::validate)?;
@@ -258,14 +259,14 @@
     x.is_finite() && x >= 0.0
 }
 
-/// A setting that is missing or out of range.
+/// Error about a setting that is missing or out of range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     key: &'static str,
 }
 
 impl SettingsError {
-    /// The name of the setting, as operators know it.
+    /// Returns the key of the setting in the configuration file, which may differ from the field's name.
     #[must_use]
     pub fn key(&self) -> &str {
         self.key
--- a/crates/balancer-node/src/lib.rs
+++ b/crates/balancer-node/src/lib.rs
@@ -1,29 +1,29 @@
-//! The decisions of a reverse proxy that spreads requests over HTTP servers, and a node that carries them out.
+//! Decision logic of a reverse proxy that spreads requests over HTTP servers, and a node that executes it.
 //!
-//! A [`Balancer`] is one node's decision logic, without clock, threads or I/O. It is built from [`DecisionSettings`]
-//! and a seed, is fed events with the time they happened at, and pushes the actions that the node is to carry out.
-//! Its core is HSQ (Islam, "Network Load Balancing Methods", section IV.E): one array with a count per ready server,
-//! the lowest count gets the request.
+//! A [`Balancer`] is the decision logic of one node, without clock, threads or I/O. It is created from
+//! [`DecisionSettings`] and a seed, receives events with the time at which they happened, and appends the
+//! actions that the node must carry out. Its core is HSQ (Islam, "Network Load Balancing Methods", section
+//! IV.E): one array with a count per ready server, where the server with the lowest count gets the request.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `interface` | settings, events and actions of the decisions; re-exported here |
-//! | `decisions` | the decisions, [`Balancer`]; its submodules: |
-//! | `decisions::admission` | whether a request is admitted; probes before its first attempt |
-//! | `decisions::selection` | the ordinary path, HSQ: which server gets a request |
-//! | `decisions::expectation` | the wait that a request would see at a server |
-//! | `decisions::attempts` | attempts, retries, stalled attempts and the final answer |
-//! | `decisions::health` | what the end of an attempt says about its server; outlier ejection |
-//! | `decisions::slow_start` | the share of requests that a warming server is offered |
+//! | `interface` | settings, events and actions of the decision logic; re-exported here |
+//! | `decisions` | the decision logic, [`Balancer`]; its submodules: |
+//! | `decisions::admission` | admission control, and probes before the first attempt of a request |
+//! | `decisions::selection` | selection of the server for a request by HSQ |
+//! | `decisions::expectation` | expected wait of a request at a server |
+//! | `decisions::attempts` | attempts, retries, cancellation of stalled attempts, the final answer |
+//! | `decisions::health` | outlier ejection, and the update of estimates at the end of an attempt |
+//! | `decisions::slow_start` | share of requests for which a warming server is considered |
 //! | `decisions::estimates` | running estimates of latency, load, rejections and arrivals |
-//! | `decisions::endpoint_table`, `decisions::subscription` | the servers, and updates of their list |
-//! | `ring` | the subset of servers that a node uses |
-//! | [`net`] | the node on sockets, binary `balancer-node` |
-//! | [`wire`] | the text protocol of the simulated host, binary `balancer-simhost` |
+//! | `decisions::endpoint_table`, `decisions::subscription` | table of servers, updates of the list |
+//! | `ring` | order of the ready servers, and the subset of them that a node uses |
+//! | [`net`] | the node that proxies HTTP, binary `balancer-node` |
+//! | [`wire`] | text protocol that drives the decision logic, binary `balancer-simhost` |
 //!
 //! # Example
 //!
-//! A node's event loop calls [`Balancer::handle`] and carries out the actions:
+//! The event loop of a node calls [`Balancer::handle`] and carries out the actions:
 //!
 //! ```
 //! use balancer::{
@@ -36,15 +36,15 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // Discovery lists two servers.
+//! // Discovery sends a list of two servers.
 //! let servers = (0..2).map(|i| ServerEntry::new(ServerId(i), Availability::Ready)).collect();
 //! let update = EndpointUpdate::Snapshot(servers);
 //! balancer.handle(0.0, BalancerEvent::EndpointsUpdated(update), &mut actions);
 //!
-//! // A client sends a request; the balancer names the server to forward it to.
+//! // A client sends a request; the balancer returns the server to forward it to.
 //! let request = ClientRequest::new(RequestId(7), 0, 600.0);
 //! balancer.handle(1.0, BalancerEvent::RequestArrived(request), &mut actions);
-//! let Some(BalancerAction::Send { server, .. }) = actions.pop() else { panic!("nothing sent") };
+//! let Some(BalancerAction::Send { server, .. }) = actions.pop() else { panic!("the request was not sent") };
 //!
 //! // The server answers.
 //! let end = AttemptEnd {
--- a/crates/balancer-node/src/wire/dialect.rs
+++ b/crates/balancer-node/src/wire/dialect.rs
@@ -1,4 +1,4 @@
-//! Messages of one instance as events of its decisions, and their actions as messages.
+//! Conversion of messages to events of one instance, and of its actions to messages.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -9,23 +9,24 @@
 use super::{one_line, read_settings, Line, Rosters, WireError};
 use crate::interface::*;
 
-/// Bits of the pair `marks` of a request.
+/// Bits of the pair `marks` of the message `CALL`.
 const FLAG_COST_KNOWN: u64 = 1;
 const FLAG_RETRY: u64 = 2;
 
-/// What one instance's messages need beside themselves: the names of its servers and the fields of its load reports.
+/// State that the conversion of one instance's messages needs: the numbers of its servers, and the columns of
+/// its load reports.
 #[derive(Debug, Default)]
 pub struct Dialect {
-    /// Names of servers by their numbers.
+    /// Names of servers, by server number.
     names: Vec<String>,
     numbers: HashMap<String, usize>,
-    /// Where in the row of a load report the requests in flight and the queued ones stand.
+    /// Columns of a load report with the requests in flight and the queued ones; `None` if not reported.
     in_flight_column: Option<usize>,
     queued_column: Option<usize>,
 }
 
 impl Dialect {
-    /// The number of a server, a new one for a new name.
+    /// Returns the number of a server. An unknown name is assigned the next number.
     fn number_of(&mut self, name: &str) -> ServerId {
         if let Some(number) = self.numbers.get(name) {
             return ServerId(*number);
@@ -46,11 +47,11 @@
         Ok(Some(LoadReport { in_flight: at(self.in_flight_column), queued: at(self.queued_column) }))
     }
 
-    /// Reads the settings of a start.
+    /// Parses the settings of the message `BOOT`, and stores the columns of its load reports.
     ///
     /// # Errors
     ///
-    /// They are no object of the expected types.
+    /// Fails if the text is not a JSON object, a setting has the wrong type, or a class has no deadline.
     pub fn settings(&mut self, facts: &str) -> Result<DecisionSettings, WireError> {
         let facts: Value =
             serde_json::from_str(facts).map_err(|error| WireError::NoJson(error.to_string()))?;
@@ -63,11 +64,12 @@
         read_settings(&facts)
     }
 
-    /// Reads an event for an instance; `rosters` are the numbered lists.
+    /// Converts a message to an event of the instance. Returns `None` for an unknown message, and for a timer
+    /// that the instance did not set. `rosters` are the server lists received so far.
     ///
     /// # Errors
     ///
-    /// The line is malformed. `Ok(None)` is a message that is unknown or not needed.
+    /// Fails if the line is malformed or refers to an unknown roster.
     pub fn event(&mut self, line: &Line<'_>, rosters: &Rosters) -> Result<Option<BalancerEvent>, WireError> {
         Ok(Some(match line.message {
             "REGISTRY" => BalancerEvent::EndpointsUpdated(self.endpoint_update(line, rosters)?),
@@ -77,7 +79,7 @@
             }
             "ENDED" => BalancerEvent::AttemptEnded(self.attempt_end(line)?),
             "HANGUP" => BalancerEvent::ClientDisconnected(request_id(line)?),
-            // A token that is no number is not one of this instance's timers.
+            // The timers of this instance have numbers: another token is not one of them.
             "FIRED" => match line.text("nonce")?.parse() {
                 Ok(timer) => BalancerEvent::TimerFired(timer),
                 Err(_) => return Ok(None),
@@ -113,7 +115,11 @@
         }
         let roster = rosters.get(line.index("roster_id")?).and_then(Option::as_ref);
         let Some(roster) = roster else {
-            return Err(WireError::malformed("roster_id", line.text("roster_id")?, "is no list"));
+            return Err(WireError::malformed(
+                "roster_id",
+                line.text("roster_id")?,
+                "is not the number of a known server list",
+            ));
         };
         let entry = |member: &super::RosterMember| ServerEntry {
             server: self.number_of(&member.server),
@@ -124,11 +130,11 @@
             "0" => Ok(EndpointUpdate::Delta(entries)),
             "1" => Ok(EndpointUpdate::Snapshot(entries)),
             "2" => Ok(EndpointUpdate::CachedSnapshot(entries)),
-            other => Err(WireError::malformed("mode", other, "is unknown")),
+            other => Err(WireError::malformed("mode", other, "is not a known mode")),
         }
     }
 
-    /// Prints an action of an instance.
+    /// Appends an action of the instance `node` to `out`, as one line. Its server must have a number here.
     pub fn print(&self, node: &str, action: &BalancerAction, out: &mut String) {
         let printed = match action {
             BalancerAction::Send { request, server, .. } => {
@@ -186,6 +192,6 @@
         "R" => AttemptOutcome::Reset,
         "X" => AttemptOutcome::Cancelled,
         "N" => AttemptOutcome::NotSent,
-        other => return Err(WireError::malformed("ending", other, "is unknown")),
+        other => return Err(WireError::malformed("ending", other, "is not a known outcome")),
     })
 }
--- a/crates/balancer-node/src/wire/line.rs
+++ b/crates/balancer-node/src/wire/line.rs
@@ -1,14 +1,14 @@
-//! A line of the protocol, split into its parts.
+//! Splits a line of the protocol into its message name and its pairs.
 
 use super::WireError;
 
-/// Pairs whose value is the rest of the line.
+/// Names of the pairs whose value extends to the end of the line and may contain spaces.
 const REST_OF_LINE: [&str; 2] = ["facts", "note_text"];
 
-/// A line split into its message and its `name=value` pairs.
+/// A line split into its message name and its `name=value` pairs.
 #[derive(Debug)]
 pub struct Line<'a> {
-    /// The message.
+    /// Name of the message, such as `CALL`.
     pub message: &'a str,
     pairs: Vec<(&'a str, &'a str)>,
 }
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     ///
-    /// It has no message, or a part that is no pair.
+    /// Fails if the line has no message name, or a part that is not a pair.
     pub fn parse(line: &'a str) -> Result<Self, WireError> {
         let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         if message.is_empty() {
@@ -40,74 +40,74 @@
         Ok(Self { message, pairs })
     }
 
-    /// The value of a pair, if it is there.
+    /// Returns the value of the first pair with this name; `None` without such a pair.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.pairs.iter().find(|(n, _)| *n == name).map(|(_, value)| *value)
     }
 
-    /// The value of a pair.
+    /// Returns the value of a pair.
     ///
     /// # Errors
     ///
-    /// It is missing.
+    /// Fails if the pair is missing.
     pub fn text(&self, name: &str) -> Result<&'a str, WireError> {
         self.get(name).ok_or_else(|| WireError::Missing(name.to_owned()))
     }
 
-    /// A number, if it is there.
+    /// Returns a finite number; `None` if the pair is missing.
     ///
     /// # Errors
     ///
-    /// It is no finite number.
+    /// Fails if the value is not a finite number.
     pub fn optional_number(&self, name: &str) -> Result<Option<f64>, WireError> {
         self.get(name).map(|value| number(name, value)).transpose()
     }
 
-    /// A number.
+    /// Returns a finite number.
     ///
     /// # Errors
     ///
-    /// It is missing or no finite number.
+    /// Fails if the pair is missing or the value is not a finite number.
     pub fn number(&self, name: &str) -> Result<f64, WireError> {
         number(name, self.text(name)?)
     }
 
-    /// An integer, if it is there.
+    /// Returns a non-negative integer; `None` if the pair is missing.
     ///
     /// # Errors
     ///
-    /// It is no integer.
+    /// Fails if the value is not a non-negative integer.
     pub fn optional_integer(&self, name: &str) -> Result<Option<u64>, WireError> {
         self.get(name).map(|value| integer(name, value)).transpose()
     }
 
-    /// An integer.
+    /// Returns a non-negative integer.
     ///
     /// # Errors
     ///
-    /// It is missing or no integer.
+    /// Fails if the pair is missing or the value is not a non-negative integer.
     pub fn integer(&self, name: &str) -> Result<u64, WireError> {
         integer(name, self.text(name)?)
     }
 
-    /// An index.
+    /// Returns an index.
     ///
     /// # Errors
     ///
-    /// It is missing, no integer, or too large.
+    /// Fails if the pair is missing, or the value is not a non-negative integer or does not fit into `usize`.
     pub fn index(&self, name: &str) -> Result<usize, WireError> {
         let index = usize::try_from(self.integer(name)?);
         index.map_err(|_| WireError::malformed(name, self.text(name).unwrap_or_default(), "is too large"))
     }
 }
 
-/// Reads a finite number; `name` is only named in the error.
+/// Parses a finite number; `name` is used in the error only.
 pub(super) fn number(name: &str, text: &str) -> Result<f64, WireError> {
     let number = text.parse::<f64>().ok().filter(|number| number.is_finite());
-    number.ok_or_else(|| WireError::malformed(name, text, "is no number"))
+    number.ok_or_else(|| WireError::malformed(name, text, "is not a finite number"))
 }
 
 fn integer(name: &str, text: &str) -> Result<u64, WireError> {
-    text.parse().map_err(|_| WireError::malformed(name, text, "is no whole number"))
+    text.parse().map_err(|_| WireError::malformed(name, text, "is not a whole number"))
 }
--- a/crates/balancer-node/src/wire/mod.rs
+++ b/crates/balancer-node/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! The text protocol of the simulated host, by which the decisions can be driven: parsing and printing, nothing else.
+//! Parser and printer of the text protocol by which a simulated host drives instances of the decision logic.
 //!
-//! A message is one line: its name, and `name=value` pairs separated by spaces. [`Line`] splits it, [`Dialect`] turns
-//! it into an event of one instance and prints that instance's actions, and [`read_settings`] reads the settings that
-//! an instance starts with.
+//! A message is one line: its name, then `name=value` pairs separated by spaces. [`Line`] splits it.
+//! [`Dialect`] converts it into an event of one instance, and prints the actions of that instance.
+//! [`read_settings`] reads the settings with which an instance starts.
 
 mod dialect;
 mod line;
@@ -16,72 +16,74 @@
 pub use self::roster::{RosterMember, Rosters, ROSTERS};
 pub use self::settings::read_settings;
 
-/// What is wrong with a line, or with the settings in it.
+/// Error in a line of the protocol or in the settings that the line carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// The line has no message.
+    /// The line does not begin with the name of a message.
     NoMessage,
-    /// A part of the line is no `name=value` pair.
+    /// The rest of the line, given here, contains no `=`.
     NoPair(String),
-    /// A name is empty or has a space.
+    /// The name of a pair is empty or contains a space.
     NoName(String),
-    /// A pair is missing.
+    /// The message lacks the pair with this name.
     Missing(String),
-    /// A value is of another form than what is named.
+    /// The value of a pair is invalid.
     Malformed {
-        /// The name of the pair.
+        /// Name of the pair.
         name: String,
-        /// Its value.
+        /// Value as received.
         value: String,
-        /// What it should be, as in "is no number".
-        expected: &'static str,
+        /// End of the error message, such as "is not a number".
+        problem: &'static str,
     },
-    /// Another line where an entry of a list was due.
+    /// The message, given here, arrived where an entry of a server list (`M`) was expected.
     NoEntry(String),
-    /// The settings are no JSON.
+    /// The settings are not valid JSON; the value is the error of the parser.
     NoJson(String),
-    /// The settings are no object.
+    /// The settings are not a JSON object.
     NoSettings,
-    /// A class has no deadline.
+    /// A class of the settings lacks `deadline_ms`, which has no default.
     NoDeadline,
-    /// A setting is of a wrong type.
+    /// A setting has the wrong type.
     Mistyped {
-        /// Its key.
+        /// Key of the setting within its JSON object.
         key: String,
-        /// The type that it should have.
+        /// Description of the type that it must have.
         expected: &'static str,
     },
-    /// An error of another module; its text is used as it is.
+    /// Error of another module, with its complete text.
     Other(String),
 }
 
 impl WireError {
-    /// An error of another module; its text is used as it is.
+    /// Wraps the text of an error of another module.
     #[must_use]
     pub fn other(error: &dyn fmt::Display) -> Self {
         Self::Other(error.to_string())
     }
 
-    /// A value that is of another form than expected.
+    /// Creates the error for an invalid value; `problem` completes the sentence "`name=value` ...".
     #[must_use]
-    pub fn malformed(name: &str, value: &str, expected: &'static str) -> Self {
-        Self::Malformed { name: name.to_owned(), value: value.to_owned(), expected }
+    pub fn malformed(name: &str, value: &str, problem: &'static str) -> Self {
+        Self::Malformed { name: name.to_owned(), value: value.to_owned(), problem }
     }
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoMessage => f.write_str("no message"),
-            Self::NoPair(text) => write!(f, "`{text}` is no name=value pair"),
-            Self::NoName(text) => write!(f, "`{text}` is no name"),
+            Self::NoMessage => f.write_str("the line has no message name"),
+            Self::NoPair(text) => write!(f, "`{text}` is not a name=value pair"),
+            Self::NoName(text) => write!(f, "`{text}` is not a valid name of a pair"),
             Self::Missing(name) => write!(f, "`{name}` is missing"),
-            Self::Malformed { name, value, expected } => write!(f, "`{name}={value}` {expected}"),
-            Self::NoEntry(message) => write!(f, "`{message}` where an entry of the list was due"),
+            Self::Malformed { name, value, problem } => write!(f, "`{name}={value}` {problem}"),
+            Self::NoEntry(message) => {
+                write!(f, "received `{message}` instead of an entry `M` of the server list")
+            }
             Self::NoJson(error) => write!(f, "`facts`: {error}"),
-            Self::NoSettings => f.write_str("`facts` is no object"),
+            Self::NoSettings => f.write_str("`facts` is not a JSON object"),
             Self::NoDeadline => f.write_str("`facts`: a class has no `deadline_ms`"),
-            Self::Mistyped { key, expected } => write!(f, "`facts`: `{key}` is no {expected}"),
+            Self::Mistyped { key, expected } => write!(f, "`facts`: `{key}` is not {expected}"),
             Self::Other(error) => f.write_str(error),
         }
     }
@@ -89,13 +91,14 @@
 
 impl std::error::Error for WireError {}
 
-/// FNV-1a of a server's name: stable over builds and nodes, which a library's default hash is not.
+/// Returns the FNV-1a hash of a server's name. Unlike a library's default hash, it is the same in all builds
+/// and at all nodes.
 #[must_use]
 pub fn key(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Text without line breaks.
+/// Returns the text with each line break replaced by a space.
 #[must_use]
 pub fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
--- a/crates/balancer-node/src/wire/roster.rs
+++ b/crates/balancer-node/src/wire/roster.rs
@@ -1,28 +1,28 @@
-//! Numbered lists of servers, which events refer to.
+//! Rosters: numbered server lists, to which the message `REGISTRY` refers by number.
 
 use super::{key, Line, WireError};
 use crate::{Availability, ServerEntry, ServerId};
 
-/// How many numbers of lists there are.
+/// Number of rosters that exist at the same time; their numbers (`roster_id`) are below it.
 pub const ROSTERS: usize = 16;
 
-/// The lists by number; a number is reused for other lists.
+/// Rosters by number; `None` until received. A later list with the same number replaces the earlier one.
 pub type Rosters = [Option<Vec<RosterMember>>; ROSTERS];
 
-/// One entry of a numbered list. Its server has a name, and no number yet.
+/// One entry of a roster. Its server has a name only: each instance assigns its own server numbers.
 #[derive(Clone, Debug)]
 pub struct RosterMember {
-    /// The server's name.
+    /// Name of the server, which is its address.
     pub server: String,
     pub(super) entry: ServerEntry,
 }
 
 impl RosterMember {
-    /// Reads one entry of a list.
+    /// Parses a line `M`, one entry of a roster.
     ///
     /// # Errors
     ///
-    /// The line is malformed.
+    /// Fails if the line is malformed or is another message.
     pub fn parse(line: &str) -> Result<Self, WireError> {
         let line = Line::parse(line)?;
         if line.message != "M" {
@@ -50,6 +50,6 @@
         "2" => Ok(Availability::Ready),
         "0" => Ok(Availability::Draining),
         "3" => Ok(Availability::Removed),
-        other => Err(WireError::malformed("availability", other, "is unknown")),
+        other => Err(WireError::malformed("availability", other, "is not a known state")),
     }
 }
--- a/crates/balancer-node/src/wire/settings.rs
+++ b/crates/balancer-node/src/wire/settings.rs
@@ -1,18 +1,18 @@
-//! The settings of a start, from their JSON.
+//! Reads the settings of an instance from the JSON of the message `BOOT`.
 
 use serde_json::Value;
 
 use super::WireError;
 use crate::interface::*;
 
-/// Fields of a load report that the decisions use.
+/// Fields of a load report that the decision logic uses.
 const USED_REPORT_FIELDS: [&str; 2] = ["active", "waiting"];
 
-/// Reads the settings of a start; a key that is missing keeps its default.
+/// Reads settings from JSON; a missing key keeps its default.
 ///
 /// # Errors
 ///
-/// A key is of a wrong type, or a class has no deadline.
+/// Fails if a key has the wrong type, or a class has no deadline.
 pub fn read_settings(facts: &Value) -> Result<DecisionSettings, WireError> {
     let classes = list(facts, "classes").iter().map(read_class).collect::<Result<Vec<_>, _>>()?;
     let mut settings = DecisionSettings::new(classes);
@@ -37,7 +37,7 @@
     read_number(facts, "over_share_worth", &mut settings.over_quota_value)
 }
 
-/// The node's index among the others, and how it learns of the servers.
+/// Reads the node's position among the other nodes, and how it receives the server list.
 fn read_fleet(facts: &Value, settings: &mut DecisionSettings) -> Result<(), WireError> {
     read_index(facts, "n_instances", &mut settings.nodes)?;
     settings.nodes = settings.nodes.max(1);
@@ -76,7 +76,7 @@
     read_flag(allowed, "peers", &mut settings.peers)
 }
 
-/// A report without any field that the decisions use is none to them.
+/// Reads where load reports come from. Reports without a used field count as absent.
 fn read_load_reports(stats: &Value, settings: &mut DecisionSettings) {
     let is_used = |field: &Value| field.as_str().is_some_and(|name| USED_REPORT_FIELDS.contains(&name));
     let useful = list(stats, "fields").iter().any(is_used);
@@ -85,7 +85,7 @@
 }
 
 fn read_class(class: &Value) -> Result<RequestClass, WireError> {
-    // A class must say how long its clients wait: there is no sensible default.
+    // The time that clients wait has no sensible default.
     let (mut latency_target_ms, mut deadline_ms) = (f64::NAN, f64::NAN);
     read_number(class, "deadline_ms", &mut deadline_ms)?;
     if deadline_ms.is_nan() {
@@ -93,7 +93,7 @@
     }
     read_number(class, "promise_ms", &mut latency_target_ms)?;
     let idempotency = read_idempotency(class)?;
-    // Without a target, or with one that nothing can meet, the deadline is used instead.
+    // A missing target, or one that is not positive and cannot be met, is replaced by the deadline.
     let latency_target_ms = if latency_target_ms > 0.0 { latency_target_ms } else { deadline_ms };
     let mut read = RequestClass::new(latency_target_ms, deadline_ms, idempotency);
     read_number(class, "worth", &mut read.value)?;
@@ -114,7 +114,7 @@
             };
             Idempotency::Keyed { group, window_ms }
         }
-        // An unknown effect is treated as the one that allows least.
+        // An unknown effect is treated as the most restrictive one.
         _ => Idempotency::Unsafe,
     })
 }
@@ -124,18 +124,18 @@
 }
 
 fn read_number(from: &Value, key: &str, to: &mut f64) -> Result<(), WireError> {
-    read(from, key, "number", Value::as_f64, to)
+    read(from, key, "a number", Value::as_f64, to)
 }
 
 fn read_index(from: &Value, key: &str, to: &mut usize) -> Result<(), WireError> {
-    read(from, key, "whole number", |value| value.as_u64().map(|index| index as usize), to)
+    read(from, key, "a whole number", |value| value.as_u64().map(|index| index as usize), to)
 }
 
 fn read_flag(from: &Value, key: &str, to: &mut bool) -> Result<(), WireError> {
-    read(from, key, "yes or no", Value::as_bool, to)
+    read(from, key, "a boolean", Value::as_bool, to)
 }
 
-/// Reads a key into `to`, which stays as it is where the key is missing.
+/// Reads a key into `to`, which keeps its value if the key is missing or null.
 fn read<T>(
     from: &Value,
     key: &str,
--- a/crates/balancer-node/tests/discovery.rs
+++ b/crates/balancer-node/tests/discovery.rs
@@ -92,7 +92,7 @@
     let mut lost = |node: &mut Node, address: SocketAddr| {
         config["discovery"] = json!(address.to_string());
         node.reload(&config.to_string());
-        while !node.logged().contains("does not come") {}
+        while !node.logged().contains("failed to update the server list") {}
     };
     let refused = own_address();
     lost(&mut node, refused);
@@ -102,7 +102,7 @@
     assert!(since.elapsed() < ANNOUNCED_WITHIN, "refused: {:?}", since.elapsed());
     let body = list(5, true, &[]).to_string();
     write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).expect("written");
-    while !node.logged().contains("comes again") {}
+    while !node.logged().contains("updated again") {}
 
     let (silent, address, filler) = full_listener();
     lost(&mut node, address);
