--- a/crates/balancer-node/src/bin/balancer-simhost.rs
+++ b/crates/balancer-node/src/bin/balancer-simhost.rs
@@ -10,13 +10,13 @@
 use std::panic::{self, AssertUnwindSafe};
 use std::process::ExitCode;
 
-use balancer::wire::{one_line, Dialect, Line, RosterMember, Rosters, WireError, ROSTERS};
+use balancer::wire::{one_line, Line, MessageCodec, RosterMember, Rosters, WireError, MAX_ROSTERS};
 use balancer::{Balancer, BalancerAction};
 
 /// One instance: its balancer and the conversion of its messages.
 struct Instance {
     balancer: Balancer,
-    dialect: Dialect,
+    codec: MessageCodec,
 }
 
 /// A roster of which some entries have not arrived yet.
@@ -50,9 +50,9 @@
 
 impl SimulatedHost {
     /// Processes one line of input and appends the resulting actions to the reply.
-    fn take_line(&mut self, text: &str) -> Result<Progress, WireError> {
+    fn process_line(&mut self, text: &str) -> Result<Progress, WireError> {
         if let Some(roster) = self.partial_roster.take() {
-            self.take_roster_member(roster, text)?;
+            self.add_roster_member(roster, text)?;
             return Ok(Progress::WithinBatch);
         }
         // A blank line separates batches.
@@ -79,17 +79,17 @@
     }
 
     fn start_instance(&mut self, line: &Line<'_>) -> Result<(), WireError> {
-        let mut dialect = Dialect::default();
-        let settings = dialect.settings(line.text("facts")?)?;
+        let mut codec = MessageCodec::default();
+        let settings = codec.settings(line.text("facts")?)?;
         let seed = line.optional_integer("seed")?.unwrap_or(0);
         let balancer = Balancer::new(settings, seed).map_err(|error| WireError::other(&error))?;
-        self.instances.insert(line.text("node")?.to_owned(), Instance { balancer, dialect });
+        self.instances.insert(line.text("node")?.to_owned(), Instance { balancer, codec });
         Ok(())
     }
 
     fn start_roster(&mut self, line: &Line<'_>) -> Result<(), WireError> {
         let (number, length) = (line.integer("roster_id")? as usize, line.integer("hosts")? as usize);
-        if number >= ROSTERS {
+        if number >= MAX_ROSTERS {
             return Err(WireError::malformed("roster_id", &number.to_string(), "is out of range"));
         }
         if length == 0 {
@@ -101,7 +101,7 @@
     }
 
     /// Adds the next entry to an incomplete roster; the last entry completes it.
-    fn take_roster_member(&mut self, mut roster: PartialRoster, text: &str) -> Result<(), WireError> {
+    fn add_roster_member(&mut self, mut roster: PartialRoster, text: &str) -> Result<(), WireError> {
         roster.members.push(RosterMember::parse(text)?);
         if roster.members.len() < roster.length {
             self.partial_roster = Some(roster);
@@ -117,14 +117,14 @@
             self.ignore(node, "ignoring messages to an instance that is not running");
             return Ok(());
         };
-        let Some(event) = instance.dialect.event(line, &self.rosters)? else {
+        let Some(event) = instance.codec.event(line, &self.rosters)? else {
             return Ok(());
         };
         let (now, actions) = (self.now, &mut self.actions);
         let handled = panic::catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
         if handled.is_ok() {
             for action in self.actions.drain(..) {
-                instance.dialect.print(node, &action, &mut self.reply);
+                instance.codec.print(node, &action, &mut self.reply);
             }
         } else {
             self.actions.clear();
@@ -181,7 +181,7 @@
             return Ok(());
         }
         let line = text.trim_end_matches(['\n', '\r']);
-        let progress = host.take_line(line).map_err(|error| {
+        let progress = host.process_line(line).map_err(|error| {
             let message = line.split(' ').next().unwrap_or_default().to_owned();
             HostError::Line { message, error }
         })?;
--- a/crates/balancer-node/src/wire/dialect.rs
+++ b/crates/balancer-node/src/wire/codec.rs
@@ -16,7 +16,7 @@
 /// State that the conversion of one instance's messages needs: the numbers of its servers, and the columns of
 /// its load reports.
 #[derive(Debug, Default)]
-pub struct Dialect {
+pub struct MessageCodec {
     /// Names of servers, by server number.
     names: Vec<String>,
     numbers: HashMap<String, usize>,
@@ -25,7 +25,7 @@
     queued_column: Option<usize>,
 }
 
-impl Dialect {
+impl MessageCodec {
     /// Returns the number of a server. An unknown name is assigned the next number.
     fn number_of(&mut self, name: &str) -> ServerId {
         if let Some(number) = self.numbers.get(name) {
@@ -54,9 +54,9 @@
     /// Fails if the text is not a JSON object, a setting has the wrong type, or a class has no deadline.
     pub fn settings(&mut self, facts: &str) -> Result<DecisionSettings, WireError> {
         let facts: Value =
-            serde_json::from_str(facts).map_err(|error| WireError::NoJson(error.to_string()))?;
+            serde_json::from_str(facts).map_err(|error| WireError::InvalidJson(error.to_string()))?;
         if !facts.is_object() {
-            return Err(WireError::NoSettings);
+            return Err(WireError::SettingsNotAnObject);
         }
         let columns = facts["stats"]["fields"].as_array().map_or(&[][..], Vec::as_slice);
         self.in_flight_column = columns.iter().position(|column| column == "active");
--- a/crates/balancer-node/src/wire/line.rs
+++ b/crates/balancer-node/src/wire/line.rs
@@ -22,13 +22,13 @@
     pub fn parse(line: &'a str) -> Result<Self, WireError> {
         let (message, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         if message.is_empty() {
-            return Err(WireError::NoMessage);
+            return Err(WireError::MissingMessage);
         }
         let mut pairs = Vec::with_capacity(8);
         while !rest.is_empty() {
-            let (name, tail) = rest.split_once('=').ok_or_else(|| WireError::NoPair(rest.to_owned()))?;
+            let (name, tail) = rest.split_once('=').ok_or_else(|| WireError::NotAPair(rest.to_owned()))?;
             if name.is_empty() || name.contains(' ') {
-                return Err(WireError::NoName(name.to_owned()));
+                return Err(WireError::InvalidName(name.to_owned()));
             }
             let (value, tail) = match REST_OF_LINE.contains(&name) {
                 true => (tail, ""),
@@ -52,7 +52,7 @@
     ///
     /// Fails if the pair is missing.
     pub fn text(&self, name: &str) -> Result<&'a str, WireError> {
-        self.get(name).ok_or_else(|| WireError::Missing(name.to_owned()))
+        self.get(name).ok_or_else(|| WireError::MissingPair(name.to_owned()))
     }
 
     /// Returns a finite number; `None` if the pair is missing.
--- a/crates/balancer-node/src/wire/mod.rs
+++ b/crates/balancer-node/src/wire/mod.rs
@@ -1,32 +1,32 @@
 //! Parser and printer of the text protocol by which a simulated host drives instances of the decision logic.
 //!
 //! A message is one line: its name, then `name=value` pairs separated by spaces. [`Line`] splits it.
-//! [`Dialect`] converts it into an event of one instance, and prints the actions of that instance.
+//! [`MessageCodec`] converts it into an event of one instance, and prints the actions of that instance.
 //! [`read_settings`] reads the settings with which an instance starts.
 
-mod dialect;
+mod codec;
 mod line;
 mod roster;
 mod settings;
 
 use std::fmt;
 
-pub use self::dialect::Dialect;
+pub use self::codec::MessageCodec;
 pub use self::line::Line;
-pub use self::roster::{RosterMember, Rosters, ROSTERS};
+pub use self::roster::{RosterMember, Rosters, MAX_ROSTERS};
 pub use self::settings::read_settings;
 
 /// Error in a line of the protocol or in the settings that the line carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
     /// The line does not begin with the name of a message.
-    NoMessage,
+    MissingMessage,
     /// The rest of the line, given here, contains no `=`.
-    NoPair(String),
+    NotAPair(String),
     /// The name of a pair is empty or contains a space.
-    NoName(String),
+    InvalidName(String),
     /// The message lacks the pair with this name.
-    Missing(String),
+    MissingPair(String),
     /// The value of a pair is invalid.
     Malformed {
         /// Name of the pair.
@@ -37,13 +37,13 @@
         problem: &'static str,
     },
     /// The message, given here, arrived where an entry of a server list (`M`) was expected.
-    NoEntry(String),
+    NotAListEntry(String),
     /// The settings are not valid JSON; the value is the error of the parser.
-    NoJson(String),
+    InvalidJson(String),
     /// The settings are not a JSON object.
-    NoSettings,
+    SettingsNotAnObject,
     /// A class of the settings lacks `deadline_ms`, which has no default.
-    NoDeadline,
+    MissingDeadline,
     /// A setting has the wrong type.
     Mistyped {
         /// Key of the setting within its JSON object.
@@ -72,17 +72,17 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoMessage => f.write_str("the line has no message name"),
-            Self::NoPair(text) => write!(f, "`{text}` is not a name=value pair"),
-            Self::NoName(text) => write!(f, "`{text}` is not a valid name of a pair"),
-            Self::Missing(name) => write!(f, "`{name}` is missing"),
+            Self::MissingMessage => f.write_str("the line has no message name"),
+            Self::NotAPair(text) => write!(f, "`{text}` is not a name=value pair"),
+            Self::InvalidName(text) => write!(f, "`{text}` is not a valid name of a pair"),
+            Self::MissingPair(name) => write!(f, "`{name}` is missing"),
             Self::Malformed { name, value, problem } => write!(f, "`{name}={value}` {problem}"),
-            Self::NoEntry(message) => {
+            Self::NotAListEntry(message) => {
                 write!(f, "received `{message}` instead of an entry `M` of the server list")
             }
-            Self::NoJson(error) => write!(f, "`facts`: {error}"),
-            Self::NoSettings => f.write_str("`facts` is not a JSON object"),
-            Self::NoDeadline => f.write_str("`facts`: a class has no `deadline_ms`"),
+            Self::InvalidJson(error) => write!(f, "`facts`: {error}"),
+            Self::SettingsNotAnObject => f.write_str("`facts` is not a JSON object"),
+            Self::MissingDeadline => f.write_str("`facts`: a class has no `deadline_ms`"),
             Self::Mistyped { key, expected } => write!(f, "`facts`: `{key}` is not {expected}"),
             Self::Other(error) => f.write_str(error),
         }
--- a/crates/balancer-node/src/wire/roster.rs
+++ b/crates/balancer-node/src/wire/roster.rs
@@ -4,10 +4,10 @@
 use crate::{Availability, ServerEntry, ServerId};
 
 /// Number of rosters that exist at the same time; their numbers (`roster_id`) are below it.
-pub const ROSTERS: usize = 16;
+pub const MAX_ROSTERS: usize = 16;
 
 /// Rosters by number; `None` until received. A later list with the same number replaces the earlier one.
-pub type Rosters = [Option<Vec<RosterMember>>; ROSTERS];
+pub type Rosters = [Option<Vec<RosterMember>>; MAX_ROSTERS];
 
 /// One entry of a roster. Its server has a name only: each instance assigns its own server numbers.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     pub fn parse(line: &str) -> Result<Self, WireError> {
         let line = Line::parse(line)?;
         if line.message != "M" {
-            return Err(WireError::NoEntry(line.message.to_owned()));
+            return Err(WireError::NotAListEntry(line.message.to_owned()));
         }
         let or_zero = |name| Ok::<_, WireError>(line.optional_integer(name)?.unwrap_or(0) as usize);
         let availability = availability(line.text("availability")?)?;
--- a/crates/balancer-node/src/wire/settings.rs
+++ b/crates/balancer-node/src/wire/settings.rs
@@ -89,7 +89,7 @@
     let (mut latency_target_ms, mut deadline_ms) = (f64::NAN, f64::NAN);
     read_number(class, "deadline_ms", &mut deadline_ms)?;
     if deadline_ms.is_nan() {
-        return Err(WireError::NoDeadline);
+        return Err(WireError::MissingDeadline);
     }
     read_number(class, "promise_ms", &mut latency_target_ms)?;
     let idempotency = read_idempotency(class)?;
--- a/crates/balancer-node/tests/golden.rs
+++ b/crates/balancer-node/tests/golden.rs
@@ -12,7 +12,7 @@
 use balancer::net::config::Config;
 use balancer::net::list::{ListDecoder, MemberPhase};
 use balancer::net::load_report::parse_load_report;
-use balancer::wire::{Dialect, Line, RosterMember, Rosters};
+use balancer::wire::{Line, MessageCodec, RosterMember, Rosters};
 use balancer::*;
 use net::{config, list, member, request, Exchange, Message, Node, Server, OK};
 use serde_json::json;
@@ -37,10 +37,10 @@
 
 const FACTS: &str = "wire-facts.json";
 
-fn dialect() -> Dialect {
-    let mut dialect = Dialect::default();
-    dialect.settings(&read_golden(FACTS)).expect("settings");
-    dialect
+fn codec() -> MessageCodec {
+    let mut codec = MessageCodec::default();
+    codec.settings(&read_golden(FACTS)).expect("settings");
+    codec
 }
 
 /// The lists of the golden file, each under the number that its line names.
@@ -119,17 +119,17 @@
 
 #[test]
 fn lines_of_the_host_are_read_as_events() {
-    let (mut dialect, lists, text) = (dialect(), rosters(), read_golden("wire-events.txt"));
-    let read = |line| dialect.event(&Line::parse(line).expect("a line"), &lists).expect("sound");
+    let (mut codec, lists, text) = (codec(), rosters(), read_golden("wire-events.txt"));
+    let read = |line| codec.event(&Line::parse(line).expect("a line"), &lists).expect("sound");
     let read: Vec<_> = text.lines().filter_map(read).collect();
     assert_eq!(read, events());
 }
 
 #[test]
 fn actions_are_printed_for_the_host() {
-    let (mut dialect, lists) = (dialect(), rosters());
+    let (mut codec, lists) = (codec(), rosters());
     let line = Line::parse("REGISTRY node=n mode=1 roster_id=3").expect("a line");
-    dialect.event(&line, &lists).expect("numbers the servers");
+    codec.event(&line, &lists).expect("numbers the servers");
     let request = RequestId(5);
     let actions = [
         BalancerAction::Send { request, server: ServerId(0), within_ms: None },
@@ -144,7 +144,7 @@
         BalancerAction::Log("two\nlines".to_owned()),
     ];
     let mut text = String::new();
-    actions.iter().for_each(|action| dialect.print("node-1", action, &mut text));
+    actions.iter().for_each(|action| codec.print("node-1", action, &mut text));
     assert_golden("wire-actions.txt", &text);
 }
 
