--- a/crates/balancer-node/tests/golden.rs
+++ b/crates/balancer-node/tests/golden.rs
@@ -1,7 +1,6 @@
-//! Golden files of what the node reads and writes: the lines of the simulated host, the settings, the configuration,
-//! the list of servers, load reports and the messages on sockets. Names in the code may change, these forms may not.
-//!
-//! A missing file is a failure; `GOLDEN_WRITE=1` writes it. Files that exist are never rewritten.
+//! Compares what the node reads and writes with golden files. Names in the code may change, these formats may
+//! not. A missing file is a failure, unless `GOLDEN_WRITE=1` is set: then it is written. Existing files are never
+//! overwritten.
 
 mod net;
 
@@ -17,11 +16,12 @@
 use net::{config, list, member, request, Exchange, Message, Node, Server, OK};
 use serde_json::json;
 
+/// Returns the path of a golden file.
 fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Compares with a golden file, byte for byte.
+/// Asserts that a text equals a golden file, byte for byte.
 fn assert_golden(name: &str, actual: &str) {
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path(name).exists() {
         std::fs::write(path(name), actual).expect("written");
@@ -33,25 +33,25 @@
     std::fs::read_to_string(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-// ---- Lines of the simulated host
-
 const FACTS: &str = "wire-facts.json";
 
+/// Returns a codec that knows the columns of load reports in the golden settings.
 fn codec() -> MessageCodec {
     let mut codec = MessageCodec::default();
-    codec.settings(&read_golden(FACTS)).expect("settings");
+    codec.settings(&read_golden(FACTS)).expect("valid settings");
     codec
 }
 
-/// The lists of the golden file, each under the number that its line names.
+/// Returns the rosters to which the golden events refer: the golden entries as number 3.
 fn rosters() -> Rosters {
     let members = read_golden("wire-members.txt");
-    let members = members.lines().map(|line| RosterMember::parse(line).expect("an entry")).collect();
+    let members = members.lines().map(|line| RosterMember::parse(line).expect("a valid entry")).collect();
     let mut lists = Rosters::default();
     lists[3] = Some(members);
     lists
 }
 
+/// Returns the entries that the golden roster contains.
 fn entries() -> Vec<ServerEntry> {
     let entry = |server, name, availability, started_at, cell, zone, kind, weight| ServerEntry {
         server: ServerId(server),
@@ -70,6 +70,7 @@
     ]
 }
 
+/// Returns the event of the golden line `ENDED` with this request id.
 fn attempt_end(txn: u64, outcome: AttemptOutcome) -> BalancerEvent {
     let (attempt, complete) = (txn as usize % 3, outcome == AttemptOutcome::Served);
     let report =
@@ -84,6 +85,7 @@
     })
 }
 
+/// Returns the events that the golden lines contain, in their order.
 fn events() -> Vec<BalancerEvent> {
     let id = RequestId;
     let report = Some(LoadReport { in_flight: Some(3.0), queued: Some(1.0) });
@@ -118,15 +120,15 @@
 }
 
 #[test]
-fn lines_of_the_host_are_read_as_events() {
+fn golden_lines_are_decoded_to_events() {
     let (mut codec, lists, text) = (codec(), rosters(), read_golden("wire-events.txt"));
-    let read = |line| codec.event(&Line::parse(line).expect("a line"), &lists).expect("sound");
+    let read = |line| codec.event(&Line::parse(line).expect("a line"), &lists).expect("a valid message");
     let read: Vec<_> = text.lines().filter_map(read).collect();
     assert_eq!(read, events());
 }
 
 #[test]
-fn actions_are_printed_for_the_host() {
+fn actions_are_printed_as_golden_lines() {
     let (mut codec, lists) = (codec(), rosters());
     let line = Line::parse("REGISTRY node=n mode=1 roster_id=3").expect("a line");
     codec.event(&line, &lists).expect("numbers the servers");
@@ -148,7 +150,7 @@
     assert_golden("wire-actions.txt", &text);
 }
 
-/// Each setting has a value of its own, none of them its default.
+/// Returns the settings that the golden file contains. Nearly every value differs from its default.
 fn settings() -> DecisionSettings {
     let class = |latency_target_ms, deadline_ms, idempotency, value, late_value| RequestClass {
         latency_target_ms,
@@ -195,7 +197,7 @@
 }
 
 #[test]
-fn settings_are_read_from_their_json() {
+fn settings_are_read_from_json() {
     let facts: serde_json::Value = serde_json::from_str(&read_golden(FACTS)).expect("JSON");
     assert_eq!(wire::read_settings(&facts).expect("settings"), settings());
     let restricted = json!({
@@ -211,13 +213,13 @@
 }
 
 #[test]
-fn settings_out_of_range_are_named_by_their_key() {
-    let mut named = String::new();
+fn errors_about_settings_out_of_range_name_their_keys() {
+    let mut errors = String::new();
     let mut check = |change: &dyn Fn(&mut DecisionSettings)| {
         let mut changed = settings();
         change(&mut changed);
         let error = changed.validate().expect_err("out of range");
-        named += &format!("{}: {error}\n", error.key());
+        errors += &format!("{}: {error}\n", error.key());
     };
     check(&|s| s.classes.clear());
     check(&|s| s.classes[0].latency_target_ms = 0.0);
@@ -240,12 +242,10 @@
     check(&|s| s.probe_price = -1.0);
     check(&|s| s.waste_price = -1.0);
     check(&|s| s.cross_zone_price = -1.0);
-    assert_golden("settings-errors.txt", &named);
+    assert_golden("settings-errors.txt", &errors);
 }
 
-// ---- The configuration, the list of servers and load reports
-
-/// The only test of this file that sets variables of the environment.
+/// No other test of this file may set environment variables, which all tests of the process share.
 #[test]
 fn the_configuration_is_read_from_the_environment() {
     std::env::set_var("GW_NAME", "node-7");
@@ -283,9 +283,9 @@
 }
 
 #[test]
-fn a_list_is_read_from_its_json() {
+fn a_server_list_is_read_from_json() {
     let mut decoder = ListDecoder::new(1 << 20);
-    decoder.feed(read_golden("list.json").as_bytes()).expect("sound");
+    decoder.feed(read_golden("list.json").as_bytes()).expect("valid JSON");
     let list = decoder.finish().expect("a list");
     assert_eq!((list.revision, list.complete, list.entries), (41, false, 5));
     let ids: Vec<_> = list.members.iter().map(|member| member.id.as_str()).collect();
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn load_reports_are_read() {
+fn load_reports_are_parsed() {
     let report = |in_flight, queued| Some(LoadReport { in_flight, queued });
     let expected = [
         report(Some(7.0), Some(2.0)),
@@ -315,9 +315,7 @@
     assert_eq!(read, expected);
 }
 
-// ---- Messages on sockets
-
-/// A message as a golden file holds it: what differs between runs is replaced by what it is.
+/// Formats a message for a golden file. Header values that differ between runs are replaced by placeholders.
 fn masked(message: &Message) -> String {
     let mut text = format!("{}\n", message.first);
     for (name, value) in &message.headers {
@@ -335,14 +333,15 @@
     text + "\n" + &String::from_utf8_lossy(&message.body)
 }
 
-fn take(server: &Server, wanted: &str) -> Exchange {
+/// Receives the next request at a server; asserts that its first line starts with `expected`.
+fn receive(server: &Server, expected: &str) -> Exchange {
     let exchange = server.request();
-    assert!(exchange.request.first.starts_with(wanted), "{}", exchange.request.first);
+    assert!(exchange.request.first.starts_with(expected), "{}", exchange.request.first);
     exchange
 }
 
 #[test]
-fn messages_to_servers_and_discovery() {
+fn messages_to_servers_and_discovery_equal_the_golden_file() {
     let server = Server::start();
     let mut settings = config(&[member("s0", server.address, "active")]);
     settings["settings"]["n_instances"] = json!(100);
@@ -357,10 +356,10 @@
     let mut client = node.client();
     client
         .send(&request("update", 20.0).replace("x-class", "content-type: text/plain\r\nother: 1\r\nx-class"));
-    let probe = take(&server, "GET /_load");
+    let probe = receive(&server, "GET /_load");
     text += &masked(&probe.request);
     probe.answer(OK, "", b"active=0,waiting=0");
-    let forwarded = take(&server, "POST /api");
+    let forwarded = receive(&server, "POST /api");
     text += &masked(&forwarded.request);
     forwarded.answer(OK, "x-load: active=1,waiting=0\r\n", b"done");
     assert_eq!(client.answer().status(), 200);
@@ -368,7 +367,7 @@
 }
 
 #[test]
-fn answers_to_clients() {
+fn answers_to_clients_equal_the_golden_file() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut text = String::new();
@@ -376,19 +375,19 @@
     let mut ask = |what: &str, request: &str| show(what, &node.client().ask(request));
     ask("healthy", "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n");
     ask("no such path", "GET /other HTTP/1.1\r\nhost: n\r\n\r\n");
-    let sound = request("read", 20.0);
+    let valid = request("read", 20.0);
     for name in ["x-request-id", "x-class", "x-tenant", "x-deadline"] {
-        ask(&format!("without {name}"), &sound.replace(name, "other"));
+        ask(&format!("without {name}"), &valid.replace(name, "other"));
     }
-    ask("a field that comes twice", &sound.replace("x-class", "x-class: read\r\nx-class"));
-    ask("a method that does not fit", &sound.replace("GET", "POST"));
-    ask("a body of GET", &sound.replace("\r\n\r\n", "\r\ncontent-length: 2\r\n\r\nxy"));
-    ask("two lengths", &sound.replace("\r\n\r\n", "\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nxyz"));
+    ask("a field that comes twice", &valid.replace("x-class", "x-class: read\r\nx-class"));
+    ask("a method that does not fit", &valid.replace("GET", "POST"));
+    ask("a body of GET", &valid.replace("\r\n\r\n", "\r\ncontent-length: 2\r\n\r\nxy"));
+    ask("two lengths", &valid.replace("\r\n\r\n", "\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nxyz"));
     ask("a long body", &format!("{}{}", request("pay", 20.0).replace(": 4", ": 70000"), "x".repeat(69_996)));
     let mut asked = |what: &str, class: &str, status: &str, headers: &str| {
         let mut client = node.client();
         client.send(&request(class, 20.0));
-        take(&server, "").answer(status, headers, b"body");
+        receive(&server, "").answer(status, headers, b"body");
         show(what, &client.answer());
     };
     asked("served", "read", OK, "x-load: active=1,waiting=0\r\n");
@@ -397,7 +396,7 @@
     show("refused", &none.client().ask(&request("read", 20.0)));
     let mut client = node.client();
     client.send(&request("read", 0.2));
-    let unanswered = take(&server, "");
+    let unanswered = receive(&server, "");
     show("no answer in time", &client.answer());
     drop(unanswered);
     assert_golden("answers.txt", &text);
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -1,8 +1,9 @@
-//! The operators' four rules: edge cases, and generated days that an independent checker verifies.
+//! Rules that every node must keep: edge cases, and generated sequences of events with an independent
+//! checker.
 //!
-//! The checker asserts that each request gets one final answer in time, that drained servers get no new requests, that
-//! a request is sent twice only where its class allows it, that a rejection is given only where a client's retry is
-//! harmless, and that attempts, cancellations and probes keep to the settings.
+//! The checker asserts that each request gets one final answer in time, that drained servers get no new
+//! requests, that a request is sent twice only if its class allows it, that a request is rejected only if a
+//! retry by the client is safe, and that attempts, cancellations and probes comply with the settings.
 
 mod common;
 use common::*;
@@ -11,13 +12,11 @@
 
 use balancer::*;
 
-// ---- Edges
-
 #[test]
-fn without_servers_each_request_is_rejected_at_once() {
+fn requests_are_rejected_at_once_if_there_are_no_servers() {
     for idempotency in [Idempotency::Safe, keyed(DeduplicationScope::Cell, 500.0), Idempotency::Unsafe] {
         let mut node = Node::new(one_class(idempotency), 1);
-        assert!(rejected(&node.request(1, 0, 100.0)), "nothing ran, so a rejection is true");
+        assert!(rejected(&node.request(1, 0, 100.0)), "a request that was never sent is rejected");
         node.servers(Vec::new());
         assert!(rejected(&node.request(2, 0, 100.0)));
     }
@@ -30,9 +29,10 @@
     assert!(failed(&node.request(1, 7, 100.0)));
 }
 
-/// A rejection has a retry hint where the settings allow one: the time that an answer takes, up to the limit.
+/// The hint is the expected latency (100 ms without samples), at most the limit of the settings. Without a
+/// limit, no hint is allowed.
 #[test]
-fn a_rejection_has_a_retry_hint() {
+fn a_rejection_has_a_retry_hint_if_the_settings_allow_one() {
     for (max, hint) in [(None, None), (Some(400.0), Some(100.0)), (Some(30.0), Some(30.0))] {
         let mut settings = one_class(Idempotency::Safe);
         settings.max_retry_after_ms = max;
@@ -49,8 +49,7 @@
     }
 }
 
-/// An unsafe request is retried only after an outcome that proves that it did not run; otherwise it fails, and is not
-/// rejected either.
+/// After any other outcome the request may have run: it fails, and is not rejected either.
 #[test]
 fn unsafe_requests_are_retried_only_if_they_did_not_run() {
     for (outcome, may_retry) in [
@@ -74,7 +73,7 @@
 }
 
 #[test]
-fn keyed_requests_are_retried_only_in_their_cell_and_window() {
+fn keyed_requests_are_retried_only_in_their_cell_and_deduplication_window() {
     let settings = one_class(keyed(DeduplicationScope::Cell, 500.0));
     for (wait, may_retry) in [(5.0, true), (399.0, true), (401.0, false), (600.0, false)] {
         for seed in 0..20 {
@@ -85,7 +84,7 @@
             let first = node.sent_to(1);
             node.now += wait;
             let actions = node.end(1, 0, wait, AttemptOutcome::Error);
-            assert!(!rejected(&actions), "a rejection would promise that nothing ran");
+            assert!(!rejected(&actions), "rejected, although the request may have run");
             match send_of(&actions) {
                 Some(at) => assert!(may_retry && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
                 None => assert!(!may_retry && failed(&actions), "{wait} ms"),
@@ -95,7 +94,7 @@
 }
 
 #[test]
-fn requests_deduplicated_by_all_servers_may_be_rejected_after_they_ran() {
+fn a_request_deduplicated_by_all_servers_is_rejected_after_its_last_attempt() {
     let mut settings = one_class(keyed(DeduplicationScope::All, 500.0));
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
@@ -106,17 +105,20 @@
 }
 
 #[test]
-fn a_time_out_at_the_deadline_is_answered_at_once() {
+fn a_request_fails_at_once_if_its_attempt_times_out_at_the_deadline() {
     let mut node = Node::new(one_class(Idempotency::Unsafe), 1);
     node.servers(ready(0..3));
     node.sent_to(1);
     node.now += 800.0;
     assert!(failed(&node.end(1, 0, 800.0, AttemptOutcome::TimedOut)));
-    assert!(node.end(1, 0, 801.0, AttemptOutcome::Served).is_empty(), "an attempt ends once");
+    assert!(
+        node.end(1, 0, 801.0, AttemptOutcome::Served).is_empty(),
+        "the second end of an attempt is ignored"
+    );
 }
 
 #[test]
-fn nothing_follows_a_final_answer() {
+fn no_retry_follows_a_disconnect_and_a_second_disconnect_is_ignored() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..3));
     node.sent_to(1);
@@ -127,7 +129,7 @@
 }
 
 #[test]
-fn drained_and_removed_servers_get_nothing_new() {
+fn draining_and_removed_servers_get_no_new_requests() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
@@ -136,15 +138,16 @@
     entry.availability = Availability::Removed;
     node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
     assert!((0..20).all(|id| node.sent_to(id) == 2));
-    // A complete list without it removes the last one, too.
+    // A complete list without the last ready server removes it.
     node.servers(ready(3..4));
     assert!((20..40).all(|id| node.sent_to(id) == 3));
 }
 
-/// A removed server is dropped from the table once no attempt is in flight to it: later outcomes of it are ignored, and
-/// a keyed request is still retried in its cell only, though the server that may have run it is no longer known.
+/// A removed server leaves the table when its last attempt has ended. Later probe results of it are ignored.
+/// A keyed request is still retried in the cell of its first attempt only, although that server is no longer
+/// in the table.
 #[test]
-fn late_outcomes_of_a_removed_server_are_ignored() {
+fn a_removed_server_is_forgotten_after_its_last_attempt_and_retries_stay_in_its_cell() {
     let cell = |i, cell| ServerEntry { cell, ..ServerEntry::new(ServerId(i), Availability::Ready) };
     let mut node = Node::new(one_class(keyed(DeduplicationScope::Cell, 500.0)), 1);
     node.servers(vec![cell(0, 7)]);
@@ -160,10 +163,10 @@
     assert!(failed(&node.end(2, 1, 50.0, AttemptOutcome::Reset)));
 }
 
-/// A warming server reports an empty queue and would attract all requests; one node with most of the traffic must keep
-/// to the budget that all nodes share.
+/// A warming server reports an empty queue and would attract all requests. A single node with most of the
+/// traffic must keep to the load limit that applies to all nodes together.
 #[test]
-fn a_warming_server_gets_no_more_than_its_budget() {
+fn a_warming_server_is_not_sent_more_than_its_load_limit() {
     let mut settings = one_class(Idempotency::Safe);
     settings.nodes = 3;
     settings.warmup_initial_fraction = 0.3;
@@ -186,25 +189,26 @@
         }
         node.now += 4.0;
         if id >= 10 {
-            // The warming server answers fast and reports next to no requests in flight.
+            // The warming server answers fast and reports almost no requests in flight.
             let warming = at[&(id - 10)] == 10;
             let in_flight = if warming { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
             let elapsed = if warming { 10.0 } else { 40.0 };
             node.report(id - 10, 0, elapsed, AttemptOutcome::Served, Some(in_flight));
         }
     }
-    // The fleet serves 250 a second on ten servers; the warming one's capacity begins at 0.3 of a tenth.
+    // Ten servers serve 250 requests per second. The capacity of the warming one begins at 0.3 of a tenth of
+    // that.
     let start = 1_000.0 + 1_500.0 * 4.0;
     for window in 0..6 {
         let from = start + f64::from(window) * 500.0;
         let sent = warming_sends.iter().filter(|t| (from..from + 3_000.0).contains(*t)).count() as f64;
         let capacity = 25.0 * 3.0 * (0.3 + 0.7 * (from + 3_000.0 - start) / 9_000.0);
-        assert!(sent < 2.5 * capacity, "{sent} in window {window}, capacity {capacity}");
+        assert!(sent < 2.5 * capacity, "{sent} sends in window {window}, capacity {capacity}");
     }
-    assert!(!warming_sends.is_empty(), "it gets some work");
+    assert!(!warming_sends.is_empty(), "the warming server got no request");
 }
 
-/// A node that has just restarted knows the starts of servers from its list alone.
+/// A node that has just restarted learns the start times of servers from the server list only.
 #[test]
 fn a_restarted_node_limits_requests_to_warming_servers() {
     let mut settings = one_class(Idempotency::Safe);
@@ -215,14 +219,14 @@
     entries[1].started_at = Some(node.now - 100.0);
     node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
     let to_warming = (0..40).filter(|id| send_of(&node.request(*id, 0, 800.0)) == Some(1)).count();
-    // If both had their full capacity, each would get twenty.
-    assert!(to_warming as f64 <= 2.5 * 0.3 * 20.0, "{to_warming} of 40");
+    // At full capacity, each of the two servers would get twenty requests.
+    assert!(to_warming as f64 <= 2.5 * 0.3 * 20.0, "{to_warming} of 40 sent to the warming server");
 }
 
-/// Incidents ie11f3d and ia94218: a floor of one send for each node and window let hundreds of nodes together overload
-/// a warming server. What counts is the sum over the nodes.
+/// Incidents ie11f3d and ia94218: each node could send at least one request per window to a warming server,
+/// so hundreds of nodes together overloaded it. The limit applies to the sum over all nodes.
 #[test]
-fn hundreds_of_nodes_together_keep_to_the_budget_of_a_warming_server() {
+fn hundreds_of_nodes_together_do_not_exceed_the_load_limit_of_a_warming_server() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     (settings.warmup_initial_fraction, settings.warmup_ms) = (0.2, 20_000.0);
@@ -242,19 +246,18 @@
             to_warming += usize::from(at == 7);
         }
     }
-    // A warm server gets a tenth of it all; the warming one has a fifth of that capacity and a little more.
-    let fair = f64::from(sent) / 10.0;
+    // A warm server gets a tenth of all requests. The warming one has slightly more than a fifth of its
+    // capacity.
+    let even_share = f64::from(sent) / 10.0;
     assert!(
-        (to_warming as f64) < 2.5 * 0.2 * fair,
-        "{to_warming} to the warming server, {fair} to a warm one"
+        (to_warming as f64) < 2.5 * 0.2 * even_share,
+        "{to_warming} sent to the warming server, {even_share} to a warm one"
     );
-    assert!(to_warming > 0, "it gets some work");
+    assert!(to_warming > 0, "the warming server got no request");
 }
 
-// ---- Following the list
-
 #[test]
-fn it_subscribes_at_once_and_again_after_each_failure() {
+fn a_node_subscribes_at_once_and_again_after_each_failure() {
     let mut settings = one_class(Idempotency::Safe);
     settings.discovery = DiscoveryMode::Subscribe;
     settings.max_poll_interval_ms = 10_000.0;
@@ -265,40 +268,41 @@
     for call in 0..8 {
         let actions = node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
         let logged = actions.iter().filter(|a| matches!(a, BalancerAction::Log(_))).count();
-        assert_eq!(logged, usize::from(call == 0), "the failure is logged once: {actions:?}");
+        assert_eq!(logged, usize::from(call == 0), "only the first failure in a row is logged: {actions:?}");
         let [.., BalancerAction::SetTimer { timer, after_ms }] = actions[..] else { panic!("{actions:?}") };
         assert!(
             node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable)).is_empty(),
-            "one call at a time"
+            "a second failure before the retry leads to no action"
         );
         waits.push(after_ms);
         node.now += after_ms;
         assert_eq!(node.feed(BalancerEvent::TimerFired(timer)), [BalancerAction::Subscribe]);
-        assert!(node.feed(BalancerEvent::TimerFired(timer)).is_empty(), "a timer is used once");
+        assert!(
+            node.feed(BalancerEvent::TimerFired(timer)).is_empty(),
+            "a second firing of the same timer is ignored"
+        );
     }
     assert!(waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0), "{waits:?}");
     let list = || BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(ready(0..2)));
     let logged = node.feed(list());
-    assert!(matches!(logged[..], [BalancerAction::Log(_)]), "and so is its end: {logged:?}");
-    assert!(node.feed(list()).is_empty(), "once");
+    assert!(matches!(logged[..], [BalancerAction::Log(_)]), "the recovery is logged: {logged:?}");
+    assert!(node.feed(list()).is_empty(), "the recovery is logged once");
 }
 
-// ---- Health
-
 /// A server that fails quickly reports a short queue and would attract more requests.
 #[test]
-fn quick_failures_eject_a_server_and_a_success_restores_it() {
+fn failures_eject_a_server_and_a_success_ends_the_ejection() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..4));
-    let run = |node: &mut Node, from: u64, bad: bool| {
+    let sends_to_first_server = |node: &mut Node, from: u64, faulty: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
             let at = node.sent_to(id);
             node.now += 10.0;
             sent += usize::from(at == 0);
-            if bad && at == 0 {
-                let again = node.report(id, 0, 2.0, AttemptOutcome::Error, Some(0.0));
-                let attempt = usize::from(send_of(&again).is_some());
+            if faulty && at == 0 {
+                let retry = node.report(id, 0, 2.0, AttemptOutcome::Error, Some(0.0));
+                let attempt = usize::from(send_of(&retry).is_some());
                 node.end(id, attempt, 30.0, AttemptOutcome::Served);
             } else {
                 node.end(id, 0, 30.0, AttemptOutcome::Served);
@@ -306,35 +310,36 @@
         }
         sent
     };
-    assert!(run(&mut node, 0, false) > 50);
-    assert!(run(&mut node, 1_000, true) < 25, "a failing server was not ejected");
-    run(&mut node, 2_000, false);
+    assert!(sends_to_first_server(&mut node, 0, false) > 50);
+    assert!(sends_to_first_server(&mut node, 1_000, true) < 25, "the failing server was not ejected");
+    sends_to_first_server(&mut node, 2_000, false);
     node.now += 10_000.0;
-    run(&mut node, 2_500, false);
-    assert!(run(&mut node, 3_000, false) > 50, "it was never restored");
+    sends_to_first_server(&mut node, 2_500, false);
+    assert!(sends_to_first_server(&mut node, 3_000, false) > 50, "the server is still ejected");
 }
 
-/// A server that accepts requests and answers none has an ordinary count.
+/// The count of a server that accepts requests but answers none does not differ from the counts of others.
 #[test]
 fn an_unresponsive_server_is_avoided() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
     node.servers(ready(0..4));
-    let mut hung = 0;
+    let mut unanswered = 0;
     for id in 0..600 {
         let at = send_of(&node.request(id, 0, 800.0));
         node.now += 10.0;
         if id > 200 && at == Some(0) {
-            hung += 1;
+            unanswered += 1;
         } else if at.is_some() {
             node.report(id, 0, 30.0, AttemptOutcome::Served, Some((1 + id % 3) as f64));
         }
     }
-    assert!(hung < 12, "{hung} requests went to an unresponsive server");
+    assert!(unanswered < 12, "{unanswered} requests were sent to the unresponsive server");
 }
 
-/// A server that becomes unresponsive uses up the time of its requests; those that may be repeated are sent elsewhere.
+/// Requests at a server that becomes unresponsive lose time. Those that may be repeated are sent to another
+/// server.
 #[test]
-fn stalled_attempts_are_cancelled_where_a_repeat_is_allowed() {
+fn stalled_attempts_are_cancelled_if_the_request_may_be_repeated() {
     let keyed = |window_ms| Idempotency::Keyed { group: DeduplicationScope::All, window_ms };
     for (idempotency, responsive, cancelled) in [
         (Idempotency::Safe, false, true),
@@ -365,13 +370,13 @@
             assert_eq!(
                 node.feed(BalancerEvent::TimerFired(id + 1)),
                 [],
-                "the second attempt has a timer of its own"
+                "the timer of the first attempt does not affect the second one"
             );
         }
     }
 }
 
-/// A reported count that no server can have would exclude its server for ever.
+/// After a report of an impossible number of requests, the server would never be selected again.
 #[test]
 fn an_implausible_report_changes_no_count() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
@@ -385,7 +390,7 @@
     assert_eq!(sent, [20, 20]);
 }
 
-/// While all servers fail there is none to prefer: some requests must still be sent, so that the recovery is noticed.
+/// While all servers fail, some requests must still be sent, so that the recovery is noticed.
 #[test]
 fn rejections_end_when_the_servers_recover() {
     let mut settings = one_class(Idempotency::Safe);
@@ -394,25 +399,25 @@
     node.servers(ready(0..4));
     let mut last = (0, 0);
     for id in 0..3_000 {
-        let broken = (500..1_000).contains(&id);
+        let failing = (500..1_000).contains(&id);
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
         node.now += 10.0;
         if sent {
             let (elapsed, outcome) =
-                if broken { (800.0, AttemptOutcome::TimedOut) } else { (30.0, AttemptOutcome::Served) };
+                if failing { (800.0, AttemptOutcome::TimedOut) } else { (30.0, AttemptOutcome::Served) };
             node.end(id, 0, elapsed, outcome);
         }
         if id >= 2_000 {
             last = (last.0 + usize::from(sent), last.1 + 1);
         }
     }
-    assert!(last.0 * 100 > last.1 * 95, "{last:?} sent long after the fault");
+    assert!(last.0 * 100 > last.1 * 95, "(sent, requests) long after the recovery: {last:?}");
 }
 
-/// While all answers are late, nodes try idle servers to learn when that ends. Many nodes must not try so often that
-/// the trials alone keep the servers overloaded.
+/// While all answers are late, nodes send trial requests to idle servers to notice the recovery. The trials
+/// of many nodes must not keep the servers overloaded.
 #[test]
-fn trials_of_many_nodes_stay_few() {
+fn many_nodes_send_few_trial_requests_while_answers_are_late() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (16, 1);
     let mut node = Node::new(settings, 1);
@@ -426,14 +431,14 @@
             trials += u32::from(id >= 2_000);
         }
     }
-    // Twenty seconds are fifty latency targets; sixteen nodes together may try each server some hundred times.
+    // Twenty seconds are fifty latency targets. Sixteen nodes together may send each server about 100 trials.
     assert!((10..=10 * 2 * 50 / 16 * 3 / 2).contains(&trials), "{trials} trials");
 }
 
-/// A node with few requests has few samples of each server: the slow ones of an overloaded start must lose their weight
-/// soon, or the node rejects requests that idle servers could serve.
+/// A node with few requests gets few latency samples of each server. The weight of samples from an overload
+/// must decay soon, else the node rejects requests that idle servers could serve.
 #[test]
-fn samples_of_an_overloaded_start_soon_lose_their_weight() {
+fn the_weight_of_latency_samples_from_an_overload_decays_within_two_seconds() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (12, 1);
     let mut node = Node::new(settings, 1);
@@ -444,7 +449,7 @@
         node.now += 10.0;
         let overloaded = id < 120;
         while in_flight.front().is_some_and(|(_, _, end)| *end <= node.now) {
-            let (id, elapsed, _) = in_flight.pop_front().expect("checked");
+            let (id, elapsed, _) = in_flight.pop_front().expect("an entry");
             node.end(id, 0, elapsed, AttemptOutcome::Served);
         }
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
@@ -452,7 +457,7 @@
             let elapsed = if overloaded { 600.0 } else { 50.0 };
             in_flight.push_back((id, elapsed, node.now + elapsed));
         }
-        // From two seconds after the end of the overload, for three seconds.
+        // Counts three seconds, beginning two seconds after the end of the overload.
         if (320..620).contains(&id) {
             requests += 1;
             rejections += u32::from(!sent);
@@ -461,7 +466,8 @@
     assert!(rejections * 4 < requests, "{rejections} of {requests} rejected because of old samples");
 }
 
-/// What discovery has published counts as announced: a node must poll again within the grace after a drain.
+/// What discovery has published counts as announced to the node, even if the push failed. The node must ask
+/// again within the drain grace.
 #[test]
 fn a_failed_push_is_retried_within_the_drain_grace() {
     for (grace, max_delay) in [(2_000.0, 500.0), (1_000.0, 250.0), (0.0, 50.0)] {
@@ -478,35 +484,35 @@
                     None
                 }
             };
-            let after = actions.iter().find_map(after).expect("it retries");
-            assert!(after > 0.0 && after <= max_delay, "{after} ms of {grace}");
+            let after = actions.iter().find_map(after).expect("a timer for the retry");
+            assert!(after > 0.0 && after <= max_delay, "retry after {after} ms, drain grace {grace} ms");
             node.now += after;
             assert_eq!(node.feed(BalancerEvent::TimerFired(0)), [BalancerAction::Subscribe]);
         }
     }
 }
 
-/// A retry must be sent within its deduplication window, also where its connection is slow to establish.
+/// A retry must be sent within its deduplication window, also if the connection is slow to establish.
 #[test]
-fn a_retry_has_a_time_limit_for_its_sending() {
+fn the_retry_of_a_keyed_request_must_be_sent_within_its_window() {
     let within = |actions: &[BalancerAction]| match actions[..] {
         [BalancerAction::Send { within_ms, .. }, ..] => within_ms,
         _ => panic!("not sent: {actions:?}"),
     };
     let keyed = keyed(DeduplicationScope::All, 1_000.0);
-    for (idempotency, repeat) in [(keyed, Some(700.0)), (Idempotency::Safe, None)] {
+    for (idempotency, limit) in [(keyed, Some(700.0)), (Idempotency::Safe, None)] {
         let mut node = Node::new(one_class(idempotency), 1);
         node.servers(ready(0..3));
         assert_eq!(within(&node.request(1, 0, 800.0)), None);
         node.now += 200.0;
-        assert_eq!(within(&node.end(1, 0, 200.0, AttemptOutcome::Error)), repeat);
-        // An attempt that did not run starts no window.
+        assert_eq!(within(&node.end(1, 0, 200.0, AttemptOutcome::Error)), limit);
+        // The window does not start with an attempt that did not run.
         assert_eq!(within(&node.request(2, 0, 800.0)), None);
         assert_eq!(within(&node.end(2, 0, 0.0, AttemptOutcome::Rejected)), None);
     }
 }
 
-/// A request whose client disconnected is not retried, however its attempt ends, also where an attempt may not be
+/// A request whose client disconnected is not retried, however its attempt ends, also if attempts may not be
 /// cancelled.
 #[test]
 fn nothing_is_sent_after_the_client_has_disconnected() {
@@ -533,11 +539,9 @@
     }
 }
 
-// ---- Overload
-
-/// Incident i007987: where each of hundreds of nodes sees a few requests a second, a bound that is all or nothing
-/// makes all of them reject everything, then nothing. Among many nodes, a node admits a fraction of the requests over
-/// the bound.
+/// Incident i007987: each of hundreds of nodes got a few requests per second, and with a fixed bound on the
+/// expected wait they all rejected every request, then none. Among many nodes, a node admits a fraction of
+/// the requests over the bound.
 #[test]
 fn among_many_nodes_a_fraction_of_the_requests_over_the_bound_is_admitted() {
     let mut settings = one_class(Idempotency::Safe);
@@ -553,12 +557,12 @@
         }
         sent += usize::from(admitted && id >= 100);
     }
-    // 340 ms are expected where 300 are the bound: neither all 300 nor none.
-    assert!((60..240).contains(&sent), "{sent} of 300");
+    // The expected wait is 340 ms, the bound 300 ms: some of the last 300 requests are sent, not all.
+    assert!((60..240).contains(&sent), "{sent} of 300 sent");
 }
 
 #[test]
-fn a_tenant_beyond_its_quota_is_rejected_first() {
+fn requests_beyond_the_quota_of_their_tenant_are_rejected_first() {
     let mut settings = one_class(Idempotency::Safe);
     settings.quotas_per_s = vec![1_000.0, 10.0];
     settings.over_quota_value = 0.1;
@@ -571,18 +575,19 @@
         let actions = node.feed(BalancerEvent::RequestArrived(request));
         rejections[tenant] += usize::from(rejected(&actions));
         node.now += 10.0;
-        // Two servers that each answer in 25 ms for every request in flight: near their limit.
+        // Each of the two servers takes 25 ms per request in flight, so both are close to their capacity.
         if id >= 4 {
             node.end(id - 4, 0, 100.0 + (id % 7) as f64 * 20.0, AttemptOutcome::Served);
         }
     }
-    assert!(rejections[1] > rejections[0], "{rejections:?}");
+    assert!(rejections[1] > rejections[0], "rejections by tenant: {rejections:?}");
 }
 
-/// Incident ie11f3d: with hundreds of nodes a tenant's share at one node is under one request a second, and a bucket
-/// too small for one token never had any: every tenant was beyond its quota at every node.
+/// Incident ie11f3d: among hundreds of nodes, a tenant's share of its quota at one node is below one request
+/// per second. The token bucket was too small for one token, so every tenant was beyond its quota at every
+/// node.
 #[test]
-fn a_share_of_a_quota_under_one_request_a_second_admits_requests() {
+fn a_quota_share_below_one_request_per_second_admits_requests() {
     let mut settings = one_class(Idempotency::Safe);
     settings.nodes = 800;
     settings.quotas_per_s = vec![400.0, 40.0];
@@ -592,20 +597,21 @@
     node.servers(ready(0..4));
     let mut rejections = [0; 2];
     for id in 0..2_000_u64 {
-        // One request in two seconds of the first tenant is within its share, of the second it is not.
+        // Each tenant sends one request every two seconds, within the first tenant's share but not the
+        // second's.
         let tenant = (id % 2) as usize;
         let request = ClientRequest { tenant, ..ClientRequest::new(RequestId(id), 0, 800.0) };
         rejections[tenant] += usize::from(rejected(&node.feed(BalancerEvent::RequestArrived(request))));
         node.now += 1_000.0;
         node.end(id, 0, 280.0, AttemptOutcome::Served);
     }
-    assert!(rejections[0] < 20 && rejections[1] > 400, "{rejections:?}");
+    assert!(rejections[0] < 20 && rejections[1] > 400, "rejections by tenant: {rejections:?}");
 }
 
-/// A class of low value with a long latency target could wait long; it must not fill the queues in which a class of
-/// higher value with a short target would be late.
+/// A class of low value with a long latency target could wait long. It must not fill the queues so that
+/// requests of a class of higher value with a short target are late.
 #[test]
-fn low_value_does_not_crowd_out_higher_value() {
+fn requests_of_low_value_are_rejected_before_those_of_higher_value() {
     let mut urgent = RequestClass::new(200.0, 2_000.0, Idempotency::Safe);
     urgent.value = 5.0;
     let mut settings =
@@ -624,34 +630,33 @@
             rejections[class] += 1;
         }
         node.now += 10.0;
-        // One answer in 20 ms is half of the requests; each waits for all requests before it.
+        // One answer every 20 ms serves half of the requests. Each request waits for all earlier ones.
         if id % 2 == 0 {
             if let Some((id, since)) = in_flight.pop_front() {
                 node.end(id, 0, node.now - since, AttemptOutcome::Served);
             }
         }
     }
-    assert!(rejections[1] > 2 * rejections[0], "{rejections:?}");
+    assert!(rejections[1] > 2 * rejections[0], "rejections by class: {rejections:?}");
 }
 
-// ---- Generated days
-
-/// Checks the four rules from events and actions alone, independently of the decisions.
+/// Checks the rules by events and actions alone, independently of the decision logic.
 struct Checker {
     settings: DecisionSettings,
     requests: BTreeMap<u64, RequestRecord>,
     servers: BTreeMap<usize, ServerEntry>,
-    /// When each server was announced as draining or removed, in milliseconds.
+    /// Time in ms when each server was announced as draining or removed.
     unavailable_since: BTreeMap<usize, f64>,
     grace_ms: f64,
 }
 
+/// State of one request, as far as the rules need it.
 struct RequestRecord {
     class: usize,
     deadline: f64,
     /// Server, time of sending in milliseconds, and outcome once it has ended.
     attempts: Vec<(usize, f64, Option<AttemptOutcome>)>,
-    /// Whether the final answer was given, or the client has disconnected.
+    /// Whether the final answer was given or the client has disconnected.
     done: bool,
 }
 
@@ -674,7 +679,8 @@
         }
     }
 
-    /// Records an event just before the decisions handle it.
+    /// Records an event before the balancer handles it. Completes the end of an attempt: whether the request
+    /// is done.
     fn record_event(&mut self, event: &mut BalancerEvent) {
         match event {
             BalancerEvent::AttemptEnded(attempt_end) => {
@@ -690,14 +696,16 @@
         }
     }
 
-    /// Checks an action, and records it.
+    /// Checks an action against the rules and records it.
     fn check_action(&mut self, now: f64, action: &BalancerAction) {
         match action {
             BalancerAction::Send { request, server, .. } => {
                 let unavailable_since = self.unavailable_since.get(&server.0);
                 assert!(
                     unavailable_since.is_none_or(|t| now <= t + self.grace_ms),
-                    "sent to a drained server"
+                    "request {} was sent to server {}, which is draining or removed",
+                    request.0,
+                    server.0
                 );
                 let target = self.servers.get(&server.0).expect("a listed server");
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
@@ -733,7 +741,7 @@
                         idempotency,
                         Idempotency::Safe | Idempotency::Keyed { group: DeduplicationScope::All, .. }
                     );
-                    assert!(harmless, "a rejection after the request may have run");
+                    assert!(harmless, "request {} was rejected although it may have run", request.0);
                 }
             }
             BalancerAction::Cancel { request, attempt } => {
@@ -742,7 +750,7 @@
             BalancerAction::Probe { server } => {
                 assert!(
                     self.settings.probes && self.servers.contains_key(&server.0),
-                    "a probe that is not allowed"
+                    "a probe that the settings forbid, or of an unknown server"
                 );
             }
             BalancerAction::Subscribe | BalancerAction::SetTimer { .. } | BalancerAction::Log(_) => {}
@@ -756,10 +764,10 @@
     }
 }
 
-/// Runs one valid day from a seed: changes of the list, outcomes of every kind, clients that disconnect. Returns the
-/// number of sends.
-#[allow(clippy::too_many_lines, reason = "the steps of one generated day, in their order")]
-fn generated_day(seed: u64) -> usize {
+/// Runs a valid sequence of events that is generated from a seed: changes of the server list, outcomes of
+/// every kind, clients that disconnect. Returns the number of sends.
+#[allow(clippy::too_many_lines, reason = "the steps of one generated sequence, in their order")]
+fn run_generated_events(seed: u64) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
     let groups = [DeduplicationScope::All, DeduplicationScope::Zone, DeduplicationScope::Cell];
     let mut settings = DecisionSettings::new(vec![
@@ -895,16 +903,16 @@
                 }
             }
         }
-        // Time advances in steps of up to 20 ms, which is the tolerance of the first rule.
+        // Time advances in steps of up to 20 ms, which is the tolerance for answers after the deadline.
         checker.check_deadlines(now - 20.0);
     }
     sends
 }
 
 #[test]
-fn generated_days_break_no_rule() {
-    let sends: usize = (0..72).map(generated_day).sum();
-    assert!(sends > 20_000, "{sends} sends are too few to be meaningful");
+fn generated_events_break_no_rule() {
+    let sends: usize = (0..72).map(run_generated_events).sum();
+    assert!(sends > 20_000, "{sends} sends are too few for a meaningful check");
 }
 
 /// Events about unknown requests, servers and timers have no effect.
@@ -926,5 +934,8 @@
     };
     assert!(node.feed(probed).is_empty());
     node.sent_to(1);
-    assert!(node.end(1, 9, 5.0, AttemptOutcome::Error).is_empty(), "an attempt that was never made");
+    assert!(
+        node.end(1, 9, 5.0, AttemptOutcome::Error).is_empty(),
+        "the end of an attempt that was never made is ignored"
+    );
 }
