--- a/crates/balancer-node/src/decisions/expectation.rs
+++ b/crates/balancer-node/src/decisions/expectation.rs
@@ -21,7 +21,7 @@
 pub(super) struct Baseline {
     now: f64,
     /// Latency and depth by all outcomes, and by recent outcomes alone.
-    lasting: LatencyAtDepth,
+    long_term: LatencyAtDepth,
     recent: LatencyAtDepth,
     /// Count that is assumed for a server without one.
     pub(super) count: f64,
@@ -61,8 +61,8 @@
         let mean = || counts().sum::<f64>() / counts().count().max(1) as f64;
         let use_level = self.signals.stale && self.signals.reports_arrive;
         let count = if use_level { estimates.load_level(now) } else { mean() };
-        let lasting = overall.blend(now, f64::INFINITY, unknown);
-        Baseline { now, lasting, recent: overall.blend(now, recent_half_life, recent_prior), count }
+        let long_term = overall.blend(now, f64::INFINITY, unknown);
+        Baseline { now, long_term, recent: overall.blend(now, recent_half_life, recent_prior), count }
     }
 
     /// Computes the expected wait, rank and health tier of a server for a request.
@@ -107,7 +107,7 @@
     /// Returns the expected count, latency and depth of a server at the time of `baseline`.
     fn expected(&self, server: &Server, baseline: &Baseline) -> (f64, LatencyAtDepth) {
         let (now, count) = (baseline.now, server.count.unwrap_or(baseline.count));
-        let prior = if self.signals.stale { baseline.lasting } else { baseline.recent };
+        let prior = if self.signals.stale { baseline.long_term } else { baseline.recent };
         let pace = server.pace.blend(now, self.pace_half_life(), prior);
         if !self.signals.stale {
             return (count, pace);
@@ -132,7 +132,7 @@
         match self.signals.probing {
             _ if self.signals.stale && self.signals.reports_arrive => count * latency / depth,
             true if count < 0.5 => 0.0,
-            true => (count + 1.0) * baseline.lasting.latency / baseline.lasting.depth,
+            true => (count + 1.0) * baseline.long_term.latency / baseline.long_term.depth,
             false => (server.in_flight + 1) as f64 * latency / depth,
         }
     }
--- a/crates/balancer-node/src/decisions/health.rs
+++ b/crates/balancer-node/src/decisions/health.rs
@@ -52,7 +52,7 @@
         use AttemptOutcome::{Cancelled, Error, NotSent, Rejected, Reset, Served, TimedOut, Unreachable};
         match end.outcome {
             Error | Unreachable | Reset => true,
-            // A timeout before the latency target is due to the client's short budget, not to the server.
+            // A timeout before the latency target does not indicate a failure of the server.
             TimedOut => end.elapsed_ms >= self.settings.classes[class].latency_target_ms,
             Cancelled => attempt.stalled,
             // A full server is busy, not unhealthy.
--- a/crates/balancer-node/src/wire/codec.rs
+++ b/crates/balancer-node/src/wire/codec.rs
@@ -27,7 +27,7 @@
 
 impl MessageCodec {
     /// Returns the number of a server. An unknown name is assigned the next number.
-    fn number_of(&mut self, name: &str) -> ServerId {
+    fn server_id(&mut self, name: &str) -> ServerId {
         if let Some(number) = self.numbers.get(name) {
             return ServerId(*number);
         }
@@ -85,7 +85,7 @@
                 Err(_) => return Ok(None),
             },
             "HEALTH" => BalancerEvent::ProbeEnded {
-                server: self.number_of(line.text("server")?),
+                server: self.server_id(line.text("server")?),
                 outcome: attempt_outcome(line)?,
                 report: self.load_report(line)?,
             },
@@ -122,7 +122,7 @@
             ));
         };
         let entry = |member: &super::RosterMember| ServerEntry {
-            server: self.number_of(&member.server),
+            server: self.server_id(&member.server),
             ..member.entry.clone()
         };
         let entries = roster.iter().map(entry).collect();
--- a/crates/balancer-node/src/wire/roster.rs
+++ b/crates/balancer-node/src/wire/roster.rs
@@ -12,7 +12,7 @@
 /// One entry of a roster. Its server has a name only: each instance assigns its own server numbers.
 #[derive(Clone, Debug)]
 pub struct RosterMember {
-    /// Name of the server, which is its address.
+    /// Name of the server, by which all instances refer to it.
     pub server: String,
     pub(super) entry: ServerEntry,
 }
--- a/crates/balancer-node/tests/golden.rs
+++ b/crates/balancer-node/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Compares what the node reads and writes with golden files. Names in the code may change, these formats may
-//! not. A missing file is a failure, unless `GOLDEN_WRITE=1` is set: then it is written. Existing files are never
-//! overwritten.
+//! Compares what the node reads and writes with golden files: protocol lines, settings, configuration, lists,
+//! load reports, messages. Names in the code may change, these formats may not. A missing file is a failure,
+//! unless `GOLDEN_WRITE=1` is set: then it is written. Existing files are never overwritten.
 
 mod net;
 
--- a/crates/balancer-node/tests/hsq.rs
+++ b/crates/balancer-node/tests/hsq.rs
@@ -65,14 +65,14 @@
 fn a_report_overwrites_the_count_of_its_server_only() {
     let mut node = node_with_equal_servers(3, long_target());
     // Each server gets one attempt, and reports a different load with its answer.
-    let at: Vec<usize> = (0..3).map(|id| node.sent_to(id)).collect();
+    let servers: Vec<usize> = (0..3).map(|id| node.sent_to(id)).collect();
     for (id, in_flight) in [(0, 9.0), (1, 2.0), (2, 9.0)] {
         node.now += 40.0;
         node.report(id, 0, 40.0, AttemptOutcome::Served, Some(in_flight));
     }
     // The count of the second server is now lower by 7 than the others: it gets the next requests.
-    assert_eq!(node.sent_to(100), at[1]);
-    assert_eq!(node.sent_to(101), at[1]);
+    assert_eq!(node.sent_to(100), servers[1]);
+    assert_eq!(node.sent_to(101), servers[1]);
 }
 
 #[test]
@@ -104,10 +104,10 @@
 fn answer_with_changing_reports(node: &mut Node) {
     let mut answers = [0; 2];
     for id in 500..560 {
-        let at = node.sent_to(id);
-        answers[at] += 1;
+        let server = node.sent_to(id);
+        answers[server] += 1;
         node.now += 100.0;
-        node.report(id, 0, 40.0, AttemptOutcome::Served, Some((1 + answers[at] / 2 % 2) as f64));
+        node.report(id, 0, 40.0, AttemptOutcome::Served, Some((1 + answers[server] / 2 % 2) as f64));
     }
 }
 
@@ -173,14 +173,14 @@
 #[test]
 fn a_server_without_a_report_starts_at_the_mean_of_the_others() {
     let mut node = node_with_equal_servers(2, long_target());
-    let at: Vec<usize> = (0..2).map(|id| node.sent_to(id)).collect();
+    let servers: Vec<usize> = (0..2).map(|id| node.sent_to(id)).collect();
     node.now += 40.0;
     node.report(0, 0, 40.0, AttemptOutcome::Served, Some(1.0));
     node.report(1, 0, 40.0, AttemptOutcome::Served, Some(9.0));
     node.servers(ready(0..3));
     // The counts are 1, 9 and, for the new server, their mean 5: the lowest is selected four times.
     for id in 100..104 {
-        assert_eq!(node.sent_to(id), at[0], "the new server was taken for idle");
+        assert_eq!(node.sent_to(id), servers[0], "the new server was taken for idle");
         node.end(id, 0, 40.0, AttemptOutcome::Served);
     }
 }
@@ -200,9 +200,9 @@
     node.servers(ready(0..2));
     let mut sent = [0; 2];
     for id in 0..300 {
-        let at = node.sent_to(id);
-        sent[at] += 1;
-        let elapsed = if at == 0 { 30.0 } else { 90.0 };
+        let server = node.sent_to(id);
+        sent[server] += 1;
+        let elapsed = if server == 0 { 30.0 } else { 90.0 };
         node.now += elapsed;
         node.report(id, 0, elapsed, AttemptOutcome::Served, Some(if id % 2 == 0 { 1.0 } else { 2.0 }));
     }
@@ -223,7 +223,7 @@
         subset.sort_unstable();
         subset.dedup();
         assert!(subset.len() <= 6, "{subset:?}");
-        subset.into_iter().for_each(|at| nodes_of[at] += 1);
+        subset.into_iter().for_each(|server| nodes_of[server] += 1);
     }
     assert!(nodes_of.iter().all(|n| (10..=20).contains(n)), "{nodes_of:?}");
 }
@@ -450,9 +450,15 @@
     entries[3].zone = 1;
     node.servers(entries);
     let sent: Vec<usize> = (0..4).map(|id| node.sent_to(id)).collect();
-    assert!(sent.iter().all(|at| *at >= 2), "a far server got one of the first four requests: {sent:?}");
+    assert!(
+        sent.iter().all(|server| *server >= 2),
+        "a far server got one of the first four requests: {sent:?}"
+    );
     let sent: Vec<usize> = (4..8).map(|id| node.sent_to(id)).collect();
-    assert!(sent.iter().any(|at| *at < 2), "no far server got one of the next four requests: {sent:?}");
+    assert!(
+        sent.iter().any(|server| *server < 2),
+        "no far server got one of the next four requests: {sent:?}"
+    );
 }
 
 /// Retries, and new requests after the ejection of all near servers, are sent to another zone.
@@ -468,7 +474,7 @@
         assert_eq!(node.sent_to(id), 2);
         node.now += 1.0;
         let further = node.end(id, 0, 1.0, AttemptOutcome::Unreachable);
-        assert!(send_of(&further).is_some_and(|at| at < 2), "{further:?}");
+        assert!(send_of(&further).is_some_and(|server| server < 2), "{further:?}");
         node.end(id, 1, 20.0, AttemptOutcome::Served);
     }
     assert!(node.sent_to(3) < 2);
--- a/crates/balancer-node/tests/many_nodes.rs
+++ b/crates/balancer-node/tests/many_nodes.rs
@@ -72,10 +72,10 @@
     node.servers(entries);
     let mut far = 0;
     for id in 0..400 {
-        let Some(at) = send_of(&node.request(id, 0, 390.0)) else { continue };
-        far += usize::from(id >= 200 && at >= 8);
+        let Some(server) = send_of(&node.request(id, 0, 390.0)) else { continue };
+        far += usize::from(id >= 200 && server >= 8);
         node.now += 25.0;
-        let in_flight = if at < 8 { 3.0 } else { 1.0 };
+        let in_flight = if server < 8 { 3.0 } else { 1.0 };
         node.report(id, 0, 20.0 * in_flight, AttemptOutcome::Served, Some(in_flight));
         node.now += 41.0;
     }
@@ -112,14 +112,17 @@
     let bad = node.sent_to(1_000);
     node.now += 2.0;
     let further = node.report(1_000, 0, 2.0, AttemptOutcome::Error, Some(0.0));
-    assert!(send_of(&further).is_some_and(|at| at != bad), "not retried at another server: {further:?}");
+    assert!(
+        send_of(&further).is_some_and(|server| server != bad),
+        "not retried at another server: {further:?}"
+    );
     node.now += 25.0;
     node.report(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
     let checked_until = node.now + 20.0 * LATENCY_TARGET;
     let mut id = 2_000;
     while node.now < checked_until {
-        let at = node.sent_to(id);
-        assert_ne!(at, bad, "sent to the ejected server, {} ms too early", checked_until - node.now);
+        let server = node.sent_to(id);
+        assert_ne!(server, bad, "sent to the ejected server, {} ms too early", checked_until - node.now);
         node.now += 25.0;
         node.report(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
         node.now += 41.0;
@@ -127,9 +130,9 @@
     }
     let tried = (id..id + 60).any(|id| {
         node.now += 66.0;
-        let at = node.sent_to(id);
+        let server = node.sent_to(id);
         node.report(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
-        at == bad
+        server == bad
     });
     assert!(tried, "the server got no trial request after its ejection");
 }
@@ -148,11 +151,11 @@
     node.servers(entries);
     let (mut to_warming, all) = (0, 3_000);
     for id in 0..all {
-        let at = node.sent_to(id);
-        to_warming += usize::from(at == 2);
+        let server = node.sent_to(id);
+        to_warming += usize::from(server == 2);
         node.now += 25.0;
         // The warming server sends no report; the others report one request in flight.
-        node.report(id, 0, 25.0, AttemptOutcome::Served, (at != 2).then_some(1.0));
+        node.report(id, 0, 25.0, AttemptOutcome::Served, (server != 2).then_some(1.0));
         node.now += 41.0;
     }
     // Slow start uses half of the overload factor 3, at half of a warm server's capacity, one of three
@@ -308,13 +311,16 @@
         count_rejections(&mut node, 0..60, 25.0, 1.0);
         let bad = node.sent_to(1_000);
         let further = node.report(1_000, 0, 2.0, AttemptOutcome::Reset, None);
-        assert!(send_of(&further).is_some_and(|at| at != bad), "not retried at another server: {further:?}");
+        assert!(
+            send_of(&further).is_some_and(|server| server != bad),
+            "not retried at another server: {further:?}"
+        );
         node.report(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
         let mut selected_again = false;
         for id in 2_000..2_012 {
             node.now += 66.0;
-            let Some(at) = send_of(&node.request(id, 0, 390.0)) else { continue };
-            selected_again |= at == bad;
+            let Some(server) = send_of(&node.request(id, 0, 390.0)) else { continue };
+            selected_again |= server == bad;
             // The other servers report more requests in flight than the failed one did before.
             node.report(id, 0, 25.0, AttemptOutcome::Served, Some(3.0));
         }
@@ -345,9 +351,9 @@
     node.report(1_000, 0, 50.0, AttemptOutcome::Served, Some(4.0));
     let requests = (2_000..).position(|id| {
         node.now += 33.0;
-        let Some(at) = send_of(&node.request(id, 0, 390.0)) else { return false };
+        let Some(server) = send_of(&node.request(id, 0, 390.0)) else { return false };
         node.report(id, 0, 50.0, AttemptOutcome::Served, Some(2.0));
-        at == loaded
+        server == loaded
     });
     requests.expect("an endless range") as u64
 }
