--- a/crates/balancer-node/src/interface/settings.rs
+++ b/crates/balancer-node/src/interface/settings.rs
@@ -161,7 +161,7 @@
 }
 
 impl DecisionSettings {
-    /// Creates settings for a single node with these classes and without restrictions.
+    /// Creates settings with these classes for a single node; all other settings get their defaults.
     #[must_use]
     pub fn new(classes: Vec<RequestClass>) -> Self {
         Self {
@@ -266,7 +266,7 @@
 }
 
 impl SettingsError {
-    /// Returns the key of the setting in the configuration file, which may differ from the field's name.
+    /// Returns the name of the setting for operators, which may differ from the name of the field.
     #[must_use]
     pub fn key(&self) -> &str {
         self.key
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -86,7 +86,10 @@
             let actions = node.end(1, 0, wait, AttemptOutcome::Error);
             assert!(!rejected(&actions), "rejected, although the request may have run");
             match send_of(&actions) {
-                Some(at) => assert!(may_retry && at / 2 == first / 2, "{wait} ms: {first} then {at}"),
+                Some(second) => assert!(
+                    may_retry && second / 2 == first / 2,
+                    "after {wait} ms: server {first}, then {second}"
+                ),
                 None => assert!(!may_retry && failed(&actions), "{wait} ms"),
             }
         }
@@ -175,7 +178,7 @@
     settings.warmup_overload_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
     node.servers(ready(0..10));
-    let mut at = BTreeMap::new();
+    let mut server_of = BTreeMap::new();
     let mut warming_sends = Vec::new();
     for id in 0..3_000 {
         if id == 1_500 {
@@ -183,14 +186,14 @@
             entries[10].started_at = Some(node.now);
             node.servers(entries);
         }
-        at.insert(id, node.sent_to(id));
-        if at[&id] == 10 {
+        server_of.insert(id, node.sent_to(id));
+        if server_of[&id] == 10 {
             warming_sends.push(node.now);
         }
         node.now += 4.0;
         if id >= 10 {
             // The warming server answers fast and reports almost no requests in flight.
-            let warming = at[&(id - 10)] == 10;
+            let warming = server_of[&(id - 10)] == 10;
             let in_flight = if warming { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
             let elapsed = if warming { 10.0 } else { 40.0 };
             node.report(id - 10, 0, elapsed, AttemptOutcome::Served, Some(in_flight));
@@ -240,10 +243,10 @@
         node.servers(entries);
         for id in 0..30 {
             node.now += 50.0;
-            let at = node.sent_to(id);
+            let server = node.sent_to(id);
             node.report(id, 0, 40.0, AttemptOutcome::Served, Some(1.0));
             sent += 1;
-            to_warming += usize::from(at == 7);
+            to_warming += usize::from(server == 7);
         }
     }
     // A warm server gets a tenth of all requests. The warming one has slightly more than a fifth of its
@@ -297,10 +300,10 @@
     let sends_to_first_server = |node: &mut Node, from: u64, faulty: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
-            let at = node.sent_to(id);
+            let server = node.sent_to(id);
             node.now += 10.0;
-            sent += usize::from(at == 0);
-            if faulty && at == 0 {
+            sent += usize::from(server == 0);
+            if faulty && server == 0 {
                 let retry = node.report(id, 0, 2.0, AttemptOutcome::Error, Some(0.0));
                 let attempt = usize::from(send_of(&retry).is_some());
                 node.end(id, attempt, 30.0, AttemptOutcome::Served);
@@ -325,11 +328,11 @@
     node.servers(ready(0..4));
     let mut unanswered = 0;
     for id in 0..600 {
-        let at = send_of(&node.request(id, 0, 800.0));
+        let server = send_of(&node.request(id, 0, 800.0));
         node.now += 10.0;
-        if id > 200 && at == Some(0) {
+        if id > 200 && server == Some(0) {
             unanswered += 1;
-        } else if at.is_some() {
+        } else if server.is_some() {
             node.report(id, 0, 30.0, AttemptOutcome::Served, Some((1 + id % 3) as f64));
         }
     }
@@ -351,10 +354,10 @@
         let mut node = Node::new(one_class(idempotency), 1);
         node.servers(ready(0..2));
         let ids = 1..=6;
-        let at: BTreeMap<u64, usize> = ids.clone().map(|id| (id, node.sent_to(id))).collect();
+        let server_of: BTreeMap<u64, usize> = ids.clone().map(|id| (id, node.sent_to(id))).collect();
         node.now += 20.0;
-        let stalled: Vec<u64> = ids.clone().filter(|id| at[id] == 0).collect();
-        for id in ids.filter(|id| at[id] == 1 || responsive && *id == stalled[0]) {
+        let stalled: Vec<u64> = ids.clone().filter(|id| server_of[id] == 0).collect();
+        for id in ids.filter(|id| server_of[id] == 1 || responsive && *id == stalled[0]) {
             node.end(id, 0, 20.0, AttemptOutcome::Served);
         }
         node.now += 700.0;
@@ -383,9 +386,15 @@
     node.servers(ready(0..2));
     let mut sent = [0; 2];
     for id in 1..=40 {
-        let at = node.sent_to(id);
-        sent[at] += 1;
-        node.report(id, 0, 20.0, AttemptOutcome::Served, Some(if at == 0 { 1e300 } else { f64::INFINITY }));
+        let server = node.sent_to(id);
+        sent[server] += 1;
+        node.report(
+            id,
+            0,
+            20.0,
+            AttemptOutcome::Served,
+            Some(if server == 0 { 1e300 } else { f64::INFINITY }),
+        );
     }
     assert_eq!(sent, [20, 20]);
 }
@@ -713,12 +722,12 @@
                 assert!(entry.attempts.len() < self.settings.max_attempts, "too many attempts");
                 assert!(entry.attempts.iter().all(|a| a.2.is_some()), "two attempts at once");
                 let ran = entry.attempts.iter().find(|a| a.2.is_none_or(AttemptOutcome::may_have_run));
-                if let Some((first, at, _)) = ran {
+                if let Some((first, sent_at, _)) = ran {
                     match self.settings.classes[entry.class].idempotency {
                         Idempotency::Safe => {}
                         Idempotency::Unsafe => panic!("an unsafe request was sent twice"),
                         Idempotency::Keyed { group, window_ms } => {
-                            assert!(now - at < window_ms, "retried past its window");
+                            assert!(now - sent_at < window_ms, "retried past its window");
                             let first = &self.servers[first];
                             assert!(match group {
                                 DeduplicationScope::All => true,
