--- a/crates/balancer-node/tests/many_nodes.rs
+++ b/crates/balancer-node/tests/many_nodes.rs
@@ -299,7 +299,7 @@
 }
 
 /// Guards against ejection rules made for many nodes: after one broken answer, each of two nodes ejected a
-/// server for 30 latency targets, and a fifth of the requests was rejected because of the remaining servers.
+/// server for 30 latency targets, and a fifth of the requests was rejected with the remaining servers.
 /// A node among few sends to each server often, and ejects it after the third failure in a row.
 #[test]
 fn one_failure_does_not_eject_a_server_among_few_nodes() {
@@ -330,7 +330,7 @@
 
 /// Guards against outdated reports that keep servers unused: each of two nodes sent nothing to four of nine
 /// servers because these had once reported a queue, and rejected requests because the servers in use were
-/// full. If a node among few stops sending to a server, most of its load is gone.
+/// full. If one of few nodes does not send to a server, only few other nodes do.
 #[test]
 fn given_a_server_that_reported_a_queue_when_the_others_stay_busy_then_it_is_soon_selected_again() {
     for nodes in [2, 3] {
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -29,8 +29,8 @@
     assert!(failed(&node.request(1, 7, 100.0)));
 }
 
-/// The hint is the expected latency (100 ms without samples), at most the limit of the settings. Without a
-/// limit, no hint is allowed.
+/// The hint is the expected latency (100 ms without samples), at most the limit of the settings. If the
+/// settings have no limit, no hint is allowed.
 #[test]
 fn a_rejection_has_a_retry_hint_if_the_settings_allow_one() {
     for (max, hint) in [(None, None), (Some(400.0), Some(100.0)), (Some(30.0), Some(30.0))] {
--- a/crates/balancer-node/tests/slow_start.rs
+++ b/crates/balancer-node/tests/slow_start.rs
@@ -36,8 +36,8 @@
     traffic: Vec<f64>,
     /// Request rate as a fraction of the capacity of all servers when warm.
     load: f64,
-    /// Servers that fail for the rest of the scenario, and servers that fail and restart after some
-    /// milliseconds.
+    /// Servers that fail for the rest of the scenario, and servers that fail and restart, each with the time
+    /// from the fault to its restart in milliseconds.
     failed_servers: Vec<usize>,
     starts: Vec<(usize, f64)>,
     /// Time from the fault to the server list without the failed servers, in milliseconds.
