--- a/crates/store-plane/src/lib.rs
+++ b/crates/store-plane/src/lib.rs
@@ -1,8 +1,8 @@
 //! Batch jobs on the store machines.
 //!
-//! A [`JobStore`] keeps the replicated logs of batch jobs and owns some of them; it sends each [`OwnedJob`] to the
-//! [`runner`], which runs its items at servers and appends their results to the log. Traffic nodes submit batch jobs
-//! and read results by a [`JobClient`].
+//! A [`JobStore`] keeps the replicated logs of batch jobs and owns some of them; it sends each [`OwnedJob`]
+//! to the [`runner`], which runs its items at model servers and appends their results to the log. Traffic
+//! nodes submit batch jobs and read results through a [`JobClient`].
 
 mod replication;
 pub mod runner;
--- a/crates/store-plane/src/replication/client/mod.rs
+++ b/crates/store-plane/src/replication/client/mod.rs
@@ -1,4 +1,5 @@
-//! The calls of traffic nodes about batch jobs: they find the owner among the replicas, and retry until a deadline.
+//! The calls of traffic nodes about batch jobs. Each call finds the owner among the replicas, and retries
+//! until a deadline.
 
 mod outcome;
 mod replica_selector;
@@ -25,14 +26,15 @@
 
 pub use outcome::{BodyOutcome, EndOutcome, ReadOutcome, SubmitOutcome};
 
-/// Timeout of all attempts of one call together, apart from the time that it waits for results.
+/// Timeout of all attempts of one call together, in addition to the duration of a long poll.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1400);
-/// Timeout of one attempt.
+/// Timeout of one attempt, in addition to the duration of a long poll.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(650);
-/// Timeout of one attempt to submit, which may take longer: the body is sent twice and written twice.
+/// Timeout of one attempt to submit a batch job. It is longer because the body is sent twice, to the owner
+/// and from there to the replicas, and written twice.
 const SUBMIT_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Makes calls about batch jobs to the stores that keep them. Clones share what is remembered of the stores.
+/// Makes calls about batch jobs to the stores that keep them. Clones share the cached knowledge about stores.
 #[derive(Clone)]
 pub struct JobClient {
     rpc: rpc::Client,
@@ -41,13 +43,13 @@
 }
 
 impl JobClient {
-    /// A client that finds the stores in `view`.
+    /// Creates a client that takes the stores from `view`.
     #[must_use]
     pub fn new(rpc: rpc::Client, view: watch::Receiver<Arc<View>>) -> Self {
         Self { rpc, view, cache: Arc::default() }
     }
 
-    /// Submits a batch job. Idempotent: a batch job with the same id is accepted once.
+    /// Submits a batch job. Idempotent: a batch job with the same id is accepted only once.
     pub async fn submit(&self, host: Arc<str>, path: Arc<str>, job: JobId, body: Bytes) -> SubmitOutcome {
         let mut submission = Submission { host, path, body, timeout_ms: 0 };
         let mut selector = self.select_replicas(&job, CALL_TIMEOUT);
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Reads results from position `after` on; waits for one at most `long_poll` if there is none yet.
+    /// Reads results from position `after` on. If there is none yet, waits for one at most `long_poll`.
     pub async fn read(&self, job: JobId, after: u64, long_poll: Duration) -> ReadOutcome {
         let long_poll_ms = u64::try_from(long_poll.as_millis()).unwrap_or(0);
         let request = ReadRequest { after, long_poll_ms };
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The decoded body of an item.
+    /// Reads the decoded body of an item.
     pub async fn body(&self, job: JobId, item: &str) -> BodyOutcome {
         match self.call_owner(BODY_PATH, job, &item.to_owned(), Duration::ZERO).await {
             OwnerReply::Success(Some(body)) => BodyOutcome::Body(body),
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Ends a batch job. Idempotent.
+    /// Ends a batch job, so that no more items are run and no more results accepted. Idempotent.
     pub async fn end(&self, job: JobId) -> EndOutcome {
         match self.call_owner(END_PATH, job, &(), Duration::ZERO).await {
             OwnerReply::Success(()) => EndOutcome::Ended,
@@ -103,8 +105,9 @@
         }
     }
 
-    /// Sends a request to one store after the other until one gives a definite answer. `long_poll` is added to the
-    /// timeouts, since a store may wait that long before it answers.
+    /// Sends a request to one store after the other until one gives a definite answer; returns `Unknown` if
+    /// none does in time. `long_poll` is added to the timeouts, since a store may wait that long before it
+    /// answers.
     async fn call_owner<Request, T>(
         &self,
         path: &str,
@@ -131,6 +134,7 @@
         OwnerReply::Unknown
     }
 
+    /// Makes one attempt at a store, and updates the routing cache by its outcome.
     async fn send_request<Request, Reply>(
         &self,
         store: &StoreMember,
@@ -153,6 +157,8 @@
         reply
     }
 
+    /// Creates the selector for a call about a batch job: replicas that recently failed to answer come last,
+    /// and all members of the present and the previous store set can be reached by redirects.
     fn select_replicas(&self, job: &JobId, timeout: Duration) -> ReplicaSelector {
         let view = Arc::clone(&self.view.borrow());
         let control = &view.control;
--- a/crates/store-plane/src/replication/client/outcome.rs
+++ b/crates/store-plane/src/replication/client/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes of the calls of a [`JobClient`](super::JobClient).
+//! The outcomes of the calls of a [`JobClient`](super::JobClient).
 
 use batch::JobError;
 use bytes::Bytes;
@@ -8,20 +8,20 @@
 /// The outcome of submitting a batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// The batch job is durable: it will be run and its results kept.
+    /// The batch job is durable: its items will be run and its results kept.
     Accepted,
     /// The body is not a valid batch job.
     Invalid(JobError),
-    /// Nothing of the batch job was stored, and none of it will ever run on account of this call.
+    /// The batch job was not stored: no item of it will ever run because of this call.
     NotAccepted,
-    /// The batch job may have been accepted.
+    /// No store gave a definite answer in time; the batch job may have been accepted.
     Unknown,
 }
 
 /// The outcome of reading results.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The results.
+    /// The results from the requested position on; empty if none was committed within the long poll.
     Page(ResultPage),
     /// There is no such batch job.
     NoSuchJob,
@@ -43,7 +43,7 @@
 /// The outcome of ending a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndOutcome {
-    /// It is ended, durably.
+    /// The end of the batch job is durable.
     Ended,
     /// There is no such batch job.
     NoSuchJob,
--- a/crates/store-plane/src/replication/client/replica_selector.rs
+++ b/crates/store-plane/src/replication/client/replica_selector.rs
@@ -1,4 +1,4 @@
-//! Which store a call about a batch job goes to next.
+//! Selects the store for the next attempt of a call about a batch job.
 
 use std::time::Duration;
 
@@ -6,27 +6,30 @@
 use state::StoreMember;
 use tokio::time::Instant;
 
-/// Pause before the replicas are called once more, when all were called in vain.
+/// Pause before the next round, after all replicas were called without a definite answer. A round calls each
+/// replica once.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// No store is called with less time than this left.
+/// Minimum time until the deadline of the call that is needed to start another attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(300);
-/// Calls of one round after which a redirect to the same store is ignored.
+/// Number of calls to a store in one round after which further redirects to it are ignored.
 const MAX_CALLS_PER_STORE: usize = 2;
 
-/// The stores that the attempts of one call may go to.
+/// The stores to which the attempts of one call may be sent.
 pub(super) struct ReplicaSelector {
     stores: Vec<StoreMember>,
-    /// The store that the next attempt goes to, by a redirect or since it was the owner before.
+    /// The store for the next attempt: the one named by a redirect or, at first, the last known owner.
     redirect: Option<StoreId>,
-    /// Stores that were called in this round, and those of `only_by_redirect`.
+    /// The stores that were called in this round, one entry for each call, and the stores of
+    /// `only_by_redirect`.
     attempted: Vec<StoreId>,
-    /// Stores that are no replicas of the batch job: they are only called after a redirect.
+    /// Stores that are not replicas of the batch job; they are only called after a redirect.
     only_by_redirect: Vec<StoreId>,
     deadline: Instant,
 }
 
 impl ReplicaSelector {
-    /// Selects among `replicas` in their order, after `owner` if that is known, and among `others` by redirects.
+    /// Creates a selector that returns `owner` first if it is known, then `replicas` in their order. Stores
+    /// of `others` are returned only after a redirect. `timeout` limits all attempts together.
     pub fn new(
         replicas: Vec<StoreMember>,
         others: Vec<StoreMember>,
@@ -47,8 +50,9 @@
         }
     }
 
-    /// The store to call next: the one that a redirect names, then each replica once, and all of them again after a
-    /// pause. `None` once too little time is left.
+    /// Returns the store to call next: the target of a redirect, or else a replica that was not called in
+    /// this round. If there is none, starts a new round after a pause. Returns `None` once less than
+    /// [`MIN_ATTEMPT_TIME`] is left.
     pub async fn next_store(&mut self) -> Option<StoreMember> {
         let store = match self.select() {
             Some(store) => store,
@@ -75,7 +79,8 @@
         self.stores.iter().find(|store| condition(store)).cloned()
     }
 
-    /// Lets the next attempt go to the store that another one named, unless that has been tried often enough.
+    /// Sends the next attempt to `store`, which another store named as the owner, unless it was called
+    /// [`MAX_CALLS_PER_STORE`] times in this round.
     pub fn redirect_to(&mut self, store: StoreId) {
         let calls = self.attempted.iter().filter(|attempted| **attempted == store).count();
         if calls < MAX_CALLS_PER_STORE {
@@ -83,7 +88,7 @@
         }
     }
 
-    /// The time until the deadline of the call.
+    /// Returns the time until the deadline of the call.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
--- a/crates/store-plane/src/replication/client/routing_cache.rs
+++ b/crates/store-plane/src/replication/client/routing_cache.rs
@@ -1,4 +1,4 @@
-//! What a traffic node remembers about stores between its calls.
+//! Caches what a traffic node learned about stores from its earlier calls.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,24 +7,27 @@
 use batch::{JobId, StoreId};
 use tokio::time::Instant;
 
-/// A store that did not answer is called last for this long.
+/// Time during which a store that failed to answer is called after the other replicas.
 const SUSPECT_TTL: Duration = Duration::from_secs(2);
-/// Owners that are remembered; when there are more, all are forgotten.
+/// Maximum number of cached owners; when it is reached, all are removed.
 const MAX_CACHED_OWNERS: usize = 4096;
 
-/// The last known owners of batch jobs, and the stores that failed to answer. Only hints: a wrong one costs a redirect.
+/// The last known owners of batch jobs, and the stores that failed to answer. The entries are only hints: a
+/// wrong owner costs one more attempt.
 #[derive(Default)]
 pub(super) struct RoutingCache {
     owners: HashMap<JobId, StoreId>,
-    /// When a store last failed to answer.
+    /// When each store last failed to answer; removed when it answers.
     suspects: HashMap<StoreId, Instant>,
 }
 
 impl RoutingCache {
+    /// Returns the last known owner of a batch job.
     pub fn owner(&self, job: &str) -> Option<StoreId> {
         self.owners.get(job).copied()
     }
 
+    /// Caches the owner of a batch job, which has answered a call.
     pub fn record_owner(&mut self, job: &JobId, owner: StoreId) {
         if self.owners.len() >= MAX_CACHED_OWNERS {
             self.owners.clear();
@@ -32,15 +35,18 @@
         self.owners.insert(Arc::clone(job), owner);
     }
 
+    /// Returns whether a store has failed to answer within [`SUSPECT_TTL`] and not answered since.
     pub fn is_suspect(&self, store: StoreId) -> bool {
         self.suspects.get(&store).is_some_and(|since| since.elapsed() < SUSPECT_TTL)
     }
 
+    /// Handles that a store has answered a call.
     pub fn on_answer(&mut self, store: StoreId) {
         self.suspects.remove(&store);
     }
 
-    /// A call about a batch job to a store failed.
+    /// Handles that a call to a store about a batch job has failed: the owner of the batch job is unknown
+    /// again.
     pub fn on_failure(&mut self, store: StoreId, job: &str) {
         self.suspects.insert(store, Instant::now());
         self.owners.remove(job);
--- a/crates/store-plane/src/replication/handover.rs
+++ b/crates/store-plane/src/replication/handover.rs
@@ -1,4 +1,5 @@
-//! Hand-over: a store that is about to exit passes its ownerships on, instead of letting other stores time out.
+//! Hand-over: a store that is about to exit passes its ownerships on to other stores, which otherwise would
+//! take the batch jobs over only after a timeout.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +13,12 @@
 
 /// Timeout of the notice to one replica that an ownership has ended.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Timeout of the call to one successor.
+/// Timeout of the request to one store to take a batch job over.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl StoreNode {
-    /// Gives up every batch job that this store owns, owns none from now on, and asks the next replica of each to take
-    /// it over.
+    /// Releases all batch jobs that this store owns, stops claiming batch jobs, and asks the next replica
+    /// of each to take it over.
     pub async fn hand_over_jobs(&self) {
         let jobs = self.lock().ownerships.drain();
         log::info!(batch_jobs = jobs.len(); "handing batch jobs over");
@@ -30,8 +31,8 @@
         join_all(jobs.iter().map(|job| self.hand_over(job, successors(job)))).await;
     }
 
-    /// Notifies all replicas that the ownership has ended, then calls one successor after the other, until one has
-    /// acknowledged.
+    /// Notifies all other replicas that the ownership has ended, then asks them to take the batch job
+    /// over, one after the other, until one acknowledges.
     async fn hand_over(&self, job: &JobId, successors: Vec<StoreId>) {
         join_all(successors.iter().map(|store| self.notify_released(job, *store))).await;
         for store in successors {
@@ -47,7 +48,8 @@
         log::warn!("no store acknowledged the hand-over of batch job {job}");
     }
 
-    /// A replica that does not learn of it in time lets the next owner wait until the lease would have ended.
+    /// Notifies a replica that this store no longer answers reads. A failure is ignored: a replica without
+    /// the notice delays its promise to the next owner until the read lease would have ended.
     async fn notify_released(&self, job: &JobId, store: StoreId) {
         let Some(address) = self.address_of(store) else { return };
         let request = ReleaseNotice { from: self.id() };
@@ -56,7 +58,7 @@
         drop(notified);
     }
 
-    /// The owner of a batch job has given it up.
+    /// Handles the notice that the owner `from` has given a batch job up. Ignored if `from` is not the owner.
     pub fn on_released(&self, job: &JobId, from: StoreId) {
         let mut state = self.lock();
         let owner = state.replica.log(job).map(|log| log.promised.owner);
--- a/crates/store-plane/src/replication/heartbeat.rs
+++ b/crates/store-plane/src/replication/heartbeat.rs
@@ -1,5 +1,6 @@
-//! Heartbeats: once a maintenance round, each store sends one message to each other store, about all batch jobs that it
-//! owns and the other one keeps. The replies renew its leases, and tell which replicas lack entries.
+//! Heartbeats: in each maintenance round, a store sends one message to each store that keeps batch jobs which
+//! the sender owns, about all of these batch jobs. The replies renew the owner's leases and show which
+//! replicas lack entries.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,12 +13,12 @@
 use super::node::StoreNode;
 use super::state::ReplicationState;
 
-/// Timeout of a heartbeat.
+/// Timeout of the call that sends a heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl StoreNode {
-    /// Sends a heartbeat to each store that keeps a batch job that this one owns, and to each unreachable one to find
-    /// out whether it answers again. Stores whose last heartbeat is still in flight are left out.
+    /// Sends a heartbeat to each store that keeps a batch job that this store owns, and to each unreachable
+    /// store to detect when it answers again. Skips stores whose previous heartbeat is still in flight.
     pub fn send_heartbeats(self: &Arc<Self>) {
         let due = self.lock().heartbeats_due();
         for (store, jobs) in due {
@@ -26,7 +27,8 @@
         }
     }
 
-    /// Sends one heartbeat and handles the answer. This store counts as a replica of its own batch jobs.
+    /// Sends one heartbeat and handles the answer. This store is a replica of its own batch jobs, so it
+    /// answers its own heartbeat as well.
     async fn send_heartbeat(self: Arc<Self>, store: StoreId, jobs: Vec<JobHeartbeat>) {
         let sent = Instant::now();
         let heartbeat = Heartbeat { to: store, jobs };
@@ -46,6 +48,8 @@
         }
     }
 
+    /// Passes the reply about one batch job to its ownership. `sent` is when the heartbeat was sent; the
+    /// lease is counted from then.
     fn on_heartbeat_reply(
         self: &Arc<Self>,
         store: StoreId,
@@ -64,7 +68,7 @@
         });
     }
 
-    /// Answers the heartbeat of an owner.
+    /// Answers the heartbeat of another store, or of this store itself.
     pub fn answer_heartbeat(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
         let mut state = self.lock();
         let now = Instant::now();
@@ -74,7 +78,7 @@
 }
 
 impl ReplicationState {
-    /// The heartbeats to send now, which are in flight from now on.
+    /// Returns the heartbeats to send now, by store, and marks them as in flight.
     fn heartbeats_due(&mut self) -> BTreeMap<StoreId, Vec<JobHeartbeat>> {
         let mut heartbeats: BTreeMap<StoreId, Vec<JobHeartbeat>> =
             self.peers.unreachable().map(|store| (store, Vec::new())).collect();
@@ -96,7 +100,8 @@
         heartbeats
     }
 
-    /// Answers the part of a heartbeat about one batch job; `None` while its records are not durable.
+    /// Answers the part of a heartbeat about one batch job; `None` while records of the batch job are not
+    /// durable here.
     fn answer_job_heartbeat(&mut self, heartbeat: &JobHeartbeat, now: Instant) -> Option<JobHeartbeatReply> {
         let reply = self.replica.check_append(&heartbeat.job, heartbeat.term, heartbeat.length);
         if !matches!(reply, ReplicaReply::Rejected { .. }) {
@@ -114,7 +119,7 @@
 }
 
 impl JobHeartbeat {
-    /// The reply of a replica that has the complete log.
+    /// Returns the reply of a replica that has the complete log.
     fn up_to_date(&self) -> ReplicaReply {
         ReplicaReply::Appended { term: self.term, length: self.length }
     }
--- a/crates/store-plane/src/replication/journal.rs
+++ b/crates/store-plane/src/replication/journal.rs
@@ -1,4 +1,4 @@
-//! What the replication needs of a disk: an append-only ring of records.
+//! The interface of the replication to the disk: an append-only ring of records.
 
 use std::fmt;
 use std::future::Future;
@@ -16,18 +16,19 @@
 
 impl std::error::Error for JournalFailed {}
 
-/// The future of an append: the record's position, once it is durable.
+/// The future of an append; returns the position of the record once it is durable.
 pub type Appended = Pin<Box<dyn Future<Output = Result<u64, JournalFailed>> + Send>>;
 
-/// A ring of records on a disk. Positions increase.
+/// A ring of records on a disk. The positions of appended records increase.
 pub trait RecordJournal: Send + Sync + 'static {
-    /// Appends a record, in the order of the calls; ready when it is durable.
+    /// Appends a record; records are written in the order of the calls. The future completes when it is
+    /// durable.
     fn append(&self, record: Vec<u8>) -> Appended;
 
-    /// Frees all records before a position.
+    /// Frees the space of all records before a position.
     fn release(&self, before: u64);
 
-    /// The part of the ring that is in use, from 0 to 1.
+    /// Returns the fraction of the ring that is in use, from 0 to 1.
     fn fill(&self) -> f64;
 }
 
--- a/crates/store-plane/src/replication/log_entries.rs
+++ b/crates/store-plane/src/replication/log_entries.rs
@@ -4,7 +4,7 @@
 
 use batch::{Entry, ItemResult, Job, SubmittedJob};
 
-/// The results among `entries`, in the order in which they were appended.
+/// Returns the results among `entries`, in the order in which they were appended.
 pub(super) fn results(entries: &[Arc<Entry>]) -> impl Iterator<Item = &ItemResult> {
     entries.iter().filter_map(|entry| match &**entry {
         Entry::Result(result) => Some(result),
@@ -12,7 +12,8 @@
     })
 }
 
-/// The batch job as it was submitted, which is the first entry of its log.
+/// Returns the batch job as it was submitted, which is the first entry of its log; `None` if the log is
+/// empty.
 pub(super) fn submitted_job(entries: &[Arc<Entry>]) -> Option<&SubmittedJob> {
     match &**entries.first()? {
         Entry::Job(submitted) => Some(submitted),
@@ -20,12 +21,13 @@
     }
 }
 
-/// Whether the trainer ended the batch job.
+/// Returns whether the trainer has ended the batch job: the end is the last entry of a log.
 pub(super) fn is_ended(entries: &[Arc<Entry>]) -> bool {
     entries.last().is_some_and(|entry| matches!(**entry, Entry::End))
 }
 
-/// Whether `entries` make `wanted` superfluous: an item has one result, and a batch job is submitted and ended once.
+/// Returns whether `entries` make the addition of `entry` redundant: a log has one result for each item, one
+/// submission and one end.
 pub(super) fn contains(entries: &[Arc<Entry>], entry: &Entry) -> bool {
     match entry {
         Entry::Result(result) => results(entries).any(|other| other.id == result.id),
@@ -34,7 +36,7 @@
     }
 }
 
-/// Whether an entry may stand in the log of `job`: a result must be of one of its items.
+/// Returns whether the log of `job` may contain an entry: a result must belong to one of the job's items.
 pub(super) fn belongs_to(job: &Job, entry: &Entry) -> bool {
     match entry {
         Entry::Result(result) => job.items.iter().any(|item| item.id == result.id),
--- a/crates/store-plane/src/replication/maintenance/compaction.rs
+++ b/crates/store-plane/src/replication/maintenance/compaction.rs
@@ -1,18 +1,19 @@
-//! Compaction of the journal: it is a ring, so old records that are still needed are written again at its head.
+//! Compaction of the journal. The journal is a ring, so old records that are still needed are written again
+//! at its head before their space is released.
 
 use batch::Record;
 
 use super::super::node::StoreNode;
 use super::super::state::ReplicationState;
 
-/// Compaction begins when more than this part of the journal is in use.
+/// Fraction of the journal in use above which compaction starts.
 const COMPACTION_THRESHOLD: f64 = 0.6;
-/// At most this many batch jobs are written again in one round.
+/// Maximum number of batch jobs whose snapshots are written in one maintenance round.
 const MAX_SNAPSHOTS_PER_ROUND: usize = 8;
 
 impl StoreNode {
-    /// Writes snapshots of the batch jobs with the oldest records once the journal is filling up, and releases what no
-    /// batch job needs any more.
+    /// Writes snapshots of the batch jobs with the oldest records if the journal is too full, and releases
+    /// the records that are no longer needed.
     pub fn compact(&self) {
         let mut state = self.lock();
         if self.journal.fill() > COMPACTION_THRESHOLD {
@@ -27,8 +28,8 @@
 }
 
 impl ReplicationState {
-    /// Queues snapshots, and the epoch, behind all earlier records. Nobody waits for them: the old records are released
-    /// only once the new ones are durable.
+    /// Queues snapshots and the epoch behind all earlier records. Does not wait until they are durable, since
+    /// the old records are released only after that.
     fn write_snapshots(&mut self) {
         for job in self.durability.jobs_with_oldest_records(MAX_SNAPSHOTS_PER_ROUND) {
             if !self.durability.has_pending_writes(&job) {
--- a/crates/store-plane/src/replication/maintenance/migration.rs
+++ b/crates/store-plane/src/replication/maintenance/migration.rs
@@ -1,4 +1,5 @@
-//! Migration of batch jobs to a new store set: owners claim them again, replicas that are left out pass them on.
+//! Migration of batch jobs to a new store set: owners claim them again, and stores that are no longer
+//! replicas pass them on to present replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +17,8 @@
 const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl StoreNode {
-    /// Rejects owners of older epochs from now on, and claims what this store owns again under the present store set.
+    /// Rejects owners of older epochs from now on, and claims the batch jobs that this store owns again under
+    /// the present store set.
     pub fn adopt_store_set(self: &Arc<Self>, view: &View) {
         let epoch = view.control.stores.epoch;
         let mut state = self.lock();
@@ -30,8 +32,8 @@
         }
     }
 
-    /// Claims a batch job of this store under the present store set; gives it up if this store is not to keep it any
-    /// more.
+    /// Claims a batch job that this store owns under the present store set; releases it if this store is no
+    /// longer one of its replicas.
     fn claim_again(&self, state: &mut ReplicationState, view: &View, job: &JobId) {
         let replicas = self.replica_set(view, job);
         let claim = replicas.and_then(|replicas| self.new_claim(state, view, job, replicas));
@@ -41,8 +43,8 @@
         }
     }
 
-    /// Where this store holds a batch job of an older store set and is no replica any more, asks a present replica to
-    /// take the batch job over.
+    /// Asks present replicas to take over the batch jobs of older store sets which this store holds
+    /// although it is no longer a replica of them.
     pub fn notify_new_replicas(self: &Arc<Self>, view: &View) {
         let requests = self.takeover_requests(&self.lock(), view);
         for (job, store) in requests {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The batch jobs to pass on, each with a present replica drawn at random.
+    /// Returns the batch jobs to pass on, each with a present replica drawn at random.
     fn takeover_requests(&self, state: &ReplicationState, view: &View) -> Vec<(JobId, StoreId)> {
         let epoch = view.control.stores.epoch;
         let to_pass_on = state.replica.logs().filter(|(job, log)| {
@@ -70,8 +72,9 @@
         requests.collect()
     }
 
-    /// Lets a store that is no replica any more drop its log, if this store owns the batch job and has committed it.
-    /// A store that missed the migration learns of it in no other way, and would never report its own as complete.
+    /// Asks the store `from`, if it is no longer a replica, to delete its log of a batch job which this
+    /// store owns and has committed. Returns whether it did so. Otherwise a store that missed the
+    /// migration would keep the log and never report its own migration as complete.
     pub fn delete_at_former_replica(self: &Arc<Self>, job: &JobId, from: StoreId) -> bool {
         let term = {
             let state = self.lock();
@@ -87,7 +90,7 @@
         true
     }
 
-    /// How far the migration to the present store set is.
+    /// Returns the progress of this store in migrating its batch jobs to the present store set.
     pub fn migration_status(&self) -> MigrationStatus {
         let epoch = self.current_view().control.stores.epoch;
         let state = self.lock();
@@ -97,7 +100,7 @@
 }
 
 impl ReplicationState {
-    /// Whether all logs that this store holds are committed under `epoch` or a later one.
+    /// Returns whether all logs that this store holds are committed under `epoch` or a later one.
     fn is_migrated(&self, epoch: u64) -> bool {
         let is_committed = |job: &JobId| {
             let is_owned = self.ownerships.get(job).is_some_and(|owned| owned.ownership.is_established());
--- a/crates/store-plane/src/replication/maintenance/mod.rs
+++ b/crates/store-plane/src/replication/maintenance/mod.rs
@@ -1,4 +1,5 @@
-//! Background maintenance of a store: one round each [`MAINTENANCE_INTERVAL`] and whenever the store set changes.
+//! Background maintenance of a store: one round every [`MAINTENANCE_INTERVAL`] and whenever the store set
+//! changes.
 
 mod compaction;
 mod migration;
@@ -12,13 +13,14 @@
 
 use super::node::StoreNode;
 
-/// Time between two rounds, and thus between two heartbeats of an owner.
+/// Time between two maintenance rounds, and thus between two heartbeats of an owner.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(300);
-/// Batch jobs that are claimed, or passed on to other stores, in one round; more would only slow each other.
+/// Maximum number of batch jobs that are claimed, or passed on to other stores, in one round. More would only
+/// slow each other down.
 const MAX_CLAIMS_PER_ROUND: usize = 16;
 
 impl StoreNode {
-    /// Does the maintenance until dropped.
+    /// Runs the maintenance until dropped.
     pub async fn run_maintenance(self: &Arc<Self>) {
         let mut view = self.view.clone();
         let mut ticks = tokio::time::interval(MAINTENANCE_INTERVAL);
@@ -39,6 +41,7 @@
         }
     }
 
+    /// Runs one maintenance round under the newest view.
     fn run_round(self: &Arc<Self>) {
         let view = self.current_view();
         self.adopt_store_set(&view);
@@ -51,7 +54,7 @@
         self.compact();
     }
 
-    /// Sends again what got no reply, and what became due since.
+    /// Repeats requests that got no reply, and sends those that have become due.
     fn send_all_due_requests(self: &Arc<Self>) {
         let jobs = self.lock().ownerships.jobs_where(|_| true);
         jobs.iter().for_each(|job| self.send_due_requests(job));
--- a/crates/store-plane/src/replication/maintenance/retention.rs
+++ b/crates/store-plane/src/replication/maintenance/retention.rs
@@ -1,4 +1,4 @@
-//! Retention: drops batch jobs whose results need no longer be readable.
+//! Retention: deletes batch jobs whose results need no longer be readable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,13 +9,14 @@
 use super::super::node::StoreNode;
 use super::super::state::{OwnedEntry, ReplicationState};
 
-/// An ended batch job is retained for the time that its results must be readable, plus that time divided by this.
+/// An ended batch job is retained for the time during which its results must be readable, plus that time
+/// divided by this.
 const RETENTION_MARGIN_DIVISOR: u32 = 2;
-/// A batch job that has all results, but that its trainer did not end, is retained this many times as long as an ended
-/// one.
+/// Retention of a batch job that has all results but was not ended by its trainer, as a multiple of the
+/// retention of an ended one.
 const UNENDED_RETENTION_FACTOR: u32 = 8;
 
-/// A batch job to drop.
+/// A batch job to delete, with the request to its replicas.
 struct ExpiredJob {
     job: JobId,
     replicas: Vec<StoreId>,
@@ -23,7 +24,7 @@
 }
 
 impl StoreNode {
-    /// Gives up expired batch jobs, and lets their replicas drop them.
+    /// Releases expired batch jobs and asks their replicas to delete them.
     pub fn delete_expired(self: &Arc<Self>) {
         let result_retention = self.limits.result_retention;
         let retention = result_retention + result_retention / RETENTION_MARGIN_DIVISOR;
@@ -39,7 +40,7 @@
 }
 
 impl ReplicationState {
-    /// The batch jobs of this store that have expired; `retention` is that of an ended one.
+    /// Returns the owned batch jobs that have expired; `retention` is the retention of ended ones.
     fn expired_jobs(&self, retention: Duration) -> Vec<ExpiredJob> {
         let now = Instant::now();
         let owned_jobs = self.ownerships.iter();
@@ -53,6 +54,8 @@
     }
 }
 
+/// Returns whether a batch job of this age may be deleted. One that lacks results and was not ended never
+/// expires here.
 fn is_expired(owned: &OwnedEntry, age: Duration, retention: Duration) -> bool {
     let is_ended_and_old = owned.is_ended() && age > retention;
     is_ended_and_old || (owned.has_all_results() && age > retention * UNENDED_RETENTION_FACTOR)
--- a/crates/store-plane/src/replication/maintenance/takeover.rs
+++ b/crates/store-plane/src/replication/maintenance/takeover.rs
@@ -1,4 +1,5 @@
-//! Take-over: claims batch jobs whose owner failed or handed them over, and gives up ownerships that lost their lease.
+//! Take-over: claims batch jobs whose owner failed or handed them over, and releases ownerships whose lease
+//! has expired.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,29 +14,30 @@
 use super::super::state::{OwnedEntry, ReplicationState, OWNER_TIMEOUT};
 use super::MAX_CLAIMS_PER_ROUND;
 
-/// Each replica waits this much longer than the one before it in the order of [`replica_ids`], so that usually only one
-/// claims a batch job.
+/// Additional time that each replica waits compared with the one before it in the order of [`replica_ids`],
+/// so that usually only one claims a batch job.
 const TAKEOVER_STAGGER: Duration = Duration::from_millis(350);
-/// A claim that has not won after this time is given up.
+/// Time after which a claim without the promises of a majority is released.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
-/// An owner that no majority has acknowledged for this long gives up its ownership.
+/// Time without the acknowledgement of a majority after which an owner releases its ownership.
 const LEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
 impl StoreNode {
-    /// Gives up claims that have not won, and ownerships whose lease has expired.
+    /// Releases claims that have timed out, and ownerships whose lease has expired.
     pub fn release_stale_ownerships(&self) {
         let now = Instant::now();
         let mut state = self.lock();
         for job in state.ownerships.jobs_where(|owned| self.is_stale(owned, now)) {
-            // Delays the next claim of this store, so that another one can win.
+            // Delays the next claim of this store, so that the claim of another store can succeed.
             state.jobs.record_owner_contact(&job, now);
             state.ownerships.release(&job);
         }
     }
 
-    /// Whether to give an ownership up. `Superseded` entries are only those of
-    /// [`NO_OWNER`](super::super::state::NO_OWNER), which wait for the newer store set; the others were released when
-    /// the rejection came.
+    /// Returns whether to release an ownership. An ownership that is `Superseded` at this point was
+    /// superseded by [`NO_OWNER`](super::super::state::NO_OWNER), that is, by a newer store set, which this
+    /// store has not received yet. Ownerships superseded by another store were released when the rejection
+    /// arrived.
     fn is_stale(&self, owned: &OwnedEntry, now: Instant) -> bool {
         let since_claim = now - owned.claimed_at;
         let is_lease_expired = !owned.ownership.holds_lease(self.lease_time(now), LEASE_TIMEOUT);
@@ -56,8 +58,8 @@
         }
     }
 
-    /// The batch jobs to claim: those whose owner has timed out and, without delay, those that this store owned before
-    /// it was restarted.
+    /// Returns the batch jobs to claim: those whose owner has timed out and, without delay, those that this
+    /// store owned before it was restarted.
     fn jobs_with_expired_owner(&self, state: &ReplicationState, view: &View) -> Vec<JobId> {
         let now = Instant::now();
         let logs = state.replica.logs().filter(|(_, log)| !log.entries.is_empty());
@@ -74,14 +76,16 @@
         expired.map(|(job, _)| Arc::clone(job)).take(MAX_CLAIMS_PER_ROUND).collect()
     }
 
-    /// The index of this store among the replicas of a batch job, from 0 on; `None` if it is none of them.
+    /// Returns the index of this store among the replicas of a batch job, starting at 0; `None` if it is not
+    /// one of them.
     pub fn rank(&self, view: &View, job: &str) -> Option<u32> {
         let replicas = replica_ids(&view.control.stores, job);
         let rank = replicas.iter().position(|store| *store == self.id())?;
         u32::try_from(rank).ok()
     }
 
-    /// Another store asks this one to take a batch job over.
+    /// Handles the request of another store to take a batch job over: claims the batch job unless it has a
+    /// live owner.
     pub fn on_takeover_request(self: &Arc<Self>, job: &JobId, request: TakeoverRequest) {
         if !request.is_from_owner && self.delete_at_former_replica(job, request.from) {
             return;
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -1,7 +1,8 @@
 //! Messages between stores, and from traffic nodes to stores.
 //!
-//! They are encoded by `bincode`, which goes by position: the order and the types of fields and variants are part of
-//! the protocol between releases, while their names are not. `tests/golden/` holds the encoded forms.
+//! The messages are encoded by `bincode`, which encodes by position: the order and the types of fields and
+//! variants are part of the protocol between releases, while their names are not. `tests/golden/` holds the
+//! encoded forms.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,21 +11,31 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
+/// Path of the requests of owners and claimants to replicas.
 pub(super) const REPLICATE_PATH: &str = "/batch/replicate";
+/// Path of heartbeats between stores.
 pub(super) const HEARTBEAT_PATH: &str = "/batch/heartbeat";
+/// Path of requests to own a batch job; see [`TakeoverRequest`].
 pub(super) const TAKE_OVER_PATH: &str = "/batch/take-over";
+/// Path of notices that an owner has given a batch job up; see [`ReleaseNotice`].
 pub(super) const RELEASED_PATH: &str = "/batch/released";
+/// Path of submissions by traffic nodes.
 pub(super) const SUBMIT_PATH: &str = "/batch/submit";
+/// Path of reads of results.
 pub(super) const READ_PATH: &str = "/batch/read";
+/// Path of reads of the body of an item; the request is the id of the item.
 pub(super) const BODY_PATH: &str = "/batch/body";
+/// Path of requests to end a batch job; the request is `()`.
 pub(super) const END_PATH: &str = "/batch/end";
-/// Where a store reports its [`MigrationStatus`]; the request is `()`.
+/// Path at which a store reports its [`MigrationStatus`]; the request is `()`.
 pub const MIGRATION_STATUS_PATH: &str = "/batch/moved";
 
 /// A request to one incarnation of a store; another incarnation at the same address rejects it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct AddressedRequest<T> {
+    /// The incarnation of the store that may answer.
     pub to: StoreId,
+    /// The batch job that the request is about.
     pub job: JobId,
     pub request: T,
 }
@@ -33,18 +44,19 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ReplicateReply {
     pub reply: ReplicaReply,
-    /// How long the store has known the batch job, in milliseconds.
+    /// Age of the batch job as far as the store knows, in milliseconds; at most the time since its
+    /// submission.
     pub age_ms: u64,
 }
 
 impl ReplicateReply {
-    /// A reply of a store that has known the batch job for `age`.
+    /// Creates a reply with the age of the batch job at the store.
     pub fn new(reply: ReplicaReply, age: Duration) -> Self {
         Self { reply, age_ms: u64::try_from(age.as_millis()).unwrap_or(0) }
     }
 }
 
-/// Notifies a store that the owner of a batch job has given it up and answers no reads any more.
+/// Notifies a replica that the owner of a batch job has given it up and no longer answers reads.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct ReleaseNotice {
     /// The former owner.
@@ -54,16 +66,19 @@
 /// Asks a store to own a batch job.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct TakeoverRequest {
-    /// The store that asks.
+    /// The store that sends the request.
     pub from: StoreId,
-    /// Whether that store owned the batch job and gave it up. Otherwise it holds a log and is no replica any more.
+    /// `true` if the sender owned the batch job and gave it up. `false` if the sender holds its log but is no
+    /// longer a replica of it.
     pub is_from_owner: bool,
 }
 
-/// An owner reports to another store which batch jobs it owns.
+/// Reports to a store which of the batch jobs that it keeps are owned by the sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Heartbeat {
+    /// The incarnation of the store that may answer.
     pub to: StoreId,
+    /// Empty if the heartbeat only checks whether the store answers.
     pub jobs: Vec<JobHeartbeat>,
 }
 
@@ -75,12 +90,13 @@
     pub term: OwnershipTerm,
     /// Number of entries in the owner's log, committed or not.
     pub length: usize,
-    /// As [`batch::Ownership::is_established`]: everything that earlier owners may have returned to trainers is
-    /// committed under this term.
+    /// The value of [`batch::Ownership::is_established`]: whether everything that earlier owners may have
+    /// returned to trainers is committed under this term.
     pub is_established: bool,
 }
 
-/// Answers to the parts of a heartbeat, in the same order; `None` where records are not durable yet.
+/// The answers to the parts of a heartbeat, in the same order; `None` for a batch job whose records are not
+/// durable yet.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct HeartbeatReply {
     pub replies: Vec<Option<JobHeartbeatReply>>,
@@ -89,52 +105,57 @@
 /// The answer to a [`JobHeartbeat`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum JobHeartbeatReply {
-    /// The store has the complete log.
+    /// The store has the owner's complete log.
     UpToDate,
     /// Any other state of the store's log.
     Replica(ReplicaReply),
 }
 
-/// A batch job as a traffic node passes it on.
+/// A batch job as submitted by a trainer, forwarded by a traffic node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Submission {
+    /// The `Host` header of the submission.
     pub host: Arc<str>,
+    /// The path of the submission.
     pub path: Arc<str>,
+    /// The batch job as JSON.
     pub body: Bytes,
-    /// When the caller times out, in milliseconds from the start of its call.
+    /// Timeout of the caller, in milliseconds from the start of its call.
     pub timeout_ms: u64,
 }
 
 /// The answer to a [`Submission`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum SubmitReply {
+    /// The batch job is committed.
     Accepted,
+    /// The body is not a valid batch job.
     Invalid(JobError),
-    /// The store sent nothing of the batch job to any store.
+    /// This call has not sent any part of the batch job to any store.
     NotAccepted,
-    /// The batch job may have been accepted.
+    /// The batch job may have been accepted, or may still be.
     Unknown,
     /// Another store owns the batch job.
     Redirect(StoreId),
 }
 
-/// Asks for results. The position of a result is its index among the results in the log, from 0 on.
+/// Requests results. The position of a result is its index among the results in the log, starting at 0.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ReadRequest {
     /// Position of the first result to return.
     pub after: u64,
-    /// How long to wait for a result if there is none yet, in milliseconds.
+    /// Maximum time to wait for a result if there is none yet, in milliseconds.
     pub long_poll_ms: u64,
 }
 
-/// Results of a batch job from some position on.
+/// Consecutive results of a batch job, starting at the requested position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResultPage {
-    /// How many items the batch job has.
+    /// Number of items of the batch job.
     pub total: u32,
-    /// The position behind the last result of this page, where the next read begins.
+    /// The position after the last result of this page, where the next read starts.
     pub next: u64,
-    /// The results as a JSON array.
+    /// The results as a JSON array, in the order in which they were committed.
     pub deliveries: Bytes,
 }
 
@@ -143,19 +164,20 @@
 pub(super) enum OwnerReply<T> {
     Success(T),
     NoSuchJob,
-    /// Nothing could be determined; the request may be sent again.
+    /// The answer could not be determined; the request may be sent again.
     Unknown,
-    /// Another store owns the batch job, or is likely to know its owner.
+    /// The store with this id owns the batch job, or holds its log and can redirect further.
     Redirect(StoreId),
 }
 
-/// How far a store has migrated its batch jobs to the present store set.
+/// Progress of a store in migrating its batch jobs to the present store set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MigrationStatus {
-    /// The store.
+    /// The incarnation of the store that reports.
     pub store: StoreId,
-    /// The epoch of a store set; the store durably rejects all owners of older epochs.
+    /// The epoch of the newest store set that the store has recorded durably; it rejects all owners of older
+    /// epochs.
     pub epoch: u64,
-    /// All that the store holds is committed under that epoch.
+    /// Whether all logs that the store holds are committed under the present store set.
     pub is_complete: bool,
 }
--- a/crates/store-plane/src/replication/mod.rs
+++ b/crates/store-plane/src/replication/mod.rs
@@ -1,16 +1,20 @@
 //! Replication of batch jobs on the stores.
 //!
-//! Each batch job is a log of entries ([`batch::Entry`]) that is replicated on a few stores. One of them owns the batch
-//! job: it appends entries, answers reads, and hands the batch job to the runner of its items. The protocol is the
-//! state machine of crate `batch` ([`batch::Replicas`], [`batch::Ownership`]); this module does its I/O:
+//! Each batch job is a log of entries ([`batch::Entry`]) that is replicated on a few stores. One of them owns
+//! the batch job: it appends entries, answers reads, and passes the batch job to the runner. The protocol is
+//! implemented as a state machine in the crate `batch` ([`batch::Replicas`], [`batch::Ownership`]); this
+//! module does its I/O:
 //!
-//! - [`placement`] says which stores keep a batch job, in the order in which they take it over.
-//! - [`state`] is what a store has in memory, behind one mutex; [`node`] holds it together with the store's I/O.
-//! - [`ownership`] claims batch jobs and drives their logs; [`replicate`] carries out the requests of owners.
-//! - [`writer`] makes records durable in the [`journal`]; no reply leaves before its records are durable.
+//! - [`placement`] determines which stores keep a batch job, in the order in which they take it over.
+//! - [`state`] is the state of a store in memory, behind one mutex; [`node`] holds it together with the
+//!   store's I/O.
+//! - [`ownership`] claims batch jobs and replicates their logs; [`replicate`] executes the requests of
+//!   owners.
+//! - [`writer`] makes records durable in the [`journal`]; no reply is sent before its records are durable.
 //! - [`heartbeat`], [`maintenance`] and [`handover`] detect failed owners and move batch jobs between stores.
-//! - [`server`] answers the calls of other processes, [`client`] makes those of traffic nodes; both use [`messages`].
-//! - [`store`] is the public handle, by which the process opens and runs a store.
+//! - [`server`] answers the calls of other processes, [`client`] makes the calls of traffic nodes; both use
+//!   [`messages`].
+//! - [`store`] is the public handle with which the process opens and runs a store.
 
 mod client;
 mod handover;
--- a/crates/store-plane/src/replication/node.rs
+++ b/crates/store-plane/src/replication/node.rs
@@ -1,5 +1,5 @@
-//! [`StoreNode`]: the state of a store and what it does I/O with. The other modules of the replication add methods to
-//! it.
+//! [`StoreNode`]: the state of a store, its journal and its connections. The other modules of the replication
+//! add methods to it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -16,32 +16,35 @@
 use super::state::ReplicationState;
 use super::store_limits::StoreLimits;
 
-/// One store. Its parts run in several tasks, which share it.
+/// One store. Several tasks share it: request handlers, the maintenance, and the journal writer.
 pub(super) struct StoreNode {
+    /// Name, incarnation and address of this store.
     pub member: Member,
     pub rpc: rpc::Client,
-    /// The newest view of the control plane: store sets and addresses.
+    /// The newest view of the control plane, which contains the store sets and the addresses of stores.
     pub view: watch::Receiver<Arc<View>>,
     pub limits: StoreLimits,
-    /// The zero of [`Self::lease_time`].
+    /// When this store was opened; [`Self::lease_time`] is counted from it.
     pub started: Instant,
     pub journal: Arc<dyn RecordJournal>,
-    /// Takes the batch jobs whose items are to be run here.
+    /// Passes the batch jobs that this store owns to the runner.
     pub owned_jobs: mpsc::UnboundedSender<OwnedJob>,
     pub state: Mutex<ReplicationState>,
 }
 
 impl StoreNode {
+    /// Returns the id of this store, which is its incarnation: a store with a new disk has a new id.
     pub fn id(&self) -> StoreId {
         self.member.incarnation.0
     }
 
-    /// Locks the state. The guard must not be kept across an await.
+    /// Locks the state. The guard must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, ReplicationState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An instant as a [`batch::Ownership`], which reads no clock, is told it: the time since this store started.
+    /// Converts an instant to the time since this store was opened, which is passed to [`batch::Ownership`]
+    /// instead of a clock.
     pub fn lease_time(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.started)
     }
@@ -50,7 +53,7 @@
         Arc::clone(&self.view.borrow())
     }
 
-    /// The address of a store; `None` if it is not a member.
+    /// Returns the address of a store; `None` if it is not a member of the present or the previous store set.
     pub fn address_of(&self, store: StoreId) -> Option<String> {
         let view = self.current_view();
         let mut members = store_sets(&view.control).flat_map(|set| &set.members);
@@ -58,7 +61,8 @@
         found.map(|store| store.member.address.clone())
     }
 
-    /// The stores that an owner calls under `view`; `None` if this store is not to keep the batch job.
+    /// Returns the replicas of a batch job under `view`; `None` if this store is not one of the present
+    /// replicas.
     pub fn replica_set(&self, view: &View, job: &str) -> Option<ReplicaSet> {
         let present = replica_ids(&view.control.stores, job);
         let previous_stores = view.control.previous_stores.as_ref();
--- a/crates/store-plane/src/replication/owned_job.rs
+++ b/crates/store-plane/src/replication/owned_job.rs
@@ -1,4 +1,4 @@
-//! A batch job that this store owns, as the runner of its items sees it.
+//! A batch job that this store owns, in the form that is passed to the runner.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,14 +7,15 @@
 use futures_util::future::BoxFuture;
 use tokio::sync::watch;
 
-/// Another store owns the batch job now, or it was ended: none of its items may be run here any more.
+/// Error of an append: this store no longer owns the batch job, or the trainer has ended it. Its items must
+/// no longer be run by this store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnershipLost;
 
-/// Whether items of a batch job are to be run here.
+/// Whether this store runs the items of a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// They are.
+    /// This store owns the batch job and runs its items.
     Open,
     /// The trainer ended the batch job.
     Ended,
@@ -22,22 +23,22 @@
     OwnershipLost,
 }
 
-/// A batch job whose items are to be run here.
+/// A batch job whose items this store runs.
 #[derive(Debug)]
 pub struct OwnedJob<Log = ReplicatedLog> {
-    /// Its id.
+    /// Id of the batch job.
     pub id: JobId,
-    /// The batch job.
+    /// The parsed batch job.
     pub job: Arc<Job>,
-    /// The `Host` header that it was submitted with.
+    /// The `Host` header of the submission.
     pub host: Arc<str>,
-    /// The path that it was submitted to.
+    /// The path of the submission.
     pub path: Arc<str>,
-    /// A lower bound of the time between its submission and the moment when this store became its owner.
+    /// A lower bound of the time from the submission to the moment when this store became the owner.
     pub age: Duration,
-    /// Results that earlier owners committed.
+    /// Results that are committed already, by earlier owners; their items need not be run.
     pub committed_results: Vec<ItemResult>,
-    /// Its log.
+    /// The log that results are appended to.
     pub log: Log,
 }
 
@@ -46,18 +47,18 @@
     ///
     /// # Errors
     ///
-    /// When this store no longer owns the batch job, or the trainer ended it.
+    /// Fails if this store no longer owns the batch job, or the trainer ended it.
     pub async fn append(&self, results: Vec<ItemResult>) -> Result<(), OwnershipLost> {
         self.log.append(results).await
     }
 
-    /// The store that owns the batch job.
+    /// Returns the id of the store that owns the batch job, which is the store that passed it to the runner.
     #[must_use]
     pub fn owner(&self) -> StoreId {
         self.log.owner.id()
     }
 
-    /// Whether its items are to be run.
+    /// Returns a receiver of the state, which shows whether this store still runs items of the batch job.
     #[must_use]
     pub fn state(&self) -> watch::Receiver<JobState> {
         self.log.state()
@@ -66,10 +67,10 @@
 
 /// The part of a store that appends results to the logs of batch jobs that the store owns.
 pub(super) trait JobOwner: Send + Sync {
-    /// The store.
+    /// Returns the id of the store.
     fn id(&self) -> StoreId;
 
-    /// Appends results under the ownership that `token` identifies; ready when they are committed.
+    /// Appends results under the ownership that `token` identifies; completes when they are committed.
     fn append_results(
         self: Arc<Self>,
         job: JobId,
@@ -84,21 +85,23 @@
     /// Identifies the ownership; see [`super::state::OwnedEntry::token`].
     pub(super) token: u64,
     pub(super) state: watch::Receiver<JobState>,
+    /// The store that owns the batch job.
     pub(super) owner: Arc<dyn JobOwner>,
 }
 
 impl ReplicatedLog {
-    /// Appends results, except those of items that have one already; ready when they are committed and can be read.
+    /// Appends results, except for items that have a result already. Completes when the results are committed
+    /// and can be read.
     ///
     /// # Errors
     ///
-    /// When this store no longer owns the batch job, or the trainer ended it.
+    /// Fails if this store no longer owns the batch job, or the trainer ended it.
     pub async fn append(&self, results: Vec<ItemResult>) -> Result<(), OwnershipLost> {
         let owner = Arc::clone(&self.owner);
         owner.append_results(Arc::clone(&self.job), self.token, results).await
     }
 
-    /// Whether items of the batch job are to be run.
+    /// Returns a receiver of the state, which shows whether this store still runs items of the batch job.
     #[must_use]
     pub fn state(&self) -> watch::Receiver<JobState> {
         self.state.clone()
--- a/crates/store-plane/src/replication/ownership.rs
+++ b/crates/store-plane/src/replication/ownership.rs
@@ -1,5 +1,5 @@
-//! The ownerships of a store: claims batch jobs, sends the requests of [`batch::Ownership`] and handles the replies,
-//! starts the runner of an established ownership, and appends its results.
+//! The ownerships of a store: claims batch jobs, sends the requests of [`batch::Ownership`] and handles the
+//! replies, starts the runner of an established ownership, and appends its results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 use super::state::{OwnedEntry, ReplicationState, NO_OWNER};
 
 impl StoreNode {
-    /// Claims a batch job unless this store owns or claims it already. `false` if it cannot own it: it is not one of
-    /// the replicas, it is draining, or its store set is outdated.
+    /// Claims a batch job unless this store owns or claims it already. Returns `false` if this store cannot
+    /// own it: it is not one of the replicas, it is draining, or its store set is outdated.
     pub fn acquire(self: &Arc<Self>, job: &JobId) -> bool {
         let view = self.current_view();
         let Some(replicas) = self.replica_set(&view, job) else { return false };
@@ -39,7 +39,8 @@
         true
     }
 
-    /// A claim with a term above all others that this store has seen; `None` if its store set is outdated.
+    /// Creates a claim with a term above all terms that this store has seen; `None` if its store set is
+    /// outdated.
     pub fn new_claim(
         &self,
         state: &ReplicationState,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Sends one request and handles its reply, after which further requests may be due.
+    /// Sends one request, handles its reply, and sends the requests that are due after it.
     async fn send_and_handle_reply(
         self: Arc<Self>,
         job: JobId,
@@ -87,6 +88,8 @@
         self.send_due_requests(&job);
     }
 
+    /// Passes the reply of a replica to the ownership. `sent` is when the request was sent; the lease is
+    /// counted from then.
     fn on_reply(
         self: &Arc<Self>,
         job: &JobId,
@@ -96,7 +99,8 @@
         sent: Instant,
     ) {
         self.with_ownership(job, term, |node, state| {
-            // Counted from now, not from when the request was sent: an age must never be more than the truth.
+            // Counted back from now, not from when the request was sent, since the age of a batch job must
+            // never be overestimated.
             let now = Instant::now();
             let known_since = now.checked_sub(Duration::from_millis(reply.age_ms)).unwrap_or(now);
             state.jobs.record_known_since(job, known_since);
@@ -106,8 +110,9 @@
         });
     }
 
-    /// The store may be sent the request again. This does not notify of progress: whoever waits for it would send at
-    /// once, and a store that is no longer a member fails to reply without any time passing.
+    /// Allows the request to be sent to the store again. Does not notify of progress: a waiting task would
+    /// send the request again at once, and a request to a store that is no longer a member fails immediately,
+    /// so that the two would form a busy loop.
     fn on_no_reply(&self, job: &JobId, term: OwnershipTerm, store: StoreId) {
         let mut state = self.lock();
         let owned = state.ownerships.get_mut(job).filter(|owned| owned.ownership.term() == term);
@@ -116,7 +121,7 @@
         }
     }
 
-    /// Changes an ownership, if it is still that of `term`, and acts on its new phase.
+    /// Applies `change` to an ownership, if its term is still `term`, and acts on its new phase.
     pub fn with_ownership(
         self: &Arc<Self>,
         job: &JobId,
@@ -131,15 +136,15 @@
         self.after_change(&mut state, job);
     }
 
-    /// Notifies of progress, then gives the ownership up, ends the batch job or starts its runner, as the phase
-    /// requires.
+    /// Notifies the tasks that wait for progress; then releases the ownership, marks the batch job as ended
+    /// or passes it to the runner, depending on the phase and the committed entries.
     fn after_change(self: &Arc<Self>, state: &mut ReplicationState, job: &JobId) {
         let Some(owned) = state.ownerships.get_mut(job) else { return };
         owned.progress.send_replace(());
         if let OwnershipPhase::Superseded(promised) = owned.ownership.phase() {
             on_ownership_lost(state, job, promised);
         } else if owned.is_ended() {
-            // No item runs any more; the parsed form takes more memory than the log.
+            // Items no longer run, and the parsed form takes more memory than the log.
             owned.job = None;
             owned.state.send_replace(JobState::Ended);
         } else if owned.job.is_none() && owned.ownership.is_established() {
@@ -147,8 +152,8 @@
         }
     }
 
-    /// Hands a batch job whose log is committed under the present ownership to the runner, unless all items have
-    /// results.
+    /// Passes a batch job whose adopted log is committed under the present ownership to the runner, unless
+    /// all items have results.
     fn start_runner(self: &Arc<Self>, state: &mut ReplicationState, id: &JobId) {
         let Some(owned) = state.ownerships.get_mut(id) else { return };
         let committed = owned.ownership.committed();
@@ -178,11 +183,12 @@
             committed_results,
             log,
         };
-        // Without a runner, the process is about to exit.
+        // Sending fails if the runner was dropped, which happens only when the process is about to exit.
         let _ = self.owned_jobs.send(owned_job);
     }
 
-    /// Appends results until all are committed or have become superfluous.
+    /// Appends results and waits until each is committed, or another result of its item is. Results that
+    /// don't belong to the batch job are dropped.
     async fn append_until_committed(
         self: Arc<Self>,
         job: JobId,
@@ -223,10 +229,12 @@
     }
 }
 
-/// Another store was promised a higher term.
+/// Handles that a replica has promised a higher term: releases the ownership if another store claims the
+/// batch job.
 fn on_ownership_lost(state: &mut ReplicationState, job: &JobId, promised: OwnershipTerm) {
     if promised.owner == NO_OWNER {
-        // Others have a newer store set; this store claims the batch job again as soon as it has it too.
+        // Replicas have a newer store set. This store claims the batch job again once it has received that
+        // store set.
         return;
     }
     state.jobs.record_rejection(job, promised);
@@ -234,12 +242,12 @@
     state.ownerships.release(job);
 }
 
-/// Removes from `entries` what is committed, and what does not belong to the batch job, and appends the others to the
-/// log. `false` if none is left.
+/// Removes the entries that are committed or do not belong to the batch job from `entries`, and appends the
+/// others to the log. Returns `false` if none are left.
 ///
 /// # Errors
 ///
-/// If some are left and the trainer ended the batch job, which accepts no more results.
+/// Fails if some are left and the trainer has ended the batch job, which then accepts no more results.
 fn append_uncommitted(owned: &mut OwnedEntry, entries: &mut Vec<Arc<Entry>>) -> Result<bool, OwnershipLost> {
     let committed = owned.ownership.committed();
     entries.retain(|entry| !contains(committed, entry));
--- a/crates/store-plane/src/replication/placement.rs
+++ b/crates/store-plane/src/replication/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which stores keep a batch job.
+//! Placement: determines which stores keep a batch job.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,15 +7,17 @@
 use membership::rendezvous_score;
 use state::{ControlState, StoreMember, StoreSet};
 
-/// There is one replica group for this many stores. The members of a group keep the same batch jobs, and its first
-/// store runs all of their items, so a group must not become too large for one machine.
+/// Number of stores for each replica group. A replica group is a choice of replicas that many batch jobs
+/// share. Its first store runs the items of all of these batch jobs, so their load must not become too large
+/// for one machine.
 const STORES_PER_GROUP: usize = 16;
 
-/// The stores that keep a batch job: those of its replica group, chosen by rendezvous hashing with zones spread.
+/// Returns the stores that keep a batch job: the members of its replica group, which are chosen by rendezvous
+/// hashing and spread over zones.
 ///
-/// They stand in the order in which they are called and take the batch job over. All batch jobs of a group share its
-/// order, and thus their owner: one owner of many batch jobs knows the load of their servers by its own requests, can
-/// start the urgent ones first, and reuses its connections.
+/// The stores are in the order in which they are called and take the batch job over. All batch jobs of a
+/// group have the same order and thus the same owner. An owner of many batch jobs sees the load of their
+/// servers from its own requests, can start the most urgent items first, and reuses its connections.
 #[must_use]
 pub fn replicas_of<'a>(set: &'a StoreSet, job: &str) -> Vec<&'a StoreMember> {
     let group = group_of(set, job);
@@ -34,18 +36,18 @@
     replicas
 }
 
-/// The ids of [`replicas_of`], in the same order.
+/// Returns the ids of the stores of [`replicas_of`], in the same order.
 pub(super) fn replica_ids(set: &StoreSet, job: &str) -> Vec<StoreId> {
     replicas_of(set, job).iter().map(|store| store.member.incarnation.0).collect()
 }
 
-/// The present store set, and the previous one while batch jobs are migrated from it.
+/// Returns the present store set, and the previous one while batch jobs are migrated from it.
 pub(super) fn store_sets(control: &ControlState) -> impl Iterator<Item = &StoreSet> {
     [Some(&control.stores), control.previous_stores.as_ref()].into_iter().flatten()
 }
 
-/// The name of the replica group of a batch job. The number of groups follows the intended number of stores, which
-/// stays the same while machines come and go.
+/// Returns the name of the replica group of a batch job. The number of groups depends on the target number of
+/// stores, which does not change when machines fail or are replaced.
 fn group_of(set: &StoreSet, job: &str) -> String {
     let groups = set.target_size.div_ceil(STORES_PER_GROUP).max(1);
     let best = (0..groups).max_by_key(|group| rendezvous_score(&format!("group-{group}"), job));
--- a/crates/store-plane/src/replication/replicate.rs
+++ b/crates/store-plane/src/replication/replicate.rs
@@ -1,4 +1,4 @@
-//! Requests of owners to replicas: sending them, and carrying them out.
+//! Sends the requests of owners to replicas, and executes those that this store receives as a replica.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,14 +12,15 @@
 
 /// Timeout of a request to another store.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(500);
-/// A claim waits at most this long for the end of another owner's lease; well below [`REPLICATE_TIMEOUT`].
+/// Maximum time that a claim waits for the end of another owner's lease. It is well below
+/// [`REPLICATE_TIMEOUT`], so that the reply still arrives in time.
 const MAX_LEASE_WAIT: Duration = Duration::from_millis(350);
-/// Added to the timeout for each byte of the entries.
+/// Extra time for each byte of the entries in a request.
 const REPLICATE_TIMEOUT_PER_BYTE: Duration = Duration::from_nanos(500);
 
 impl StoreNode {
-    /// Sends a request to a store, which may be this one. `None` if there is no reply: the store is not a member, could
-    /// not be reached, or could not make the request durable.
+    /// Sends a request to a store, which may be this one. Returns `None` if there is no reply: the store is
+    /// not a member, could not be reached, or could not make the request durable.
     pub async fn send_request(
         &self,
         store: StoreId,
@@ -39,10 +40,12 @@
         reply.ok()
     }
 
-    /// Carries out a request of an owner; `None` if it could not be made durable.
+    /// Executes a request of an owner or claimant; returns `None`, which means no reply, if it could not be
+    /// made durable.
     ///
-    /// A claim waits until the read lease of another owner has ended. It gets no reply either if that owner goes on to
-    /// make contact here: the claimant repeats it in a later round, and gives up after some.
+    /// A claim waits until the read lease of another owner has ended. If that owner keeps making contact with
+    /// this store, so that its lease lasts beyond [`MAX_LEASE_WAIT`], the claim gets no reply either. The
+    /// claimant repeats it in later maintenance rounds until its claim times out.
     pub async fn replicate(&self, job: &JobId, request: ReplicaRequest) -> Option<ReplicateReply> {
         if let ReplicaRequest::Prepare { term, .. } = &request {
             if !self.wait_for_lease_end(job, term.owner).await {
@@ -69,12 +72,12 @@
         Some(ReplicateReply::new(reply, age))
     }
 
-    /// Waits until no owner but `claimant` may have a read lease with the help of this store; returns whether that came
-    /// in time.
+    /// Waits until no owner except `claimant` can still hold a read lease based on a contact with this store.
+    /// Returns `false` if the lease does not end within [`MAX_LEASE_WAIT`].
     async fn wait_for_lease_end(&self, job: &JobId, claimant: StoreId) -> bool {
         let deadline = Instant::now() + MAX_LEASE_WAIT;
         loop {
-            // In a statement of its own, so that the lock is released while waiting.
+            // A separate statement, so that the lock is released before waiting.
             let lease_end = self.lock().other_owner_lease_end(job, claimant, self.id(), self.started);
             match lease_end {
                 None => return true,
@@ -86,8 +89,9 @@
 }
 
 impl ReplicationState {
-    /// When the read lease of an owner other than `claimant` ends, as far as the contacts with this store, `own_id`, have
-    /// given it one; `None` once it has ended. This store itself holds one only while it owns the batch job.
+    /// Returns when the read lease ends that contacts with this store may have given to an owner other than
+    /// `claimant`; `None` if there is no such lease any more. `own_id` is the id of this store and `started`
+    /// the time when it started. This store itself holds a read lease only while it owns the batch job.
     fn other_owner_lease_end(
         &self,
         job: &JobId,
@@ -104,6 +108,7 @@
     }
 }
 
+/// Returns the size of the entries in a request in bytes, by which its timeout is extended.
 fn bytes_of_entries(request: &ReplicaRequest) -> u32 {
     let ReplicaRequest::Append { entries, .. } = request else { return 0 };
     let sizes = entries.iter().map(|entry| match &**entry {
--- a/crates/store-plane/src/replication/server/mod.rs
+++ b/crates/store-plane/src/replication/server/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a store, for other stores and for traffic nodes.
+//! The HTTP endpoints of a store, for other stores and for traffic nodes.
 
 mod ownership_status;
 mod results;
@@ -17,12 +17,13 @@
 };
 use super::node::StoreNode;
 
-/// How long an answer waits for the ownership of its batch job to be established.
+/// Maximum time that a request waits for the ownership of its batch job to be established.
 const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(450);
-/// How long an answer waits for an entry to be committed; after that the outcome is reported as unknown.
+/// Maximum time that a request waits for an entry to be committed; after that the outcome is reported as
+/// unknown.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The endpoints for other processes.
+/// Returns the endpoints for other processes; they call the methods of `node`.
 pub(super) fn endpoint(node: &Arc<StoreNode>) -> Route {
     let replicate =
         addressed_handler(node, |node, job, request| async move { node.replicate(&job, request).await });
@@ -63,7 +64,8 @@
         .at(MIGRATION_STATUS_PATH, post(migration_status))
 }
 
-/// An endpoint that answers requests by an async method of the store; `None` is a failure of the call.
+/// Returns an endpoint that answers requests by an async method of the store. If the method returns `None`,
+/// the call fails.
 fn handler<Request, Reply, Method, ReplyFuture>(
     node: &Arc<StoreNode>,
     method: Method,
@@ -78,7 +80,7 @@
     rpc::handler(move |request: Request| method(Arc::clone(&node), request))
 }
 
-/// As [`handler`], for requests that name the incarnation of a store; any other incarnation rejects them.
+/// Like [`handler`], for requests to one incarnation of a store; calls to any other incarnation fail.
 fn addressed_handler<Request, Reply, Method, ReplyFuture>(
     node: &Arc<StoreNode>,
     method: Method,
--- a/crates/store-plane/src/replication/server/ownership_status.rs
+++ b/crates/store-plane/src/replication/server/ownership_status.rs
@@ -1,4 +1,5 @@
-//! Whether a store may answer about a batch job: only its owner may, while it holds the lease of a majority.
+//! Determines whether this store may answer requests about a batch job. Only the owner may, while it holds
+//! the read lease of a majority.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use super::super::state::{OwnedEntry, NO_OWNER, READ_LEASE};
 use super::OWNERSHIP_TIMEOUT;
 
-/// How long other stores may take to report whether they hold a batch job.
+/// Timeout of the query whether other stores hold a batch job.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Why a store does not answer a request about a batch job itself.
@@ -21,14 +22,14 @@
 pub(super) enum NotOwner {
     /// No store holds the batch job.
     NoSuchJob,
-    /// Whether it exists, or who owns it, could not be determined.
+    /// It could not be determined whether the batch job exists, or which store owns it.
     Unknown,
-    /// The store of this id owns it, or is likely to know who does.
+    /// The store with this id owns the batch job, or holds its log and can redirect further.
     Redirect(StoreId),
 }
 
 impl NotOwner {
-    /// A redirect to `owner`, if one is known.
+    /// Returns a redirect to `owner`, or `Unknown` if no owner is known.
     fn redirect_to(owner: Option<StoreId>) -> Self {
         owner.map_or(Self::Unknown, Self::Redirect)
     }
@@ -46,15 +47,16 @@
 }
 
 impl StoreNode {
-    /// Succeeds if this store owns a batch job, holds its read lease, and the batch job exists. Claims it if no other
-    /// store seems to own it.
+    /// Succeeds if the batch job exists and this store owns it and holds its read lease. Claims the batch job
+    /// first if no other store seems to own it.
     pub(super) async fn confirm_ownership(self: &Arc<Self>, id: &JobId) -> Result<(), NotOwner> {
         let is_known = self.lock().is_known(id);
         if !is_known {
             return Err(self.query_replicas(id).await);
         }
         self.acquire_unless_owned_elsewhere(id).map_err(NotOwner::redirect_to)?;
-        // `Some` once it is certain whether the batch job exists. An entry that is not committed yet leaves it open.
+        // `Some` once it is certain whether the batch job exists. It is not certain while the log has entries
+        // but none of them is committed.
         let job_exists = |owned: &mut OwnedEntry| {
             let is_leased = owned.ownership.holds_lease(self.lease_time(Instant::now()), READ_LEASE);
             let is_decided = owned.ownership.is_established() && is_leased;
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Claims a batch job unless another store owns it. The error is that store, `None` if none is known and this one
-    /// cannot own it.
+    /// Claims a batch job unless another store owns it. The error is the owner, or `None` if no owner is
+    /// known and this store cannot own the batch job.
     pub(super) fn acquire_unless_owned_elsewhere(
         self: &Arc<Self>,
         id: &JobId,
@@ -84,7 +86,7 @@
         self.acquire(id).then_some(()).ok_or(None)
     }
 
-    /// The owner of a batch job, if it is another store that has not timed out.
+    /// Returns the owner of a batch job, if it is another store that has not timed out.
     pub(super) fn live_owner_elsewhere(&self, id: &JobId) -> Option<StoreId> {
         let state = self.lock();
         let promised = state.replica.log(id).map(|log| log.promised);
@@ -93,7 +95,8 @@
         (state.jobs.has_live_owner(id) && is_other).then_some(highest.owner)
     }
 
-    /// Asks the replicas of a batch job that this store doesn't hold. `NoSuchJob` takes a majority of each store set.
+    /// Queries the replicas of a batch job that this store doesn't hold. Returns `NoSuchJob` only if a
+    /// majority of the replicas under each store set reports that it doesn't hold the batch job.
     async fn query_replicas(&self, id: &JobId) -> NotOwner {
         let view = self.current_view();
         let replica_sets: Vec<Vec<StoreId>> =
@@ -110,7 +113,7 @@
                 continue;
             };
             if promised.epoch > view.control.stores.epoch {
-                // The batch job may be on stores of a newer store set, which this one does not know yet.
+                // The batch job may be on stores of a newer store set, which this store has not received yet.
                 return NotOwner::Unknown;
             }
             if length > 0 {
@@ -124,8 +127,8 @@
         NotOwner::Unknown
     }
 
-    /// Waits until `find` returns a value for a batch job that this store owns. `None` once the deadline has passed or
-    /// the ownership is lost.
+    /// Waits until `find` returns a value for a batch job that this store owns or claims. Returns `None` once
+    /// the deadline has passed or the ownership is lost.
     pub(super) async fn wait_for_ownership<T>(
         &self,
         id: &JobId,
@@ -146,7 +149,7 @@
     }
 }
 
-/// Whether `some` holds a majority of `set`, which must not be empty.
+/// Returns whether `stores` contains a majority of `set`; `false` if `set` is empty.
 fn is_majority(set: &[StoreId], stores: &[StoreId]) -> bool {
     let count = set.iter().filter(|store| stores.contains(store)).count();
     !set.is_empty() && count > set.len() / 2
--- a/crates/store-plane/src/replication/server/results.rs
+++ b/crates/store-plane/src/replication/server/results.rs
@@ -1,4 +1,5 @@
-//! Reads of results and item bodies, and the end of a batch job.
+//! Requests of trainers about a submitted batch job: reading results and item bodies, and ending the batch
+//! job.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,11 +16,12 @@
 use super::ownership_status::NotOwner;
 use super::COMMIT_TIMEOUT;
 
-/// Largest page of results, unless a single result is larger.
+/// Maximum size of a page of results, in bytes of JSON. A single larger result makes a page by itself.
 const MAX_PAGE_BYTES: usize = 1_000_000;
 
 impl StoreNode {
-    /// Committed results from a position on. Waits for one if there is none yet.
+    /// Returns committed results from position `request.after` on. If there is none yet, waits for one at
+    /// most `request.long_poll_ms`; the page is empty if none is committed by then.
     pub(super) async fn read(self: &Arc<Self>, id: &JobId, request: ReadRequest) -> OwnerReply<ResultPage> {
         self.read_page(id, request).await.into()
     }
@@ -32,15 +34,15 @@
             let committed = results(owned.ownership.committed()).count();
             (committed > after && owned.ownership.is_established()).then_some(())
         };
-        // Without a result in time, the page is empty.
+        // If this times out without a result, the page is empty.
         self.wait_for_ownership(id, wait_deadline, has_more).await;
-        // The lease must be valid at the moment of the answer.
+        // The wait may have outlasted the lease, which must be valid when the answer is made.
         self.confirm_ownership(id).await?;
         let committed = self.lock().ownerships.get(id).map(|owned| owned.ownership.committed().to_vec());
         committed.and_then(|committed| page(&committed, after)).ok_or(NotOwner::Unknown)
     }
 
-    /// The decoded body of an item; `None` if the batch job has no such item.
+    /// Returns the decoded body of an item; `None` if the batch job has no such item.
     pub(super) async fn item_body(self: &Arc<Self>, id: &JobId, item: &str) -> OwnerReply<Option<Bytes>> {
         self.find_item_body(id, item).await.into()
     }
@@ -52,7 +54,7 @@
         Ok(found.map(|item| Bytes::from(item.decoded_body())))
     }
 
-    /// The parsed batch job, which is parsed again from its log if the runner doesn't have it any more.
+    /// Returns the parsed batch job; parses it again from its log if the parsed form is no longer kept.
     fn parsed_job(&self, id: &JobId) -> Option<Arc<Job>> {
         let body = {
             let state = self.lock();
@@ -65,7 +67,8 @@
         Job::parse(&body).ok().map(Arc::new)
     }
 
-    /// Ends a batch job on behalf of its trainer.
+    /// Ends a batch job for its trainer; succeeds once the end is committed. Ending it again succeeds as
+    /// well.
     pub(super) async fn end(self: &Arc<Self>, id: &JobId) -> OwnerReply<()> {
         self.end_job(id).await.into()
     }
@@ -83,7 +86,8 @@
     }
 }
 
-/// The results from position `after` on, as many as fit.
+/// Returns the results from position `after` on, as many as fit into a page; `None` if the log lacks the
+/// batch job.
 fn page(committed: &[Arc<Entry>], after: usize) -> Option<ResultPage> {
     let submitted = submitted_job(committed)?;
     let mut deliveries = Vec::from(b"[");
--- a/crates/store-plane/src/replication/server/submit.rs
+++ b/crates/store-plane/src/replication/server/submit.rs
@@ -1,4 +1,4 @@
-//! Submission of batch jobs.
+//! Submission of batch jobs by traffic nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,15 +11,16 @@
 use super::super::state::OwnedEntry;
 use super::{COMMIT_TIMEOUT, OWNERSHIP_TIMEOUT};
 
-/// An answer leaves this long before the caller times out.
+/// Time by which the answer is sent before the caller times out.
 const REPLY_MARGIN: Duration = Duration::from_millis(120);
 
 impl StoreNode {
-    /// Accepts a batch job once it is committed. `NotAccepted` only if this call sent nothing of it to any store.
+    /// Accepts a batch job once it is committed. Returns `NotAccepted` only if this call has not sent any
+    /// part of the batch job to any store.
     pub(super) async fn submit(self: &Arc<Self>, id: JobId, submission: Submission) -> SubmitReply {
         let timeout = Duration::from_millis(submission.timeout_ms).saturating_sub(REPLY_MARGIN);
         let commit_deadline = Instant::now() + timeout.min(OWNERSHIP_TIMEOUT + COMMIT_TIMEOUT);
-        // Half of the time at most may pass before the append, so that the rest is left for the commit.
+        // The append must happen in the first half of the time, so that the rest remains for the commit.
         let append_deadline = Instant::now() + (timeout / 2).min(OWNERSHIP_TIMEOUT);
         let entry = match validate(submission) {
             Ok(submitted) => Arc::new(Entry::Job(submitted)),
@@ -44,7 +45,7 @@
     }
 }
 
-/// Checks that the body is a batch job, which is kept as it came.
+/// Checks that the body is a valid batch job. The log stores the body unchanged.
 fn validate(submission: Submission) -> Result<SubmittedJob, JobError> {
     let job = Job::parse(&submission.body)?;
     let total = u32::try_from(job.items.len()).unwrap_or(u32::MAX);
@@ -52,7 +53,8 @@
     Ok(SubmittedJob { host, path, body, total })
 }
 
-/// Appends the batch job to its log unless the log has it already; `None` while this store doesn't lead.
+/// Appends the batch job to its log unless the log has it already. Returns `None` while this store doesn't
+/// lead.
 fn append_first(owned: &mut OwnedEntry, entry: &Arc<Entry>) -> Option<()> {
     if owned.is_leading_empty_log() {
         owned.ownership.append([Arc::clone(entry)]);
--- a/crates/store-plane/src/replication/state/description.rs
+++ b/crates/store-plane/src/replication/state/description.rs
@@ -1,4 +1,4 @@
-//! The state of a store in words, for logs.
+//! Describes the state of a store as text, for logs and diagnosis.
 
 use std::fmt::Write;
 
@@ -7,7 +7,8 @@
 use super::{OwnedEntry, ReplicationState};
 
 impl ReplicationState {
-    /// One line for each batch job: its log, and the ownership of this store if it has one.
+    /// Describes each batch job in one line: its log, and the ownership or claim of this store if there is
+    /// one.
     pub fn describe(&self) -> String {
         let lines: Vec<String> = self.replica.logs().map(|(job, log)| self.describe_job(job, log)).collect();
         lines.join("\n")
--- a/crates/store-plane/src/replication/state/durability.rs
+++ b/crates/store-plane/src/replication/state/durability.rs
@@ -1,4 +1,5 @@
-//! Which records of a store are durable: what is queued, what was lost, and which part of the journal is still needed.
+//! Tracks which records of a store are durable: the queued and the lost ones, and the part of the journal
+//! that is still needed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,15 +7,15 @@
 use batch::{JobId, Record};
 use tokio::sync::{mpsc, oneshot};
 
-/// Records to be made durable as one.
+/// Records that are written to the journal as one record, so that either all of them are durable or none.
 pub(crate) struct WriteRequest {
     pub records: Vec<Record>,
-    /// Notified when the records, and all that were queued before them, are durable. Dropped if that failed.
+    /// Notified when these records and all records queued before them are durable. Dropped if a write failed.
     pub done: oneshot::Sender<()>,
 }
 
-/// The newest epoch whose record is durable; owners of older epochs stay rejected after a restart. Ordered by epoch,
-/// then position.
+/// The newest epoch whose record is durable, so that owners of older epochs are still rejected after a
+/// restart. Ordered by epoch, then by position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct DurableEpoch {
     epoch: u64,
@@ -24,11 +25,11 @@
 
 /// The state of a store's records on the disk and in the write queue.
 pub(crate) struct Durability {
-    /// Number of queued writes by batch job; a batch job without any has no entry.
+    /// Number of queued records by batch job; batch jobs without queued records have no entry.
     pending_writes: BTreeMap<JobId, usize>,
-    /// Batch jobs of which a record could not be written. The next write of each is a snapshot.
+    /// Batch jobs of which a record could not be written. The next write for each of them is a snapshot.
     records_lost: BTreeSet<JobId>,
-    /// Position of the oldest record that is needed to recover a batch job.
+    /// Position of the oldest record that is needed to recover each batch job.
     oldest_positions: BTreeMap<JobId, u64>,
     durable_epoch: DurableEpoch,
     write_queue: mpsc::UnboundedSender<WriteRequest>,
@@ -45,23 +46,26 @@
         }
     }
 
-    /// The newest epoch whose record is durable.
+    /// Returns the newest epoch whose record is durable; 0 if there is none.
     pub fn epoch(&self) -> u64 {
         self.durable_epoch.epoch
     }
 
-    /// Queues records. The receiver is notified when they, and all that were queued before, are durable.
+    /// Queues records. The receiver is notified when these and all records queued before them are durable; it
+    /// is closed if a write failed.
     pub fn persist(&mut self, records: Vec<Record>) -> oneshot::Receiver<()> {
         for job in records.iter().filter_map(Record::job) {
             *self.pending_writes.entry(Arc::clone(job)).or_default() += 1;
         }
         let (done, durable) = oneshot::channel();
-        // The writer stops only when the process exits; then nothing is acknowledged.
+        // Sending fails if the writer was dropped, which happens only when the process exits. The receiver is
+        // closed then, so nothing is acknowledged.
         let _ = self.write_queue.send(WriteRequest { records, done });
         durable
     }
 
-    /// Queued records are durable; `position` is theirs in the journal, `None` if there was nothing to write.
+    /// Handles that queued records have become durable at `position` of the journal; `None` if there were no
+    /// records to write.
     pub fn on_durable(&mut self, records: &[Record], position: Option<u64>) {
         self.remove_pending(records);
         if let Some(position) = position {
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Queued records could not be written.
+    /// Handles that queued records could not be written.
     pub fn on_lost(&mut self, records: &[Record]) {
         self.remove_pending(records);
         let jobs = records.iter().filter_map(|record| record.job().cloned());
@@ -87,7 +91,7 @@
         }
     }
 
-    /// Updates the position of the oldest record that each batch job needs, after `records` became durable at
+    /// Updates the oldest needed positions and the durable epoch after `records` became durable at
     /// `position`.
     pub fn record_positions(&mut self, records: &[Record], position: u64) {
         for record in records {
@@ -107,21 +111,23 @@
         }
     }
 
+    /// Returns whether records of a batch job are queued.
     pub fn has_pending_writes(&self, job: &str) -> bool {
         self.pending_writes.contains_key(job)
     }
 
-    /// Whether the disk has all records of a batch job.
+    /// Returns whether all records of a batch job are durable.
     pub fn is_durable(&self, job: &str) -> bool {
         !self.has_pending_writes(job) && !self.records_lost.contains(job)
     }
 
-    /// Whether a record of a batch job was lost since the last call. The caller must write a snapshot if so.
+    /// Returns whether a record of a batch job was lost since the last call. If so, the caller must write a
+    /// snapshot.
     pub fn take_records_lost(&mut self, job: &str) -> bool {
         self.records_lost.remove(job)
     }
 
-    /// The batch jobs with the oldest records, oldest first, at most `limit`.
+    /// Returns up to `limit` batch jobs with the oldest needed records, oldest first.
     pub fn jobs_with_oldest_records(&self, limit: usize) -> Vec<JobId> {
         let mut jobs: Vec<(u64, &JobId)> =
             self.oldest_positions.iter().map(|(job, position)| (*position, job)).collect();
@@ -129,7 +135,8 @@
         jobs.into_iter().take(limit).map(|(_, job)| Arc::clone(job)).collect()
     }
 
-    /// The position of the oldest record that is still needed.
+    /// Returns the position of the oldest record that is still needed; all records before it can be released.
+    /// It is 0 while no epoch record is durable.
     pub fn oldest_needed_position(&self) -> u64 {
         let oldest_of_jobs = self.oldest_positions.values().copied().min().unwrap_or(u64::MAX);
         oldest_of_jobs.min(self.durable_epoch.position)
--- a/crates/store-plane/src/replication/state/mod.rs
+++ b/crates/store-plane/src/replication/state/mod.rs
@@ -1,9 +1,10 @@
-//! What a store keeps in memory about batch jobs, split by who writes it.
+//! The state of a store in memory, divided by the modules that write it.
 //!
 //! - [`OwnershipTable`]: batch jobs that this store owns or claims; written by `ownership` and `maintenance`.
-//! - [`JobStatusTable`]: what other stores reported about batch jobs; written where their messages arrive.
-//! - [`Durability`]: which records are on the disk; written by `writer`, and where records are queued.
-//! - [`PeerLiveness`]: which stores answer; written by `heartbeat` and where calls fail.
+//! - [`JobStatusTable`]: reports of other stores about batch jobs; written where their messages arrive.
+//! - [`Durability`]: the records that are queued, durable or lost; written by `writer` and where records are
+//!   queued.
+//! - [`PeerLiveness`]: the stores that do not answer; written by `heartbeat` and where calls fail.
 
 mod description;
 mod durability;
@@ -21,13 +22,13 @@
 pub(super) use ownership_table::{OwnedEntry, OwnershipTable};
 pub(super) use peer_liveness::PeerLiveness;
 
-/// The owner in a term that only stands for an epoch; no store has this id.
+/// The owner in a term that represents the start of an epoch instead of a claim; no store has this id.
 pub(super) const NO_OWNER: StoreId = 0;
 
 /// Mutable state of a store, guarded by the mutex of [`super::node::StoreNode`].
 pub(super) struct ReplicationState {
-    /// The replicated logs that this store holds, as the requests of owners left them. Ahead of the disk while writes
-    /// are pending; a reply leaves only after the records it depends on are durable.
+    /// The replicated logs that this store holds. They are ahead of the disk while writes are pending; a
+    /// reply is sent only after the records that it depends on are durable.
     pub replica: Replicas,
     pub ownerships: OwnershipTable,
     pub jobs: JobStatusTable,
@@ -35,19 +36,20 @@
     pub peers: PeerLiveness,
 }
 
-/// Whether a record of a store's journal can be decoded.
+/// Checks that a record of a store's journal can be decoded.
 ///
 /// # Errors
 ///
-/// When it cannot: another build may have written it, or the disk has changed it.
+/// Fails if it cannot be decoded: a different build may have written it, or the disk may have corrupted it.
 pub fn check_store_record(bytes: &[u8]) -> Result<(), DecodeError> {
     rpc::decode::<Vec<Record>>(bytes).map(drop)
 }
 
 impl ReplicationState {
-    /// The state that the records of the journal describe, oldest first, each with its position. Later records are
-    /// sent to `write_queue`. Records that cannot be decoded are logged and skipped; a process sets a journal with such a
-    /// record aside before it gets here, see [`check_store_record`].
+    /// Recovers the state from the records of the journal, which `recovered` contains with their positions,
+    /// oldest first. New records are sent to `write_queue`. Records that cannot be decoded are logged and
+    /// skipped; the process is expected to have set a journal with such records aside before, see
+    /// [`check_store_record`].
     pub fn recover(
         recovered: impl IntoIterator<Item = (u64, Vec<u8>)>,
         write_queue: mpsc::UnboundedSender<WriteRequest>,
@@ -71,8 +73,8 @@
         }
     }
 
-    /// Carries out the request of an owner. The reply may only be sent once the receiver, if there is one, reports
-    /// that the records are durable; it is closed if they were lost.
+    /// Executes the request of an owner or claimant. If a receiver is returned, the reply may only be sent
+    /// after it reports that the records are durable; it is closed if they were lost.
     pub fn handle(
         &mut self,
         job: &JobId,
@@ -84,7 +86,8 @@
         }
         let (reply, mut records) = self.replica.handle(job, request);
         if self.durability.take_records_lost(job) {
-            // The reply may depend on a record that was lost.
+            // The reply may depend on the lost record, so the complete state of the batch job is written
+            // again.
             records = vec![Record::Epoch(self.replica.epoch()), self.replica.snapshot(job)];
         }
         let must_wait = !records.is_empty() || self.durability.has_pending_writes(job);
@@ -92,7 +95,7 @@
         (reply, durable)
     }
 
-    /// Whether this store holds entries of a batch job, or owns or claims it.
+    /// Returns whether this store holds entries of a batch job, or owns or claims it.
     pub fn is_known(&self, job: &JobId) -> bool {
         let has_entries = self.replica.log(job).is_some_and(|log| !log.entries.is_empty());
         has_entries || self.ownerships.contains(job)
--- a/crates/store-plane/src/replication/state/ownership_table.rs
+++ b/crates/store-plane/src/replication/state/ownership_table.rs
@@ -12,18 +12,18 @@
 
 /// A batch job that this store owns or claims.
 pub(crate) struct OwnedEntry {
-    /// Distinguishes this ownership from earlier ones of this process; stays the same when the batch job is claimed
-    /// again under a new store set.
+    /// Identifies this ownership among all ownerships of this process; unchanged when the batch job is
+    /// claimed again under a new store set.
     pub token: u64,
-    /// The protocol's state of the ownership.
+    /// The protocol state machine of the ownership.
     pub ownership: Ownership,
-    /// When the present claim was made.
+    /// When the batch job was last claimed by this store.
     pub claimed_at: Instant,
-    /// The parsed batch job, while the runner has it.
+    /// The parsed batch job; `None` until the ownership is established, and after the batch job has ended.
     pub job: Option<Arc<Job>>,
-    /// Whether the runner is to run items.
+    /// Shows the runner whether to run items of the batch job.
     pub state: watch::Sender<JobState>,
-    /// Notified of each change of the ownership.
+    /// Notified of each change of the ownership; tasks that wait for commits subscribe to it.
     pub progress: watch::Sender<()>,
 }
 
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Replaces the ownership by a claim under a new store set.
+    /// Replaces the ownership by a claim under a new store set. The runner keeps running the items.
     pub fn claim_again(&mut self, claim: Ownership) {
         self.ownership = claim;
         self.claimed_at = Instant::now();
         self.progress.send_replace(());
     }
 
-    /// Appends those entries that the log lacks, if the ownership is established.
+    /// Appends those of the entries that the log lacks. Does nothing unless the ownership is established.
     pub fn append_missing(&mut self, entries: &[Arc<Entry>]) {
         if !self.ownership.is_established() {
             return;
@@ -58,17 +58,19 @@
         }
     }
 
-    /// Whether this store leads and the log has no entry: the batch job doesn't exist, or is being submitted.
+    /// Returns whether this store leads and the log is empty: the batch job doesn't exist, or is being
+    /// submitted.
     pub fn is_leading_empty_log(&self) -> bool {
         self.ownership.phase() == OwnershipPhase::Leading && self.ownership.log().is_empty()
     }
 
-    /// Whether the trainer's end of the batch job is committed.
+    /// Returns whether the trainer has ended the batch job and this is committed.
     pub fn is_ended(&self) -> bool {
         is_ended(self.ownership.committed())
     }
 
-    /// Whether each item of the batch job has a committed result; `false` while it isn't parsed.
+    /// Returns whether each item of the batch job has a committed result; `false` while the batch job isn't
+    /// parsed.
     pub fn has_all_results(&self) -> bool {
         let committed = results(self.ownership.committed()).count();
         self.job.as_ref().is_some_and(|job| committed >= job.items.len())
@@ -79,8 +81,9 @@
 #[derive(Default)]
 pub(crate) struct OwnershipTable {
     entries: BTreeMap<JobId, OwnedEntry>,
+    /// The token of the newest ownership; tokens start at 1.
     last_token: u64,
-    /// The process is shutting down: nothing is owned any more.
+    /// Whether the process is shutting down, so that this store claims no batch job any more.
     is_draining: bool,
 }
 
@@ -105,19 +108,19 @@
         self.entries.iter()
     }
 
-    /// The batch jobs whose entry satisfies a condition.
+    /// Returns the batch jobs whose entry satisfies a condition.
     pub fn jobs_where(&self, condition: impl Fn(&OwnedEntry) -> bool) -> Vec<JobId> {
         let matching = self.entries.iter().filter(|(_, owned)| condition(owned));
         matching.map(|(job, _)| Arc::clone(job)).collect()
     }
 
-    /// Begins to own a batch job by a claim.
+    /// Adds a batch job that this store has started to claim.
     pub fn insert(&mut self, job: &JobId, claim: Ownership) {
         self.last_token += 1;
         self.entries.insert(Arc::clone(job), OwnedEntry::new(self.last_token, claim));
     }
 
-    /// Gives up an ownership and notifies the runner.
+    /// Removes an ownership or claim, and notifies the runner and the tasks that wait for progress.
     pub fn release(&mut self, job: &str) {
         if let Some(owned) = self.entries.remove(job) {
             owned.state.send_replace(JobState::OwnershipLost);
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Gives up all ownerships, and accepts no new one from now on. Returns the batch jobs.
+    /// Removes all ownerships and claims, and sets the table to draining. Returns the batch jobs.
     pub fn drain(&mut self) -> Vec<JobId> {
         self.is_draining = true;
         let jobs: Vec<JobId> = self.entries.keys().cloned().collect();
--- a/crates/store-plane/src/replication/state/peer_liveness.rs
+++ b/crates/store-plane/src/replication/state/peer_liveness.rs
@@ -1,15 +1,15 @@
-//! Which stores can be reached, by the results of the latest calls to them.
+//! Tracks which stores can be reached, by the outcomes of the latest calls to them.
 
 use std::collections::BTreeSet;
 
 use batch::StoreId;
 
-/// The results of the latest calls to other stores.
+/// The stores whose latest call failed, and the heartbeats in flight.
 #[derive(Default)]
 pub(crate) struct PeerLiveness {
-    /// Stores whose latest call failed. Ownerships send them no requests until a heartbeat is answered.
+    /// Stores whose latest call failed. Owners send them no requests until they answer a heartbeat.
     unreachable: BTreeSet<StoreId>,
-    /// Stores with a heartbeat that was neither answered nor has failed; there is at most one a store.
+    /// Stores with a heartbeat that was neither answered nor has failed; at most one for each store.
     heartbeats_in_flight: BTreeSet<StoreId>,
 }
 
@@ -30,18 +30,18 @@
         }
     }
 
-    /// Marks a heartbeat as in flight; `false` if one already is.
+    /// Marks a heartbeat as in flight; returns `false` if there already is one for the store.
     pub fn start_heartbeat(&mut self, store: StoreId) -> bool {
         self.heartbeats_in_flight.insert(store)
     }
 
-    /// A store is no longer a member: there is nobody to reach, and no heartbeat is due.
+    /// Removes a store that is no longer a member, so that it gets no heartbeats any more.
     pub fn remove(&mut self, store: StoreId) {
         self.unreachable.remove(&store);
         self.heartbeats_in_flight.remove(&store);
     }
 
-    /// A heartbeat was answered or has failed.
+    /// Handles that a heartbeat was answered or has failed.
     pub fn finish_heartbeat(&mut self, store: StoreId, is_answered: bool) {
         self.heartbeats_in_flight.remove(&store);
         self.set_reachable(store, is_answered);
--- a/crates/store-plane/src/replication/store.rs
+++ b/crates/store-plane/src/replication/store.rs
@@ -16,17 +16,18 @@
 use super::store_limits::StoreLimits;
 use super::writer::JournalWriter;
 
-/// A store of batch jobs. Clones share it.
+/// A store of batch jobs. Clones share the same state.
 #[derive(Clone)]
 pub struct JobStore {
     node: Arc<StoreNode>,
-    /// Taken by [`Self::run`].
+    /// The records to write to the journal; taken by the first call of [`Self::run`].
     write_queue: Arc<Mutex<Option<mpsc::UnboundedReceiver<WriteRequest>>>>,
 }
 
 impl JobStore {
-    /// A store that holds what the records of its journal say, oldest first, each with its position. The receiver is
-    /// sent each batch job whose items are to be run here. Nothing is done before [`Self::run`].
+    /// Creates a store from the records of its journal, which `recovered` contains with their positions,
+    /// oldest first. The receiver gets each batch job whose items this store is to run. The store writes no
+    /// records and runs no maintenance before [`Self::run`].
     pub fn open(
         member: Member,
         journal: Arc<dyn RecordJournal>,
@@ -44,30 +45,32 @@
         (Self { node: Arc::new(node), write_queue }, owned_jobs_receiver)
     }
 
-    /// How far this store has migrated its batch jobs to the present store set.
+    /// Returns the progress of this store in migrating its batch jobs to the present store set.
     #[must_use]
     pub fn migration_status(&self) -> MigrationStatus {
         self.node.migration_status()
     }
 
-    /// The log and the owner of each batch job, one line each, for people to read.
+    /// Describes the log and the owner of each batch job in one line, for diagnosis by people.
     #[must_use]
     pub fn describe(&self) -> String {
         self.node.lock().describe()
     }
 
-    /// The endpoints for the other stores and for traffic nodes.
+    /// Returns the HTTP endpoints for other stores and for traffic nodes.
     pub fn endpoint(&self) -> poem::Route {
         server::endpoint(&self.node)
     }
 
-    /// Hands all owned batch jobs over to other stores, before the process ends. Replicas go on to be served.
+    /// Hands all owned batch jobs over to other stores, before the process ends. This store still answers
+    /// requests to its replicas, but claims no batch job any more.
     pub async fn hand_over_jobs(&self) {
         self.node.hand_over_jobs().await;
     }
 
-    /// Writes records to the journal and does the background maintenance: takes over batch jobs whose owner failed,
-    /// renews leases, migrates batch jobs to new store sets. Runs until dropped; a second call returns at once.
+    /// Writes records to the journal and runs the background maintenance: takes over batch jobs whose owner
+    /// failed, renews leases, migrates batch jobs to new store sets. Runs until dropped; a second call
+    /// returns immediately.
     pub async fn run(self) {
         let write_queue = self.write_queue.lock().unwrap_or_else(PoisonError::into_inner).take();
         let Some(write_queue) = write_queue else { return };
--- a/crates/store-plane/src/replication/store_limits.rs
+++ b/crates/store-plane/src/replication/store_limits.rs
@@ -1,10 +1,10 @@
-//! Limits that the operators' settings give.
+//! Limits of a store that are set by the operators.
 
 use std::time::Duration;
 
-/// Limits of a store.
+/// Limits of a store that are set by the operators.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Results can be read for at least this long after the batch job was submitted.
+    /// Minimum time after the submission of a batch job during which its results can be read.
     pub result_retention: Duration,
 }
--- a/crates/store-plane/src/replication/writer.rs
+++ b/crates/store-plane/src/replication/writer.rs
@@ -1,4 +1,4 @@
-//! Makes queued records durable in their order, several at once.
+//! Makes queued records durable in the order of the queue, in batches.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use super::node::StoreNode;
 use super::state::WriteRequest;
 
-/// At most this many requests are appended to the journal at once.
+/// Maximum number of write requests that are appended to the journal at once.
 const MAX_BATCH_LENGTH: usize = 256;
 
-/// The task that takes requests from the write queue.
+/// The task that takes write requests from the queue and appends their records to the journal.
 pub(super) struct JournalWriter {
     node: Arc<StoreNode>,
     queue: mpsc::UnboundedReceiver<WriteRequest>,
@@ -22,14 +22,15 @@
         Self { node, queue }
     }
 
-    /// Writes until the store is dropped.
+    /// Writes until the store is dropped. After a failed append, the following requests of the batch and all
+    /// queued requests fail as well.
     pub async fn run(mut self) {
         let mut requests = Vec::with_capacity(MAX_BATCH_LENGTH);
         while self.queue.recv_many(&mut requests, MAX_BATCH_LENGTH).await > 0 {
             let durable = self.write(&requests).await;
             let failed = requests.split_off(durable);
             for request in requests.drain(..) {
-                // The receiver is gone if nobody waits for the write.
+                // Sending fails if the receiver was dropped, which means that nothing waits for the write.
                 let _ = request.done.send(());
             }
             if !failed.is_empty() {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Appends all requests; returns how many of the first are durable.
+    /// Appends the records of all requests. Returns how many requests, from the first one on, are durable.
     async fn write(&self, requests: &[WriteRequest]) -> usize {
         let append = |request: &WriteRequest| {
             let encoded = (!request.records.is_empty()).then(|| rpc::encode(&request.records));
@@ -63,10 +64,10 @@
         requests.len()
     }
 
-    /// After a failure, nothing that was queued behind it is acknowledged either, since those records may build on the
-    /// lost ones. The next write of each batch job concerned is a snapshot.
+    /// Drops the failed requests and all requests queued behind them, without acknowledging any, since later
+    /// records may depend on the lost ones. The next write of each affected batch job is a snapshot.
     fn drop_failed(&mut self, mut failed: Vec<WriteRequest>) {
-        // While the lock is held, nothing more can be queued.
+        // Records are only queued under this lock, so the queue stays empty after it was drained here.
         let mut state = self.node.lock();
         while let Ok(request) = self.queue.try_recv() {
             failed.push(request);
--- a/crates/store-plane/src/runner/active_job.rs
+++ b/crates/store-plane/src/runner/active_job.rs
@@ -1,4 +1,5 @@
-//! A batch job while this store runs it: its items, the terms of its route, and the results that are to be appended.
+//! A batch job while this store runs it: its items, the rules of its route, and the results to append to its
+//! log.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -15,22 +16,22 @@
 use super::ports::{ItemProgress, JobAddress, JobLog, JobState, OwnershipLost, RouteRules};
 use super::task_guard::TaskGuard;
 
-/// The longest item of a batch job is expected to take this many times the average run.
+/// Expected duration of the longest run of a batch job, as a multiple of the average run.
 const LONGEST_RUN_FACTOR: f64 = 2.5;
-/// An item is given up this much later than its route allows, since the clocks of stores differ.
+/// Time by which items are given up later than the route's shelf life, since the clocks of stores differ.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(1);
 
-/// When a batch job was submitted, on the clock of the runner.
+/// When a batch job was submitted, expressed on the runner's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SubmissionTime {
-    /// Its age when this store became its owner.
+    /// Age of the batch job when this store became its owner.
     pub age: Duration,
-    /// When this store became its owner.
+    /// When this store became the owner, on the runner's clock.
     pub acquired_at: Duration,
 }
 
 impl SubmissionTime {
-    /// The time that is `delay` after the submission.
+    /// Returns the time `delay` after the submission, on the runner's clock.
     fn after(self, delay: Duration) -> Duration {
         (self.acquired_at + delay).saturating_sub(self.age)
     }
@@ -41,15 +42,16 @@
     pub id: JobId,
     pub job: Arc<Job>,
     pub address: JobAddress,
-    /// The phases of the items, and their order.
+    /// The phases of the items, and the order in which they start.
     pub schedule: JobSchedule,
-    /// By item index; the default once the item has a result.
+    /// The state of each item, by item index; the default once the item has a result.
     pub work: Vec<ItemWork>,
-    /// The terms of its route when they were last looked up; `None` while no route matches.
+    /// The rules of the route when they were last looked up; `None` while no route matches.
     pub rules: Option<RouteRules>,
     submission: SubmissionTime,
+    /// Passes results to the task that appends them to the log.
     results: mpsc::UnboundedSender<ItemResult>,
-    /// Waits for the end of the batch job.
+    /// The task that closes the batch job when its log is no longer open.
     _watcher: TaskGuard,
 }
 
@@ -67,7 +69,7 @@
         Self { id, job, address, schedule, work, rules: None, submission, results, _watcher: watcher }
     }
 
-    /// Items with results that earlier owners committed are not run.
+    /// Marks the items whose results are committed already as recorded, so that they are not run again.
     pub fn skip_committed(&mut self, committed_results: &[ItemResult]) {
         let ids: HashSet<&str> = committed_results.iter().map(|result| &*result.id).collect();
         for (index, item) in self.job.items.iter().enumerate() {
@@ -81,18 +83,20 @@
         &self.job.items[index]
     }
 
-    /// Responses with status 500 after which an item is given up; without limit while no route is known.
+    /// Returns the number of responses with status 500 after which an item is given up; unlimited while no
+    /// route matches.
     pub fn max_attempts(&self) -> u32 {
         self.rules.map_or(u32::MAX, |rules| rules.max_attempts.max(1))
     }
 
-    /// When its items are given up; `None` while no route is known.
+    /// Returns when the remaining items are given up, on the runner's clock; `None` while no route matches.
     pub fn expiry(&self) -> Option<Duration> {
         let shelf_life = self.rules?.shelf_life;
         Some(self.submission.after(shelf_life + EXPIRY_MARGIN))
     }
 
-    /// Whether events of these versions may be part of an output. Without a route the stricter rule applies.
+    /// Returns whether the versions that generated some events satisfy the version rules of the batch job.
+    /// While no route matches, the stricter rule applies: a single version.
     pub fn accepts(&self, progress: &ItemProgress) -> bool {
         let single_version = self.rules.is_none_or(|rules| rules.single_version);
         let has_known_versions =
@@ -101,8 +105,8 @@
             && satisfies_version_rules(&progress.versions, self.address.oldest_version, single_version)
     }
 
-    /// The next item with its precedence among those of all batch jobs, if runs take `average_run` and `concurrency`
-    /// of them go on at the same time.
+    /// Returns the next item to start and its precedence among the items of all batch jobs, estimated for
+    /// runs that take `average_run` and `concurrency` of which run concurrently.
     pub fn next_item(
         &self,
         now: Duration,
@@ -122,7 +126,7 @@
         Some((Precedence::new(candidate, forecast), candidate))
     }
 
-    /// A run of an item has failed with status 500. Returns how many have.
+    /// Counts a run of an item that failed with status 500. Returns the number of such runs.
     pub fn record_internal_error(&mut self, index: ItemIndex) -> u32 {
         let work = &mut self.work[index];
         work.internal_errors += 1;
@@ -130,7 +134,7 @@
         work.internal_errors
     }
 
-    /// Makes an item pending, not to be started before `pause` has passed.
+    /// Makes an item pending; it is not started before `pause` has passed.
     pub fn postpone(&mut self, index: ItemIndex, now: Duration, pause: Duration) {
         self.schedule.set_phase(index, ItemPhase::Pending(now + pause));
     }
@@ -148,7 +152,7 @@
         self.record(index, result);
     }
 
-    /// Records that an item can't be delivered.
+    /// Records as the result of an item that it can't be delivered.
     pub fn give_up(&mut self, index: ItemIndex) {
         let result = ItemResult {
             id: self.item(index).id.clone(),
@@ -172,18 +176,19 @@
     fn record(&mut self, index: ItemIndex, result: ItemResult) {
         self.work[index] = ItemWork::default();
         self.schedule.set_phase(index, ItemPhase::Recorded);
-        // The receiver is closed only when this store has lost the ownership; then no result may be recorded.
+        // Sending fails only after this store has lost the ownership; then no result may be recorded.
         let _ = self.results.send(result);
     }
 }
 
+/// Joins the data of the events by line breaks; bytes that are not UTF-8 are replaced.
 fn joined_text(progress: &ItemProgress) -> String {
     let joined = progress.events.join(&b'\n');
     String::from_utf8(joined).unwrap_or_else(|error| String::from_utf8_lossy(error.as_bytes()).into_owned())
 }
 
-/// Appends results to the log until the batch job is closed; those that come while an append is in flight are appended
-/// together.
+/// Appends results to the log until the batch job is closed. Results that arrive while an append is in flight
+/// are appended together by the next one.
 pub(super) async fn append_results<Log: JobLog>(
     log: Arc<Log>,
     mut results: mpsc::UnboundedReceiver<ItemResult>,
--- a/crates/store-plane/src/runner/completion.rs
+++ b/crates/store-plane/src/runner/completion.rs
@@ -1,4 +1,4 @@
-//! What follows the end of a run of an item, and of its reward call.
+//! Handles the end of a run of an item, and of its reward call.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,12 @@
 use super::task_guard::TaskGuard;
 use super::{JobKey, Runner, RunnerEvent};
 
-/// The newest run counts one part in this many of the exponentially weighted moving average.
+/// The newest run has a weight of one divided by this in the exponentially weighted moving average.
 const AVERAGE_RUN_WEIGHT_DIVISOR: u32 = 8;
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
-    /// A run of an item has ended.
+    /// Handles the outcome of a run: continues with the reward call, gives the item up, or schedules the next
+    /// run.
     pub(super) fn on_run_finished(
         &mut self,
         key: JobKey,
@@ -64,7 +65,8 @@
         });
     }
 
-    /// Calls the reward of an item whose output is complete; delivers it at once if it has none.
+    /// Starts the reward call of an item whose output is complete. An item without a reward call is delivered
+    /// at once.
     pub(super) fn on_output_complete(&mut self, key: JobKey, index: ItemIndex) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         job.work[index].attempts_without_progress = 0;
@@ -75,6 +77,7 @@
         self.call_reward(key, index, Duration::ZERO);
     }
 
+    /// Spawns the reward call of an item, which starts after `pause`.
     fn call_reward(&mut self, key: JobKey, index: ItemIndex, pause: Duration) {
         let timeout = self.settings.reward_timeout;
         let Some(job) = self.jobs.get_mut(&key) else { return };
@@ -92,7 +95,7 @@
         job.work[index].task = Some(TaskGuard(call.abort_handle()));
     }
 
-    /// A reward call has ended.
+    /// Handles the outcome of a reward call: delivers the item, gives it up, or repeats the call.
     pub(super) fn on_reward_finished(&mut self, key: JobKey, index: ItemIndex, outcome: RewardOutcome) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         if job.schedule.phase(index) != ItemPhase::Grading {
@@ -114,6 +117,7 @@
         self.call_reward(key, index, pause);
     }
 
+    /// Delivers an item with its grade and caches its output.
     fn deliver_graded(&mut self, key: JobKey, index: ItemIndex, grade: String) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let progress: ItemProgress = job.work[index].progress.clone();
@@ -123,8 +127,8 @@
     }
 }
 
-/// Responses with status 500 to the reward call after which an item is given up: the larger limit of the route of the
-/// batch job and that of the reward call.
+/// Returns the number of responses with status 500 to the reward call after which an item is given up: the
+/// larger of the limits of the batch job's route and the reward call's route.
 fn max_reward_attempts<Executor: ItemExecutor>(
     executor: &Executor,
     job: &ActiveJob,
--- a/crates/store-plane/src/runner/forwarder_executor.rs
+++ b/crates/store-plane/src/runner/forwarder_executor.rs
@@ -1,4 +1,4 @@
-//! The executor that sends items and reward calls to servers by the forwarder of this process.
+//! The executor that sends items and reward calls to servers through the forwarder of this process.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,21 +11,21 @@
 
 use super::ports::{ItemAttempt, ItemExecutor, ItemOutcome, JobAddress, RewardOutcome, RouteRules};
 
-/// Time until results are due where the route does not set it.
+/// Time from the submission until results are due, if the route does not set it.
 const DEFAULT_DELIVERY_DUE: Duration = Duration::from_secs(10);
-/// Time until items are given up where the route does not set it.
+/// Time from the submission until items are given up, if the route does not set it.
 const DEFAULT_SHELF_LIFE: Duration = Duration::from_secs(3600);
-/// Pause before an item without a route is attempted again.
+/// Pause before the next attempt of an item that no route matches.
 const NO_ROUTE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Carries out requests by a [`Forwarder`].
+/// Sends items and reward calls through a [`Forwarder`]. Clones share it.
 #[derive(Clone)]
 pub struct ForwarderExecutor {
     forwarder: Forwarder,
 }
 
 impl ForwarderExecutor {
-    /// An executor that uses `forwarder`.
+    /// Creates an executor that uses `forwarder`.
     #[must_use]
     pub fn new(forwarder: Forwarder) -> Self {
         Self { forwarder }
@@ -57,7 +57,8 @@
         self.forwarder.total_capacity(&route.targets, address.model.as_deref(), address.oldest_version)
     }
 
-    /// The forwarder itself selects a server with the right version; where there is none, it does not run the item.
+    /// Always `true`: the forwarder selects a server with a suitable version by itself, and returns
+    /// [`ItemOutcome::NotRun`] if there is none.
     fn can_continue(&self, _address: &JobAddress, _versions: &BTreeSet<u64>) -> bool {
         true
     }
@@ -74,6 +75,7 @@
     }
 }
 
+/// Returns the route that matches a host and a path, whose query part is ignored.
 fn find_route(configuration: &Configuration, host: &str, path: &str) -> Option<Arc<Route>> {
     let path = path.split('?').next().unwrap_or(path);
     configuration.route(host, path).cloned()
--- a/crates/store-plane/src/runner/item_work.rs
+++ b/crates/store-plane/src/runner/item_work.rs
@@ -1,54 +1,59 @@
-//! What is known of an item while it has no result: its output so far, its failures, and the backoff between attempts.
+//! The state of an item without a result: its output so far, its failures, and the backoff between attempts.
 
 use std::time::Duration;
 
 use super::ports::ItemProgress;
 use super::task_guard::TaskGuard;
 
-/// First pause after an attempt without progress; it doubles with each further one in a row.
+/// Pause after the first attempt without progress; it doubles with each consecutive one.
 const MIN_BACKOFF: Duration = Duration::from_millis(30);
 /// Longest pause after an attempt without progress.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// More doublings than these are not computed: the backoff has reached [`MAX_BACKOFF`] by then.
+/// Upper bound on the doublings that are computed: the backoff has reached [`MAX_BACKOFF`] by then.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Rejections in a row after which an output is begun again instead of continued: no server can continue it.
+/// Consecutive rejections up to which the next run continues the output. After more, the item starts over,
+/// since probably no server can continue the output.
 const MAX_REJECTIONS_BEFORE_RESTART: u32 = 3;
-/// Longest pause after a rejection: what one server says of itself does not bind the others.
+/// Longest pause after a rejection, even if the server asked for more: other servers may accept the item
+/// earlier.
 const MAX_REJECTION_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause after a rejection where the server asked for less.
+/// Longest backoff after rejections; the pause is only longer if the server asked for that.
 const MAX_REJECTION_BACKOFF: Duration = Duration::from_millis(120);
 
-/// The state of an item that has no result yet.
+/// The state of an item that has no result yet; reset to the default once it has one.
 #[derive(Debug, Default)]
 pub(super) struct ItemWork {
-    /// The events to continue from.
+    /// The valid events generated so far, from which the next run continues; empty if it starts over.
     pub progress: ItemProgress,
-    /// Responses with status 500 to the item.
+    /// Number of runs that failed with status 500.
     pub internal_errors: u32,
-    /// Responses with status 500 to its reward call.
+    /// Number of responses with status 500 to the item's reward call.
     pub reward_internal_errors: u32,
-    /// Runs in a row that no server accepted.
+    /// Number of consecutive runs that no server accepted.
     pub consecutive_rejections: u32,
-    /// Runs or reward calls in a row that made no progress; 1 after a run that was interrupted but made some.
+    /// Number of consecutive runs or reward calls without progress. It is 1 after an interrupted run that
+    /// made progress, so that the next run waits for the shortest backoff.
     pub attempts_without_progress: u32,
-    /// The request in flight.
+    /// The task of the run or reward call in flight; replacing or dropping it cancels the request.
     pub task: Option<TaskGuard>,
 }
 
 impl ItemWork {
-    /// The pause before the next attempt.
+    /// Returns the pause before the next attempt after attempts without progress.
     pub fn backoff(&self) -> Duration {
         backoff_after(self.attempts_without_progress)
     }
 
-    /// The events so far can't become a valid output: the next run begins again. Returns the pause before it.
+    /// Discards events that can't become a valid output, so that the next run starts over. Returns the pause
+    /// before it.
     pub fn restart(&mut self) -> Duration {
         self.progress = ItemProgress::default();
         self.attempts_without_progress += 1;
         self.backoff()
     }
 
-    /// The next run continues from these events. Returns the pause before it.
+    /// Stores the events of an interrupted run, so that the next run continues from them. Returns the pause
+    /// before it.
     pub fn resume_from(&mut self, progress: ItemProgress) -> Duration {
         let has_advanced = progress.events.len() > self.progress.events.len();
         self.attempts_without_progress = if has_advanced { 1 } else { self.attempts_without_progress + 1 };
@@ -56,7 +61,8 @@
         self.backoff()
     }
 
-    /// No server accepted the item. Returns the pause before the next run.
+    /// Handles a run that no server accepted. Returns the pause before the next run; `retry_after` is the
+    /// pause that the servers asked for.
     pub fn on_rejection(&mut self, retry_after: Duration) -> Duration {
         self.consecutive_rejections += 1;
         if self.consecutive_rejections > MAX_REJECTIONS_BEFORE_RESTART {
@@ -67,7 +73,7 @@
     }
 }
 
-/// The exponential backoff after so many failures in a row.
+/// Returns the exponential backoff after `failures` consecutive failures.
 fn backoff_after(failures: u32) -> Duration {
     let doublings = failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
     (MIN_BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF)
--- a/crates/store-plane/src/runner/mod.rs
+++ b/crates/store-plane/src/runner/mod.rs
@@ -1,9 +1,10 @@
 //! Runs the items of the batch jobs that this store owns.
 //!
-//! The [`Runner`] is one task that owns all state and spawns a task for each request in flight: first the run of the
-//! item, then, once its output is complete, the reward call that grades it. Each such task ends with an event to the
-//! runner. Items start in the order of [`batch::Precedence`], as far as the executor has capacity. What requests and
-//! logs are is given by the traits in [`ports`].
+//! The [`Runner`] is one task that owns all state and spawns a task for each request in flight: first the run
+//! of the item, then, once its output is complete, the reward call that grades it. Each such task ends by
+//! sending an event to the runner. Items start in the order of [`batch::Precedence`], as far as the executor
+//! has capacity. The traits in [`ports`] define the executor of requests and the log that results are
+//! appended to.
 
 mod active_job;
 mod completion;
@@ -32,15 +33,17 @@
 
 pub use settings::RunnerSettings;
 
-/// The runner's clock shows this when it starts, so that times before its start can be expressed.
+/// Reading of the runner's clock when it starts. It is not zero so that times before the start can be
+/// expressed.
 const CLOCK_AT_START: Duration = Duration::from_secs(24 * 60 * 60);
-/// While items wait for capacity, it is checked this often.
+/// Interval of the checks for free capacity while items wait for it.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Identifies a batch job of the runner. A batch job that is acquired again gets a new key.
+/// Identifies one acquisition of a batch job by the runner. A batch job that is acquired again gets a new
+/// key.
 type JobKey = u64;
 
-/// What the runner is notified of.
+/// Events that the runner handles, sent by its handles and by the tasks that it spawns.
 enum RunnerEvent<Log> {
     JobAcquired(OwnedJob<Log>),
     RunFinished { key: JobKey, index: ItemIndex, outcome: ItemOutcome, duration: Duration },
@@ -48,7 +51,7 @@
     JobClosed { key: JobKey },
 }
 
-/// Passes batch jobs to a [`Runner`].
+/// Passes batch jobs to a [`Runner`]. Clones pass them to the same one.
 #[derive(Debug)]
 pub struct RunnerHandle<Log> {
     events: mpsc::UnboundedSender<RunnerEvent<Log>>,
@@ -61,9 +64,9 @@
 }
 
 impl<Log> RunnerHandle<Log> {
-    /// Runs a batch job until its log is no longer open.
+    /// Runs the items of a batch job until its log is no longer [`JobState::Open`].
     pub fn run_job(&self, job: OwnedJob<Log>) {
-        // Without a runner the process is about to exit.
+        // Sending fails if the runner was dropped, which happens only when the process is about to exit.
         let _ = self.events.send(RunnerEvent::JobAcquired(job));
     }
 }
@@ -72,12 +75,13 @@
 pub struct Runner<Executor, Log> {
     executor: Arc<Executor>,
     settings: RunnerSettings,
+    /// When the runner was created; its clock then shows [`CLOCK_AT_START`].
     started: Instant,
     /// The batch jobs in the order in which they were acquired.
     jobs: BTreeMap<JobKey, ActiveJob>,
     next_key: JobKey,
     output_cache: OutputCache,
-    /// Moving average of the duration of complete runs.
+    /// Moving average of the durations of complete runs; `None` before the first one.
     average_run: Option<Duration>,
     pending_starts: PendingStarts,
     events: mpsc::UnboundedReceiver<RunnerEvent<Log>>,
@@ -85,7 +89,7 @@
 }
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
-    /// A runner without batch jobs, and the handle that passes it some.
+    /// Creates a runner without batch jobs, and the handle that passes batch jobs to it.
     #[must_use]
     pub fn new(executor: Arc<Executor>, settings: RunnerSettings) -> (Self, RunnerHandle<Log>) {
         let (event_sender, events) = mpsc::unbounded_channel();
@@ -123,11 +127,12 @@
         }
     }
 
-    /// The time on the runner's clock.
+    /// Returns the reading of the runner's clock.
     fn now(&self) -> Duration {
         CLOCK_AT_START + self.started.elapsed()
     }
 
+    /// Handles an event and all that are queued behind it, before items are started.
     fn handle_pending(&mut self, first: RunnerEvent<Log>) {
         self.handle(first);
         while let Ok(event) = self.events.try_recv() {
@@ -148,6 +153,7 @@
         }
     }
 
+    /// Starts to run a batch job, unless it is no longer open. An earlier acquisition of it is closed.
     fn on_job_acquired(&mut self, owned: OwnedJob<Log>) {
         self.close_earlier(&owned.id);
         let log = Arc::new(owned.log);
@@ -173,7 +179,7 @@
         self.use_cached_outputs(key);
     }
 
-    /// A batch job that is acquired again is run under its new log only.
+    /// Closes earlier acquisitions of a batch job, so that it is run with its new log only.
     fn close_earlier(&mut self, id: &JobId) {
         let earlier: Vec<JobKey> =
             self.jobs.iter().filter(|(_, job)| job.id == *id).map(|(key, _)| *key).collect();
@@ -182,7 +188,7 @@
         }
     }
 
-    /// Spawns a task that closes the batch job when its log is no longer open.
+    /// Spawns the task that closes the batch job when its log is no longer open.
     fn spawn_watcher(&self, key: JobKey, log: &Log) -> TaskGuard {
         let mut state = log.state();
         let events = self.event_sender.clone();
@@ -193,8 +199,8 @@
         TaskGuard(watcher.abort_handle())
     }
 
-    /// Spawns the task that appends results. It is not aborted with the batch job, since an append in flight must not
-    /// be cancelled.
+    /// Spawns the task that appends results. It is not aborted with the batch job, since an append in flight
+    /// must not be cancelled.
     fn spawn_appender(&self, key: JobKey, log: Arc<Log>, results: mpsc::UnboundedReceiver<ItemResult>) {
         let events = self.event_sender.clone();
         tokio::spawn(async move {
@@ -204,7 +210,7 @@
         });
     }
 
-    /// Cancels all requests of a batch job; unfinished outputs are cached.
+    /// Removes a batch job, which cancels its requests, and caches the outputs that have no result yet.
     fn close(&mut self, key: JobKey) {
         let Some(mut job) = self.jobs.remove(&key) else { return };
         for index in 0..job.work.len() {
@@ -217,8 +223,8 @@
         }
     }
 
-    /// Uses the cached outputs of the pending items of a batch job: a graded one becomes the result, a complete one is
-    /// graded, and an unfinished one is continued by the next run.
+    /// Uses the cached outputs of the pending items of a batch job: a graded output becomes the result, a
+    /// complete one is graded, and an incomplete one is continued by the next run.
     fn use_cached_outputs(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(&key) else { return };
         let mut ungraded = Vec::new();
@@ -239,12 +245,14 @@
         }
     }
 
+    /// Looks the rules of the routes up again, since the configuration may have changed.
     fn refresh_route_rules(&mut self) {
         for job in self.jobs.values_mut() {
             job.rules = self.executor.route_rules(&job.address.host, &job.address.path);
         }
     }
 
+    /// Gives up the remaining items of batch jobs that have expired.
     fn give_up_expired(&mut self) {
         let now = self.now();
         for job in self.jobs.values_mut() {
@@ -255,7 +263,8 @@
         }
     }
 
-    /// When to check the items again if no event comes before.
+    /// Returns when to check the items again if no event arrives earlier; `None` if there is nothing to
+    /// check.
     fn next_wake(&self) -> Option<Duration> {
         let now = self.now();
         let unfinished = || self.jobs.values().filter(|job| !job.schedule.is_finished());
@@ -267,7 +276,7 @@
     }
 }
 
-/// Sleeps until the runner's clock shows `wake_at`, without end if that is `None`.
+/// Sleeps until the runner's clock shows `wake_at`, or forever if that is `None`.
 async fn sleep_until(started: Instant, wake_at: Option<Duration>) {
     match wake_at {
         Some(wake_at) => tokio::time::sleep_until(started + wake_at.saturating_sub(CLOCK_AT_START)).await,
--- a/crates/store-plane/src/runner/owned_jobs.rs
+++ b/crates/store-plane/src/runner/owned_jobs.rs
@@ -1,4 +1,4 @@
-//! The runner of the batch jobs that a [`JobStore`](crate::JobStore) owns.
+//! Connects a [`JobStore`](crate::JobStore) to the runner: runs the batch jobs that the store owns.
 
 use std::sync::Arc;
 
@@ -21,7 +21,8 @@
     }
 }
 
-/// Runs the items of all batch jobs that come from `owned_jobs`, by means of `forwarder`, until the channel is closed.
+/// Runs the items of all batch jobs received from `owned_jobs`, through `forwarder`, until the channel is
+/// closed.
 pub async fn run_owned_jobs(
     mut owned_jobs: mpsc::UnboundedReceiver<OwnedJob>,
     forwarder: Forwarder,
--- a/crates/store-plane/src/runner/scheduling.rs
+++ b/crates/store-plane/src/runner/scheduling.rs
@@ -13,15 +13,17 @@
 use super::task_guard::TaskGuard;
 use super::{JobKey, Runner, RunnerEvent, RunnerSettings};
 
-/// A run times out after this many times the average run.
+/// Timeout of a run as a multiple of the average run.
 const RUN_TIMEOUT_FACTOR: u32 = 3;
-/// Items that no trainer waits for leave the total capacity divided by this free, since other stores run items as well.
+/// Items that no trainer waits for must leave the total capacity divided by this free, since other stores run
+/// items at the same servers.
 const SURPLUS_RESERVE_DIVISOR: usize = 2;
-/// The timeout of a run doubles this many times at most, once for each attempt in a row without progress.
+/// Maximum number of times that the timeout of a run doubles, once for each consecutive attempt without
+/// progress.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
-    /// Starts items as long as there is capacity, the most urgent first.
+    /// Starts items while there is capacity, the most urgent first.
     pub(super) fn start_items(&mut self) {
         let mut streaming: usize = self.jobs.values().map(|job| job.schedule.streaming()).sum();
         let mut free_capacity: BTreeMap<JobKey, usize> = BTreeMap::new();
@@ -33,7 +35,8 @@
         }
     }
 
-    /// The item to start next. `free_capacity` holds what the executor reported for batch jobs in this pass.
+    /// Returns the item to start next. `free_capacity` caches the capacity that the executor reported for
+    /// each batch job in this pass.
     fn most_urgent(
         &self,
         now: Duration,
@@ -52,7 +55,8 @@
                 Urgency::InTime | Urgency::Late => 0,
             };
             let free = *free_capacity.entry(key).or_insert_with(|| self.executor.free_capacity(&job.address));
-            // Batch jobs of one service share its servers, so the starts of all of them count.
+            // Batch jobs of one service share its servers, so the pending starts of all batch jobs are
+            // subtracted.
             if free > reserve + self.pending_starts.count() {
                 best = Some((precedence, key, candidate.index));
             }
@@ -60,12 +64,14 @@
         best.map(|(_, key, index)| (key, index))
     }
 
-    /// Capacity that is left to others when an item is started that no trainer waits for.
+    /// Returns the capacity that must stay free for other stores when an item is started that no trainer
+    /// waits for.
     fn surplus_reserve(&self, address: &JobAddress) -> usize {
         let part_of_total = self.executor.total_capacity(address) / SURPLUS_RESERVE_DIVISOR;
         self.settings.min_surplus_reserve.max(part_of_total)
     }
 
+    /// Spawns the run of an item. The output starts over if no server can continue it.
     fn start_item(&mut self, key: JobKey, index: ItemIndex) {
         let average_run = self.average_run;
         let Some(job) = self.jobs.get_mut(&key) else { return };
@@ -90,11 +96,12 @@
     }
 }
 
-/// Counts the runs that were started, but that the executor can't have subtracted from its free capacity yet.
+/// Counts the runs that were spawned but have not called the executor yet, which therefore can't have
+/// subtracted them from its free capacity.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingStarts(Arc<()>);
 
-/// A run that the executor has not seen; it counts until it is dropped.
+/// A run that has not called the executor yet; counted by [`PendingStarts`] until it is dropped.
 struct PendingStart {
     _token: Arc<()>,
 }
@@ -109,6 +116,7 @@
     }
 }
 
+/// Spawns a task that runs an item and reports its outcome to the runner.
 fn spawn_run<Executor: ItemExecutor, Log: JobLog>(
     executor: &Arc<Executor>,
     events: &mpsc::UnboundedSender<RunnerEvent<Log>>,
@@ -128,7 +136,7 @@
     TaskGuard(run.abort_handle())
 }
 
-/// The timeout of a run. A run that makes no event at all is given longer the next time.
+/// Returns the timeout of a run. After a run without any event, the next run has a longer timeout.
 fn run_timeout(
     settings: &RunnerSettings,
     average_run: Option<Duration>,
--- a/crates/store-plane/src/runner/settings.rs
+++ b/crates/store-plane/src/runner/settings.rs
@@ -1,21 +1,22 @@
-//! Limits of the runner.
+//! Limits and timeouts of the runner.
 
 use std::time::Duration;
 
-/// Limits of a [`Runner`](super::Runner).
+/// Limits and timeouts of a [`Runner`](super::Runner).
 #[derive(Clone, Copy, Debug)]
 pub struct RunnerSettings {
-    /// Items that are run at the same time.
+    /// Maximum number of items that run concurrently.
     pub max_concurrent_items: usize,
-    /// Capacity that is left to others, at least, when an item is started that no trainer waits for.
+    /// Minimum capacity, in items, that must stay free for other stores when an item is started that no
+    /// trainer waits for.
     pub min_surplus_reserve: usize,
-    /// Shortest timeout of a run of an item.
+    /// Shortest timeout of a run of an item; also the first timeout while no run has completed.
     pub min_run_timeout: Duration,
     /// Longest timeout of a run of an item.
     pub max_run_timeout: Duration,
-    /// Timeout of a reward call.
+    /// Timeout of one reward call.
     pub reward_timeout: Duration,
-    /// Memory for the output cache, in bytes.
+    /// Maximum memory of the output cache, in bytes.
     pub output_cache_bytes: usize,
 }
 
--- a/crates/store-plane/src/runner/task_guard.rs
+++ b/crates/store-plane/src/runner/task_guard.rs
@@ -1,8 +1,8 @@
-//! A task that ends with its owner.
+//! A guard that ties a spawned task to the value that holds it.
 
 use tokio::task::AbortHandle;
 
-/// Aborts a task when dropped.
+/// Aborts a spawned task when dropped.
 #[derive(Debug)]
 pub(super) struct TaskGuard(pub AbortHandle);
 
