--- a/crates/store-plane/tests/golden/messages.rs
+++ b/crates/store-plane/tests/golden/messages.rs
@@ -1,7 +1,8 @@
-//! The encoded form of every message between stores, and from traffic nodes to stores, byte for byte.
+//! Golden tests of the encoded forms of the messages between stores, and from traffic nodes to stores.
 //!
-//! The messages are private to the replication, which includes this file as a module of its own. Each form stands in a
-//! file of this folder as lines of hexadecimal digits; a run with `GOLDEN_WRITE=1` writes the files that are missing.
+//! The messages are private to the replication module, which therefore includes this file as a module. Each
+//! encoded form is stored in a file of this folder as lines of hexadecimal digits. A run with
+//! `GOLDEN_WRITE=1` writes missing files.
 
 use std::fmt::Debug;
 use std::path::Path;
@@ -20,10 +21,12 @@
     OwnerReply, ReadRequest, ReplicateReply, ResultPage, Submission, SubmitReply, TakeoverRequest,
 };
 
+/// Number of bytes in a line of a golden file.
 const BYTES_PER_LINE: usize = 32;
+/// Store id whose bytes are all different.
 const STORE: StoreId = 0x0102_0304_0506_0708;
 
-/// Compares the encoded form of a message with its file, and the message read from that file with the message.
+/// Checks that a message is encoded as in its golden file, and that the file is decoded to the message.
 fn check<T: Serialize + DeserializeOwned + Debug>(name: &str, message: &T) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.hex"));
     let encoded = rpc::encode(message);
@@ -31,9 +34,13 @@
         std::fs::write(&path, to_hex(&encoded)).expect("the golden file can be written");
     }
     let golden = std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{name}.hex: {error}"));
-    assert_eq!(to_hex(&encoded), golden, "{name} is encoded as before");
+    assert_eq!(to_hex(&encoded), golden, "the encoded form of {name} differs from its golden file");
     let decoded: T = rpc::decode(&from_hex(&golden)).expect("the golden file can be decoded");
-    assert_eq!(format!("{decoded:?}"), format!("{message:?}"), "{name} is decoded as before");
+    assert_eq!(
+        format!("{decoded:?}"),
+        format!("{message:?}"),
+        "{name}.hex is decoded to a different message"
+    );
 }
 
 fn to_hex(bytes: &[u8]) -> String {
--- a/crates/store-plane/tests/placement.rs
+++ b/crates/store-plane/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which stores keep a batch job.
+//! The placement of batch jobs on stores.
 
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
@@ -8,6 +8,7 @@
 use store_plane::replicas_of;
 use yare::parameterized;
 
+/// Creates a store set of `members` stores that are spread evenly over `zones` zones.
 fn store_set(members: u64, zones: u64) -> StoreSet {
     let member = |number: u64| StoreMember {
         member: Member {
@@ -55,7 +56,7 @@
     }
 }
 
-/// The replica groups of these batch jobs, with the number of batch jobs of each.
+/// Places `jobs` batch jobs; returns the replica groups in use with the number of batch jobs of each.
 fn groups(set: &StoreSet, jobs: u64) -> HashMap<Vec<String>, usize> {
     let mut groups = HashMap::new();
     for number in 0..jobs {
@@ -90,7 +91,7 @@
         for group in groups(&set, 300).into_keys() {
             let job =
                 (0..300).map(|number| format!("{number:016x}")).find(|job| replica_names(&set, job) == group);
-            let after = replica_names(&without, &job.expect("it is of that group"));
+            let after = replica_names(&without, &job.expect("a batch job belongs to the group"));
             assert!(group.iter().filter(|store| after.contains(store)).count() >= group.len() - 1);
         }
     }
@@ -106,7 +107,8 @@
     }
 }
 
-/// Every process must place a batch job on the same stores, also one that runs another release of the software.
+/// All processes must place a batch job on the same stores, even if they run different releases of the
+/// software.
 #[test]
 fn given_a_store_set_when_batch_jobs_are_placed_then_the_placement_matches_the_golden_file() {
     let set = StoreSet { target_size: 45, ..store_set(45, 4) };
--- a/crates/store-plane/tests/replication/calls.rs
+++ b/crates/store-plane/tests/replication/calls.rs
@@ -1,4 +1,4 @@
-//! Submission, reads and the end of batch jobs, on stores without faults.
+//! Calls of a traffic node about batch jobs, on stores without faults: submission, reads and the end.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     let page = cluster.read("job", 1).await;
     let expected = serde_json::to_string(&[result(1), result(2)]).expect("results are JSON");
     assert_eq!((page.total, page.next, &page.deliveries[..]), (10, 3, expected.as_bytes()));
-    assert!(cluster.owned.try_recv().is_err(), "one store owns it");
+    assert!(cluster.owned.try_recv().is_err(), "only one store owns the batch job");
 }
 
 #[tokio::test]
--- a/crates/store-plane/tests/replication/cluster.rs
+++ b/crates/store-plane/tests/replication/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of stores with the view of a control plane that the test plays.
+//! A cluster of stores. The test takes the place of the control plane and publishes its view.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU16, Ordering};
@@ -18,36 +18,40 @@
 use crate::disk::MemoryDisk;
 use crate::store_process::{FrozenStore, StoreOptions, StoreProcess};
 
-/// How long anything may take before a test fails.
+/// Maximum time that a test waits for an event or a call.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long results are kept where the test does not say.
+/// Retention of results, unless a test sets its own.
 const RESULT_RETENTION: Duration = Duration::from_secs(120);
 
+/// A store of the cluster, which may be running or not.
 pub struct Store {
     pub member: Member,
     pub disk: MemoryDisk,
+    /// `None` while the store does not run.
     process: Option<StoreProcess>,
 }
 
+/// Stores that run in this process, and a client that calls them.
 pub struct Cluster {
     pub stores: Vec<Store>,
     view: watch::Sender<Arc<View>>,
     owned_sender: mpsc::UnboundedSender<OwnedJob>,
-    /// The batch jobs that stores own, in the order in which they began to.
+    /// Receives the batch jobs that stores have come to own, in that order.
     pub owned: mpsc::UnboundedReceiver<OwnedJob>,
     pub client: JobClient,
     rpc: rpc::Client,
+    /// Source of incarnations of stores whose disk was replaced.
     next_incarnation: u64,
     limits: StoreLimits,
 }
 
 impl Cluster {
-    /// Starts `count` stores; each batch job is kept on three.
+    /// Starts `count` stores; each batch job has three replicas.
     pub fn start(count: u64) -> Self {
         Self::start_with_retention(count, RESULT_RETENTION)
     }
 
-    /// As [`Cluster::start`], with results kept for `result_retention`.
+    /// Like [`Cluster::start`], with results kept for `result_retention`.
     pub fn start_with_retention(count: u64, result_retention: Duration) -> Self {
         let stores: Vec<Store> = (1..=count).map(Store::new).collect();
         let members = stores.iter().map(Store::as_member).collect();
@@ -73,19 +77,20 @@
         cluster
     }
 
-    /// As [`Cluster::start`], with a batch job `job` whose owner has committed results of the items with these numbers.
+    /// Like [`Cluster::start`], then submits a batch job with the id `job` and commits results of the items
+    /// with the numbers `items`. Returns the batch job as its owner's runner receives it.
     pub async fn with_owned_job(count: u64, items: &[usize]) -> (Self, OwnedJob) {
         let mut cluster = Self::start(count);
         cluster.submit_until_accepted("job").await;
         let owned = cluster.next_owned().await;
         if !items.is_empty() {
             let results = items.iter().copied().map(result).collect();
-            owned.append(results).await.expect("the store owns it");
+            owned.append(results).await.expect("the store owns the batch job");
         }
         (cluster, owned)
     }
 
-    /// Starts a store on what its disk holds.
+    /// Starts a store with the records on its disk.
     pub fn restart(&mut self, index: usize) {
         let store = &mut self.stores[index];
         store.process = Some(StoreProcess::start(StoreOptions {
@@ -97,44 +102,48 @@
         }));
     }
 
-    /// Stops a store's thread; its sockets stay open.
+    /// Blocks the thread of a store until the returned guard is dropped. The store's sockets stay open.
     pub fn freeze(&self, index: usize) -> FrozenStore {
         self.process(index).freeze()
     }
 
-    /// Lets a store hand its batch jobs over.
+    /// Makes a store hand its batch jobs over, and waits until it has.
     pub async fn hand_over_jobs(&self, index: usize) {
         let done = self.process(index).hand_over_jobs();
-        tokio::time::timeout(TEST_TIMEOUT, done).await.expect("in time").expect("the store runs");
+        tokio::time::timeout(TEST_TIMEOUT, done)
+            .await
+            .expect("the hand-over completes in time")
+            .expect("the store runs");
     }
 
     fn process(&self, index: usize) -> &StoreProcess {
         self.stores[index].process.as_ref().expect("the store runs")
     }
 
-    /// Ends a store at once.
+    /// Ends a store immediately, without a hand-over.
     pub fn kill(&mut self, index: usize) {
         if let Some(process) = self.stores[index].process.take() {
             process.kill();
         }
     }
 
-    /// Ends all stores at once, then starts them on what their disks hold.
+    /// Ends all stores, then starts them again with the records on their disks.
     pub fn power_cycle(&mut self) {
         (0..self.stores.len()).for_each(|index| self.kill(index));
         (0..self.stores.len()).for_each(|index| self.restart(index));
     }
 
-    /// The index of the store that owns a batch job.
+    /// Returns the index of the store that owns a batch job.
     pub fn index_of_owner(&self, job: &OwnedJob) -> usize {
         let owner = job.owner();
         self.stores
             .iter()
             .position(|store| store.member.incarnation.0 == owner)
-            .expect("the owner is a store")
+            .expect("the owner is a store of the cluster")
     }
 
-    /// Kills a store; it comes back with an empty disk, and the next store set has it as a new member.
+    /// Kills a store, starts it with an empty disk, and begins the change to a store set with it as a new
+    /// member.
     pub fn replace(&mut self, index: usize) {
         self.kill(index);
         self.next_incarnation += 1;
@@ -150,17 +159,19 @@
         });
     }
 
+    /// Publishes a view with a changed control state.
     fn update_control(&self, change: impl FnOnce(&mut ControlState)) {
         let mut control = ControlState::clone(&self.view.borrow().control);
         change(&mut control);
         self.view.send_replace(Arc::new(View { control: Arc::new(control), ..View::default() }));
     }
 
-    /// Waits until all stores have migrated to the present store set, then ends the change.
+    /// Waits until all running stores have migrated to the present store set, then removes the previous store
+    /// set.
     pub async fn finish_migration(&self) {
         let epoch = self.view.borrow().control.stores.epoch;
         for store in self.stores.iter().filter(|store| store.process.is_some()) {
-            eventually("the store migrates", || async {
+            eventually("the store has migrated its batch jobs", || async {
                 let status = self.migration_status(store).await?;
                 (status.is_complete && status.epoch >= epoch).then_some(())
             })
@@ -178,26 +189,26 @@
     }
 
     pub async fn submit_until_accepted(&self, id: &str) {
-        eventually("the batch job is taken", || async {
+        eventually("the batch job is accepted", || async {
             (self.submit(id).await == SubmitOutcome::Accepted).then_some(())
         })
         .await;
     }
 
-    /// The next batch job that a store is to run.
+    /// Waits for the next batch job that a store has come to own.
     pub async fn next_owned(&mut self) -> OwnedJob {
         tokio::time::timeout(TEST_TIMEOUT, self.owned.recv())
             .await
-            .expect("a store owns it")
-            .expect("it is open")
+            .expect("a store owns a batch job in time")
+            .expect("the channel is open")
     }
 
-    /// Reads from a position until an answer is sure.
+    /// Reads results from a position on, until the outcome is definite.
     pub async fn read(&self, id: &str, after: u64) -> ResultPage {
         eventually("the results can be read", || async {
             match self.client.read(id.into(), after, Duration::ZERO).await {
                 ReadOutcome::Page(page) => Some(page),
-                ReadOutcome::NoSuchJob => panic!("the batch job is gone"),
+                ReadOutcome::NoSuchJob => panic!("batch job {id} does not exist"),
                 ReadOutcome::Unknown => None,
             }
         })
@@ -223,8 +234,8 @@
     }
 }
 
-/// A free port of a loopback address that no other store has and that no connection goes out from, so that a
-/// store finds its port free when it comes back.
+/// Returns a free port of a loopback address that no other store uses and that is not the source address of
+/// any connection, so that the port is still free when the store is restarted.
 fn free_address() -> SocketAddr {
     static NEXT_SUBNET: AtomicU16 = AtomicU16::new(1);
     let [high, low] = NEXT_SUBNET.fetch_add(1, Ordering::SeqCst).to_be_bytes();
@@ -233,7 +244,8 @@
     listener.local_addr().expect("the listener has an address")
 }
 
-/// Tries until there is an answer.
+/// Repeats `attempt` until it returns a value. Panics after [`TEST_TIMEOUT`]; `what` is the awaited
+/// condition.
 pub async fn eventually<T, AttemptFuture>(what: &str, mut attempt: impl FnMut() -> AttemptFuture) -> T
 where
     AttemptFuture: std::future::Future<Output = Option<T>>,
@@ -246,9 +258,12 @@
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(TEST_TIMEOUT, attempts).await.unwrap_or_else(|_| panic!("in time: {what}"))
+    tokio::time::timeout(TEST_TIMEOUT, attempts)
+        .await
+        .unwrap_or_else(|_| panic!("timed out waiting until {what}"))
 }
 
+/// A batch job with the items `item-0` to `item-9`.
 pub fn job_body() -> Bytes {
     let items: Vec<String> = (0..10)
         .map(|number| format!(r#"{{"id":"item-{number}","lane":"/jobs/x","payload":"aGVsbG8="}}"#))
@@ -256,6 +271,7 @@
     Bytes::from(format!(r#"{{"parcels":[{}]}}"#, items.join(",")))
 }
 
+/// A result of the item `item-NUMBER`.
 pub fn result(number: usize) -> ItemResult {
     ItemResult {
         id: format!("item-{number}").into(),
--- a/crates/store-plane/tests/replication/disk.rs
+++ b/crates/store-plane/tests/replication/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fails or stalls on demand.
+//! A disk in memory that fails or stalls if a test requires it.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, AtomicU8, Ordering};
@@ -6,32 +6,37 @@
 
 use store_plane::{Appended, JournalFailed, RecordJournal};
 
-/// A disk is full with this many records.
+/// Number of records with which a disk counts as full. It accepts more.
 const DISK_CAPACITY: f64 = 100.0;
 
-/// What a disk does with records.
+/// Behaviour of a disk when a record is appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskMode {
+    /// The record is durable at once.
     Works,
+    /// The append fails.
     Fails,
+    /// The append never completes, and nothing is written.
     Stalls,
 }
 
-/// A disk in memory; it survives the process.
+/// A disk in memory. Its records are kept when the process of a store ends. Clones share them.
 #[derive(Clone, Default)]
 pub struct MemoryDisk {
+    /// The records that were not released, by position.
     records: Arc<Mutex<BTreeMap<u64, Vec<u8>>>>,
+    /// Number of records written so far; also the position of the newest one.
     written: Arc<AtomicU64>,
     mode: Arc<AtomicU8>,
 }
 
 impl MemoryDisk {
-    /// How many records were written, and how many of them are kept.
+    /// Returns the number of records that were written, and the number of those that were not released.
     pub fn written_and_kept(&self) -> (u64, usize) {
         (self.written.load(Ordering::SeqCst), self.records.lock().unwrap().len())
     }
 
-    /// All records that are kept, oldest first.
+    /// Returns all records that were not released, with their positions, oldest first.
     pub fn recover(&self) -> Vec<(u64, Vec<u8>)> {
         let records = self.records.lock().unwrap();
         records.iter().map(|(position, record)| (*position, record.clone())).collect()
--- a/crates/store-plane/tests/replication/disks.rs
+++ b/crates/store-plane/tests/replication/disks.rs
@@ -8,9 +8,13 @@
 use crate::cluster::{eventually, result, Cluster};
 use crate::disk::{DiskMode, MemoryDisk};
 
-/// Runs a test, where the macro of a parameterized test takes no async function.
+/// Runs an async test. Parameterized tests need it, since their macro does not support async functions.
 fn in_runtime(test: impl std::future::Future<Output = ()>) {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(test);
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("the runtime starts")
+        .block_on(test);
 }
 
 #[tokio::test]
@@ -87,7 +91,7 @@
     }
     for number in 0..9 {
         for job in &owned {
-            job.append(vec![result(number)]).await.expect("it is owned");
+            job.append(vec![result(number)]).await.expect("the store owns the batch job");
         }
     }
     let disks: Vec<_> = cluster.stores.iter().map(|store| store.disk.clone()).collect();
--- a/crates/store-plane/tests/replication/failover.rs
+++ b/crates/store-plane/tests/replication/failover.rs
@@ -1,4 +1,4 @@
-//! Owners that are killed, hand over or freeze.
+//! Owners that are killed, hand their batch jobs over or freeze.
 
 use std::time::Duration;
 
@@ -31,13 +31,16 @@
     cluster.hand_over_jobs(draining).await;
     let second = cluster.next_owned().await;
 
-    assert!(began.elapsed() < Duration::from_millis(500), "sooner than after the time-out of an owner");
+    assert!(
+        began.elapsed() < Duration::from_millis(500),
+        "the hand-over takes less time than the timeout of an owner"
+    );
     assert_ne!(cluster.index_of_owner(&second), draining);
     assert_eq!(second.committed_results, [result(0), result(1)]);
     assert_eq!(*first.state().borrow(), JobState::OwnershipLost);
     cluster.submit_until_accepted("another").await;
     let another = cluster.next_owned().await;
-    assert_ne!(cluster.index_of_owner(&another), draining, "a draining store owns nothing any more");
+    assert_ne!(cluster.index_of_owner(&another), draining, "a draining store claims no batch job any more");
 }
 
 #[tokio::test]
@@ -56,7 +59,8 @@
     assert_eq!(cluster.read("job", 0).await, before);
 }
 
-/// The next batch job that a store owns, while clients go on to read.
+/// Reads the results of the batch job, which succeeds only after another store has taken it over; then
+/// returns the batch job of the new owner.
 async fn next_owner_during_reads(cluster: &mut Cluster) -> OwnedJob {
     cluster.read("job", 0).await;
     cluster.next_owned().await
--- a/crates/store-plane/tests/replication/main.rs
+++ b/crates/store-plane/tests/replication/main.rs
@@ -1,4 +1,4 @@
-//! Batch jobs on stores that run in this process, on loopback sockets and disks in memory.
+//! Tests of replication with several stores in this process, which use loopback sockets and disks in memory.
 
 mod calls;
 mod cluster;
--- a/crates/store-plane/tests/replication/store_process.rs
+++ b/crates/store-plane/tests/replication/store_process.rs
@@ -1,4 +1,4 @@
-//! A store with a thread and a runtime of its own, which ends as if it were killed.
+//! A store in a separate thread with a separate runtime, which can be ended as if its process were killed.
 
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -10,13 +10,13 @@
 
 use crate::disk::MemoryDisk;
 
-/// What a store is started with.
+/// The state and the connections with which a store is started.
 pub struct StoreOptions {
     pub member: Member,
     pub disk: MemoryDisk,
     pub limits: StoreLimits,
     pub view: watch::Receiver<Arc<View>>,
-    /// Takes the batch jobs that the store owns.
+    /// Gets the batch jobs that the store owns.
     pub owned_jobs: mpsc::UnboundedSender<OwnedJob>,
 }
 
@@ -28,7 +28,7 @@
     hand_over: mpsc::UnboundedSender<oneshot::Sender<()>>,
 }
 
-/// A store whose thread is stopped until this is dropped; its sockets stay open.
+/// Keeps the thread of a store blocked until dropped. The store's sockets stay open.
 pub struct FrozenStore {
     _resume: std::sync::mpsc::Sender<()>,
 }
@@ -46,18 +46,20 @@
         Self { thread, kill, freeze, hand_over }
     }
 
+    /// Ends the store without a hand-over, and waits for its thread.
     pub fn kill(self) {
         let _ = self.kill.send(());
         self.thread.join().expect("the store ends");
     }
 
+    /// Blocks the thread of the store until the returned guard is dropped.
     pub fn freeze(&self) -> FrozenStore {
         let (resume, is_resumed) = std::sync::mpsc::channel();
         self.freeze.send(is_resumed).expect("the store runs");
         FrozenStore { _resume: resume }
     }
 
-    /// Lets the store hand its batch jobs over; the receiver is notified when it has.
+    /// Makes the store hand its batch jobs over; the receiver is notified when that is complete.
     pub fn hand_over_jobs(&self) -> oneshot::Receiver<()> {
         let (done, is_done) = oneshot::channel();
         self.hand_over.send(done).expect("the store runs");
@@ -65,20 +67,22 @@
     }
 }
 
+/// The requests of a [`StoreProcess`] to the thread of its store.
 struct Signals {
     killed: oneshot::Receiver<()>,
-    /// The thread is blocked from each message until the sender of the receiver in it is dropped.
+    /// Each message blocks the thread until the other end of the receiver in it is dropped.
     freezes: mpsc::UnboundedReceiver<std::sync::mpsc::Receiver<()>>,
-    /// The sender in the message is notified when the hand-over is complete.
+    /// Each message starts a hand-over; the sender in it is notified when the hand-over is complete.
     hand_overs: mpsc::UnboundedReceiver<oneshot::Sender<()>>,
 }
 
 fn run_store(options: StoreOptions, mut signals: Signals, ready: &std::sync::mpsc::Sender<()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     runtime.block_on(async {
         let StoreOptions { member, disk, limits, view, owned_jobs } = options;
         let listener = tokio::net::TcpListener::bind(&member.address).await.expect("the port is free");
-        ready.send(()).expect("the test waits");
+        ready.send(()).expect("the test waits for the start");
         let recovered = disk.recover();
         let (store, mut jobs) =
             JobStore::open(member, Arc::new(disk), recovered, rpc::Client::new(), view, limits);
--- a/crates/store-plane/tests/runner/forwarder_executor.rs
+++ b/crates/store-plane/tests/runner/forwarder_executor.rs
@@ -1,4 +1,4 @@
-//! What the executor reads from the configuration in force.
+//! Route rules and capacity that the executor derives from the configuration in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,8 @@
 }"#;
 
 fn executor(configuration: Option<&str>) -> ForwarderExecutor {
-    let configuration = configuration.map(|json| Configuration::parse(json.as_bytes()).expect("it is valid"));
+    let configuration =
+        configuration.map(|json| Configuration::parse(json.as_bytes()).expect("the configuration is valid"));
     let view = View { configuration: configuration.map(Arc::new), ..View::default() };
     let (_, view) = watch::channel(Arc::new(view));
     ForwarderExecutor::new(Forwarder::new(view, "zone".into()))
--- a/crates/store-plane/tests/runner/main.rs
+++ b/crates/store-plane/tests/runner/main.rs
@@ -1,4 +1,4 @@
-//! Running the items of batch jobs, in simulated time.
+//! Tests of the runner, which runs the items of batch jobs, mostly in simulated time.
 
 mod forwarder_executor;
 mod harness;
--- a/crates/store-plane/tests/runner/output_cache.rs
+++ b/crates/store-plane/tests/runner/output_cache.rs
@@ -1,4 +1,4 @@
-//! The output cache: what counts as the same request, and what is evicted.
+//! The output cache: which outputs are found and which are evicted, and the version rules of outputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/store-plane/tests/runner/repeated_items.rs
+++ b/crates/store-plane/tests/runner/repeated_items.rs
@@ -1,4 +1,4 @@
-//! Items that come again in a later batch job.
+//! Items that are submitted again in a later batch job, and whose cached outputs are used.
 
 use store_plane::runner::ports::{ItemOutcome, JobState};
 use yare::parameterized;
--- a/crates/store-plane/tests/runner/retries.rs
+++ b/crates/store-plane/tests/runner/retries.rs
@@ -175,7 +175,7 @@
         let runs = harness.executor.runs();
         assert_eq!(runs.len(), 2);
         let pause = runs[1].at - runs[0].at - RUN_DURATION;
-        assert!((min_ms..max_ms).contains(&(pause.as_millis() as u64)), "{pause:?}");
+        assert!((min_ms..max_ms).contains(&(pause.as_millis() as u64)), "the pause is {pause:?}");
     });
 }
 
--- a/crates/store-plane/tests/runner/runs.rs
+++ b/crates/store-plane/tests/runner/runs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs whose items run without faults.
+//! Batch jobs whose runs and reward calls succeed.
 
 use std::time::Duration;
 
--- a/crates/store-plane/tests/runner/scheduling.rs
+++ b/crates/store-plane/tests/runner/scheduling.rs
@@ -1,4 +1,4 @@
-//! The order in which items start, and how many run at the same time.
+//! The order in which items start, and the number of items that run concurrently.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
--- a/crates/store-plane/tests/runner/shared_servers.rs
+++ b/crates/store-plane/tests/runner/shared_servers.rs
@@ -1,4 +1,4 @@
-//! Several stores that share the servers of two trainers.
+//! Stores that run items at the same servers, and complete the groups that trainers require in time.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,17 +7,19 @@
 use crate::harness::{advance, item, job, FakeExecutor, FakeLog, RunnerHarness};
 use batch::Job;
 
-/// Slots of all servers.
+/// Number of items that the servers run concurrently.
 const SLOTS: usize = 64;
-/// Items of a group.
+/// Number of items of a group.
 const GROUP_SIZE: usize = 8;
 
+/// A batch job with `groups` groups, of which the trainer requires `required`.
 fn job_requiring_groups(name: &str, groups: usize, required: u32) -> Job {
     let items =
         (0..groups * GROUP_SIZE).map(|n| item(&format!("{name}-{n}"), &format!("{}", n / GROUP_SIZE)));
     Job { required_groups: Some(required), ..job(items.collect()) }
 }
 
+/// Returns the number of groups whose items all have results in the log.
 fn complete_groups(job: &Job, log: &FakeLog) -> usize {
     let results: std::collections::HashSet<Arc<str>> =
         log.results().into_iter().map(|result| result.id).collect();
@@ -50,7 +52,11 @@
 
     for (job, log) in jobs.iter().zip(&logs) {
         let required = job.required_groups.unwrap_or_default() as usize;
-        assert!(complete_groups(job, log) >= required, "{} of {required} groups", complete_groups(job, log));
+        assert!(
+            complete_groups(job, log) >= required,
+            "{} of the {required} required groups are complete",
+            complete_groups(job, log)
+        );
     }
 }
 
@@ -62,6 +68,7 @@
     let log = store.submit("job", job.clone());
     advance(Duration::from_millis(8_200)).await;
 
-    // Ten slots make eighty items in eight seconds: ten groups, if none is begun in vain.
-    assert!(complete_groups(&job, &log) >= 9, "{} groups", complete_groups(&job, &log));
+    // Ten slots run eighty items in eight seconds, which makes ten groups if no run is spent on a group that
+    // stays incomplete.
+    assert!(complete_groups(&job, &log) >= 9, "{} groups are complete", complete_groups(&job, &log));
 }
--- a/crates/store-plane/tests/unit/owner_lease.rs
+++ b/crates/store-plane/tests/unit/owner_lease.rs
@@ -1,4 +1,5 @@
-//! A replica promises nothing to another claimant while the owner that it is in contact with may answer reads.
+//! Read leases: a replica promises nothing to another claimant while the owner in contact with it may answer
+//! reads.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,6 +20,7 @@
 const REPLICA: u64 = 2;
 const CLAIMANT: StoreId = 3;
 
+/// A journal whose records are durable at once.
 struct InstantJournal;
 
 impl RecordJournal for InstantJournal {
@@ -33,7 +35,8 @@
     }
 }
 
-/// A replica that has run for long, whose writes are durable at once.
+/// Starts a replica whose writes are durable at once, and lets [`OWNER_TIMEOUT`] pass, so that its start does
+/// not delay claims.
 async fn start_replica() -> Arc<StoreNode> {
     let (write_queue, mut queued) = mpsc::unbounded_channel::<WriteRequest>();
     tokio::spawn(async move {
@@ -62,7 +65,8 @@
     OwnershipTerm { epoch: 1, number, owner, nonce: 0 }
 }
 
-/// The reply to a claim; `None` while another owner may answer reads.
+/// Returns the reply to a claim; `None` if another owner may still answer reads when the wait for its lease
+/// ends.
 async fn claim(replica: &StoreNode, job: &JobId, term: OwnershipTerm) -> Option<ReplicaReply> {
     let request = ReplicaRequest::Prepare { term, accepted: OwnershipTerm::default(), length: 0 };
     replica.replicate(job, request).await.map(|reply| reply.reply)
@@ -98,7 +102,7 @@
     let contact = Instant::now();
     advance(OWNER_TIMEOUT - Duration::from_millis(200)).await;
     assert!(is_promised(&claim(&replica, &job, term(2, CLAIMANT)).await));
-    assert!(contact.elapsed() >= OWNER_TIMEOUT, "{:?}", contact.elapsed());
+    assert!(contact.elapsed() >= OWNER_TIMEOUT, "the promise came {:?} after the contact", contact.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
@@ -108,7 +112,7 @@
     assert!(is_promised(&claim(&replica, &job, term(1, OWNER)).await));
     replica.on_released(&job, CLAIMANT);
     let reply = claim(&replica, &job, term(2, CLAIMANT)).await;
-    assert_eq!(reply, None, "it is not the owner that gave it up");
+    assert_eq!(reply, None, "a notice that does not come from the owner is ignored");
     let contact = Instant::now();
     replica.on_released(&job, OWNER);
     assert!(is_promised(&claim(&replica, &job, term(3, CLAIMANT)).await));
