--- a/crates/store-plane/src/replication/client/routing_cache.rs
+++ b/crates/store-plane/src/replication/client/routing_cache.rs
@@ -40,13 +40,13 @@
         self.suspects.get(&store).is_some_and(|since| since.elapsed() < SUSPECT_TTL)
     }
 
-    /// Handles that a store has answered a call.
+    /// Called when a store has answered a call.
     pub fn on_answer(&mut self, store: StoreId) {
         self.suspects.remove(&store);
     }
 
-    /// Handles that a call to a store about a batch job has failed: the owner of the batch job is unknown
-    /// again.
+    /// Called when a call to a store about a batch job has failed. The owner of the batch job is no longer
+    /// known then.
     pub fn on_failure(&mut self, store: StoreId, job: &str) {
         self.suspects.insert(store, Instant::now());
         self.owners.remove(job);
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -44,8 +44,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ReplicateReply {
     pub reply: ReplicaReply,
-    /// Age of the batch job as far as the store knows, in milliseconds; at most the time since its
-    /// submission.
+    /// Age of the batch job according to the store, in milliseconds; at most the time since its submission.
     pub age_ms: u64,
 }
 
--- a/crates/store-plane/src/replication/ownership.rs
+++ b/crates/store-plane/src/replication/ownership.rs
@@ -229,8 +229,8 @@
     }
 }
 
-/// Handles that a replica has promised a higher term: releases the ownership if another store claims the
-/// batch job.
+/// Called when a replica has promised a higher term: releases the ownership if another store claims the batch
+/// job.
 fn on_ownership_lost(state: &mut ReplicationState, job: &JobId, promised: OwnershipTerm) {
     if promised.owner == NO_OWNER {
         // Replicas have a newer store set. This store claims the batch job again once it has received that
--- a/crates/store-plane/src/replication/replicate.rs
+++ b/crates/store-plane/src/replication/replicate.rs
@@ -73,7 +73,7 @@
     }
 
     /// Waits until no owner except `claimant` can still hold a read lease based on a contact with this store.
-    /// Returns `false` if the lease does not end within [`MAX_LEASE_WAIT`].
+    /// Returns `false` as soon as it is certain that the lease does not end within [`MAX_LEASE_WAIT`].
     async fn wait_for_lease_end(&self, job: &JobId, claimant: StoreId) -> bool {
         let deadline = Instant::now() + MAX_LEASE_WAIT;
         loop {
--- a/crates/store-plane/src/replication/server/submit.rs
+++ b/crates/store-plane/src/replication/server/submit.rs
@@ -11,7 +11,7 @@
 use super::super::state::OwnedEntry;
 use super::{COMMIT_TIMEOUT, OWNERSHIP_TIMEOUT};
 
-/// Time by which the answer is sent before the caller times out.
+/// Minimum time between the answer and the timeout of the caller.
 const REPLY_MARGIN: Duration = Duration::from_millis(120);
 
 impl StoreNode {
--- a/crates/store-plane/src/replication/state/durability.rs
+++ b/crates/store-plane/src/replication/state/durability.rs
@@ -64,8 +64,8 @@
         durable
     }
 
-    /// Handles that queued records have become durable at `position` of the journal; `None` if there were no
-    /// records to write.
+    /// Called when queued records have become durable. `position` is their position in the journal; `None` if
+    /// there were no records to write.
     pub fn on_durable(&mut self, records: &[Record], position: Option<u64>) {
         self.remove_pending(records);
         if let Some(position) = position {
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Handles that queued records could not be written.
+    /// Called when queued records could not be written. The next write of each affected batch job must be a
+    /// snapshot.
     pub fn on_lost(&mut self, records: &[Record]) {
         self.remove_pending(records);
         let jobs = records.iter().filter_map(|record| record.job().cloned());
--- a/crates/store-plane/src/replication/state/peer_liveness.rs
+++ b/crates/store-plane/src/replication/state/peer_liveness.rs
@@ -41,7 +41,8 @@
         self.heartbeats_in_flight.remove(&store);
     }
 
-    /// Handles that a heartbeat was answered or has failed.
+    /// Called when a heartbeat was answered or has failed; the store counts as reachable only if it was
+    /// answered.
     pub fn finish_heartbeat(&mut self, store: StoreId, is_answered: bool) {
         self.heartbeats_in_flight.remove(&store);
         self.set_reachable(store, is_answered);
--- a/crates/store-plane/src/runner/active_job.rs
+++ b/crates/store-plane/src/runner/active_job.rs
@@ -18,7 +18,7 @@
 
 /// Expected duration of the longest run of a batch job, as a multiple of the average run.
 const LONGEST_RUN_FACTOR: f64 = 2.5;
-/// Time by which items are given up later than the route's shelf life, since the clocks of stores differ.
+/// Delay after the route's shelf life before items are given up, since the clocks of stores differ.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(1);
 
 /// When a batch job was submitted, expressed on the runner's clock.
--- a/crates/store-plane/src/runner/scheduling.rs
+++ b/crates/store-plane/src/runner/scheduling.rs
@@ -18,8 +18,7 @@
 /// Items that no trainer waits for must leave the total capacity divided by this free, since other stores run
 /// items at the same servers.
 const SURPLUS_RESERVE_DIVISOR: usize = 2;
-/// Maximum number of times that the timeout of a run doubles, once for each consecutive attempt without
-/// progress.
+/// Maximum number of times that the timeout of a run doubles; see [`run_timeout`].
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
@@ -136,7 +135,9 @@
     TaskGuard(run.abort_handle())
 }
 
-/// Returns the timeout of a run. After a run without any event, the next run has a longer timeout.
+/// Returns the timeout of a run: a multiple of the average run, which doubles with
+/// `attempts_without_progress` (see [`ItemWork`](super::item_work::ItemWork)) and is kept within the limits
+/// of the settings.
 fn run_timeout(
     settings: &RunnerSettings,
     average_run: Option<Duration>,
