--- a/crates/store-plane/tests/runner/harness.rs
+++ b/crates/store-plane/tests/runner/harness.rs
@@ -17,7 +17,7 @@
 /// Default duration of a run.
 pub const RUN_DURATION: Duration = Duration::from_millis(1000);
 
-/// A time in which every batch job of these tests completes.
+/// Time that exceeds the duration of every batch job of these tests.
 pub const AMPLE_TIME: Duration = Duration::from_secs(30);
 
 /// A run of an item, as recorded by the executor when it started.
--- a/crates/store-plane/tests/runner/retries.rs
+++ b/crates/store-plane/tests/runner/retries.rs
@@ -157,7 +157,7 @@
     requested_pause_above_the_maximum = { 3_000, 500, 600 },
     no_requested_pause = { 0, 30, 130 },
 )]
-fn given_a_rejection_when_run_again_then_after_the_requested_pause_within_bounds(
+fn given_a_rejection_when_run_again_then_the_requested_pause_is_kept_within_bounds(
     retry_after_ms: u64,
     min_ms: u64,
     max_ms: u64,
