--- a/crates/store-plane/tests/placement.rs
+++ b/crates/store-plane/tests/placement.rs
@@ -32,7 +32,7 @@
     for number in 0..200 {
         let job = format!("job-{number}");
         let zones: HashSet<_> = replicas_of(&set, &job).iter().map(|store| store.zone.clone()).collect();
-        assert_eq!(zones.len(), 3, "{job}");
+        assert_eq!(zones.len(), 3, "replicas of {job} share a zone");
     }
 }
 
@@ -79,7 +79,10 @@
     let groups = groups(&set, 6000);
     assert_eq!(groups.len(), expected_groups);
     let jobs_per_group = 6000 / expected_groups;
-    assert!(groups.values().all(|jobs| jobs.abs_diff(jobs_per_group) < jobs_per_group / 10), "{groups:?}");
+    assert!(
+        groups.values().all(|jobs| jobs.abs_diff(jobs_per_group) < jobs_per_group / 10),
+        "batch jobs by group: {groups:?}"
+    );
 }
 
 #[test]
--- a/crates/store-plane/tests/replication/failover.rs
+++ b/crates/store-plane/tests/replication/failover.rs
@@ -16,7 +16,7 @@
     assert_eq!(cluster.read("job", 0).await, before);
     let second = cluster.next_owned().await;
     assert_eq!(second.committed_results, [result(0), result(1)]);
-    second.append(vec![result(1), result(2)]).await.expect("it is owned");
+    second.append(vec![result(1), result(2)]).await.expect("the store owns the batch job");
     assert_eq!(cluster.read("job", 0).await.next, 3);
     let body = cluster.client.body("job".into(), "item-5").await;
     assert_eq!(body, BodyOutcome::Body("hello".into()));
@@ -48,8 +48,8 @@
     let (mut cluster, first) = Cluster::with_owned_job(3, &[0]).await;
 
     let frozen = cluster.freeze(cluster.index_of_owner(&first));
-    let second = next_owner_during_reads(&mut cluster).await;
-    second.append(vec![result(1)]).await.expect("it is owned");
+    let second = next_owner_after_read(&mut cluster).await;
+    second.append(vec![result(1)]).await.expect("the store owns the batch job");
     let before = cluster.read("job", 0).await;
     drop(frozen);
 
@@ -61,7 +61,7 @@
 
 /// Reads the results of the batch job, which succeeds only after another store has taken it over; then
 /// returns the batch job of the new owner.
-async fn next_owner_during_reads(cluster: &mut Cluster) -> OwnedJob {
+async fn next_owner_after_read(cluster: &mut Cluster) -> OwnedJob {
     cluster.read("job", 0).await;
     cluster.next_owned().await
 }
--- a/crates/store-plane/tests/runner/ownership.rs
+++ b/crates/store-plane/tests/runner/ownership.rs
@@ -53,7 +53,7 @@
     );
     advance(AMPLE_TIME).await;
 
-    assert!(harness.executor.runs().len() <= 2, "{:?}", harness.executor.runs());
+    assert!(harness.executor.runs().len() <= 2, "runs: {:?}", harness.executor.runs());
 }
 
 #[tokio::test(start_paused = true)]
@@ -78,7 +78,7 @@
     advance(AMPLE_TIME).await;
 
     assert_eq!(log.results().len(), 8);
-    assert!(log.appends() <= 2, "{} appends", log.appends());
+    assert!(log.appends() <= 2, "the results took {} appends", log.appends());
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/store-plane/tests/runner/retries.rs
+++ b/crates/store-plane/tests/runner/retries.rs
@@ -189,7 +189,7 @@
     advance(Duration::from_secs(10)).await;
 
     let runs = harness.executor.runs().len();
-    assert!((60..120).contains(&runs), "{runs} runs");
+    assert!((60..120).contains(&runs), "{runs} runs were started");
 }
 
 #[tokio::test(start_paused = true)]
@@ -202,7 +202,7 @@
     harness.submit("job", job_with_items("a", 1));
     advance(AMPLE_TIME).await;
 
-    assert!(harness.executor.runs().len() <= 20, "{} runs", harness.executor.runs().len());
+    assert!(harness.executor.runs().len() <= 20, "{} runs were started", harness.executor.runs().len());
 }
 
 #[tokio::test(start_paused = true)]
