--- a/crates/store-plane/src/replication/server/mod.rs
+++ b/crates/store-plane/src/replication/server/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a store, for other stores and for traffic nodes.
+//! The HTTP endpoints of a store, for other stores and for traffic nodes.
 
 mod ownership_status;
 mod results;
@@ -17,12 +17,13 @@
 };
 use super::node::StoreNode;
 
-/// How long an answer waits for the ownership of its batch job to be established.
+/// Maximum time that a request waits for the ownership of its batch job to be established.
 const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(450);
-/// How long an answer waits for an entry to be committed; after that the outcome is reported as unknown.
+/// Maximum time that a request waits for an entry to be committed; after that the outcome is reported as
+/// unknown.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The endpoints for other processes.
+/// Returns the endpoints for other processes; they call the methods of `node`.
 pub(super) fn endpoint(node: &Arc<StoreNode>) -> Route {
     let replicate =
         addressed_handler(node, |node, job, request| async move { node.replicate(&job, request).await });
@@ -63,38 +64,39 @@
         .at(MIGRATION_STATUS_PATH, post(migration_status))
 }
 
-/// An endpoint that answers requests by an async method of the store; `None` is a failure of the call.
-fn handler<Request, Reply, Method, Answering>(
+/// Returns an endpoint that answers requests by an async method of the store. If the method returns `None`,
+/// the call fails.
+fn handler<Request, Reply, Method, ReplyFuture>(
     node: &Arc<StoreNode>,
     method: Method,
 ) -> impl poem::Endpoint<Output = poem::Response>
 where
     Request: serde::de::DeserializeOwned + Send + 'static,
     Reply: serde::Serialize + Send + 'static,
-    Method: Fn(Arc<StoreNode>, Request) -> Answering + Send + Sync + 'static,
-    Answering: Future<Output = Option<Reply>> + Send + 'static,
+    Method: Fn(Arc<StoreNode>, Request) -> ReplyFuture + Send + Sync + 'static,
+    ReplyFuture: Future<Output = Option<Reply>> + Send + 'static,
 {
     let node = Arc::clone(node);
     rpc::handler(move |request: Request| method(Arc::clone(&node), request))
 }
 
-/// As [`handler`], for requests that name the incarnation of a store; any other incarnation rejects them.
-fn addressed_handler<Request, Reply, Method, Answering>(
+/// Like [`handler`], for requests to one incarnation of a store; calls to any other incarnation fail.
+fn addressed_handler<Request, Reply, Method, ReplyFuture>(
     node: &Arc<StoreNode>,
     method: Method,
 ) -> impl poem::Endpoint<Output = poem::Response>
 where
     Request: serde::de::DeserializeOwned + Send + 'static,
     Reply: serde::Serialize + Send + 'static,
-    Method: Fn(Arc<StoreNode>, JobId, Request) -> Answering + Send + Sync + 'static,
-    Answering: Future<Output = Option<Reply>> + Send + 'static,
+    Method: Fn(Arc<StoreNode>, JobId, Request) -> ReplyFuture + Send + Sync + 'static,
+    ReplyFuture: Future<Output = Option<Reply>> + Send + 'static,
 {
     handler(node, move |node, request: AddressedRequest<Request>| {
         let is_addressee = request.to == node.id();
-        let answering = is_addressee.then(|| method(node, request.job, request.request));
+        let reply = is_addressee.then(|| method(node, request.job, request.request));
         async move {
-            match answering {
-                Some(answering) => answering.await,
+            match reply {
+                Some(reply) => reply.await,
                 None => None,
             }
         }
