--- a/crates/control-plane/src/consensus/acceptor_calls.rs
+++ b/crates/control-plane/src/consensus/acceptor_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the acceptors of the register.
+//! Internal calls to the acceptors of the register.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 
 use crate::paths;
 
-/// The acceptor that was called, and its reply or why there is none.
+/// The acceptor that was called, with its reply or the error of the call.
 pub(super) type CallResult = (Member, Result<AcceptorReply<ControlState>, CallError>);
-/// Calls that are in flight.
+/// Calls in flight; yields their results in the order in which they finish.
 pub(super) type PendingCalls = FuturesUnordered<BoxFuture<'static, CallResult>>;
 
-/// Sends a request to its acceptor and waits for the reply for `timeout` at most.
+/// Sends a request to the acceptor that it is addressed to and waits at most `timeout` for the reply.
 pub(super) fn call_acceptor(
     client: &rpc::Client,
     request: AddressedRequest<ControlState>,
--- a/crates/control-plane/src/consensus/acceptor_journal.rs
+++ b/crates/control-plane/src/consensus/acceptor_journal.rs
@@ -1,4 +1,4 @@
-//! What the acceptor writes into its journal, and how its state is recovered from there.
+//! Records that the acceptor writes into its journal, and the recovery of its state from them.
 
 use register::{AcceptorState, Ballot, Incarnation};
 use rpc::DecodeError;
@@ -6,54 +6,56 @@
 use state::ControlState;
 use storage::Position;
 
-/// A durable record of the acceptor. Encoded by position: variants must keep their order and types.
+/// Durable record of the acceptor. `bincode` encodes it by position: variants must keep their order and
+/// types.
 #[derive(Serialize, Deserialize)]
 enum JournalRecord {
-    /// A promise alone.
+    /// A new promise; the accepted and committed values have not changed since the previous records.
     Promise(Ballot),
     /// The complete state; all earlier records are obsolete.
     State(AcceptorState<ControlState>),
 }
 
-/// An encoded record.
+/// Encoded journal record.
 pub(super) struct EncodedRecord {
     pub(super) bytes: Vec<u8>,
-    /// Whether it contains the complete state, so that earlier records can be released.
+    /// Whether the record contains the complete state, so that all earlier records can be released.
     pub(super) is_complete: bool,
 }
 
-/// The newest state of the acceptor that is durable.
+/// Newest state of the acceptor that is known to be durable.
 pub(super) struct PersistedState {
     durable: AcceptorState<ControlState>,
-    /// Of the write that made it durable.
+    /// Number of the write that made `durable` durable.
     durable_write: WriteNumber,
     last_write: WriteNumber,
 }
 
-/// Numbers the writes of one process in the order in which they were queued.
+/// Sequence number of a journal write of this process, in the order in which writes were queued.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WriteNumber(u64);
 
-/// A state on its way to the disk.
+/// State that was queued for writing and is not yet known to be durable.
 pub(super) struct PendingWrite {
     number: WriteNumber,
     state: AcceptorState<ControlState>,
 }
 
 impl PersistedState {
-    /// A state that was recovered from the journal.
+    /// Creates the state from what was recovered from the journal.
     pub(super) fn recovered(state: AcceptorState<ControlState>) -> Self {
         let start = WriteNumber::default();
         Self { durable: state, durable_write: start, last_write: start }
     }
 
-    /// The newest state that is certainly on disk. Only this one may be reported to readers.
+    /// Returns the newest state that is certainly on disk. Only this state may be reported to readers.
     pub(super) fn durable(&self) -> &AcceptorState<ControlState> {
         &self.durable
     }
 
-    /// The next record, which makes `state` durable: a promise alone where the values in it are durable already. A value
-    /// that is only queued does not count: its write may fail, and this one succeed.
+    /// Returns the record that makes `state` durable. It contains only the promise if the accepted and
+    /// committed values are durable already. A value that is only queued does not count, because its write
+    /// may fail while the write of this record succeeds.
     pub(super) fn next_record(
         &mut self,
         state: &AcceptorState<ControlState>,
@@ -72,8 +74,8 @@
         (record, write)
     }
 
-    /// Records that a state is on disk. Writes may be reported out of order: one that was queued before the newest durable
-    /// one changes nothing.
+    /// Records that a state is on disk. Writes may be reported out of order: a write that was queued before
+    /// the newest durable one has no effect.
     pub(super) fn record_durable(&mut self, write: PendingWrite) {
         if write.number > self.durable_write {
             self.durable = write.state;
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Whether the disk has the committed value of `state`, or a newer one.
+    /// Returns whether the committed value of `state`, or a newer one, is durable.
     pub(super) fn has_committed(&self, state: &AcceptorState<ControlState>) -> bool {
         committed_ballot(&self.durable) >= committed_ballot(state)
     }
@@ -95,27 +97,29 @@
     state.committed.as_ref().map(|value| value.ballot)
 }
 
-/// Whether a record of the journal can be decoded.
+/// Checks that a record of the journal can be decoded.
 ///
 /// # Errors
 ///
-/// When it cannot: another build may have written it, or the disk has changed it.
+/// Returns the decoding error if another build wrote the record or the disk has corrupted it.
 pub fn check_acceptor_record(bytes: &[u8]) -> Result<(), DecodeError> {
     rpc::decode::<JournalRecord>(bytes).map(drop)
 }
 
-/// What the records of a journal say.
+/// State that was recovered from the records of a journal.
 pub(super) struct RecoveredState {
     pub(super) state: AcceptorState<ControlState>,
-    /// The position of the newest complete record; all earlier records are obsolete.
+    /// Position of the newest record with the complete state, which makes all earlier records obsolete;
+    /// `None` if no record has one.
     pub(super) complete_at: Option<Position>,
 }
 
-/// The state after all these records of the journal.
+/// Replays the records of a journal in their order.
 ///
 /// # Errors
 ///
-/// The position of the first record that cannot be decoded: what the acceptor has promised is not known then.
+/// Returns the position of the first record that cannot be decoded. The promises of the acceptor are then
+/// unknown.
 pub(super) fn recover(
     incarnation: Incarnation,
     records: &[(Position, Vec<u8>)],
--- a/crates/control-plane/src/consensus/acceptor_membership.rs
+++ b/crates/control-plane/src/consensus/acceptor_membership.rs
@@ -1,10 +1,11 @@
-//! How a machine with a disk becomes an acceptor, and how it stops being one.
+//! Membership of a machine with a disk in the set of acceptors: how it joins, and how it leaves.
 //!
-//! The set of acceptors keeps its size. A machine that joins later is a *standby*: it has no vote until it replaces a
-//! failed acceptor, in one step of the register. Were it added beside the others, the failed one would still count for
-//! the majority, and the next failure could leave none. The standby itself detects that an acceptor has failed, so that
-//! it also does when the failed one was the leader: it asks all acceptors, and a majority of them must report that
-//! they have not received a reply from it for long, as a machine may be partitioned from the standby alone.
+//! The set of acceptors keeps its size. A machine that joins later is a *standby*: it has no vote until it
+//! replaces a failed acceptor, in one step of the register. If it were added beside the failed acceptor
+//! instead, that acceptor would still count for the majority, and the next failure could leave no majority.
+//! The standby itself detects that an acceptor has failed, so that a failed leader is replaced too. It asks
+//! all acceptors, and a majority of them must report the acceptor as unresponsive, because a network
+//! partition may separate the acceptor from the standby alone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,29 +20,30 @@
 use crate::liveness::ping;
 use crate::ViewCell;
 
-/// The interval between two checks of a standby.
+/// Pause between two checks whether this machine can become an acceptor or a standby.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long an acceptor may take to reply to a ping.
+/// Maximum time from the start of a ping to the reply of the acceptor or standby.
 const PING_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long one proposal to join is retried.
+/// Maximum time for which one proposal to join is retried. A later attempt starts a new proposal.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(2000);
-/// How long leaving may take.
+/// Maximum time for which the proposal to leave is retried before the process shuts down.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The membership of this machine in the register.
+/// Maintains the membership of this machine in the set of acceptors.
 pub struct AcceptorMembership {
-    /// This machine.
+    /// Name, incarnation and internal address of this machine.
     pub member: Member,
-    /// The state that the process acts on.
+    /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
-    /// Changes of the register.
+    /// Proposes changes of the control state to the acceptors.
     pub proposer: Arc<Proposer>,
-    /// Internal calls.
+    /// Client for internal calls to other processes.
     pub client: rpc::Client,
 }
 
 impl AcceptorMembership {
-    /// Makes this machine an acceptor whenever it is none and there is a vacancy, for as long as the process runs.
+    /// Makes this machine an acceptor whenever it is not one and a place is vacant, and otherwise registers
+    /// it as a standby. Runs until the process ends.
     pub async fn run(&self) {
         let mut views = self.view.subscribe();
         loop {
@@ -60,8 +62,8 @@
         }
     }
 
-    /// Hands over to a standby before the process shuts down gracefully, if this machine is an acceptor and a standby
-    /// replies.
+    /// Hands the place of this machine over to the first standby that replies, before the process shuts down
+    /// gracefully. Does nothing if this machine is not an acceptor or no standby replies.
     pub async fn leave(&self) {
         let known = self.view.view().control.clone();
         if !known.acceptors.contains(&self.member) {
@@ -91,7 +93,8 @@
         }
     }
 
-    /// The acceptors that do not reply here, and that a majority of all acceptors reports as unresponsive.
+    /// Returns the acceptors that did not reply to a ping of this process and that a majority of all
+    /// acceptors reports as unresponsive.
     async fn agreed_failed(&self, known: &ControlState) -> Vec<Incarnation> {
         let acceptors = &known.acceptors;
         let pings = acceptors.iter().map(|acceptor| ping(&self.client, acceptor, PING_TIMEOUT));
--- a/crates/control-plane/src/consensus/acceptor_service.rs
+++ b/crates/control-plane/src/consensus/acceptor_service.rs
@@ -1,4 +1,4 @@
-//! The acceptor of the register on a machine with a disk.
+//! Service for the acceptor of the register on a machine with a disk.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -11,25 +11,27 @@
 
 use super::acceptor_journal::{recover, EncodedRecord, PersistedState, RecoveredState};
 
-/// Replies to requests to the acceptor, each after what it changed is durable.
+/// Handles requests to the acceptor. Each reply is sent only after the changes that it reports are durable.
 pub struct AcceptorService {
     inner: Mutex<Inner>,
     journal: Journal,
     incarnation: Incarnation,
 }
 
-/// What requests change, under one lock.
+/// State that requests change, protected by one lock.
 struct Inner {
-    /// The acceptor in memory, which may be ahead of the disk.
+    /// State machine of the acceptor in memory. Its state may be ahead of the durable one.
     acceptor: Acceptor<ControlState>,
     persisted: PersistedState,
-    /// Whether all records of the journal could be read. Otherwise a promise may be forgotten, and no request is replied to.
+    /// Whether all records of the journal could be decoded. If not, a promise may be lost, and the service
+    /// replies to no request.
     is_intact: bool,
 }
 
 impl AcceptorService {
-    /// The acceptor that wrote these records of the journal. One that has a record which cannot be decoded replies to
-    /// nothing: it may have forgotten what it promised. A process sets such a journal aside before it gets here.
+    /// Creates the service of the acceptor that wrote these records of the journal. If a record cannot be
+    /// decoded, the service replies to no request, because the acceptor may have lost a promise. A process
+    /// sets a journal with such a record aside before it creates the service.
     #[must_use]
     pub fn new(journal: Journal, incarnation: Incarnation, records: &[(Position, Vec<u8>)]) -> Arc<Self> {
         let recovered = recover(incarnation, records);
@@ -39,7 +41,8 @@
             RecoveredState { state: AcceptorState::empty(incarnation), complete_at: None }
         });
         if let Some(position) = complete_at {
-            // The ring may be full of obsolete records whose release the last process has not written any more.
+            // The ring may be full of obsolete records, if the previous process ended before it had written
+            // their release.
             journal.release(position);
         }
         let persisted = PersistedState::recovered(state.clone());
@@ -47,32 +50,33 @@
         Arc::new(Self { inner: Mutex::new(inner), journal, incarnation })
     }
 
-    /// The newest value known here to be committed, and durable.
+    /// Returns the newest durable value that this acceptor has learned to be committed.
     #[must_use]
     pub fn committed(&self) -> Option<Versioned<ControlState>> {
         self.lock().persisted.durable().committed.clone()
     }
 
-    /// The value accepted last, and durable.
+    /// Returns the durable value that this acceptor accepted last.
     #[must_use]
     pub fn accepted(&self) -> Option<Versioned<ControlState>> {
         self.lock().persisted.durable().accepted.clone()
     }
 
-    /// Whether any value was ever accepted here.
+    /// Returns whether this acceptor has accepted any value. The value may not be durable yet.
     #[must_use]
     pub fn is_initialized(&self) -> bool {
         self.lock().acceptor.state().accepted.is_some()
     }
 
-    /// Accepts the initial value, durably, unless this acceptor has a value already. Returns the value that it has then;
-    /// `None` where it could not be made durable.
+    /// Accepts the initial value durably, unless this acceptor has accepted a value before. Returns the
+    /// accepted value, or `None` if the initial value could not be made durable.
     pub async fn initialize(&self, initial: Versioned<ControlState>) -> Option<Versioned<ControlState>> {
         self.apply(|acceptor| acceptor.initialize(initial)).await?;
         self.accepted()
     }
 
-    /// Replies to a request; `None` where the change could not be made durable.
+    /// Handles a request. Returns `None` if the change could not be made durable or the journal is not
+    /// intact.
     pub async fn handle(
         &self,
         request: AcceptorRequest<ControlState>,
@@ -83,7 +87,7 @@
         self.apply(|acceptor| acceptor.handle(request)).await
     }
 
-    /// The reply to a read, which must not contain anything that a crash could still undo.
+    /// Returns the reply to a read, which contains only durable values, since a crash could undo others.
     fn durable_reply(&self) -> Option<AcceptorReply<ControlState>> {
         let inner = self.lock();
         let AcceptorState { accepted, committed, .. } = inner.persisted.durable().clone();
@@ -91,7 +95,8 @@
         inner.is_intact.then_some(AcceptorReply { incarnation: self.incarnation, outcome })
     }
 
-    /// Applies an operation to the acceptor and waits until its effect is durable.
+    /// Applies an operation to the acceptor and waits until its effect is durable. Returns `None` if the
+    /// write fails or the journal is not intact.
     async fn apply(
         &self,
         operation: impl FnOnce(&mut Acceptor<ControlState>) -> PendingReply<ControlState>,
@@ -103,14 +108,16 @@
             }
             let PendingReply { reply, must_persist } = operation(&mut inner.acceptor);
             let state = inner.acceptor.state().clone();
-            // The value may have been learned by an earlier request whose write is in flight, or has failed.
+            // An earlier request may have learned the same value, and its write may still be in flight or
+            // have failed.
             let is_learned = matches!(reply.outcome, ReplyOutcome::Learned);
             let is_on_disk = !is_learned || inner.persisted.has_committed(&state);
             if !must_persist && is_on_disk {
                 return Some(reply);
             }
             let (EncodedRecord { bytes, is_complete }, write) = inner.persisted.next_record(&state);
-            // Queued under the lock, so that the journal has the states in the order in which they arose.
+            // The write is queued under the lock, so that the journal contains the states in the order in
+            // which they arose.
             (reply, write, self.journal.append(bytes), is_complete)
         };
         match append.await {
--- a/crates/control-plane/src/consensus/confirmation.rs
+++ b/crates/control-plane/src/consensus/confirmation.rs
@@ -1,4 +1,4 @@
-//! One round that confirms with a majority of the acceptors that the known committed value is the newest.
+//! A single confirmation round: asks the acceptors whether the known committed value is the newest.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,21 +11,22 @@
 use super::acceptor_calls::{call_acceptor, PendingCalls};
 use crate::{AcceptorContacts, ViewCell};
 
-/// How long one acceptor may take to reply.
+/// Maximum time for the reply of one acceptor.
 const CALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// The result of a round.
+/// Result of a confirmation round.
 pub(super) enum ConfirmationResult {
-    /// A majority has confirmed the value as the newest.
+    /// A majority has confirmed the known value as the newest.
     Confirmed,
     /// A newer value is committed and was adopted, or no majority has replied.
     NotConfirmed,
-    /// A newer value is accepted somewhere and may or may not be committed.
+    /// At least one acceptor has accepted a newer value, which may or may not be committed.
     Undecided,
 }
 
-/// Asks all acceptors once whether `known` is the newest value, until a majority has decided that. The view adopts the
-/// result, as of `started_at`; replies that come later still count as contacts.
+/// Asks all acceptors once whether `known` is the newest value, until the replies of a majority have decided
+/// it. The view adopts the result as of `started_at`. Replies that arrive later are still recorded in
+/// `contacts`.
 pub(super) async fn confirm_once(
     view: &ViewCell,
     client: &rpc::Client,
@@ -52,7 +53,8 @@
     }
 }
 
-/// The status after the first replies that decide it; [`ConfirmationStatus::Pending`] where all of them do not.
+/// Returns the status as soon as the replies decide it, or [`ConfirmationStatus::Pending`] if all calls have
+/// ended without a decision.
 async fn collect_replies(
     confirmation: &mut Confirmation<ControlState>,
     calls: &mut PendingCalls,
@@ -77,7 +79,8 @@
     }
 }
 
-/// A reply counts for the acceptor itself only, not for another disk at its address.
+/// Records the reply only if it comes from `member` itself. A machine that lost its disk replies at the same
+/// address with another incarnation.
 fn record_contact(contacts: &AcceptorContacts, member: &Member, reply: &AcceptorReply<ControlState>) {
     if reply.incarnation == member.incarnation {
         contacts.record_contact(member.incarnation);
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -1,9 +1,9 @@
 //! Agreement on the control state: the register's acceptor on this machine, and proposals to all acceptors.
 //!
-//! Owns the journal of the acceptor, which [`AcceptorService`] alone writes, and the ballots of this process, which
-//! [`Proposer`] alone issues. Other modules change the control state only by [`Proposer::change`], with one of the pure
-//! functions of [`state::change`]. The protocol itself is in the crate `register`; here are its I/O, time-outs and
-//! retries.
+//! This module owns the journal of the acceptor, which only [`AcceptorService`] writes, and the ballots of
+//! this process, which only [`Proposer`] issues. Other modules change the control state only through
+//! [`Proposer::change`], with one of the pure functions of [`state::change`]. The crate `register` implements
+//! the protocol itself; this module adds its I/O, time-outs and retries.
 
 mod acceptor_calls;
 mod acceptor_journal;
--- a/crates/control-plane/src/consensus/proposal_attempt.rs
+++ b/crates/control-plane/src/consensus/proposal_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to change the control state: both rounds of a proposal under one ballot.
+//! A single attempt to change the control state: both phases of a proposal under one ballot.
 
 use std::time::Duration;
 
@@ -11,39 +11,40 @@
 use super::acceptor_calls::{call_acceptor, PendingCalls};
 use crate::ViewCell;
 
-/// How long one acceptor may take for one request.
+/// Maximum time for the reply of one acceptor to one request.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 type Requests = Vec<AddressedRequest<ControlState>>;
 
-/// The result of an attempt.
+/// Result of one attempt.
 pub(super) enum AttemptOutcome<E> {
     /// The proposed value is committed.
     Committed(Versioned<ControlState>),
-    /// The change was rejected, by a state that is committed.
+    /// `decide` has rejected the change, based on a state that is committed.
     Rejected(E),
-    /// Another value, which the attempt found accepted, was committed in place of the proposed one.
+    /// The attempt found another value accepted, and committed that value instead of the proposed one.
     OtherCommitted,
-    /// An acceptor has promised this higher ballot.
+    /// An acceptor has promised this higher ballot to another proposal.
     Preempted(Ballot),
-    /// No majority has replied in time.
+    /// No majority of the acceptors has replied by the deadline.
     NoQuorum,
 }
 
-/// A proposal that is under way.
+/// State of a proposal in progress.
 pub(super) struct ProposalAttempt<'a, E, D> {
     view: &'a ViewCell,
     client: &'a rpc::Client,
     decide: &'a D,
     ballot: Ballot,
     proposal: Proposal<ControlState>,
-    /// The ballot of the committed value that the proposal started from.
+    /// Ballot of the committed value that the proposal is based on.
     base_ballot: Ballot,
     calls: PendingCalls,
     started_at: Instant,
-    /// What `decide` made of the value that was read.
+    /// Value that `decide` derived from the value that was read; `None` before that or if it was rejected.
     desired: Option<ControlState>,
-    /// Why `decide` rejected the value that was read.
+    /// Reason why `decide` rejected the value that was read, if it did and the value was not known to be
+    /// committed.
     rejection: Option<E>,
 }
 
@@ -51,7 +52,8 @@
 where
     D: Fn(&ControlState) -> Result<ControlState, E>,
 {
-    /// Starts from `base`, which must be committed, under a ballot that was never used.
+    /// Starts a proposal based on `base`, which must be committed, under a ballot that was never used, and
+    /// sends the requests of its first phase.
     pub(super) fn start(
         view: &'a ViewCell,
         client: &'a rpc::Client,
@@ -77,7 +79,7 @@
         attempt
     }
 
-    /// Goes on until there is an outcome.
+    /// Processes replies until the attempt has an outcome.
     pub(super) async fn run(mut self, deadline: Instant) -> AttemptOutcome<E> {
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
@@ -108,8 +110,8 @@
         self.calls.extend(requests.into_iter().map(|request| call_acceptor(client, request, CALL_TIMEOUT)));
     }
 
-    /// The promises are complete: proposes what `decide` makes of the current value. Returns the outcome of the attempt
-    /// where `decide` rejects a committed value, so that nothing is to be proposed.
+    /// Handles a majority of promises: proposes the value that `decide` derives from the current one. Returns
+    /// the outcome of the attempt if `decide` rejects a committed value, since nothing is proposed then.
     fn on_prepared(&mut self, current: Versioned<ControlState>) -> Option<AttemptOutcome<E>> {
         let value = match (self.decide)(&current.value) {
             Ok(value) => {
@@ -121,8 +123,8 @@
                 return Some(AttemptOutcome::Rejected(reason));
             }
             Err(reason) => {
-                // Only a committed state may reject a change: the value that was read is proposed again, unchanged. Once
-                // it is committed, the rejection counts.
+                // Only a committed state may reject a change. The value that was read may be undecided, so it
+                // is proposed again unchanged. Once it is committed, the rejection is final.
                 self.rejection = Some(reason);
                 ControlState::clone(&current.value)
             }
@@ -132,7 +134,8 @@
         None
     }
 
-    /// The outcome after a value was committed, which is adopted and sent to the acceptors.
+    /// Handles the commit of a value: adopts it, sends it to the acceptors and returns the outcome of the
+    /// attempt.
     async fn on_committed(self, value: Versioned<ControlState>) -> AttemptOutcome<E> {
         self.view.adopt_control(&value);
         self.view.confirm(self.started_at);
@@ -143,8 +146,8 @@
         if let Some(reason) = self.rejection {
             return AttemptOutcome::Rejected(reason);
         }
-        // Where the value that was read is not known to be committed, `Proposal::propose` proposes it again instead of a
-        // value with other acceptors.
+        // If the value that was read is not known to be committed, `Proposal::propose` proposes it again
+        // instead of a value with other acceptors.
         if self.desired.is_some_and(|desired| desired != *value.value) {
             return AttemptOutcome::OtherCommitted;
         }
@@ -152,8 +155,8 @@
     }
 }
 
-/// Notifies all acceptors of a committed value; those that miss it read it when they confirm theirs. The receiver gets
-/// each acceptor that has learned it.
+/// Notifies all acceptors of a committed value. Acceptors that miss the notification read the value in their
+/// next confirmation. The returned receiver yields each acceptor that has learned the value.
 fn announce_committed(client: &rpc::Client, learn_requests: Requests) -> mpsc::UnboundedReceiver<Member> {
     let (learned, learners) = mpsc::unbounded_channel();
     for request in learn_requests {
@@ -161,7 +164,8 @@
         let call = call_acceptor(client, request, CALL_TIMEOUT);
         tokio::spawn(async move {
             match call.await {
-                // Nobody receives it where the acceptors stay the same.
+                // The receiver has been dropped if the acceptors have not changed, so a failed send is
+                // ignored.
                 (member, Ok(reply)) if reply.incarnation == member.incarnation => drop(learned.send(member)),
                 (_, Ok(_)) => {}
                 (member, Err(error)) => {
@@ -173,10 +177,11 @@
     learners
 }
 
-/// Waits until a majority of the acceptors has learned a change of the acceptors, or all calls have ended.
+/// Waits until a majority of the acceptors has learned a change of the set of acceptors, or all calls have
+/// ended.
 ///
-/// Only then may one more machine fail: if this process alone knew that the change is committed, the others would still
-/// ask the acceptors before it.
+/// Only after that is the failure of one more machine tolerated. Before, this process alone may have the
+/// information that the change is committed, and all others would still ask the previous acceptors.
 async fn wait_for_majority(mut learners: mpsc::UnboundedReceiver<Member>, acceptors: &[Member]) {
     let mut learned = 0;
     while let Some(member) = learners.recv().await {
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -1,4 +1,4 @@
-//! Changes of the control state, by proposals to the acceptors. Any process may propose.
+//! Changes of the control state by proposals to the acceptors. Any process may propose.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -12,21 +12,23 @@
 use super::proposal_attempt::{AttemptOutcome, ProposalAttempt};
 use crate::{AcceptorContacts, ViewCell};
 
-/// The longest pause before the first retry, in milliseconds; grows linearly with the attempts ...
+/// Upper bound of the random pause before the first retry of a change, in milliseconds. The bound grows by
+/// the same amount with each further attempt, up to [`MAX_RETRY_PAUSE_STEPS`] times this value.
 const RETRY_PAUSE_STEP_MS: u64 = 25;
-/// ... up to this many times as long.
+/// Largest multiple of [`RETRY_PAUSE_STEP_MS`] to which the bound of the pause grows.
 const MAX_RETRY_PAUSE_STEPS: u64 = 8;
-/// Confirmations that a read attempts before it writes.
+/// Number of confirmations that [`Proposer::read_newest`] attempts before it reads by a proposal, which
+/// writes.
 const MAX_CONFIRM_ATTEMPTS: usize = 2;
-/// How long committing an undecided value may take.
+/// Maximum time for which committing an undecided value is retried.
 const COMMIT_UNDECIDED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Why a change was not made.
+/// Reason why [`Proposer::change`] returns no committed value.
 #[derive(Debug)]
 pub enum ChangeFailure<E> {
-    /// The committed state rejects the change, for this reason.
+    /// The committed state does not permit the change; contains the reason.
     Rejected(E),
-    /// The deadline has passed: the change may or may not have been made, and may still be.
+    /// The deadline has passed. The change may have been committed, or may still be committed later.
     OutcomeUnknown,
 }
 
@@ -34,17 +36,18 @@
 pub struct Proposer {
     view: Arc<ViewCell>,
     client: rpc::Client,
-    /// A random number of this process, so that no two proposers use the same ballot.
+    /// Random number that identifies this process in its ballots, so that no two proposers use the same
+    /// ballot.
     identity: u64,
-    /// The highest round that this process has used or seen; at first that of the initial value.
+    /// Highest round that this process has used or seen. Starts at 1, the round of the initial value.
     round: AtomicU64,
     contacts: Arc<AcceptorContacts>,
-    /// Taken by each attempt: concurrent proposals of one process would only preempt each other.
+    /// Held during each attempt, because concurrent proposals of one process would preempt each other.
     attempt_lock: tokio::sync::Mutex<()>,
 }
 
 impl Proposer {
-    /// A proposer that starts from the committed value of `view`.
+    /// Creates a proposer that bases its proposals on the committed value of `view`.
     #[must_use]
     pub fn new(view: Arc<ViewCell>, client: rpc::Client) -> Arc<Self> {
         Arc::new(Self {
@@ -57,17 +60,19 @@
         })
     }
 
-    /// When each acceptor last replied to this process.
+    /// Returns the times at which the acceptors last replied to confirmations of this process.
     #[must_use]
     pub fn contacts(&self) -> &Arc<AcceptorContacts> {
         &self.contacts
     }
 
-    /// Replaces the committed state by what `decide` makes of it. `decide` may be called several times.
+    /// Replaces the committed state by the one that `decide` derives from it. Retries until `deadline`, so
+    /// `decide` may be called several times.
     ///
     /// # Errors
     ///
-    /// [`ChangeFailure::Rejected`] if `decide` has rejected a state that is certainly committed.
+    /// [`ChangeFailure::Rejected`] if `decide` has rejected a state that is certainly committed,
+    /// [`ChangeFailure::OutcomeUnknown`] if no attempt has succeeded by the deadline.
     pub async fn change<E>(
         &self,
         deadline: Instant,
@@ -87,9 +92,11 @@
         Err(ChangeFailure::OutcomeUnknown)
     }
 
-    /// The newest committed state, read by a proposal; `None` if no majority has replied by the deadline.
+    /// Reads the newest committed state by a proposal. Returns `None` if no majority has replied by the
+    /// deadline.
     pub async fn read(&self, deadline: Instant) -> Option<Versioned<ControlState>> {
-        // Rejecting everything makes the proposal a read. A value that it finds undecided is committed first.
+        // A proposal that rejects every state is a read. If it finds an undecided value, it commits that
+        // value first.
         let reject_always = |_: &ControlState| Err::<ControlState, ()>(());
         match self.change(deadline, reject_always).await {
             Err(ChangeFailure::Rejected(())) => self.view.committed(),
@@ -97,8 +104,8 @@
         }
     }
 
-    /// The newest committed state as of a moment after this call; `None` if no majority has replied by the deadline.
-    /// Writes nothing where the newest value is known already.
+    /// Returns a committed state at least as new as any committed before this call, or `None` if no majority
+    /// has replied by the deadline. Writes nothing if a majority confirms the known value as the newest.
     pub async fn read_newest(&self, deadline: Instant) -> Option<Versioned<ControlState>> {
         for _ in 0..MAX_CONFIRM_ATTEMPTS {
             let known = self.view.committed()?;
@@ -109,8 +116,8 @@
         self.read(deadline).await
     }
 
-    /// Asks all acceptors once whether `known` is the newest value, and commits a value that is undecided. Returns
-    /// whether the view has the newest value as of `started_at`.
+    /// Asks all acceptors once whether `known` is the newest value, and commits a newer value that is
+    /// undecided. Returns whether the view now has the newest value as of `started_at`.
     pub(super) async fn confirm(&self, known: Versioned<ControlState>, started_at: Instant) -> bool {
         match confirm_once(&self.view, &self.client, &self.contacts, known, started_at).await {
             ConfirmationResult::Confirmed => true,
@@ -119,7 +126,8 @@
         }
     }
 
-    /// Commits a value that is accepted somewhere, or a newer one.
+    /// Commits a value that at least one acceptor has accepted, or a newer one. Returns whether a majority
+    /// has replied in time.
     async fn commit_undecided(&self) -> bool {
         self.read(Instant::now() + COMMIT_UNDECIDED_TIMEOUT).await.is_some()
     }
@@ -140,7 +148,7 @@
         outcome
     }
 
-    /// A ballot that was never used, above the round `known`.
+    /// Returns a ballot above the round `known` that this process has never used.
     fn next_ballot(&self, known: u64) -> Ballot {
         let round = self.round.fetch_max(known, Ordering::Relaxed).max(known) + 1;
         self.round.fetch_max(round, Ordering::Relaxed);
--- a/crates/control-plane/src/consensus/read_repair.rs
+++ b/crates/control-plane/src/consensus/read_repair.rs
@@ -1,4 +1,4 @@
-//! Periodic confirmation that the known committed value is the newest (read repair).
+//! Read repair: confirms periodically that the known committed value is the newest.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use super::Proposer;
 use crate::ViewCell;
 
-/// The interval between two confirmations.
+/// Interval between the starts of two confirmations.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(400);
-/// The shortest pause after a confirmation, however long it took.
+/// Minimum pause after a confirmation, even if it took longer than the interval.
 const MIN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Confirms the committed value with a majority at regular intervals, for as long as the process runs. A newer value is
-/// adopted; one that is accepted somewhere and not provably committed is committed by a proposal.
+/// Confirms the committed value with a majority at regular intervals until the process ends. Adopts a newer
+/// committed value. A newer value that is accepted but not provably committed is committed by a proposal.
 pub async fn run_read_repair(view: Arc<ViewCell>, proposer: Arc<Proposer>) {
     loop {
         let started_at = Instant::now();
--- a/crates/control-plane/src/discovery/acceptor_gossip.rs
+++ b/crates/control-plane/src/discovery/acceptor_gossip.rs
@@ -1,11 +1,12 @@
-//! Acceptor gossip: how a process without any control state finds an acceptor although its seeds have none either.
+//! Acceptor gossip: lets a process without any control state find an acceptor even if its seeds have none
+//! either.
 //!
-//! A process polls its seeds until it has the acceptors. Seeds may be nodes without a disk; after a power loss of all
-//! machines these have no state, and a process that was configured with only such seeds would poll in vain for ever. So
-//! the addresses of the acceptors are also sent the other way: a process that has them sends them to its own seeds, at
-//! once when it receives them or is configured with other seeds, and again from time to time, as a seed may have
-//! restarted since. Between the two, what one process has reaches all that are connected to it by seeds in either
-//! direction.
+//! A process polls its seeds until it receives the acceptors. Seeds may be nodes without a disk. After a
+//! power loss of all machines these have no state, and a process that is configured with only such seeds
+//! would poll without success for ever. Therefore addresses of the acceptors are also sent in the opposite
+//! direction: a process that has them sends them to its own seeds. It does so as soon as it receives them or
+//! is configured with other seeds, and repeats it periodically, because a seed may have restarted. Together,
+//! polls and gossip spread the addresses to all processes that are connected by seeds in either direction.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -18,40 +19,41 @@
 use super::gossip_schedule::GossipSchedule;
 use crate::{paths, ViewCell};
 
-/// How long a call may take.
+/// Maximum time from the start of an internal call to its reply.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// How often the schedule is checked.
+/// Interval at which the schedule is checked for due messages.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The mean time between two repeated messages of a process with an acceptor ...
+/// Mean time between two repeated messages of a process with an acceptor.
 const ACCEPTOR_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// ... and of any other process.
+/// Mean time between two repeated messages of a process without an acceptor.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The addresses of the acceptors, sent to a process that may not have them.
+/// Message with the addresses of the acceptors, sent to a process that may not have them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipMessage {
-    /// The revision of the control state that has these acceptors.
+    /// Revision of the control state that contains these acceptors. The message with the highest revision is
+    /// kept.
     pub revision: u64,
-    /// Their internal addresses.
+    /// Internal addresses of the acceptors.
     pub acceptors: Vec<String>,
 }
 
 impl GossipMessage {
-    /// The acceptors of a state.
+    /// Creates a message with the acceptors of a control state.
     pub(crate) fn of(state: &ControlState) -> Self {
         let acceptors = state.acceptors.iter().map(|member| member.address.clone()).collect();
         Self { revision: state.revision, acceptors }
     }
 }
 
-/// The newest acceptors that this process has received by gossip.
+/// Stores the newest acceptors that this process has received by gossip.
 #[derive(Default)]
 pub struct AcceptorGossip {
     newest: Mutex<GossipMessage>,
 }
 
 impl AcceptorGossip {
-    /// Records a received message, unless a newer one was received before.
+    /// Records a received message, unless one with a higher revision was received before.
     pub fn receive(&self, message: GossipMessage) {
         let mut newest = self.lock();
         if message.revision >= newest.revision {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The internal addresses of the acceptors that were received last.
+    /// Returns the internal addresses of the newest acceptors that were received; empty if none were.
     #[must_use]
     pub fn acceptors(&self) -> Vec<String> {
         self.lock().acceptors.clone()
@@ -76,22 +78,22 @@
     reply.is_ok()
 }
 
-/// Sends the acceptors to the seeds of this process.
+/// Sends the addresses of the acceptors to the seeds of this process.
 pub struct GossipSender {
-    /// The state that the process acts on.
+    /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
-    /// Internal calls.
+    /// Client for internal calls to other processes.
     pub client: rpc::Client,
-    /// The internal addresses of the seeds, as configured now.
+    /// Internal addresses of the seeds in the present settings.
     pub seeds: watch::Receiver<Vec<String>>,
-    /// The internal address of this process, which is not sent anything.
+    /// Internal address of this process. No message is sent to it, even if it is a seed.
     pub own_address: String,
-    /// Whether this process has an acceptor, and so repeats its messages more often.
+    /// Whether this process has an acceptor. If so, it repeats its messages more often.
     pub has_acceptor: bool,
 }
 
 impl GossipSender {
-    /// Sends the acceptors to the seeds whenever that is due, for as long as the process runs.
+    /// Sends the acceptors to each seed whenever a message is due. Runs until the process ends.
     pub async fn run(mut self) {
         let mut schedule = self.new_schedule();
         loop {
--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -1,5 +1,5 @@
-//! The first start of a system: its machines announce themselves to the seeds, and one seed forms the initial value of
-//! the register.
+//! Bootstrap of a system: at the first start, machines announce themselves to the seeds, and one seed, the
+//! coordinator, forms the initial value of the register.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,51 +14,52 @@
 
 use crate::{paths, ViewCell};
 
-/// The first seed waits this long for announcements, from its own start, before it becomes the coordinator ...
+/// Time from its own start for which the first seed collects announcements before it becomes the coordinator.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// ... and each further seed this much longer, before it takes over.
+/// Additional time for which each further seed waits before it takes over as the coordinator.
 const TAKEOVER_STAGGER: Duration = Duration::from_millis(4000);
-/// The pause between two attempts.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// How long a call may take.
+/// Maximum time from the start of an internal call to its reply.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// The ballot of the initial value; every proposal is above it.
+/// Ballot of the initial value. The ballot of every proposal is higher.
 const INITIAL_BALLOT: Ballot = Ballot { round: 1, proposer: 0 };
 
-/// What a machine with a disk can do.
+/// Function that a machine with a disk can perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Capability {
-    /// It accepts values of the register.
+    /// The machine can be an acceptor of the register.
     Acceptor,
-    /// It stores batch jobs.
+    /// The machine can be a store, which keeps batch jobs.
     Store,
 }
 
-/// A machine with a disk announces itself.
+/// Announcement of a machine with a disk to a seed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Its name, incarnation and address.
+    /// Name, incarnation and internal address of the announced machine.
     pub member: Member,
-    /// Its zone.
+    /// Zone of the announced machine; a store keeps it in its entry in the store set.
     pub zone: String,
-    /// What it can do.
+    /// Function that the announced machine can perform.
     pub capability: Capability,
 }
 
-/// The announcements that a seed has received.
+/// Announcements that a seed has received, by the name of the machine.
 #[derive(Default)]
 pub struct BootstrapAnnouncements {
     by_name: Mutex<BTreeMap<String, Announcement>>,
 }
 
 impl BootstrapAnnouncements {
-    /// Records an announcement; it replaces an earlier one of the same machine.
+    /// Records an announcement. It replaces an earlier one of a machine with the same name.
     pub fn receive(&self, announcement: Announcement) {
         let mut by_name = self.by_name.lock().unwrap_or_else(PoisonError::into_inner);
         by_name.insert(announcement.member.name.clone(), announcement);
     }
 
-    /// The initial value with all machines that were announced so far; `None` without any acceptor.
+    /// Returns an initial value with all machines that were announced so far, or `None` if none of them is an
+    /// acceptor.
     fn initial_value(&self, tolerated_failures: usize) -> Option<Versioned<ControlState>> {
         let by_name = self.by_name.lock().unwrap_or_else(PoisonError::into_inner);
         let with = |capability| by_name.values().filter(move |a| a.capability == capability);
@@ -70,27 +71,27 @@
     }
 }
 
-/// The part of this process in the first start of a system.
+/// Performs the part of this process in the bootstrap of a system.
 pub struct Bootstrap {
-    /// What this process announces, if it has a disk.
+    /// Announcement of this machine; `None` if it has no disk.
     pub announcement: Option<Announcement>,
-    /// The internal addresses of the seeds, in the order in which they become coordinators.
+    /// Internal addresses of the seeds, in the order in which they become the coordinator.
     pub seeds: Vec<String>,
-    /// The internal address of this process.
+    /// Internal address of this process, by which it finds its own position among the seeds.
     pub own_address: String,
-    /// The number of machines whose loss the system must survive.
+    /// Number of machines whose loss the system must survive.
     pub tolerated_failures: usize,
-    /// What this process receives if it is a seed.
+    /// Announcements that this process has received; used only if it is a seed.
     pub announcements: Arc<BootstrapAnnouncements>,
-    /// The state that the process acts on.
+    /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
-    /// Internal calls.
+    /// Client for internal calls to other processes.
     pub client: rpc::Client,
 }
 
 impl Bootstrap {
-    /// Announces this machine to the seeds, and forms the initial value once it is this process's turn as a seed.
-    /// Returns once a committed value is known.
+    /// Announces this machine to the seeds. If this process is a seed, it also forms the initial value once
+    /// its waiting time has passed. Returns once a committed value is known.
     pub async fn run(self) {
         let started_at = Instant::now();
         let coordinates_after = self.coordinates_after();
@@ -106,7 +107,8 @@
         }
     }
 
-    /// The time from the start after which this process becomes the coordinator; `None` if it is no seed.
+    /// Returns the time from the start of this process until it becomes the coordinator, or `None` if it is
+    /// not a seed.
     fn coordinates_after(&self) -> Option<Duration> {
         let rank = self.seeds.iter().position(|seed| *seed == self.own_address)?;
         Some(COLLECT_TIMEOUT + TAKEOVER_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX))
@@ -128,9 +130,11 @@
         }
     }
 
-    /// Offers an initial value to its acceptors: the one that an earlier coordinator has offered, otherwise `own`.
+    /// Offers an initial value to its acceptors: the value that an earlier coordinator has offered, if any,
+    /// otherwise `proposed`.
     ///
-    /// A majority of the acceptors must reply before, so that an initial value that a majority has accepted is found.
+    /// A majority of the acceptors must reply to a read first, so that an initial value that a majority has
+    /// accepted is always found.
     async fn commit_initial(&self, own: Versioned<ControlState>) {
         let reads = own.value.acceptors.iter().map(|member| self.read_accepted(member));
         let accepted: Vec<_> = join_all(reads).await.into_iter().flatten().collect();
@@ -149,7 +153,8 @@
         }
     }
 
-    /// The value that an acceptor has accepted, if any; `None` when it does not reply.
+    /// Reads the value that an acceptor has accepted. The outer `None` means that it did not reply, the inner
+    /// one that it has not accepted any value.
     async fn read_accepted(&self, member: &Member) -> Option<Option<Versioned<ControlState>>> {
         let request: AcceptorRequest<ControlState> = AcceptorRequest::Read;
         let reply: Result<AcceptorReply<ControlState>, _> =
@@ -160,7 +165,8 @@
         }
     }
 
-    /// Offers an initial value to an acceptor. Returns the value that it has then.
+    /// Offers an initial value to an acceptor. Returns the value that it has accepted, or `None` if the call
+    /// fails.
     async fn offer(
         &self,
         member: &Member,
--- a/crates/control-plane/src/discovery/gossip_schedule.rs
+++ b/crates/control-plane/src/discovery/gossip_schedule.rs
@@ -1,23 +1,25 @@
-//! When the acceptors are sent to which seed.
+//! Schedule of acceptor gossip: when the acceptors are sent to which seed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The pause before a message to a seed that was not acknowledged is sent again; doubles with each attempt ...
+/// Pause before a message that a seed did not acknowledge is sent again. It doubles with each attempt, up to
+/// [`MAX_RETRY_PAUSE`].
 const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// ... up to this one.
+/// Longest pause before a message that a seed did not acknowledge is sent again.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(5);
 
-/// Retries with backoff to seeds that have not acknowledged; repetition in turn to those that have.
+/// Schedules messages to seeds: retries with backoff to those that have not acknowledged, and repetitions in
+/// round-robin order to those that have.
 pub(super) struct GossipSchedule {
     /// Seeds that have not acknowledged the latest message.
     pending: BTreeMap<String, PendingRetry>,
-    /// Seeds that have, the one whose turn is next first.
+    /// Seeds that have acknowledged the latest message, in round-robin order: the next one is first.
     acknowledged: Vec<String>,
     repeat_interval: Duration,
-    /// When the next acknowledged seed is sent the acceptors again.
+    /// Time at which the next acknowledged seed is sent the acceptors again; `None` before the first check.
     next_repeat: Option<Instant>,
 }
 
@@ -27,7 +29,7 @@
 }
 
 impl GossipSchedule {
-    /// All of these seeds but this process itself are due now.
+    /// Creates a schedule in which messages to all of these seeds, except this process itself, are due now.
     pub(super) fn new(seeds: &[String], own_address: &str, repeat_interval: Duration) -> Self {
         let now = Instant::now();
         let others = seeds.iter().filter(|seed| *seed != own_address);
@@ -40,8 +42,9 @@
         }
     }
 
-    /// The seeds to which the acceptors are to be sent now: all whose retry is due, and the next acknowledged one if the
-    /// time for a repetition has come. The caller records the outcome of each by [`GossipSchedule::record`].
+    /// Returns the seeds to which the acceptors are to be sent now: all seeds whose retry is due, and the
+    /// next acknowledged seed if a repetition is due. The caller must record the outcome of each message with
+    /// [`GossipSchedule::record`].
     pub(super) fn due(&mut self) -> Vec<String> {
         let now = Instant::now();
         let retries = self.pending.iter().filter(|(_, retry)| retry.next_attempt <= now);
@@ -51,7 +54,8 @@
                 self.acknowledged.rotate_left(1);
                 due.extend(self.acknowledged.last().cloned());
             }
-            // Evenly distributed from three to five quarters of the interval.
+            // The time to the next repetition is uniformly distributed between 0.75 and 1.25 times the
+            // interval.
             let jitter = 0.75 + fastrand::f64() / 2.0;
             self.next_repeat = Some(now + self.repeat_interval.mul_f64(jitter));
         }
--- a/crates/control-plane/src/discovery/list_reader.rs
+++ b/crates/control-plane/src/discovery/list_reader.rs
@@ -1,4 +1,4 @@
-//! Which process reads the platform's list, and how often.
+//! Reading of the platform's list: which process reads it, and how often.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,33 +9,34 @@
 use super::ListSource;
 use crate::{Leadership, ViewCell};
 
-/// How often the leader reads.
+/// Interval at which the leader reads the list.
 const LEADER_INTERVAL: Duration = Duration::from_millis(900);
-/// The leader gives the list a new version after this time, even if unchanged, so that lists that other processes read
-/// for themselves are replaced.
+/// Time after which the leader gives the list a new version even if it is unchanged, so that it replaces
+/// lists that other processes have read for themselves.
 const RENEW_INTERVAL: Duration = Duration::from_secs(5);
-/// The pause after the platform rejected a call or returned no list: all nodes together may make few calls.
+/// Pause, before jitter, after the platform rejected a call or returned no list. The platform limits the rate
+/// of the calls of all nodes together.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
-/// How often the reader checks whether a read is due.
+/// Interval at which the reader checks whether a read is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// The longest random addition to a pause, as a fraction of it.
+/// Maximum of the random addition to a pause, as a fraction of it.
 const JITTER: f64 = 0.5;
 
 /// Reads the platform's list for this process.
 pub struct ListReader {
-    /// The platform.
+    /// Source of the complete server list.
     pub platform: Arc<dyn ListSource>,
-    /// Whether this process is the leader.
+    /// Returns the fencing token while this process is the leader.
     pub leadership: Arc<Leadership>,
-    /// Where the list is adopted.
+    /// View that adopts the list.
     pub view: Arc<ViewCell>,
-    /// A process that is not the leader reads for itself once its list is older than this, with jitter.
+    /// Age of the list, before jitter, at which a process that is not the leader reads the list itself.
     pub own_read_after: Duration,
 }
 
 impl ListReader {
-    /// Reads the list at regular intervals while this process is the leader, and otherwise only when the list has become
-    /// too old. Runs for as long as the process does.
+    /// Reads the list at regular intervals while this process is the leader, and otherwise only if the list
+    /// has become too old. Runs until the process ends.
     pub async fn run(self) {
         let mut renewed_at = Instant::now();
         let mut own_interval = with_jitter(self.own_read_after);
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Whether the list is too old. A leader reads at the check that is closest to its interval.
+    /// Returns whether the list is old enough to be read again. A leader reads at the check that is closest
+    /// to the end of its interval.
     fn is_due(&self, own_interval: Duration) -> bool {
         let is_leader = self.leadership.fence().is_some();
         let max_age =
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! How a process finds the others: the acceptors of the register, and the servers that the platform lists.
+//! Discovery: how a process finds the acceptors of the register and the servers that the platform lists.
 //!
-//! Owns [`BootstrapAnnouncements`] and [`AcceptorGossip`], which internal calls of other processes write, and the
-//! reading of the platform's list, which [`ListReader`] alone adopts into the view. [`Bootstrap`] runs only at the first
-//! start of a system; [`StoreMembership`] keeps a store machine registered afterwards.
+//! This module owns [`BootstrapAnnouncements`] and [`AcceptorGossip`], which internal calls of other
+//! processes write, and the reading of the platform's list, which only [`ListReader`] adopts into the view.
+//! [`Bootstrap`] runs only at the first start of a system. After that, [`StoreMembership`] keeps a store
+//! machine registered.
 
 mod acceptor_gossip;
 mod bootstrap;
--- a/crates/control-plane/src/discovery/platform.rs
+++ b/crates/control-plane/src/discovery/platform.rs
@@ -10,19 +10,20 @@
 use serde::Deserialize;
 use state::{ServerCondition, ServerEntry, ServerList, ServerListVersion};
 
-/// How long a new connection may take.
+/// Maximum time to establish a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long one page may take.
+/// Maximum time to read one page.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
-/// A list with more pages is rejected: a protection against a platform that returns a next page for ever.
+/// Maximum number of pages of a list. A list with more pages is rejected, in case a faulty platform always
+/// returns a next page.
 const MAX_PAGES: usize = 400;
 
-/// Why the list could not be read.
+/// Reason why the list could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
     /// The platform's rate limit was exceeded.
     TooManyCalls,
-    /// No answer, or none that is a list; with the cause.
+    /// The platform did not reply, or the reply is not a valid list; contains the cause.
     Unreadable(String),
 }
 
@@ -37,12 +38,12 @@
 
 impl std::error::Error for PlatformError {}
 
-/// One page of the list.
+/// One page of the list, as the platform encodes it in JSON.
 #[derive(Deserialize)]
 struct Page {
     #[serde(rename = "carriers")]
     servers: Vec<PageEntry>,
-    /// The key of the next page; `None` on the last one.
+    /// Key of the next page; `None` on the last page.
     #[serde(default)]
     next: Option<String>,
 }
@@ -91,13 +92,13 @@
     }
 }
 
-/// A source of the server list.
+/// Source of the complete server list.
 pub trait ListSource: Send + Sync {
-    /// Reads the complete list and gives it this version.
+    /// Reads the complete list and gives it the version `version`.
     ///
     /// # Errors
     ///
-    /// When any part of it is refused or cannot be read; a partial list is never returned.
+    /// Returns an error if any page is refused or cannot be read. A partial list is never returned.
     fn read(&self, version: ServerListVersion) -> BoxFuture<'_, Result<ServerList, PlatformError>>;
 }
 
@@ -115,11 +116,11 @@
 }
 
 impl Platform {
-    /// A reader of the platform at `address`.
+    /// Creates a reader of the platform at `address`, given as host and port.
     ///
     /// # Panics
     ///
-    /// When the HTTP client cannot be set up, which takes no I/O.
+    /// Panics if the HTTP client cannot be created. Creating it involves no I/O.
     #[must_use]
     pub fn new(address: String) -> Self {
         Self { http: rpc::http_client(CONNECT_TIMEOUT), address }
--- a/crates/control-plane/src/discovery/store_membership.rs
+++ b/crates/control-plane/src/discovery/store_membership.rs
@@ -1,4 +1,4 @@
-//! How a store machine joins the store set after the first start, and how it leaves.
+//! Membership of a store machine in the store set: how it joins after the first start, and how it leaves.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,26 +9,26 @@
 
 use crate::{Proposer, ViewCell};
 
-/// The pause between two attempts.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// How long one proposal to join is retried.
+/// Maximum time for which one proposal to join is retried. A later attempt starts a new proposal.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(2000);
-/// How long leaving may take.
+/// Maximum time for which the proposal to leave is retried before the process shuts down.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The membership of this machine in the store set.
+/// Maintains the membership of this machine in the store set.
 pub struct StoreMembership {
-    /// This machine.
+    /// Name, incarnation, internal address and zone of this machine.
     pub member: StoreMember,
-    /// The state that the process acts on.
+    /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
-    /// Changes of the register.
+    /// Proposes changes of the control state to the acceptors.
     pub proposer: Arc<Proposer>,
 }
 
 impl StoreMembership {
-    /// Registers this machine for the store set whenever it is not part of it, unless the operator has it drained. Runs
-    /// for as long as the process does.
+    /// Registers this machine for the store set whenever it is not a member, unless the operator drains it.
+    /// Runs until the process ends.
     pub async fn run(&self) {
         let mut views = self.view.subscribe();
         loop {
@@ -59,8 +59,9 @@
         }
     }
 
-    /// Leaves the store set before the process shuts down gracefully, if there are more stores than intended: another
-    /// one has replaced this machine, and its batch jobs are to become complete without it as soon as it has stopped.
+    /// Leaves the store set before the process shuts down gracefully, if the set has more stores than
+    /// intended. In that case another store has replaced this machine, and its batch jobs become completely
+    /// replicated without it as soon as it has stopped.
     pub async fn leave(&self) {
         let member = &self.member.member;
         if without_store(&self.view.view().control, member).is_err() {
--- a/crates/control-plane/src/distribution/control_update.rs
+++ b/crates/control-plane/src/distribution/control_update.rs
@@ -1,4 +1,4 @@
-//! Updates of the control state: the configuration, its largest part, is included only where it changed.
+//! Updates of the control state. The configuration, its largest part, is included only if it has changed.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 use state::{AppliedChange, ControlState, Document, MAX_APPLIED_CHANGES};
 
-/// A newer committed value, relative to the configuration that its receiver has.
+/// A newer committed value, without the parts that its receiver has already.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlUpdate {
-    /// The value, without the fields in [`ConfigurationPart`].
+    /// The committed value, with the fields in [`ConfigurationPart`] empty.
     rest: Versioned<ControlState>,
-    /// `None` where the receiver has this version of the configuration.
+    /// Fields that the receiver lacks; `None` if it has this version of the configuration.
     configuration: Option<ConfigurationPart>,
 }
 
@@ -23,7 +23,7 @@
     applied_changes: AppliedChangesPart,
 }
 
-/// The applied changes: all, or those since the version that the receiver has.
+/// The applied changes: all of them, or only those after the version that the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum AppliedChangesPart {
     Complete(VecDeque<AppliedChange>),
@@ -57,7 +57,8 @@
 }
 
 impl ControlUpdate {
-    /// What a process needs to have `newest`, if it has the version `receiver_version` of the configuration.
+    /// Creates the update to `newest` for a process that has the version `receiver_version` of the
+    /// configuration.
     #[must_use]
     pub fn new(newest: &Versioned<ControlState>, receiver_version: u64) -> Self {
         let mut state = ControlState::clone(&newest.value);
@@ -73,8 +74,8 @@
         Self { rest, configuration: (!has_configuration).then_some(part) }
     }
 
-    /// The newest value; `None` where the update is relative to another version of the configuration than that of the
-    /// `present` state.
+    /// Applies the update to the `present` state and returns the newer value, or `None` if the update is
+    /// based on another version of the configuration than that of `present`.
     #[must_use]
     pub fn apply(self, present: &ControlState) -> Option<Versioned<ControlState>> {
         let mut state = Arc::unwrap_or_clone(self.rest.value);
--- a/crates/control-plane/src/distribution/messages.rs
+++ b/crates/control-plane/src/distribution/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of the long poll.
+//! Messages of the long poll.
 
 use std::time::Duration;
 
@@ -10,47 +10,47 @@
 use super::{ControlUpdate, ServerUpdate};
 use crate::ViewCell;
 
-/// A peer whose latest confirmation by a majority is older is not fresh.
+/// Maximum time since the last confirmation by a majority for a peer to count as fresh.
 const MAX_CONFIRMED_AGE: Duration = Duration::from_millis(900);
-/// A peer whose server list is older is not fresh.
+/// Maximum age of the server list for a peer to count as fresh.
 const MAX_SERVERS_AGE: Duration = Duration::from_millis(2000);
-/// The ballot with which a process polls that has no control state.
+/// Ballot in the poll of a process that has no control state; lower than any other.
 pub(super) const NO_BALLOT: Ballot = Ballot { round: 0, proposer: 0 };
 
-/// A long poll for anything newer than the sender has.
+/// Long poll for anything newer than the sender has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PollRequest {
-    /// The ballot of the committed value that the sender has; that of round 0 if it has none.
+    /// Ballot of the committed value that the sender has; its round is 0 if the sender has none.
     pub ballot: Ballot,
-    /// The version of the configuration in that value.
+    /// Version of the configuration in that value.
     pub configuration_version: u64,
-    /// The version of the server list that the sender has.
+    /// Version of the server list that the sender has.
     pub servers: ServerListVersion,
-    /// The version of the newest list of a leader that the sender has, to which changes may apply. It is older than
-    /// `servers` where a process has read the list for itself since.
+    /// Version of the newest list of a leader that the sender has, to which changes may apply. It is older
+    /// than `servers` if the sender has read a list from the platform itself since.
     pub servers_base: ServerListVersion,
-    /// How long the reply may be delayed while nothing is newer, in milliseconds.
+    /// Maximum time in milliseconds for which the reply may be delayed if nothing is newer.
     pub max_wait_ms: u32,
 }
 
-/// What is newer than what the sender of the poll has.
+/// Reply to a long poll: everything that is newer than the sender has, and the age of the peer's state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PollReply {
-    /// A newer committed value.
+    /// Update to a newer committed value; `None` if the peer has none.
     pub control: Option<ControlUpdate>,
-    /// A newer server list.
+    /// Update to a newer server list; `None` if the peer has none.
     pub servers: Option<ServerUpdate>,
-    /// Milliseconds since a majority confirmed the peer's value as the newest; `None` if none has.
+    /// Milliseconds since a majority confirmed the peer's committed value as the newest; `None` if none has.
     pub confirmed_age_ms: Option<u32>,
-    /// The version of the peer's server list, the only one to which its age applies.
+    /// Version of the peer's server list. `servers_age_ms` applies only to the list with this version.
     pub servers_version: ServerListVersion,
-    /// Milliseconds since that list was read from the platform; `None` if none was.
+    /// Milliseconds since that list was read from the platform; `None` if it never was.
     pub servers_age_ms: Option<u32>,
 }
 
 impl PollReply {
-    /// Whether a majority has confirmed the peer's value recently and its server list is recent; otherwise the poller
-    /// goes on to another peer.
+    /// Returns whether a majority has confirmed the peer's value recently and its server list is recent. If
+    /// not, the poller continues with another peer.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         let is_within =
@@ -58,14 +58,15 @@
         is_within(self.confirmed_age_ms, MAX_CONFIRMED_AGE) && is_within(self.servers_age_ms, MAX_SERVERS_AGE)
     }
 
-    /// Has `view` adopt what is newer in this reply, which was received at the time `now`.
+    /// Makes `view` adopt what is newer in this reply, which was received at the time `now`.
     ///
-    /// A control state that was confirmed at some time is no newer than the one that the view has then; but the age of
-    /// one server list does not apply to another.
+    /// The age of a confirmation always applies, because a value that was confirmed at some time is no newer
+    /// than the value that `view` has afterwards. The age of the server list applies only to the list with
+    /// the same version.
     pub fn apply_to(&self, view: &ViewCell, now: Instant) {
         if let Some(update) = self.control.clone() {
-            // An update on another base than the present state is dropped, and the ages with it: they are those of a value
-            // that the view does not have.
+            // An update that does not apply to the present state is dropped together with the ages, which
+            // belong to a value that the view does not have.
             let Some(newer) = update.apply(&view.view().control) else { return };
             view.adopt_control(&newer);
         }
--- a/crates/control-plane/src/distribution/mod.rs
+++ b/crates/control-plane/src/distribution/mod.rs
@@ -1,8 +1,9 @@
-//! How every process receives the newest control state and server list: a long poll of a process that has them.
+//! Distribution of the newest control state and server list: every process receives them by a long poll of a
+//! process that has them.
 //!
-//! Owns the messages of the poll and the updates in them. [`Poller`] is one of the writers of the view; [`PollService`]
-//! only reads it. Updates contain what the receiver lacks: the configuration only where its version changed, and only
-//! the servers that differ from a list that the receiver has.
+//! This module owns the messages of the poll and the updates in them. [`Poller`] is one of the writers of the
+//! view; [`PollService`] only reads it. Updates contain only what the receiver lacks: the configuration if
+//! its version has changed, and the servers that differ from a list that the receiver has.
 
 mod control_update;
 mod messages;
--- a/crates/control-plane/src/distribution/poll_service.rs
+++ b/crates/control-plane/src/distribution/poll_service.rs
@@ -9,23 +9,24 @@
 use super::{ControlUpdate, PollReply, PollRequest, RecentLists};
 use crate::ViewCell;
 
-/// The longest that a reply is delayed.
+/// Maximum time for which a reply is delayed, whatever the request allows.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
 
-/// Replies to long polls from the view of this process.
+/// Replies to long polls with the newest view of this process.
 pub struct PollService {
     view: Arc<ViewCell>,
     recent_lists: Mutex<RecentLists>,
 }
 
 impl PollService {
-    /// A service that distributes `view`.
+    /// Creates a service that distributes `view`.
     #[must_use]
     pub fn new(view: Arc<ViewCell>) -> Arc<Self> {
         Arc::new(Self { view, recent_lists: Mutex::default() })
     }
 
-    /// Replies as soon as anything is newer than the sender has, or after the time that the request allows.
+    /// Replies as soon as anything is newer than the sender has, or after the time that the request allows,
+    /// at most 1 s.
     pub async fn reply(&self, request: PollRequest) -> PollReply {
         let max_wait = Duration::from_millis(request.max_wait_ms.into()).min(MAX_WAIT);
         let deadline = Instant::now() + max_wait;
--- a/crates/control-plane/src/distribution/poller.rs
+++ b/crates/control-plane/src/distribution/poller.rs
@@ -1,4 +1,4 @@
-//! The polling side of the long poll, and the choice of the peer to poll.
+//! The polling side of the long poll, and the selection of the peer to poll.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,41 +9,47 @@
 use super::messages::{PollReply, PollRequest, NO_BALLOT};
 use crate::{paths, AcceptorGossip, Leadership, ViewCell};
 
-/// How long a peer may delay its reply.
+/// Time for which a peer may delay its reply.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(450);
-/// How much longer the reply may take to arrive.
+/// Additional time after which a poll without a reply fails.
 const REPLY_GRACE: Duration = Duration::from_millis(300);
-/// The pause after a poll that failed or whose peer is not fresh ...
+/// Minimum pause after a poll that failed or whose peer is not fresh.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// ... which grows to this fraction of the time that the search for a fresh peer has taken ...
+/// The pause after a poll is the time that the search for a fresh peer has taken, divided by this number,
+/// between [`RETRY_PAUSE`] and [`MAX_RETRY_PAUSE`].
 const RETRY_PAUSE_DIVISOR: u32 = 40;
-/// ... up to this pause, so that a fleet without a majority is not busy with polls.
+/// Maximum pause after a poll that failed or whose peer is not fresh. The growing pause limits the load of
+/// polls in a fleet without a majority.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// A process that finds no fresh peer logs a warning after this time, and again each time that it has passed.
+/// Duration of a search for a fresh peer after which a warning is logged. The warning is repeated at this
+/// interval.
 const WARN_INTERVAL: Duration = Duration::from_secs(3);
-/// A process that has searched for this long for a fresh peer polls all other members too.
+/// Duration of a search for a fresh peer after which all other members are polled too.
 const ALL_MEMBERS_AFTER: Duration = Duration::from_millis(3600);
-/// Processes that do not poll the leader first start at a random peer out of this many.
+/// Number of start positions, one of which a process that cannot become the leader selects at random, so that
+/// such processes are spread over the peers.
 const MAX_START_INDEX: usize = 1024;
 
-/// Polls one peer after the other, and stays with one that is fresh.
+/// Polls one peer after the other, and continues with the same peer as long as it is fresh.
 pub struct Poller {
-    /// Where replies are adopted.
+    /// View that adopts the newer parts of replies.
     pub view: Arc<ViewCell>,
-    /// Internal calls.
+    /// Client for internal calls to other processes.
     pub client: rpc::Client,
-    /// The internal addresses of the seeds, as configured now; polled until the acceptors are known.
+    /// Internal addresses of the seeds in the present settings. They are polled if no acceptor is known or
+    /// this process is out of contact.
     pub seeds: watch::Receiver<Vec<String>>,
-    /// The acceptors that other processes have sent; polled like seeds.
+    /// Acceptors that other processes have sent; polled like seeds.
     pub gossip: Arc<AcceptorGossip>,
-    /// The internal address of this process, which is not polled.
+    /// Internal address of this process, which it does not poll.
     pub own_address: String,
-    /// Of a process that may lead: it polls the leader first, and nobody while it is the leader itself.
+    /// Leadership of this process; `None` if it cannot become the leader. A process that can become the
+    /// leader polls the leader first, and no peer while it is the leader itself.
     pub leadership: Option<Arc<Leadership>>,
 }
 
 impl Poller {
-    /// Polls for as long as the process runs.
+    /// Polls peers until the process ends.
     pub async fn run(self) {
         let mut next_peer: usize = if self.may_lead() { 0 } else { fastrand::usize(..MAX_START_INDEX) };
         let mut known_leader = None;
@@ -82,9 +88,10 @@
         self.leadership.as_ref().is_some_and(|leadership| leadership.fence().is_some())
     }
 
-    /// The internal addresses of the peers to poll: the acceptors, with the leader first where this process may lead.
-    /// Where no acceptor is known or this process is out of contact, gossiped acceptors and seeds follow, and in a long
-    /// search all other members that the state names: they are not replaced together with the acceptors.
+    /// Returns the internal addresses of the peers to poll: the acceptors, with the leader first if this
+    /// process can become the leader. If no acceptor is known or this process is out of contact, gossiped
+    /// acceptors and seeds follow. In a long search all other members in the control state follow too,
+    /// because they are not replaced together with the acceptors.
     fn peers(&self, search: &PeerSearch) -> Vec<String> {
         let control = &self.view.view().control;
         let mut acceptors: Vec<_> = control.acceptors.iter().collect();
@@ -108,10 +115,10 @@
         peers
     }
 
-    /// Polls a peer once and adopts what is newer.
+    /// Polls a peer once and adopts what is newer. Returns `None` if the call fails.
     async fn poll(&self, peer: &str) -> Option<PollReply> {
         let view = self.view.view();
-        // A process that searches for a fresh peer needs the reply at once.
+        // A process that is out of contact searches for a fresh peer and needs the reply immediately.
         let max_wait = if self.view.is_out_of_contact() { Duration::ZERO } else { LONG_POLL_TIMEOUT };
         let request = PollRequest {
             ballot: self.view.committed().map_or(NO_BALLOT, |value| value.ballot),
@@ -127,7 +134,7 @@
     }
 }
 
-/// The search for a fresh peer.
+/// Ongoing search for a fresh peer.
 struct PeerSearch {
     started_at: Instant,
     warned_at: Instant,
@@ -139,13 +146,14 @@
         Self { started_at: now, warned_at: now }
     }
 
-    /// The pause after a poll that has not found a fresh peer.
+    /// Returns the pause after a poll that has not found a fresh peer.
     fn retry_pause(&self) -> Duration {
         let pause = self.started_at.elapsed() / RETRY_PAUSE_DIVISOR;
         pause.clamp(RETRY_PAUSE, MAX_RETRY_PAUSE)
     }
 
-    /// Logs from time to time that the search takes long, so that a process without contact to the others is visible.
+    /// Logs a warning at intervals of [`WARN_INTERVAL`] during a search, so that operators can detect a
+    /// process without contact to the others.
     fn warn_if_long(&mut self, view: &ViewCell, peers: &[String]) {
         if self.warned_at.elapsed() < WARN_INTERVAL {
             return;
--- a/crates/control-plane/src/distribution/server_update.rs
+++ b/crates/control-plane/src/distribution/server_update.rs
@@ -1,7 +1,7 @@
-//! Updates of the server list: complete, or only the changes since a list that the receiver has.
+//! Updates of the server list: the complete list, or only the changes since a list that the receiver has.
 //!
-//! Most changes are versions that servers have reached: a rollout changes every server. These are sent as a few bytes
-//! for each server and not as complete entries.
+//! Most changes are versions that servers have loaded, because a rollout changes every server. These are sent
+//! as a few bytes per server instead of complete entries.
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
@@ -10,47 +10,48 @@
 use serde::{Deserialize, Serialize};
 use state::{ServerEntry, ServerId, ServerList, ServerListVersion};
 
-/// How many lists are remembered to compute changes from: those of the last 6 s during a rollout. Lists share the entries
-/// in which they do not differ, so that one takes 8 bytes a server.
+/// Number of recent lists that are kept to compute changes from: those of the last 6 s during a rollout.
+/// Lists share the entries in which they do not differ, so that each list takes only 8 bytes per server.
 const MAX_RECENT_LISTS: usize = 40;
 
-/// Turns the list that a process has into the newest one.
+/// Update from the server list that a process has to the newest one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerUpdate {
-    /// The newest list.
+    /// The complete newest list.
     Complete(Arc<ServerList>),
-    /// The changes since an earlier list.
+    /// The changes since an earlier list of a leader.
     Changes(Arc<ServerChanges>),
 }
 
-/// The changes between two lists.
+/// Changes between two server lists.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerChanges {
-    /// The version of the list that the changes apply to.
+    /// Version of the list that the changes apply to.
     pub base: ServerListVersion,
-    /// The version of the list that results.
+    /// Version of the list after the changes.
     pub version: ServerListVersion,
-    /// Servers that are new or differ in more than model versions, ordered by id.
+    /// Servers that are new or differ in more than model versions, in the order of their ids.
     pub changed: Vec<Arc<ServerEntry>>,
-    /// Servers that are no longer listed, ordered by id.
+    /// Servers that are no longer listed, in the order of their ids.
     pub removed: Vec<ServerId>,
-    /// Versions of servers that differ in nothing else.
+    /// New model versions of the servers that differ only in model versions.
     pub versions: Vec<VersionChange>,
 }
 
-/// Another version of a model at a server.
+/// New version of one model at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionChange {
-    /// The position of the server in the list that the changes apply to.
+    /// Position of the server in the list that the changes apply to.
     pub server: u32,
-    /// The position of the model among those of the server.
+    /// Position of the model among the models of the server, in the order of their names.
     pub model: u32,
-    /// The version that the server has.
+    /// Version of the model that the server has in the newer list.
     pub version: u64,
 }
 
 impl ServerUpdate {
-    /// The newest list; `None` where the changes do not apply to the list `base`.
+    /// Applies the update to the list `base` and returns the newest list, or `None` if the changes do not
+    /// apply to `base`.
     #[must_use]
     pub fn apply(&self, base: &ServerList) -> Option<Arc<ServerList>> {
         match self {
@@ -62,7 +63,7 @@
 }
 
 impl ServerChanges {
-    /// The changes from `base` to `newest`.
+    /// Computes the changes from `base` to `newest`. The servers of both lists are in the order of their ids.
     #[must_use]
     pub fn between(base: &ServerList, newest: &ServerList) -> Self {
         let mut changes = Self {
@@ -104,7 +105,7 @@
         }));
     }
 
-    /// The list that results; `None` where a changed server or model is not in `base`.
+    /// Returns the list after the changes, or `None` if a changed server or model is not in `base`.
     fn apply(&self, base: &ServerList) -> Option<ServerList> {
         let mut servers = base.servers.clone();
         for change in &self.versions {
@@ -118,7 +119,8 @@
         Some(ServerList { version: self.version, servers })
     }
 
-    /// Merges the changed servers into these, and leaves out the removed ones. All are ordered by id.
+    /// Merges the changed servers into `servers` and omits the removed ones. All are in the order of their
+    /// ids.
     fn merge_changed(&self, servers: Vec<Arc<ServerEntry>>) -> Vec<Arc<ServerEntry>> {
         let mut merged = Vec::with_capacity(servers.len() + self.changed.len());
         let mut changed = self.changed.iter().cloned().peekable();
@@ -139,7 +141,8 @@
     }
 }
 
-/// A list that was distributed, and the changes from it to the newest one once a receiver has needed them.
+/// A list that was distributed, and the changes from it to the newest list. The changes are computed when a
+/// receiver first needs them.
 #[derive(Debug)]
 struct RecentList {
     list: Arc<ServerList>,
@@ -159,15 +162,15 @@
     }
 }
 
-/// The latest lists that a process has distributed.
+/// The latest server lists that a process has distributed, to compute changes from.
 #[derive(Debug, Default)]
 pub struct RecentLists {
     lists: VecDeque<RecentList>,
 }
 
 impl RecentLists {
-    /// What a process needs to have `newest`, if it has a list of the version `receiver_version` and, to apply changes
-    /// to, one of the version `receiver_base`; `None` where it needs nothing.
+    /// Returns the update to `newest` for a process that has a list of the version `receiver_version` and, to
+    /// apply changes to, one of the version `receiver_base`. Returns `None` if `newest` is not newer.
     pub fn update(
         &mut self,
         receiver_version: ServerListVersion,
@@ -178,7 +181,8 @@
         if newest.version <= receiver_version {
             return None;
         }
-        // Lists that processes read for themselves may, though rarely, differ under the same version.
+        // Lists that processes have read for themselves can, in rare cases, differ although they have the
+        // same version, so changes are computed only from lists of a leader.
         let is_base =
             |recent: &&mut RecentList| recent.list.version == receiver_base && receiver_base.local == 0;
         Some(match self.lists.iter_mut().find(is_base) {
--- a/crates/control-plane/src/election/campaign.rs
+++ b/crates/control-plane/src/election/campaign.rs
@@ -1,4 +1,4 @@
-//! The leader election of this process: it seeks the lease, renews it and releases it.
+//! Participation of this process in the leader election: it requests the lease, renews it and releases it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,35 +15,36 @@
 use super::{grantors_of, Leadership, OrderGap, LEASE_TTL};
 use crate::{Proposer, ViewCell};
 
-/// The shortest pause between two steps.
+/// Minimum pause between two steps of the election.
 const MIN_WAIT: Duration = Duration::from_millis(5);
-/// The pause of a process that is no acceptor, which cannot become the leader.
+/// Pause of a process that is not an acceptor and therefore cannot become the leader, before it checks again.
 const INELIGIBLE_PAUSE: Duration = Duration::from_millis(375);
 
-/// The participation of this process in the leader election.
+/// Makes this process take part in the leader election.
 pub struct LeaderElection {
-    /// The name of this member.
+    /// Name of this member, as it appears in the control state.
     pub member_name: String,
-    /// What must lie between its orders and those of the previous leader.
+    /// Delay that is required between the orders of the previous leader and those of this one.
     pub order_gap: OrderGap,
-    /// Where the result is shared with the other parts of the process.
+    /// Shares the lease with the other parts of the process.
     pub leadership: Arc<Leadership>,
-    /// The state that the process acts on.
+    /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
-    /// Changes of the register.
+    /// Proposes changes of the control state to the acceptors.
     pub proposer: Arc<Proposer>,
-    /// Internal calls.
+    /// Client for internal calls to other processes.
     pub client: rpc::Client,
 }
 
 impl LeaderElection {
-    /// Seeks the lease and renews it, until [`Leadership::resign`] or for as long as the process runs.
+    /// Requests the lease and renews it, until [`Leadership::resign`] is called or the process ends.
     pub async fn run(self) {
         Campaign::start(self).run().await;
     }
 }
 
-/// The running election: drives the candidate of the lease protocol, and has the fencing token raised when it wins.
+/// State of the running election. Drives the candidate of the lease protocol, and raises the fencing token
+/// when the candidate acquires the lease.
 struct Campaign {
     member_name: String,
     leadership: Arc<Leadership>,
@@ -58,7 +59,7 @@
     fn start(election: LeaderElection) -> Self {
         let LeaderElection { member_name, order_gap, leadership, view, proposer, client } = election;
         let stage = leadership.subscribe_stage();
-        // Unique, also among the incarnations of one member.
+        // The random suffix makes the name unique among the incarnations of one member.
         let candidate_name = format!("{member_name}#{:016x}", fastrand::u64(..));
         let fencing = Fencing {
             member_name: member_name.clone(),
@@ -88,7 +89,8 @@
         self.leadership.set_resigned();
     }
 
-    /// Waits until the candidate's next step, or until orders become due; ends early when the stage changes.
+    /// Waits until the candidate's next step, or until the next step towards sending orders is due. Ends
+    /// early if the stage changes.
     async fn wait(&mut self, until: Duration) {
         let orders_due_at = self.orders_due_at();
         let wake_at = orders_due_at.map_or(until, |due_at| due_at.min(until));
@@ -100,28 +102,31 @@
         }
     }
 
-    /// When this leader may next start to send orders, if it has to wait for that.
+    /// Returns the time of the next step towards sending orders: recording this leader as the issuer of
+    /// orders, or the time from which orders are allowed. Returns `None` if there is nothing to wait for.
     fn orders_due_at(&self) -> Option<Duration> {
         let now = self.leadership.now();
         let lease = self.leadership.lease()?;
         lease.order_issuer_due_at(now).or_else(|| lease.orders_allowed_at(now))
     }
 
-    /// Ends a round that can no longer be won. The release is sent in the background.
+    /// Ends a round in which the lease can no longer be granted. The release is sent in the background.
     fn abandon_round(&mut self) {
         let Some(release) = self.candidate.abandon_round(self.leadership.now()) else { return };
         let (view, client) = (self.view.view(), self.client.clone());
         tokio::spawn(async move { broadcast_release(&client, release, &view.control.acceptors).await });
     }
 
-    /// Requests the lease in one round, if this member is an acceptor.
+    /// Requests or renews the lease in one round, if this member is an acceptor. On success, updates the
+    /// fencing token and the issuer of orders.
     async fn seek_lease(&mut self) {
         let control = Arc::clone(&self.view.view().control);
         if !control.acceptors.iter().any(|member| member.name == self.member_name) {
             tokio::time::sleep(INELIGIBLE_PAUSE).await;
             return;
         }
-        // A member that may send orders immediately saves the servers the delay between two leaders.
+        // If this member may not send orders immediately, its candidate defers to others: a member that may
+        // spares the servers the delay between two leaders.
         self.candidate.set_deferring(!may_issue_orders_immediately(&control, &self.member_name));
         self.candidate.set_bootstrap_grantors(control.has_initial_acceptors());
         self.run_round(&control).await;
@@ -132,7 +137,7 @@
         }
     }
 
-    /// One round of requests to all grantors; ends as soon as the lease is granted or all have replied.
+    /// Runs one round of requests to all grantors. Ends as soon as the lease is granted or all have replied.
     async fn run_round(&mut self, control: &ControlState) {
         let client = &self.client;
         let previous_expiry = self.candidate.expires_at();
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Gives the lease up and notifies all grantors.
+    /// Releases the lease and notifies all grantors.
     async fn release_lease(&mut self) {
         let release = self.candidate.resign(self.leadership.now());
         self.leadership.set_lease(None);
--- a/crates/control-plane/src/election/fencing.rs
+++ b/crates/control-plane/src/election/fencing.rs
@@ -1,4 +1,4 @@
-//! The fencing token of a leader, and the delay between the orders of two leaders.
+//! Fencing token of a leader, and the delay between the orders of two leaders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,25 +14,25 @@
 use crate::liveness::ping_address;
 use crate::{ChangeFailure, Proposer};
 
-/// How long an order to a server may take. No order of a leader arrives later than this after its last one was sent, so
-/// a new leader waits for it.
+/// Maximum time for an order to a server. No order of a leader arrives later than this after its last one was
+/// sent, so a new leader waits for this time.
 pub(crate) const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How long the previous issuer of orders may take to reply to a ping.
+/// Maximum time for the reply of the previous issuer of orders to a ping.
 const PREVIOUS_ISSUER_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a change of the register may take.
+/// Maximum time for which one change of the control state is retried.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What must lie between the orders of two leaders.
+/// Delay that is required between the orders of two leaders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderGap {
-    /// The time between the last order of one leader and the first of the next.
+    /// Minimum time between the last order of one leader and the first order of the next.
     pub between_leaders: Duration,
-    /// Servers reject orders with a lower fencing token than they have seen. Then the time must be kept only where the
-    /// previous leader still runs undisturbed.
+    /// Whether servers reject orders with a lower fencing token than they have received. If so, the delay is
+    /// required only if the previous leader still runs and is stable.
     pub is_fence_checked: bool,
 }
 
-/// Issues fencing tokens to this process, and decides when it may send orders.
+/// Raises the fencing token for this process, and decides when it may send orders.
 pub(super) struct Fencing {
     pub(super) member_name: String,
     pub(super) order_gap: OrderGap,
@@ -42,7 +42,8 @@
 }
 
 impl Fencing {
-    /// The lease was acquired or renewed until `expires_at`. Raises the fencing token where it was acquired.
+    /// Handles a lease that was acquired or renewed until `expires_at`. Raises the fencing token if it was
+    /// acquired.
     pub(super) async fn on_lease_granted(&self, expires_at: Duration) {
         let earlier = self.leadership.lease();
         if let Some(renewed) = earlier.and_then(|lease| lease.renewed(self.leadership.now(), expires_at)) {
@@ -60,8 +61,8 @@
         self.leadership.notify_if_orders_allowed();
     }
 
-    /// Names this member in the register as the issuer of orders, once that is due. Only then does it send any, so that
-    /// a later leader can see whether it must wait for this one.
+    /// Records this member in the register as the issuer of orders, once that is due. It sends no orders
+    /// before, so that a later leader can determine whether it must wait for this one.
     pub(super) async fn record_order_issuer(&self) {
         let due = self.leadership.lease().and_then(|lease| lease.order_issuer_due(self.leadership.now()));
         let Some(fence) = due else { return };
@@ -72,8 +73,9 @@
         }
     }
 
-    /// Raises the fencing token for the lease that expires at `expires_at`. Each attempt is conditional on the token that
-    /// was seen while the lease was valid, so that one that is carried out after its expiry changes nothing.
+    /// Raises the fencing token for the lease that expires at `expires_at`. Each attempt is conditional on
+    /// the token that was read while the lease was valid, so that an attempt that takes effect after the
+    /// expiry changes nothing. Returns `None` if the lease expires or the change fails first.
     async fn raise_fence(&self, expires_at: Duration) -> Option<Versioned<ControlState>> {
         let deadline = Instant::now() + CHANGE_TIMEOUT;
         loop {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// How long this leader must wait before it sends orders.
+    /// Returns the time that this leader must wait before it sends orders.
     async fn delay_before_orders(&self, state: &ControlState) -> Duration {
         let is_immediate = may_issue_orders_immediately(state, &self.member_name)
             || self.order_gap.is_fence_checked && self.is_previous_issuer_unreachable(state).await;
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Whether the member that may have sent orders last does not reply, or does not run undisturbed.
+    /// Returns whether the member that may have sent orders last is unknown, does not reply or does not
+    /// report itself as stable.
     async fn is_previous_issuer_unreachable(&self, state: &ControlState) -> bool {
         let Some(previous) = &state.order_issuer else { return true };
         let mut members = state.acceptors.iter().chain(&state.standbys);
--- a/crates/control-plane/src/election/leadership.rs
+++ b/crates/control-plane/src/election/leadership.rs
@@ -1,4 +1,4 @@
-//! Whether this process is the leader, shared by all its parts.
+//! Leadership of this process, shared by all its parts.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -9,12 +9,12 @@
 
 use crate::ViewCell;
 
-/// How long [`Leadership::resign`] waits until the grantors were notified.
+/// Maximum time for which [`Leadership::resign`] waits until the grantors were notified.
 const RESIGN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The leader lease of this process, while it has one.
+/// Holds the leader lease of this process while it has one.
 pub struct Leadership {
-    /// Start of the monotonic clock on which the lease is measured.
+    /// Origin of the monotonic clock on which the lease is measured.
     started_at: Instant,
     view: Arc<ViewCell>,
     lease: Mutex<Option<LeaderLease>>,
@@ -22,19 +22,20 @@
     orders_allowed: Notify,
 }
 
-/// Whether this process takes part in the election.
+/// Stage of the participation of this process in the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ElectionStage {
-    /// It is a candidate or the leader.
+    /// The process is a candidate or the leader.
     Running,
-    /// It is to release the lease and to withdraw.
+    /// The process must release the lease and withdraw from the election.
     Resigning,
-    /// It has withdrawn.
+    /// The process has released the lease and withdrawn.
     Resigned,
 }
 
 impl Leadership {
-    /// Of a process that does not lead yet. `view` has the fencing tokens that others were issued.
+    /// Creates the leadership of a process that is not the leader yet. `view` contains the highest fencing
+    /// token that is known to have been issued to any process.
     #[must_use]
     pub fn new(view: Arc<ViewCell>) -> Self {
         Self {
@@ -46,25 +47,26 @@
         }
     }
 
-    /// The fencing token, while the lease is valid and no higher token is known to have been issued.
+    /// Returns the fencing token while the lease is valid and no higher token is known to have been issued.
     #[must_use]
     pub fn fence(&self) -> Option<u64> {
         self.lease()?.fence_at(self.now()).filter(|fence| !self.is_outdated(*fence))
     }
 
-    /// The fencing token for orders to servers: as [`Leadership::fence`], once no order of another leader can arrive any
-    /// more.
+    /// Returns the fencing token for orders to servers: the one of [`Leadership::fence`], once no order of
+    /// another leader can arrive any more.
     #[must_use]
     pub fn fence_for_orders(&self) -> Option<u64> {
         self.lease()?.fence_for_orders_at(self.now()).filter(|fence| !self.is_outdated(*fence))
     }
 
-    /// Releases the lease before the process shuts down, so that the next leader need not wait until it expires. Orders
-    /// stop at once; returns once the grantors were notified, or after a short time-out.
+    /// Releases the lease before the process shuts down, so that the next leader need not wait until it
+    /// expires. No further orders are sent. Returns once the grantors were notified, or after a time-out of
+    /// 0.8 s.
     pub async fn resign(&self) {
         self.set_lease(None);
         let mut stage = self.stage.subscribe();
-        // One receiver is the subscription above; another one is that of the election.
+        // One receiver is the subscription above. A running election has another one.
         let is_election_running = self.stage.receiver_count() > 1;
         if !is_election_running {
             return;
@@ -79,25 +81,25 @@
         self.orders_allowed.notified().await;
     }
 
-    /// Wakes the task that waits to send orders, if it may.
+    /// Notifies the task that waits to send orders, if orders are allowed.
     pub(super) fn notify_if_orders_allowed(&self) {
         if self.fence_for_orders().is_some() {
             self.orders_allowed.notify_one();
         }
     }
 
-    /// Whether the lease is valid, but a higher fencing token than its own has been issued.
+    /// Returns whether the lease is valid, but a higher fencing token than its own has been issued.
     pub(super) fn is_superseded(&self) -> bool {
         let fence = self.lease().and_then(|lease| lease.fence_at(self.now()));
         fence.is_some_and(|fence| self.is_outdated(fence))
     }
 
-    /// Time on the monotonic clock of the lease.
+    /// Returns the present time on the monotonic clock of the lease.
     pub(super) fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// The lease as it was acquired or renewed last. It may have expired.
+    /// Returns the lease as it was acquired or renewed last. It may have expired.
     pub(super) fn lease(&self) -> Option<LeaderLease> {
         *self.lock()
     }
@@ -113,17 +115,18 @@
         }
     }
 
-    /// The stage, for the election. Its existence shows [`Leadership::resign`] that there is an election to end.
+    /// Returns a receiver of the stage for the election. While the receiver exists, [`Leadership::resign`]
+    /// waits for the election to end.
     pub(super) fn subscribe_stage(&self) -> watch::Receiver<ElectionStage> {
         self.stage.subscribe()
     }
 
-    /// Reports that the election has ended.
+    /// Reports that the election has ended, so that [`Leadership::resign`] returns.
     pub(super) fn set_resigned(&self) {
         self.stage.send_replace(ElectionStage::Resigned);
     }
 
-    /// The highest fencing token that is known to have been issued to any process.
+    /// Returns the highest fencing token that is known to have been issued to any process.
     pub(super) fn latest_fence(&self) -> u64 {
         self.view.view().control.fence
     }
--- a/crates/control-plane/src/election/lease_calls.rs
+++ b/crates/control-plane/src/election/lease_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the grantors of the leader lease.
+//! Internal calls to the grantors of the leader lease.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 
 use crate::paths;
 
-/// How long a grantor may take to reply.
+/// Maximum time for the reply of a grantor.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Requests the lease from one grantor; no reply if none came in time.
+/// Requests the lease from one grantor. The reply is `None` if none arrives in time.
 pub(super) async fn request_lease(
     client: &rpc::Client,
     member: Member,
--- a/crates/control-plane/src/election/mod.rs
+++ b/crates/control-plane/src/election/mod.rs
@@ -1,9 +1,9 @@
 //! The leader lease of this process and its fencing token.
 //!
-//! Owns [`Leadership`], which only [`LeaderElection`] and [`Leadership::resign`] write; the singleton roles of the
-//! leader (reading the platform's list, reconciliation, orders to servers) ask it for the fencing token before each
-//! step. The lease protocol itself is in the crate `lease`; [`QuorumService`] serves its grantor beside the acceptor
-//! of the same disk.
+//! This module owns [`Leadership`], which only [`LeaderElection`] and [`Leadership::resign`] write. The tasks
+//! that only the leader performs (reading the platform's list, reconciliation, orders to servers) request the
+//! fencing token from it before each step. The crate `lease` implements the lease protocol; [`QuorumService`]
+//! runs its grantor together with the acceptor of the same disk.
 
 mod campaign;
 mod fencing;
@@ -22,10 +22,10 @@
 pub use leadership::Leadership;
 pub use quorum_service::QuorumService;
 
-/// How long a grant of the leader lease is valid.
+/// Time for which a grant of the leader lease is valid.
 pub const LEASE_TTL: Duration = Duration::from_millis(1500);
 
-/// The grantors of the lease, which are the acceptors of the register.
+/// Returns the grantors of the lease, which are the acceptors of the register.
 fn grantors_of(state: &ControlState) -> Vec<GrantorId> {
     state.acceptors.iter().map(|member| GrantorId(member.incarnation.0)).collect()
 }
--- a/crates/control-plane/src/election/quorum_service.rs
+++ b/crates/control-plane/src/election/quorum_service.rs
@@ -1,6 +1,8 @@
-//! The voting side of this machine: its acceptor of the register and its grantor of the leader lease.
+//! Voting functions of a machine with a disk: its acceptor of the register and its grantor of the leader
+//! lease.
 //!
-//! The two belong together: the grantor must learn of a change of the acceptors before the acceptor replies to it.
+//! Both are in one service because the grantor must learn of a change of the acceptors before the acceptor
+//! replies to it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,7 +15,7 @@
 use super::{grantors_of, LEASE_TTL};
 use crate::{AcceptorService, ViewCell};
 
-/// The acceptor and the grantor of one disk.
+/// Handles the requests to the acceptor and the grantor of one disk.
 pub struct QuorumService {
     acceptor: Arc<AcceptorService>,
     grantor: Mutex<Grantor>,
@@ -22,7 +24,8 @@
 }
 
 impl QuorumService {
-    /// The acceptor with a new grantor. `view` adopts what the acceptor knows to be committed.
+    /// Creates the service with a new grantor. `view` adopts the value that the acceptor has learned to be
+    /// committed.
     #[must_use]
     pub fn new(acceptor: Arc<AcceptorService>, incarnation: Incarnation, view: Arc<ViewCell>) -> Arc<Self> {
         let grantor = Grantor::new(GrantorId(incarnation.0), Duration::ZERO, LEASE_TTL);
@@ -36,13 +39,13 @@
         Arc::new(service)
     }
 
-    /// The acceptor.
+    /// Returns the acceptor, for callers that read its durable values.
     #[must_use]
     pub fn acceptor(&self) -> &Arc<AcceptorService> {
         &self.acceptor
     }
 
-    /// Replies to a request to the acceptor; `None` where the change could not be made durable.
+    /// Handles a request to the acceptor. Returns `None` if the change could not be made durable.
     pub async fn handle(
         &self,
         request: AcceptorRequest<ControlState>,
@@ -57,21 +60,21 @@
             _ => None,
         };
         let reply = self.acceptor.handle(request).await?;
-        // A rejected value must not be observed: it may never be committed, and the grantor would then refuse candidates
-        // for not having it.
+        // A rejected value must not be observed: it may never be committed, and the grantor would then reject
+        // candidates that do not have it.
         if let Some(accepted) = proposed.filter(|_| matches!(reply.outcome, ReplyOutcome::Accepted)) {
             self.observe(&accepted);
         }
         Some(reply)
     }
 
-    /// Accepts the initial value of the register, unless this acceptor has a value already. Returns the value that it
-    /// has then; `None` where it could not be made durable.
+    /// Accepts the initial value of the register, unless this acceptor has accepted a value before. Returns
+    /// the accepted value, or `None` if the initial value could not be made durable.
     pub async fn initialize(&self, initial: Versioned<ControlState>) -> Option<Versioned<ControlState>> {
         self.acceptor.initialize(initial).await
     }
 
-    /// Replies to a candidate for the leader lease.
+    /// Handles a request for the leader lease.
     pub fn grant(&self, request: &LeaseRequest) -> LeaseReply {
         let control = Arc::clone(&self.view.view().control);
         let now = self.started_at.elapsed();
@@ -85,7 +88,8 @@
         self.lock().release(release);
     }
 
-    /// Informs the grantor of the grantors in a value, before the acceptor replies for that value.
+    /// Informs the grantor of the grantors in a value, before the acceptor replies to the request with that
+    /// value.
     fn observe(&self, state: &ControlState) {
         self.lock().observe(state.revision, &grantors_of(state));
     }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,16 +1,17 @@
 //! The control plane of a process: the replicated control state, the leader lease, the server list and their
 //! distribution to all processes.
 //!
-//! The modules, each of which uses only those before it:
+//! The modules, in an order in which each one uses only earlier ones:
 //!
 //! - `paths` and `view`: the paths of internal calls, and the snapshot that the process acts on;
-//! - `liveness`: pings, and when each acceptor replied last;
+//! - `liveness`: pings, and the time at which each acceptor replied last;
 //! - `consensus`: the acceptor of this machine, and proposals to all acceptors;
 //! - `election`: the leader lease and its fencing token;
-//! - `discovery`: how processes find acceptors, each other and the servers;
+//! - `discovery`: how processes find the acceptors, each other and the servers;
 //! - `distribution`: how every process receives the newest state by a long poll;
-//! - `reconcile`, `rollout` and `operator_api`: what the leader does about members and model versions, and what
-//!   the operator orders.
+//! - `reconcile`: changes of the members by the leader;
+//! - `rollout`: orders of the leader to servers to load other model versions;
+//! - `operator_api`: the HTTP interface for the operator.
 
 mod consensus;
 mod discovery;
--- a/crates/control-plane/src/liveness/contacts.rs
+++ b/crates/control-plane/src/liveness/contacts.rs
@@ -1,4 +1,4 @@
-//! When this process last received a reply from each acceptor.
+//! Times at which this process last received a reply from each acceptor.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,11 +7,11 @@
 use register::{Incarnation, Member};
 use tokio::time::Instant;
 
-/// After a pause of this length between two rounds, missing replies say more about this process than about the
-/// acceptors, since it was suspended or starved: all contacts count from now.
+/// Maximum pause between two rounds. After a longer pause this process was suspended or starved, so missing
+/// replies are no evidence against the acceptors, and all their time-outs start again.
 const MAX_ROUND_GAP: Duration = Duration::from_millis(1200);
 
-/// When each acceptor replied last, as recorded by the rounds of read repair.
+/// Time of the last reply of each acceptor, as recorded by the rounds of read repair.
 #[derive(Default)]
 pub struct AcceptorContacts {
     rounds: Mutex<Rounds>,
@@ -20,12 +20,14 @@
 #[derive(Default)]
 struct Rounds {
     last_round: Option<Instant>,
-    /// The last reply of each present acceptor, or the first round in which it was asked.
+    /// Time of the last reply of each present acceptor, or of the first round in which it was asked if it has
+    /// not replied yet.
     last_contact: BTreeMap<Incarnation, Instant>,
 }
 
 impl AcceptorContacts {
-    /// Starts a round in which all of these acceptors are asked.
+    /// Starts a round in which all of these acceptors are asked. Acceptors that are not among them are no
+    /// longer tracked.
     pub fn begin_round(&self, acceptors: &[Member]) {
         let now = Instant::now();
         let mut rounds = self.lock();
@@ -40,14 +42,15 @@
         }
     }
 
-    /// Records a reply of an acceptor.
+    /// Records that an acceptor has replied now. Has no effect if the acceptor is not in the present round.
     pub fn record_contact(&self, acceptor: Incarnation) {
         if let Some(last_contact) = self.lock().last_contact.get_mut(&acceptor) {
             *last_contact = Instant::now();
         }
     }
 
-    /// The acceptors that have not replied for `timeout`; none while the rounds themselves are interrupted.
+    /// Returns the acceptors that have not replied for `timeout`; none while the rounds themselves are
+    /// interrupted.
     #[must_use]
     pub fn unresponsive_for(&self, timeout: Duration) -> Vec<Incarnation> {
         let rounds = self.lock();
--- a/crates/control-plane/src/liveness/mod.rs
+++ b/crates/control-plane/src/liveness/mod.rs
@@ -1,8 +1,8 @@
-//! Whether processes are alive: pings between processes, and when each acceptor replied last.
+//! Liveness of processes: pings between processes, and the time at which each acceptor replied last.
 //!
-//! Owns [`AcceptorContacts`], which the rounds of consensus write and ping replies report, and [`PingService`], which
-//! the role of the process updates. Nothing here decides that a member has failed: the leader's reconciler and the
-//! standbys of the register do.
+//! This module owns [`AcceptorContacts`], which confirmations of consensus write and ping replies report, and
+//! [`PingService`], whose state the process updates according to its role. Nothing here decides that a member
+//! has failed: the leader's reconciler and the standbys of the register do.
 
 mod contacts;
 mod ping;
--- a/crates/control-plane/src/liveness/ping.rs
+++ b/crates/control-plane/src/liveness/ping.rs
@@ -1,4 +1,4 @@
-//! The ping of a process: the message and the caller's side.
+//! Ping of a process: the reply message and the calling side.
 
 use std::time::Duration;
 
@@ -7,31 +7,35 @@
 
 use crate::paths;
 
-/// The state of a process, as it reports it to a ping.
+/// State of a process, as it reports it in reply to a ping.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PingReply {
-    /// The incarnation of this process's disk, if it has one. A reply counts for that member alone: a machine that lost
-    /// its disk replies at the address of its former incarnation.
+    /// Incarnation of the disk of the replying process; `None` if it has no disk. A reply counts only for the
+    /// member with this incarnation, because a machine that lost its disk replies at the address of its
+    /// former incarnation.
     pub incarnation: Option<Incarnation>,
-    /// The epoch of the store set to which all its batch jobs have migrated; 0 until it is known.
+    /// Epoch of the store set to which all batch jobs of the process have migrated; 0 while it is unknown.
     pub committed_epoch: u64,
-    /// Whether a majority has confirmed its control state recently. Otherwise all acceptors in that state may have been
-    /// replaced, or it has no state; see [`ViewCell::is_out_of_contact`](crate::ViewCell::is_out_of_contact).
+    /// Whether a majority has recently confirmed the control state of the process. If not, the process has no
+    /// state, or all acceptors in its state may have been replaced; see
+    /// [`ViewCell::is_out_of_contact`](crate::ViewCell::is_out_of_contact).
     pub is_in_contact: bool,
-    /// Whether it has run for long enough to be in contact with the others, and is not shutting down.
+    /// Whether the process has run for long enough to be in contact with the others and is not shutting down.
     pub is_stable: bool,
-    /// The acceptors from which this process, if it is an acceptor, has not received a reply for long.
+    /// Acceptors from which the process, if it is an acceptor itself, has not received a reply for longer
+    /// than its time-out.
     pub unresponsive: Vec<Incarnation>,
 }
 
 impl PingReply {
-    /// Whether the reply comes from this member rather than from another incarnation at its address.
+    /// Returns whether the reply comes from this member rather than from another incarnation at its address.
     pub(crate) fn is_from(&self, member: &Member) -> bool {
         self.incarnation == Some(member.incarnation)
     }
 }
 
-/// The reply of the process at a member's address, whichever disk it has; `None` if none came within `timeout`.
+/// Pings the process at a member's address, whichever incarnation it has. Returns `None` if no reply arrives
+/// within `timeout`.
 pub(crate) async fn ping_address(
     client: &rpc::Client,
     member: &Member,
@@ -40,7 +44,7 @@
     client.call(&member.address, paths::PING, &(), timeout).await.ok()
 }
 
-/// The reply of a member itself, not of another incarnation at its address; `None` if none came within `timeout`.
+/// Pings a member. Returns `None` if no reply arrives within `timeout` or if another incarnation replies.
 pub(crate) async fn ping(client: &rpc::Client, member: &Member, timeout: Duration) -> Option<PingReply> {
     let reply = ping_address(client, member, timeout).await?;
     reply.is_from(member).then_some(reply)
--- a/crates/control-plane/src/liveness/ping_service.rs
+++ b/crates/control-plane/src/liveness/ping_service.rs
@@ -1,4 +1,4 @@
-//! The replying side of a ping.
+//! The replying side of pings.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -10,26 +10,28 @@
 use super::{AcceptorContacts, PingReply};
 use crate::ViewCell;
 
-/// Replies to pings with the state of this process. The process itself keeps that state up to date.
+/// Replies to pings with the state of this process. The process sets the parts of that state that depend on
+/// its role.
 pub struct PingService {
     view: Arc<ViewCell>,
     contacts: Arc<AcceptorContacts>,
-    /// An acceptor that has not replied for this long is reported as unresponsive.
+    /// Time without a reply after which an acceptor is reported as unresponsive.
     unresponsive_after: Duration,
-    /// This process reports itself as stable once it has run for this long.
+    /// Time after its start from which this process reports itself as stable.
     stable_after: Duration,
     started_at: Instant,
-    /// Empty until the disk is open, and in a process without a disk.
+    /// Incarnation of this process's disk. Empty until the disk is open, and always in a process without a
+    /// disk.
     incarnation: OnceLock<Incarnation>,
     committed_epoch: AtomicU64,
     is_shutting_down: AtomicBool,
 }
 
 impl PingService {
-    /// A service of a process that starts now.
+    /// Creates the service of a process that starts now.
     ///
-    /// It reports acceptors as unresponsive that have not replied for `unresponsive_after`, and itself as stable once it
-    /// has run for `stable_after`.
+    /// The service reports acceptors as unresponsive that have not replied for `unresponsive_after`, and the
+    /// process as stable once it has run for `stable_after`.
     #[must_use]
     pub fn new(
         view: Arc<ViewCell>,
@@ -49,22 +51,23 @@
         })
     }
 
-    /// Sets the incarnation of this process's disk, once.
+    /// Sets the incarnation of this process's disk. Later calls have no effect.
     pub fn set_incarnation(&self, incarnation: Incarnation) {
         let _ = self.incarnation.set(incarnation);
     }
 
-    /// Sets the epoch of the store set to which this process has migrated all its batch jobs; 0 while it is unknown.
+    /// Sets the epoch of the store set to which this process has migrated all its batch jobs. It is 0 until the
+    /// first call.
     pub fn set_committed_epoch(&self, epoch: u64) {
         self.committed_epoch.store(epoch, Ordering::Relaxed);
     }
 
-    /// From now on this process reports that it shuts down.
+    /// Marks the process as shutting down; it no longer reports itself as stable.
     pub fn set_shutting_down(&self) {
         self.is_shutting_down.store(true, Ordering::Relaxed);
     }
 
-    /// The reply to a ping.
+    /// Returns the reply to a ping, with the present state of this process.
     #[must_use]
     pub fn reply(&self) -> PingReply {
         let is_shutting_down = self.is_shutting_down.load(Ordering::Relaxed);
--- a/crates/control-plane/src/operator_api.rs
+++ b/crates/control-plane/src/operator_api.rs
@@ -1,7 +1,8 @@
-//! The operator's HTTP interface: configurations, draining of store machines, versions to roll out.
+//! HTTP interface for the operator: configurations, draining of store machines, and target versions of
+//! models.
 //!
-//! It owns no state: each request is one change of the register, or one read of its newest value. Any process may serve
-//! it.
+//! The interface has no state: each request is one change of the control state, or one read of its newest
+//! value. Any process may serve it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,12 +19,13 @@
 
 use crate::{ChangeFailure, Proposer, ViewCell};
 
-/// How long a request may take before its outcome is reported as unknown; callers retry at another node after a second.
+/// Maximum time for a change or read before its outcome is reported as unknown. Callers retry at another node
+/// after a second.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The largest body of a request.
+/// Maximum size of the body of a request.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// What the handlers work with.
+/// Data that all handlers share.
 #[derive(Clone)]
 struct Context {
     view: Arc<ViewCell>,
@@ -50,7 +52,7 @@
     error: String,
 }
 
-/// The routes of the operator's interface.
+/// Returns the routes of the operator's interface.
 pub fn operator_routes(view: Arc<ViewCell>, proposer: Arc<Proposer>) -> impl poem::Endpoint {
     let configuration = get(read_configuration).put(change_configuration).patch(change_configuration);
     Route::new()
@@ -93,7 +95,8 @@
     }
 }
 
-/// The version of the configuration that a change builds on.
+/// Returns the version of the configuration that a change is based on, or `None` if the header is absent or
+/// is not a number.
 fn if_match(request: &Request) -> Option<u64> {
     request.header("if-match")?.trim().trim_matches('"').parse().ok()
 }
@@ -129,7 +132,8 @@
 
 #[handler]
 async fn read_drain(Path(name): Path<String>, Data(context): Data<&Context>) -> Response {
-    // Draining only goes forward, so its end can be reported from the local view; a majority is asked for the rest.
+    // A drained machine never returns to an earlier state, so the local view suffices to report it. For any
+    // other state the newest value is read from a majority.
     let known = context.view.view().control.draining.get(&name).copied();
     if known == Some(DrainState::Drained) {
         return drain_reply(DrainState::Drained);
@@ -162,7 +166,8 @@
     }
 }
 
-/// The response to a change that the committed state rejects. One that was made before is acknowledged again.
+/// Returns the response to a change that the committed state rejects. A change that was applied before is
+/// acknowledged again.
 fn rejected(reason: &ChangeRejected) -> Response {
     match reason {
         ChangeRejected::AlreadyApplied | ChangeRejected::Unchanged => StatusCode::OK.into(),
--- a/crates/control-plane/src/paths.rs
+++ b/crates/control-plane/src/paths.rs
@@ -1,18 +1,18 @@
-//! Paths of the internal calls of the control plane.
+//! HTTP paths of the internal calls of the control plane.
 
-/// A request to the acceptor of the register.
+/// Sends an acceptor request of the register (prepare, accept, learn or a read).
 pub const REGISTER: &str = "/control/register";
-/// A request for the leader lease.
+/// Requests a grant of the leader lease.
 pub const LEASE: &str = "/control/lease";
-/// A candidate releases grants of the leader lease.
+/// Releases the grants of the leader lease that a candidate or leader holds.
 pub const RELEASE: &str = "/control/release";
-/// The long poll for a newer control state or server list.
+/// Polls for a newer control state or server list (long poll).
 pub const POLL: &str = "/control/poll";
-/// A machine with a disk announces itself during the bootstrap of a system.
+/// Announces a machine with a disk to a seed during the bootstrap of a system.
 pub const ANNOUNCE: &str = "/control/announce";
-/// The initial value of the register.
+/// Offers the initial value of the register to an acceptor during the bootstrap.
 pub const FIRST: &str = "/control/first";
-/// Acceptor gossip: the addresses of the acceptors, for a process that may not have them.
+/// Sends the internal addresses of the acceptors to a process that may not have them (acceptor gossip).
 pub const INTRODUCE: &str = "/control/introduce";
-/// A liveness check.
+/// Pings a process, which replies with its state.
 pub const PING: &str = "/control/ping";
--- a/crates/control-plane/src/reconcile/migration_watch.rs
+++ b/crates/control-plane/src/reconcile/migration_watch.rs
@@ -1,4 +1,4 @@
-//! Which stores delay a migration of batch jobs, for the leader's log.
+//! Finds the stores that delay a migration of batch jobs, for the leader's log.
 
 use std::time::Duration;
 
@@ -6,22 +6,24 @@
 use state::ControlState;
 use tokio::time::Instant;
 
-/// A migration that takes longer is logged with the stores that it waits for, and again each time that this has passed.
+/// Duration after which a migration is logged with the stores that it waits for. The log lines are repeated
+/// at this interval.
 const WARN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A store of the previous set that has not migrated all its batch jobs.
+/// Store of the previous store set that has not migrated all its batch jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingStore {
-    /// Its name.
+    /// Name of the store, as it appears in the control state.
     pub name: String,
-    /// Whether it replied to the latest ping.
+    /// Whether the store replied to the latest ping.
     pub is_responding: bool,
-    /// The latest epoch to which it has migrated all its batch jobs; 0 if it has not reported any to this leader.
+    /// Latest epoch of the store set to which the store has migrated all its batch jobs; 0 if it has not
+    /// reported any to this leader.
     pub epoch: u64,
 }
 
 impl PendingStore {
-    /// The stores that the migration of this state waits for; none where no migration is under way.
+    /// Returns the stores that the migration in this state waits for; none if no migration is in progress.
     #[must_use]
     pub fn all_of(control: &ControlState, observed: &Observation) -> Vec<Self> {
         let Some(previous) = &control.previous_stores else { return Vec::new() };
@@ -35,15 +37,16 @@
     }
 }
 
-/// Watches how long a migration has lasted.
+/// Tracks how long the current migration has lasted.
 #[derive(Default)]
 pub(super) struct MigrationWatch {
-    /// The epoch of the migration under way, and when it was first seen or last logged.
+    /// Target epoch of the current migration, and the time at which it was first observed or last logged.
     current: Option<(u64, Instant)>,
 }
 
 impl MigrationWatch {
-    /// Logs the stores that delay a migration which has lasted for long. Called in each round of pings.
+    /// Logs the stores that delay the current migration if it has lasted longer than [`WARN_INTERVAL`].
+    /// Called in each round of pings.
     pub(super) fn observe(&mut self, control: &ControlState, observed: &Observation) {
         if control.previous_stores.is_none() {
             self.current = None;
--- a/crates/control-plane/src/reconcile/mod.rs
+++ b/crates/control-plane/src/reconcile/mod.rs
@@ -1,7 +1,9 @@
-//! Reconciliation of the members by the leader: failed stores are replaced, drained ones removed, waiting ones added.
+//! Reconciliation of the members by the leader: replaces failed stores, removes drained ones and adds waiting
+//! ones.
 //!
-//! Owns the leader's observation of the members, which [`Reconciler`] alone writes, by pinging them. What follows from
-//! it is decided by [`state::change::next_reconciliation`], a pure function, and proposed to the register.
+//! This module owns the leader's observation of the members, which only [`Reconciler`] writes, by pinging
+//! them. The pure function [`state::change::next_reconciliation`] derives the next step from it, which is
+//! then proposed to the register.
 
 mod migration_watch;
 mod reconciler;
--- a/crates/control-plane/src/reconcile/reconciler.rs
+++ b/crates/control-plane/src/reconcile/reconciler.rs
@@ -1,4 +1,4 @@
-//! The loop of the leader that pings all members and proposes the next reconciliation step.
+//! Loop in which the leader pings all members and proposes the next reconciliation step.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,41 +14,43 @@
 use crate::liveness::ping_address;
 use crate::{GossipMessage, Leadership, PingReply, Proposer, ViewCell};
 
-/// How often members are pinged. A round with a member that has failed must not take longer than any other.
+/// Interval at which members are pinged. It is longer than [`PING_TIMEOUT`], so that a member that has failed
+/// does not make a round longer than others.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(600);
-/// How long a ping may take.
+/// Maximum time from the start of a ping to its reply.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a change of the register may take.
+/// Maximum time for which one change of the control state is retried.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A round that takes longer was interrupted: this process was suspended or starved.
+/// Maximum time from the end of the previous round to the replies of this one. A round that takes longer was
+/// interrupted: this process was suspended or starved.
 const MAX_ROUND_ELAPSED: Duration = RECONCILE_INTERVAL.saturating_mul(4);
 
 /// Reconciles the members while this process is the leader.
 pub struct Reconciler {
-    /// Whether this process is the leader.
+    /// Returns the fencing token while this process is the leader.
     pub leadership: Arc<Leadership>,
-    /// The state that the process acts on.
+    /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
-    /// Changes of the register.
+    /// Proposes changes of the control state to the acceptors.
     pub proposer: Arc<Proposer>,
-    /// Internal calls.
+    /// Client for internal calls to other processes.
     pub client: rpc::Client,
-    /// A store that has not replied for this long is replaced where another machine waits.
+    /// Time without a reply after which a store is replaced, if another machine waits to become a store.
     pub store_replacement_timeout: Duration,
 }
 
-/// What a leader has learned since it became one.
+/// Observations of a leader since it acquired the lease.
 struct Progress {
     observed: Observation,
-    /// The end of the previous round.
+    /// Time at which the previous round ended.
     last_round: Instant,
-    /// The margin that was logged last.
+    /// Quorum margin that was logged last; `None` before the first round.
     logged_margin: Option<QuorumMargin>,
     migration: MigrationWatch,
 }
 
 impl Reconciler {
-    /// Runs a round at regular intervals while this process is the leader, for as long as the process runs.
+    /// Runs a round at regular intervals while this process is the leader. Runs until the process ends.
     pub async fn run(self) {
         let mut progress = self.initial_progress();
         let mut rounds = tokio::time::interval(RECONCILE_INTERVAL);
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Pings all members and proposes the next step, as the leader with this fencing token.
+    /// Pings all members and proposes the next step, as the leader with the fencing token `fence`.
     async fn run_round(&self, fence: u64, progress: &mut Progress) {
         let control = Arc::clone(&self.view.view().control);
         self.ping_members(&control, progress).await;
@@ -104,14 +106,16 @@
         progress.observed.reachability.record_round(control, &responders, elapsed, MAX_ROUND_ELAPSED);
     }
 
-    /// Pings a member. Where its process is out of contact, because it has restarted without a control state or was
-    /// absent while all acceptors in its state were replaced, sends the acceptors to it.
+    /// Pings a member, and sends the acceptors to it if its process is out of contact. A process is out of
+    /// contact if it has restarted without a control state, or if all acceptors in its state were replaced
+    /// while it was absent.
     async fn ping_with_gossip(&self, member: &Member, gossip: &GossipMessage) -> Option<PingReply> {
         let reply = ping_address(&self.client, member, PING_TIMEOUT).await?;
         if !reply.is_in_contact {
             send_gossip(&self.client, &member.address, gossip).await;
         }
-        // Another incarnation of the machine, with another disk, has not migrated what this member stored.
+        // Another incarnation of the machine has another disk, and has not migrated the batch jobs that this
+        // member stored.
         reply.is_from(member).then_some(reply)
     }
 
@@ -131,7 +135,8 @@
 }
 
 impl Progress {
-    /// Logs how many further failures of acceptors are tolerated, whenever that has changed.
+    /// Logs how many further failures of acceptors are tolerated, whenever that number or the quorum has
+    /// changed.
     fn log_changed_margin(&mut self, control: &ControlState) {
         let margin = self.observed.reachability.quorum_margin(control);
         if self.logged_margin.replace(margin) == Some(margin) {
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -1,8 +1,8 @@
-//! The rollout of model versions by the leader: orders to servers, and what these report back.
+//! Rollout of model versions by the leader: orders to servers, and the reports that servers return.
 //!
-//! Owns the calls to servers that are in flight and the reports that wait to be distributed, which only
-//! [`OrderDispatcher`] writes. What to order is decided by the planner of the crate `rollout`; before each order the
-//! leader's fencing token is checked again, and servers may check it too.
+//! This module owns the calls to servers that are in flight and the reports that wait to be distributed,
+//! which only [`OrderDispatcher`] writes. The planner of the crate `rollout` decides what to order. Before
+//! each order the leader's fencing token is checked again; servers may check it too.
 
 mod order_dispatcher;
 mod order_tracker;
--- a/crates/control-plane/src/rollout/order_dispatcher.rs
+++ b/crates/control-plane/src/rollout/order_dispatcher.rs
@@ -1,4 +1,4 @@
-//! The loop of the leader that carries out the planner's actions.
+//! Loop that executes the planner's actions while this process is the leader.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -16,27 +16,30 @@
 use super::{CallOutcome, CallTag, OrderTracker, ServerCalls};
 use crate::{Leadership, ViewCell};
 
-/// The longest time between two steps.
+/// Maximum pause before the next step, if no event occurs earlier.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// The shortest time between two steps that no event has caused.
+/// Minimum pause before the next step, if no event occurs earlier.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The shortest time between two steps, for each listed server: planning takes time that grows with their number.
+/// Minimum time between the starts of two steps while calls are in flight, for each listed server. Planning
+/// takes time that grows with the number of servers.
 const MIN_STEP_INTERVAL_PER_SERVER: Duration = Duration::from_micros(5);
 
-/// Brings servers to the target versions while this process is the leader.
+/// Orders servers to load the target versions of their models while this process is the leader.
 pub struct OrderDispatcher {
-    /// The name of this member.
+    /// Name of this member, as it appears in the control state.
     pub member_name: String,
-    /// Whether this process is the leader and may send orders.
+    /// Returns the fencing token while this process is the leader, and the one for orders once it may send
+    /// them.
     pub leadership: Arc<Leadership>,
-    /// The state that the process acts on; reported versions are added to its server list.
+    /// The newest control state and server list that this process has adopted. Reported versions are added to
+    /// its server list.
     pub view: Arc<ViewCell>,
-    /// Calls to servers.
+    /// Sends orders and requests for reports to servers.
     pub servers: Arc<dyn ServerCalls>,
 }
 
 impl OrderDispatcher {
-    /// Sends orders for as long as the process runs.
+    /// Sends orders whenever they are due. Runs until the process ends.
     pub async fn run(self) {
         let mut dispatch = DispatchLoop::start(self);
         while dispatch.step().await.is_continue() {}
@@ -45,7 +48,7 @@
 
 struct DispatchLoop {
     config: OrderDispatcher,
-    /// Start of the clock of the planner.
+    /// Origin of the planner's clock.
     started_at: Instant,
     views: watch::Receiver<Arc<View>>,
     planner_input: PlannerInput,
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Starts all calls that are due and waits for the next event. Breaks when no further view can come.
+    /// Starts all calls that are due and waits for the next event. Breaks once no further view can arrive.
     async fn step(&mut self) -> ControlFlow<()> {
         let step_started = Instant::now();
         let now = self.started_at.elapsed();
@@ -80,7 +83,8 @@
         control_flow
     }
 
-    /// Records the outcomes of calls until the next step may start, and those that are there then.
+    /// Records the outcomes of calls until the next step may start, and all further outcomes that are
+    /// available at that time.
     async fn collect_outcomes(&mut self, step_started: Instant) {
         if self.calls.is_empty() {
             return;
@@ -95,7 +99,7 @@
         }
     }
 
-    /// The calls that are due now, and the time until the next step if no event comes before.
+    /// Returns the calls that are due now, and the time until the next step if no event occurs earlier.
     fn plan(&mut self, now: Duration) -> (Vec<RolloutAction>, Duration) {
         let Some(planner) = self.tracker.planner() else {
             self.planner_input.reset();
--- a/crates/control-plane/src/rollout/order_tracker.rs
+++ b/crates/control-plane/src/rollout/order_tracker.rs
@@ -1,17 +1,18 @@
-//! Which calls to servers may be sent in a term of the lease, and to whom their outcomes belong. Without I/O and clock.
+//! Tracks the calls to servers in each term of the lease: which may be sent, and which term receives their
+//! outcomes. Does no I/O and reads no clock.
 
 use std::time::Duration;
 
 use rollout::{OrderReply, Pacing, Planner, RolloutAction, ServerId, ServerReport};
 
-/// The outcome of a call.
+/// Outcome of a call to a server.
 #[derive(Clone, Debug)]
 pub enum CallOutcome {
-    /// A server has replied to an order, or the reply is unknown.
+    /// A server has replied to an order, or it is unknown whether the order has arrived.
     Answered(ServerId, OrderReply),
     /// A server has sent its report.
     Reported(ServerId, Box<ServerReport>),
-    /// A server has sent no report.
+    /// A server has not sent a valid report in time.
     NotReported(ServerId),
 }
 
@@ -22,25 +23,27 @@
     is_order: bool,
 }
 
-/// One term of the lease.
+/// Term of the lease that this process holds now.
 struct Term {
     fence: u64,
     planner: Planner,
 }
 
-/// Separates the terms of one process.
+/// Separates the terms in which one process is the leader.
 ///
-/// Calls may outlive the term that started them. The outcome of a call is passed to the planner of its own term and to
-/// no other; and while an order of an earlier term may still arrive at its server, the present term sends none.
+/// Calls may outlive the term that started them. The outcome of a call is passed only to the planner of its
+/// own term. While an order of an earlier term may still arrive at its server, the present term sends no
+/// calls.
 #[derive(Default)]
 pub struct OrderTracker {
     term: Option<Term>,
-    /// The fencing token of each order without an outcome.
+    /// Fencing tokens of all orders in flight, one entry per order.
     orders_in_flight: Vec<u64>,
 }
 
 impl OrderTracker {
-    /// Continues the term of this fencing token, or starts it; `None` ends the present one.
+    /// Continues the term with this fencing token, or starts it with a new planner. `None` ends the present
+    /// term.
     pub fn set_term(&mut self, fence: Option<u64>) {
         match fence {
             None => self.term = None,
@@ -49,20 +52,21 @@
         }
     }
 
-    /// The fencing token of the present term.
+    /// Returns the fencing token of the present term, or `None` if there is no term.
     #[must_use]
     pub fn fence(&self) -> Option<u64> {
         self.term.as_ref().map(|term| term.fence)
     }
 
-    /// The planner of the present term, once no order of an earlier term is in flight.
+    /// Returns the planner of the present term, or `None` without a term or while an order of an earlier term
+    /// is in flight.
     pub fn planner(&mut self) -> Option<&mut Planner> {
         let term = self.term.as_mut()?;
         let has_earlier_orders = self.orders_in_flight.iter().any(|fence| *fence != term.fence);
         (!has_earlier_orders).then_some(&mut term.planner)
     }
 
-    /// Records that a call of the present term is sent now; `None` where there is no term.
+    /// Records that a call of the present term is sent now. Returns `None` if there is no term.
     pub fn record_call(&mut self, action: &RolloutAction) -> Option<CallTag> {
         let tag = CallTag { fence: self.fence()?, is_order: matches!(action, RolloutAction::SendOrder(_)) };
         if tag.is_order {
@@ -71,7 +75,8 @@
         Some(tag)
     }
 
-    /// Records the outcome of a call.
+    /// Records the outcome of a call at the time `now`, and passes it to the planner if the call belongs to
+    /// the present term.
     pub fn record_outcome(&mut self, now: Duration, tag: CallTag, outcome: &CallOutcome) {
         if tag.is_order {
             let finished = self.orders_in_flight.iter().position(|fence| *fence == tag.fence);
--- a/crates/control-plane/src/rollout/planner_input.rs
+++ b/crates/control-plane/src/rollout/planner_input.rs
@@ -1,4 +1,4 @@
-//! What the planner needs from the view, passed on where it has changed.
+//! Passes the target versions and servers of a view to the planner if they have changed.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,21 +7,22 @@
 use rollout::{ModelName, Planner, RolloutServer};
 use state::{ServerCondition, ServerEntry, View};
 
-/// Passes views to the planner of one term. With thousands of servers that takes milliseconds, and the planner is asked
-/// after each reply of a server, so a list is passed on once.
+/// Passes views to the planner of one term. With thousands of servers this takes milliseconds, and the
+/// planner is called after each reply of a server, so each list is passed only once.
 #[derive(Default)]
 pub(super) struct PlannerInput {
-    /// The view that the planner has.
+    /// View that was last passed to the planner; `None` if the planner has not received any.
     passed: Option<Arc<View>>,
 }
 
 impl PlannerInput {
-    /// The next planner is a new one.
+    /// Forgets the passed view, because the next call of `update` is for a new planner.
     pub(super) fn reset(&mut self) {
         self.passed = None;
     }
 
-    /// Passes the target versions and the servers with models of the newest view to the planner.
+    /// Passes the target versions of the newest view, and those of its servers that have models, to the
+    /// planner.
     pub(super) fn update(&mut self, planner: &mut Planner, now: Duration, view: &Arc<View>) {
         let passed = self.passed.replace(Arc::clone(view));
         if passed.as_ref().is_some_and(|passed| Arc::ptr_eq(passed, view)) {
@@ -48,8 +49,8 @@
     }
 }
 
-/// Models whose running requests may continue under another version: those of services to which no route leads that
-/// requires a single version per response.
+/// Returns the models of services without a route that requires a single version per response. Running
+/// requests to these models may continue under another version.
 fn in_place_models(view: &View) -> BTreeSet<ModelName> {
     let Some(configuration) = &view.configuration else { return BTreeSet::new() };
     let single_version_services: BTreeSet<&str> = configuration
--- a/crates/control-plane/src/rollout/server_calls.rs
+++ b/crates/control-plane/src/rollout/server_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to servers by the leader.
+//! Calls to model servers by the leader: orders and requests for reports.
 
 use std::time::Duration;
 
@@ -7,26 +7,27 @@
 
 use crate::election::ORDER_TIMEOUT;
 
-/// The path for orders.
+/// HTTP path for orders.
 const ORDER_PATH: &str = "/api/order";
-/// The path for reports.
+/// HTTP path for reports.
 const REPORT_PATH: &str = "/api/report";
-/// The header with the id of the addressed server, so that another one at the same address rejects the call.
+/// HTTP header with the id of the addressed server, so that another server at the same address rejects the
+/// call.
 const EXPECTED_SERVER: &str = "Expected-Carrier";
-/// How long a report may take.
+/// Maximum time from the request for a report to its last byte.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// How long a new connection may take.
+/// Maximum time to establish a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Sends orders and requests for reports to servers. No call is ever retried.
 pub trait ServerCalls: Send + Sync {
-    /// Sends an order with this body.
+    /// Sends an order to its server; `body` is the JSON encoding of the order.
     fn send_order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply>;
-    /// Requests a report; `None` where none came.
+    /// Requests a report. Returns `None` if no valid report arrives in time.
     fn request_report<'a>(&'a self, request: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>>;
 }
 
-/// Calls to servers over HTTP.
+/// Sends calls to servers over HTTP.
 pub struct HttpServerCalls {
     http: reqwest::Client,
 }
@@ -38,11 +39,11 @@
 }
 
 impl HttpServerCalls {
-    /// Without any connection yet.
+    /// Creates a client without any connections. They are opened when they are needed.
     ///
     /// # Panics
     ///
-    /// When the HTTP client cannot be set up, which takes no I/O.
+    /// Panics if the HTTP client cannot be created. Creating it involves no I/O.
     #[must_use]
     pub fn new() -> Self {
         Self { http: rpc::http_client(CONNECT_TIMEOUT) }
--- a/crates/control-plane/src/rollout/version_report_batcher.rs
+++ b/crates/control-plane/src/rollout/version_report_batcher.rs
@@ -1,4 +1,5 @@
-//! Versions that servers reported to the leader and that the platform's list, which lags, does not contain yet.
+//! Batches of model versions that servers have reported to the leader and that the platform's list, which
+//! lags behind, does not contain yet.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,12 +10,12 @@
 
 use crate::{Leadership, ViewCell};
 
-/// Reports that arrive within this time are distributed together ...
+/// Minimum time for which reports are collected before they are distributed together.
 const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(150);
-/// ... and in a large fleet, where each list costs every process more and reports come all the time, within a longer
-/// one, by this for each server ...
+/// Time for which reports are collected, for each listed server. In a large fleet reports arrive continuously
+/// and each list costs every process more, so that lists are distributed less often.
 const BATCH_INTERVAL_PER_SERVER: Duration = Duration::from_micros(120);
-/// ... up to this.
+/// Maximum time for which reports are collected before they are distributed together.
 const MAX_BATCH_INTERVAL: Duration = Duration::from_millis(450);
 
 /// Collects reported versions for the next server list.
@@ -25,19 +26,20 @@
 }
 
 impl VersionReportBatcher {
-    /// Adds the report of one of `listed` servers.
+    /// Adds the report of a server; `listed` is the number of servers in the server list, which determines
+    /// how long the batch is collected.
     pub(super) fn add(&mut self, now: Duration, server: &ServerId, report: &ServerReport, listed: usize) {
         self.reported.insert(Arc::clone(server), report.versions());
         self.due_at = self.due_at.or(Some(now + batch_interval(listed)));
     }
 
-    /// When the batch is to be published; `None` while it is empty.
+    /// Returns the time at which the batch is to be published, or `None` if it is empty.
     pub(super) fn due_at(&self) -> Option<Duration> {
         self.due_at
     }
 
-    /// Publishes the batch, once it is due, as a newer server list of the leader. Dropped where this process is not the
-    /// leader any more.
+    /// Publishes the batch, once it is due, as a newer server list of the leader. Drops the batch if this
+    /// process is no longer the leader.
     pub(super) fn publish(&mut self, now: Duration, view: &ViewCell, leadership: &Leadership) {
         if self.due_at.is_none_or(|due_at| now < due_at) {
             return;
@@ -56,7 +58,7 @@
     }
 }
 
-/// For how long reports are collected in a fleet of this many servers.
+/// Returns the time for which reports are collected in a fleet of this many servers.
 fn batch_interval(servers: usize) -> Duration {
     let servers = u32::try_from(servers).unwrap_or(u32::MAX);
     BATCH_INTERVAL_PER_SERVER.saturating_mul(servers).clamp(MIN_BATCH_INTERVAL, MAX_BATCH_INTERVAL)
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -1,8 +1,8 @@
-//! The newest [`View`] of this process, and how it is replaced.
+//! The newest [`View`] of this process, and the rules by which it is replaced.
 //!
-//! Every part of the process reads it. The control state is written by the proposer (read repair included), the
-//! acceptor's quorum service, the poller and the bootstrap; the server list by the poller, the list reader and the
-//! version report batcher.
+//! All parts of the process read the view. The proposer (including read repair), the quorum service of the
+//! acceptor, the poller and the bootstrap write the control state; the poller, the list reader and the
+//! version report batcher write the server list.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,27 +14,32 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A process without a confirmation for this long is out of contact: four times the age at which a peer no longer counts
-/// as fresh, so that a change of the leader or of one acceptor does not count.
+/// Maximum age of the last confirmation by a majority; a process with an older one is out of contact. This is
+/// four times the age up to which a peer counts as fresh, so that a change of the leader or of one acceptor
+/// does not put a process out of contact.
 const OUT_OF_CONTACT_AFTER: Duration = Duration::from_millis(3600);
 
-/// Contains the newest known [`View`]. Neither its control state nor its server list is ever replaced by an older one.
+/// Holds the newest known [`View`]. Neither its control state nor its server list is ever replaced by an
+/// older one.
 pub struct ViewCell {
     sender: watch::Sender<Arc<View>>,
-    /// Locked while a control state is adopted, so that two are not adopted in the wrong order.
+    /// Locked while a control state is adopted, so that concurrent adoptions cannot replace a newer state by
+    /// an older one.
     origin: Mutex<Origin>,
 }
 
-/// Where the parts of the view come from, and how old they are.
+/// Sources and ages of the parts of the view.
 #[derive(Default)]
 struct Origin {
-    /// The value of the register that the control state is from.
+    /// Committed value of the register that contains the control state of the view; `None` before the first
+    /// one.
     committed: Option<Versioned<ControlState>>,
-    /// When a majority last confirmed that this value is the newest.
+    /// Time at which a majority last confirmed `committed` as the newest value.
     confirmed_at: Option<Instant>,
-    /// The newest list of a leader. Differs from that of the view where a process has read the list for itself since.
+    /// Newest server list that a leader has distributed. It differs from the list in the view if this process
+    /// has read a newer one from the platform itself.
     leader_servers: Arc<ServerList>,
-    /// When the platform last listed the servers as they are in the view.
+    /// Time at which the platform last listed the servers as they are in the view.
     servers_read_at: Option<Instant>,
 }
 
@@ -45,50 +50,51 @@
 }
 
 impl ViewCell {
-    /// A cell with an empty view.
+    /// Creates a cell with an empty view.
     #[must_use]
     pub fn new() -> Self {
         Self { sender: watch::Sender::new(Arc::new(View::default())), origin: Mutex::default() }
     }
 
-    /// Subscribes to all further views.
+    /// Returns a receiver that is notified of each later view.
     #[must_use]
     pub fn subscribe(&self) -> watch::Receiver<Arc<View>> {
         self.sender.subscribe()
     }
 
-    /// The present view.
+    /// Returns the current view.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.sender.borrow())
     }
 
-    /// The newest known committed value; `None` before the first.
+    /// Returns the newest known committed value, or `None` before the first one.
     #[must_use]
     pub fn committed(&self) -> Option<Versioned<ControlState>> {
         self.lock().committed.clone()
     }
 
-    /// Time since a majority confirmed the committed value as the newest; `None` if it never did.
+    /// Returns the time since a majority last confirmed the committed value as the newest, or `None` if it
+    /// never has.
     #[must_use]
     pub fn confirmed_age(&self) -> Option<Duration> {
         self.lock().confirmed_at.map(|at| at.elapsed())
     }
 
-    /// Whether no majority has confirmed the committed value recently. The acceptors in it may all have been replaced, so
-    /// the process also searches for them elsewhere.
+    /// Returns whether no majority has confirmed the committed value within the last 3.6 s. All acceptors in
+    /// that value may have been replaced, so the process then also searches for acceptors elsewhere.
     #[must_use]
     pub fn is_out_of_contact(&self) -> bool {
         self.confirmed_age().is_none_or(|age| age > OUT_OF_CONTACT_AFTER)
     }
 
-    /// Time since the server list was read from the platform; `None` if it never was.
+    /// Returns the time since the server list was last read from the platform, or `None` if it never was.
     #[must_use]
     pub fn servers_age(&self) -> Option<Duration> {
         self.lock().servers_read_at.map(|at| at.elapsed())
     }
 
-    /// Adopts a committed value, if it is newer.
+    /// Adopts a committed value if its ballot is higher than that of the present value.
     pub fn adopt_control(&self, newer: &Versioned<ControlState>) {
         let mut origin = self.lock();
         if origin.committed.as_ref().is_some_and(|present| present.ballot >= newer.ballot) {
@@ -108,13 +114,14 @@
         origin.confirmed_at = origin.confirmed_at.max(Some(at));
     }
 
-    /// The newest server list that a leader has distributed: the one that changes apply to.
+    /// Returns the newest server list that a leader has distributed. Changes in a
+    /// [`ServerUpdate`](crate::ServerUpdate) apply to this list.
     #[must_use]
     pub fn leader_servers(&self) -> Arc<ServerList> {
         Arc::clone(&self.lock().leader_servers)
     }
 
-    /// Adopts a server list, if it is newer.
+    /// Adopts a server list if its version is higher than that of the present list.
     pub fn adopt_servers(&self, newer: Arc<ServerList>) {
         let mut origin = self.lock();
         if newer.version.local == 0 && newer.version > origin.leader_servers.version {
@@ -130,11 +137,11 @@
         });
     }
 
-    /// Adopts a server list that this process read from the platform itself, starting at `read_at`, as the leader with
-    /// the fencing token `fence` if any.
+    /// Adopts a server list that this process has read from the platform itself, starting at `read_at`.
+    /// `fence` is its fencing token if it is the leader.
     ///
-    /// The list gets a new version where its content differs, and for a leader also where `renew` is set or the present
-    /// list is another leader's. Returns whether it did.
+    /// The list gets a new version if its content differs. For a leader it also gets one if `renew` is set or
+    /// another leader distributed the present list. Returns whether it got a new version.
     pub fn adopt_reading(
         &self,
         mut read: ServerList,
@@ -166,7 +173,7 @@
     }
 }
 
-/// Why the configuration of a control state cannot be compiled.
+/// Reason why the configuration of a control state cannot be compiled.
 #[derive(Debug)]
 enum CompileError {
     Document(DocumentError),
@@ -182,7 +189,8 @@
     }
 }
 
-/// The configuration of a control state; compiled again only where it differs from that of `view`.
+/// Returns the compiled configuration of a control state, or `None` if the state has none. Reuses the one of
+/// `view` if the configuration is unchanged, and keeps it if the new one cannot be compiled.
 fn compiled_configuration(view: &View, control: &ControlState) -> Option<Arc<Configuration>> {
     let version = control.configuration_version;
     if version == 0 {
