--- a/crates/control-plane/src/consensus/acceptor_journal.rs
+++ b/crates/control-plane/src/consensus/acceptor_journal.rs
@@ -44,8 +44,8 @@
 impl PersistedState {
     /// Creates the state from what was recovered from the journal.
     pub(super) fn recovered(state: AcceptorState<ControlState>) -> Self {
-        let start = WriteNumber::default();
-        Self { durable: state, durable_write: start, last_write: start }
+        let initial_write = WriteNumber::default();
+        Self { durable: state, durable_write: initial_write, last_write: initial_write }
     }
 
     /// Returns the newest state that is certainly on disk. Only this state may be reported to readers.
@@ -111,7 +111,7 @@
     pub(super) state: AcceptorState<ControlState>,
     /// Position of the newest record with the complete state, which makes all earlier records obsolete;
     /// `None` if no record has one.
-    pub(super) complete_at: Option<Position>,
+    pub(super) complete_position: Option<Position>,
 }
 
 /// Replays the records of a journal in their order.
@@ -125,17 +125,17 @@
     records: &[(Position, Vec<u8>)],
 ) -> Result<RecoveredState, Position> {
     let mut state = AcceptorState::empty(incarnation);
-    let mut complete_at = None;
+    let mut complete_position = None;
     for (position, bytes) in records {
         match rpc::decode::<JournalRecord>(bytes) {
             Ok(JournalRecord::State(newer)) => {
                 state = newer;
-                complete_at = Some(*position);
+                complete_position = Some(*position);
             }
             Ok(JournalRecord::Promise(ballot)) => state.promised = state.promised.max(ballot),
             Err(_) => return Err(*position),
         }
     }
     state.incarnation = incarnation;
-    Ok(RecoveredState { state, complete_at })
+    Ok(RecoveredState { state, complete_position })
 }
--- a/crates/control-plane/src/consensus/acceptor_membership.rs
+++ b/crates/control-plane/src/consensus/acceptor_membership.rs
@@ -47,16 +47,16 @@
     pub async fn run(&self) {
         let mut views = self.view.subscribe();
         loop {
-            let known = views.borrow_and_update().control.clone();
-            let is_known = self.view.committed().is_some();
-            if is_known && known.acceptors.contains(&self.member) {
+            let control = views.borrow_and_update().control.clone();
+            let has_committed_state = self.view.committed().is_some();
+            if has_committed_state && control.acceptors.contains(&self.member) {
                 if views.changed().await.is_err() {
                     return;
                 }
                 continue;
             }
-            if is_known {
-                self.join_or_stand_by(&known).await;
+            if has_committed_state {
+                self.join_or_stand_by(&control).await;
             }
             tokio::time::sleep(CHECK_INTERVAL).await;
         }
@@ -65,11 +65,11 @@
     /// Hands the place of this machine over to the first standby that replies, before the process shuts down
     /// gracefully. Does nothing if this machine is not an acceptor or no standby replies.
     pub async fn leave(&self) {
-        let known = self.view.view().control.clone();
-        if !known.acceptors.contains(&self.member) {
+        let control = self.view.view().control.clone();
+        if !control.acceptors.contains(&self.member) {
             return;
         }
-        for standby in &known.standbys {
+        for standby in &control.standbys {
             if ping(&self.client, standby, PING_TIMEOUT).await.is_some() {
                 self.hand_over_to(standby).await;
                 return;
@@ -77,16 +77,16 @@
         }
     }
 
-    async fn join_or_stand_by(&self, known: &ControlState) {
+    async fn join_or_stand_by(&self, control: &ControlState) {
         let (member, proposer) = (&self.member, &self.proposer);
-        let failed = self.agreed_failed(known).await;
+        let failed = self.majority_reported_failures(control).await;
         let deadline = Instant::now() + JOIN_TIMEOUT;
-        if with_acceptor(known, member, &failed).is_ok() {
+        if with_acceptor(control, member, &failed).is_ok() {
             let joined = proposer.change(deadline, |state| with_acceptor(state, member, &failed)).await;
             if let Ok(value) = joined {
                 log::info!(acceptors = value.value.acceptors.len(); "joined the register");
             }
-        } else if with_standby(known, member).is_ok()
+        } else if with_standby(control, member).is_ok()
             && proposer.change(deadline, |state| with_standby(state, member)).await.is_ok()
         {
             log::info!("standby of the register: its acceptors are complete");
@@ -95,16 +95,16 @@
 
     /// Returns the acceptors that did not reply to a ping of this process and that a majority of all
     /// acceptors reports as unresponsive.
-    async fn agreed_failed(&self, known: &ControlState) -> Vec<Incarnation> {
-        let acceptors = &known.acceptors;
+    async fn majority_reported_failures(&self, control: &ControlState) -> Vec<Incarnation> {
+        let acceptors = &control.acceptors;
         let pings = acceptors.iter().map(|acceptor| ping(&self.client, acceptor, PING_TIMEOUT));
         let replies = join_all(pings).await;
-        let reports = |acceptor: &Incarnation| {
+        let report_count = |acceptor: &Incarnation| {
             replies.iter().flatten().filter(|reply| reply.unresponsive.contains(acceptor)).count()
         };
         let unresponsive = acceptors.iter().zip(&replies).filter(|(_, reply)| reply.is_none());
         let unresponsive = unresponsive.map(|(acceptor, _)| acceptor.incarnation);
-        unresponsive.filter(|acceptor| reports(acceptor) * 2 > acceptors.len()).collect()
+        unresponsive.filter(|acceptor| report_count(acceptor) * 2 > acceptors.len()).collect()
     }
 
     async fn hand_over_to(&self, standby: &Member) {
--- a/crates/control-plane/src/consensus/acceptor_service.rs
+++ b/crates/control-plane/src/consensus/acceptor_service.rs
@@ -36,11 +36,11 @@
     pub fn new(journal: Journal, incarnation: Incarnation, records: &[(Position, Vec<u8>)]) -> Arc<Self> {
         let recovered = recover(incarnation, records);
         let is_intact = recovered.is_ok();
-        let RecoveredState { state, complete_at } = recovered.unwrap_or_else(|position| {
+        let RecoveredState { state, complete_position } = recovered.unwrap_or_else(|position| {
             log::error!(position = position.0; "the acceptor replies to nothing: a record cannot be decoded");
-            RecoveredState { state: AcceptorState::empty(incarnation), complete_at: None }
+            RecoveredState { state: AcceptorState::empty(incarnation), complete_position: None }
         });
-        if let Some(position) = complete_at {
+        if let Some(position) = complete_position {
             // The ring may be full of obsolete records, if the previous process ended before it had written
             // their release.
             journal.release(position);
--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -62,10 +62,15 @@
     /// acceptor.
     fn initial_value(&self, tolerated_failures: usize) -> Option<Versioned<ControlState>> {
         let by_name = self.by_name.lock().unwrap_or_else(PoisonError::into_inner);
-        let with = |capability| by_name.values().filter(move |a| a.capability == capability);
-        let acceptors = with(Capability::Acceptor).map(|a| a.member.clone()).collect();
-        let store = |a: &Announcement| StoreMember { member: a.member.clone(), zone: a.zone.clone() };
-        let stores = with(Capability::Store).map(store).collect();
+        let with_capability =
+            |capability| by_name.values().filter(move |announcement| announcement.capability == capability);
+        let acceptors =
+            with_capability(Capability::Acceptor).map(|announcement| announcement.member.clone()).collect();
+        let store_member = |announcement: &Announcement| StoreMember {
+            member: announcement.member.clone(),
+            zone: announcement.zone.clone(),
+        };
+        let stores = with_capability(Capability::Store).map(store_member).collect();
         let value = initial_state(acceptors, stores, tolerated_failures)?;
         Some(Versioned::new(INITIAL_BALLOT, Arc::new(value)))
     }
@@ -94,11 +99,11 @@
     /// its waiting time has passed. Returns once a committed value is known.
     pub async fn run(self) {
         let started_at = Instant::now();
-        let coordinates_after = self.coordinates_after();
+        let coordinator_delay = self.coordinator_delay();
         let mut acknowledged = vec![false; self.seeds.len()];
         while self.view.committed().is_none() {
             self.announce(&mut acknowledged).await;
-            if coordinates_after.is_some_and(|after| started_at.elapsed() >= after) {
+            if coordinator_delay.is_some_and(|delay| started_at.elapsed() >= delay) {
                 if let Some(initial) = self.announcements.initial_value(self.tolerated_failures) {
                     self.commit_initial(initial).await;
                 }
@@ -109,7 +114,7 @@
 
     /// Returns the time from the start of this process until it becomes the coordinator, or `None` if it is
     /// not a seed.
-    fn coordinates_after(&self) -> Option<Duration> {
+    fn coordinator_delay(&self) -> Option<Duration> {
         let rank = self.seeds.iter().position(|seed| *seed == self.own_address)?;
         Some(COLLECT_TIMEOUT + TAKEOVER_STAGGER * u32::try_from(rank).unwrap_or(u32::MAX))
     }
@@ -135,15 +140,15 @@
     ///
     /// A majority of the acceptors must reply to a read first, so that an initial value that a majority has
     /// accepted is always found.
-    async fn commit_initial(&self, own: Versioned<ControlState>) {
-        let reads = own.value.acceptors.iter().map(|member| self.read_accepted(member));
+    async fn commit_initial(&self, proposed: Versioned<ControlState>) {
+        let reads = proposed.value.acceptors.iter().map(|member| self.read_accepted(member));
         let accepted: Vec<_> = join_all(reads).await.into_iter().flatten().collect();
-        let Some(initial) = choose_initial_value(own, accepted) else {
+        let Some(initial) = choose_initial_value(proposed, accepted) else {
             log::info!("initial value not committed: too few acceptors reply");
             return;
         };
         let acceptors = &initial.value.acceptors;
-        let offers = acceptors.iter().map(|member| self.offer(member, &initial));
+        let offers = acceptors.iter().map(|member| self.offer_initial(member, &initial));
         let replies = join_all(offers).await;
         let accepted = replies.iter().filter(|reply| reply.as_ref() == Some(&initial)).count();
         if accepted * 2 > acceptors.len() {
@@ -167,7 +172,7 @@
 
     /// Offers an initial value to an acceptor. Returns the value that it has accepted, or `None` if the call
     /// fails.
-    async fn offer(
+    async fn offer_initial(
         &self,
         member: &Member,
         initial: &Versioned<ControlState>,
--- a/crates/control-plane/src/discovery/gossip_schedule.rs
+++ b/crates/control-plane/src/discovery/gossip_schedule.rs
@@ -64,7 +64,7 @@
 
     /// Records whether a seed has acknowledged a message.
     pub(super) fn record(&mut self, seed: &str, is_acknowledged: bool) {
-        let earlier = self.pending.remove(seed);
+        let previous_retry = self.pending.remove(seed);
         if is_acknowledged {
             if !self.acknowledged.iter().any(|known| known == seed) {
                 self.acknowledged.push(seed.to_owned());
@@ -72,7 +72,8 @@
             return;
         }
         self.acknowledged.retain(|known| known != seed);
-        let pause = earlier.map_or(INITIAL_RETRY_PAUSE, |retry| (retry.pause * 2).min(MAX_RETRY_PAUSE));
+        let pause =
+            previous_retry.map_or(INITIAL_RETRY_PAUSE, |retry| (retry.pause * 2).min(MAX_RETRY_PAUSE));
         let retry = PendingRetry { next_attempt: Instant::now() + pause, pause };
         self.pending.insert(seed.to_owned(), retry);
     }
--- a/crates/control-plane/src/discovery/store_membership.rs
+++ b/crates/control-plane/src/discovery/store_membership.rs
@@ -32,12 +32,12 @@
     pub async fn run(&self) {
         let mut views = self.view.subscribe();
         loop {
-            let known = views.borrow_and_update().control.clone();
+            let control = views.borrow_and_update().control.clone();
             if self.view.committed().is_none() {
                 tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
             }
-            if with_store(&known, &self.member).is_err() {
+            if with_store(&control, &self.member).is_err() {
                 if views.changed().await.is_err() {
                     return;
                 }
--- a/crates/control-plane/src/distribution/control_update.rs
+++ b/crates/control-plane/src/distribution/control_update.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlUpdate {
     /// The committed value, with the fields in [`ConfigurationPart`] empty.
-    rest: Versioned<ControlState>,
+    without_configuration: Versioned<ControlState>,
     /// Fields that the receiver lacks; `None` if it has this version of the configuration.
     configuration: Option<ConfigurationPart>,
 }
@@ -33,9 +33,9 @@
 impl AppliedChangesPart {
     fn new(changes: VecDeque<AppliedChange>, receiver_version: u64) -> Self {
         match changes.iter().position(|change| change.version == receiver_version) {
-            Some(known) => Self::Since {
+            Some(position) => Self::Since {
                 version: receiver_version,
-                changes: changes.into_iter().skip(known + 1).collect(),
+                changes: changes.into_iter().skip(position + 1).collect(),
             },
             None => Self::Complete(changes),
         }
@@ -70,15 +70,15 @@
             ),
         };
         let has_configuration = state.configuration_version == receiver_version;
-        let rest = Versioned { value: Arc::new(state), ..newest.clone() };
-        Self { rest, configuration: (!has_configuration).then_some(part) }
+        let without_configuration = Versioned { value: Arc::new(state), ..newest.clone() };
+        Self { without_configuration, configuration: (!has_configuration).then_some(part) }
     }
 
     /// Applies the update to the `present` state and returns the newer value, or `None` if the update is
     /// based on another version of the configuration than that of `present`.
     #[must_use]
     pub fn apply(self, present: &ControlState) -> Option<Versioned<ControlState>> {
-        let mut state = Arc::unwrap_or_clone(self.rest.value);
+        let mut state = Arc::unwrap_or_clone(self.without_configuration.value);
         match self.configuration {
             Some(part) => {
                 state.configuration = part.configuration;
@@ -90,6 +90,6 @@
             }
             None => return None,
         }
-        Some(Versioned { value: Arc::new(state), ..self.rest })
+        Some(Versioned { value: Arc::new(state), ..self.without_configuration })
     }
 }
--- a/crates/control-plane/src/distribution/poll_service.rs
+++ b/crates/control-plane/src/distribution/poll_service.rs
@@ -32,18 +32,18 @@
         let deadline = Instant::now() + max_wait;
         let mut views = self.view.subscribe();
         loop {
-            let reply = self.newer_than(&request, &views.borrow_and_update());
+            let reply = self.reply_to(&request, &views.borrow_and_update());
             let remaining = deadline.saturating_duration_since(Instant::now());
             if reply.control.is_some() || reply.servers.is_some() || remaining.is_zero() {
                 return reply;
             }
             if tokio::time::timeout(remaining, views.changed()).await.is_err() {
-                return self.newer_than(&request, &views.borrow_and_update());
+                return self.reply_to(&request, &views.borrow_and_update());
             }
         }
     }
 
-    fn newer_than(&self, request: &PollRequest, view: &View) -> PollReply {
+    fn reply_to(&self, request: &PollRequest, view: &View) -> PollReply {
         let control = self.view.committed().filter(|value| value.ballot > request.ballot);
         let mut recent_lists = self.recent_lists.lock().unwrap_or_else(PoisonError::into_inner);
         PollReply {
--- a/crates/control-plane/src/distribution/server_update.rs
+++ b/crates/control-plane/src/distribution/server_update.rs
@@ -97,8 +97,8 @@
         }
         let server = u32::try_from(position).unwrap_or(u32::MAX);
         let models = (0_u32..).zip(earlier.models.values().zip(newer.models.values()));
-        let reached = models.filter(|(_, (before, after))| before != after);
-        self.versions.extend(reached.map(|(model, (_, version))| VersionChange {
+        let changed_versions = models.filter(|(_, (before, after))| before != after);
+        self.versions.extend(changed_versions.map(|(model, (_, version))| VersionChange {
             server,
             model,
             version: *version,
@@ -177,7 +177,7 @@
         receiver_base: ServerListVersion,
         newest: &Arc<ServerList>,
     ) -> Option<ServerUpdate> {
-        self.remember(newest);
+        self.record_list(newest);
         if newest.version <= receiver_version {
             return None;
         }
@@ -191,7 +191,7 @@
         })
     }
 
-    fn remember(&mut self, newest: &Arc<ServerList>) {
+    fn record_list(&mut self, newest: &Arc<ServerList>) {
         if self.lists.back().is_some_and(|last| last.list.version >= newest.version) {
             return;
         }
--- a/crates/control-plane/src/election/campaign.rs
+++ b/crates/control-plane/src/election/campaign.rs
@@ -82,7 +82,7 @@
             match self.candidate.next_action(self.leadership.now()) {
                 CandidateAction::WaitUntil(until) => self.wait(until).await,
                 CandidateAction::AbandonRound => self.abandon_round(),
-                CandidateAction::StartRound => self.seek_lease().await,
+                CandidateAction::StartRound => self.acquire_or_renew_lease().await,
             }
         }
         self.release_lease().await;
@@ -119,7 +119,7 @@
 
     /// Requests or renews the lease in one round, if this member is an acceptor. On success, updates the
     /// fencing token and the issuer of orders.
-    async fn seek_lease(&mut self) {
+    async fn acquire_or_renew_lease(&mut self) {
         let control = Arc::clone(&self.view.view().control);
         if !control.acceptors.iter().any(|member| member.name == self.member_name) {
             tokio::time::sleep(INELIGIBLE_PAUSE).await;
--- a/crates/control-plane/src/election/fencing.rs
+++ b/crates/control-plane/src/election/fencing.rs
@@ -45,8 +45,10 @@
     /// Handles a lease that was acquired or renewed until `expires_at`. Raises the fencing token if it was
     /// acquired.
     pub(super) async fn on_lease_granted(&self, expires_at: Duration) {
-        let earlier = self.leadership.lease();
-        if let Some(renewed) = earlier.and_then(|lease| lease.renewed(self.leadership.now(), expires_at)) {
+        let previous_lease = self.leadership.lease();
+        if let Some(renewed) =
+            previous_lease.and_then(|lease| lease.renewed(self.leadership.now(), expires_at))
+        {
             self.leadership.set_lease(Some(renewed));
             return;
         }
@@ -57,7 +59,8 @@
         log::info!(fence = state.fence, order_delay_ms; "lease acquired");
         let now = self.leadership.now();
         let lease = LeaderLease::acquired(state, &self.member_name, now, expires_at, delay, ORDER_TIMEOUT);
-        self.leadership.set_lease(Some(earlier.map_or(lease, |earlier| lease.continuing(earlier))));
+        self.leadership
+            .set_lease(Some(previous_lease.map_or(lease, |previous_lease| lease.continuing(previous_lease))));
         self.leadership.notify_if_orders_allowed();
     }
 
@@ -79,11 +82,11 @@
     async fn raise_fence(&self, expires_at: Duration) -> Option<Versioned<ControlState>> {
         let deadline = Instant::now() + CHANGE_TIMEOUT;
         loop {
-            let seen = self.leadership.latest_fence();
+            let known_fence = self.leadership.latest_fence();
             if self.leadership.now() >= expires_at || Instant::now() >= deadline {
                 return None;
             }
-            let decide = |state: &ControlState| with_raised_fence(state, &self.member_name, seen);
+            let decide = |state: &ControlState| with_raised_fence(state, &self.member_name, known_fence);
             match self.proposer.change(deadline, decide).await {
                 Ok(value) => return Some(value),
                 Err(ChangeFailure::Rejected(Superseded)) => {}
--- a/crates/control-plane/src/liveness/ping_service.rs
+++ b/crates/control-plane/src/liveness/ping_service.rs
@@ -56,8 +56,8 @@
         let _ = self.incarnation.set(incarnation);
     }
 
-    /// Sets the epoch of the store set to which this process has migrated all its batch jobs. It is 0 until the
-    /// first call.
+    /// Sets the epoch of the store set to which this process has migrated all its batch jobs. It is 0 until
+    /// the first call.
     pub fn set_committed_epoch(&self, epoch: u64) {
         self.committed_epoch.store(epoch, Ordering::Relaxed);
     }
--- a/crates/control-plane/src/operator_api.rs
+++ b/crates/control-plane/src/operator_api.rs
@@ -64,40 +64,40 @@
 
 #[handler]
 async fn read_configuration(Data(context): Data<&Context>) -> Response {
-    match context.proposer.read_newest(deadline()).await {
+    match context.proposer.read_newest(request_deadline()).await {
         Some(value) if value.value.configuration_version > 0 => match value.value.configuration.text() {
             Ok(text) => Response::builder().content_type("application/json").body(text.to_owned()),
-            Err(error) => failure(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
+            Err(error) => error_response(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
         },
-        Some(_) => failure(StatusCode::NOT_FOUND, "no configuration was taken yet"),
-        None => outcome_unknown(),
+        Some(_) => error_response(StatusCode::NOT_FOUND, "no configuration was taken yet"),
+        None => outcome_unknown_response(),
     }
 }
 
 #[handler]
 async fn change_configuration(request: &Request, body: Body, Data(context): Data<&Context>) -> Response {
     let Ok(body) = body.into_bytes_limit(MAX_BODY_BYTES).await else {
-        return failure(StatusCode::BAD_REQUEST, "the body cannot be read whole");
+        return error_response(StatusCode::BAD_REQUEST, "the body cannot be read whole");
     };
-    let Some(expected) = if_match(request) else {
-        return failure(StatusCode::BAD_REQUEST, "If-Match: a whole number is wanted");
+    let Some(expected) = expected_version(request) else {
+        return error_response(StatusCode::BAD_REQUEST, "If-Match: a whole number is wanted");
     };
     let kind = if request.method() == Method::PATCH { ChangeKind::Patch } else { ChangeKind::Replace };
     let digest = change_digest(kind, expected, &body);
     let decide = |state: &ControlState| with_configuration(state, kind, expected, digest, &body);
-    match context.proposer.change(deadline(), decide).await {
+    match context.proposer.change(request_deadline(), decide).await {
         Ok(value) => {
             let state = &value.value;
             log::info!(version = state.configuration_version, revision = state.revision; "configuration applied");
             StatusCode::OK.into()
         }
-        Err(failure) => change_failed(&failure),
+        Err(failure) => change_failure_response(&failure),
     }
 }
 
 /// Returns the version of the configuration that a change is based on, or `None` if the header is absent or
 /// is not a number.
-fn if_match(request: &Request) -> Option<u64> {
+fn expected_version(request: &Request) -> Option<u64> {
     request.header("if-match")?.trim().trim_matches('"').parse().ok()
 }
 
@@ -105,28 +105,28 @@
 async fn set_target_version(body: Body, Data(context): Data<&Context>) -> Response {
     let body = match body.into_bytes_limit(MAX_BODY_BYTES).await {
         Ok(body) => body,
-        Err(error) => return failure(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     let VersionBody { model, version } = match serde_json::from_slice(&body) {
         Ok(parsed) => parsed,
-        Err(error) => return failure(StatusCode::BAD_REQUEST, &error.to_string()),
+        Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     let decide = |state: &ControlState| with_target_version(state, &model, version);
-    match context.proposer.change(deadline(), decide).await {
+    match context.proposer.change(request_deadline(), decide).await {
         Ok(_) => {
             log::info!(version; "target version of {model} set");
             StatusCode::OK.into()
         }
-        Err(failure) => change_failed(&failure),
+        Err(failure) => change_failure_response(&failure),
     }
 }
 
 #[handler]
 async fn start_drain(Path(name): Path<String>, Data(context): Data<&Context>) -> Response {
     let decide = |state: &ControlState| with_draining(state, &name);
-    match context.proposer.change(deadline(), decide).await {
+    match context.proposer.change(request_deadline(), decide).await {
         Ok(_) => StatusCode::OK.into(),
-        Err(failure) => change_failed(&failure),
+        Err(failure) => change_failure_response(&failure),
     }
 }
 
@@ -134,20 +134,20 @@
 async fn read_drain(Path(name): Path<String>, Data(context): Data<&Context>) -> Response {
     // A drained machine never returns to an earlier state, so the local view suffices to report it. For any
     // other state the newest value is read from a majority.
-    let known = context.view.view().control.draining.get(&name).copied();
-    if known == Some(DrainState::Drained) {
-        return drain_reply(DrainState::Drained);
+    let local_state = context.view.view().control.draining.get(&name).copied();
+    if local_state == Some(DrainState::Drained) {
+        return drain_response(DrainState::Drained);
     }
-    let Some(newest) = context.proposer.read_newest(deadline()).await else {
-        return outcome_unknown();
+    let Some(newest) = context.proposer.read_newest(request_deadline()).await else {
+        return outcome_unknown_response();
     };
     match newest.value.draining.get(&name) {
-        Some(state) => drain_reply(*state),
-        None => failure(StatusCode::NOT_FOUND, "this machine is not being retired"),
+        Some(state) => drain_response(*state),
+        None => error_response(StatusCode::NOT_FOUND, "this machine is not being retired"),
     }
 }
 
-fn drain_reply(state: DrainState) -> Response {
+fn drain_response(state: DrainState) -> Response {
     let condition = match state {
         DrainState::Draining => "rolling",
         DrainState::Drained => "delivered",
@@ -155,43 +155,45 @@
     Json(DrainReply { condition }).into_response()
 }
 
-fn deadline() -> Instant {
+fn request_deadline() -> Instant {
     Instant::now() + REQUEST_TIMEOUT
 }
 
-fn change_failed(error: &ChangeFailure<ChangeRejected>) -> Response {
+fn change_failure_response(error: &ChangeFailure<ChangeRejected>) -> Response {
     match error {
-        ChangeFailure::Rejected(reason) => rejected(reason),
-        ChangeFailure::OutcomeUnknown => outcome_unknown(),
+        ChangeFailure::Rejected(reason) => rejection_response(reason),
+        ChangeFailure::OutcomeUnknown => outcome_unknown_response(),
     }
 }
 
 /// Returns the response to a change that the committed state rejects. A change that was applied before is
 /// acknowledged again.
-fn rejected(reason: &ChangeRejected) -> Response {
+fn rejection_response(reason: &ChangeRejected) -> Response {
     match reason {
         ChangeRejected::AlreadyApplied | ChangeRejected::Unchanged => StatusCode::OK.into(),
         ChangeRejected::VersionMismatch(present) => {
-            failure(StatusCode::PRECONDITION_FAILED, &format!("version {present} is in place"))
+            error_response(StatusCode::PRECONDITION_FAILED, &format!("version {present} is in place"))
         }
-        ChangeRejected::TooOld => failure(
+        ChangeRejected::TooOld => error_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "it builds on a version so old that it cannot be told whether it was taken",
         ),
         ChangeRejected::Unreadable => {
-            failure(StatusCode::SERVICE_UNAVAILABLE, "the present configuration cannot be read here")
+            error_response(StatusCode::SERVICE_UNAVAILABLE, "the present configuration cannot be read here")
+        }
+        ChangeRejected::Invalid(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
+        ChangeRejected::UnknownMember => error_response(StatusCode::NOT_FOUND, "no such store machine"),
+        ChangeRejected::TooFewStores => {
+            error_response(StatusCode::CONFLICT, "too few store machines would be left")
         }
-        ChangeRejected::Invalid(error) => failure(StatusCode::BAD_REQUEST, &error.to_string()),
-        ChangeRejected::UnknownMember => failure(StatusCode::NOT_FOUND, "no such store machine"),
-        ChangeRejected::TooFewStores => failure(StatusCode::CONFLICT, "too few store machines would be left"),
     }
 }
 
-fn outcome_unknown() -> Response {
-    failure(StatusCode::SERVICE_UNAVAILABLE, "no majority of the acceptors answers")
+fn outcome_unknown_response() -> Response {
+    error_response(StatusCode::SERVICE_UNAVAILABLE, "no majority of the acceptors answers")
 }
 
-fn failure(status: StatusCode, error: &str) -> Response {
+fn error_response(status: StatusCode, error: &str) -> Response {
     let body = serde_json::to_string(&ErrorReply { error: error.to_owned() }).unwrap_or_default();
     Response::builder().status(status).content_type("application/json").body(body)
 }
--- a/crates/control-plane/src/reconcile/reconciler.rs
+++ b/crates/control-plane/src/reconcile/reconciler.rs
@@ -40,7 +40,7 @@
 }
 
 /// Observations of a leader since it acquired the lease.
-struct Progress {
+struct TermState {
     observed: Observation,
     /// Time at which the previous round ended.
     last_round: Instant,
@@ -52,23 +52,23 @@
 impl Reconciler {
     /// Runs a round at regular intervals while this process is the leader. Runs until the process ends.
     pub async fn run(self) {
-        let mut progress = self.initial_progress();
+        let mut term = self.new_term();
         let mut rounds = tokio::time::interval(RECONCILE_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             rounds.tick().await;
             match self.leadership.fence() {
-                Some(fence) => self.run_round(fence, &mut progress).await,
-                None => progress = self.initial_progress(),
+                Some(fence) => self.run_round(fence, &mut term).await,
+                None => term = self.new_term(),
             }
         }
     }
 
-    fn initial_progress(&self) -> Progress {
+    fn new_term(&self) -> TermState {
         let reachability =
             Reachability::with_replacement_timeout(RECONCILE_INTERVAL, self.store_replacement_timeout);
         let observed = Observation { reachability, ..Observation::default() };
-        Progress {
+        TermState {
             observed,
             last_round: Instant::now(),
             logged_margin: None,
@@ -77,33 +77,33 @@
     }
 
     /// Pings all members and proposes the next step, as the leader with the fencing token `fence`.
-    async fn run_round(&self, fence: u64, progress: &mut Progress) {
+    async fn run_round(&self, fence: u64, term: &mut TermState) {
         let control = Arc::clone(&self.view.view().control);
-        self.ping_members(&control, progress).await;
-        progress.log_changed_margin(&control);
-        progress.migration.observe(&control, &progress.observed);
-        let observed = &progress.observed;
+        self.ping_members(&control, term).await;
+        term.log_changed_margin(&control);
+        term.migration.observe(&control, &term.observed);
+        let observed = &term.observed;
         // The lease is checked again: the process may have been suspended.
         let is_still_leader = self.leadership.fence() == Some(fence);
         if is_still_leader && next_reconciliation(&control, fence, observed).is_some() {
             self.propose_step(fence, observed).await;
         }
-        progress.last_round = Instant::now();
+        term.last_round = Instant::now();
     }
 
-    async fn ping_members(&self, control: &ControlState, progress: &mut Progress) {
+    async fn ping_members(&self, control: &ControlState, term: &mut TermState) {
         let members = Observation::members_to_ping(control);
         let gossip = GossipMessage::of(control);
         let replies = join_all(members.iter().map(|member| self.ping_with_gossip(member, &gossip))).await;
         let mut responders = Vec::new();
         for (member, reply) in members.into_iter().zip(replies) {
             if let Some(reply) = reply {
-                progress.observed.record_committed_epoch(member.incarnation, reply.committed_epoch);
+                term.observed.record_committed_epoch(member.incarnation, reply.committed_epoch);
                 responders.push(member);
             }
         }
-        let elapsed = progress.last_round.elapsed();
-        progress.observed.reachability.record_round(control, &responders, elapsed, MAX_ROUND_ELAPSED);
+        let elapsed = term.last_round.elapsed();
+        term.observed.reachability.record_round(control, &responders, elapsed, MAX_ROUND_ELAPSED);
     }
 
     /// Pings a member, and sends the acceptors to it if its process is out of contact. A process is out of
@@ -134,7 +134,7 @@
     }
 }
 
-impl Progress {
+impl TermState {
     /// Logs how many further failures of acceptors are tolerated, whenever that number or the quorum has
     /// changed.
     fn log_changed_margin(&mut self, control: &ControlState) {
--- a/crates/control-plane/src/rollout/order_dispatcher.rs
+++ b/crates/control-plane/src/rollout/order_dispatcher.rs
@@ -47,7 +47,7 @@
 }
 
 struct DispatchLoop {
-    config: OrderDispatcher,
+    dispatcher: OrderDispatcher,
     /// Origin of the planner's clock.
     started_at: Instant,
     views: watch::Receiver<Arc<View>>,
@@ -58,15 +58,15 @@
 }
 
 impl DispatchLoop {
-    fn start(config: OrderDispatcher) -> Self {
+    fn start(dispatcher: OrderDispatcher) -> Self {
         Self {
             started_at: Instant::now(),
-            views: config.view.subscribe(),
+            views: dispatcher.view.subscribe(),
             planner_input: PlannerInput::default(),
             tracker: OrderTracker::default(),
             calls: FuturesUnordered::new(),
             reports: VersionReportBatcher::default(),
-            config,
+            dispatcher,
         }
     }
 
@@ -74,8 +74,8 @@
     async fn step(&mut self) -> ControlFlow<()> {
         let step_started = Instant::now();
         let now = self.started_at.elapsed();
-        self.tracker.set_term(self.config.leadership.fence_for_orders());
-        self.reports.publish(now, &self.config.view, &self.config.leadership);
+        self.tracker.set_term(self.dispatcher.leadership.fence_for_orders());
+        self.reports.publish(now, &self.dispatcher.view, &self.dispatcher.leadership);
         let (actions, pause) = self.plan(now);
         self.start_calls(actions);
         let control_flow = self.wait_for_event(pause.max(MIN_POLL_INTERVAL)).await;
@@ -107,21 +107,22 @@
         };
         self.planner_input.update(planner, now, &self.views.borrow_and_update());
         let actions = planner.next_actions(now);
-        let wake_at = planner.next_wakeup(now).into_iter().chain(self.reports.due_at()).min();
-        let pause = wake_at.map_or(MAX_POLL_INTERVAL, |at| at.saturating_sub(now).min(MAX_POLL_INTERVAL));
+        let next_step_at = planner.next_wakeup(now).into_iter().chain(self.reports.due_at()).min();
+        let pause =
+            next_step_at.map_or(MAX_POLL_INTERVAL, |at| at.saturating_sub(now).min(MAX_POLL_INTERVAL));
         (actions, pause)
     }
 
     fn start_calls(&mut self, actions: Vec<RolloutAction>) {
         for action in actions {
             // The lease is checked again before each call: the process may have been suspended.
-            if self.config.leadership.fence_for_orders() != self.tracker.fence() {
+            if self.dispatcher.leadership.fence_for_orders() != self.tracker.fence() {
                 return;
             }
             let Some(fence) = self.tracker.fence() else { return };
             let Some(tag) = self.tracker.record_call(&action) else { return };
-            let servers = Arc::clone(&self.config.servers);
-            let member_name = self.config.member_name.clone();
+            let servers = Arc::clone(&self.dispatcher.servers);
+            let member_name = self.dispatcher.member_name.clone();
             self.calls.push(Box::pin(async move {
                 let outcome = match action {
                     RolloutAction::SendOrder(order) => {
@@ -146,7 +147,7 @@
                     return ControlFlow::Break(());
                 }
             }
-            () = self.config.leadership.orders_allowed(), if !is_leader => {}
+            () = self.dispatcher.leadership.orders_allowed(), if !is_leader => {}
             () = tokio::time::sleep(pause) => {}
         }
         ControlFlow::Continue(())
--- a/crates/control-plane/src/rollout/planner_input.rs
+++ b/crates/control-plane/src/rollout/planner_input.rs
@@ -12,27 +12,27 @@
 #[derive(Default)]
 pub(super) struct PlannerInput {
     /// View that was last passed to the planner; `None` if the planner has not received any.
-    passed: Option<Arc<View>>,
+    passed_view: Option<Arc<View>>,
 }
 
 impl PlannerInput {
     /// Forgets the passed view, because the next call of `update` is for a new planner.
     pub(super) fn reset(&mut self) {
-        self.passed = None;
+        self.passed_view = None;
     }
 
     /// Passes the target versions of the newest view, and those of its servers that have models, to the
     /// planner.
     pub(super) fn update(&mut self, planner: &mut Planner, now: Duration, view: &Arc<View>) {
-        let passed = self.passed.replace(Arc::clone(view));
-        if passed.as_ref().is_some_and(|passed| Arc::ptr_eq(passed, view)) {
+        let previous = self.passed_view.replace(Arc::clone(view));
+        if previous.as_ref().is_some_and(|previous| Arc::ptr_eq(previous, view)) {
             return;
         }
         for (model, version) in &view.control.target_versions {
             planner.set_target_version(now, model, *version);
         }
         planner.set_in_place_models(in_place_models(view));
-        if passed.as_ref().is_none_or(|passed| !Arc::ptr_eq(&passed.servers, &view.servers)) {
+        if previous.as_ref().is_none_or(|previous| !Arc::ptr_eq(&previous.servers, &view.servers)) {
             let servers = view.servers.servers.iter().filter(|server| !server.models.is_empty());
             planner.set_servers(servers.map(|server| rollout_server(server)));
         }
@@ -60,6 +60,6 @@
         .flat_map(|route| route.targets.iter().map(|target| &*target.service))
         .collect();
     let servers = view.servers.servers.iter();
-    let others = servers.filter(|server| !single_version_services.contains(&*server.service));
-    others.flat_map(|server| server.models.keys().cloned()).collect()
+    let multi_version_servers = servers.filter(|server| !single_version_services.contains(&*server.service));
+    multi_version_servers.flat_map(|server| server.models.keys().cloned()).collect()
 }
--- a/crates/control-plane/src/rollout/server_calls.rs
+++ b/crates/control-plane/src/rollout/server_calls.rs
@@ -13,7 +13,7 @@
 const REPORT_PATH: &str = "/api/report";
 /// HTTP header with the id of the addressed server, so that another server at the same address rejects the
 /// call.
-const EXPECTED_SERVER: &str = "Expected-Carrier";
+const EXPECTED_SERVER_HEADER: &str = "Expected-Carrier";
 /// Maximum time from the request for a report to its last byte.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Maximum time to establish a new connection.
@@ -57,7 +57,7 @@
                 .http
                 .post(format!("http://{}{ORDER_PATH}", order.address))
                 .header("Content-Type", "application/json")
-                .header(EXPECTED_SERVER, &*order.server)
+                .header(EXPECTED_SERVER_HEADER, &*order.server)
                 .timeout(ORDER_TIMEOUT)
                 .body(body);
             match request.send().await {
@@ -73,7 +73,7 @@
             let call = self
                 .http
                 .get(format!("http://{}{REPORT_PATH}", request.address))
-                .header(EXPECTED_SERVER, &*request.server)
+                .header(EXPECTED_SERVER_HEADER, &*request.server)
                 .timeout(REPORT_TIMEOUT);
             let response = call.send().await.ok().filter(|response| response.status().as_u16() == 200)?;
             serde_json::from_slice(&response.bytes().await.ok()?).ok()
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -25,12 +25,12 @@
     sender: watch::Sender<Arc<View>>,
     /// Locked while a control state is adopted, so that concurrent adoptions cannot replace a newer state by
     /// an older one.
-    origin: Mutex<Origin>,
+    sources: Mutex<ViewSources>,
 }
 
 /// Sources and ages of the parts of the view.
 #[derive(Default)]
-struct Origin {
+struct ViewSources {
     /// Committed value of the register that contains the control state of the view; `None` before the first
     /// one.
     committed: Option<Versioned<ControlState>>,
@@ -53,7 +53,7 @@
     /// Creates a cell with an empty view.
     #[must_use]
     pub fn new() -> Self {
-        Self { sender: watch::Sender::new(Arc::new(View::default())), origin: Mutex::default() }
+        Self { sender: watch::Sender::new(Arc::new(View::default())), sources: Mutex::default() }
     }
 
     /// Returns a receiver that is notified of each later view.
@@ -96,11 +96,11 @@
 
     /// Adopts a committed value if its ballot is higher than that of the present value.
     pub fn adopt_control(&self, newer: &Versioned<ControlState>) {
-        let mut origin = self.lock();
-        if origin.committed.as_ref().is_some_and(|present| present.ballot >= newer.ballot) {
+        let mut sources = self.lock();
+        if sources.committed.as_ref().is_some_and(|present| present.ballot >= newer.ballot) {
             return;
         }
-        origin.committed = Some(newer.clone());
+        sources.committed = Some(newer.clone());
         let control = Arc::clone(&newer.value);
         self.sender.send_modify(|view| {
             let configuration = compiled_configuration(view, &control);
@@ -110,8 +110,8 @@
 
     /// Records that at the time `at` a majority confirmed the committed value as the newest.
     pub fn confirm(&self, at: Instant) {
-        let mut origin = self.lock();
-        origin.confirmed_at = origin.confirmed_at.max(Some(at));
+        let mut sources = self.lock();
+        sources.confirmed_at = sources.confirmed_at.max(Some(at));
     }
 
     /// Returns the newest server list that a leader has distributed. Changes in a
@@ -123,9 +123,9 @@
 
     /// Adopts a server list if its version is higher than that of the present list.
     pub fn adopt_servers(&self, newer: Arc<ServerList>) {
-        let mut origin = self.lock();
-        if newer.version.local == 0 && newer.version > origin.leader_servers.version {
-            origin.leader_servers = Arc::clone(&newer);
+        let mut sources = self.lock();
+        if newer.version.local == 0 && newer.version > sources.leader_servers.version {
+            sources.leader_servers = Arc::clone(&newer);
         }
         self.sender.send_if_modified(|view| {
             if view.servers.version >= newer.version {
@@ -164,12 +164,12 @@
 
     /// Records that at the time `at` the platform listed the servers as they are in the view.
     pub fn record_servers_read(&self, at: Instant) {
-        let mut origin = self.lock();
-        origin.servers_read_at = origin.servers_read_at.max(Some(at));
+        let mut sources = self.lock();
+        sources.servers_read_at = sources.servers_read_at.max(Some(at));
     }
 
-    fn lock(&self) -> MutexGuard<'_, Origin> {
-        self.origin.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, ViewSources> {
+        self.sources.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
