--- a/crates/control-plane/src/consensus/proposal_attempt.rs
+++ b/crates/control-plane/src/consensus/proposal_attempt.rs
@@ -26,7 +26,8 @@
     OtherCommitted,
     /// An acceptor has promised this higher ballot to another proposal.
     Preempted(Ballot),
-    /// No majority of the acceptors has replied by the deadline.
+    /// No majority of the acceptors has replied before the deadline or before all calls have ended, or no
+    /// committed value is known to base a proposal on.
     NoQuorum,
 }
 
@@ -84,7 +85,7 @@
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             let Ok(Some((member, reply))) = tokio::time::timeout(remaining, self.calls.next()).await else {
-                log::debug!(round = self.ballot.round; "proposal without a quorum");
+                log::debug!(round = self.ballot.round; "proposal failed: no majority of the acceptors has replied");
                 return AttemptOutcome::NoQuorum;
             };
             let Ok(reply) = reply else { continue };
@@ -98,7 +99,11 @@
                 }
                 ProposalStep::Committed(value) => return self.on_committed(value).await,
                 ProposalStep::Preempted(higher) => {
-                    log::debug!(round = self.ballot.round, promised_round = higher.round; "proposal preempted");
+                    log::debug!(
+                        round = self.ballot.round,
+                        promised_round = higher.round;
+                        "proposal preempted: an acceptor has promised a higher ballot"
+                    );
                     return AttemptOutcome::Preempted(higher);
                 }
             }
@@ -169,7 +174,7 @@
                 (member, Ok(reply)) if reply.incarnation == member.incarnation => drop(learned.send(member)),
                 (_, Ok(_)) => {}
                 (member, Err(error)) => {
-                    log::debug!("{} was not notified of a committed value: {error}", member.name);
+                    log::debug!("acceptor {} was not notified of a committed value: {error}", member.name);
                 }
             }
         });
--- a/crates/control-plane/src/discovery/platform.rs
+++ b/crates/control-plane/src/discovery/platform.rs
@@ -137,7 +137,7 @@
                 return Ok(ServerList::new(version, servers));
             }
         }
-        Err(PlatformError::Unreadable("it has no last page".into()))
+        Err(PlatformError::Unreadable(format!("it has more than {MAX_PAGES} pages")))
     }
 
     async fn read_page(&self, key: Option<&str>) -> Result<Page, PlatformError> {
@@ -150,7 +150,9 @@
         match response.status().as_u16() {
             200 => {}
             429 => return Err(PlatformError::TooManyCalls),
-            status => return Err(PlatformError::Unreadable(format!("status {status}"))),
+            status => {
+                return Err(PlatformError::Unreadable(format!("the platform replied with status {status}")))
+            }
         }
         let body = response.bytes().await.map_err(unreadable)?;
         serde_json::from_slice(&body).map_err(|error| PlatformError::Unreadable(error.to_string()))
--- a/crates/control-plane/src/rollout/planner_input.rs
+++ b/crates/control-plane/src/rollout/planner_input.rs
@@ -16,7 +16,7 @@
 }
 
 impl PlannerInput {
-    /// Forgets the passed view, because the next call of `update` is for a new planner.
+    /// Clears the passed view, because the next call of `update` is for a new planner.
     pub(super) fn reset(&mut self) {
         self.passed_view = None;
     }
