--- a/crates/control-plane/tests/acceptor_gossip.rs
+++ b/crates/control-plane/tests/acceptor_gossip.rs
@@ -1,4 +1,4 @@
-//! The acceptors that a process has received by gossip.
+//! Selection of the newest acceptors that a process has received by gossip.
 
 use control_plane::{AcceptorGossip, GossipMessage};
 
--- a/crates/control-plane/tests/acceptor_service.rs
+++ b/crates/control-plane/tests/acceptor_service.rs
@@ -1,4 +1,4 @@
-//! The acceptor of the register on its disk.
+//! Durability of the acceptor of the register: replies, recovery and failures of its disk.
 
 mod support;
 
@@ -78,7 +78,7 @@
     assert_eq!(accepted(&shown), Some(newer));
 }
 
-/// A journal whose writer takes what is queued each time that it is let go on.
+/// A journal whose writer waits for a permit before each write of the queued records.
 struct PacedJournal {
     journal: Journal,
     incarnation: Incarnation,
@@ -108,7 +108,7 @@
         AcceptorService::new(self.journal.clone(), self.incarnation, &[])
     }
 
-    /// Lets the writer write what is queued.
+    /// Permits the writer to write all queued records, and lets it run.
     async fn write_queued(&self) {
         self.steps.add_permits(1);
         for _ in 0..8 {
@@ -128,7 +128,7 @@
     assert!(poll!(&mut acceptance).is_pending());
     disk.fail_syncs(1);
     paced.write_queued().await;
-    // The failure is not yet known here when the promise is queued.
+    // The service has not processed the failure yet when the promise is queued.
     let mut promise = Box::pin(service.handle(AcceptorRequest::Prepare(Ballot { round: 8, proposer: 7 })));
     assert!(poll!(&mut promise).is_pending());
     assert_eq!(acceptance.await, None, "it is not durable");
@@ -147,7 +147,7 @@
     let service = paced.acceptor();
     let first = initial_value(paced.incarnation);
     let (older, newer) = (next(&first, 5), next(&first, 6));
-    // What was accepted and promised stays the same from here on.
+    // The accepted value and the promise stay the same from here on, so that only the learned values differ.
     let mut accept = Box::pin(service.handle(AcceptorRequest::Accept(next(&first, 9))));
     assert!(poll!(&mut accept).is_pending());
     let mut learn_older = Box::pin(service.handle(AcceptorRequest::Learn(older)));
--- a/crates/control-plane/tests/contacts.rs
+++ b/crates/control-plane/tests/contacts.rs
@@ -1,4 +1,4 @@
-//! When acceptors replied last, and which of them are reported as unresponsive.
+//! Detection of unresponsive acceptors from the times of their last replies.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     incarnations.iter().map(member).collect()
 }
 
-/// Rounds in which all of these acceptors but `unresponsive` reply.
+/// Runs rounds in which all of these acceptors except `unresponsive` reply.
 async fn rounds(contacts: &AcceptorContacts, all: &[u64], unresponsive: &[u64], count: u32) {
     for _ in 0..count {
         contacts.begin_round(&acceptors(all));
--- a/crates/control-plane/tests/control_update.rs
+++ b/crates/control-plane/tests/control_update.rs
@@ -1,4 +1,4 @@
-//! Updates of the control state carry the configuration only where it changed.
+//! Updates of the control state: they contain the configuration only if it has changed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 use state::{AppliedChange, ControlState, Document, MAX_APPLIED_CHANGES};
 use yare::parameterized;
 
-/// Far more than the rest of a state takes, also compressed.
+/// Size of the configuration, far larger than the rest of a state even when compressed.
 const CONFIGURATION_BYTES: usize = 20_000;
 
-/// A text that compression does not make much shorter.
+/// Returns a text that compression shortens only slightly.
 fn incompressible(bytes: usize) -> String {
     let mut random = fastrand::Rng::with_seed(7);
     (0..bytes).map(|_| random.alphanumeric()).collect()
@@ -49,7 +49,7 @@
     assert_eq!(update.apply(&ControlState::default()), Some(newest));
 }
 
-/// A state after this many changes, each of which raised the version by two.
+/// Returns the state after `times` changes, each of which has raised the version of the configuration by two.
 fn changed(times: u64) -> ControlState {
     let newest = (1..=times).rev().take(MAX_APPLIED_CHANGES).collect::<Vec<_>>();
     let taken =
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -1,8 +1,8 @@
-//! What the control plane writes on disks and sends: internal messages, the acceptor's journal, the operator's
-//! interface, calls to servers.
+//! Golden files of the bytes and texts that the control plane writes to disks and sends: internal messages,
+//! the acceptor's journal, the operator's interface and calls to servers.
 //!
-//! `bincode` encodes by position, so a field or variant that moves, is added or changes its type changes these bytes.
-//! A file that is missing is written when `GOLDEN_WRITE` is set; otherwise files never change.
+//! `bincode` encodes by position: a field or variant that is moved or added, or whose type changes, changes
+//! these bytes. If `GOLDEN_WRITE` is set, a missing file is written; existing files never change.
 
 mod support;
 
@@ -24,7 +24,7 @@
 use serde::Serialize;
 use state::{AppliedChange, ControlState, Document, DrainState, StoreMember, StoreSet};
 
-/// The text of a file, after it was compared with `present`.
+/// Checks that `present` equals the text of a golden file, and returns that text.
 fn check_text(name: &str, present: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
@@ -35,7 +35,7 @@
     golden
 }
 
-/// Compares bytes with a file, and gives those of the file.
+/// Checks that `present` equals the bytes of a golden file, and returns those bytes.
 fn check_bytes(name: &str, present: &[u8]) -> Vec<u8> {
     let hex_line = |line: &[u8]| line.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
     let golden = check_text(name, &present.chunks(32).map(hex_line).collect::<String>());
@@ -44,7 +44,7 @@
     digits.chunks(2).map(byte).collect()
 }
 
-/// Compares a message with its file in both directions.
+/// Checks that a message is encoded to the bytes of its golden file and decoded from them.
 fn check<T: Serialize + DeserializeOwned + std::fmt::Debug>(name: &str, message: &T) {
     let golden = check_bytes(name, &rpc::encode(message));
     let decoded: T = rpc::decode(&golden).expect("the message is read");
@@ -60,7 +60,7 @@
     StoreMember { member: member(name, incarnation), zone: "z".into() }
 }
 
-/// A control state with every field set.
+/// Returns a control state with every field set.
 fn control_state() -> ControlState {
     let stores = |epoch, first: u64| StoreSet {
         epoch,
@@ -92,7 +92,7 @@
     }
 }
 
-/// A value with every field set.
+/// Returns a committed value with every field set.
 fn versioned() -> Versioned<ControlState> {
     Versioned {
         ballot: Ballot { round: 400, proposer: u64::MAX },
--- a/crates/control-plane/tests/leader_election.rs
+++ b/crates/control-plane/tests/leader_election.rs
@@ -1,4 +1,4 @@
-//! The leader lease of nodes that share a register.
+//! Leader election of nodes that share a register: the lease, its fencing tokens and the delay before orders.
 
 mod support;
 
@@ -12,14 +12,14 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// Servers do not check fencing tokens; the gap is longer than any wait of these tests.
+/// Gap for servers that do not check fencing tokens. It is longer than any wait in these tests.
 const UNCHECKED: OrderGap = OrderGap { between_leaders: Duration::from_secs(60), is_fence_checked: false };
-/// Servers reject orders with a lower fencing token.
+/// Gap for servers that reject orders with a lower fencing token.
 const CHECKED: OrderGap = OrderGap { is_fence_checked: true, ..UNCHECKED };
-/// No wait of these tests is longer.
+/// Maximum time of each wait in these tests.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts the election of a node.
+/// Starts the election of a node, with a gap that is required in any case.
 fn start_election(node: &Node) -> Arc<Leadership> {
     start_election_with(node, UNCHECKED)
 }
@@ -38,7 +38,7 @@
     leadership
 }
 
-/// Waits for the first fencing token that `fence` returns.
+/// Calls `fence` until it returns a fencing token.
 async fn until_some(fence: impl Fn() -> Option<u64>) -> u64 {
     let some = async {
         loop {
@@ -76,7 +76,8 @@
     let first = start_election(&nodes[0]);
     let fence = until_some(|| first.fence_for_orders()).await;
 
-    // What a candidate did before raises were conditional: its lease has expired, and it raises the token nevertheless.
+    // A candidate whose lease has expired must not raise the token; here it is raised nevertheless, without
+    // the condition that prevents it.
     let late = |state: &ControlState| with_raised_fence(state, "late", state.fence);
     let raised = nodes[0].proposer.change(Instant::now() + TEST_TIMEOUT, late).await.expect("it is raised");
     assert_eq!(raised.value.fence, fence + 1);
@@ -101,12 +102,12 @@
     assert!(started_at.elapsed() < LEASE_TTL / 2);
 }
 
-/// What the previous leader does.
+/// State of the previous leader after it has released the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PreviousLeader {
-    /// It has released the lease, and still runs.
+    /// The process continues to run and reports itself as stable.
     StillRuns,
-    /// It shuts down.
+    /// The process shuts down and reports that it is not stable.
     ShutsDown,
 }
 
--- a/crates/control-plane/tests/migration_watch.rs
+++ b/crates/control-plane/tests/migration_watch.rs
@@ -1,4 +1,4 @@
-//! Which stores hold up a migration of batch jobs.
+//! The stores that delay a migration of batch jobs.
 
 use control_plane::PendingStore;
 use register::{Incarnation, Member};
--- a/crates/control-plane/tests/operator_api.rs
+++ b/crates/control-plane/tests/operator_api.rs
@@ -1,4 +1,4 @@
-//! Requests of the operator and of trainers at nodes that share a register.
+//! Requests to the operator's interface of nodes that share a register.
 
 mod support;
 
--- a/crates/control-plane/tests/order_tracker.rs
+++ b/crates/control-plane/tests/order_tracker.rs
@@ -1,4 +1,4 @@
-//! Calls to servers that outlive their term of the lease.
+//! Calls to servers that are still in flight when the term of the lease that started them has ended.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// The calls that the present term makes now, for one server that is a version behind.
+/// Returns the calls that are due in the present term, for one server whose model is one version behind.
 fn due_actions(tracker: &mut OrderTracker, now: Duration) -> Vec<RolloutAction> {
     let Some(planner) = tracker.planner() else { return Vec::new() };
     planner.set_target_version(now, "m", 2);
@@ -26,7 +26,7 @@
     planner.next_actions(now)
 }
 
-/// Everything that is due is sent.
+/// Records all due calls as sent and returns them with their tags.
 fn send(tracker: &mut OrderTracker, now: Duration) -> Vec<(CallTag, RolloutAction)> {
     let actions = due_actions(tracker, now);
     actions.into_iter().map(|action| (tracker.record_call(&action).expect("a term"), action)).collect()
@@ -38,7 +38,7 @@
     CallOutcome::Reported(ServerId::from(SERVER), Box::new(report))
 }
 
-/// A tracker whose first term has an order under way.
+/// Returns a tracker whose first term has an order in flight, and the tag of that order.
 fn with_order() -> (OrderTracker, CallTag) {
     let mut tracker = OrderTracker::default();
     tracker.set_term(Some(1));
--- a/crates/control-plane/tests/ping_service.rs
+++ b/crates/control-plane/tests/ping_service.rs
@@ -1,4 +1,4 @@
-//! What a process reports of itself in reply to a ping.
+//! State that a process reports in reply to a ping.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/control-plane/tests/platform.rs
+++ b/crates/control-plane/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Reading the platform's list.
+//! Reading of the platform's list of servers over HTTP.
 
 use control_plane::{ListSource, Platform, PlatformError};
 use poem::http::StatusCode;
--- a/crates/control-plane/tests/poll.rs
+++ b/crates/control-plane/tests/poll.rs
@@ -1,4 +1,4 @@
-//! The long poll: its replies, and how a view adopts them.
+//! The long poll: its replies, and their adoption by a view.
 
 mod support;
 
--- a/crates/control-plane/tests/quorum_service.rs
+++ b/crates/control-plane/tests/quorum_service.rs
@@ -1,4 +1,4 @@
-//! What the grantor of a machine learns of a change of the acceptors before it grants the leader lease.
+//! The grantor of a machine must learn of a change of the acceptors before it grants the leader lease.
 
 mod support;
 
@@ -17,7 +17,7 @@
     Member { name: format!("node-{}", incarnation.0), incarnation, address: "127.0.0.1:1".into() }
 }
 
-/// The state after `value`, with other acceptors.
+/// Returns a value after `value`, with other acceptors.
 fn with_others(value: &Versioned<ControlState>, round: u64) -> Versioned<ControlState> {
     let acceptors = vec![value.value.acceptors[0].clone(), member(Incarnation(3))];
     let revision = value.value.revision + 1;
--- a/crates/control-plane/tests/server_update.rs
+++ b/crates/control-plane/tests/server_update.rs
@@ -1,4 +1,4 @@
-//! Updates of the server list contain only the changes.
+//! Updates of the server list: they contain only the changes if the receiver has a recent list of the leader.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -117,7 +117,8 @@
     assert!(Arc::ptr_eq(&poll(), &poll()));
 }
 
-/// Thousands of servers whose versions change at once take a few bytes each.
+/// A rollout changes the versions of thousands of servers at once. The update must not contain their complete
+/// entries.
 #[test]
 fn given_a_rollout_to_thousands_of_servers_when_polled_then_the_changes_are_small() {
     const SERVERS: usize = 3_000;
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A few acceptors on the loopback address, each with a disk in memory.
+//! Nodes with acceptors on the loopback address, each with a disk in memory.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::path::Path;
@@ -19,16 +19,16 @@
 use storage::{Journal, RingOptions};
 use tokio::net::TcpListener;
 
-/// The ring of an acceptor.
+/// Size of the journal's ring of an acceptor.
 pub const RING_OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
-/// The ballot of the initial value.
+/// Ballot of the initial value of the register.
 pub const INITIAL_BALLOT: Ballot = Ballot { round: 1, proposer: 0 };
 
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
-/// These nodes report themselves as stable from the start on.
+/// Nodes report themselves as stable from their start.
 const STABLE_AFTER: Duration = Duration::ZERO;
 
-/// A traffic node with an acceptor.
+/// Traffic node with an acceptor.
 pub struct Node {
     pub view: Arc<ViewCell>,
     pub proposer: Arc<Proposer>,
@@ -37,7 +37,7 @@
     operator: BoxEndpoint<'static, Response>,
 }
 
-/// An acceptor on a disk, as a process has it that starts now.
+/// Opens the acceptor on a disk, as a process does at its start. Returns its incarnation too.
 pub fn acceptor(disk: &SimulatedDisk) -> (Arc<AcceptorService>, Incarnation) {
     let opened = Journal::open_inline(disk.file_system(), Path::new("/data"), RING_OPTIONS);
     let (journal, recovered) = opened.expect("the disk opens");
@@ -45,7 +45,7 @@
     (AcceptorService::new(journal, incarnation, &recovered.records), incarnation)
 }
 
-/// The initial value of a register with these acceptors and stores, and one tolerated failure.
+/// Returns the initial value of a register with these acceptors and stores, and one tolerated failure.
 pub fn initial_value_with(acceptors: Vec<Member>, stores: Vec<StoreMember>) -> Versioned<ControlState> {
     let state = initial_state(acceptors, stores, 1).expect("there are acceptors");
     Versioned::new(INITIAL_BALLOT, Arc::new(state))
@@ -57,12 +57,12 @@
     StoreMember { member, zone: "z".into() }
 }
 
-/// Nodes whose register has its initial value, with this many stores.
+/// Starts `count` nodes whose register has its initial value, with this many stores.
 pub async fn nodes(count: usize, stores: u64) -> Vec<Node> {
     nodes_with(count, stores, |state| state).await
 }
 
-/// As [`nodes`], with an initial value that `adapt` has changed.
+/// Starts nodes as [`nodes`] does, with an initial value that `adapt` has changed.
 pub async fn nodes_with(
     count: usize,
     stores: u64,
@@ -124,7 +124,8 @@
         .at(paths::POLL, poem::post(rpc::handler(poll)))
 }
 
-/// Adds the routes of a grantor that has known the grantors of `view` for one lease time, and may grant at once.
+/// Adds the routes of a grantor that has known the grantors of `view` for the validity time of a lease, so
+/// that it may grant the lease immediately.
 fn with_lease_routes(routes: Route, incarnation: Incarnation, view: &Arc<ViewCell>) -> Route {
     let grantor = Arc::new(Mutex::new(Grantor::new(GrantorId(incarnation.0), Duration::ZERO, LEASE_TTL)));
     let started_at = Instant::now();
@@ -180,7 +181,7 @@
     }
 }
 
-/// The response to a request to the operator's interface.
+/// Response of the operator's interface.
 #[derive(Debug)]
 pub struct OperatorReply {
     pub status: StatusCode,
@@ -195,17 +196,17 @@
     )
 }
 
-/// The version of a list of the leader with this fencing token.
+/// Returns the version of a list of the leader with this fencing token.
 pub fn version(fence: u64, sequence: u64) -> ServerListVersion {
     ServerListVersion { fence, sequence, local: 0 }
 }
 
-/// An empty list of that version.
+/// Returns an empty list of that version.
 pub fn list(fence: u64, sequence: u64) -> Arc<ServerList> {
     Arc::new(ServerList::new(version(fence, sequence), []))
 }
 
-/// A committed value of this round, with a configuration of this version.
+/// Returns a committed value of this round, with a configuration of this version.
 pub fn value(round: u64, configuration_version: u64) -> Versioned<ControlState> {
     let state = ControlState {
         configuration_version,
--- a/crates/control-plane/tests/view.rs
+++ b/crates/control-plane/tests/view.rs
@@ -1,4 +1,4 @@
-//! Views only go forward.
+//! Views never replace a newer control state, server list or confirmation by an older one.
 
 mod support;
 
