--- a/crates/control-plane/tests/control_update.rs
+++ b/crates/control-plane/tests/control_update.rs
@@ -17,12 +17,15 @@
     (0..bytes).map(|_| random.alphanumeric()).collect()
 }
 
-fn state(edition: u64, target_version: u64) -> ControlState {
+fn state(configuration_version: u64, target_version: u64) -> ControlState {
     ControlState {
-        revision: 10 * edition + target_version,
+        revision: 10 * configuration_version + target_version,
         configuration: Document::new(incompressible(CONFIGURATION_BYTES)),
-        configuration_version: edition,
-        applied_changes: VecDeque::from([AppliedChange { digest: edition.into(), version: edition }]),
+        configuration_version,
+        applied_changes: VecDeque::from([AppliedChange {
+            digest: configuration_version.into(),
+            version: configuration_version,
+        }]),
         target_versions: BTreeMap::from([("m".to_owned(), target_version)]),
         fence: 3,
         ..ControlState::default()
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn given_the_same_configuration_when_a_version_is_named_then_the_configuration_is_not_sent() {
+fn given_the_same_configuration_when_a_target_version_changes_then_the_configuration_is_not_sent() {
     let (present, newest) = (state(5, 1), committed(state(5, 2)));
     let update = ControlUpdate::new(&newest, present.configuration_version);
     assert!(newest.value.configuration.compressed_bytes() > CONFIGURATION_BYTES / 2);
@@ -50,21 +53,21 @@
 }
 
 /// Returns the state after `times` changes, each of which has raised the version of the configuration by two.
-fn changed(times: u64) -> ControlState {
+fn state_after_changes(times: u64) -> ControlState {
     let newest = (1..=times).rev().take(MAX_APPLIED_CHANGES).collect::<Vec<_>>();
-    let taken =
+    let applied =
         newest.into_iter().rev().map(|change| AppliedChange { digest: change.into(), version: 2 * change });
-    ControlState { applied_changes: taken.collect(), ..state(2 * times, 1) }
+    ControlState { applied_changes: applied.collect(), ..state(2 * times, 1) }
 }
 
 #[parameterized(
     next = { 5, 6 },
     many_later = { 5, 900 },
-    when_some_are_forgotten = { 1500, 1510 },
-    when_all_that_is_held_is_forgotten = { 5, 1500 },
+    some_changes_are_discarded = { 1500, 1510 },
+    all_changes_of_the_receiver_are_discarded = { 5, 1500 },
 )]
 fn given_a_newer_configuration_when_polled_then_only_the_changes_since_are_sent(present: u64, newest: u64) {
-    let (present, newest) = (changed(present), committed(changed(newest)));
+    let (present, newest) = (state_after_changes(present), committed(state_after_changes(newest)));
     let update = ControlUpdate::new(&newest, present.configuration_version);
     let bytes = rpc::encode(&update).len() - newest.value.configuration.compressed_bytes();
     let since = (newest.value.configuration_version - present.configuration_version) as usize / 2;
@@ -74,8 +77,8 @@
 
 #[test]
 fn given_changes_since_a_version_when_the_receiver_has_another_one_then_they_are_not_applied() {
-    let newest = committed(changed(6));
-    assert_eq!(ControlUpdate::new(&newest, 10).apply(&changed(4)), None);
+    let newest = committed(state_after_changes(6));
+    assert_eq!(ControlUpdate::new(&newest, 10).apply(&state_after_changes(4)), None);
 }
 
 #[test]
--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -28,9 +28,9 @@
 fn check_text(name: &str, present: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
-        std::fs::write(&path, present).expect("the file is written");
+        std::fs::write(&path, present).expect("the golden file can be written");
     }
-    let golden = std::fs::read_to_string(&path).expect("the golden file is there");
+    let golden = std::fs::read_to_string(&path).expect("the golden file exists");
     assert_eq!(present, golden, "{name} has changed");
     golden
 }
@@ -40,14 +40,17 @@
     let hex_line = |line: &[u8]| line.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n";
     let golden = check_text(name, &present.chunks(32).map(hex_line).collect::<String>());
     let digits: Vec<u8> = golden.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex");
+    let byte = |pair: &[u8]| {
+        u8::from_str_radix(std::str::from_utf8(pair).expect("the digits are ASCII"), 16)
+            .expect("the digits are hexadecimal")
+    };
     digits.chunks(2).map(byte).collect()
 }
 
 /// Checks that a message is encoded to the bytes of its golden file and decoded from them.
 fn check<T: Serialize + DeserializeOwned + std::fmt::Debug>(name: &str, message: &T) {
     let golden = check_bytes(name, &rpc::encode(message));
-    let decoded: T = rpc::decode(&golden).expect("the message is read");
+    let decoded: T = rpc::decode(&golden).expect("the golden message can be decoded");
     assert_eq!(format!("{decoded:?}"), format!("{message:?}"), "{name}");
     assert_eq!(rpc::encode(&decoded), golden, "{name}");
 }
--- a/crates/control-plane/tests/migration_watch.rs
+++ b/crates/control-plane/tests/migration_watch.rs
@@ -5,21 +5,21 @@
 use state::change::Observation;
 use state::{ControlState, StoreMember, StoreSet};
 
-fn store(name: &str, incarnation: u64) -> StoreMember {
+fn store_member(name: &str, incarnation: u64) -> StoreMember {
     let member =
         Member { name: name.into(), incarnation: Incarnation(incarnation), address: format!("{name}:1") };
     StoreMember { member, zone: "z".into() }
 }
 
 fn migrating_to(epoch: u64) -> ControlState {
-    let members = vec![store("a", 1), store("b", 2)];
+    let members = vec![store_member("a", 1), store_member("b", 2)];
     let previous = StoreSet { epoch: epoch - 1, members: members.clone(), ..StoreSet::default() };
     let stores = StoreSet { epoch, members, ..StoreSet::default() };
     ControlState { previous_stores: Some(previous), stores, ..ControlState::default() }
 }
 
 #[test]
-fn given_a_store_in_an_older_epoch_when_a_migration_is_watched_then_it_is_named() {
+fn given_a_store_that_has_not_migrated_when_pending_stores_are_listed_then_it_is_included() {
     let mut observed = Observation::default();
     observed.record_committed_epoch(Incarnation(1), 2);
     observed.record_committed_epoch(Incarnation(2), 1);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn given_no_migration_when_watched_then_no_store_is_named() {
+fn given_no_migration_when_pending_stores_are_listed_then_there_are_none() {
     let finished = ControlState { previous_stores: None, ..migrating_to(2) };
     assert!(PendingStore::all_of(&finished, &Observation::default()).is_empty());
 }
--- a/crates/control-plane/tests/order_tracker.rs
+++ b/crates/control-plane/tests/order_tracker.rs
@@ -8,7 +8,7 @@
 
 const SERVER: &str = "i-1";
 
-fn at(milliseconds: u64) -> Duration {
+fn millis(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
@@ -27,71 +27,80 @@
 }
 
 /// Records all due calls as sent and returns them with their tags.
-fn send(tracker: &mut OrderTracker, now: Duration) -> Vec<(CallTag, RolloutAction)> {
+fn send_due_calls(tracker: &mut OrderTracker, now: Duration) -> Vec<(CallTag, RolloutAction)> {
     let actions = due_actions(tracker, now);
-    actions.into_iter().map(|action| (tracker.record_call(&action).expect("a term"), action)).collect()
+    actions
+        .into_iter()
+        .map(|action| (tracker.record_call(&action).expect("a term has begun"), action))
+        .collect()
 }
 
-fn report() -> CallOutcome {
+fn report_outcome() -> CallOutcome {
     let report: ServerReport =
-        serde_json::from_str(r#"{"models":[{"name":"m","edition":1}]}"#).expect("a report");
+        serde_json::from_str(r#"{"models":[{"name":"m","edition":1}]}"#).expect("the report is valid");
     CallOutcome::Reported(ServerId::from(SERVER), Box::new(report))
 }
 
 /// Returns a tracker whose first term has an order in flight, and the tag of that order.
-fn with_order() -> (OrderTracker, CallTag) {
+fn tracker_with_order_in_flight() -> (OrderTracker, CallTag) {
     let mut tracker = OrderTracker::default();
     tracker.set_term(Some(1));
-    let requested = send(&mut tracker, at(0));
+    let requested = send_due_calls(&mut tracker, millis(0));
     assert!(
         matches!(&requested[..], [(_, RolloutAction::RequestReport(_))]),
         "a report is requested before the first order: {requested:?}"
     );
-    tracker.record_outcome(at(10), requested[0].0, &report());
-    let ordered = send(&mut tracker, at(600));
+    tracker.record_outcome(millis(10), requested[0].0, &report_outcome());
+    let ordered = send_due_calls(&mut tracker, millis(600));
     assert!(matches!(&ordered[..], [(_, RolloutAction::SendOrder(_))]), "{ordered:?}");
     (tracker, ordered[0].0)
 }
 
 #[parameterized(
-    acknowledged = { OrderReply::Accepted },
+    accepted = { OrderReply::Accepted },
     indeterminate = { OrderReply::Indeterminate },
 )]
-fn given_an_order_in_flight_when_another_term_begins_then_nothing_is_sent_before_it_has_finished(
+fn given_an_order_in_flight_when_another_term_begins_then_no_call_is_sent_before_the_order_has_finished(
     reply: OrderReply,
 ) {
-    let (mut tracker, tag) = with_order();
+    let (mut tracker, tag) = tracker_with_order_in_flight();
     tracker.set_term(None);
     tracker.set_term(Some(2));
-    assert!(due_actions(&mut tracker, at(700)).is_empty(), "an order with the old token may still arrive");
-    tracker.record_outcome(at(900), tag, &CallOutcome::Answered(SERVER.into(), reply));
     assert!(
-        matches!(&due_actions(&mut tracker, at(900))[..], [RolloutAction::RequestReport(_)]),
+        due_actions(&mut tracker, millis(700)).is_empty(),
+        "an order with the old token may still arrive"
+    );
+    tracker.record_outcome(millis(900), tag, &CallOutcome::Answered(SERVER.into(), reply));
+    assert!(
+        matches!(&due_actions(&mut tracker, millis(900))[..], [RolloutAction::RequestReport(_)]),
         "the new term requests a report first"
     );
 }
 
 #[test]
-fn given_a_late_rejection_of_an_earlier_term_when_it_arrives_then_the_present_term_continues() {
-    let (mut tracker, tag) = with_order();
+fn given_an_order_of_an_earlier_term_when_it_is_rejected_late_then_the_present_term_continues() {
+    let (mut tracker, tag) = tracker_with_order_in_flight();
     tracker.set_term(Some(2));
-    tracker.record_outcome(at(700), tag, &CallOutcome::Answered(SERVER.into(), OrderReply::Fenced));
-    let requested = send(&mut tracker, at(700));
+    tracker.record_outcome(millis(700), tag, &CallOutcome::Answered(SERVER.into(), OrderReply::Fenced));
+    let requested = send_due_calls(&mut tracker, millis(700));
     assert!(
         matches!(&requested[..], [(_, RolloutAction::RequestReport(_))]),
-        "it was not the present token that was rejected: {requested:?}"
+        "the rejected token is not that of the present term: {requested:?}"
     );
 }
 
 #[test]
-fn given_a_late_report_to_an_earlier_term_when_it_arrives_then_it_does_not_answer_the_present_term() {
+fn given_a_report_for_an_earlier_term_when_it_arrives_late_then_the_present_term_waits_for_its_own_report() {
     let mut tracker = OrderTracker::default();
     tracker.set_term(Some(1));
-    let earlier = send(&mut tracker, at(0))[0].0;
+    let earlier = send_due_calls(&mut tracker, millis(0))[0].0;
     tracker.set_term(Some(2));
-    let present = send(&mut tracker, at(100))[0].0;
-    tracker.record_outcome(at(200), earlier, &report());
-    assert!(due_actions(&mut tracker, at(700)).is_empty(), "its own request has no reply yet");
-    tracker.record_outcome(at(700), present, &report());
-    assert!(matches!(&due_actions(&mut tracker, at(1300))[..], [RolloutAction::SendOrder(_)]));
+    let present = send_due_calls(&mut tracker, millis(100))[0].0;
+    tracker.record_outcome(millis(200), earlier, &report_outcome());
+    assert!(
+        due_actions(&mut tracker, millis(700)).is_empty(),
+        "the request of the present term has no reply yet"
+    );
+    tracker.record_outcome(millis(700), present, &report_outcome());
+    assert!(matches!(&due_actions(&mut tracker, millis(1300))[..], [RolloutAction::SendOrder(_)]));
 }
--- a/crates/control-plane/tests/ping_service.rs
+++ b/crates/control-plane/tests/ping_service.rs
@@ -9,7 +9,7 @@
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
 
 #[test]
-fn given_a_process_without_a_known_epoch_when_pinged_then_it_reports_no_migration() {
+fn given_a_process_whose_migrated_epoch_is_unknown_when_pinged_then_it_reports_epoch_zero() {
     let view = Arc::new(ViewCell::new());
     let service = PingService::new(view, Arc::default(), UNRESPONSIVE_AFTER, STABLE_AFTER);
     assert_eq!(service.reply().committed_epoch, 0);
--- a/crates/control-plane/tests/poll.rs
+++ b/crates/control-plane/tests/poll.rs
@@ -7,17 +7,17 @@
 use control_plane::{PollReply, PollRequest, PollService, ServerUpdate, ViewCell};
 use register::Ballot;
 use state::{ControlState, ServerList, ServerListVersion};
-use support::{list, value, version};
+use support::{committed_value, empty_list, list_version};
 use tokio::time::Instant;
 use yare::parameterized;
 
 #[tokio::test]
-async fn given_something_newer_when_polled_then_the_reply_comes_at_once_with_the_version_of_the_list() {
+async fn given_something_newer_when_polled_then_the_reply_is_immediate_and_has_the_version_of_the_list() {
     let view = Arc::new(ViewCell::new());
-    view.adopt_control(&value(5, 9));
-    view.adopt_servers(list(3, 2));
+    view.adopt_control(&committed_value(5, 9));
+    view.adopt_servers(empty_list(3, 2));
     let service = PollService::new(Arc::clone(&view));
-    let known = Ballot { round: 5, proposer: 1 };
+    let known_ballot = Ballot { round: 5, proposer: 1 };
     let max_wait_ms = 1000;
     let poll = |ballot, servers| {
         service.reply(PollRequest {
@@ -28,19 +28,19 @@
             max_wait_ms,
         })
     };
-    let reply = poll(Ballot::default(), version(3, 2)).await;
+    let reply = poll(Ballot::default(), list_version(3, 2)).await;
     let newer = reply.control.and_then(|update| update.apply(&ControlState::default()));
-    assert_eq!(newer, Some(value(5, 9)));
-    assert_eq!((reply.servers, reply.servers_version), (None, version(3, 2)));
-    let reply = poll(known, version(3, 1)).await;
-    let newer = reply.servers.and_then(|update| update.apply(&list(3, 1)));
-    assert_eq!((reply.control, newer), (None, Some(list(3, 2))));
+    assert_eq!(newer, Some(committed_value(5, 9)));
+    assert_eq!((reply.servers, reply.servers_version), (None, list_version(3, 2)));
+    let reply = poll(known_ballot, list_version(3, 1)).await;
+    let newer = reply.servers.and_then(|update| update.apply(&empty_list(3, 1)));
+    assert_eq!((reply.control, newer), (None, Some(empty_list(3, 2))));
     let reply = service
         .reply(PollRequest {
-            ballot: known,
+            ballot: known_ballot,
             configuration_version: 9,
-            servers: version(9, 9),
-            servers_base: version(9, 9),
+            servers: list_version(9, 9),
+            servers_base: list_version(9, 9),
             max_wait_ms: 0,
         })
         .await;
@@ -48,43 +48,44 @@
 }
 
 #[tokio::test]
-async fn given_a_pending_poll_when_something_newer_is_adopted_then_the_reply_comes() {
+async fn given_a_pending_poll_when_a_newer_value_is_adopted_then_the_reply_contains_it() {
     let view = Arc::new(ViewCell::new());
     let service = PollService::new(Arc::clone(&view));
     let request = PollRequest {
         ballot: Ballot::default(),
         configuration_version: 0,
-        servers: version(0, 0),
-        servers_base: version(0, 0),
+        servers: list_version(0, 0),
+        servers_base: list_version(0, 0),
         max_wait_ms: 1000,
     };
-    let adopt = async { view.adopt_control(&value(5, 9)) };
+    let adopt = async { view.adopt_control(&committed_value(5, 9)) };
     let (reply, ()) = tokio::join!(service.reply(request), adopt);
     assert!(reply.control.is_some());
 }
 
-fn reply(servers: Option<Arc<ServerList>>, servers_version: ServerListVersion) -> PollReply {
+fn poll_reply(servers: Option<Arc<ServerList>>, servers_version: ServerListVersion) -> PollReply {
     let (confirmed_age_ms, servers_age_ms) = (Some(100), Some(100));
     let servers = servers.map(ServerUpdate::Complete);
     PollReply { control: None, servers, confirmed_age_ms, servers_version, servers_age_ms }
 }
 
 #[test]
-fn given_a_peer_with_an_older_list_when_it_reports_a_fresh_list_then_the_own_list_is_not_fresh() {
+fn given_a_peer_with_an_older_list_when_it_reports_the_age_of_its_list_then_the_age_of_the_own_list_is_unchanged(
+) {
     let view = ViewCell::new();
-    view.adopt_servers(list(3, 2));
-    reply(None, version(3, 1)).apply_to(&view, Instant::now());
+    view.adopt_servers(empty_list(3, 2));
+    poll_reply(None, list_version(3, 1)).apply_to(&view, Instant::now());
     assert_eq!(view.servers_age(), None);
     assert!(view.confirmed_age().is_some());
-    reply(None, version(3, 2)).apply_to(&view, Instant::now());
+    poll_reply(None, list_version(3, 2)).apply_to(&view, Instant::now());
     assert!(view.servers_age().is_some());
 }
 
 #[test]
 fn given_a_peer_with_a_newer_list_when_it_replies_then_list_and_age_are_adopted() {
     let view = ViewCell::new();
-    reply(Some(list(3, 2)), version(3, 2)).apply_to(&view, Instant::now());
-    assert_eq!(view.view().servers.version, version(3, 2));
+    poll_reply(Some(empty_list(3, 2)), list_version(3, 2)).apply_to(&view, Instant::now());
+    assert_eq!(view.view().servers.version, list_version(3, 2));
     assert!(view.servers_age().is_some());
 }
 
@@ -100,6 +101,6 @@
     servers_age_ms: Option<u32>,
     is_fresh: bool,
 ) {
-    let reply = PollReply { confirmed_age_ms, servers_age_ms, ..reply(None, version(0, 0)) };
+    let reply = PollReply { confirmed_age_ms, servers_age_ms, ..poll_reply(None, list_version(0, 0)) };
     assert_eq!(reply.is_fresh(), is_fresh);
 }
--- a/crates/control-plane/tests/quorum_service.rs
+++ b/crates/control-plane/tests/quorum_service.rs
@@ -10,7 +10,7 @@
 use register::{AcceptorRequest, Ballot, Incarnation, Member, ReplyOutcome, Versioned};
 use state::ControlState;
 use storage::simulated::SimulatedDisk;
-use support::{acceptor, initial_value_with};
+use support::{initial_value_with, open_acceptor};
 use yare::parameterized;
 
 fn member(incarnation: Incarnation) -> Member {
@@ -18,7 +18,7 @@
 }
 
 /// Returns a value after `value`, with other acceptors.
-fn with_others(value: &Versioned<ControlState>, round: u64) -> Versioned<ControlState> {
+fn with_other_acceptors(value: &Versioned<ControlState>, round: u64) -> Versioned<ControlState> {
     let acceptors = vec![value.value.acceptors[0].clone(), member(Incarnation(3))];
     let revision = value.value.revision + 1;
     let state = ControlState { acceptors, revision, ..ControlState::clone(&value.value) };
@@ -29,22 +29,24 @@
     rejected = { 5, false },
     accepted = { 9, true },
 )]
-fn given_a_proposal_of_other_acceptors_when_a_candidate_has_the_former_then_it_is_rejected_only_after_an_acceptance(
+fn given_a_proposal_of_other_acceptors_when_a_candidate_names_the_former_then_it_is_rejected_only_if_the_proposal_was_accepted(
     round: u64,
     is_candidate_rejected: bool,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    runtime.expect("a runtime").block_on(async {
-        let (acceptor_service, incarnation) = acceptor(&SimulatedDisk::new(1));
+    runtime.expect("the runtime is built").block_on(async {
+        let (acceptor_service, incarnation) = open_acceptor(&SimulatedDisk::new(1));
         let service = QuorumService::new(acceptor_service, incarnation, Arc::new(ViewCell::new()));
         let known = initial_value_with(vec![member(incarnation), member(Incarnation(2))], Vec::new());
-        service.initialize(known.clone()).await.expect("it is accepted");
+        service.initialize(known.clone()).await.expect("the initial value is accepted");
         service
             .handle(AcceptorRequest::Prepare(Ballot { round: 8, proposer: 7 }))
             .await
-            .expect("it is durable");
-        let reply =
-            service.handle(AcceptorRequest::Accept(with_others(&known, round))).await.expect("it answers");
+            .expect("the promise is durable");
+        let reply = service
+            .handle(AcceptorRequest::Accept(with_other_acceptors(&known, round)))
+            .await
+            .expect("the acceptor replies");
         assert_eq!(matches!(reply.outcome, ReplyOutcome::Accepted), is_candidate_rejected, "{reply:?}");
         tokio::time::advance(LEASE_TTL + Duration::from_millis(1)).await;
         let request = LeaseRequest {
--- a/crates/control-plane/tests/server_update.rs
+++ b/crates/control-plane/tests/server_update.rs
@@ -30,7 +30,7 @@
 }
 
 #[parameterized(
-    nothing = { &[("a", 1), ("b", 1)], &[("a", 1), ("b", 1)], 0, 0, 0 },
+    no_difference = { &[("a", 1), ("b", 1)], &[("a", 1), ("b", 1)], 0, 0, 0 },
     a_model_version = { &[("a", 1), ("b", 1)], &[("a", 2), ("b", 1)], 0, 0, 1 },
     all_model_versions = { &[("a", 1), ("b", 1)], &[("a", 2), ("b", 3)], 0, 0, 2 },
     a_new_server = { &[("a", 1), ("c", 1)], &[("a", 1), ("b", 1), ("c", 1)], 1, 0, 0 },
@@ -39,7 +39,7 @@
     a_removed_last_server = { &[("a", 1), ("b", 1)], &[("a", 1)], 0, 1, 0 },
     a_new_and_a_removed_server_and_a_version = { &[("a", 1), ("b", 1), ("d", 1)], &[("b", 2), ("c", 1), ("d", 1)], 1, 1, 1 },
     all_replaced = { &[("a", 1), ("b", 1)], &[("c", 1), ("d", 1)], 2, 2, 0 },
-    from_nothing = { &[], &[("a", 1)], 1, 0, 0 },
+    from_an_empty_list = { &[], &[("a", 1)], 1, 0, 0 },
 )]
 fn given_a_list_that_was_distributed_when_a_newer_is_polled_then_only_the_difference_is_sent(
     before: &[(&str, u64)],
@@ -59,10 +59,10 @@
 }
 
 #[parameterized(
-    never_seen = { version(0, 0) },
-    read_by_the_poller_itself = { version(1, 1) },
+    no_list = { version(0, 0) },
+    read_by_the_receiver_itself = { version(1, 1) },
 )]
-fn given_a_receiver_with_another_list_when_a_newer_is_polled_then_the_complete_list_is_sent(
+fn given_a_receiver_without_a_list_of_the_leader_when_a_newer_is_polled_then_the_complete_list_is_sent(
     receiver_version: ServerListVersion,
 ) {
     let (before, after) = (list(1, &[("a", 1)]), list(2, &[("a", 2)]));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn given_changes_when_the_receiver_has_a_later_list_then_they_are_not_applied() {
+fn given_changes_when_the_receiver_has_another_list_then_they_are_not_applied() {
     let (before, after) = (list(1, &[("a", 1)]), list(3, &[("a", 2)]));
     let mut recent = RecentLists::default();
     let _ = recent.update(version(1, 0), version(1, 0), &before);
@@ -112,7 +112,7 @@
     let _ = recent.update(version(1, 0), version(1, 0), &before);
     let mut poll = || match recent.update(version(1, 0), version(1, 0), &after) {
         Some(ServerUpdate::Changes(changes)) => changes,
-        other => panic!("{other:?}"),
+        other => panic!("changes were expected, received {other:?}"),
     };
     assert!(Arc::ptr_eq(&poll(), &poll()));
 }
@@ -120,12 +120,12 @@
 /// A rollout changes the versions of thousands of servers at once. The update must not contain their complete
 /// entries.
 #[test]
-fn given_a_rollout_to_thousands_of_servers_when_polled_then_the_changes_are_small() {
+fn given_a_rollout_to_thousands_of_servers_when_polled_then_the_changes_take_a_few_bytes_per_server() {
     const SERVERS: usize = 3_000;
     const MAX_BYTES: usize = 8 * SERVERS;
     let ids: Vec<String> = (0..SERVERS).map(|index| format!("server-{index:05}")).collect();
-    let all_at = |version| ids.iter().map(|id| (id.as_str(), version)).collect::<Vec<_>>();
-    let (before, after) = (list(1, &all_at(1)), list(2, &all_at(2)));
+    let all_with_version = |version| ids.iter().map(|id| (id.as_str(), version)).collect::<Vec<_>>();
+    let (before, after) = (list(1, &all_with_version(1)), list(2, &all_with_version(2)));
     let mut recent = RecentLists::default();
     let _ = recent.update(version(1, 0), version(1, 0), &before);
     let update = recent.update(version(1, 0), version(1, 0), &after).expect("the list is newer");
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn given_many_lists_when_a_receiver_is_far_behind_then_the_complete_list_is_sent() {
+fn given_many_lists_when_the_list_of_a_receiver_is_no_longer_kept_then_the_complete_list_is_sent() {
     let mut recent = RecentLists::default();
     for sequence in 1..=100 {
         let _ =
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Nodes with acceptors on the loopback address, each with a disk in memory.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::path::Path;
 use std::sync::{Arc, Mutex};
@@ -24,6 +24,7 @@
 /// Ballot of the initial value of the register.
 pub const INITIAL_BALLOT: Ballot = Ballot { round: 1, proposer: 0 };
 
+/// Time without a reply after which nodes report an acceptor as unresponsive.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
 /// Nodes report themselves as stable from their start.
 const STABLE_AFTER: Duration = Duration::ZERO;
@@ -38,20 +39,21 @@
 }
 
 /// Opens the acceptor on a disk, as a process does at its start. Returns its incarnation too.
-pub fn acceptor(disk: &SimulatedDisk) -> (Arc<AcceptorService>, Incarnation) {
+pub fn open_acceptor(disk: &SimulatedDisk) -> (Arc<AcceptorService>, Incarnation) {
     let opened = Journal::open_inline(disk.file_system(), Path::new("/data"), RING_OPTIONS);
-    let (journal, recovered) = opened.expect("the disk opens");
+    let (journal, recovered) = opened.expect("the journal opens");
     let incarnation = Incarnation(recovered.incarnation);
     (AcceptorService::new(journal, incarnation, &recovered.records), incarnation)
 }
 
 /// Returns the initial value of a register with these acceptors and stores, and one tolerated failure.
 pub fn initial_value_with(acceptors: Vec<Member>, stores: Vec<StoreMember>) -> Versioned<ControlState> {
-    let state = initial_state(acceptors, stores, 1).expect("there are acceptors");
+    let state = initial_state(acceptors, stores, 1).expect("there is at least one acceptor");
     Versioned::new(INITIAL_BALLOT, Arc::new(state))
 }
 
-pub fn store(index: u64) -> StoreMember {
+/// Returns a store for the initial value. No process runs at its address.
+pub fn store_member(index: u64) -> StoreMember {
     let incarnation = Incarnation(1000 + index);
     let member = Member { name: format!("store{index}"), incarnation, address: "127.0.0.1:1".into() };
     StoreMember { member, zone: "z".into() }
@@ -70,10 +72,10 @@
 ) -> Vec<Node> {
     let mut started = Vec::new();
     for index in 0..count {
-        started.push(start(index).await);
+        started.push(start_node(index).await);
     }
     let members: Vec<Member> = started.iter().map(|(node, _)| node.member.clone()).collect();
-    let initial = initial_value_with(members, (0..stores).map(store).collect());
+    let initial = initial_value_with(members, (0..stores).map(store_member).collect());
     let initial = Versioned::new(INITIAL_BALLOT, Arc::new(adapt(ControlState::clone(&initial.value))));
     for (node, acceptor) in &started {
         assert_eq!(acceptor.initialize(initial.clone()).await, Some(initial.clone()));
@@ -82,14 +84,14 @@
     started.into_iter().map(|(node, _)| node).collect()
 }
 
-async fn start(index: usize) -> (Node, Arc<AcceptorService>) {
-    let (acceptor, incarnation) = acceptor(&SimulatedDisk::new(index as u64));
+async fn start_node(index: usize) -> (Node, Arc<AcceptorService>) {
+    let (acceptor, incarnation) = open_acceptor(&SimulatedDisk::new(index as u64));
     let view = Arc::new(ViewCell::new());
     let ping_service = PingService::new(Arc::clone(&view), Arc::default(), UNRESPONSIVE_AFTER, STABLE_AFTER);
     let routes = with_state_routes(Route::new(), &acceptor, &ping_service, &view);
     let routes = with_lease_routes(routes, incarnation, &view);
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     tokio::spawn(rpc::serve(listener, routes));
     let proposer = Proposer::new(Arc::clone(&view), rpc::Client::new());
     let operator = operator_routes(Arc::clone(&view), Arc::clone(&proposer)).map_to_response().boxed();
@@ -134,14 +136,14 @@
         let control = Arc::clone(&view.view().control);
         let grantors: Vec<GrantorId> =
             control.acceptors.iter().map(|member| GrantorId(member.incarnation.0)).collect();
-        let mut grantor = granting.lock().expect("no panic");
+        let mut grantor = granting.lock().expect("the lock is not poisoned");
         grantor.learn(Duration::ZERO, control.revision, &grantors);
         let reply = grantor.handle(LEASE_TTL + started_at.elapsed(), &request);
         drop(grantor);
         async move { Some(reply) }
     };
     let release = move |release: LeaseRelease| {
-        grantor.lock().expect("no panic").release(&release);
+        grantor.lock().expect("the lock is not poisoned").release(&release);
         async move { Some(()) }
     };
     routes
@@ -158,15 +160,20 @@
         if_match: Option<&str>,
         body: impl Into<Body>,
     ) -> OperatorReply {
-        let mut request = Request::builder().method(method).uri(path.parse().expect("a path"));
+        let mut request = Request::builder().method(method).uri(path.parse().expect("the path is valid"));
         if let Some(expected) = if_match {
             request = request.header("If-Match", expected);
         }
         let response = self.operator.get_response(request.body(body)).await;
         let (status, headers) = (response.status(), response.headers().clone());
-        OperatorReply { status, headers, body: response.into_body().into_string().await.expect("a text") }
+        OperatorReply {
+            status,
+            headers,
+            body: response.into_body().into_string().await.expect("the body is UTF-8"),
+        }
     }
 
+    /// Puts a configuration that is based on the version `expected`, and returns the status of the response.
     pub async fn put(&self, expected: u64, body: &str) -> StatusCode {
         let expected = expected.to_string();
         self.request(Method::PUT, "/api/timetable", Some(&expected), body.to_owned()).await.status
@@ -189,6 +196,7 @@
     pub body: String,
 }
 
+/// Returns the JSON text of a configuration of this version, with one route of this name.
 pub fn document(version: u64, route: &str) -> String {
     format!(
         r#"{{"edition":{version},"routes":[{{"name":"{route}","depot":"h","lanePrefix":"/{route}/","kind":"safe",
@@ -197,17 +205,17 @@
 }
 
 /// Returns the version of a list of the leader with this fencing token.
-pub fn version(fence: u64, sequence: u64) -> ServerListVersion {
+pub fn list_version(fence: u64, sequence: u64) -> ServerListVersion {
     ServerListVersion { fence, sequence, local: 0 }
 }
 
 /// Returns an empty list of that version.
-pub fn list(fence: u64, sequence: u64) -> Arc<ServerList> {
-    Arc::new(ServerList::new(version(fence, sequence), []))
+pub fn empty_list(fence: u64, sequence: u64) -> Arc<ServerList> {
+    Arc::new(ServerList::new(list_version(fence, sequence), []))
 }
 
 /// Returns a committed value of this round, with a configuration of this version.
-pub fn value(round: u64, configuration_version: u64) -> Versioned<ControlState> {
+pub fn committed_value(round: u64, configuration_version: u64) -> Versioned<ControlState> {
     let state = ControlState {
         configuration_version,
         configuration: Document::new(document(configuration_version, "r")),
