--- a/crates/control-plane/src/discovery/acceptor_gossip.rs
+++ b/crates/control-plane/src/discovery/acceptor_gossip.rs
@@ -93,7 +93,8 @@
 }
 
 impl GossipSender {
-    /// Sends the acceptors to each seed whenever a message is due. Runs until the process ends.
+    /// Sends the addresses of the acceptors to each seed whenever a message to it is due. Runs until the
+    /// process ends.
     pub async fn run(mut self) {
         let mut schedule = self.new_schedule();
         loop {
--- a/crates/control-plane/src/discovery/gossip_schedule.rs
+++ b/crates/control-plane/src/discovery/gossip_schedule.rs
@@ -1,4 +1,4 @@
-//! Schedule of acceptor gossip: when the acceptors are sent to which seed.
+//! Schedule of acceptor gossip: when the addresses of the acceptors are sent to which seed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
     /// Seeds that have acknowledged the latest message, in round-robin order: the next one is first.
     acknowledged: Vec<String>,
     repeat_interval: Duration,
-    /// Time at which the next acknowledged seed is sent the acceptors again; `None` before the first check.
+    /// Time at which the next acknowledged seed is sent the addresses again; `None` before the first check.
     next_repeat: Option<Instant>,
 }
 
@@ -29,7 +29,8 @@
 }
 
 impl GossipSchedule {
-    /// Creates a schedule in which messages to all of these seeds, except this process itself, are due now.
+    /// Creates a schedule in which messages to all of these seeds are due now. This process itself is left
+    /// out if it is a seed.
     pub(super) fn new(seeds: &[String], own_address: &str, repeat_interval: Duration) -> Self {
         let now = Instant::now();
         let others = seeds.iter().filter(|seed| *seed != own_address);
@@ -42,9 +43,9 @@
         }
     }
 
-    /// Returns the seeds to which the acceptors are to be sent now: all seeds whose retry is due, and the
-    /// next acknowledged seed if a repetition is due. The caller must record the outcome of each message with
-    /// [`GossipSchedule::record`].
+    /// Returns the seeds to which the addresses of the acceptors are to be sent now: all seeds whose retry is
+    /// due, and the next acknowledged seed if a repetition is due. The caller must record the outcome of each
+    /// message with [`GossipSchedule::record`].
     pub(super) fn due(&mut self) -> Vec<String> {
         let now = Instant::now();
         let retries = self.pending.iter().filter(|(_, retry)| retry.next_attempt <= now);
--- a/crates/control-plane/src/discovery/list_reader.rs
+++ b/crates/control-plane/src/discovery/list_reader.rs
@@ -26,7 +26,7 @@
 pub struct ListReader {
     /// Source of the complete server list.
     pub platform: Arc<dyn ListSource>,
-    /// Returns the fencing token while this process is the leader.
+    /// Leadership of this process, which yields the fencing token while this process is the leader.
     pub leadership: Arc<Leadership>,
     /// View that adopts the list.
     pub view: Arc<ViewCell>,
--- a/crates/control-plane/src/distribution/poller.rs
+++ b/crates/control-plane/src/distribution/poller.rs
@@ -39,7 +39,7 @@
     /// Internal addresses of the seeds in the present settings. They are polled if no acceptor is known or
     /// this process is out of contact.
     pub seeds: watch::Receiver<Vec<String>>,
-    /// Acceptors that other processes have sent; polled like seeds.
+    /// Addresses of acceptors that this process has received by gossip; polled like seeds.
     pub gossip: Arc<AcceptorGossip>,
     /// Internal address of this process, which it does not poll.
     pub own_address: String,
--- a/crates/control-plane/src/distribution/server_update.rs
+++ b/crates/control-plane/src/distribution/server_update.rs
@@ -119,8 +119,8 @@
         Some(ServerList { version: self.version, servers })
     }
 
-    /// Merges the changed servers into `servers` and omits the removed ones. All are in the order of their
-    /// ids.
+    /// Merges the changed servers into `servers` and omits the removed ones. All three lists are in the order
+    /// of their ids.
     fn merge_changed(&self, servers: Vec<Arc<ServerEntry>>) -> Vec<Arc<ServerEntry>> {
         let mut merged = Vec::with_capacity(servers.len() + self.changed.len());
         let mut changed = self.changed.iter().cloned().peekable();
--- a/crates/control-plane/src/election/fencing.rs
+++ b/crates/control-plane/src/election/fencing.rs
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Returns whether the member that may have sent orders last is unknown, does not reply or does not
-    /// report itself as stable.
+    /// Returns whether the member that may have sent orders last is not recorded, is no longer an acceptor or
+    /// a standby, does not reply or does not report itself as stable.
     async fn is_previous_issuer_unreachable(&self, state: &ControlState) -> bool {
         let Some(previous) = &state.order_issuer else { return true };
         let mut members = state.acceptors.iter().chain(&state.standbys);
--- a/crates/control-plane/src/reconcile/reconciler.rs
+++ b/crates/control-plane/src/reconcile/reconciler.rs
@@ -27,7 +27,7 @@
 
 /// Reconciles the members while this process is the leader.
 pub struct Reconciler {
-    /// Returns the fencing token while this process is the leader.
+    /// Leadership of this process, which yields the fencing token while this process is the leader.
     pub leadership: Arc<Leadership>,
     /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
@@ -106,9 +106,9 @@
         term.observed.reachability.record_round(control, &responders, elapsed, MAX_ROUND_ELAPSED);
     }
 
-    /// Pings a member, and sends the acceptors to it if its process is out of contact. A process is out of
-    /// contact if it has restarted without a control state, or if all acceptors in its state were replaced
-    /// while it was absent.
+    /// Pings a member, and sends it the addresses of the acceptors if its process is out of contact. A
+    /// process is out of contact if it has restarted without a control state, or if all acceptors in its
+    /// state were replaced while it was absent.
     async fn ping_with_gossip(&self, member: &Member, gossip: &GossipMessage) -> Option<PingReply> {
         let reply = ping_address(&self.client, member, PING_TIMEOUT).await?;
         if !reply.is_in_contact {
--- a/crates/control-plane/src/rollout/order_dispatcher.rs
+++ b/crates/control-plane/src/rollout/order_dispatcher.rs
@@ -28,8 +28,7 @@
 pub struct OrderDispatcher {
     /// Name of this member, as it appears in the control state.
     pub member_name: String,
-    /// Returns the fencing token while this process is the leader, and the one for orders once it may send
-    /// them.
+    /// Leadership of this process, which yields the fencing token for orders once this process may send them.
     pub leadership: Arc<Leadership>,
     /// The newest control state and server list that this process has adopted. Reported versions are added to
     /// its server list.
--- a/crates/control-plane/src/rollout/planner_input.rs
+++ b/crates/control-plane/src/rollout/planner_input.rs
@@ -21,8 +21,7 @@
         self.passed_view = None;
     }
 
-    /// Passes the target versions of the newest view, and those of its servers that have models, to the
-    /// planner.
+    /// Passes the target versions and the servers that have models of the newest view to the planner.
     pub(super) fn update(&mut self, planner: &mut Planner, now: Duration, view: &Arc<View>) {
         let previous = self.passed_view.replace(Arc::clone(view));
         if previous.as_ref().is_some_and(|previous| Arc::ptr_eq(previous, view)) {
