--- a/crates/data-plane/src/batch/capacity.rs
+++ b/crates/data-plane/src/batch/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity of servers for items, and the criteria by which a server is selected for one.
+//! Capacity of servers for items of batch jobs, and the criteria that select a server for an item.
 
 use configuration::Target;
 use dispatch::{SelectionCriteria, VersionRequirement};
@@ -6,14 +6,16 @@
 use crate::forwarding::Forwarder;
 
 impl Forwarder {
-    /// How many more items the servers of these services can take that have this version or a newer one.
+    /// Returns how many more items the servers of `targets` can accept now. Only servers that run
+    /// `oldest_version` of `model` or a newer version count.
     #[must_use]
     pub fn free_capacity(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
         let version = VersionRequirement::AtLeast(oldest_version);
         self.selector.free_capacity(&item_criteria(targets, model, version))
     }
 
-    /// How many items those servers take at once in total, including the requests that they run now.
+    /// Returns how many items the servers that [`Self::free_capacity`] considers can run concurrently,
+    /// including the requests that they run now.
     #[must_use]
     pub fn total_capacity(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
         let version = VersionRequirement::AtLeast(oldest_version);
@@ -21,8 +23,8 @@
     }
 }
 
-/// The criteria for the server of an item. Items wait for free capacity, and the time to set up a connection doesn't
-/// matter to them.
+/// Builds the criteria that select the server of an item. An item is only sent to a server with free
+/// capacity. The time to set up a connection is irrelevant for items, so idle connections are ignored.
 pub(super) fn item_criteria<'a>(
     targets: &'a [Target],
     model: Option<&'a str>,
--- a/crates/data-plane/src/batch/collector.rs
+++ b/crates/data-plane/src/batch/collector.rs
@@ -1,4 +1,5 @@
-//! Collects the text of an item event by event, and checks that the events are consecutive and of allowed versions.
+//! Collects the text of an item event by event. Checks that the events have consecutive ids and that an
+//! allowed version of the weights generated each of them.
 
 use std::collections::BTreeSet;
 
@@ -6,50 +7,52 @@
 
 use crate::streaming::StreamEvent;
 
-/// What has been collected of the text of an item.
+/// The part of an item's text that has been collected so far, over all of its runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ItemProgress {
-    /// The data of each event, in order.
+    /// The data of each event, ordered by event id.
     pub events: Vec<Bytes>,
-    /// The id of the last event; `None` before the first.
+    /// The id of the last collected event; `None` if there is none. The next run resumes the stream after it.
     pub last_event_id: Option<u64>,
-    /// The versions of the weights that made the events.
+    /// The versions of the weights that generated the collected events.
     pub versions: BTreeSet<u64>,
 }
 
-/// Which events the collector accepts.
+/// The versions of the weights from which the collector accepts events.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CollectorRules {
-    /// The oldest version that may make an event; 0 for a text that is made without a model.
+    /// The oldest version that may generate an event; 0 for a text that is generated without a model.
     pub(super) oldest_version: u64,
-    /// Whether one version must make all of the text.
+    /// Whether a single version must generate the entire text.
     pub(super) single_version: bool,
 }
 
-/// Why an event was rejected, which ends the run of the item.
+/// Reason why an event was rejected. A rejection ends the run of the item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventRejection {
-    /// The event does not follow the last one, or its version is unknown or too old.
+    /// The event has no id or its id does not follow the last one, or its version is unknown or too old.
     InvalidEvent,
-    /// A second version would contribute to a text that must be made by one.
+    /// The event comes from a second version, but a single version must generate the entire text.
     MixedVersions,
 }
 
-/// Collects the events of one run.
+/// Collects the events of one run of an item.
 pub(super) struct EventCollector {
     pub(super) progress: ItemProgress,
     rules: CollectorRules,
-    /// The version that makes the next event, if it is known.
+    /// The version that generates the next event unless that event announces another; `None` if it is
+    /// unknown.
     version: Option<u64>,
 }
 
 impl EventCollector {
-    /// Continues after `progress`; `version` is known to be the one that the server runs.
+    /// Creates a collector that continues after `progress`. `version` is the one that the server runs, if
+    /// known.
     pub(super) fn new(progress: ItemProgress, rules: CollectorRules, version: Option<u64>) -> Self {
         Self { progress, rules, version }
     }
 
-    /// Adds an event to the text.
+    /// Adds an event to the text. Comments are ignored.
     pub(super) fn add(&mut self, event: &StreamEvent) -> Result<(), EventRejection> {
         if event.is_comment() {
             return Ok(());
--- a/crates/data-plane/src/batch/item.rs
+++ b/crates/data-plane/src/batch/item.rs
@@ -1,4 +1,5 @@
-//! Items of batch jobs: streamed requests for tokens, whose text is collected here.
+//! Items of batch jobs: requests whose response is an event stream of tokens. The text of the events is
+//! collected here.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,36 +20,39 @@
 use crate::streaming::{EventParser, StreamEvent};
 use crate::upstream::{AttemptError, AttemptOptions, ExecutionStatus, UpstreamAttempt, UpstreamResponse};
 
-/// When an item may be sent again if no server names a time.
+/// The delay before an item may be sent again if the server's rejection has no `Retry-After`, or no server
+/// was eligible.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// A run ends if its server sends nothing for this long within the body. The head of the response may take twice as
-/// long, as the request may wait in the server's queue (`HEAD_TIMEOUT_FACTOR` in `upstream/attempt.rs`).
+/// The maximum time between two chunks of the response body; the run is interrupted when it is exceeded. The
+/// head of the response may take twice as long, as the request may wait in the server's queue
+/// (`HEAD_TIMEOUT_FACTOR` in `upstream/attempt.rs`).
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// One run of an item.
+/// One run of an item: the request, and the progress of earlier runs after which it continues.
 #[derive(Clone, Debug)]
 pub struct ItemRequest {
-    /// The route of its batch job.
+    /// The route of the batch job. It determines the services that may run the item.
     pub route: Arc<Route>,
-    /// The host of that route.
+    /// The host of the route, sent as the `Host` header.
     pub host: Arc<str>,
-    /// The path and query that it is sent to.
+    /// The path and query of the request.
     pub path: String,
-    /// Its own headers.
+    /// The headers that the batch job specifies for the item, as name and value.
     pub headers: Vec<(String, String)>,
-    /// Its id, which all of its runs share.
+    /// The id of the item, sent as the `Attempt-Id` header. All runs of the item share it.
     pub id: Arc<str>,
-    /// Its body.
+    /// The body of the request.
     pub body: Bytes,
-    /// The model that makes its text.
+    /// The model that generates the text; `None` if the text is generated without a model.
     pub model: Option<Arc<str>>,
-    /// The oldest version of the weights that may make an event of it.
+    /// The oldest version of the weights that may generate an event of the text.
     pub oldest_version: u64,
-    /// Its group, whose items share their prompt.
+    /// The group of the item, if any. Items of a group share their prompt, so they prefer the same server,
+    /// whose prefix cache holds it.
     pub group: Option<Arc<str>>,
-    /// What earlier runs collected of its text.
+    /// The part of the text that earlier runs collected.
     pub progress: ItemProgress,
-    /// The run is interrupted at this time, whatever it has collected.
+    /// The time at which the run is interrupted if it is not complete.
     pub deadline: Instant,
 }
 
@@ -57,21 +61,24 @@
 pub enum ItemOutcome {
     /// The text is complete.
     Complete(ItemProgress),
-    /// The server answered with an error of its own (500), which counts as a failed attempt.
+    /// The server responded with status 500, which counts as a failed attempt of the item.
     Failed,
-    /// The item can never be processed: the server answered so (422), or one of its headers is invalid.
+    /// The item can never be processed: the server responded with status 422, or a header of the item is
+    /// invalid.
     Unprocessable,
-    /// The run broke off. The item may continue from here, or from its beginning if no text is left.
+    /// The run ended before the text was complete. The item can continue after this progress; if that is
+    /// empty, it starts from the beginning.
     Interrupted(ItemProgress),
-    /// No server has run the item: none was eligible, or the attempt is known not to have run.
+    /// No server has run the item: either none was eligible, or the attempt is known not to have been
+    /// executed.
     NotRun {
-        /// After which time it may be sent again.
+        /// The delay before the item may be sent again.
         retry_after: Duration,
     },
 }
 
 impl Forwarder {
-    /// Runs an item once, continuing after its progress.
+    /// Sends an item to one server, which continues the text after the item's progress. Does not retry.
     pub async fn run_item(&self, item: ItemRequest) -> ItemOutcome {
         let Some(request) = upstream_request(&item) else {
             log::error!("item {} cannot be sent: one of its headers is invalid", item.id);
@@ -93,8 +100,8 @@
         }
     }
 
-    /// Selects a server for the next run. Where one version must make the entire text, a text that was begun is
-    /// continued by the version that made its first events.
+    /// Selects a server for the next run. On a route where a single version must generate the entire text,
+    /// only the version that generated the first events may continue it.
     fn select_for_item(&self, item: &ItemRequest) -> Option<InFlightRequest> {
         let version_so_far = item.progress.versions.first().filter(|_| item.route.single_version);
         let version = match version_so_far {
@@ -114,7 +121,7 @@
     }
 }
 
-/// The request of an item; `None` if one of its headers is invalid.
+/// Builds the request that is sent for an item; `None` if one of its headers is invalid.
 fn upstream_request(item: &ItemRequest) -> Option<UpstreamRequest> {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
@@ -134,7 +141,7 @@
     })
 }
 
-/// The outcome of a run whose attempt gave no response.
+/// Returns the outcome of a run whose attempt yielded no valid response.
 fn error_outcome(item: ItemRequest, error: AttemptError) -> ItemOutcome {
     match error.execution_status() {
         ExecutionStatus::NotRun => {
@@ -144,7 +151,8 @@
     }
 }
 
-/// The outcome of a run that got the head of a response.
+/// Returns the outcome of a run that received a valid response head; collects the text if the status is a
+/// success.
 async fn item_outcome(
     item: ItemRequest,
     upstream: UpstreamResponse,
@@ -164,7 +172,8 @@
     }
 }
 
-/// Reads the events of a run to their end. The text is complete if the body ended properly, after a complete event.
+/// Collects the events of a response. The text is complete if the body ended properly and directly after a
+/// complete event.
 async fn collect_text(
     item: ItemRequest,
     mut upstream: UpstreamResponse,
@@ -197,7 +206,7 @@
     }
 }
 
-/// Records the version that an event announces as the one that the server runs.
+/// Records in the dispatcher that the server runs the version of `model` that an event announces.
 fn record_version(upstream: &UpstreamResponse, model: Option<&str>, event: &StreamEvent) {
     if let (Some(version), Some(model)) = (event.version, model) {
         upstream.in_flight().record_version(model, version);
--- a/crates/data-plane/src/batch/mod.rs
+++ b/crates/data-plane/src/batch/mod.rs
@@ -1,7 +1,9 @@
-//! The requests that batch jobs cause: items, whose text is collected here, and reward calls, which grade it.
+//! The requests that batch jobs cause: items, whose text is collected here, and reward calls, which grade
+//! that text.
 //!
-//! The store that owns a batch job calls them through the [`Forwarder`](crate::Forwarder) and keeps what they return.
-//! An item is one run at one server: whether and when it runs again is the decision of its caller.
+//! The store that owns a batch job makes these requests through the [`Forwarder`](crate::Forwarder) and
+//! records their results. [`Forwarder::run_item`](crate::Forwarder::run_item) runs an item once, at one
+//! server; the caller decides whether and when to run it again.
 
 mod capacity;
 mod collector;
--- a/crates/data-plane/src/batch/reward.rs
+++ b/crates/data-plane/src/batch/reward.rs
@@ -15,22 +15,23 @@
 /// How a reward call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RewardOutcome {
-    /// The grade: the stamp of the successful response.
+    /// A server graded the text. The grade is the value of the `Postmark` header of its successful response.
     Graded(String),
-    /// At least one server answered with status 500, and none with a grade.
+    /// At least one server responded with status 500, and none with a grade.
     Failed {
-        /// How many such answers there were.
+        /// The number of responses with status 500.
         internal_errors: u32,
     },
-    /// The call has not run, or gave no valid response. It may be retried.
+    /// The call was not executed, or received no valid response. It may be retried.
     Retryable,
-    /// No route is configured for it, or its host or id cannot be a header value.
+    /// The call cannot be sent: no route is configured for its host and path, or the host or the id is not a
+    /// valid header value.
     NoRoute,
 }
 
 impl Forwarder {
-    /// Makes a reward call, with retries and hedging at up to as many servers as its route allows. All attempts
-    /// together take `timeout` at most.
+    /// Makes a reward call. Retries and hedged requests may execute it at up to as many servers as its route
+    /// allows. `timeout` limits the time of all attempts together.
     pub async fn call_reward(
         &self,
         host: &str,
@@ -64,7 +65,7 @@
     }
 }
 
-/// The headers of a reward call; `None` if its host or id is no header value.
+/// Builds the headers of a reward call; `None` if its host or id is not a valid header value.
 fn headers(host: &str, id: &str) -> Option<HeaderMap> {
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_str(host).ok()?);
--- a/crates/data-plane/src/forwarding/buffered.rs
+++ b/crates/data-plane/src/forwarding/buffered.rs
@@ -1,4 +1,5 @@
-//! Forwarding of requests whose response is buffered until it is complete: retries, hedging, and the final response.
+//! Forwarding of requests whose response is buffered until it is complete: retries, hedged requests, and the
+//! choice of the response that the client receives.
 
 use std::sync::Arc;
 
@@ -15,23 +16,26 @@
 use crate::response::ClientResponse;
 use crate::upstream::{AttemptError, AttemptOptions, UpstreamAttempt};
 
-/// A hedged request is sent when this fraction of the route's latency target has passed without a response.
+/// The fraction of the route's latency target after which a hedged request is sent if no response has
+/// arrived.
 const HEDGE_DELAY_FACTOR: f64 = 0.6;
 
 type AttemptFuture = BoxFuture<'static, Result<ClientResponse, AttemptError>>;
 
 /// The result of forwarding a request, after all its attempts.
 pub(crate) struct ForwardedResponse {
-    /// The response for the client.
+    /// The response that the client receives.
     pub(crate) response: ClientResponse,
-    /// Whether a server sent it; otherwise it is this node's own response, because no server gave one.
+    /// Whether a server sent the response. If not, this process generated it, because no server sent a valid
+    /// one.
     pub(crate) is_from_server: bool,
-    /// How many servers answered with status 500.
+    /// The number of attempts that servers responded to with status 500.
     pub(crate) internal_errors: u32,
 }
 
 impl Forwarder {
-    /// Forwards a request; if it is idempotent, to as many servers as its route allows.
+    /// Forwards a request and waits for its final response. An idempotent request may be executed as often as
+    /// its route allows, any other at most once.
     pub(crate) async fn forward_buffered(
         &self,
         route: &Arc<Route>,
@@ -47,18 +51,20 @@
     }
 }
 
-/// One request with its attempts in flight.
+/// A request that is being forwarded, with its attempts in flight.
 struct BufferedForward {
     retry: RetryState,
     attempts: FuturesUnordered<AttemptFuture>,
     internal_errors: u32,
-    /// The last 5xx response of a server. It goes to the client if no attempt gives a better one.
+    /// The last 5xx response of a server. The client receives it if no attempt yields a response with another
+    /// status.
     error_response: Option<ClientResponse>,
 }
 
 impl BufferedForward {
-    /// Makes attempts until one gives a final response or no further one may be made. At most one attempt is a hedged
-    /// request: it starts while another is in flight. All others start when none is in flight.
+    /// Makes attempts until one yields a final response or no further attempt is allowed. At most one attempt
+    /// is a hedged request, which starts while another attempt is in flight. All others start when none is in
+    /// flight.
     async fn run(mut self) -> ForwardedResponse {
         self.start_attempt();
         let hedge_at = Instant::now() + self.retry.route.latency_target.mul_f64(HEDGE_DELAY_FACTOR);
@@ -85,10 +91,10 @@
         self.give_up()
     }
 
-    /// Starts an attempt at one more server, if one may be made.
+    /// Starts a further attempt, if one is allowed and a server is eligible.
     fn start_attempt(&mut self) {
-        // When every server has had the request, it is repeated at one of them only if none has rejected it and none
-        // is at work on it.
+        // Once the request has been sent to every server, it is only repeated at one of them if none has
+        // rejected it and no attempt is in flight.
         let may_repeat_server = !self.retry.has_rejections() && self.attempts.is_empty();
         let Some(in_flight) = self.retry.next_attempt(may_repeat_server) else {
             return;
@@ -101,8 +107,8 @@
         }));
     }
 
-    /// Records the result of an attempt. Returns its response if that is final: any but a 5xx, or any at all if the
-    /// request must not run again.
+    /// Records the result of an attempt. Returns its response if that is final: for an idempotent request any
+    /// response but a 5xx, for others every response, as they must not be executed again.
     fn final_response(&mut self, result: Result<ClientResponse, AttemptError>) -> Option<ClientResponse> {
         let response = match result {
             Ok(response) => response,
@@ -124,8 +130,8 @@
         None
     }
 
-    /// Returns a server's response. Attempts that are still in flight run to their end, as breaking off work at a
-    /// server costs more.
+    /// Ends forwarding with a server's response. Attempts that are still in flight are completed in the
+    /// background, as canceling work at a server costs more than completing it.
     fn finish(self, response: ClientResponse) -> ForwardedResponse {
         if !self.attempts.is_empty() {
             tokio::spawn(self.attempts.for_each(|_| async {}));
@@ -133,7 +139,8 @@
         ForwardedResponse { response, is_from_server: true, internal_errors: self.internal_errors }
     }
 
-    /// Returns the last error of a server or, without one, this node's own response.
+    /// Ends forwarding without a final response: returns the last 5xx response of a server or, if there is
+    /// none, a response that this process derives from the errors of the attempts.
     fn give_up(self) -> ForwardedResponse {
         let is_from_server = self.error_response.is_some();
         let response = self.error_response.unwrap_or_else(|| self.retry.error_response());
--- a/crates/data-plane/src/forwarding/buffering.rs
+++ b/crates/data-plane/src/forwarding/buffering.rs
@@ -1,5 +1,5 @@
-//! Buffering of a server's response until it is complete, so that the client never sees a truncated one and the
-//! request can be retried.
+//! Buffering of a server's response until it is complete, so that the client never receives a truncated
+//! response and the request can be retried.
 
 use std::io;
 
@@ -11,20 +11,21 @@
 use crate::response::{chunk_stream, ChunkSource, ClientResponse, ResponseBody};
 use crate::upstream::{AttemptError, UpstreamResponse};
 
-/// Longer bodies are passed on as they come.
+/// The maximum number of bytes of a body that are buffered. A longer body is forwarded chunk by chunk.
 const MAX_BUFFERED_BYTES: usize = 512 * 1024;
 
-/// Reads the body to its end, or up to the length from which it is passed on as it comes.
+/// Buffers the body of a response. If the body is longer than [`MAX_BUFFERED_BYTES`], returns a streaming
+/// response that forwards the rest chunk by chunk.
 ///
 /// # Errors
 ///
-/// If the body is truncated or doesn't come in time.
+/// Fails if the buffered part of the body is truncated or doesn't arrive before the timeout.
 pub(crate) async fn buffer_response(mut upstream: UpstreamResponse) -> Result<ClientResponse, AttemptError> {
     let (status, mut headers) = (upstream.status(), upstream.headers().clone());
     let length = headers.remove(CONTENT_LENGTH);
     headers.remove(TRANSFER_ENCODING);
     let mut headers = end_to_end(&headers);
-    // A body of one chunk is not copied.
+    // A body that consists of a single chunk is not copied.
     let mut first = Bytes::new();
     let mut body = BytesMut::new();
     while let Some(chunk) = upstream.chunk().await? {
@@ -44,13 +45,13 @@
     }
     let body = if body.is_empty() { first } else { body.freeze() };
     if body.is_empty() {
-        // The length of a body that isn't sent, as in a response to HEAD.
+        // A response without a body may still declare a length, as in a response to HEAD.
         headers.extend(length.map(|length| (CONTENT_LENGTH, length)));
     }
     Ok(ClientResponse { status, headers, body: ResponseBody::Complete(body) })
 }
 
-/// The part of a body that was read, followed by the rest as it comes.
+/// Returns a stream of the bytes that were already read, followed by the remaining chunks of the body.
 fn continued(begin: Bytes, upstream: UpstreamResponse) -> BoxStream<'static, io::Result<Bytes>> {
     stream::once(async { Ok(begin) }).chain(chunk_stream(upstream)).boxed()
 }
--- a/crates/data-plane/src/forwarding/mod.rs
+++ b/crates/data-plane/src/forwarding/mod.rs
@@ -1,7 +1,9 @@
-//! Forwarding of a request: attempts at one server after the other, until one responds or no further one may be made.
+//! Forwarding of a request: attempts are made one after the other until a server responds or no further
+//! attempt is allowed.
 //!
-//! It owns the rules of retries ([`RetryState`]) and of hedged requests, and buffers responses until they are complete.
-//! The ingress and the reward calls forward by it; the relay of streams shares its [`RetryState`].
+//! This module defines the rules for retries ([`RetryState`]) and hedged requests, and buffers responses
+//! until they are complete. The ingress and the reward calls use it; the relay of event streams uses
+//! [`RetryState`] as well.
 
 mod buffered;
 mod buffering;
--- a/crates/data-plane/src/forwarding/retry.rs
+++ b/crates/data-plane/src/forwarding/retry.rs
@@ -1,5 +1,5 @@
-//! The retry policy of one request: whether a further attempt may be made, at which server, and which error the
-//! client gets.
+//! The retry policy of a request: whether a further attempt is allowed, at which server it is made, and which
+//! error the client receives.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,34 +15,36 @@
 use crate::selection::{InFlightRequest, ServerSelector};
 use crate::upstream::{AttemptError, ExecutionStatus};
 
-/// No further attempt is made after more rejections than this, so that overload isn't amplified by retries.
+/// No further attempt is made once the number of rejections exceeds this limit, so that retries don't amplify
+/// overload.
 const MAX_REJECTIONS: usize = 6;
-/// When a client may retry if the servers name no time.
+/// The `Retry-After` that the client receives if no server specified one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// The longest time that a client is asked to wait before a retry, as other servers may have free capacity sooner.
+/// The maximum `Retry-After` that the client receives, as other servers may have free capacity earlier than
+/// the ones that rejected the request.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// The attempts of one request of a client.
+/// The attempts of one request, with which the retry policy is enforced.
 ///
-/// Invariant: at most [`Self::max_executions`] attempts may have run at a server. Attempts that are known not to have run
-/// (rejections) don't count, but are limited themselves.
+/// Invariant: at most [`Self::max_executions`] attempts may have been executed by a server. Attempts that are
+/// known not to have been executed (rejections) don't count; [`MAX_REJECTIONS`] limits them.
 pub(crate) struct RetryState {
     pub(crate) selector: ServerSelector,
     pub(crate) route: Arc<Route>,
     pub(crate) request: Arc<UpstreamRequest>,
     pub(crate) deadline: Instant,
-    /// Whether more than one server may run the request.
+    /// Whether the request may be executed more than once.
     pub(crate) is_idempotent: bool,
     model: Option<Arc<str>>,
-    /// The server of each attempt, in the order in which they were started.
+    /// The server of each attempt, in the order in which the attempts were started.
     attempted: Vec<ServerId>,
-    /// The errors of the attempts that gave no response, in the order in which they ended.
+    /// The errors of the attempts that yielded no valid response, in the order in which the attempts ended.
     errors: Vec<AttemptError>,
 }
 
 impl RetryState {
-    /// Creates the state of a request without any attempts. At most one server may run a request that isn't
-    /// idempotent.
+    /// Creates the state of a request before its first attempt. A request that isn't idempotent is executed
+    /// at most once.
     pub(crate) fn new(
         selector: ServerSelector,
         route: Arc<Route>,
@@ -62,8 +64,9 @@
         }
     }
 
-    /// Selects the server of the next attempt, if one may be made. `may_repeat_server` says whether the attempt may
-    /// go to a server that has had the request already, if no other is eligible.
+    /// Selects a server for the next attempt. Returns `None` if no further attempt is allowed or no server is
+    /// eligible. If all eligible servers were already attempted, the attempt is repeated at one of them only
+    /// if `may_repeat_server` is set.
     pub(crate) fn next_attempt(&mut self, may_repeat_server: bool) -> Option<InFlightRequest> {
         if !self.may_attempt() {
             return None;
@@ -86,27 +89,30 @@
         Some(in_flight)
     }
 
-    /// Records that an attempt gave no response.
+    /// Records the error of an attempt that yielded no valid response.
     pub(crate) fn record_error(&mut self, error: AttemptError) {
         self.errors.push(error);
     }
 
-    /// Whether any attempt is known not to have run.
+    /// Whether any attempt is known not to have been executed.
     pub(crate) fn has_rejections(&self) -> bool {
         self.rejections() > 0
     }
 
-    /// The response to the client if no server gave one, according to the errors of all attempts.
+    /// Returns the response to the client if no server sent a valid one. Considers the errors of all
+    /// attempts.
     pub(crate) fn error_response(&self) -> ClientResponse {
         self.error_response_for(&self.errors)
     }
 
-    /// As [`Self::error_response`], but where an attempt may have run, according to the error of the last one alone.
+    /// Like [`Self::error_response`], but if any attempt may have been executed, the status depends only on
+    /// the error of the last attempt.
     pub(crate) fn last_error_response(&self) -> ClientResponse {
         self.error_response_for(self.errors.last().map_or(&[], std::slice::from_ref))
     }
 
-    /// 503 with the smallest `Retry-After` of all attempts if none can have run; otherwise 504 if one of the errors is a time-out, else 502.
+    /// Returns 503 with the smallest `Retry-After` of all attempts if none can have been executed; otherwise
+    /// 504 if one of `errors` is a timeout, else 502.
     fn error_response_for(&self, errors: &[AttemptError]) -> ClientResponse {
         if self.executions() == 0 {
             let retry_after = self.errors.iter().filter_map(AttemptError::retry_after).min();
@@ -124,7 +130,7 @@
             && Instant::now() < self.deadline
     }
 
-    /// How many servers may run the request.
+    /// The maximum number of attempts that may have been executed.
     fn max_executions(&self) -> usize {
         match self.is_idempotent {
             true => self.route.max_attempts.max(1) as usize,
@@ -132,12 +138,12 @@
         }
     }
 
-    /// Attempts that may have run, those in flight included.
+    /// The number of attempts that may have been executed, including those in flight.
     fn executions(&self) -> usize {
         self.attempted.len() - self.rejections()
     }
 
-    /// Attempts that are known not to have run.
+    /// The number of attempts that are known not to have been executed.
     fn rejections(&self) -> usize {
         self.errors.iter().filter(|error| error.execution_status() == ExecutionStatus::NotRun).count()
     }
--- a/crates/data-plane/src/ingress/endpoint.rs
+++ b/crates/data-plane/src/ingress/endpoint.rs
@@ -1,4 +1,5 @@
-//! Routing of clients' requests: to the batch jobs' endpoint, to a server, or to a response of the node itself.
+//! Routing of clients' requests. A request is handled by the endpoint for batch jobs, forwarded to a server,
+//! or answered by the node itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,12 +15,12 @@
 use crate::ingress::request_reader::read_request;
 use crate::response::ClientResponse;
 
-/// Prefixes of the paths that concern batch jobs and their items.
+/// Prefixes of the paths under which batch jobs and their items are read and ended. They need no route.
 const JOB_PREFIXES: [&str; 2] = ["/api/lots/", "/api/items/"];
-/// When a client may retry while the configuration is missing or may be outdated.
+/// The `Retry-After` that a client receives while the configuration is missing or may be outdated.
 const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Responds to the requests of clients.
+/// The endpoint for all requests of clients.
 pub(super) struct ClientEndpoint(pub(super) Ingress);
 
 impl Endpoint for ClientEndpoint {
@@ -35,8 +36,8 @@
 }
 
 impl ClientEndpoint {
-    /// Routes the request. Without a configuration, and without a route while the configuration may be outdated, the
-    /// response is 503.
+    /// Routes a request. Responds with 503 if there is no configuration yet, or if no route matches and the
+    /// configuration may be outdated.
     async fn respond(&self, request: Request) -> Response {
         let Some(configuration) = self.0.forwarder().configuration() else {
             return ClientResponse::not_run(NO_CONFIGURATION_RETRY_AFTER).into();
@@ -85,13 +86,14 @@
     }
 }
 
-/// The route of a request; `None` also if it has no `Host` header.
+/// Returns the route for a request; `None` if no route matches or the request has no `Host` header.
 fn find_route<'a>(configuration: &'a Configuration, request: &Request) -> Option<&'a Arc<Route>> {
     let host = text(request.headers(), &HOST)?;
     configuration.route(host, request.uri().path())
 }
 
-/// The time until the response must be sent: what the client says, but at most the timeout of the route.
+/// Returns the time until the response must be sent: the client's `Time-Left-Ms`, limited to the timeout of
+/// the route.
 fn time_left(route: &Route, headers: &HeaderMap) -> Duration {
     let millis = text(headers, &TIME_LEFT).and_then(|left| left.trim().parse().ok());
     millis.map_or(route.timeout, |millis| Duration::from_millis(millis).min(route.timeout))
--- a/crates/data-plane/src/ingress/http_server.rs
+++ b/crates/data-plane/src/ingress/http_server.rs
@@ -1,7 +1,7 @@
-//! The HTTP server for clients: connections are accepted here, and poem's endpoints respond to their requests.
+//! The HTTP server for clients. It accepts connections and passes their requests to a poem endpoint.
 //!
-//! hyper serves the connections, not poem's own server, which goes on with a connection that has failed: a body that
-//! was truncated then got a proper end, and work for a client that had left was not canceled.
+//! hyper serves the connections instead of poem's own server, which continues to use a failed connection: a
+//! truncated body then ended like a complete one, and work for a disconnected client was not canceled.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -23,16 +23,18 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// The pause after a failure to accept a connection, such as a lack of file descriptors.
+/// The delay before the next attempt to accept a connection after a failure, such as a lack of file
+/// descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves connections of clients.
+/// Accepts connections of clients and serves their requests.
 pub(super) struct HttpServer<E, I> {
-    /// Responds to the requests.
+    /// The endpoint that responds to all requests.
     pub(super) endpoint: Arc<E>,
-    /// Gives the idle timeout of a new connection: the next head must be received within this time.
+    /// Returns the idle timeout of a new connection. The connection is closed if the complete head of the
+    /// next request is not received within this time.
     pub(super) idle_timeout: I,
-    /// How long requests in flight may take after the last connection was accepted.
+    /// The time that requests in flight may take after the server has stopped accepting connections.
     pub(super) finish_timeout: Duration,
 }
 
@@ -41,11 +43,11 @@
     E: Endpoint<Output = Response> + 'static,
     I: Fn() -> Duration,
 {
-    /// Accepts connections until `stop_accepting` is ready, then finishes the requests in flight.
+    /// Accepts connections until `stop_accepting` completes, then waits for the requests in flight.
     ///
     /// # Errors
     ///
-    /// If the listener has no local address.
+    /// Fails if the local address of the listener can't be determined.
     pub(super) async fn serve(
         self,
         listener: TcpListener,
@@ -58,7 +60,7 @@
         loop {
             tokio::select! {
                 () = &mut stop_accepting => break,
-                // Frees the tasks of closed connections.
+                // Releases the task of a closed connection.
                 Some(_) = connections.join_next() => {}
                 accepted = listener.accept() => match accepted {
                     Ok((stream, remote)) => {
@@ -79,8 +81,8 @@
         Ok(())
     }
 
-    /// Waits until all connections are closed. Those that are still open after `finish_timeout` are aborted, as the
-    /// set of their tasks is dropped.
+    /// Waits until all connections are closed. Connections that are still open after `finish_timeout` are
+    /// aborted, because dropping the `JoinSet` aborts their tasks.
     async fn finish(self, mut connections: JoinSet<()>) {
         let all_closed = async { while connections.join_next().await.is_some() {} };
         if timeout(self.finish_timeout, all_closed).await.is_err() {
@@ -89,7 +91,7 @@
     }
 }
 
-/// A connection of a client.
+/// An accepted connection of a client that has not been served yet.
 struct ClientConnection {
     stream: TcpStream,
     local: SocketAddr,
@@ -98,14 +100,14 @@
 }
 
 impl ClientConnection {
-    /// Serves the connection until it is closed; the request in flight is the last one once `stopping` is true. If the
-    /// client leaves, the work for it is canceled.
+    /// Serves the connection until it is closed. Once `stopping` is true, the connection is closed after the
+    /// request in flight. If the client disconnects, the work for its request is canceled.
     async fn serve<E>(self, endpoint: Arc<E>, mut stopping: watch::Receiver<bool>)
     where
         E: Endpoint<Output = Response> + 'static,
     {
         if let Err(error) = self.stream.set_nodelay(true) {
-            log::debug!("failed to set TCP_NODELAY on a client connection: {error}");
+            log::debug!("failed to set TCP_NODELAY on the connection of client {}: {error}", self.remote);
         }
         let (local, remote) = (self.local, self.remote);
         let service = service_fn(move |request: hyper::Request<Incoming>| {
@@ -133,7 +135,7 @@
             }
         };
         if let Err(error) = closed {
-            log::debug!("client connection failed: {error}");
+            log::debug!("the connection of client {remote} failed: {error}");
         }
     }
 }
--- a/crates/data-plane/src/ingress/lifecycle.rs
+++ b/crates/data-plane/src/ingress/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The ingress from start to end: serving, readiness, graceful shutdown.
+//! The lifecycle of the ingress: serving clients, readiness, graceful shutdown.
 
 use std::io;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use crate::ingress::readiness::ReadinessEndpoint;
 use crate::ingress::settings::IngressSettings;
 
-/// Requests in flight are finished this long before the drain timeout.
+/// The time before the end of the drain timeout at which requests that are still in flight are aborted.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
-/// The shortest idle timeout of a client's connection. The timeout of an open connection doesn't change, and the
-/// operator may raise the limit meanwhile.
+/// The minimum idle timeout of a client's connection. The timeout of an open connection can't be changed, but
+/// the operator may raise the configured limit while the connection is open.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The idle timeout of a client's connection, as a multiple of the operator's limit: clients may reuse a connection
-/// up to that limit, and must not find it closed then.
+/// The idle timeout of a client's connection, as a multiple of the operator's limit. Clients may reuse an
+/// idle connection up to that limit, so the node must keep it open for longer.
 const IDLE_TIMEOUT_FACTOR: f64 = 1.25;
 
-/// Serves requests of clients. Clones serve the same node.
+/// Serves requests of clients. Clones share the forwarder, the settings and the draining state.
 #[derive(Clone)]
 pub struct Ingress {
     shared: Arc<IngressShared>,
@@ -34,33 +34,35 @@
 struct IngressShared {
     forwarder: Forwarder,
     settings: IngressSettings,
+    /// Whether graceful shutdown has started. Never becomes `false` again.
     draining: watch::Sender<bool>,
 }
 
 impl Ingress {
-    /// Creates an ingress that forwards requests by `forwarder`.
+    /// Creates an ingress that forwards requests through `forwarder`.
     #[must_use]
     pub fn new(forwarder: Forwarder, settings: IngressSettings) -> Self {
         let draining = watch::Sender::new(false);
         Self { shared: Arc::new(IngressShared { forwarder, settings, draining }) }
     }
 
-    /// Starts graceful shutdown: the node isn't ready any more, accepts connections for a while yet, and finishes the
-    /// requests in flight. Then [`Self::serve`] returns.
+    /// Starts graceful shutdown. The node is no longer ready, accepts connections for
+    /// [`IngressSettings::accept_while_draining`], and then completes the requests in flight. Then
+    /// [`Self::serve`] returns.
     pub fn drain(&self) {
         self.shared.draining.send_replace(true);
     }
 
-    /// Serves clients until the node has drained.
+    /// Serves clients until [`Self::drain`] is called and the graceful shutdown is complete.
     ///
     /// # Errors
     ///
-    /// If the listener has no local address.
+    /// Fails if the local address of the listener can't be determined.
     pub async fn serve(&self, listener: TcpListener) -> io::Result<()> {
         let IngressSettings { accept_while_draining, drain_timeout, .. } = self.shared.settings;
         let mut draining = self.shared.draining.subscribe();
         let stop_accepting = async move {
-            // This fails only if the ingress is dropped, which is borrowed here.
+            // Fails only if the sender is dropped, which is impossible while `serve` borrows the ingress.
             let _ = draining.wait_for(|draining| *draining).await;
             sleep(accept_while_draining).await;
         };
@@ -76,13 +78,14 @@
     ///
     /// # Errors
     ///
-    /// If the listener fails for good.
+    /// Fails if the listener fails permanently.
     pub async fn serve_ready(&self, listener: TcpListener) -> io::Result<()> {
         let acceptor = TcpAcceptor::from_tokio(listener)?;
         Server::new_with_acceptor(acceptor).run(ReadinessEndpoint(self.clone())).await
     }
 
-    /// Whether the node is ready for requests of clients.
+    /// Whether the node is ready for requests of clients: it is not draining, and
+    /// [`IngressSettings::is_ready`] holds.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && (self.shared.settings.is_ready)()
@@ -100,7 +103,7 @@
         &self.shared.settings
     }
 
-    /// The idle timeout of a new connection.
+    /// Returns the idle timeout for a new connection, according to the configuration in force.
     fn idle_timeout(&self) -> Duration {
         let configuration = self.shared.forwarder.configuration();
         let limit = configuration.map_or(Duration::ZERO, |configuration| configuration.limits().idle_timeout);
--- a/crates/data-plane/src/ingress/mod.rs
+++ b/crates/data-plane/src/ingress/mod.rs
@@ -1,7 +1,7 @@
-//! The ingress of a node: it takes requests of clients, routes them and forwards them to servers.
+//! The ingress of a node: receives requests of clients, routes them and forwards them to servers.
 //!
-//! It owns the connections of clients and the start of graceful shutdown. A node's role in the daemon starts it and
-//! serves it the listeners.
+//! The ingress owns the connections of clients and performs graceful shutdown. The process that runs the node
+//! creates the ingress and passes the listeners to it.
 
 mod endpoint;
 mod http_server;
--- a/crates/data-plane/src/ingress/readiness.rs
+++ b/crates/data-plane/src/ingress/readiness.rs
@@ -5,7 +5,7 @@
 
 use crate::ingress::lifecycle::Ingress;
 
-/// The path that the platform probes.
+/// The path of the platform's readiness probes. All other paths of the endpoint respond with 404.
 const READINESS_PATH: &str = "/api/ready";
 
 /// Responds to readiness probes: 200 if the node is ready, 503 if it isn't.
--- a/crates/data-plane/src/ingress/request_reader.rs
+++ b/crates/data-plane/src/ingress/request_reader.rs
@@ -13,28 +13,29 @@
 use crate::headers::{end_to_end, text, ATTEMPT_ID};
 use crate::request::UpstreamRequest;
 
-/// Bytes of a header line beside name and value: the colon, a space and the line break.
+/// The number of bytes of a header line besides name and value: a colon, a space, and a line break of two
+/// bytes.
 const HEADER_LINE_OVERHEAD: usize = 4;
 
 /// Why a request is rejected before it is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestError {
-    /// The headers are larger than the limit.
+    /// The headers are larger than the operator's limit.
     HeadTooLarge,
-    /// The request has no id.
+    /// The request has no `Attempt-Id` header.
     MissingAttemptId,
-    /// The body is larger than the limit.
+    /// The body, or the length that its head declares, is larger than the operator's limit.
     BodyTooLarge,
-    /// The body did not come before the deadline.
+    /// The body was not complete before the deadline of the request.
     BodyTimeout,
-    /// The body broke off or is malformed.
+    /// The body is truncated or malformed.
     MalformedBody,
-    /// Path or query can't be forwarded unchanged.
+    /// The path or query can't be forwarded unchanged, see [`UpstreamRequest::is_sendable`].
     UnsendableTarget,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The status with which the node responds to the request.
     pub(super) fn status(self) -> StatusCode {
         match self {
             Self::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -48,23 +49,23 @@
 impl fmt::Display for RequestError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::HeadTooLarge => "the head of the request is too large",
-            Self::MissingAttemptId => "the request has no id",
-            Self::BodyTooLarge => "the body of the request is too large",
-            Self::BodyTimeout => "the body of the request did not come in time",
-            Self::MalformedBody => "the body of the request is malformed",
-            Self::UnsendableTarget => "the path or query can't be forwarded unchanged",
+            Self::HeadTooLarge => "the headers of the request exceed the size limit",
+            Self::MissingAttemptId => "the request has no Attempt-Id header",
+            Self::BodyTooLarge => "the body of the request exceeds the size limit",
+            Self::BodyTimeout => "the body of the request was not complete before the deadline",
+            Self::MalformedBody => "the body of the request is truncated or malformed",
+            Self::UnsendableTarget => "the path or query of the request can't be forwarded unchanged",
         })
     }
 }
 
 impl std::error::Error for RequestError {}
 
-/// Reads a request with its body.
+/// Reads a request including its body.
 ///
 /// # Errors
 ///
-/// If the request exceeds a limit, comes too slowly, or can't be forwarded.
+/// Fails if the request exceeds a limit, is not complete before the deadline, or can't be forwarded.
 pub(super) async fn read_request(
     mut request: Request,
     limits: &ConfigurationLimits,
@@ -87,7 +88,7 @@
     }
 }
 
-/// The size of the headers in bytes, as an HTTP/1.1 client sends them; the request line doesn't count.
+/// Returns the size of the headers in bytes, as an HTTP/1.1 client sends them, without the request line.
 fn head_bytes(request: &Request) -> u64 {
     let line = |(name, value): (&HeaderName, &HeaderValue)| {
         (name.as_str().len() + value.len() + HEADER_LINE_OVERHEAD) as u64
@@ -95,7 +96,7 @@
     request.headers().iter().map(line).sum()
 }
 
-/// The length that the head of a request declares for its body.
+/// Returns the `Content-Length` of a request; `None` if it is missing or malformed.
 fn declared_length(request: &Request) -> Option<u64> {
     text(request.headers(), &CONTENT_LENGTH)?.parse().ok()
 }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,21 +1,23 @@
-//! The data plane of a node: it takes requests of clients and forwards them to servers.
+//! The data plane of a node: receives requests of clients and forwards them to model servers.
 //!
-//! | module | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `ingress` | connections of clients, routing, limits, readiness, graceful shutdown |
-//! | `forwarding` | the attempts of a request: retries, hedging, responses that are buffered until they are complete |
-//! | `streaming` | event streams: parsing, passing on event by event, resumption at another server |
+//! | `forwarding` | the attempts of a request: retries, hedged requests, buffering of responses |
+//! | `streaming` | event streams: parsing, relaying event by event, resumption at another server |
 //! | `batch` | the requests that batch jobs cause: items, whose text is collected, and reward calls |
-//! | `upstream` | one attempt at one server: the request head, checks of the response head, the body |
-//! | `selection` | the servers as all requests share them: dispatcher, connections, prefix-cache affinity, hedge budget |
-//! | `headers`, `request`, `response` | the protocol's headers, and the messages between the layers |
+//! | `upstream` | one attempt at one server: request headers, validation of the response head, body |
+//! | `selection` | shared state: dispatcher, connections to servers, prefix-cache affinity, hedge budget |
+//! | `headers`, `request`, `response` | protocol headers, and the types that the modules exchange |
 //!
-//! The [`Ingress`] serves clients by a [`Forwarder`]; a store, which has no ingress, uses a [`Forwarder`] for the
-//! items and reward calls of its batch jobs. Server list and configuration come from the control plane by a watch
-//! channel. Which server gets an attempt is decided by the crate `dispatch`.
+//! The [`Ingress`] of a node forwards requests of clients through a [`Forwarder`]. A store has no ingress and
+//! uses a [`Forwarder`] for the items and reward calls of its batch jobs. The control plane supplies the
+//! server list and the configuration through a watch channel. The crate `dispatch` decides which server
+//! receives an attempt.
 //!
-//! The rule that governs every retry: after an attempt that may have run, the request goes to another server only if
-//! its route says that it is idempotent.
+//! Retries follow one rule: after an attempt that may have been executed, the request is sent again only if
+//! its route declares it idempotent, or resumable in case of a stream. Items of batch jobs are not retried in
+//! this crate.
 
 mod batch;
 mod forwarding;
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as it is sent to a server.
+//! The request type that the ingress and the batch jobs pass to attempts.
 
 use std::sync::Arc;
 
@@ -9,24 +9,25 @@
 
 use crate::headers::{text, ATTEMPT_ID, EXPECTED_VERSION, MODEL};
 
-/// A request as it is sent to a server, without what each attempt adds.
+/// A request to a server, without the headers that each attempt adds, such as the time left.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamRequest {
     pub(crate) method: Method,
-    /// The path and query, exactly as the client sent them.
+    /// The path and query, exactly as the client or the batch job specified them.
     pub(crate) target: String,
-    /// The headers without those that concern one connection only.
+    /// The headers without hop-by-hop headers.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
 impl UpstreamRequest {
-    /// The id of the request, which the response must bear.
+    /// Returns the id of the request. A valid response has the same id.
     pub(crate) fn id(&self) -> Option<&HeaderValue> {
         self.headers.get(ATTEMPT_ID)
     }
 
-    /// The URL of the request at a server. `None` if parsing would change path or query.
+    /// Returns the URL of the request for the server at `authority`. Returns `None` if parsing the URL would
+    /// change the path or query, for example by resolving `..`.
     pub(crate) fn url(&self, authority: &str) -> Option<reqwest::Url> {
         let url = reqwest::Url::parse(&format!("http://{authority}{}", self.target)).ok()?;
         let (path, query) = match self.target.split_once('?') {
@@ -37,23 +38,23 @@
         is_unchanged.then_some(url)
     }
 
-    /// Whether path and query can be sent unchanged.
+    /// Whether the path and query can be sent unchanged.
     pub(crate) fn is_sendable(&self) -> bool {
         self.url("server").is_some()
     }
 
-    /// The model that the request is for.
+    /// Returns the name of the model that the request is for, if it has a `Model` header.
     pub(crate) fn model(&self) -> Option<Arc<str>> {
         text(&self.headers, &MODEL).map(Into::into)
     }
 
-    /// The version of that model that the client requires.
+    /// Returns the version of the weights that the client requires, or `Any` if it requires none.
     pub(crate) fn version_requirement(&self) -> VersionRequirement {
         let version = text(&self.headers, &EXPECTED_VERSION).and_then(|version| version.parse().ok());
         version.map_or(VersionRequirement::Any, VersionRequirement::Exactly)
     }
 
-    /// Whether the request is sent with a body, be it empty.
+    /// Whether the request is sent with a body, which may be empty: `POST` and `PUT` always have one.
     pub(crate) fn has_body(&self) -> bool {
         !self.body.is_empty() || self.method == Method::POST || self.method == Method::PUT
     }
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -1,4 +1,4 @@
-//! A response for a client.
+//! The response type that forwarding returns, and its conversion to an HTTP response for the client.
 
 use std::future::Future;
 use std::io;
@@ -9,16 +9,16 @@
 use http::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use http::StatusCode;
 
-/// The body of a response.
+/// The body of a response to a client.
 pub(crate) enum ResponseBody {
-    /// The complete body.
+    /// A body that was received completely.
     Complete(Bytes),
-    /// Chunks that are passed on as they come. After an error the client's connection must be aborted, so that
-    /// the client doesn't take the body for complete.
+    /// A body that is forwarded chunk by chunk while it is received. After an error, the client's connection
+    /// must be aborted, so that the client doesn't treat the body as complete.
     Streaming(BoxStream<'static, io::Result<Bytes>>),
 }
 
-/// A response for a client.
+/// A response to a client, either a server's or one that this process generated.
 pub(crate) struct ClientResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
@@ -26,12 +26,13 @@
 }
 
 impl ClientResponse {
-    /// A response of the node itself, without a body.
+    /// Creates a response of the node itself, with a status but without headers and body.
     pub(crate) fn from_node(status: StatusCode) -> Self {
         Self { status, headers: HeaderMap::new(), body: ResponseBody::Complete(Bytes::new()) }
     }
 
-    /// 503 with `Retry-After`: the request has not run and never will, so the client may retry it after that time.
+    /// Creates a 503 response with `Retry-After`. It tells the client that the request was not executed and
+    /// never will be, so that the client may retry it after that time.
     pub(crate) fn not_run(retry_after: Duration) -> Self {
         let mut response = Self::from_node(StatusCode::SERVICE_UNAVAILABLE);
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
@@ -56,11 +57,12 @@
 
 /// The source of the chunks of a streaming body.
 pub(crate) trait ChunkSource: Send + 'static {
-    /// The next chunk; `None` at the proper end of the body, an error if it is truncated.
+    /// Waits for the next chunk. Returns `None` at the proper end of the body, and an error if the body is
+    /// truncated.
     fn next_chunk(&mut self) -> impl Future<Output = io::Result<Option<Bytes>>> + Send;
 }
 
-/// The chunks of a source up to the end or the first error.
+/// Returns a stream of the chunks of `source` that ends after the last chunk or the first error.
 pub(crate) fn chunk_stream(source: impl ChunkSource) -> BoxStream<'static, io::Result<Bytes>> {
     let chunks = stream::unfold(Some(source), |source| async {
         let mut source = source?;
@@ -68,7 +70,8 @@
             Ok(Some(chunk)) => Some((Ok(chunk), Some(source))),
             Ok(None) => None,
             Err(error) => {
-                // The error aborts the connection: the chunks before it must be written out first.
+                // The error aborts the client's connection. Yielding lets the earlier chunks be written
+                // first.
                 tokio::task::yield_now().await;
                 Some((Err(error), None))
             }
--- a/crates/data-plane/src/selection/affinity.rs
+++ b/crates/data-plane/src/selection/affinity.rs
@@ -1,30 +1,31 @@
-//! Affinity of groups of items to the servers whose prefix cache holds their common prompt.
+//! Affinity between groups of items and servers. All items of a group have the same prompt, which the prefix
+//! cache of a server holds after the first of them.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use state::ServerId;
 
-/// The maximum number of groups.
+/// The maximum number of groups whose server is remembered.
 const MAX_GROUPS: usize = 512;
 
-/// For each group of items, the server that one of them was sent to last.
+/// Maps each group of items to the server to which its most recent item was sent.
 ///
-/// Bounded: beyond [`MAX_GROUPS`], the group that was recorded first is evicted.
+/// Beyond [`MAX_GROUPS`], the group that was recorded first is evicted.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixAffinity {
     servers: HashMap<Arc<str>, ServerId>,
-    /// The groups in the order in which they were first recorded. Holds exactly the keys of `servers`.
+    /// The keys of `servers`, in the order in which they were first recorded.
     insertion_order: VecDeque<Arc<str>>,
 }
 
 impl PrefixAffinity {
-    /// Returns the server that an item of this group was sent to last.
+    /// Returns the server to which the most recent item of a group was sent.
     pub(crate) fn server(&self, group: &str) -> Option<ServerId> {
         self.servers.get(group).cloned()
     }
 
-    /// Records that an item of this group is sent to a server.
+    /// Records that an item of a group is sent to a server.
     pub(crate) fn record(&mut self, group: &Arc<str>, server: &ServerId) {
         let is_new = self.servers.insert(Arc::clone(group), Arc::clone(server)).is_none();
         if !is_new {
--- a/crates/data-plane/src/selection/clients.rs
+++ b/crates/data-plane/src/selection/clients.rs
@@ -1,7 +1,7 @@
-//! HTTP clients with the connections to servers.
+//! HTTP clients, which hold the connections to servers.
 //!
-//! Each incarnation of a server has a client with connections of its own, so that all of them can be dropped at once:
-//! when the server leaves the list, or when a response did not carry the id of its request.
+//! Each incarnation of a server has a separate client, so that all connections to it can be dropped together:
+//! when the server is removed from the server list, or after a response without the id of its request.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,22 +9,24 @@
 use reqwest::redirect::Policy;
 use state::ServerId;
 
-/// A new connection must be set up within this time.
+/// The maximum time to set up a connection to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A connection is given up if the server's machine acknowledges no data for this long (`TCP_USER_TIMEOUT`).
+/// The time after which a connection fails if the server's machine doesn't acknowledge sent data
+/// (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// An idle connection is kept for this long, unless a server announces a shorter time.
+/// The time for which an idle connection is kept, unless a server announces a shorter keep-alive timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// An idle connection is reused for this part of the time for which the server keeps it, so that no request is sent
-/// on a connection that is being closed.
+/// The idle timeout of connections, as a fraction of the keep-alive timeout that a server announces. It is
+/// less than 1 so that no request is sent on a connection that the server is closing.
 const SERVER_IDLE_TIMEOUT_FACTOR: f64 = 0.7;
-/// Idle connections that are kept to each server.
+/// The maximum number of idle connections that are kept open to each server.
 const MAX_IDLE_CONNECTIONS_PER_SERVER: usize = 12;
 
-/// The HTTP clients of all servers.
+/// The HTTP clients of all servers that requests were sent to.
 pub(crate) struct ServerClients {
     clients: HashMap<ServerId, reqwest::Client>,
-    /// The idle timeout of all clients: the shortest that was announced, never longer than [`DEFAULT_IDLE_TIMEOUT`].
+    /// The idle timeout of all clients: derived from the shortest keep-alive timeout that any server has
+    /// announced, at most [`DEFAULT_IDLE_TIMEOUT`]. It never increases.
     idle_timeout: Duration,
 }
 
@@ -33,16 +35,16 @@
         Self { clients: HashMap::new(), idle_timeout: DEFAULT_IDLE_TIMEOUT }
     }
 
-    /// For how long an idle connection may be reused.
+    /// Returns the time for which an idle connection may be reused.
     pub(crate) fn idle_timeout(&self) -> Duration {
         self.idle_timeout
     }
 
-    /// Returns the HTTP client of a server.
+    /// Returns the HTTP client of a server, which is created on first use.
     ///
     /// # Errors
     ///
-    /// If a client can't be built.
+    /// Fails if the client can't be built.
     pub(crate) fn get(&mut self, id: &ServerId) -> reqwest::Result<reqwest::Client> {
         if let Some(client) = self.clients.get(id) {
             return Ok(client.clone());
@@ -52,18 +54,18 @@
         Ok(client)
     }
 
-    /// Closes the connections to a server as soon as the requests on them are finished.
+    /// Discards the client of a server. Its connections are closed once the requests on them are finished.
     pub(crate) fn discard(&mut self, id: &str) {
         self.clients.remove(id);
     }
 
-    /// Keeps only the connections to servers that are listed.
+    /// Discards the clients of all servers for which `is_listed` returns `false`.
     pub(crate) fn retain(&mut self, is_listed: impl Fn(&str) -> bool) {
         self.clients.retain(|id, _| is_listed(id));
     }
 
-    /// Records that a server keeps idle connections for this long. If that shortens the idle timeout, all clients are
-    /// replaced, since the timeout of a client can't be changed.
+    /// Records the keep-alive timeout that a server has announced. If it shortens the idle timeout, all
+    /// clients are discarded, since the timeout of an existing client can't be changed.
     pub(crate) fn record_keep_alive(&mut self, announced: Duration) {
         let timeout = announced.mul_f64(SERVER_IDLE_TIMEOUT_FACTOR);
         if timeout < self.idle_timeout {
--- a/crates/data-plane/src/selection/hedging.rs
+++ b/crates/data-plane/src/selection/hedging.rs
@@ -1,13 +1,14 @@
-//! The budget of hedged requests.
+//! The budget that limits the number of hedged requests.
 
-/// Hedged requests that each attempt adds to the budget, so that they stay a small share of all attempts.
+/// The number of hedged requests that each attempt adds to the budget. It keeps hedged requests a small share
+/// (5 %) of all attempts.
 const HEDGES_PER_ATTEMPT: f64 = 0.05;
-/// The budget does not grow beyond this many hedged requests.
+/// The maximum number of hedged requests in the budget, which limits bursts of hedged requests.
 const MAX_BUDGET: f64 = 5.0;
 
-/// Limits hedged requests, which are sent beside an attempt that is slow, to a share of all attempts.
+/// Limits hedged requests, which are sent in addition to a slow attempt, to a share of all attempts.
 pub(super) struct HedgeBudget {
-    /// Hedged requests that may be sent now.
+    /// The number of hedged requests that may be sent now, in fractions of [`HEDGES_PER_ATTEMPT`].
     available: f64,
 }
 
@@ -17,12 +18,12 @@
         Self { available: MAX_BUDGET }
     }
 
-    /// Counts an attempt.
+    /// Adds the share of one attempt to the budget.
     pub(super) fn deposit(&mut self) {
         self.available = (self.available + HEDGES_PER_ATTEMPT).min(MAX_BUDGET);
     }
 
-    /// Takes one hedged request; `false` if none is left.
+    /// Withdraws one hedged request. Returns `false` if the budget doesn't allow any.
     pub(super) fn withdraw(&mut self) -> bool {
         let is_left = self.available >= 1.0;
         if is_left {
--- a/crates/data-plane/src/selection/in_flight.rs
+++ b/crates/data-plane/src/selection/in_flight.rs
@@ -1,4 +1,5 @@
-//! A request in flight at a server, and what it shows about that server.
+//! The guard of a request in flight at a server, through which the attempt records observations about that
+//! server.
 
 use std::time::Duration;
 
@@ -8,8 +9,8 @@
 use crate::headers::ServerLoad;
 use crate::selection::selector::ServerSelector;
 
-/// A request in flight at the server that was selected for it. When it is dropped, the request counts as finished
-/// with the outcome that was set last; it counts as canceled if none was set.
+/// A request in flight at the server that was selected for it. Dropping this guard reports the request to the
+/// dispatcher as finished, with the outcome that was set last, or as canceled if none was set.
 pub(crate) struct InFlightRequest {
     selector: ServerSelector,
     server: SelectedServer,
@@ -17,7 +18,8 @@
 }
 
 impl ServerSelector {
-    /// Selects a server for an attempt, which counts as in flight until the returned guard is dropped.
+    /// Selects a server for an attempt and adds to the hedge budget. The request counts as in flight until
+    /// the returned guard is dropped.
     ///
     /// Returns `None` if no server is eligible.
     pub(crate) fn select(&self, criteria: &SelectionCriteria<'_>) -> Option<InFlightRequest> {
@@ -39,46 +41,48 @@
         self.outcome = outcome;
     }
 
-    /// The HTTP client with the connections to the server.
+    /// Returns the HTTP client that holds the connections to the server.
     pub(crate) fn client(&self) -> reqwest::Result<Client> {
         self.selector.state().clients.get(&self.server.id)
     }
 
-    /// Closes the connections to the server as soon as the requests on them are finished.
+    /// Discards the connections to the server; each is closed once the request on it is finished.
     pub(crate) fn discard_connections(&self) {
         self.selector.state().clients.discard(&self.server.id);
     }
 
-    /// Records that the server keeps idle connections for this long.
+    /// Records the keep-alive timeout that the server has announced for idle connections.
     pub(crate) fn record_keep_alive(&self, timeout: Duration) {
         self.selector.state().clients.record_keep_alive(timeout);
     }
 
-    /// Records the load that the server reported.
+    /// Records the load that the server reported in a response.
     pub(crate) fn record_load(&self, load: ServerLoad) {
         let now = self.selector.now();
         let mut state = self.selector.state();
         state.dispatcher.record_load(now, &self.server.id, load.running, load.queued, load.slots);
     }
 
-    /// Records that the server serves this version of a model.
+    /// Records that the server runs a version of a model.
     pub(crate) fn record_version(&self, model: &str, version: u64) {
         self.selector.state().dispatcher.record_version(&self.server.id, model, version);
     }
 
-    /// Records that the server rejected the request because it doesn't serve this version.
+    /// Records that the server rejected the request because it doesn't run `version` of `model`.
     pub(crate) fn record_version_rejected(&self, model: &str, version: u64) {
         let now = self.selector.now();
         self.selector.state().dispatcher.record_version_rejected(now, &self.server.id, model, version);
     }
 
-    /// Records that the server rejected the request despite free capacity: it is loading a version of the model.
+    /// Records that the server rejected the request despite free capacity, because it is loading a version of
+    /// the model.
     pub(crate) fn record_model_loading(&self, model: &str) {
         let now = self.selector.now();
         self.selector.state().dispatcher.record_model_loading(now, &self.server.id, model);
     }
 
-    /// Records that the server serves requests for this model, so that it isn't loading.
+    /// Records that the server serves requests for a model, which implies that it isn't loading a version of
+    /// it.
     pub(crate) fn record_model_serving(&self, model: &str) {
         self.selector.state().dispatcher.record_model_serving(&self.server.id, model);
     }
--- a/crates/data-plane/src/selection/mod.rs
+++ b/crates/data-plane/src/selection/mod.rs
@@ -1,9 +1,10 @@
-//! The servers that requests of this process can be sent to, and which of them gets an attempt.
+//! Selection of the server for each attempt, and the state of the servers that all requests of the process
+//! share.
 //!
-//! It owns what all requests share: the dispatcher with load and health of each server, the connections to servers, the
-//! prefix-cache affinity and the hedge budget. One mutex guards them; it is never locked across an await. A
-//! [`ServerSelector`] hands out an [`InFlightRequest`] for each attempt, through which the attempt records what it
-//! learns about its server.
+//! The shared state consists of the dispatcher with the load and health of each server, the connections to
+//! servers, the prefix-cache affinity and the hedge budget. One mutex guards it and is never held across an
+//! await. A [`ServerSelector`] returns an [`InFlightRequest`] for each attempt, through which the attempt
+//! records observations about its server, such as reported load and outcome.
 
 mod affinity;
 mod clients;
--- a/crates/data-plane/src/selection/selector.rs
+++ b/crates/data-plane/src/selection/selector.rs
@@ -1,4 +1,5 @@
-//! The selector: a handle to the state of all servers, which the requests of a process share behind one mutex.
+//! The selector: a handle to the state of all servers, which all requests of a process share behind one
+//! mutex.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use crate::selection::clients::ServerClients;
 use crate::selection::hedging::HedgeBudget;
 
-/// Selects servers. Clones share everything.
+/// Selects servers for attempts. Clones share the same state.
 #[derive(Clone)]
 pub(crate) struct ServerSelector {
     shared: Arc<SelectorShared>,
@@ -21,23 +22,24 @@
 
 struct SelectorShared {
     view: watch::Receiver<Arc<View>>,
-    /// The origin of the times that the dispatcher is handed.
+    /// The time at which the selector was created. The times that are passed to the dispatcher are relative
+    /// to it.
     started: Instant,
     state: Mutex<SelectorState>,
 }
 
-/// Mutable state of a selector, guarded by one mutex.
+/// The mutable state of a selector, guarded by one mutex.
 pub(super) struct SelectorState {
     pub(super) dispatcher: Dispatcher,
     pub(super) clients: ServerClients,
     pub(super) hedge_budget: HedgeBudget,
     affinity: PrefixAffinity,
-    /// The server list that dispatcher and clients follow.
+    /// The server list with which the dispatcher and the clients were last updated.
     servers: Arc<ServerList>,
 }
 
 impl ServerSelector {
-    /// Creates a selector in this zone, which always acts on the newest view.
+    /// Creates a selector for a process in `zone`, which uses the newest view in the channel.
     pub(crate) fn new(view: watch::Receiver<Arc<View>>, zone: Arc<str>) -> Self {
         let state = SelectorState {
             dispatcher: Dispatcher::new(zone),
@@ -49,49 +51,50 @@
         Self { shared: Arc::new(SelectorShared { view, started: Instant::now(), state: Mutex::new(state) }) }
     }
 
-    /// The configuration in force; `None` until the control plane has supplied one.
+    /// Returns the configuration in force; `None` until the control plane has supplied one.
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
         self.shared.view.borrow().configuration.clone()
     }
 
-    /// How many more requests the eligible servers have capacity for.
+    /// Returns how many more requests the eligible servers have capacity for.
     pub(crate) fn free_capacity(&self, criteria: &SelectionCriteria<'_>) -> usize {
         let now = self.now();
         self.state().dispatcher.free_capacity(now, criteria)
     }
 
-    /// How many requests the eligible servers take at once, those in flight included.
+    /// Returns how many requests the eligible servers can run concurrently, including those in flight.
     pub(crate) fn total_capacity(&self, criteria: &SelectionCriteria<'_>) -> usize {
         let now = self.now();
         self.state().dispatcher.total_capacity(now, criteria)
     }
 
-    /// For how long an idle connection to a server may be reused.
+    /// Returns the time for which an idle connection to a server may be reused.
     pub(crate) fn idle_timeout(&self) -> Duration {
         self.state().clients.idle_timeout()
     }
 
-    /// Takes a hedged request from the budget; `false` if none is left.
+    /// Withdraws one hedged request from the budget. Returns `false` if the budget doesn't allow any.
     pub(crate) fn withdraw_hedge(&self) -> bool {
         self.state().hedge_budget.withdraw()
     }
 
-    /// Returns the server that is expected to have the prompt of this group of items in its prefix cache.
+    /// Returns the server whose prefix cache probably holds the prompt of a group of items: the one to which
+    /// the most recent item of the group was sent.
     pub(crate) fn prefix_cache_server(&self, group: &str) -> Option<ServerId> {
         self.state().affinity.server(group)
     }
 
-    /// Records that an item of this group is sent to a server.
+    /// Records that an item of a group is sent to a server.
     pub(crate) fn record_prefix_cache_server(&self, group: &Arc<str>, server: &ServerId) {
         self.state().affinity.record(group, server);
     }
 
-    /// The time since the selector was created, which is the dispatcher's clock.
+    /// Returns the current time of the dispatcher's clock: the time since the selector was created.
     pub(super) fn now(&self) -> Duration {
         self.shared.started.elapsed()
     }
 
-    /// Locks the shared state, brought up to the newest server list.
+    /// Locks the shared state, after updating it to the newest server list.
     pub(super) fn state(&self) -> MutexGuard<'_, SelectorState> {
         let mut state = self.shared.state.lock().unwrap_or_else(PoisonError::into_inner);
         let view = self.shared.view.borrow();
--- a/crates/data-plane/src/streaming/event_parser.rs
+++ b/crates/data-plane/src/streaming/event_parser.rs
@@ -1,32 +1,33 @@
-//! Incremental parsing of `text/event-stream`.
+//! Incremental parser of `text/event-stream` bodies.
 
 use bytes::{Bytes, BytesMut};
 
-/// The field that says which version of the weights makes the text from this event on.
+/// The field of an event that announces the version of the weights that generates the text from this event
+/// on.
 const VERSION_FIELD: &str = "weight-editions";
 
-/// One complete event.
+/// A complete event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its bytes as they were received, with the blank line that ends it.
+    /// The bytes of the event as they were received, including the blank line that ends it.
     pub raw: Bytes,
-    /// Its `id`, if that is a number.
+    /// The `id` field; `None` if it is missing or not a number.
     pub id: Option<u64>,
-    /// Its data lines, joined by line feeds.
+    /// The values of the `data` fields, joined by line feeds.
     pub data: Bytes,
-    /// The version of the weights, if the event announces a change.
+    /// The version of the weights that the event announces; `None` if it announces no change.
     pub version: Option<u64>,
 }
 
 impl StreamEvent {
-    /// Whether the event is only a comment or empty.
+    /// Whether the event contains neither id, data nor version, as a comment or a keep-alive line.
     #[must_use]
     pub fn is_comment(&self) -> bool {
         self.id.is_none() && self.data.is_empty() && self.version.is_none()
     }
 }
 
-/// Splits a stream into events. Bytes may be pushed in chunks of any size.
+/// Splits a stream into events. The bytes of the stream may be pushed in chunks of any size.
 ///
 /// ```
 /// use data_plane::EventParser;
@@ -42,7 +43,7 @@
 #[derive(Debug, Default)]
 pub struct EventParser {
     buffer: BytesMut,
-    /// The buffer holds no end of an event before this offset, which is the start of a line.
+    /// The offset of the first line in the buffer that has not been searched for the end of an event.
     searched: usize,
 }
 
@@ -52,7 +53,8 @@
         self.buffer.extend_from_slice(chunk);
     }
 
-    /// Takes the next complete event out of the buffer.
+    /// Removes the next complete event from the buffer and returns it; `None` if the buffer holds no complete
+    /// event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         self.searched = 0;
@@ -60,20 +62,23 @@
         Some(parse(raw))
     }
 
-    /// Whether the buffer holds part of an event.
+    /// Whether the buffer holds bytes. Once [`Self::next_event`] has returned `None`, they are part of an
+    /// event.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Takes the bytes after the last complete event out of the buffer.
+    /// Removes all bytes from the buffer and returns them; `None` if it is empty. Once [`Self::next_event`]
+    /// has returned `None`, they are the bytes after the last complete event.
     pub fn take_partial(&mut self) -> Option<Bytes> {
         self.searched = 0;
         let rest = self.buffer.split().freeze();
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// The offset after the first blank line.
+    /// Returns the offset after the first blank line, which ends the first event; `None` if there is none
+    /// yet.
     fn find_end(&mut self) -> Option<usize> {
         let mut line_start = self.searched;
         while let Some(length) = self.buffer[line_start..].iter().position(|byte| *byte == b'\n') {
@@ -112,7 +117,8 @@
     event
 }
 
-/// Splits a line at its first colon; one space after the colon belongs to neither part.
+/// Splits a line at its first colon into field name and value. One space after the colon is not part of the
+/// value.
 fn split_field(line: &[u8]) -> (&[u8], &[u8]) {
     let Some(colon) = line.iter().position(|byte| *byte == b':') else {
         return (line, b"");
--- a/crates/data-plane/src/streaming/mod.rs
+++ b/crates/data-plane/src/streaming/mod.rs
@@ -1,7 +1,8 @@
-//! Event streams: parsing of `text/event-stream`, and the relay that passes events on as they come.
+//! Event streams: the parser of `text/event-stream`, and the relay that forwards each event once it is
+//! complete.
 //!
-//! The relay owns the position in a client's stream. If the server breaks off, it resumes the stream after the last
-//! complete event at another server, provided that the route allows it.
+//! The relay tracks the position in a client's stream. If the stream of a server is interrupted, the relay
+//! resumes it after the last complete event at another server, provided that the route allows resumption.
 
 mod event_parser;
 mod relay;
--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -1,4 +1,4 @@
-//! The relay of a stream to a client: each complete event is passed on as it comes.
+//! The relay of an event stream to a client. It forwards each event once it is complete.
 
 use std::collections::VecDeque;
 use std::io;
@@ -18,8 +18,8 @@
 use crate::upstream::{AttemptOptions, UpstreamAttempt, UpstreamResponse};
 
 impl Forwarder {
-    /// Forwards a request for a stream. If its route allows it, the stream is resumed at another server when one
-    /// breaks off.
+    /// Forwards a request for an event stream. If the stream of a server is interrupted and the route allows
+    /// it, the stream is resumed at another server.
     pub(crate) async fn forward_stream(
         &self,
         route: &Arc<Route>,
@@ -33,15 +33,17 @@
     }
 }
 
-/// One stream of a client, and the server that it comes from at present.
+/// An event stream to a client, and the response of the server from which it is currently read.
 struct StreamRelay {
     retry: RetryState,
-    /// The id of the last event that was received, or the one that the client named.
+    /// The id of the last complete event that was received; before the first, the client's `Last-Event-Id`,
+    /// if any.
     last_event_id: Option<u64>,
-    /// The response that the events come from; `None` before the first and while the stream is resumed.
+    /// The response from which the events are read; `None` before the first one, while the stream is being
+    /// resumed, and after a failed resumption.
     upstream: Option<UpstreamResponse>,
     parser: EventParser,
-    /// Complete events that are yet to be passed on.
+    /// Complete events that have not been forwarded yet.
     pending: VecDeque<Bytes>,
 }
 
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Opens the stream at a server and returns the response to the client, from which the events are then drawn.
+    /// Opens the stream at a server and returns the response to the client. Its body relays the events.
     async fn start(mut self) -> ClientResponse {
         let Some(upstream) = self.open_upstream().await else {
             return self.retry.last_error_response();
@@ -72,7 +74,8 @@
         ClientResponse { status, headers, body: ResponseBody::Streaming(chunk_stream(self)) }
     }
 
-    /// Opens the stream, after the last event, at the next server that accepts the request.
+    /// Makes attempts until a server accepts the request, and returns its response. The stream starts after
+    /// the last event. Returns `None` if no further attempt is allowed.
     async fn open_upstream(&mut self) -> Option<UpstreamResponse> {
         while let Some(in_flight) = self.retry.next_attempt(false) {
             let options = AttemptOptions {
@@ -88,8 +91,8 @@
         None
     }
 
-    /// Parses the next bytes of the stream and queues the complete events. Fails if an event repeats or precedes one
-    /// that was passed on.
+    /// Parses the next bytes of the stream and queues the complete events for the client. Fails if the id of
+    /// an event doesn't increase, as the client would then receive events twice.
     fn push(&mut self, chunk: &[u8]) -> io::Result<()> {
         self.parser.push(chunk);
         while let Some(event) = self.parser.next_event() {
@@ -104,8 +107,9 @@
         Ok(())
     }
 
-    /// Continues at another server after the last complete event; the part of the next one that was received is
-    /// dropped. Fails if no further attempt may be made, which is always so if the route doesn't allow resumption.
+    /// Resumes the stream at another server after the last complete event, and discards the incomplete event
+    /// in the parser. Fails if no further attempt is allowed, which is always the case if the route doesn't
+    /// allow resumption.
     async fn resume(&mut self) -> io::Result<()> {
         self.upstream = None;
         self.parser = EventParser::default();
@@ -116,7 +120,8 @@
 }
 
 impl ChunkSource for StreamRelay {
-    /// The next complete event.
+    /// Waits for the next complete event. Resumes the stream if the body of the response is truncated or
+    /// times out.
     async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
         loop {
             if let Some(event) = self.pending.pop_front() {
@@ -127,7 +132,7 @@
             };
             match upstream.chunk().await {
                 Ok(Some(chunk)) => self.push(&chunk)?,
-                // A body may end without a blank line after its last event.
+                // The body may end properly without a blank line after its last event.
                 Ok(None) => return Ok(self.parser.take_partial()),
                 Err(_) => self.resume().await?,
             }
@@ -141,5 +146,5 @@
 }
 
 fn broken_off() -> io::Error {
-    io::Error::other("the stream was broken off")
+    io::Error::other("the event stream was interrupted or repeated an event, and can't be continued")
 }
--- a/crates/data-plane/src/upstream/attempt.rs
+++ b/crates/data-plane/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to one server, up to the head of its response.
+//! An attempt at one server: sends the request and validates the head of the response.
 
 use std::time::Duration;
 
@@ -18,14 +18,15 @@
 use crate::upstream::options::AttemptOptions;
 use crate::upstream::response::{drain_body, UpstreamResponse};
 
-/// Subtracted from the time that the server is given, for the transit of its response.
+/// The part of the time left that is reserved for the transit of the response; the server receives the rest.
 const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(4);
-/// A time-out counts as a failure of the server only if the server had at least this long.
+/// The minimum time that the server must have had for a timeout to count as a failure of the server.
 const MIN_TIMEOUT_COUNTED_AS_FAILURE: Duration = Duration::from_millis(250);
-/// The head of the response may take this many idle timeouts, as the request may wait in the server's queue.
+/// The maximum time until the head of the response, in idle timeouts. It is more than one idle timeout
+/// because the request may wait in the server's queue.
 const HEAD_TIMEOUT_FACTOR: u32 = 2;
 
-/// One attempt of a request at the server that was selected for it.
+/// An attempt to have a request executed by the server that was selected for it.
 pub(crate) struct UpstreamAttempt<'a> {
     pub(crate) in_flight: InFlightRequest,
     pub(crate) request: &'a UpstreamRequest,
@@ -37,7 +38,8 @@
     ///
     /// # Errors
     ///
-    /// If the request can't be sent or is rejected, or the response doesn't come in time or isn't valid.
+    /// Fails if the request can't be sent or is rejected, or if the head of the response is invalid or
+    /// doesn't arrive in time.
     pub(crate) async fn send(mut self) -> Result<UpstreamResponse, AttemptError> {
         let request = self.build_request().ok_or(AttemptError::Unsendable)?;
         let started = Instant::now();
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Builds the request; `None` if it can't be sent as it is.
+    /// Builds the request; `None` if the URL, the headers or the HTTP client can't be built.
     fn build_request(&self) -> Option<RequestBuilder> {
         let url = self.request.url(&self.in_flight.server().address.to_string())?;
         let client = self.in_flight.client().ok()?;
@@ -83,17 +85,18 @@
         Some(headers)
     }
 
-    /// How long the server may take, in milliseconds; at least 1.
+    /// Returns the time that the server may take, in milliseconds; at least 1.
     fn time_left_ms(&self) -> u64 {
         let left = self.options.deadline.saturating_duration_since(Instant::now());
         let left = left.saturating_sub(RESPONSE_TRANSIT_TIME).as_millis();
         u64::try_from(left).unwrap_or(u64::MAX).max(1)
     }
 
-    /// Checks that the head is a valid response to this request, and records what it shows about the server.
+    /// Validates the head of a response to this request. Records the load, version and health of the server
+    /// that follow from it.
     fn accept(mut self, response: Response) -> Result<UpstreamResponse, AttemptError> {
         if response.headers().get(ATTEMPT_ID) != self.request.id() {
-            // What comes next on that connection may belong to another request as well.
+            // Later responses on this connection may belong to other requests as well.
             self.in_flight.discard_connections();
             self.in_flight.set_outcome(RequestOutcome::Failure);
             return Err(AttemptError::InvalidResponse);
@@ -116,7 +119,8 @@
         Ok(UpstreamResponse::new(self.in_flight, response, self.options, version))
     }
 
-    /// Records load, idle timeout and version that the head shows; returns the version.
+    /// Records the load, the keep-alive timeout and the version in the headers of a response. Returns the
+    /// version.
     fn record_server_state(&self, headers: &HeaderMap) -> Option<u64> {
         if let Some(load) = ServerLoad::from_headers(headers) {
             self.in_flight.record_load(load);
@@ -131,7 +135,8 @@
         version
     }
 
-    /// Records why the server rejected the request; returns how that counts for its health.
+    /// Records why the server rejected the request. Returns the outcome by which the rejection counts for the
+    /// health of the server.
     fn record_rejection(&self, response: &Response) -> RequestOutcome {
         let is_full = ServerLoad::from_headers(response.headers()).is_none_or(ServerLoad::is_full);
         match (response.status(), self.request.model(), self.options.expected_version) {
@@ -143,14 +148,14 @@
                 self.in_flight.record_version_rejected(&model, version);
                 RequestOutcome::Canceled
             }
-            // Another server answers at this address.
+            // A different server responds at this address, so the selected one no longer exists there.
             (StatusCode::MISDIRECTED_REQUEST, ..) => RequestOutcome::Failure,
             _ => RequestOutcome::Overloaded,
         }
     }
 }
 
-/// Whether the server says that it did not run the request.
+/// Whether the response guarantees that the server did not execute the request.
 fn is_rejection(response: &Response) -> bool {
     match response.status() {
         StatusCode::MISDIRECTED_REQUEST => true,
@@ -161,9 +166,11 @@
     }
 }
 
-/// Whether the head is one that a server may send: stamped if successful, and not encoded.
+/// Whether the protocol allows the head of this response: a successful response must have a stamp, and no
+/// response may be informational or have an encoded body.
 ///
-/// A response without a length ends with its connection; if that is reset, reading the body fails.
+/// A response without a length is valid: its body ends when the server closes the connection, and reading the
+/// body fails if the connection is reset.
 fn is_valid(response: &Response) -> bool {
     let (status, headers) = (response.status(), response.headers());
     let is_stamped = !status.is_success() || headers.contains_key(STAMP);
--- a/crates/data-plane/src/upstream/error.rs
+++ b/crates/data-plane/src/upstream/error.rs
@@ -1,39 +1,39 @@
-//! Why an attempt gave no response, and what that proves about the request.
+//! Errors of attempts, and whether the request may have been executed despite the error.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Whether a request may have run at a server that gave no valid response.
+/// Whether a request may have been executed by a server that sent no valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExecutionStatus {
-    /// It has not run there and never will.
+    /// The server has not executed the request and never will.
     NotRun,
-    /// It may have run, or may still be running.
+    /// The server may have executed the request, or may still be executing it.
     MayHaveRun,
 }
 
-/// Why an attempt gave no response.
+/// Reason why an attempt yielded no valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptError {
-    /// The request can't be sent in the form that the client gave it.
+    /// The request can't be built, for example because its path or query would change.
     Unsendable,
-    /// No connection to the server came up.
+    /// No connection to the server could be set up.
     ConnectFailed,
-    /// The server reported that it did not run the request.
+    /// The server responded that it did not execute the request.
     Rejected {
-        /// After which time the server wants it to be sent again.
+        /// The `Retry-After` of the server's response, if any.
         retry_after: Option<Duration>,
     },
-    /// The connection broke off, or its bytes were no HTTP response.
+    /// The connection failed, or the received bytes were not a valid HTTP response.
     ConnectionBroken,
-    /// The response was not one to this request, or not one that the protocol allows.
+    /// The response had the id of another request, or violated the protocol.
     InvalidResponse,
-    /// The idle timeout or the deadline passed.
+    /// The idle timeout or the deadline of the attempt has expired.
     TimedOut,
 }
 
 impl AttemptError {
-    /// What the error proves about the execution of the request.
+    /// Returns whether the request may have been executed despite the error.
     pub(crate) fn execution_status(&self) -> ExecutionStatus {
         match self {
             Self::Unsendable | Self::ConnectFailed | Self::Rejected { .. } => ExecutionStatus::NotRun,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// After which time the server wants the request to be sent again, if it named one.
+    /// Returns the `Retry-After` of a rejection, if the server specified one.
     pub(crate) fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Rejected { retry_after } => *retry_after,
@@ -57,12 +57,12 @@
 impl fmt::Display for AttemptError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::Unsendable => "the request can't be sent unchanged",
-            Self::ConnectFailed => "no connection to the server",
-            Self::Rejected { .. } => "the server rejected the request",
-            Self::ConnectionBroken => "the connection to the server broke off",
-            Self::InvalidResponse => "the server sent no valid response",
-            Self::TimedOut => "the server timed out",
+            Self::Unsendable => "the request to the server can't be built",
+            Self::ConnectFailed => "failed to set up a connection to the server",
+            Self::Rejected { .. } => "the server rejected the request without executing it",
+            Self::ConnectionBroken => "the connection to the server failed before the response was complete",
+            Self::InvalidResponse => "the server sent a response that the protocol doesn't allow",
+            Self::TimedOut => "the server did not complete its response before the timeout",
         })
     }
 }
--- a/crates/data-plane/src/upstream/mod.rs
+++ b/crates/data-plane/src/upstream/mod.rs
@@ -1,7 +1,8 @@
-//! One attempt at one server: the request that is sent, and what the head of the response proves.
+//! One attempt at one server: sending the request, validating the head of the response, and reading its body.
 //!
-//! The forwarder, the relay of streams and the items of batch jobs call [`UpstreamAttempt::send`]. What an attempt learns about
-//! its server is recorded through its [`InFlightRequest`](crate::selection::InFlightRequest).
+//! Buffered forwarding, the relay of event streams and the items of batch jobs call
+//! [`UpstreamAttempt::send`]. An attempt records observations about its server through its
+//! [`InFlightRequest`](crate::selection::InFlightRequest).
 
 mod attempt;
 mod error;
--- a/crates/data-plane/src/upstream/options.rs
+++ b/crates/data-plane/src/upstream/options.rs
@@ -1,30 +1,31 @@
-//! What one attempt adds to a request, and how long it may take.
+//! Options of an attempt: the headers that it adds to the request, and its time limits.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// What one attempt adds to a request.
+/// The headers that an attempt adds to a request, and its time limits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptOptions {
-    /// When the attempt ends at the latest.
+    /// The time by which the attempt must be complete, including the body of the response.
     pub(crate) deadline: Instant,
-    /// The only version of the weights that may run the request.
+    /// The only version of the weights that may process the request; `None` keeps the client's requirement,
+    /// if any.
     pub(crate) expected_version: Option<u64>,
-    /// The stream is to continue after this event.
+    /// The id of the event after which the stream continues; `None` keeps the client's, if any.
     pub(crate) last_event_id: Option<u64>,
-    /// The attempt fails if the server sends nothing for this long; `None`: only the deadline counts.
+    /// The maximum time between two chunks of the response; `None` if only the deadline limits it.
     pub(crate) idle_timeout: Option<Duration>,
 }
 
 impl AttemptOptions {
-    /// Adds nothing but a deadline.
+    /// Creates options with a deadline only.
     pub(crate) fn until(deadline: Instant) -> Self {
         Self { deadline, expected_version: None, last_event_id: None, idle_timeout: None }
     }
 
-    /// When the attempt fails if the server sends nothing from now on: after so many idle timeouts, or at the
-    /// deadline.
+    /// Returns the time at which the attempt fails if the server sends nothing from now on: after
+    /// `idle_timeouts` times the idle timeout, but not after the deadline.
     pub(super) fn idle_deadline(&self, idle_timeouts: u32) -> Instant {
         let end = self.idle_timeout.map(|timeout| Instant::now() + timeout * idle_timeouts);
         end.map_or(self.deadline, |end| end.min(self.deadline))
--- a/crates/data-plane/src/upstream/response.rs
+++ b/crates/data-plane/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! A server's response whose head was accepted, and its body.
+//! A server's response with a valid head, whose body is read chunk by chunk.
 
 use std::time::Duration;
 
@@ -13,12 +13,13 @@
 use crate::upstream::error::AttemptError;
 use crate::upstream::options::AttemptOptions;
 
-/// A body that nobody waits for is read to its end up to this length, so that its connection can be used again.
+/// The maximum length of a discarded body that is read to its end so that its connection can be reused.
 const MAX_DRAINED_BYTES: u64 = 64 * 1024;
-/// A body that nobody waits for must end within this time.
+/// The maximum time for reading a discarded body to its end.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A server's response to a request; its body is yet to be read.
+/// A server's response whose head is valid and whose body has not been read completely. The request counts as
+/// in flight until the response is dropped.
 pub(crate) struct UpstreamResponse {
     in_flight: InFlightRequest,
     response: Response,
@@ -44,21 +45,21 @@
         self.response.headers()
     }
 
-    /// The version of the weights, if the head shows it.
+    /// Returns the version of the weights in the head of the response; `None` if it is missing.
     pub(crate) fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// The request that the response is to.
+    /// Returns the guard of the request, through which observations about the server are recorded.
     pub(crate) fn in_flight(&self) -> &InFlightRequest {
         &self.in_flight
     }
 
-    /// The next chunk of the body; `None` at its proper end.
+    /// Waits for the next chunk of the body; returns `None` at its proper end.
     ///
     /// # Errors
     ///
-    /// If the body is truncated or doesn't come in time.
+    /// Fails if the body is truncated, or if no chunk arrives before the idle timeout or the deadline.
     pub(crate) async fn chunk(&mut self) -> Result<Option<Bytes>, AttemptError> {
         let Ok(chunk) = timeout_at(self.options.idle_deadline(1), self.response.chunk()).await else {
             if Instant::now() < self.options.deadline {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Discards the body; the request counts as if the body had been read to its end.
+    /// Discards the body. The outcome of the request is the same as if the body had been read to its end.
     pub(crate) fn discard(mut self) {
         self.in_flight.set_outcome(self.complete_outcome());
         drain_body(self.response);
@@ -94,7 +95,8 @@
     }
 }
 
-/// Reads what is left of a short body that nobody waits for, so that its connection can be used again.
+/// Reads the rest of a discarded body in the background if the body is short, so that its connection can be
+/// reused.
 pub(super) fn drain_body(mut response: Response) {
     if response.content_length().is_some_and(|length| length <= MAX_DRAINED_BYTES) {
         tokio::spawn(async move {
