--- a/crates/data-plane/src/batch/item.rs
+++ b/crates/data-plane/src/batch/item.rs
@@ -108,9 +108,9 @@
             Some(version) => VersionRequirement::Exactly(*version),
             None => VersionRequirement::AtLeast(item.oldest_version),
         };
-        let cached = item.group.as_ref().and_then(|group| self.selector.prefix_cache_server(group));
+        let cache_server = item.group.as_ref().and_then(|group| self.selector.prefix_cache_server(group));
         let criteria = SelectionCriteria {
-            prefix_cache_server: cached.as_ref(),
+            prefix_cache_server: cache_server.as_ref(),
             ..item_criteria(&item.route.targets, item.model.as_deref(), version)
         };
         let in_flight = self.selector.select(&criteria)?;
@@ -144,10 +144,10 @@
 /// Returns the outcome of a run whose attempt yielded no valid response.
 fn error_outcome(item: ItemRequest, error: AttemptError) -> ItemOutcome {
     match error.execution_status() {
-        ExecutionStatus::NotRun => {
+        ExecutionStatus::NotExecuted => {
             ItemOutcome::NotRun { retry_after: error.retry_after().unwrap_or(DEFAULT_RETRY_AFTER) }
         }
-        ExecutionStatus::MayHaveRun => ItemOutcome::Interrupted(item.progress),
+        ExecutionStatus::MayHaveBeenExecuted => ItemOutcome::Interrupted(item.progress),
     }
 }
 
--- a/crates/data-plane/src/batch/reward.rs
+++ b/crates/data-plane/src/batch/reward.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::forwarding::Forwarder;
-use crate::headers::{text, ATTEMPT_ID, STAMP};
+use crate::headers::{header_text, ATTEMPT_ID, STAMP};
 use crate::request::UpstreamRequest;
 
 /// How a reward call ended.
@@ -42,17 +42,18 @@
     ) -> RewardOutcome {
         let path_without_query = path.split('?').next().unwrap_or(path);
         let configuration = self.configuration();
-        let Some(route) = configuration.as_ref().and_then(|found| found.route(host, path_without_query))
+        let Some(route) =
+            configuration.as_ref().and_then(|configuration| configuration.route(host, path_without_query))
         else {
             return RewardOutcome::NoRoute;
         };
-        let Some(headers) = headers(host, id) else {
+        let Some(headers) = reward_headers(host, id) else {
             return RewardOutcome::NoRoute;
         };
         let request =
             Arc::new(UpstreamRequest { method: Method::POST, target: path.to_owned(), headers, body });
         let forwarded = self.forward_buffered(route, request, true, Instant::now() + timeout).await;
-        let grade = text(&forwarded.response.headers, &STAMP);
+        let grade = header_text(&forwarded.response.headers, &STAMP);
         match grade {
             Some(grade) if forwarded.is_from_server && forwarded.response.status.is_success() => {
                 RewardOutcome::Graded(grade.to_owned())
@@ -66,7 +67,7 @@
 }
 
 /// Builds the headers of a reward call; `None` if its host or id is not a valid header value.
-fn headers(host: &str, id: &str) -> Option<HeaderMap> {
+fn reward_headers(host: &str, id: &str) -> Option<HeaderMap> {
     let mut headers = HeaderMap::new();
     headers.insert(HOST, HeaderValue::from_str(host).ok()?);
     headers.insert(ATTEMPT_ID, HeaderValue::from_str(id).ok()?);
--- a/crates/data-plane/src/forwarding/buffered.rs
+++ b/crates/data-plane/src/forwarding/buffered.rs
@@ -74,7 +74,7 @@
             tokio::select! {
                 Some(result) = self.attempts.next() => {
                     if let Some(response) = self.final_response(result) {
-                        return self.finish(response);
+                        return self.finish_with_response(response);
                     }
                     if self.attempts.is_empty() {
                         self.start_attempt();
@@ -88,7 +88,7 @@
                 }
             }
         }
-        self.give_up()
+        self.finish_without_response()
     }
 
     /// Starts a further attempt, if one is allowed and a server is eligible.
@@ -101,8 +101,11 @@
         };
         let (request, deadline) = (Arc::clone(&self.retry.request), self.retry.deadline);
         self.attempts.push(Box::pin(async move {
-            let attempt =
-                UpstreamAttempt { in_flight, request: &request, options: AttemptOptions::until(deadline) };
+            let attempt = UpstreamAttempt {
+                in_flight,
+                request: &request,
+                options: AttemptOptions::with_deadline(deadline),
+            };
             buffer_response(attempt.send().await?).await
         }));
     }
@@ -132,7 +135,7 @@
 
     /// Ends forwarding with a server's response. Attempts that are still in flight are completed in the
     /// background, as canceling work at a server costs more than completing it.
-    fn finish(self, response: ClientResponse) -> ForwardedResponse {
+    fn finish_with_response(self, response: ClientResponse) -> ForwardedResponse {
         if !self.attempts.is_empty() {
             tokio::spawn(self.attempts.for_each(|_| async {}));
         }
@@ -141,7 +144,7 @@
 
     /// Ends forwarding without a final response: returns the last 5xx response of a server or, if there is
     /// none, a response that this process derives from the errors of the attempts.
-    fn give_up(self) -> ForwardedResponse {
+    fn finish_without_response(self) -> ForwardedResponse {
         let is_from_server = self.error_response.is_some();
         let response = self.error_response.unwrap_or_else(|| self.retry.error_response());
         ForwardedResponse { response, is_from_server, internal_errors: self.internal_errors }
--- a/crates/data-plane/src/forwarding/buffering.rs
+++ b/crates/data-plane/src/forwarding/buffering.rs
@@ -39,7 +39,7 @@
         body.extend_from_slice(&chunk);
         if body.len() > MAX_BUFFERED_BYTES {
             headers.extend(length.map(|length| (CONTENT_LENGTH, length)));
-            let body = ResponseBody::Streaming(continued(body.freeze(), upstream));
+            let body = ResponseBody::Streaming(body_with_prefix(body.freeze(), upstream));
             return Ok(ClientResponse { status, headers, body });
         }
     }
@@ -52,8 +52,8 @@
 }
 
 /// Returns a stream of the bytes that were already read, followed by the remaining chunks of the body.
-fn continued(begin: Bytes, upstream: UpstreamResponse) -> BoxStream<'static, io::Result<Bytes>> {
-    stream::once(async { Ok(begin) }).chain(chunk_stream(upstream)).boxed()
+fn body_with_prefix(prefix: Bytes, upstream: UpstreamResponse) -> BoxStream<'static, io::Result<Bytes>> {
+    stream::once(async { Ok(prefix) }).chain(chunk_stream(upstream)).boxed()
 }
 
 impl ChunkSource for UpstreamResponse {
--- a/crates/data-plane/src/forwarding/retry.rs
+++ b/crates/data-plane/src/forwarding/retry.rs
@@ -116,7 +116,7 @@
     fn error_response_for(&self, errors: &[AttemptError]) -> ClientResponse {
         if self.executions() == 0 {
             let retry_after = self.errors.iter().filter_map(AttemptError::retry_after).min();
-            ClientResponse::not_run(retry_after.unwrap_or(DEFAULT_RETRY_AFTER).min(MAX_RETRY_AFTER))
+            ClientResponse::not_executed(retry_after.unwrap_or(DEFAULT_RETRY_AFTER).min(MAX_RETRY_AFTER))
         } else if errors.iter().any(AttemptError::is_timeout) {
             ClientResponse::from_node(StatusCode::GATEWAY_TIMEOUT)
         } else {
@@ -145,6 +145,6 @@
 
     /// The number of attempts that are known not to have been executed.
     fn rejections(&self) -> usize {
-        self.errors.iter().filter(|error| error.execution_status() == ExecutionStatus::NotRun).count()
+        self.errors.iter().filter(|error| error.execution_status() == ExecutionStatus::NotExecuted).count()
     }
 }
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -62,7 +62,7 @@
     /// Parses the load, three numbers separated by commas: running, queued, slots. Returns `None` if the
     /// header is missing or malformed.
     pub(crate) fn from_headers(headers: &HeaderMap) -> Option<Self> {
-        let mut numbers = text(headers, &LOAD)?.split(',').map(|number| number.trim().parse().ok());
+        let mut numbers = header_text(headers, &LOAD)?.split(',').map(|number| number.trim().parse().ok());
         let [running, queued, slots] = [numbers.next()??, numbers.next()??, numbers.next()??];
         Some(Self { running, queued, slots })
     }
@@ -74,43 +74,43 @@
 }
 
 /// Returns the version of the weights in the headers of a response; `None` if it is missing or malformed.
-pub(crate) fn version(headers: &HeaderMap) -> Option<u64> {
-    text(headers, &VERSION)?.trim().parse().ok()
+pub(crate) fn weights_version(headers: &HeaderMap) -> Option<u64> {
+    header_text(headers, &VERSION)?.trim().parse().ok()
 }
 
 /// Returns how long the server keeps an idle connection; `None` if it doesn't announce a timeout.
 pub(crate) fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let mut timeouts =
-        text(headers, &KEEP_ALIVE)?.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
+        header_text(headers, &KEEP_ALIVE)?.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
     timeouts.next()?.trim().parse().ok().map(Duration::from_secs)
 }
 
 /// Returns the `Retry-After` of a response; `None` if it is missing or malformed. Unlike in standard HTTP, it
 /// may be a fraction of a second.
 pub(crate) fn retry_after(headers: &HeaderMap) -> Option<Duration> {
-    let seconds = text(headers, &RETRY_AFTER)?.trim().parse().ok()?;
+    let seconds = header_text(headers, &RETRY_AFTER)?.trim().parse().ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
 
 /// Returns the value of a header; `None` if the header is missing or contains bytes other than visible ASCII.
-pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// Returns the headers without hop-by-hop headers, including those that the `Connection` header lists.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = headers.clone();
+    let mut forwarded = headers.clone();
     for value in headers.get_all(CONNECTION) {
         let names = value.to_str().unwrap_or_default().split(',');
         for name in names.filter_map(|name| HeaderName::try_from(name.trim()).ok()) {
             // The protocol requires these two end to end, even if `Connection` lists them.
             if name != ATTEMPT_ID && name != HOST {
-                kept.remove(name);
+                forwarded.remove(name);
             }
         }
     }
     for name in HOP_BY_HOP {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    kept
+    forwarded
 }
--- a/crates/data-plane/src/ingress/endpoint.rs
+++ b/crates/data-plane/src/ingress/endpoint.rs
@@ -10,7 +10,7 @@
 use poem::{Endpoint, Request, Response};
 use tokio::time::Instant;
 
-use crate::headers::{text, TIME_LEFT};
+use crate::headers::{header_text, TIME_LEFT};
 use crate::ingress::lifecycle::Ingress;
 use crate::ingress::request_reader::read_request;
 use crate::response::ClientResponse;
@@ -40,7 +40,7 @@
     /// configuration may be outdated.
     async fn respond(&self, request: Request) -> Response {
         let Some(configuration) = self.0.forwarder().configuration() else {
-            return ClientResponse::not_run(NO_CONFIGURATION_RETRY_AFTER).into();
+            return ClientResponse::not_executed(NO_CONFIGURATION_RETRY_AFTER).into();
         };
         if JOB_PREFIXES.iter().any(|prefix| request.uri().path().starts_with(prefix)) {
             return self.0.settings().jobs.handle(request).await;
@@ -63,7 +63,7 @@
         if (self.0.settings().is_configuration_confirmed)() {
             ClientResponse::from_node(StatusCode::NOT_FOUND)
         } else {
-            ClientResponse::not_run(NO_CONFIGURATION_RETRY_AFTER)
+            ClientResponse::not_executed(NO_CONFIGURATION_RETRY_AFTER)
         }
     }
 
@@ -88,13 +88,13 @@
 
 /// Returns the route for a request; `None` if no route matches or the request has no `Host` header.
 fn find_route<'a>(configuration: &'a Configuration, request: &Request) -> Option<&'a Arc<Route>> {
-    let host = text(request.headers(), &HOST)?;
+    let host = header_text(request.headers(), &HOST)?;
     configuration.route(host, request.uri().path())
 }
 
 /// Returns the time until the response must be sent: the client's `Time-Left-Ms`, limited to the timeout of
 /// the route.
 fn time_left(route: &Route, headers: &HeaderMap) -> Duration {
-    let millis = text(headers, &TIME_LEFT).and_then(|left| left.trim().parse().ok());
+    let millis = header_text(headers, &TIME_LEFT).and_then(|left| left.trim().parse().ok());
     millis.map_or(route.timeout, |millis| Duration::from_millis(millis).min(route.timeout))
 }
--- a/crates/data-plane/src/ingress/http_server.rs
+++ b/crates/data-plane/src/ingress/http_server.rs
@@ -123,18 +123,18 @@
         let mut builder = http1::Builder::new();
         builder.timer(TokioTimer::new()).header_read_timeout(self.idle_timeout);
         let mut connection = pin!(builder.serve_connection(TokioIo::new(self.stream), service));
-        let closed = tokio::select! {
-            closed = connection.as_mut() => Some(closed),
+        let result = tokio::select! {
+            result = connection.as_mut() => Some(result),
             _ = stopping.wait_for(|stopping| *stopping) => None,
         };
-        let closed = match closed {
-            Some(closed) => closed,
+        let result = match result {
+            Some(result) => result,
             None => {
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
         };
-        if let Err(error) = closed {
+        if let Err(error) = result {
             log::debug!("the connection of client {remote} failed: {error}");
         }
     }
--- a/crates/data-plane/src/ingress/request_reader.rs
+++ b/crates/data-plane/src/ingress/request_reader.rs
@@ -10,7 +10,7 @@
 use poem::Request;
 use tokio::time::{timeout_at, Instant};
 
-use crate::headers::{end_to_end, text, ATTEMPT_ID};
+use crate::headers::{end_to_end, header_text, ATTEMPT_ID};
 use crate::request::UpstreamRequest;
 
 /// The number of bytes of a header line besides name and value: a colon, a space, and a line break of two
@@ -98,7 +98,7 @@
 
 /// Returns the `Content-Length` of a request; `None` if it is missing or malformed.
 fn declared_length(request: &Request) -> Option<u64> {
-    text(request.headers(), &CONTENT_LENGTH)?.parse().ok()
+    header_text(request.headers(), &CONTENT_LENGTH)?.parse().ok()
 }
 
 async fn read_body(
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -7,7 +7,7 @@
 use http::header::{HeaderMap, HeaderValue};
 use http::Method;
 
-use crate::headers::{text, ATTEMPT_ID, EXPECTED_VERSION, MODEL};
+use crate::headers::{header_text, ATTEMPT_ID, EXPECTED_VERSION, MODEL};
 
 /// A request to a server, without the headers that each attempt adds, such as the time left.
 #[derive(Clone, Debug)]
@@ -45,12 +45,12 @@
 
     /// Returns the name of the model that the request is for, if it has a `Model` header.
     pub(crate) fn model(&self) -> Option<Arc<str>> {
-        text(&self.headers, &MODEL).map(Into::into)
+        header_text(&self.headers, &MODEL).map(Into::into)
     }
 
     /// Returns the version of the weights that the client requires, or `Any` if it requires none.
     pub(crate) fn version_requirement(&self) -> VersionRequirement {
-        let version = text(&self.headers, &EXPECTED_VERSION).and_then(|version| version.parse().ok());
+        let version = header_text(&self.headers, &EXPECTED_VERSION).and_then(|version| version.parse().ok());
         version.map_or(VersionRequirement::Any, VersionRequirement::Exactly)
     }
 
--- a/crates/data-plane/src/selection/clients.rs
+++ b/crates/data-plane/src/selection/clients.rs
@@ -49,7 +49,7 @@
         if let Some(client) = self.clients.get(id) {
             return Ok(client.clone());
         }
-        let client = build(self.idle_timeout)?;
+        let client = build_client(self.idle_timeout)?;
         self.clients.insert(id.clone(), client.clone());
         Ok(client)
     }
@@ -75,7 +75,7 @@
     }
 }
 
-fn build(idle_timeout: Duration) -> reqwest::Result<reqwest::Client> {
+fn build_client(idle_timeout: Duration) -> reqwest::Result<reqwest::Client> {
     reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
--- a/crates/data-plane/src/selection/hedging.rs
+++ b/crates/data-plane/src/selection/hedging.rs
@@ -25,11 +25,11 @@
 
     /// Withdraws one hedged request. Returns `false` if the budget doesn't allow any.
     pub(super) fn withdraw(&mut self) -> bool {
-        let is_left = self.available >= 1.0;
-        if is_left {
+        let is_allowed = self.available >= 1.0;
+        if is_allowed {
             self.available -= 1.0;
         }
-        is_left
+        is_allowed
     }
 }
 
--- a/crates/data-plane/src/streaming/event_parser.rs
+++ b/crates/data-plane/src/streaming/event_parser.rs
@@ -43,8 +43,8 @@
 #[derive(Debug, Default)]
 pub struct EventParser {
     buffer: BytesMut,
-    /// The offset of the first line in the buffer that has not been searched for the end of an event.
-    searched: usize,
+    /// The offset of the first line in the buffer that has not been search_start for the end of an event.
+    search_start: usize,
 }
 
 impl EventParser {
@@ -56,10 +56,10 @@
     /// Removes the next complete event from the buffer and returns it; `None` if the buffer holds no complete
     /// event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let end = self.find_end()?;
-        self.searched = 0;
+        let end = self.find_event_end()?;
+        self.search_start = 0;
         let raw = self.buffer.split_to(end).freeze();
-        Some(parse(raw))
+        Some(parse_event(raw))
     }
 
     /// Whether the buffer holds bytes. Once [`Self::next_event`] has returned `None`, they are part of an
@@ -72,28 +72,28 @@
     /// Removes all bytes from the buffer and returns them; `None` if it is empty. Once [`Self::next_event`]
     /// has returned `None`, they are the bytes after the last complete event.
     pub fn take_partial(&mut self) -> Option<Bytes> {
-        self.searched = 0;
+        self.search_start = 0;
         let rest = self.buffer.split().freeze();
         (!rest.is_empty()).then_some(rest)
     }
 
     /// Returns the offset after the first blank line, which ends the first event; `None` if there is none
     /// yet.
-    fn find_end(&mut self) -> Option<usize> {
-        let mut line_start = self.searched;
+    fn find_event_end(&mut self) -> Option<usize> {
+        let mut line_start = self.search_start;
         while let Some(length) = self.buffer[line_start..].iter().position(|byte| *byte == b'\n') {
             let line = &self.buffer[line_start..line_start + length];
             line_start += length + 1;
             if line.is_empty() || line == b"\r" {
                 return Some(line_start);
             }
-            self.searched = line_start;
+            self.search_start = line_start;
         }
         None
     }
 }
 
-fn parse(raw: Bytes) -> StreamEvent {
+fn parse_event(raw: Bytes) -> StreamEvent {
     let mut event = StreamEvent::default();
     let mut data: Option<Vec<u8>> = None;
     for line in raw.split(|byte| *byte == b'\n') {
@@ -107,8 +107,10 @@
                 }
                 None => data = Some(value.to_vec()),
             },
-            b"id" => event.id = number(value),
-            field if field.eq_ignore_ascii_case(VERSION_FIELD.as_bytes()) => event.version = number(value),
+            b"id" => event.id = parse_number(value),
+            field if field.eq_ignore_ascii_case(VERSION_FIELD.as_bytes()) => {
+                event.version = parse_number(value)
+            }
             _ => {}
         }
     }
@@ -127,6 +129,6 @@
     (&line[..colon], value.strip_prefix(b" ").unwrap_or(value))
 }
 
-fn number(value: &[u8]) -> Option<u64> {
+fn parse_number(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use crate::forwarding::{buffer_response, Forwarder, RetryState};
-use crate::headers::{end_to_end, text, LAST_EVENT_ID};
+use crate::headers::{end_to_end, header_text, LAST_EVENT_ID};
 use crate::request::UpstreamRequest;
 use crate::response::{chunk_stream, ChunkSource, ClientResponse, ResponseBody};
 use crate::streaming::event_parser::EventParser;
@@ -26,7 +26,7 @@
         request: Arc<UpstreamRequest>,
         deadline: Instant,
     ) -> ClientResponse {
-        let last_event_id = text(&request.headers, &LAST_EVENT_ID).and_then(|id| id.parse().ok());
+        let last_event_id = header_text(&request.headers, &LAST_EVENT_ID).and_then(|id| id.parse().ok());
         let retry =
             RetryState::new(self.selector.clone(), Arc::clone(route), request, route.resume, deadline);
         StreamRelay::new(retry, last_event_id).start().await
@@ -44,7 +44,7 @@
     upstream: Option<UpstreamResponse>,
     parser: EventParser,
     /// Complete events that have not been forwarded yet.
-    pending: VecDeque<Bytes>,
+    pending_events: VecDeque<Bytes>,
 }
 
 impl StreamRelay {
@@ -54,7 +54,7 @@
             last_event_id,
             upstream: None,
             parser: EventParser::default(),
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
         }
     }
 
@@ -80,7 +80,7 @@
         while let Some(in_flight) = self.retry.next_attempt(false) {
             let options = AttemptOptions {
                 last_event_id: self.last_event_id,
-                ..AttemptOptions::until(self.retry.deadline)
+                ..AttemptOptions::with_deadline(self.retry.deadline)
             };
             let attempt = UpstreamAttempt { in_flight, request: &self.retry.request, options };
             match attempt.send().await {
@@ -98,11 +98,11 @@
         while let Some(event) = self.parser.next_event() {
             if let (Some(id), Some(last)) = (event.id, self.last_event_id) {
                 if id <= last {
-                    return Err(broken_off());
+                    return Err(interrupted_error());
                 }
             }
             self.last_event_id = event.id.or(self.last_event_id);
-            self.pending.push_back(event.raw);
+            self.pending_events.push_back(event.raw);
         }
         Ok(())
     }
@@ -114,7 +114,7 @@
         self.upstream = None;
         self.parser = EventParser::default();
         let upstream = self.open_upstream().await.filter(is_event_stream);
-        self.upstream = Some(upstream.ok_or_else(broken_off)?);
+        self.upstream = Some(upstream.ok_or_else(interrupted_error)?);
         Ok(())
     }
 }
@@ -124,11 +124,11 @@
     /// times out.
     async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            if let Some(event) = self.pending.pop_front() {
+            if let Some(event) = self.pending_events.pop_front() {
                 return Ok(Some(event));
             }
             let Some(upstream) = &mut self.upstream else {
-                return Err(broken_off());
+                return Err(interrupted_error());
             };
             match upstream.chunk().await {
                 Ok(Some(chunk)) => self.push(&chunk)?,
@@ -141,10 +141,10 @@
 }
 
 fn is_event_stream(response: &UpstreamResponse) -> bool {
-    let content_type = text(response.headers(), &CONTENT_TYPE);
-    response.status().is_success() && content_type.is_some_and(|kind| kind.starts_with("text/event-stream"))
+    let content_type = header_text(response.headers(), &CONTENT_TYPE);
+    response.status().is_success() && content_type.is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-fn broken_off() -> io::Error {
+fn interrupted_error() -> io::Error {
     io::Error::other("the event stream was interrupted or repeated an event, and can't be continued")
 }
--- a/crates/data-plane/src/upstream/attempt.rs
+++ b/crates/data-plane/src/upstream/attempt.rs
@@ -9,8 +9,8 @@
 use tokio::time::{timeout_at, Instant};
 
 use crate::headers::{
-    keep_alive_timeout, retry_after, version, ServerLoad, ATTEMPT_ID, EXPECTED_SERVER, EXPECTED_VERSION,
-    LAST_EVENT_ID, NOT_RUN, STAMP, TIME_LEFT,
+    keep_alive_timeout, retry_after, weights_version, ServerLoad, ATTEMPT_ID, EXPECTED_SERVER,
+    EXPECTED_VERSION, LAST_EVENT_ID, NOT_RUN, STAMP, TIME_LEFT,
 };
 use crate::request::UpstreamRequest;
 use crate::selection::InFlightRequest;
@@ -87,9 +87,9 @@
 
     /// Returns the time that the server may take, in milliseconds; at least 1.
     fn time_left_ms(&self) -> u64 {
-        let left = self.options.deadline.saturating_duration_since(Instant::now());
-        let left = left.saturating_sub(RESPONSE_TRANSIT_TIME).as_millis();
-        u64::try_from(left).unwrap_or(u64::MAX).max(1)
+        let time_left = self.options.deadline.saturating_duration_since(Instant::now());
+        let time_left = time_left.saturating_sub(RESPONSE_TRANSIT_TIME).as_millis();
+        u64::try_from(time_left).unwrap_or(u64::MAX).max(1)
     }
 
     /// Validates the head of a response to this request. Records the load, version and health of the server
@@ -128,7 +128,7 @@
         if let Some(timeout) = keep_alive_timeout(headers) {
             self.in_flight.record_keep_alive(timeout);
         }
-        let version = version(headers);
+        let version = weights_version(headers);
         if let (Some(version), Some(model)) = (version, self.request.model()) {
             self.in_flight.record_version(&model, version);
         }
--- a/crates/data-plane/src/upstream/error.rs
+++ b/crates/data-plane/src/upstream/error.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExecutionStatus {
     /// The server has not executed the request and never will.
-    NotRun,
+    NotExecuted,
     /// The server may have executed the request, or may still be executing it.
-    MayHaveRun,
+    MayHaveBeenExecuted,
 }
 
 /// Reason why an attempt yielded no valid response.
@@ -36,8 +36,10 @@
     /// Returns whether the request may have been executed despite the error.
     pub(crate) fn execution_status(&self) -> ExecutionStatus {
         match self {
-            Self::Unsendable | Self::ConnectFailed | Self::Rejected { .. } => ExecutionStatus::NotRun,
-            Self::ConnectionBroken | Self::InvalidResponse | Self::TimedOut => ExecutionStatus::MayHaveRun,
+            Self::Unsendable | Self::ConnectFailed | Self::Rejected { .. } => ExecutionStatus::NotExecuted,
+            Self::ConnectionBroken | Self::InvalidResponse | Self::TimedOut => {
+                ExecutionStatus::MayHaveBeenExecuted
+            }
         }
     }
 
--- a/crates/data-plane/src/upstream/options.rs
+++ b/crates/data-plane/src/upstream/options.rs
@@ -20,7 +20,7 @@
 
 impl AttemptOptions {
     /// Creates options with a deadline only.
-    pub(crate) fn until(deadline: Instant) -> Self {
+    pub(crate) fn with_deadline(deadline: Instant) -> Self {
         Self { deadline, expected_version: None, last_event_id: None, idle_timeout: None }
     }
 
