--- a/crates/data-plane/src/batch/collector.rs
+++ b/crates/data-plane/src/batch/collector.rs
@@ -40,14 +40,12 @@
 pub(super) struct EventCollector {
     pub(super) progress: ItemProgress,
     rules: CollectorRules,
-    /// The version that generates the next event unless that event announces another; `None` if it is
-    /// unknown.
+    /// The version that generates the next event unless that event announces another; `None` if unknown.
     version: Option<u64>,
 }
 
 impl EventCollector {
-    /// Creates a collector that continues after `progress`. `version` is the one that the server runs, if
-    /// known.
+    /// Creates a collector that continues after `progress`. `version` is what the server runs, if known.
     pub(super) fn new(progress: ItemProgress, rules: CollectorRules, version: Option<u64>) -> Self {
         Self { progress, rules, version }
     }
--- a/crates/data-plane/src/batch/item.rs
+++ b/crates/data-plane/src/batch/item.rs
@@ -69,8 +69,7 @@
     /// The run ended before the text was complete. The item can continue after this progress; if that is
     /// empty, it starts from the beginning.
     Interrupted(ItemProgress),
-    /// No server has run the item: either none was eligible, or the attempt is known not to have been
-    /// executed.
+    /// No server has run the item: none was eligible, or the attempt is known not to have been executed.
     NotRun {
         /// The delay before the item may be sent again.
         retry_after: Duration,
@@ -151,8 +150,7 @@
     }
 }
 
-/// Returns the outcome of a run that received a valid response head; collects the text if the status is a
-/// success.
+/// Returns the outcome of a run that received a valid response head. Collects the text of a success.
 async fn item_outcome(
     item: ItemRequest,
     upstream: UpstreamResponse,
--- a/crates/data-plane/src/forwarding/buffered.rs
+++ b/crates/data-plane/src/forwarding/buffered.rs
@@ -16,8 +16,7 @@
 use crate::response::ClientResponse;
 use crate::upstream::{AttemptError, AttemptOptions, UpstreamAttempt};
 
-/// The fraction of the route's latency target after which a hedged request is sent if no response has
-/// arrived.
+/// The fraction of the route's latency target after which a hedged request is sent if no response arrived.
 const HEDGE_DELAY_FACTOR: f64 = 0.6;
 
 type AttemptFuture = BoxFuture<'static, Result<ClientResponse, AttemptError>>;
--- a/crates/data-plane/src/forwarding/retry.rs
+++ b/crates/data-plane/src/forwarding/retry.rs
@@ -111,8 +111,8 @@
         self.error_response_for(self.errors.last().map_or(&[], std::slice::from_ref))
     }
 
-    /// Returns 503 with the smallest `Retry-After` of all attempts if none can have been executed; otherwise
-    /// 504 if one of `errors` is a timeout, else 502.
+    /// Returns 503 if no attempt can have been executed, with the smallest `Retry-After` of all attempts, but
+    /// at most [`MAX_RETRY_AFTER`]. Otherwise returns 504 if one of `errors` is a timeout, else 502.
     fn error_response_for(&self, errors: &[AttemptError]) -> ClientResponse {
         if self.executions() == 0 {
             let retry_after = self.errors.iter().filter_map(AttemptError::retry_after).min();
--- a/crates/data-plane/src/selection/mod.rs
+++ b/crates/data-plane/src/selection/mod.rs
@@ -1,5 +1,4 @@
-//! Selection of the server for each attempt, and the state of the servers that all requests of the process
-//! share.
+//! Selection of the server for each attempt, and the state of the servers, which all requests share.
 //!
 //! The shared state consists of the dispatcher with the load and health of each server, the connections to
 //! servers, the prefix-cache affinity and the hedge budget. One mutex guards it and is never held across an
--- a/crates/data-plane/src/selection/selector.rs
+++ b/crates/data-plane/src/selection/selector.rs
@@ -1,5 +1,4 @@
-//! The selector: a handle to the state of all servers, which all requests of a process share behind one
-//! mutex.
+//! The selector: a handle to the state of all servers, which the requests of a process share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/data-plane/src/streaming/event_parser.rs
+++ b/crates/data-plane/src/streaming/event_parser.rs
@@ -2,8 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// The field of an event that announces the version of the weights that generates the text from this event
-/// on.
+/// The field of an event that announces which version of the weights generates the text from there on.
 const VERSION_FIELD: &str = "weight-editions";
 
 /// A complete event of a stream.
@@ -53,8 +52,7 @@
         self.buffer.extend_from_slice(chunk);
     }
 
-    /// Removes the next complete event from the buffer and returns it; `None` if the buffer holds no complete
-    /// event.
+    /// Removes the next complete event from the buffer and returns it; `None` if there is none.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_event_end()?;
         self.search_start = 0;
@@ -62,8 +60,8 @@
         Some(parse_event(raw))
     }
 
-    /// Whether the buffer holds bytes. Once [`Self::next_event`] has returned `None`, they are part of an
-    /// event.
+    /// Whether the buffer holds bytes. Once [`Self::next_event`] has returned `None`, they belong to an
+    /// incomplete event.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
@@ -77,8 +75,7 @@
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// Returns the offset after the first blank line, which ends the first event; `None` if there is none
-    /// yet.
+    /// Returns the offset after the blank line that ends the first event; `None` if it is incomplete.
     fn find_event_end(&mut self) -> Option<usize> {
         let mut line_start = self.search_start;
         while let Some(length) = self.buffer[line_start..].iter().position(|byte| *byte == b'\n') {
--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -75,7 +75,8 @@
     }
 
     /// Makes attempts until a server accepts the request, and returns its response. The stream starts after
-    /// the last event. Returns `None` if no further attempt is allowed.
+    /// the last event. Returns `None` if no further attempt is allowed or every eligible server was
+    /// attempted.
     async fn open_upstream(&mut self) -> Option<UpstreamResponse> {
         while let Some(in_flight) = self.retry.next_attempt(false) {
             let options = AttemptOptions {
--- a/crates/data-plane/src/upstream/options.rs
+++ b/crates/data-plane/src/upstream/options.rs
@@ -9,12 +9,12 @@
 pub(crate) struct AttemptOptions {
     /// The time by which the attempt must be complete, including the body of the response.
     pub(crate) deadline: Instant,
-    /// The only version of the weights that may process the request; `None` keeps the client's requirement,
-    /// if any.
+    /// The only version of the weights that may process the request; `None` keeps the client's requirement.
     pub(crate) expected_version: Option<u64>,
     /// The id of the event after which the stream continues; `None` keeps the client's, if any.
     pub(crate) last_event_id: Option<u64>,
-    /// The maximum time between two chunks of the response; `None` if only the deadline limits it.
+    /// The maximum time between two chunks of the response; `None` if only the deadline limits it. The head
+    /// may take a multiple of it, see [`Self::idle_deadline`].
     pub(crate) idle_timeout: Option<Duration>,
 }
 
--- a/crates/data-plane/tests/at_most_once.rs
+++ b/crates/data-plane/tests/at_most_once.rs
@@ -1,5 +1,6 @@
-//! Requests that aren't idempotent reach at most one server, however an attempt ends: what the servers received is
-//! counted there, and compared with the status that the client gets.
+//! Checks that a request that isn't idempotent reaches at most one server, whatever ends the attempt. The
+//! servers count the requests that they receive, and the count is compared with the status that the client
+//! receives.
 
 mod support;
 
@@ -12,27 +13,29 @@
 use tokio::net::{TcpListener, TcpStream};
 use yare::parameterized;
 
-/// Servers that all do the same, so that a repeated attempt is counted wherever it goes.
+/// The number of servers. All of them behave alike, so that a repeated attempt is counted at any server.
 const SERVERS: usize = 3;
 
-/// How a server that speaks below HTTP ends a connection.
+/// The point at which a server ends a TCP connection without sending a response, and whether it resets or
+/// closes it.
 #[derive(Clone, Copy, Debug)]
 enum Ending {
-    /// It resets as soon as the connection is there.
+    /// Resets the connection after accepting it, before reading anything.
     ResetAtOnce,
-    /// It closes as soon as the connection is there.
+    /// Closes the connection after accepting it, before reading anything.
     CloseAtOnce,
-    /// It reads a part of the request's head and resets.
+    /// Resets the connection after reading the first 20 bytes of the request's head.
     ResetAmidHead,
-    /// It reads the head and a part of the body and resets.
+    /// Resets the connection after reading the head and possibly a part of the body.
     ResetAmidBody,
-    /// It reads the complete request and resets.
+    /// Resets the connection after reading the complete request.
     ResetAfterRequest,
-    /// It reads the complete request and closes.
+    /// Closes the connection after reading the complete request.
     CloseAfterRequest,
 }
 
-/// Servers that end each connection alike; counts connections on which at least one byte of a request came.
+/// Starts a node with servers that end every connection as specified. Also returns the counter of connections
+/// on which a server read the first 20 bytes of a request.
 async fn servers_that_end(ending: Ending) -> (Node, Arc<AtomicUsize>) {
     let got = Arc::new(AtomicUsize::new(0));
     let mut entries = Vec::new();
@@ -47,7 +50,7 @@
         });
     }
     let (forwarder, changes) = forwarder_to(entries);
-    // The servers stay listed for as long as the test runs.
+    // Leaking the sender keeps the view channel open for as long as the test runs.
     Box::leak(Box::new(changes));
     (Node::start(forwarder).await, got)
 }
@@ -94,18 +97,20 @@
         let (node, got) = servers_that_end(ending).await;
         let response = node.post("/unsafe/x").await;
         let status = response.status().as_u16();
-        // Nothing was sent where the connection was received to end before; otherwise it may have run.
+        // 502: the request may have been executed. 503 with `Retry-After`: it was not executed, as the
+        // connection ended before the request was sent.
         assert!(
             status == 502 || (status == 503 && response.headers().contains_key("retry-after")),
             "{status}"
         );
         let sent = got.load(Ordering::SeqCst);
-        assert!(sent <= 1, "{sent} servers got it");
-        assert!(status == 502 || sent == 0, "it is said not to have run, and {sent} servers got it");
+        assert!(sent <= 1, "{sent} servers received the request");
+        assert!(status == 502 || sent == 0, "status {status} although {sent} servers received the request");
     }
 }
 
-/// Servers whose responses to GET are valid, so that their connections are kept.
+/// Starts a node and servers that respond to GET with success and to other methods with `second`. Sends GET
+/// requests first, so that the node keeps idle connections to the servers.
 async fn node_with_kept_connections(second: Reaction) -> (Node, Vec<FakeServer>) {
     let mut servers = Vec::new();
     for number in 0..SERVERS {
@@ -158,8 +163,11 @@
     let response = node.post("/unsafe/x").await;
     assert_eq!(response.status(), status);
     let is_servers = response.headers().contains_key("postmark");
-    assert_eq!(is_servers, status != 502, "a failure of our own bears no stamp");
-    assert!(!response.headers().contains_key("retry-after"), "it may have run");
+    assert_eq!(is_servers, status != 502, "a response that the node generated has no stamp");
+    assert!(
+        !response.headers().contains_key("retry-after"),
+        "Retry-After although the request may have been executed"
+    );
     assert_eq!(posts(&servers), 1);
 }
 
@@ -169,7 +177,7 @@
     let response = node.post("/unsafe/x").await;
     assert_eq!(response.status(), 503);
     assert!(response.headers().contains_key("retry-after"));
-    assert!(posts(&servers) >= SERVERS, "each was asked");
+    assert!(posts(&servers) >= SERVERS, "not every server was attempted");
 }
 
 #[tokio::test]
@@ -187,7 +195,7 @@
     for act in [Reaction::WriteAndClose as fn(String) -> Reaction, Reaction::WriteAndReset] {
         let mut servers = Vec::new();
         for number in 0..SERVERS {
-            // The response looks as if the connection would be kept.
+            // The response has no `Connection: close`, so the node regards the connection as reusable.
             let script =
                 move |_: &support::ReceivedRequest, _: usize| act(response_text(200, "Postmark: p\r\n", "x"));
             servers.push(FakeServer::start(&format!("server{number}"), script).await);
@@ -236,11 +244,15 @@
         assert_eq!(response.expect("a response").status(), 413);
     }
     for (body, letter) in serving.await.expect("no panic").iter().zip([b'a', b'b', b'c', b'd']) {
-        assert!(body.iter().all(|byte| *byte == letter), "other bytes where the rest of the body is due");
+        assert!(
+            body.iter().all(|byte| *byte == letter),
+            "the server received bytes that don't belong to this body"
+        );
     }
 }
 
-/// Reads until a head has come; tells where it ends.
+/// Reads until the buffer contains the head of a request; returns the offset after it, or `None` at the end
+/// of the connection.
 async fn head_end(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<usize> {
     loop {
         if let Some(at) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
--- a/crates/data-plane/tests/event_stream.rs
+++ b/crates/data-plane/tests/event_stream.rs
@@ -1,8 +1,9 @@
-//! Parsing of event streams.
+//! Tests of the parser of event streams.
 
 use data_plane::{EventParser, StreamEvent};
 use yare::parameterized;
 
+/// Parses the chunks; returns the complete events, and whether the parser holds part of another event.
 fn events(chunks: &[&str]) -> (Vec<StreamEvent>, bool) {
     let mut parser = EventParser::default();
     let mut events = Vec::new();
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Golden files of the HTTP messages that a node sends: request heads to servers, and responses to clients.
+//! Compares the HTTP messages that a node sends, requests to servers and responses to clients, with golden
+//! files.
 
 mod support;
 
@@ -17,13 +18,14 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// Headers of a client: some for the server, some that concern one connection only.
+/// Headers of a client's request: some that are forwarded to the server, and some hop-by-hop headers.
 const CLIENT_HEADERS: &str =
     "Host: H.example:80\r\nAttempt-Id: try1\r\nX-First: one\r\nX-Twice: a\r\nX-Twice: b\r\n\
     Accept: */*\r\nUser-Agent: trainer/1\r\nAccept-Encoding: gzip\r\nAuthorization: secret\r\n\
     Connection: keep-alive, x-hop\r\nX-Hop: dropped\r\nKeep-Alive: timeout=3\r\nTE: trailers\r\n\
     Proxy-Authorization: dropped\r\nX-Last: two\r\n";
 
+/// Returns the bytes of a client's request. `more` holds additional header lines, each with its line break.
 fn request(line: &str, more: &str, body: &str) -> String {
     let length = match body.len() {
         0 => String::new(),
@@ -32,6 +34,7 @@
     format!("{line} HTTP/1.1\r\n{CLIENT_HEADERS}{more}{length}\r\n{body}")
 }
 
+/// Returns the head and the body of a request that a server received.
 fn forwarded(received: &ReceivedRequest) -> String {
     format!("{}{}", received.head, String::from_utf8(received.body.clone()).expect("text"))
 }
@@ -134,10 +137,12 @@
     assert_golden("request_reward", &forwarded(&server.received()[0]));
 }
 
+/// Headers of a server's response: some that are forwarded to the client, and some hop-by-hop headers.
 const SERVER_HEADERS: &str = "Postmark: stamp\r\nX-More: yes\r\nContent-Type: text/plain\r\nKeep-Alive: timeout=9\r\n\
     Carrier-Load: 1,2,4\r\nWeight-Editions: 3\r\nX-Twice: a\r\nX-Twice: b\r\nConnection: keep-alive, x-hop\r\n\
     X-Hop: dropped\r\n";
 
+/// Returns a reaction that rejects the request with this `Retry-After`.
 fn rejection_after(seconds: &str) -> Reaction {
     response(503, &format!("Not-Run: 1\r\nRetry-After: {seconds}\r\n"), "full")
 }
--- a/crates/data-plane/tests/ingress.rs
+++ b/crates/data-plane/tests/ingress.rs
@@ -1,4 +1,4 @@
-//! Clients' requests through an ingress to fake servers.
+//! Tests of requests that an ingress forwards from a client to fake servers, and of the node's own responses.
 
 mod support;
 
@@ -17,7 +17,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use yare::parameterized;
 
-/// A response that needs no further bytes of the client comes within this time; a route's own time limit is longer.
+/// The maximum time of a response for which the node needs no further bytes of the client. The timeouts of
+/// the routes are longer.
 const AT_ONCE: Duration = Duration::from_millis(500);
 
 #[tokio::test]
@@ -254,7 +255,7 @@
     connection.write_all(HEAD).await.expect("it is sent");
     let mut status_line = [0; 12];
     let read = connection.read_exact(&mut status_line);
-    tokio::time::timeout(AT_ONCE, read).await.expect("at once").expect("a response");
+    tokio::time::timeout(AT_ONCE, read).await.expect("an immediate response").expect("a response");
     assert_eq!(&status_line, b"HTTP/1.1 413");
     assert_eq!(received_count(&servers), 0);
 }
@@ -388,7 +389,7 @@
         tokio::task::yield_now().await;
     }
     node.ingress.drain();
-    // No new connection is accepted any more, so the ingress is finishing its requests.
+    // Once connections are refused, the ingress has closed its listener and waits for the requests in flight.
     while tokio::net::TcpStream::connect(node.address).await.is_ok() {}
     assert!(!node.serving.is_finished());
     notification.notify_one();
--- a/crates/data-plane/tests/streams.rs
+++ b/crates/data-plane/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Clients' streams through an ingress to fake servers.
+//! Tests of event streams that an ingress relays from fake servers to a client.
 
 mod support;
 
@@ -49,7 +49,7 @@
         let script = move |received: &support::ReceivedRequest, _| match received.header("last-event-id") {
             "" => Reaction::WriteAndClose(cut.clone()),
             "1" => Reaction::Write(stream_text("", &[&event(2), &event(3)], true)),
-            other => panic!("not asked for: {other}"),
+            other => panic!("unexpected Last-Event-Id: {other}"),
         };
         servers.push(FakeServer::start(id, script).await);
     }
--- a/crates/data-plane/tests/support/fake_server.rs
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on loopback sockets that follow a script.
+//! HTTP servers on loopback sockets whose reaction to each request is determined by a script.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,43 +11,48 @@
 /// A request as a fake server read it.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// The head byte for byte, with the blank line that ends it.
+    /// The unmodified bytes of the head, including the blank line that ends it.
     pub head: String,
     /// The request line.
     pub line: String,
-    /// The headers by their names in lower case.
+    /// The values of the headers, by lower-case name. Of repeated headers, it holds the last one.
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
-    /// Counts the connections of the server, from 0.
+    /// The number of the connection on which the request was received; the first connection of a server has
+    /// 0.
     pub connection: usize,
 }
 
 impl ReceivedRequest {
+    /// Returns the value of a header; an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// What a fake server does with a request. `{id}` in what it writes becomes the request's id.
+/// The reaction of a fake server to a request. In the text that it writes, `{id}` is replaced by the
+/// request's id.
 #[derive(Clone, Debug)]
 pub enum Reaction {
-    /// Writes and keeps the connection.
+    /// Writes the text and keeps the connection open for further requests.
     Write(String),
-    /// Writes and closes the connection.
+    /// Writes the text and closes the connection.
     WriteAndClose(String),
-    /// Writes and resets the connection.
+    /// Writes the text and resets the connection.
     WriteAndReset(String),
-    /// Sends nothing until the other side closes.
+    /// Writes nothing and waits until the client closes the connection.
     Hang,
-    /// Writes, then sends nothing more until the other side closes.
+    /// Writes the text and waits until the client closes the connection.
     WriteAndHang(String),
-    /// Writes once it is notified.
+    /// Writes the text after a notification and keeps the connection open for further requests.
     WriteWhenNotified(Arc<Notify>, String),
 }
 
+/// Determines the reaction to a request. The second argument is the number of requests that the server has
+/// received before, on all connections.
 pub type Script = dyn Fn(&ReceivedRequest, usize) -> Reaction + Send + Sync;
 
-/// A server that follows a script.
+/// A running server, which records the requests that it receives.
 pub struct FakeServer {
     pub id: String,
     pub address: SocketAddr,
@@ -73,7 +78,8 @@
         self.received.lock().expect("no panic").clone()
     }
 
-    /// Waits until the other side has closed a connection on which this one hangs.
+    /// Waits until a client has closed a connection to whose request the server reacted with
+    /// [`Reaction::Hang`] or [`Reaction::WriteAndHang`].
     pub async fn wait_for_close(&self) {
         self.closed.lock().await.recv().await.expect("a fake server");
     }
@@ -133,7 +139,7 @@
     }
 }
 
-/// A connection is reset when it is dropped.
+/// Configures the connection so that dropping it resets it instead of closing it.
 pub fn reset(stream: &TcpStream) {
     stream.set_zero_linger().expect("an option of the socket");
 }
@@ -144,7 +150,8 @@
     let _ = closing.send(());
 }
 
-/// Reads a request with its body.
+/// Reads a request including its body. `buffer` keeps bytes of the next request. Returns `None` if the
+/// connection ends before the request is complete.
 pub async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let end = loop {
         if let Some(at) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
--- a/crates/data-plane/tests/support/golden.rs
+++ b/crates/data-plane/tests/support/golden.rs
@@ -1,4 +1,5 @@
-//! Comparison of HTTP messages with golden files, and a client that speaks HTTP byte by byte.
+//! Comparison of HTTP messages with golden files, and a client that sends and receives the unmodified bytes
+//! of HTTP messages.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,12 +7,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Headers whose values differ from run to run. Their values are replaced before a comparison.
+/// Headers whose values differ between test runs. The values are replaced before a comparison.
 const VARIABLE_HEADERS: [&str; 2] = ["date: ", "time-left-ms: "];
 
-/// Compares a message with `tests/golden/{name}.http`, in which `\r` and `\n` are written out.
+/// Compares a message with `tests/golden/{name}.http`, in which `\r` and `\n` are escaped.
 ///
-/// With `GOLDEN_WRITE=1` in the environment, a file that is missing is written instead.
+/// If the environment variable `GOLDEN_WRITE` is set, a missing file is created instead.
 pub fn assert_golden(name: &str, message: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.http"));
     let message = visible(&without_variable_values(message));
@@ -22,7 +23,7 @@
     assert_eq!(message, golden, "{name} differs from its golden file");
 }
 
-/// Shows the bytes that end lines, and ends the line of text behind each line feed.
+/// Escapes carriage returns and line feeds, and adds a real line break after each escaped line feed.
 fn visible(message: &str) -> String {
     message.replace('\r', "\\r").replace('\n', "\\n\n")
 }
@@ -37,7 +38,8 @@
     lines.collect::<Vec<_>>().join("\r\n")
 }
 
-/// Sends these bytes on a connection of their own and reads one response, or what came of it before the end.
+/// Sends a request on a new connection. Returns the response, or the part of it that was received before the
+/// connection ended.
 pub async fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(request.as_bytes()).await.expect("a request that is written");
@@ -51,6 +53,7 @@
     String::from_utf8(received).expect("text")
 }
 
+/// Whether the bytes contain a complete response.
 fn is_complete(received: &[u8], is_head_request: bool) -> bool {
     let text = String::from_utf8_lossy(received);
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
--- a/crates/data-plane/tests/support/mod.rs
+++ b/crates/data-plane/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! What the tests share: fake servers, nodes before them, and views that list them.
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
+//! Helpers that the tests share: fake servers, forwarders and nodes that send requests to them, and golden
+//! files.
+#![allow(dead_code, unused_imports, reason = "each test file uses some of the helpers")]
 
 mod fake_server;
 pub mod golden;
@@ -20,6 +21,7 @@
 pub use fake_server::{read_request, reset, FakeServer, Reaction, ReceivedRequest};
 pub use responses::{event, rejection, response, response_text, stream_text, success};
 
+/// Returns the entry of a server that runs version 3 of model `m` and has 4 slots.
 pub fn entry(id: &str, address: SocketAddr, service: &str) -> ServerEntry {
     ServerEntry {
         id: id.into(),
@@ -33,7 +35,9 @@
     }
 }
 
-/// A configuration with a route of each kind to service `s`, and one to a service without servers.
+/// Returns a configuration with routes of several kinds to service `s`, and the route `nowhere` to a service
+/// without servers. The name of a route is the first segment of its path. Routes have a timeout of 20 s and a
+/// latency target of 10 s, except `short` with a timeout of 30 ms and `hasty` with a latency target of 1 ms.
 pub fn configuration() -> Configuration {
     let route = |prefix: &str, kind: &str, more: &str| {
         format!(
@@ -61,16 +65,19 @@
     Configuration::parse(text.as_bytes()).expect("a valid configuration")
 }
 
+/// Returns a server list with these entries.
 pub fn list(entries: Vec<ServerEntry>) -> Arc<ServerList> {
     Arc::new(ServerList::new(ServerListVersion::default(), entries))
 }
 
-/// A forwarder that knows these servers of service `s`.
+/// Creates a forwarder whose server list holds these servers, all of service `s`. Also returns the sender of
+/// its view.
 pub fn forwarder(servers: &[&FakeServer]) -> (Forwarder, watch::Sender<Arc<View>>) {
     let entries = servers.iter().map(|server| entry(&server.id, server.address, "s")).collect();
     forwarder_to(entries)
 }
 
+/// Creates a forwarder with this server list. Also returns the sender of its view.
 pub fn forwarder_to(entries: Vec<ServerEntry>) -> (Forwarder, watch::Sender<Arc<View>>) {
     let view =
         View { configuration: Some(Arc::new(configuration())), servers: list(entries), ..View::default() };
@@ -78,11 +85,11 @@
     (Forwarder::new(view, "zone".into()), changes)
 }
 
-/// An address where nobody listens.
+/// Returns an address on which no process listens.
 pub async fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     listener.local_addr().expect("an address")
 }
 
-/// A long time, which no test waits for.
+/// A timeout that does not expire in any test.
 pub const LONG: Duration = Duration::from_secs(60);
--- a/crates/data-plane/tests/support/node.rs
+++ b/crates/data-plane/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! An ingress before fake servers.
+//! A node for tests: an ingress that forwards to fake servers, and a client of that ingress.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,7 +12,7 @@
 
 use super::{forwarder, FakeServer, Reaction, LONG};
 
-/// Answers with the path it was called with.
+/// Responds to every request with status 202 and the path of the request as body.
 struct Jobs;
 
 impl JobEndpoint for Jobs {
@@ -22,22 +22,26 @@
     }
 }
 
-/// An ingress with a client of it.
+/// A running ingress, and an HTTP client for requests to it.
 pub struct Node {
     pub ingress: Ingress,
     pub address: SocketAddr,
     pub client: Client,
+    /// The result of the ingress's readiness check.
     pub ready: Arc<AtomicBool>,
+    /// Whether the ingress regards its configuration as confirmed to be the newest.
     pub confirmed: Arc<AtomicBool>,
+    /// The task that serves clients. It ends after the shutdown.
     pub serving: tokio::task::JoinHandle<std::io::Result<()>>,
 }
 
 impl Node {
+    /// Starts a node that is ready and whose configuration is confirmed.
     pub async fn start(forwarder: Forwarder) -> Self {
         Self::start_with(forwarder, LONG).await
     }
 
-    /// A node that takes new connections for this long when it drains.
+    /// Starts a node that accepts new connections for `accept_while_draining` after its shutdown has started.
     pub async fn start_with(forwarder: Forwarder, accept_while_draining: Duration) -> Self {
         let (ready, confirmed) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
         let (is_ready, is_confirmed) = (Arc::clone(&ready), Arc::clone(&confirmed));
@@ -63,6 +67,7 @@
         Self { ingress, address, client, ready, confirmed, serving }
     }
 
+    /// Sends a request to the host of the configured routes.
     pub async fn send(&self, method: Method, path: &str, body: &str) -> reqwest::Result<Response> {
         let url = format!("http://{}{path}", self.address);
         let request = self.client.request(method, url).header("host", "h.example");
@@ -78,6 +83,8 @@
     }
 }
 
+/// Starts one server for each script, which reacts to all requests alike. Their ids are `server0`, `server1`
+/// and so on.
 pub async fn fake_servers(scripts: Vec<Reaction>) -> Vec<FakeServer> {
     let mut servers = Vec::new();
     for (number, script) in scripts.into_iter().enumerate() {
@@ -87,14 +94,15 @@
     servers
 }
 
-/// A node that sends to servers which all do the same.
+/// Starts a node that forwards requests to these servers.
 pub async fn node_with(servers: &[FakeServer]) -> Node {
     let (forwarder, changes) = forwarder(&servers.iter().collect::<Vec<_>>());
-    // The view stays as it is; the forwarder keeps the last one.
+    // The forwarder keeps the last view after the channel is closed.
     drop(changes);
     Node::start(forwarder).await
 }
 
+/// Returns the number of requests that all servers together have received.
 pub fn received_count(servers: &[FakeServer]) -> usize {
     servers.iter().map(|server| server.received().len()).sum()
 }
--- a/crates/data-plane/tests/unit/affinity.rs
+++ b/crates/data-plane/tests/unit/affinity.rs
@@ -25,7 +25,7 @@
     for number in 0..MAX_GROUPS {
         affinity.record(&group(number), &ServerId::from("a"));
     }
-    // A newer record of a group does not renew its place in the order of eviction.
+    // Recording a group again does not change its position in the order of eviction.
     affinity.record(&group(0), &ServerId::from("b"));
     affinity.record(&group(MAX_GROUPS), &ServerId::from("a"));
     assert_eq!(affinity.server("group0"), None);
