--- a/crates/data-plane/tests/at_most_once.rs
+++ b/crates/data-plane/tests/at_most_once.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 
 use support::node::{node_with, Node};
-use support::{entry, forwarder_to, read_request, reset, response_text, FakeServer, Reaction};
+use support::{
+    forwarder_with_entries, read_request, reset, response_text, server_entry, FakeServer, Reaction,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use yare::parameterized;
@@ -19,15 +21,15 @@
 /// The point at which a server ends a TCP connection without sending a response, and whether it resets or
 /// closes it.
 #[derive(Clone, Copy, Debug)]
-enum Ending {
+enum ConnectionEnd {
     /// Resets the connection after accepting it, before reading anything.
-    ResetAtOnce,
+    ResetOnAccept,
     /// Closes the connection after accepting it, before reading anything.
-    CloseAtOnce,
+    CloseOnAccept,
     /// Resets the connection after reading the first 20 bytes of the request's head.
-    ResetAmidHead,
+    ResetWithinHead,
     /// Resets the connection after reading the head and possibly a part of the body.
-    ResetAmidBody,
+    ResetWithinBody,
     /// Resets the connection after reading the complete request.
     ResetAfterRequest,
     /// Closes the connection after reading the complete request.
@@ -36,65 +38,73 @@
 
 /// Starts a node with servers that end every connection as specified. Also returns the counter of connections
 /// on which a server read the first 20 bytes of a request.
-async fn servers_that_end(ending: Ending) -> (Node, Arc<AtomicUsize>) {
-    let got = Arc::new(AtomicUsize::new(0));
+async fn node_with_ending_connections(connection_end: ConnectionEnd) -> (Node, Arc<AtomicUsize>) {
+    let received_count = Arc::new(AtomicUsize::new(0));
     let mut entries = Vec::new();
     for number in 0..SERVERS {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        entries.push(entry(&format!("server{number}"), listener.local_addr().expect("an address"), "s"));
-        let got = Arc::clone(&got);
+        entries.push(server_entry(
+            &format!("server{number}"),
+            listener.local_addr().expect("an address"),
+            "s",
+        ));
+        let received_count = Arc::clone(&received_count);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(end(stream, ending, Arc::clone(&got)));
+                tokio::spawn(end_connection(stream, connection_end, Arc::clone(&received_count)));
             }
         });
     }
-    let (forwarder, changes) = forwarder_to(entries);
+    let (forwarder, view_sender) = forwarder_with_entries(entries);
     // Leaking the sender keeps the view channel open for as long as the test runs.
-    Box::leak(Box::new(changes));
-    (Node::start(forwarder).await, got)
+    Box::leak(Box::new(view_sender));
+    (Node::start(forwarder).await, received_count)
 }
 
-async fn end(mut stream: TcpStream, ending: Ending, got: Arc<AtomicUsize>) {
-    if matches!(ending, Ending::ResetAtOnce) {
+async fn end_connection(
+    mut stream: TcpStream,
+    connection_end: ConnectionEnd,
+    received_count: Arc<AtomicUsize>,
+) {
+    if matches!(connection_end, ConnectionEnd::ResetOnAccept) {
         return reset(&stream);
     }
-    if matches!(ending, Ending::CloseAtOnce) {
+    if matches!(connection_end, ConnectionEnd::CloseOnAccept) {
         return;
     }
     let mut bytes = vec![0; 20];
-    stream.read_exact(&mut bytes).await.expect("the begin of a request");
-    got.fetch_add(1, Ordering::SeqCst);
-    match ending {
-        Ending::ResetAmidHead => return reset(&stream),
-        Ending::ResetAmidBody => {
+    stream.read_exact(&mut bytes).await.expect("the first bytes of a request");
+    received_count.fetch_add(1, Ordering::SeqCst);
+    match connection_end {
+        ConnectionEnd::ResetWithinHead => return reset(&stream),
+        ConnectionEnd::ResetWithinBody => {
             while !bytes.windows(4).any(|window| window == b"\r\n\r\n") {
-                stream.read_buf(&mut bytes).await.expect("more of the head");
+                stream.read_buf(&mut bytes).await.expect("more bytes of the head");
             }
             return reset(&stream);
         }
         _ => {}
     }
     read_request(&mut stream, &mut bytes).await.expect("a request");
-    if matches!(ending, Ending::ResetAfterRequest) {
+    if matches!(connection_end, ConnectionEnd::ResetAfterRequest) {
         reset(&stream);
     }
 }
 
 #[parameterized(
-    reset_at_once = { Ending::ResetAtOnce },
-    close_at_once = { Ending::CloseAtOnce },
-    reset_amid_head = { Ending::ResetAmidHead },
-    reset_amid_body = { Ending::ResetAmidBody },
-    reset_after_request = { Ending::ResetAfterRequest },
-    close_after_request = { Ending::CloseAfterRequest },
+    reset_on_accept = { ConnectionEnd::ResetOnAccept },
+    close_on_accept = { ConnectionEnd::CloseOnAccept },
+    reset_within_head = { ConnectionEnd::ResetWithinHead },
+    reset_within_body = { ConnectionEnd::ResetWithinBody },
+    reset_after_request = { ConnectionEnd::ResetAfterRequest },
+    close_after_request = { ConnectionEnd::CloseAfterRequest },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_connection_that_ends_when_a_request_is_in_flight_then_no_server_gets_it_again(
-    ending: Ending,
+async fn given_servers_that_end_connections_when_an_unsafe_request_is_sent_then_at_most_one_receives_it(
+    connection_end: ConnectionEnd,
 ) {
     for _ in 0..10 {
-        let (node, got) = servers_that_end(ending).await;
+        let (node, received_count) = node_with_ending_connections(connection_end).await;
         let response = node.post("/unsafe/x").await;
         let status = response.status().as_u16();
         // 502: the request may have been executed. 503 with `Retry-After`: it was not executed, as the
@@ -103,22 +113,25 @@
             status == 502 || (status == 503 && response.headers().contains_key("retry-after")),
             "{status}"
         );
-        let sent = got.load(Ordering::SeqCst);
-        assert!(sent <= 1, "{sent} servers received the request");
-        assert!(status == 502 || sent == 0, "status {status} although {sent} servers received the request");
+        let requests_received = received_count.load(Ordering::SeqCst);
+        assert!(requests_received <= 1, "{requests_received} servers received the request");
+        assert!(
+            status == 502 || requests_received == 0,
+            "status {status} although {requests_received} servers received the request"
+        );
     }
 }
 
-/// Starts a node and servers that respond to GET with success and to other methods with `second`. Sends GET
+/// Starts a node and servers that respond to GET with success and to other methods with `reaction`. Sends GET
 /// requests first, so that the node keeps idle connections to the servers.
-async fn node_with_kept_connections(second: Reaction) -> (Node, Vec<FakeServer>) {
+async fn node_with_idle_connections(reaction: Reaction) -> (Node, Vec<FakeServer>) {
     let mut servers = Vec::new();
     for number in 0..SERVERS {
-        let second = second.clone();
+        let reaction = reaction.clone();
         let script =
             move |received: &support::ReceivedRequest, _: usize| match received.line.starts_with("GET") {
                 true => support::success("x"),
-                false => second.clone(),
+                false => reaction.clone(),
             };
         servers.push(FakeServer::start(&format!("server{number}"), script).await);
     }
@@ -129,24 +142,24 @@
     (node, servers)
 }
 
-fn posts(servers: &[FakeServer]) -> usize {
+fn post_count(servers: &[FakeServer]) -> usize {
     servers.iter().flat_map(FakeServer::received).filter(|received| received.line.starts_with("POST")).count()
 }
 
-fn head(status: u16) -> String {
+fn response_head(status: u16) -> String {
     format!("HTTP/1.1 {status} X\r\nAttempt-Id: {{id}}\r\nPostmark: p\r\n")
 }
 
 #[parameterized(
-    reset_on_a_kept_connection = { Reaction::WriteAndReset(String::new()), 502 },
-    close_on_a_kept_connection = { Reaction::WriteAndClose(String::new()), 502 },
-    head_then_close = { Reaction::WriteAndClose(format!("{}Content-Length: 5\r\n\r\n", head(200))), 502 },
-    head_then_reset = { Reaction::WriteAndReset(format!("{}Content-Length: 5\r\n\r\n", head(200))), 502 },
+    reset_on_an_idle_connection = { Reaction::WriteAndReset(String::new()), 502 },
+    close_on_an_idle_connection = { Reaction::WriteAndClose(String::new()), 502 },
+    head_then_close = { Reaction::WriteAndClose(format!("{}Content-Length: 5\r\n\r\n", response_head(200))), 502 },
+    head_then_reset = { Reaction::WriteAndReset(format!("{}Content-Length: 5\r\n\r\n", response_head(200))), 502 },
     part_of_the_head = { Reaction::WriteAndClose("HTTP/1.1 200 OK\r\nAttempt".into()), 502 },
-    part_of_the_body = { Reaction::WriteAndClose(format!("{}Content-Length: 5\r\n\r\nab", head(200))), 502 },
-    part_of_the_chunks = { Reaction::WriteAndClose(format!("{}Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", head(200))), 502 },
-    no_length_closed = { Reaction::WriteAndClose(format!("{}\r\nab", head(200))), 200 },
-    no_length_reset = { Reaction::WriteAndReset(format!("{}\r\nab", head(200))), 502 },
+    part_of_the_body = { Reaction::WriteAndClose(format!("{}Content-Length: 5\r\n\r\nab", response_head(200))), 502 },
+    part_of_the_chunks = { Reaction::WriteAndClose(format!("{}Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", response_head(200))), 502 },
+    no_length_closed = { Reaction::WriteAndClose(format!("{}\r\nab", response_head(200))), 200 },
+    no_length_reset = { Reaction::WriteAndReset(format!("{}\r\nab", response_head(200))), 502 },
     no_http_response = { Reaction::WriteAndClose("nonsense\r\n\r\n".into()), 502 },
     informational_first = { Reaction::Write(format!("HTTP/1.1 102 Processing\r\n\r\n{}", response_text(200, "Postmark: p\r\n", "ab"))), 200 },
     bytes_after_the_response = { Reaction::Write(format!("{}surplus", response_text(200, "Postmark: p\r\n", "ab"))), 200 },
@@ -155,63 +168,66 @@
     unavailable_that_may_have_run = { Reaction::Write(response_text(503, "Postmark: p\r\n", "ab")), 503 },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_kept_connection_when_the_response_ends_so_then_one_server_got_the_request(
-    second: Reaction,
+async fn given_idle_connections_when_the_response_is_unusual_then_exactly_one_server_receives_the_request(
+    reaction: Reaction,
     status: u16,
 ) {
-    let (node, servers) = node_with_kept_connections(second).await;
+    let (node, servers) = node_with_idle_connections(reaction).await;
     let response = node.post("/unsafe/x").await;
     assert_eq!(response.status(), status);
-    let is_servers = response.headers().contains_key("postmark");
-    assert_eq!(is_servers, status != 502, "a response that the node generated has no stamp");
+    let is_from_server = response.headers().contains_key("postmark");
+    assert_eq!(is_from_server, status != 502, "a response that the node generated has no stamp");
     assert!(
         !response.headers().contains_key("retry-after"),
         "Retry-After although the request may have been executed"
     );
-    assert_eq!(posts(&servers), 1);
+    assert_eq!(post_count(&servers), 1);
 }
 
 #[tokio::test]
-async fn given_rejections_that_say_not_run_when_all_servers_send_them_then_the_client_may_retry() {
-    let (node, servers) = node_with_kept_connections(support::rejection()).await;
+async fn given_servers_that_all_reject_with_not_run_when_a_request_is_sent_then_the_response_has_retry_after()
+{
+    let (node, servers) = node_with_idle_connections(support::rejection()).await;
     let response = node.post("/unsafe/x").await;
     assert_eq!(response.status(), 503);
     assert!(response.headers().contains_key("retry-after"));
-    assert!(posts(&servers) >= SERVERS, "not every server was attempted");
+    assert!(post_count(&servers) >= SERVERS, "not every server was attempted");
 }
 
 #[tokio::test]
-async fn given_an_unresponsive_server_when_the_request_times_out_then_no_other_gets_it() {
-    let (node, servers) = node_with_kept_connections(Reaction::Hang).await;
+async fn given_an_unresponsive_server_when_the_request_times_out_then_no_other_server_receives_it() {
+    let (node, servers) = node_with_idle_connections(Reaction::Hang).await;
     let url = format!("http://{}/unsafe/x", node.address);
     let request = node.client.post(url).header("host", "h.example").header("attempt-id", "try1");
     let response = request.header("time-left-ms", "60").body("body").send().await.expect("a response");
     assert_eq!(response.status(), 504);
-    assert_eq!(posts(&servers), 1);
+    assert_eq!(post_count(&servers), 1);
 }
 
 #[tokio::test]
-async fn given_idle_connections_that_the_servers_closed_when_asked_then_the_request_is_sent_at_most_once() {
-    for act in [Reaction::WriteAndClose as fn(String) -> Reaction, Reaction::WriteAndReset] {
+async fn given_idle_connections_that_the_servers_closed_when_a_request_is_sent_then_at_most_one_receives_it()
+{
+    for reaction in [Reaction::WriteAndClose as fn(String) -> Reaction, Reaction::WriteAndReset] {
         let mut servers = Vec::new();
         for number in 0..SERVERS {
             // The response has no `Connection: close`, so the node regards the connection as reusable.
-            let script =
-                move |_: &support::ReceivedRequest, _: usize| act(response_text(200, "Postmark: p\r\n", "x"));
+            let script = move |_: &support::ReceivedRequest, _: usize| {
+                reaction(response_text(200, "Postmark: p\r\n", "x"))
+            };
             servers.push(FakeServer::start(&format!("server{number}"), script).await);
         }
         let node = node_with(&servers).await;
         for _ in 0..20 {
-            let before = posts(&servers);
+            let before = post_count(&servers);
             let status = node.post("/unsafe/x").await.status().as_u16();
             assert!(status == 200 || status == 502, "{status}");
-            assert!(posts(&servers) - before <= 1, "the request was sent twice");
+            assert!(post_count(&servers) - before <= 1, "the request was sent twice");
         }
     }
 }
 
 #[tokio::test]
-async fn given_a_server_that_responds_before_it_has_read_the_body_when_it_reads_on_then_it_gets_that_body() {
+async fn given_a_server_that_responds_early_when_it_reads_the_body_then_no_other_bytes_are_received() {
     const LENGTH: usize = 4000;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -221,7 +237,7 @@
             let (mut stream, _) = listener.accept().await.expect("a connection");
             let mut buffer = Vec::new();
             while bodies.len() < 4 {
-                let Some(end) = head_end(&mut stream, &mut buffer).await else { break };
+                let Some(end) = read_head(&mut stream, &mut buffer).await else { break };
                 let text = String::from_utf8_lossy(&buffer[..end]).into_owned();
                 let id = text.split("attempt-id: ").nth(1).and_then(|rest| rest.split("\r\n").next());
                 let early = response_text(413, "", "").replace("{id}", id.expect("an id"));
@@ -237,7 +253,7 @@
         }
         bodies
     });
-    let (forwarder, _changes) = forwarder_to(vec![entry("a", address, "s")]);
+    let (forwarder, _view_sender) = forwarder_with_entries(vec![server_entry("a", address, "s")]);
     let node = Node::start(forwarder).await;
     for letter in ["a", "b", "c", "d"] {
         let response = node.send(reqwest::Method::POST, "/unsafe/x", &letter.repeat(LENGTH)).await;
@@ -253,7 +269,7 @@
 
 /// Reads until the buffer contains the head of a request; returns the offset after it, or `None` at the end
 /// of the connection.
-async fn head_end(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<usize> {
+async fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<usize> {
     loop {
         if let Some(at) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
             return Some(at + 4);
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -12,7 +12,7 @@
 use support::node::{fake_servers, node_with, Node};
 use support::{
     event, forwarder, rejection, response, response_text, stream_text, success, FakeServer, Reaction,
-    ReceivedRequest, LONG,
+    ReceivedRequest, LONG_TIMEOUT,
 };
 use tokio::net::TcpListener;
 use tokio::time::Instant;
@@ -25,13 +25,14 @@
     Connection: keep-alive, x-hop\r\nX-Hop: dropped\r\nKeep-Alive: timeout=3\r\nTE: trailers\r\n\
     Proxy-Authorization: dropped\r\nX-Last: two\r\n";
 
-/// Returns the bytes of a client's request. `more` holds additional header lines, each with its line break.
-fn request(line: &str, more: &str, body: &str) -> String {
+/// Returns the bytes of a client's request. `extra_headers` holds additional header lines, each with its line
+/// break.
+fn request(line: &str, extra_headers: &str, body: &str) -> String {
     let length = match body.len() {
         0 => String::new(),
         length => format!("Content-Length: {length}\r\n"),
     };
-    format!("{line} HTTP/1.1\r\n{CLIENT_HEADERS}{more}{length}\r\n{body}")
+    format!("{line} HTTP/1.1\r\n{CLIENT_HEADERS}{extra_headers}{length}\r\n{body}")
 }
 
 /// Returns the head and the body of a request that a server received.
@@ -48,26 +49,26 @@
     plain_version = { "request_plain_version", "POST /safe/x", "Model: m\r\nExpect-Version: 3\r\n", "a body" },
     stream = { "request_stream", "GET /stream/x?y", "", "" },
     stream_post = { "request_stream_post", "POST /stream/x", "Model: m\r\n", "a body" },
-    stream_from = { "request_stream_from", "GET /resumed/x", "Last-Event-Id: 7\r\n", "" },
+    stream_after_event = { "request_stream_from", "GET /resumed/x", "Last-Event-Id: 7\r\n", "" },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_client_request_when_it_is_sent_to_a_server_then_its_bytes_are_golden(
+async fn given_a_client_request_when_it_is_sent_to_a_server_then_its_bytes_match_the_golden_file(
     name: &str,
     line: &str,
-    more: &str,
+    extra_headers: &str,
     body: &str,
 ) {
     let servers = fake_servers(vec![success("x")]).await;
     let node = node_with(&servers).await;
-    exchange(node.address, &request(line, more, body)).await;
+    exchange(node.address, &request(line, extra_headers, body)).await;
     assert_golden(name, &forwarded(&servers[0].received()[0]));
 }
 
 #[tokio::test]
-async fn given_a_truncated_stream_when_it_is_resumed_then_the_bytes_of_the_request_are_golden() {
-    let cut = stream_text("", &[&event(1), &event(2)], false);
+async fn given_a_truncated_stream_when_it_is_resumed_then_the_request_matches_the_golden_file() {
+    let truncated = stream_text("", &[&event(1), &event(2)], false);
     let script = move |received: &ReceivedRequest, _| match received.header("last-event-id") {
-        "" => Reaction::WriteAndClose(cut.clone()),
+        "" => Reaction::WriteAndClose(truncated.clone()),
         _ => Reaction::Write(stream_text("", &[&event(3)], true)),
     };
     let script = Arc::new(script);
@@ -102,7 +103,7 @@
         oldest_version: 3,
         group: Some("group1".into()),
         progress,
-        deadline: Instant::now() + LONG,
+        deadline: Instant::now() + LONG_TIMEOUT,
     }
 }
 
@@ -113,13 +114,13 @@
     single_version_resumed = { "request_item_single_version_resumed", "/single/x", &[1, 2] },
 )]
 #[test_macro(tokio::test)]
-async fn given_an_item_when_it_is_sent_to_a_server_then_its_bytes_are_golden(
+async fn given_an_item_when_it_is_sent_to_a_server_then_its_bytes_match_the_golden_file(
     name: &str,
     path: &str,
     events: &[u64],
 ) {
     let server = FakeServer::start("server0", |_, _| rejection()).await;
-    let (forwarder, _changes) = forwarder(&[&server]);
+    let (forwarder, _view_sender) = forwarder(&[&server]);
     let progress = ItemProgress {
         events: events.iter().map(|id| Bytes::from(format!("e{id}"))).collect(),
         last_event_id: events.last().copied(),
@@ -130,10 +131,12 @@
 }
 
 #[tokio::test]
-async fn given_a_reward_call_when_it_is_sent_to_a_server_then_its_bytes_are_golden() {
+async fn given_a_reward_call_when_it_is_sent_to_a_server_then_its_bytes_match_the_golden_file() {
     let server = FakeServer::start("server0", |_, _| success("x")).await;
-    let (forwarder, _changes) = forwarder(&[&server]);
-    forwarder.call_reward("h.example", "/safe/r?s=1", "reward1", Bytes::from_static(b"text"), LONG).await;
+    let (forwarder, _view_sender) = forwarder(&[&server]);
+    forwarder
+        .call_reward("h.example", "/safe/r?s=1", "reward1", Bytes::from_static(b"text"), LONG_TIMEOUT)
+        .await;
     assert_golden("request_reward", &forwarded(&server.received()[0]));
 }
 
@@ -160,7 +163,7 @@
         response(503, "Postmark: stamp\r\nRetry-After: 9\r\n", "may have run") },
     stream = { "response_stream", "GET /stream/x",
         Reaction::Write(stream_text("X-More: yes\r\nKeep-Alive: timeout=9\r\n", &[&event(1), ": note\n\n", &event(2), "data: rest"], true)) },
-    stream_broken_off = { "response_stream_broken_off", "GET /stream/x",
+    stream_truncated = { "response_stream_broken_off", "GET /stream/x",
         Reaction::WriteAndClose(stream_text("", &[&event(1), "id: 2\nda"], false)) },
     stream_no_events = { "response_stream_no_events", "GET /stream/x", response(404, SERVER_HEADERS, "none") },
     rejected = { "response_rejected", "POST /unsafe/x", rejection_after("0.25") },
@@ -170,8 +173,8 @@
     stream_rejected = { "response_stream_rejected", "GET /stream/x", rejection_after("0.25") },
     stream_rejected_for_long = { "response_stream_rejected_for_long", "GET /stream/x", rejection_after("7") },
     stream_rejected_without_time = { "response_stream_rejected_without_time", "GET /stream/x", response(503, "Not-Run: 1\r\n", "full") },
-    broken_off = { "response_bad_gateway", "POST /unsafe/x", Reaction::WriteAndClose(String::new()) },
-    stream_failed = { "response_stream_bad_gateway", "GET /stream/x", Reaction::WriteAndClose(String::new()) },
+    connection_closed = { "response_bad_gateway", "POST /unsafe/x", Reaction::WriteAndClose(String::new()) },
+    stream_connection_closed = { "response_stream_bad_gateway", "GET /stream/x", Reaction::WriteAndClose(String::new()) },
     timed_out = { "response_gateway_timeout", "POST /short/x", Reaction::Hang },
     no_route = { "response_no_route", "GET /none/x", success("") },
     no_server = { "response_no_server", "GET /nowhere/x", success("") },
@@ -179,18 +182,18 @@
     batch_job_method = { "response_batch_job_method", "GET /rollout/1", success("") },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_request_when_it_is_responded_to_then_the_bytes_of_the_response_are_golden(
+async fn given_a_request_when_answered_then_the_response_matches_the_golden_file(
     name: &str,
     line: &str,
-    script: Reaction,
+    reaction: Reaction,
 ) {
-    let servers = fake_servers(vec![script]).await;
+    let servers = fake_servers(vec![reaction]).await;
     let node = node_with(&servers).await;
     assert_golden(name, &exchange(node.address, &request(line, "", "")).await);
 }
 
 #[tokio::test]
-async fn given_an_unresponsive_server_when_a_stream_times_out_then_the_bytes_of_the_response_are_golden() {
+async fn given_an_unresponsive_server_when_a_stream_times_out_then_the_response_matches_the_golden_file() {
     let servers = fake_servers(vec![Reaction::Hang]).await;
     let node = node_with(&servers).await;
     let response = exchange(node.address, &request("GET /stream/x", "Time-Left-Ms: 30\r\n", "")).await;
@@ -205,7 +208,7 @@
         "POST /short/x HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: try1\r\nContent-Length: 5\r\n\r\nab" },
 )]
 #[test_macro(tokio::test)]
-async fn given_an_invalid_request_when_it_is_rejected_then_the_bytes_of_the_response_are_golden(
+async fn given_an_invalid_request_when_it_is_rejected_then_the_response_matches_the_golden_file(
     name: &str,
     request: &str,
 ) {
@@ -216,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn given_a_head_over_the_limit_when_it_is_rejected_then_the_bytes_of_the_response_are_golden() {
+async fn given_a_head_over_the_limit_when_it_is_rejected_then_the_response_matches_the_golden_file() {
     let servers = fake_servers(vec![success("")]).await;
     let node = node_with(&servers).await;
     let long = format!("X-Long: {}\r\n", "x".repeat(2000));
@@ -227,7 +230,7 @@
 }
 
 #[tokio::test]
-async fn given_a_body_over_the_limit_when_it_is_rejected_then_the_bytes_of_the_response_are_golden() {
+async fn given_a_body_over_the_limit_when_it_is_rejected_then_the_response_matches_the_golden_file() {
     let servers = fake_servers(vec![success("")]).await;
     let node = node_with(&servers).await;
     let long = request("POST /safe/x", "", &"x".repeat(5001));
@@ -235,7 +238,7 @@
 }
 
 #[tokio::test]
-async fn given_a_long_response_when_it_is_forwarded_then_the_bytes_of_its_head_are_golden() {
+async fn given_a_long_response_when_it_is_forwarded_then_its_head_matches_the_golden_file() {
     let long = response(200, SERVER_HEADERS, &"x".repeat(2_000_000));
     let servers = fake_servers(vec![long]).await;
     let node = node_with(&servers).await;
@@ -246,8 +249,8 @@
 }
 
 #[tokio::test]
-async fn given_no_configuration_when_asked_then_the_bytes_of_the_response_are_golden() {
-    let (_changes, view) = tokio::sync::watch::channel(Arc::new(state::View::default()));
+async fn given_no_configuration_when_a_request_is_sent_then_the_response_matches_the_golden_file() {
+    let (_view_sender, view) = tokio::sync::watch::channel(Arc::new(state::View::default()));
     let node = Node::start(Forwarder::new(view, "zone".into())).await;
     assert_golden(
         "response_no_configuration",
@@ -256,14 +259,15 @@
 }
 
 #[tokio::test]
-async fn given_a_configuration_that_may_be_old_when_no_route_is_found_then_the_bytes_are_golden() {
+async fn given_an_unconfirmed_configuration_when_no_route_is_found_then_the_response_matches_the_golden_file()
+{
     let node = node_with(&[]).await;
     node.confirmed.store(false, Ordering::Relaxed);
     assert_golden("response_no_route_yet", &exchange(node.address, &request("GET /none/x", "", "")).await);
 }
 
 #[tokio::test]
-async fn given_a_draining_node_when_asked_then_the_bytes_of_the_response_are_golden() {
+async fn given_a_draining_node_when_a_request_is_sent_then_the_response_matches_the_golden_file() {
     let servers = fake_servers(vec![success("x")]).await;
     let node = node_with(&servers).await;
     node.ingress.drain();
@@ -271,7 +275,7 @@
 }
 
 #[tokio::test]
-async fn given_probes_of_readiness_when_they_are_responded_to_then_the_bytes_are_golden() {
+async fn given_readiness_probes_when_answered_then_the_responses_match_the_golden_files() {
     let node = node_with(&[]).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/crates/data-plane/tests/ingress.rs
+++ b/crates/data-plane/tests/ingress.rs
@@ -10,21 +10,20 @@
 use reqwest::Method;
 use support::node::{fake_servers, node_with, received_count, Node};
 use support::{
-    configuration, entry, forwarder, forwarder_to, rejection, response, response_text, success,
-    unused_address, FakeServer, Reaction,
+    configuration, forwarder, forwarder_with_entries, rejection, response, response_text, server_entry,
+    success, unused_address, FakeServer, Reaction,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use yare::parameterized;
 
-/// The maximum time of a response for which the node needs no further bytes of the client. The timeouts of
-/// the routes are longer.
-const AT_ONCE: Duration = Duration::from_millis(500);
+/// The time limit for a rejection before the body is received; the timeout of the route is longer.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[tokio::test]
-async fn given_a_route_when_asked_then_request_and_response_are_forwarded_unchanged() {
-    let more = "Postmark: stamp\r\nX-More: yes\r\nKeep-Alive: timeout=9\r\n";
-    let servers = fake_servers(vec![response(201, more, "the bytes")]).await;
+async fn given_a_route_when_a_request_matches_it_then_request_and_response_are_forwarded_unchanged() {
+    let extra_headers = "Postmark: stamp\r\nX-More: yes\r\nKeep-Alive: timeout=9\r\n";
+    let servers = fake_servers(vec![response(201, extra_headers, "the bytes")]).await;
     let node = node_with(&servers).await;
     let url = format!("http://{}/safe/a%20b//c?d=%2F&e", node.address);
     let request = node.client.post(url).header("host", "H.example:80").header("attempt-id", "try1");
@@ -46,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn given_many_requests_when_asked_then_connections_are_reused() {
+async fn given_consecutive_requests_when_forwarded_then_the_connection_is_reused() {
     let servers = fake_servers(vec![success("x")]).await;
     let node = node_with(&servers).await;
     for _ in 0..5 {
@@ -56,16 +55,13 @@
 }
 
 #[parameterized(
-    error = { response(500, "Postmark: p\r\n", "bad"), 500 },
-    missing = { response(404, "Postmark: p\r\n", "none"), 404 },
-    unsafe_looking = { response(303, "Postmark: p\r\nLocation: /elsewhere\r\n", ""), 303 },
+    server_error = { response(500, "Postmark: p\r\n", "bad"), 500 },
+    not_found = { response(404, "Postmark: p\r\n", "none"), 404 },
+    redirect = { response(303, "Postmark: p\r\nLocation: /elsewhere\r\n", ""), 303 },
 )]
 #[test_macro(tokio::test)]
-async fn given_an_error_of_the_server_when_asked_then_it_is_forwarded_unchanged(
-    script: Reaction,
-    status: u16,
-) {
-    let servers = fake_servers(vec![script]).await;
+async fn given_an_error_or_redirect_when_received_then_it_is_forwarded(reaction: Reaction, status: u16) {
+    let servers = fake_servers(vec![reaction]).await;
     let node = node_with(&servers).await;
     let response = node.post("/unsafe/x").await;
     assert_eq!(
@@ -79,7 +75,7 @@
     rejected = { rejection(), 503 },
     other_server = { response(421, "", ""), 503 },
     truncated = { Reaction::WriteAndClose(response_text(200, "Postmark: p\r\n", "complete").replace("complete", "cut")), 502 },
-    reset = { Reaction::WriteAndClose(String::new()), 502 },
+    connection_closed = { Reaction::WriteAndClose(String::new()), 502 },
     no_http_response = { Reaction::WriteAndClose("garbage\r\n\r\n".into()), 502 },
     no_stamp = { response(200, "", "x"), 502 },
     encoded = { response(200, "Postmark: p\r\nContent-Encoding: gzip\r\n", "x"), 502 },
@@ -88,16 +84,16 @@
     unavailable_without_not_run = { response(503, "Postmark: p\r\n", "x"), 503 },
 )]
 #[test_macro(tokio::test)]
-async fn given_no_valid_response_when_asked_once_then_the_status_says_whether_it_may_have_run(
-    script: Reaction,
+async fn given_no_valid_response_when_attempted_once_then_the_status_shows_whether_it_may_have_been_executed(
+    reaction: Reaction,
     status: u16,
 ) {
-    let servers = fake_servers(vec![script]).await;
+    let servers = fake_servers(vec![reaction]).await;
     let node = node_with(&servers).await;
     let response = node.post("/unsafe/x").await;
     assert_eq!(response.status(), status);
-    let is_own = !response.headers().contains_key("postmark");
-    assert_eq!(response.headers().contains_key("retry-after"), status == 503 && is_own);
+    let is_from_node = !response.headers().contains_key("postmark");
+    assert_eq!(response.headers().contains_key("retry-after"), status == 503 && is_from_node);
     assert_eq!(received_count(&servers), 1);
 }
 
@@ -121,18 +117,18 @@
 }
 
 #[tokio::test]
-async fn given_a_reset_when_an_unsafe_request_is_sent_then_no_other_server_gets_it() {
-    let reset = Reaction::WriteAndClose(String::new());
-    let servers = fake_servers(vec![reset.clone(), reset.clone(), reset]).await;
+async fn given_a_closed_connection_when_an_unsafe_request_is_sent_then_no_other_server_receives_it() {
+    let closing = Reaction::WriteAndClose(String::new());
+    let servers = fake_servers(vec![closing.clone(), closing.clone(), closing]).await;
     let node = node_with(&servers).await;
     assert_eq!(node.post("/unsafe/x").await.status(), 502);
     assert_eq!(received_count(&servers), 1);
 }
 
 #[tokio::test]
-async fn given_resets_when_a_safe_request_is_sent_then_no_more_servers_get_it_than_the_route_allows() {
-    let reset = Reaction::WriteAndClose(String::new());
-    let servers = fake_servers(vec![reset; 5]).await;
+async fn given_closed_connections_when_a_safe_request_is_sent_then_the_route_limits_the_attempts() {
+    let closing = Reaction::WriteAndClose(String::new());
+    let servers = fake_servers(vec![closing; 5]).await;
     let node = node_with(&servers).await;
     assert_eq!(node.post("/safe/x").await.status(), 502);
     assert_eq!(received_count(&servers), 3);
@@ -140,8 +136,8 @@
 
 #[tokio::test]
 async fn given_one_healthy_server_when_a_safe_request_is_sent_then_it_is_served() {
-    let reset = Reaction::WriteAndClose(String::new());
-    let servers = fake_servers(vec![reset, success("x"), response(500, "Postmark: p\r\n", "")]).await;
+    let closing = Reaction::WriteAndClose(String::new());
+    let servers = fake_servers(vec![closing, success("x"), response(500, "Postmark: p\r\n", "")]).await;
     let node = node_with(&servers).await;
     for _ in 0..20 {
         assert_eq!(node.post("/safe/x").await.status(), 200);
@@ -149,9 +145,11 @@
 }
 
 #[tokio::test]
-async fn given_unreachable_servers_when_asked_then_the_client_may_retry() {
-    let (forwarder, _changes) =
-        forwarder_to(vec![entry("a", unused_address().await, "s"), entry("b", unused_address().await, "s")]);
+async fn given_unreachable_servers_when_a_request_is_sent_then_the_response_has_retry_after() {
+    let (forwarder, _view_sender) = forwarder_with_entries(vec![
+        server_entry("a", unused_address().await, "s"),
+        server_entry("b", unused_address().await, "s"),
+    ]);
     let node = Node::start(forwarder).await;
     let response = node.post("/unsafe/x").await;
     assert_eq!(response.status(), 503);
@@ -159,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn given_an_unresponsive_server_when_the_latency_target_is_in_danger_then_a_hedged_request_is_served() {
+async fn given_an_unresponsive_server_when_the_hedge_delay_has_passed_then_a_hedged_request_is_served() {
     let servers = fake_servers(vec![Reaction::Hang, success("x")]).await;
     let node = node_with(&servers).await;
     for _ in 0..2 {
@@ -176,7 +174,7 @@
 }
 
 #[tokio::test]
-async fn given_a_surplus_response_when_the_next_request_is_sent_then_it_gets_its_own() {
+async fn given_a_surplus_response_when_the_next_request_is_sent_then_it_never_receives_the_surplus_one() {
     let surplus = format!(
         "{}{}",
         response_text(200, "Postmark: p\r\n", "right"),
@@ -196,7 +194,7 @@
 }
 
 #[tokio::test]
-async fn given_a_long_response_when_asked_then_it_is_complete_or_truncated() {
+async fn given_a_long_response_when_forwarded_then_a_truncated_one_is_not_received_as_complete() {
     let long = "x".repeat(2_000_000);
     let head = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 2000000\r\n\r\n";
     let servers = fake_servers(vec![Reaction::Write(format!("{head}{long}"))]).await;
@@ -205,19 +203,19 @@
     assert_eq!(response.content_length(), Some(2_000_000));
     assert_eq!(response.bytes().await.expect("a body").len(), 2_000_000);
 
-    let cut = fake_servers(vec![Reaction::WriteAndClose(format!("{head}{}", &long[..1_500_000]))]).await;
-    let node = node_with(&cut).await;
+    let servers = fake_servers(vec![Reaction::WriteAndClose(format!("{head}{}", &long[..1_500_000]))]).await;
+    let node = node_with(&servers).await;
     assert!(node.get("/safe/x").await.bytes().await.is_err());
 }
 
 #[parameterized(
     unknown_path = { "/none/x", true, 404 },
-    unknown_prefix = { "/safe", true, 404 },
+    prefix_without_trailing_slash = { "/safe", true, 404 },
     unconfirmed = { "/none/x", false, 503 },
     no_servers = { "/nowhere/x", true, 503 },
 )]
 #[test_macro(tokio::test)]
-async fn given_no_route_or_server_when_asked_then_it_is_rejected_at_once(
+async fn given_no_route_or_server_when_a_request_is_sent_then_it_is_rejected_without_an_attempt(
     path: &str,
     confirmed: bool,
     status: u16,
@@ -232,7 +230,7 @@
 }
 
 #[tokio::test]
-async fn given_limits_when_a_request_is_larger_then_it_is_rejected() {
+async fn given_size_limits_when_a_request_exceeds_them_then_it_is_rejected() {
     let servers = fake_servers(vec![success("")]).await;
     let node = node_with(&servers).await;
     let large = "x".repeat(5001);
@@ -246,7 +244,7 @@
 }
 
 #[tokio::test]
-async fn given_a_declared_length_over_the_limit_when_no_body_comes_then_it_is_rejected_at_once() {
+async fn given_a_declared_length_over_the_limit_when_no_body_is_sent_then_it_is_rejected_immediately() {
     const HEAD: &[u8] =
         b"POST /safe/x HTTP/1.1\r\nhost: h.example\r\nattempt-id: try1\r\ncontent-length: 5001\r\n\r\n";
     let servers = fake_servers(vec![success("")]).await;
@@ -255,7 +253,7 @@
     connection.write_all(HEAD).await.expect("it is sent");
     let mut status_line = [0; 12];
     let read = connection.read_exact(&mut status_line);
-    tokio::time::timeout(AT_ONCE, read).await.expect("an immediate response").expect("a response");
+    tokio::time::timeout(RESPONSE_TIMEOUT, read).await.expect("an immediate response").expect("a response");
     assert_eq!(&status_line, b"HTTP/1.1 413");
     assert_eq!(received_count(&servers), 0);
 }
@@ -265,10 +263,10 @@
     read = { Method::GET, "/api/lots/abc", 202 },
     end = { Method::DELETE, "/api/lots/abc", 202 },
     body = { Method::GET, "/api/items/abc", 202 },
-    no_submit = { Method::GET, "/rollout/1", 405 },
+    wrong_method = { Method::GET, "/rollout/1", 405 },
 )]
 #[test_macro(tokio::test)]
-async fn given_requests_that_concern_batch_jobs_when_asked_then_their_endpoint_responds(
+async fn given_requests_that_concern_batch_jobs_when_sent_then_the_job_endpoint_responds(
     method: Method,
     path: &str,
     status: u16,
@@ -285,7 +283,7 @@
 async fn given_a_client_that_disconnects_when_its_request_is_in_flight_then_the_attempt_is_canceled() {
     let servers = fake_servers(vec![Reaction::Hang]).await;
     let node = node_with(&servers).await;
-    let asking = tokio::spawn({
+    let pending_request = tokio::spawn({
         let url = format!("http://{}/safe/x", node.address);
         let request = node.client.get(url).header("host", "h.example").header("attempt-id", "try1");
         request.send()
@@ -293,28 +291,28 @@
     while servers[0].received().is_empty() {
         tokio::task::yield_now().await;
     }
-    asking.abort();
+    pending_request.abort();
     servers[0].wait_for_close().await;
 }
 
 #[tokio::test]
-async fn given_a_readiness_probe_when_the_node_is_ready_or_draining_then_the_status_says_so() {
+async fn given_readiness_probes_when_the_node_is_ready_or_draining_then_the_status_shows_it() {
     let node = node_with(&[]).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let url = format!("http://{}/api/ready", listener.local_addr().expect("an address"));
     let ingress = node.ingress.clone();
     tokio::spawn(async move { ingress.serve_ready(listener).await });
-    let ask = || async { node.client.get(&url).send().await.expect("a response").status() };
-    assert_eq!(ask().await, 200);
+    let probe = || async { node.client.get(&url).send().await.expect("a response").status() };
+    assert_eq!(probe().await, 200);
     node.ready.store(false, Ordering::Relaxed);
-    assert_eq!(ask().await, 503);
+    assert_eq!(probe().await, 503);
     node.ready.store(true, Ordering::Relaxed);
     node.ingress.drain();
-    assert_eq!(ask().await, 503);
+    assert_eq!(probe().await, 503);
 }
 
 #[tokio::test]
-async fn given_a_draining_ingress_when_asked_then_it_serves_and_closes_the_connection() {
+async fn given_a_draining_ingress_when_a_request_is_sent_then_it_is_served_and_the_connection_is_closed() {
     let servers = fake_servers(vec![success("x")]).await;
     let node = node_with(&servers).await;
     node.ingress.drain();
@@ -325,8 +323,8 @@
 }
 
 #[tokio::test]
-async fn given_no_configuration_when_asked_then_the_client_may_retry() {
-    let (_changes, view) = tokio::sync::watch::channel(Arc::new(state::View::default()));
+async fn given_no_configuration_when_a_request_is_sent_then_the_response_has_retry_after() {
+    let (_view_sender, view) = tokio::sync::watch::channel(Arc::new(state::View::default()));
     let node = Node::start(Forwarder::new(view, "zone".into())).await;
     let response = node.get("/safe/x").await;
     assert_eq!(response.status(), 503);
@@ -334,14 +332,14 @@
 }
 
 #[tokio::test]
-async fn given_a_newer_view_when_asked_then_it_is_followed_at_once() {
+async fn given_a_newer_view_when_the_next_request_is_sent_then_the_newer_view_is_used() {
     let servers = fake_servers(vec![success("x"), success("x")]).await;
-    let (forwarder, changes) = forwarder(&[&servers[0]]);
+    let (forwarder, view_sender) = forwarder(&[&servers[0]]);
     let node = Node::start(forwarder).await;
     assert_eq!(node.get("/safe/x").await.status(), 200);
-    changes.send_replace(Arc::new(state::View {
+    view_sender.send_replace(Arc::new(state::View {
         configuration: Some(Arc::new(configuration())),
-        servers: support::list(vec![entry("server1", servers[1].address, "s")]),
+        servers: support::server_list(vec![server_entry("server1", servers[1].address, "s")]),
         ..state::View::default()
     }));
     assert_eq!(node.get("/safe/x").await.status(), 200);
@@ -349,7 +347,7 @@
 }
 
 #[tokio::test]
-async fn given_one_server_that_resets_when_a_safe_request_is_sent_then_it_is_retried_there() {
+async fn given_one_server_that_closes_connections_when_a_safe_request_is_sent_then_it_is_retried_there() {
     let script = |_: &support::ReceivedRequest, number| match number {
         0 | 1 => Reaction::WriteAndClose(String::new()),
         _ => success("x"),
@@ -361,7 +359,7 @@
 }
 
 #[tokio::test]
-async fn given_a_head_request_when_asked_then_the_length_comes_without_a_body() {
+async fn given_a_head_request_when_forwarded_then_the_response_has_the_declared_length() {
     let head = "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nPostmark: p\r\nContent-Length: 70\r\n\r\n";
     let servers = fake_servers(vec![Reaction::Write(head.into())]).await;
     let node = node_with(&servers).await;
@@ -373,18 +371,18 @@
 }
 
 #[tokio::test]
-async fn given_requests_in_flight_when_the_ingress_drains_then_they_are_finished_before_it_ends() {
+async fn given_a_request_in_flight_when_the_ingress_drains_then_it_is_completed_before_serving_ends() {
     let notification = Arc::new(tokio::sync::Notify::new());
-    let script = Reaction::WriteWhenNotified(
+    let reaction = Reaction::WriteWhenNotified(
         Arc::clone(&notification),
         response_text(200, "Postmark: p\r\n", "complete"),
     );
-    let servers = fake_servers(vec![script]).await;
-    let (forwarder, _changes) = forwarder(&[&servers[0]]);
-    let node = Node::start_with(forwarder, Duration::ZERO).await;
+    let servers = fake_servers(vec![reaction]).await;
+    let (forwarder, _view_sender) = forwarder(&[&servers[0]]);
+    let node = Node::start_with_accept_time(forwarder, Duration::ZERO).await;
     let url = format!("http://{}/unsafe/x", node.address);
     let request = node.client.post(url).header("host", "h.example").header("attempt-id", "try1");
-    let asking = tokio::spawn(request.send());
+    let pending_request = tokio::spawn(request.send());
     while servers[0].received().is_empty() {
         tokio::task::yield_now().await;
     }
@@ -393,7 +391,7 @@
     while tokio::net::TcpStream::connect(node.address).await.is_ok() {}
     assert!(!node.serving.is_finished());
     notification.notify_one();
-    let response = asking.await.expect("no panic").expect("a response");
+    let response = pending_request.await.expect("no panic").expect("a response");
     assert_eq!(response.headers()["connection"], "close");
     assert_eq!(response.text().await.expect("a body"), "complete");
     assert!(node.serving.await.expect("no panic").is_ok());
--- a/crates/data-plane/tests/streams.rs
+++ b/crates/data-plane/tests/streams.rs
@@ -7,7 +7,7 @@
 use yare::parameterized;
 
 #[tokio::test]
-async fn given_a_stream_when_asked_then_its_events_are_forwarded() {
+async fn given_a_stream_when_requested_then_its_events_are_forwarded() {
     let (first, second) = (event(1), format!(": hi\n\n{}", event(2)));
     let servers = fake_servers(vec![Reaction::Write(stream_text("", &[&first, &second], true))]).await;
     let node = node_with(&servers).await;
@@ -18,9 +18,9 @@
 }
 
 #[tokio::test]
-async fn given_an_open_stream_when_events_come_then_each_is_forwarded_at_once() {
-    let begun = stream_text("", &[&event(1), "id: 2\nda"], false);
-    let servers = fake_servers(vec![Reaction::WriteAndHang(begun)]).await;
+async fn given_an_open_stream_when_an_event_is_complete_then_it_is_forwarded_immediately() {
+    let incomplete_stream = stream_text("", &[&event(1), "id: 2\nda"], false);
+    let servers = fake_servers(vec![Reaction::WriteAndHang(incomplete_stream)]).await;
     let node = node_with(&servers).await;
     let mut response = node.get("/stream/x").await;
     assert_eq!(response.chunk().await.expect("a chunk").expect("a chunk"), event(1));
@@ -30,8 +30,8 @@
 
 #[tokio::test]
 async fn given_a_truncated_stream_when_it_may_not_be_resumed_then_the_response_is_truncated() {
-    let cut = Reaction::WriteAndClose(stream_text("", &[&event(1), "id: 2\nda"], false));
-    let servers = fake_servers(vec![cut.clone(), cut]).await;
+    let truncated = Reaction::WriteAndClose(stream_text("", &[&event(1), "id: 2\nda"], false));
+    let servers = fake_servers(vec![truncated.clone(), truncated]).await;
     let node = node_with(&servers).await;
     let mut response = node.get("/stream/x").await;
     assert_eq!(response.chunk().await.expect("a chunk").expect("a chunk"), event(1));
@@ -42,12 +42,12 @@
 
 #[tokio::test]
 async fn given_a_truncated_stream_when_it_may_be_resumed_then_another_server_continues_it() {
-    let cut = stream_text("", &[&event(1), "id: 2\nda"], false);
+    let truncated = stream_text("", &[&event(1), "id: 2\nda"], false);
     let mut servers = Vec::new();
     for id in ["a", "b"] {
-        let cut = cut.clone();
+        let truncated = truncated.clone();
         let script = move |received: &support::ReceivedRequest, _| match received.header("last-event-id") {
-            "" => Reaction::WriteAndClose(cut.clone()),
+            "" => Reaction::WriteAndClose(truncated.clone()),
             "1" => Reaction::Write(stream_text("", &[&event(2), &event(3)], true)),
             other => panic!("unexpected Last-Event-Id: {other}"),
         };
@@ -60,18 +60,18 @@
 }
 
 #[parameterized(
-    error = { response(500, "Postmark: p\r\n", "bad"), 500, "bad" },
-    missing = { response(404, "Postmark: p\r\n", "no such thing"), 404, "no such thing" },
+    server_error = { response(500, "Postmark: p\r\n", "bad"), 500, "bad" },
+    not_found = { response(404, "Postmark: p\r\n", "no such thing"), 404, "no such thing" },
     rejected = { rejection(), 503, "" },
-    reset = { Reaction::WriteAndClose(String::new()), 502, "" },
+    connection_closed = { Reaction::WriteAndClose(String::new()), 502, "" },
 )]
 #[test_macro(tokio::test)]
-async fn given_no_stream_when_one_is_requested_then_the_response_says_why(
-    script: Reaction,
+async fn given_a_server_that_sends_no_stream_when_one_is_requested_then_the_status_shows_the_reason(
+    reaction: Reaction,
     status: u16,
     body: &str,
 ) {
-    let servers = fake_servers(vec![script]).await;
+    let servers = fake_servers(vec![reaction]).await;
     let node = node_with(&servers).await;
     let response = node.post("/stream/x").await;
     assert_eq!(response.status(), status);
@@ -101,8 +101,8 @@
 
 #[tokio::test]
 async fn given_a_server_that_restarts_the_stream_when_it_is_resumed_then_the_response_is_truncated() {
-    let cut = Reaction::WriteAndClose(stream_text("", &[&event(1), &event(2)], false));
-    let servers = fake_servers(vec![cut.clone(), cut]).await;
+    let truncated = Reaction::WriteAndClose(stream_text("", &[&event(1), &event(2)], false));
+    let servers = fake_servers(vec![truncated.clone(), truncated]).await;
     let node = node_with(&servers).await;
     assert!(node.get("/resumed/x").await.text().await.is_err());
 }
--- a/crates/data-plane/tests/support/fake_server.rs
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -57,7 +57,7 @@
     pub id: String,
     pub address: SocketAddr,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
-    closed: tokio::sync::Mutex<mpsc::UnboundedReceiver<()>>,
+    closed_receiver: tokio::sync::Mutex<mpsc::UnboundedReceiver<()>>,
 }
 
 impl FakeServer {
@@ -69,9 +69,14 @@
         let address = listener.local_addr().expect("an address");
         let received = Arc::new(Mutex::new(Vec::new()));
         let script: Arc<Script> = Arc::new(script);
-        let (closing, closed) = mpsc::unbounded_channel();
-        tokio::spawn(accept(listener, Arc::clone(&received), script, closing));
-        Self { id: id.to_owned(), address, received, closed: tokio::sync::Mutex::new(closed) }
+        let (closed_sender, closed_receiver) = mpsc::unbounded_channel();
+        tokio::spawn(accept(listener, Arc::clone(&received), script, closed_sender));
+        Self {
+            id: id.to_owned(),
+            address,
+            received,
+            closed_receiver: tokio::sync::Mutex::new(closed_receiver),
+        }
     }
 
     pub fn received(&self) -> Vec<ReceivedRequest> {
@@ -81,7 +86,7 @@
     /// Waits until a client has closed a connection to whose request the server reacted with
     /// [`Reaction::Hang`] or [`Reaction::WriteAndHang`].
     pub async fn wait_for_close(&self) {
-        self.closed.lock().await.recv().await.expect("a fake server");
+        self.closed_receiver.lock().await.recv().await.expect("a fake server");
     }
 }
 
@@ -89,14 +94,15 @@
     listener: TcpListener,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
     script: Arc<Script>,
-    closing: mpsc::UnboundedSender<()>,
+    closed_sender: mpsc::UnboundedSender<()>,
 ) {
     for connection in 0.. {
         let Ok((stream, _)) = listener.accept().await else {
             return;
         };
-        let (received, script, closing) = (Arc::clone(&received), Arc::clone(&script), closing.clone());
-        tokio::spawn(serve(stream, connection, received, script, closing));
+        let (received, script, closed_sender) =
+            (Arc::clone(&received), Arc::clone(&script), closed_sender.clone());
+        tokio::spawn(serve(stream, connection, received, script, closed_sender));
     }
 }
 
@@ -105,7 +111,7 @@
     connection: usize,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
     script: Arc<Script>,
-    closing: mpsc::UnboundedSender<()>,
+    closed_sender: mpsc::UnboundedSender<()>,
 ) {
     let mut buffer = Vec::new();
     while let Some(mut request) = read_request(&mut stream, &mut buffer).await {
@@ -115,39 +121,39 @@
             received.push(request.clone());
             received.len() - 1
         };
-        let fill = |text: &str| text.replace("{id}", request.header("attempt-id"));
+        let insert_id = |text: &str| text.replace("{id}", request.header("attempt-id"));
         match script(&request, number) {
-            Reaction::Write(text) => stream.write_all(fill(&text).as_bytes()).await.expect("written"),
+            Reaction::Write(text) => stream.write_all(insert_id(&text).as_bytes()).await.expect("written"),
             Reaction::WriteAndClose(text) => {
-                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("written");
                 return;
             }
             Reaction::WriteAndReset(text) => {
-                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("written");
                 return reset(&stream);
             }
             Reaction::WriteWhenNotified(notification, text) => {
                 notification.notified().await;
-                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("written");
             }
-            Reaction::Hang => return hang(stream, closing).await,
+            Reaction::Hang => return wait_until_closed(stream, closed_sender).await,
             Reaction::WriteAndHang(text) => {
-                stream.write_all(fill(&text).as_bytes()).await.expect("written");
-                return hang(stream, closing).await;
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("written");
+                return wait_until_closed(stream, closed_sender).await;
             }
         }
     }
 }
 
-/// Configures the connection so that dropping it resets it instead of closing it.
+/// Configures the connection so that dropping it resets it instead of closed_sender it.
 pub fn reset(stream: &TcpStream) {
     stream.set_zero_linger().expect("an option of the socket");
 }
 
-async fn hang(mut stream: TcpStream, closing: mpsc::UnboundedSender<()>) {
+async fn wait_until_closed(mut stream: TcpStream, closed_sender: mpsc::UnboundedSender<()>) {
     let mut rest = [0; 64];
     while matches!(stream.read(&mut rest).await, Ok(read) if read > 0) {}
-    let _ = closing.send(());
+    let _ = closed_sender.send(());
 }
 
 /// Reads a request including its body. `buffer` keeps bytes of the next request. Returns `None` if the
--- a/crates/data-plane/tests/support/golden.rs
+++ b/crates/data-plane/tests/support/golden.rs
@@ -15,7 +15,7 @@
 /// If the environment variable `GOLDEN_WRITE` is set, a missing file is created instead.
 pub fn assert_golden(name: &str, message: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.http"));
-    let message = visible(&without_variable_values(message));
+    let message = escape_line_ends(&without_variable_values(message));
     if !path.exists() && std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(&path, &message).expect("a golden file that can be written");
     }
@@ -24,7 +24,7 @@
 }
 
 /// Escapes carriage returns and line feeds, and adds a real line break after each escaped line feed.
-fn visible(message: &str) -> String {
+fn escape_line_ends(message: &str) -> String {
     message.replace('\r', "\\r").replace('\n', "\\n\n")
 }
 
--- a/crates/data-plane/tests/support/mod.rs
+++ b/crates/data-plane/tests/support/mod.rs
@@ -22,7 +22,7 @@
 pub use responses::{event, rejection, response, response_text, stream_text, success};
 
 /// Returns the entry of a server that runs version 3 of model `m` and has 4 slots.
-pub fn entry(id: &str, address: SocketAddr, service: &str) -> ServerEntry {
+pub fn server_entry(id: &str, address: SocketAddr, service: &str) -> ServerEntry {
     ServerEntry {
         id: id.into(),
         service: service.into(),
@@ -39,10 +39,10 @@
 /// without servers. The name of a route is the first segment of its path. Routes have a timeout of 20 s and a
 /// latency target of 10 s, except `short` with a timeout of 30 ms and `hasty` with a latency target of 1 ms.
 pub fn configuration() -> Configuration {
-    let route = |prefix: &str, kind: &str, more: &str| {
+    let route = |prefix: &str, kind: &str, extra_fields: &str| {
         format!(
             r#"{{"name":"{prefix}","depot":"h.example","lanePrefix":"/{prefix}/","kind":"{kind}",
-            "expiryMs":20000,"dueMs":10000,"urgency":1,"postalLine":"s","tries":3{more}}}"#
+            "expiryMs":20000,"dueMs":10000,"urgency":1,"postalLine":"s","tries":3{extra_fields}}}"#
         )
     };
     let routes = [
@@ -66,23 +66,26 @@
 }
 
 /// Returns a server list with these entries.
-pub fn list(entries: Vec<ServerEntry>) -> Arc<ServerList> {
+pub fn server_list(entries: Vec<ServerEntry>) -> Arc<ServerList> {
     Arc::new(ServerList::new(ServerListVersion::default(), entries))
 }
 
 /// Creates a forwarder whose server list holds these servers, all of service `s`. Also returns the sender of
 /// its view.
 pub fn forwarder(servers: &[&FakeServer]) -> (Forwarder, watch::Sender<Arc<View>>) {
-    let entries = servers.iter().map(|server| entry(&server.id, server.address, "s")).collect();
-    forwarder_to(entries)
+    let entries = servers.iter().map(|server| server_entry(&server.id, server.address, "s")).collect();
+    forwarder_with_entries(entries)
 }
 
 /// Creates a forwarder with this server list. Also returns the sender of its view.
-pub fn forwarder_to(entries: Vec<ServerEntry>) -> (Forwarder, watch::Sender<Arc<View>>) {
-    let view =
-        View { configuration: Some(Arc::new(configuration())), servers: list(entries), ..View::default() };
-    let (changes, view) = watch::channel(Arc::new(view));
-    (Forwarder::new(view, "zone".into()), changes)
+pub fn forwarder_with_entries(entries: Vec<ServerEntry>) -> (Forwarder, watch::Sender<Arc<View>>) {
+    let view = View {
+        configuration: Some(Arc::new(configuration())),
+        servers: server_list(entries),
+        ..View::default()
+    };
+    let (view_sender, view) = watch::channel(Arc::new(view));
+    (Forwarder::new(view, "zone".into()), view_sender)
 }
 
 /// Returns an address on which no process listens.
@@ -92,4 +95,4 @@
 }
 
 /// A timeout that does not expire in any test.
-pub const LONG: Duration = Duration::from_secs(60);
+pub const LONG_TIMEOUT: Duration = Duration::from_secs(60);
--- a/crates/data-plane/tests/support/node.rs
+++ b/crates/data-plane/tests/support/node.rs
@@ -10,12 +10,12 @@
 use reqwest::{Client, Method, Response, StatusCode};
 use tokio::net::TcpListener;
 
-use super::{forwarder, FakeServer, Reaction, LONG};
+use super::{forwarder, FakeServer, Reaction, LONG_TIMEOUT};
 
 /// Responds to every request with status 202 and the path of the request as body.
-struct Jobs;
+struct EchoJobEndpoint;
 
-impl JobEndpoint for Jobs {
+impl JobEndpoint for EchoJobEndpoint {
     fn handle(&self, request: poem::Request) -> BoxFuture<'_, poem::Response> {
         let path = request.uri().path().to_owned();
         Box::pin(async move { poem::Response::builder().status(StatusCode::ACCEPTED).body(path) })
@@ -38,19 +38,19 @@
 impl Node {
     /// Starts a node that is ready and whose configuration is confirmed.
     pub async fn start(forwarder: Forwarder) -> Self {
-        Self::start_with(forwarder, LONG).await
+        Self::start_with_accept_time(forwarder, LONG_TIMEOUT).await
     }
 
     /// Starts a node that accepts new connections for `accept_while_draining` after its shutdown has started.
-    pub async fn start_with(forwarder: Forwarder, accept_while_draining: Duration) -> Self {
+    pub async fn start_with_accept_time(forwarder: Forwarder, accept_while_draining: Duration) -> Self {
         let (ready, confirmed) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
         let (is_ready, is_confirmed) = (Arc::clone(&ready), Arc::clone(&confirmed));
         let settings = IngressSettings {
-            jobs: Arc::new(Jobs),
+            jobs: Arc::new(EchoJobEndpoint),
             is_ready: Box::new(move || is_ready.load(Ordering::Relaxed)),
             is_configuration_confirmed: Box::new(move || is_confirmed.load(Ordering::Relaxed)),
             accept_while_draining,
-            drain_timeout: accept_while_draining + LONG,
+            drain_timeout: accept_while_draining + LONG_TIMEOUT,
         };
         let ingress = Ingress::new(forwarder, settings);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -83,22 +83,22 @@
     }
 }
 
-/// Starts one server for each script, which reacts to all requests alike. Their ids are `server0`, `server1`
-/// and so on.
-pub async fn fake_servers(scripts: Vec<Reaction>) -> Vec<FakeServer> {
+/// Starts one server for each reaction, which reacts in this way to all requests. Their ids are `server0`,
+/// `server1` and so on.
+pub async fn fake_servers(reactions: Vec<Reaction>) -> Vec<FakeServer> {
     let mut servers = Vec::new();
-    for (number, script) in scripts.into_iter().enumerate() {
+    for (number, reaction) in reactions.into_iter().enumerate() {
         let id = format!("server{number}");
-        servers.push(FakeServer::start(&id, move |_, _| script.clone()).await);
+        servers.push(FakeServer::start(&id, move |_, _| reaction.clone()).await);
     }
     servers
 }
 
 /// Starts a node that forwards requests to these servers.
 pub async fn node_with(servers: &[FakeServer]) -> Node {
-    let (forwarder, changes) = forwarder(&servers.iter().collect::<Vec<_>>());
+    let (forwarder, view_sender) = forwarder(&servers.iter().collect::<Vec<_>>());
     // The forwarder keeps the last view after the channel is closed.
-    drop(changes);
+    drop(view_sender);
     Node::start(forwarder).await
 }
 
--- a/crates/data-plane/tests/support/responses.rs
+++ b/crates/data-plane/tests/support/responses.rs
@@ -2,16 +2,18 @@
 
 use super::fake_server::Reaction;
 
-/// Returns a reaction that sends a complete response. `more` holds additional header lines, each with its
-/// line break.
-pub fn response(status: u16, more: &str, body: &str) -> Reaction {
-    Reaction::Write(response_text(status, more, body))
+/// Returns a reaction that sends a complete response. `extra_headers` holds additional header lines, each
+/// with its line break.
+pub fn response(status: u16, extra_headers: &str, body: &str) -> Reaction {
+    Reaction::Write(response_text(status, extra_headers, body))
 }
 
 /// Returns the bytes of a complete response, as in [`response`].
-pub fn response_text(status: u16, more: &str, body: &str) -> String {
+pub fn response_text(status: u16, extra_headers: &str, body: &str) -> String {
     let length = body.len();
-    format!("HTTP/1.1 {status} X\r\nAttempt-Id: {{id}}\r\n{more}Content-Length: {length}\r\n\r\n{body}")
+    format!(
+        "HTTP/1.1 {status} X\r\nAttempt-Id: {{id}}\r\n{extra_headers}Content-Length: {length}\r\n\r\n{body}"
+    )
 }
 
 /// Returns a reaction that sends a valid response with status 200.
@@ -26,10 +28,10 @@
 
 /// Returns the head and the chunks of an event stream. The chunk that properly ends the body is only added if
 /// `is_complete` is set.
-pub fn stream_text(more: &str, chunks: &[&str], is_complete: bool) -> String {
+pub fn stream_text(extra_headers: &str, chunks: &[&str], is_complete: bool) -> String {
     let mut text = format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {{id}}\r\nPostmark: stamp\r\nContent-Type: text/event-stream\r\n\
-         {more}Transfer-Encoding: chunked\r\n\r\n"
+         {extra_headers}Transfer-Encoding: chunked\r\n\r\n"
     );
     for chunk in chunks {
         text.push_str(&format!("{:x}\r\n{chunk}\r\n", chunk.len()));
--- a/crates/data-plane/tests/unit/affinity.rs
+++ b/crates/data-plane/tests/unit/affinity.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn given_the_greatest_number_of_groups_when_one_is_added_then_the_first_recorded_is_evicted() {
+fn given_the_maximum_number_of_groups_when_one_is_added_then_the_first_recorded_is_evicted() {
     let mut affinity = PrefixAffinity::default();
     for number in 0..MAX_GROUPS {
         affinity.record(&group(number), &ServerId::from("a"));
