--- a/crates/data-plane/src/batch/reward.rs
+++ b/crates/data-plane/src/batch/reward.rs
@@ -30,8 +30,8 @@
 }
 
 impl Forwarder {
-    /// Makes a reward call. Retries and hedged requests may execute it at up to as many servers as its route
-    /// allows. `timeout` limits the time of all attempts together.
+    /// Makes a reward call, which is treated as idempotent: retries and hedged requests may execute it as
+    /// often as its route allows. `timeout` limits the time of all attempts together.
     pub async fn call_reward(
         &self,
         host: &str,
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -50,7 +50,7 @@
 /// The load that a server reports in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ServerLoad {
-    /// The number of requests that the server processes.
+    /// The number of requests that the server processes at present.
     pub(crate) running: u32,
     /// The number of requests in the server's queue.
     pub(crate) queued: u32,
@@ -97,13 +97,13 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns the headers without hop-by-hop headers, including those that the `Connection` header lists.
+/// Returns the headers without hop-by-hop headers. The headers that `Connection` lists are removed as well.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = headers.clone();
     for value in headers.get_all(CONNECTION) {
         let names = value.to_str().unwrap_or_default().split(',');
         for name in names.filter_map(|name| HeaderName::try_from(name.trim()).ok()) {
-            // The protocol requires these two end to end, even if `Connection` lists them.
+            // The protocol forwards `Attempt-Id` and `Host` end to end, even if `Connection` lists them.
             if name != ATTEMPT_ID && name != HOST {
                 forwarded.remove(name);
             }
--- a/crates/data-plane/src/ingress/http_server.rs
+++ b/crates/data-plane/src/ingress/http_server.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// An accepted connection of a client that has not been served yet.
+/// An accepted connection of a client, with both of its addresses and its idle timeout.
 struct ClientConnection {
     stream: TcpStream,
     local: SocketAddr,
--- a/crates/data-plane/src/ingress/lifecycle.rs
+++ b/crates/data-plane/src/ingress/lifecycle.rs
@@ -18,8 +18,8 @@
 
 /// The time before the end of the drain timeout at which requests that are still in flight are aborted.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
-/// The minimum idle timeout of a client's connection. The timeout of an open connection can't be changed, but
-/// the operator may raise the configured limit while the connection is open.
+/// The minimum idle timeout of a client's connection. The operator may raise the configured limit while a
+/// connection is open, but the timeout of an open connection can't be changed.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The idle timeout of a client's connection, as a multiple of the operator's limit. Clients may reuse an
 /// idle connection up to that limit, so the node must keep it open for longer.
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -70,8 +70,7 @@
             Ok(Some(chunk)) => Some((Ok(chunk), Some(source))),
             Ok(None) => None,
             Err(error) => {
-                // The error aborts the client's connection. Yielding lets the earlier chunks be written
-                // first.
+                // The error aborts the client's connection. Yielding lets earlier chunks be written first.
                 tokio::task::yield_now().await;
                 Some((Err(error), None))
             }
--- a/crates/data-plane/tests/at_most_once.rs
+++ b/crates/data-plane/tests/at_most_once.rs
@@ -42,7 +42,7 @@
     let received_count = Arc::new(AtomicUsize::new(0));
     let mut entries = Vec::new();
     for number in 0..SERVERS {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         entries.push(server_entry(
             &format!("server{number}"),
             listener.local_addr().expect("an address"),
@@ -229,7 +229,7 @@
 #[tokio::test]
 async fn given_a_server_that_responds_early_when_it_reads_the_body_then_no_other_bytes_are_received() {
     const LENGTH: usize = 4000;
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let serving = tokio::spawn(async move {
         let mut bodies = Vec::new();
@@ -241,7 +241,7 @@
                 let text = String::from_utf8_lossy(&buffer[..end]).into_owned();
                 let id = text.split("attempt-id: ").nth(1).and_then(|rest| rest.split("\r\n").next());
                 let early = response_text(413, "", "").replace("{id}", id.expect("an id"));
-                stream.write_all(early.as_bytes()).await.expect("written");
+                stream.write_all(early.as_bytes()).await.expect("a response that can be written");
                 buffer.drain(..end);
                 while buffer.len() < LENGTH {
                     if stream.read_buf(&mut buffer).await.unwrap_or(0) == 0 {
@@ -259,7 +259,9 @@
         let response = node.send(reqwest::Method::POST, "/unsafe/x", &letter.repeat(LENGTH)).await;
         assert_eq!(response.expect("a response").status(), 413);
     }
-    for (body, letter) in serving.await.expect("no panic").iter().zip([b'a', b'b', b'c', b'd']) {
+    for (body, letter) in
+        serving.await.expect("a task that does not panic").iter().zip([b'a', b'b', b'c', b'd'])
+    {
         assert!(
             body.iter().all(|byte| *byte == letter),
             "the server received bytes that don't belong to this body"
--- a/crates/data-plane/tests/event_stream.rs
+++ b/crates/data-plane/tests/event_stream.rs
@@ -15,7 +15,7 @@
 }
 
 fn data_texts(events: &[StreamEvent]) -> Vec<&str> {
-    events.iter().map(|event| std::str::from_utf8(&event.data).expect("text")).collect()
+    events.iter().map(|event| std::str::from_utf8(&event.data).expect("valid UTF-8")).collect()
 }
 
 #[parameterized(
--- a/crates/data-plane/tests/golden.rs
+++ b/crates/data-plane/tests/golden.rs
@@ -37,7 +37,7 @@
 
 /// Returns the head and the body of a request that a server received.
 fn forwarded(received: &ReceivedRequest) -> String {
-    format!("{}{}", received.head, String::from_utf8(received.body.clone()).expect("text"))
+    format!("{}{}", received.head, String::from_utf8(received.body.clone()).expect("valid UTF-8"))
 }
 
 #[parameterized(
@@ -81,6 +81,7 @@
     exchange(node.address, &request("GET /resumed/x", "", "")).await;
     let received = servers.iter().flat_map(FakeServer::received);
     let resumed: Vec<_> = received.filter(|received| !received.header("last-event-id").is_empty()).collect();
+    // The stream may be resumed at either server, so the id of the server is replaced by a constant one.
     let head = forwarded(&resumed[0]).replace("expected-carrier: server0", "expected-carrier: server1");
     assert_golden("request_stream_resumed", &head);
 }
@@ -277,7 +278,7 @@
 #[tokio::test]
 async fn given_readiness_probes_when_answered_then_the_responses_match_the_golden_files() {
     let node = node_with(&[]).await;
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let ingress = node.ingress.clone();
     tokio::spawn(async move { ingress.serve_ready(listener).await });
--- a/crates/data-plane/tests/ingress.rs
+++ b/crates/data-plane/tests/ingress.rs
@@ -40,8 +40,8 @@
     assert_eq!((received.header("host"), received.header("x-own")), ("H.example:80", "kept"));
     assert_eq!((received.header("x-hop"), received.header("expected-carrier")), ("", "server0"));
     assert_eq!(received.body, b"a body");
-    let left: u64 = received.header("time-left-ms").parse().expect("a number");
-    assert!((1..1500).contains(&left), "{left}");
+    let time_left: u64 = received.header("time-left-ms").parse().expect("a number");
+    assert!((1..1500).contains(&time_left), "time left: {time_left} ms");
 }
 
 #[tokio::test]
@@ -250,7 +250,7 @@
     let servers = fake_servers(vec![success("")]).await;
     let node = node_with(&servers).await;
     let mut connection = TcpStream::connect(&node.address).await.expect("a connection");
-    connection.write_all(HEAD).await.expect("it is sent");
+    connection.write_all(HEAD).await.expect("the head can be sent");
     let mut status_line = [0; 12];
     let read = connection.read_exact(&mut status_line);
     tokio::time::timeout(RESPONSE_TIMEOUT, read).await.expect("an immediate response").expect("a response");
@@ -298,7 +298,7 @@
 #[tokio::test]
 async fn given_readiness_probes_when_the_node_is_ready_or_draining_then_the_status_shows_it() {
     let node = node_with(&[]).await;
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let url = format!("http://{}/api/ready", listener.local_addr().expect("an address"));
     let ingress = node.ingress.clone();
     tokio::spawn(async move { ingress.serve_ready(listener).await });
@@ -391,8 +391,8 @@
     while tokio::net::TcpStream::connect(node.address).await.is_ok() {}
     assert!(!node.serving.is_finished());
     notification.notify_one();
-    let response = pending_request.await.expect("no panic").expect("a response");
+    let response = pending_request.await.expect("a task that does not panic").expect("a response");
     assert_eq!(response.headers()["connection"], "close");
     assert_eq!(response.text().await.expect("a body"), "complete");
-    assert!(node.serving.await.expect("no panic").is_ok());
+    assert!(node.serving.await.expect("a task that does not panic").is_ok());
 }
--- a/crates/data-plane/tests/items.rs
+++ b/crates/data-plane/tests/items.rs
@@ -58,6 +58,7 @@
     (outcome, server)
 }
 
+/// A header line of a server that runs version 3 of the weights.
 const VERSION_3: &str = "Weight-Editions: 3\r\n";
 
 #[tokio::test]
@@ -122,16 +123,16 @@
 
 #[tokio::test]
 async fn given_a_change_of_version_when_an_item_runs_then_both_versions_are_recorded() {
-    let second = format!("weight-editions: 4\n{}", event(2));
-    let text = stream_text(VERSION_3, &[&event(1), &second, &event(3)], true);
+    let second_event = format!("weight-editions: 4\n{}", event(2));
+    let text = stream_text(VERSION_3, &[&event(1), &second_event, &event(3)], true);
     let (outcome, _) = run_item(Reaction::Write(text), "/rollout/x", ItemProgress::default()).await;
     assert_eq!(outcome, ItemOutcome::Complete(progress(&[1, 2, 3], &[3, 4])));
 }
 
 #[tokio::test]
 async fn given_a_single_version_route_when_the_version_changes_then_the_progress_is_discarded() {
-    let second = format!("weight-editions: 4\n{}", event(2));
-    let text = stream_text(VERSION_3, &[&event(1), &second], true);
+    let second_event = format!("weight-editions: 4\n{}", event(2));
+    let text = stream_text(VERSION_3, &[&event(1), &second_event], true);
     let (outcome, _) = run_item(Reaction::Write(text), "/single/x", ItemProgress::default()).await;
     assert_eq!(outcome, ItemOutcome::Interrupted(ItemProgress::default()));
 }
--- a/crates/data-plane/tests/streams.rs
+++ b/crates/data-plane/tests/streams.rs
@@ -8,13 +8,14 @@
 
 #[tokio::test]
 async fn given_a_stream_when_requested_then_its_events_are_forwarded() {
-    let (first, second) = (event(1), format!(": hi\n\n{}", event(2)));
-    let servers = fake_servers(vec![Reaction::Write(stream_text("", &[&first, &second], true))]).await;
+    let (first_event, second_event) = (event(1), format!(": hi\n\n{}", event(2)));
+    let servers =
+        fake_servers(vec![Reaction::Write(stream_text("", &[&first_event, &second_event], true))]).await;
     let node = node_with(&servers).await;
     let response = node.get("/stream/x").await;
     assert_eq!(response.headers()["postmark"], "stamp");
     assert_eq!(response.headers()["content-type"], "text/event-stream");
-    assert_eq!(response.text().await.expect("a body"), format!("{first}{second}"));
+    assert_eq!(response.text().await.expect("a body"), format!("{first_event}{second_event}"));
 }
 
 #[tokio::test]
--- a/crates/data-plane/tests/support/fake_server.rs
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -65,7 +65,7 @@
         id: &str,
         script: impl Fn(&ReceivedRequest, usize) -> Reaction + Send + Sync + 'static,
     ) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let received = Arc::new(Mutex::new(Vec::new()));
         let script: Arc<Script> = Arc::new(script);
@@ -80,7 +80,7 @@
     }
 
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        self.received.lock().expect("no panic").clone()
+        self.received.lock().expect("a lock that is not poisoned").clone()
     }
 
     /// Waits until a client has closed a connection to whose request the server reacted with
@@ -117,28 +117,30 @@
     while let Some(mut request) = read_request(&mut stream, &mut buffer).await {
         request.connection = connection;
         let number = {
-            let mut received = received.lock().expect("no panic");
+            let mut received = received.lock().expect("a lock that is not poisoned");
             received.push(request.clone());
             received.len() - 1
         };
         let insert_id = |text: &str| text.replace("{id}", request.header("attempt-id"));
         match script(&request, number) {
-            Reaction::Write(text) => stream.write_all(insert_id(&text).as_bytes()).await.expect("written"),
+            Reaction::Write(text) => {
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written")
+            }
             Reaction::WriteAndClose(text) => {
-                stream.write_all(insert_id(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written");
                 return;
             }
             Reaction::WriteAndReset(text) => {
-                stream.write_all(insert_id(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written");
                 return reset(&stream);
             }
             Reaction::WriteWhenNotified(notification, text) => {
                 notification.notified().await;
-                stream.write_all(insert_id(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written");
             }
             Reaction::Hang => return wait_until_closed(stream, closed_sender).await,
             Reaction::WriteAndHang(text) => {
-                stream.write_all(insert_id(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written");
                 return wait_until_closed(stream, closed_sender).await;
             }
         }
@@ -147,7 +149,7 @@
 
 /// Configures the connection so that dropping it resets it instead of closed_sender it.
 pub fn reset(stream: &TcpStream) {
-    stream.set_zero_linger().expect("an option of the socket");
+    stream.set_zero_linger().expect("SO_LINGER can be set");
 }
 
 async fn wait_until_closed(mut stream: TcpStream, closed_sender: mpsc::UnboundedSender<()>) {
@@ -167,7 +169,7 @@
             return None;
         }
     };
-    let head = String::from_utf8(buffer.drain(..end).collect()).expect("text");
+    let head = String::from_utf8(buffer.drain(..end).collect()).expect("valid UTF-8");
     let mut lines = head.split("\r\n");
     let line = lines.next()?.to_owned();
     let pairs = lines.filter_map(|line| line.split_once(": "));
--- a/crates/data-plane/tests/support/golden.rs
+++ b/crates/data-plane/tests/support/golden.rs
@@ -50,7 +50,7 @@
             break;
         }
     }
-    String::from_utf8(received).expect("text")
+    String::from_utf8(received).expect("valid UTF-8")
 }
 
 /// Whether the bytes contain a complete response.
--- a/crates/data-plane/tests/support/mod.rs
+++ b/crates/data-plane/tests/support/mod.rs
@@ -90,7 +90,7 @@
 
 /// Returns an address on which no process listens.
 pub async fn unused_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     listener.local_addr().expect("an address")
 }
 
--- a/crates/data-plane/tests/support/node.rs
+++ b/crates/data-plane/tests/support/node.rs
@@ -53,7 +53,7 @@
             drain_timeout: accept_while_draining + LONG_TIMEOUT,
         };
         let ingress = Ingress::new(forwarder, settings);
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let serving = tokio::spawn({
             let ingress = ingress.clone();
