--- a/crates/data-plane/src/batch/collector.rs
+++ b/crates/data-plane/src/batch/collector.rs
@@ -70,6 +70,7 @@
         Ok(())
     }
 
+    /// Whether `id` directly follows the last event. The first event may have the id 0 or 1.
     fn is_next(&self, id: u64) -> bool {
         match self.progress.last_event_id {
             Some(last) => id == last + 1,
@@ -77,6 +78,7 @@
         }
     }
 
+    /// Whether the rules allow the version. An unknown version is only allowed if every version is.
     fn is_new_enough(&self, version: Option<u64>) -> bool {
         let oldest = self.rules.oldest_version;
         version.map_or(oldest == 0, |version| version >= oldest)
--- a/crates/data-plane/src/forwarding/retry.rs
+++ b/crates/data-plane/src/forwarding/retry.rs
@@ -124,6 +124,7 @@
         }
     }
 
+    /// Whether a further attempt is allowed by the limits and the deadline.
     fn may_attempt(&self) -> bool {
         self.executions() < self.max_executions()
             && self.rejections() <= MAX_REJECTIONS
--- a/crates/data-plane/src/ingress/endpoint.rs
+++ b/crates/data-plane/src/ingress/endpoint.rs
@@ -59,6 +59,8 @@
         }
     }
 
+    /// Returns 404 if the configuration is confirmed to be the newest, else 503, as a newer configuration may
+    /// have a route for the request.
     fn no_route_response(&self) -> ClientResponse {
         if (self.0.settings().is_configuration_confirmed)() {
             ClientResponse::from_node(StatusCode::NOT_FOUND)
@@ -67,6 +69,8 @@
         }
     }
 
+    /// Reads a request and forwards it to a server of its route. Responds with an error status if the request
+    /// exceeds a limit or can't be forwarded.
     async fn forward(
         &self,
         route: &Arc<Route>,
--- a/crates/data-plane/src/ingress/lifecycle.rs
+++ b/crates/data-plane/src/ingress/lifecycle.rs
@@ -31,6 +31,7 @@
     shared: Arc<IngressShared>,
 }
 
+/// The state that all clones of an ingress share.
 struct IngressShared {
     forwarder: Forwarder,
     settings: IngressSettings,
--- a/crates/data-plane/src/ingress/request_reader.rs
+++ b/crates/data-plane/src/ingress/request_reader.rs
@@ -101,6 +101,7 @@
     header_text(request.headers(), &CONTENT_LENGTH)?.parse().ok()
 }
 
+/// Reads the body of a request, unless its declared length already exceeds the limit.
 async fn read_body(
     request: &mut Request,
     limits: &ConfigurationLimits,
--- a/crates/data-plane/src/selection/clients.rs
+++ b/crates/data-plane/src/selection/clients.rs
@@ -75,6 +75,8 @@
     }
 }
 
+/// Builds a client without redirects, proxies and automatic retries: the retry policy of this crate must see
+/// each attempt.
 fn build_client(idle_timeout: Duration) -> reqwest::Result<reqwest::Client> {
     reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
--- a/crates/data-plane/src/selection/selector.rs
+++ b/crates/data-plane/src/selection/selector.rs
@@ -19,6 +19,7 @@
     shared: Arc<SelectorShared>,
 }
 
+/// The state that all clones of a selector share.
 struct SelectorShared {
     view: watch::Receiver<Arc<View>>,
     /// The time at which the selector was created. The times that are passed to the dispatcher are relative
@@ -105,6 +106,7 @@
 }
 
 impl SelectorState {
+    /// Updates the dispatcher to a new server list and drops the connections to servers that are not listed.
     fn update_servers(&mut self, servers: &Arc<ServerList>) {
         self.servers = Arc::clone(servers);
         self.dispatcher.update(servers);
--- a/crates/data-plane/src/streaming/event_parser.rs
+++ b/crates/data-plane/src/streaming/event_parser.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// Parses the fields of one complete event. Unknown fields and comments are ignored.
 fn parse_event(raw: Bytes) -> StreamEvent {
     let mut event = StreamEvent::default();
     let mut data: Option<Vec<u8>> = None;
--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -141,11 +141,14 @@
     }
 }
 
+/// Whether the response is a successful `text/event-stream`. Any other response is buffered and forwarded as
+/// it is.
 fn is_event_stream(response: &UpstreamResponse) -> bool {
     let content_type = header_text(response.headers(), &CONTENT_TYPE);
     response.status().is_success() && content_type.is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
+/// Returns the error that aborts the client's connection when the stream can't be continued.
 fn interrupted_error() -> io::Error {
     io::Error::other("the event stream was interrupted or repeated an event, and can't be continued")
 }
--- a/crates/data-plane/src/upstream/attempt.rs
+++ b/crates/data-plane/src/upstream/attempt.rs
@@ -72,6 +72,8 @@
         Some(if self.request.has_body() { request.body(self.request.body.clone()) } else { request })
     }
 
+    /// Returns the headers of the request with those that this attempt adds; `None` if the id of the server
+    /// is not a valid header value.
     fn request_headers(&self) -> Option<HeaderMap> {
         let mut headers = self.request.headers.clone();
         headers.insert(EXPECTED_SERVER, HeaderValue::from_str(&self.in_flight.server().id).ok()?);
--- a/crates/data-plane/src/upstream/response.rs
+++ b/crates/data-plane/src/upstream/response.rs
@@ -24,6 +24,7 @@
     in_flight: InFlightRequest,
     response: Response,
     options: AttemptOptions,
+    /// The version of the weights in the head of the response.
     version: Option<u64>,
 }
 
@@ -86,6 +87,7 @@
         drain_body(self.response);
     }
 
+    /// Returns the outcome of the request once its response is complete, according to the status.
     fn complete_outcome(&self) -> RequestOutcome {
         if self.status().is_server_error() {
             RequestOutcome::ServerError
--- a/crates/data-plane/tests/at_most_once.rs
+++ b/crates/data-plane/tests/at_most_once.rs
@@ -61,6 +61,8 @@
     (Node::start(forwarder).await, received_count)
 }
 
+/// Ends a connection as specified. Counts it in `received_count` if the first 20 bytes of a request were
+/// read.
 async fn end_connection(
     mut stream: TcpStream,
     connection_end: ConnectionEnd,
@@ -142,10 +144,12 @@
     (node, servers)
 }
 
+/// Returns the number of POST requests that all servers together have received.
 fn post_count(servers: &[FakeServer]) -> usize {
     servers.iter().flat_map(FakeServer::received).filter(|received| received.line.starts_with("POST")).count()
 }
 
+/// Returns the start of a response head, without the blank line that ends it.
 fn response_head(status: u16) -> String {
     format!("HTTP/1.1 {status} X\r\nAttempt-Id: {{id}}\r\nPostmark: p\r\n")
 }
--- a/crates/data-plane/tests/event_stream.rs
+++ b/crates/data-plane/tests/event_stream.rs
@@ -14,6 +14,7 @@
     (events, parser.has_partial())
 }
 
+/// Returns the data of each event as text.
 fn data_texts(events: &[StreamEvent]) -> Vec<&str> {
     events.iter().map(|event| std::str::from_utf8(&event.data).expect("valid UTF-8")).collect()
 }
--- a/crates/data-plane/tests/support/fake_server.rs
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// Accepts connections and serves each in a separate task.
 async fn accept(
     listener: TcpListener,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
@@ -106,6 +107,7 @@
     }
 }
 
+/// Reads requests from a connection, records them and reacts to them according to the script.
 async fn serve(
     mut stream: TcpStream,
     connection: usize,
@@ -152,6 +154,7 @@
     stream.set_zero_linger().expect("SO_LINGER can be set");
 }
 
+/// Reads until the client closes the connection, then reports that to [`FakeServer::wait_for_close`].
 async fn wait_until_closed(mut stream: TcpStream, closed_sender: mpsc::UnboundedSender<()>) {
     let mut rest = [0; 64];
     while matches!(stream.read(&mut rest).await, Ok(read) if read > 0) {}
--- a/crates/data-plane/tests/support/golden.rs
+++ b/crates/data-plane/tests/support/golden.rs
@@ -12,7 +12,7 @@
 
 /// Compares a message with `tests/golden/{name}.http`, in which `\r` and `\n` are escaped.
 ///
-/// If the environment variable `GOLDEN_WRITE` is set, a missing file is created instead.
+/// With `GOLDEN_WRITE=1` in the environment, a missing file is created instead.
 pub fn assert_golden(name: &str, message: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(format!("{name}.http"));
     let message = escape_line_ends(&without_variable_values(message));
--- a/crates/data-plane/tests/unit/hedging.rs
+++ b/crates/data-plane/tests/unit/hedging.rs
@@ -2,6 +2,7 @@
 
 use super::HedgeBudget;
 
+/// Withdraws this many times; returns how many of the withdrawals the budget allowed.
 fn successful_withdrawals(budget: &mut HedgeBudget, times: usize) -> usize {
     (0..times).filter(|_| budget.withdraw()).count()
 }
