--- a/crates/data-plane/src/selection/clients.rs
+++ b/crates/data-plane/src/selection/clients.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Builds a client without redirects, proxies and automatic retries: the retry policy of this crate must see
-/// each attempt.
+/// Builds a client that sends each request once and to the given address: without redirects, proxies and
+/// automatic retries.
 fn build_client(idle_timeout: Duration) -> reqwest::Result<reqwest::Client> {
     reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -141,8 +141,7 @@
     }
 }
 
-/// Whether the response is a successful `text/event-stream`. Any other response is buffered and forwarded as
-/// it is.
+/// Whether the response is a successful `text/event-stream`.
 fn is_event_stream(response: &UpstreamResponse) -> bool {
     let content_type = header_text(response.headers(), &CONTENT_TYPE);
     response.status().is_success() && content_type.is_some_and(|value| value.starts_with("text/event-stream"))
