--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -1,4 +1,4 @@
-//! The relay of a stream to a client: each complete event is passed on as it comes.
+//! The relay of an event stream to a client. It forwards each event once it is complete.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,38 +11,40 @@
 use tokio::time::Instant;
 
 use crate::forwarding::{buffer_response, Forwarder, RetryState};
-use crate::headers::{end_to_end, text, LAST_EVENT_ID};
+use crate::headers::{end_to_end, header_text, LAST_EVENT_ID};
 use crate::request::UpstreamRequest;
 use crate::response::{chunk_stream, ChunkSource, ClientResponse, ResponseBody};
 use crate::streaming::event_parser::EventParser;
 use crate::upstream::{AttemptOptions, UpstreamAttempt, UpstreamResponse};
 
 impl Forwarder {
-    /// Forwards a request for a stream. If its route allows it, the stream is resumed at another server when one
-    /// breaks off.
+    /// Forwards a request for an event stream. If the stream of a server is interrupted and the route allows
+    /// it, the stream is resumed at another server.
     pub(crate) async fn forward_stream(
         &self,
         route: &Arc<Route>,
         request: Arc<UpstreamRequest>,
         deadline: Instant,
     ) -> ClientResponse {
-        let last_event_id = text(&request.headers, &LAST_EVENT_ID).and_then(|id| id.parse().ok());
+        let last_event_id = header_text(&request.headers, &LAST_EVENT_ID).and_then(|id| id.parse().ok());
         let retry =
             RetryState::new(self.selector.clone(), Arc::clone(route), request, route.resume, deadline);
         StreamRelay::new(retry, last_event_id).start().await
     }
 }
 
-/// One stream of a client, and the server that it comes from at present.
+/// An event stream to a client, and the response of the server from which it is currently read.
 struct StreamRelay {
     retry: RetryState,
-    /// The id of the last event that was received, or the one that the client named.
+    /// The id of the last complete event that was received; before the first, the client's `Last-Event-Id`,
+    /// if any.
     last_event_id: Option<u64>,
-    /// The response that the events come from; `None` before the first and while the stream is resumed.
+    /// The response from which the events are read; `None` before the first one, while the stream is being
+    /// resumed, and after a failed resumption.
     upstream: Option<UpstreamResponse>,
     parser: EventParser,
-    /// Complete events that are yet to be passed on.
-    pending: VecDeque<Bytes>,
+    /// Complete events that have not been forwarded yet.
+    pending_events: VecDeque<Bytes>,
 }
 
 impl StreamRelay {
@@ -52,11 +54,11 @@
             last_event_id,
             upstream: None,
             parser: EventParser::default(),
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
         }
     }
 
-    /// Opens the stream at a server and returns the response to the client, from which the events are then drawn.
+    /// Opens the stream at a server and returns the response to the client. Its body relays the events.
     async fn start(mut self) -> ClientResponse {
         let Some(upstream) = self.open_upstream().await else {
             return self.retry.last_error_response();
@@ -72,12 +74,14 @@
         ClientResponse { status, headers, body: ResponseBody::Streaming(chunk_stream(self)) }
     }
 
-    /// Opens the stream, after the last event, at the next server that accepts the request.
+    /// Makes attempts until a server accepts the request, and returns its response. The stream starts after
+    /// the last event. Returns `None` if no further attempt is allowed or every eligible server was
+    /// attempted.
     async fn open_upstream(&mut self) -> Option<UpstreamResponse> {
         while let Some(in_flight) = self.retry.next_attempt(false) {
             let options = AttemptOptions {
                 last_event_id: self.last_event_id,
-                ..AttemptOptions::until(self.retry.deadline)
+                ..AttemptOptions::with_deadline(self.retry.deadline)
             };
             let attempt = UpstreamAttempt { in_flight, request: &self.retry.request, options };
             match attempt.send().await {
@@ -88,46 +92,48 @@
         None
     }
 
-    /// Parses the next bytes of the stream and queues the complete events. Fails if an event repeats or precedes one
-    /// that was passed on.
+    /// Parses the next bytes of the stream and queues the complete events for the client. Fails if the id of
+    /// an event doesn't increase, as the client would then receive events twice.
     fn push(&mut self, chunk: &[u8]) -> io::Result<()> {
         self.parser.push(chunk);
         while let Some(event) = self.parser.next_event() {
             if let (Some(id), Some(last)) = (event.id, self.last_event_id) {
                 if id <= last {
-                    return Err(broken_off());
+                    return Err(interrupted_error());
                 }
             }
             self.last_event_id = event.id.or(self.last_event_id);
-            self.pending.push_back(event.raw);
+            self.pending_events.push_back(event.raw);
         }
         Ok(())
     }
 
-    /// Continues at another server after the last complete event; the part of the next one that was received is
-    /// dropped. Fails if no further attempt may be made, which is always so if the route doesn't allow resumption.
+    /// Resumes the stream at another server after the last complete event, and discards the incomplete event
+    /// in the parser. Fails if no further attempt is allowed, which is always the case if the route doesn't
+    /// allow resumption.
     async fn resume(&mut self) -> io::Result<()> {
         self.upstream = None;
         self.parser = EventParser::default();
         let upstream = self.open_upstream().await.filter(is_event_stream);
-        self.upstream = Some(upstream.ok_or_else(broken_off)?);
+        self.upstream = Some(upstream.ok_or_else(interrupted_error)?);
         Ok(())
     }
 }
 
 impl ChunkSource for StreamRelay {
-    /// The next complete event.
+    /// Waits for the next complete event. Resumes the stream if the body of the response is truncated or
+    /// times out.
     async fn next_chunk(&mut self) -> io::Result<Option<Bytes>> {
         loop {
-            if let Some(event) = self.pending.pop_front() {
+            if let Some(event) = self.pending_events.pop_front() {
                 return Ok(Some(event));
             }
             let Some(upstream) = &mut self.upstream else {
-                return Err(broken_off());
+                return Err(interrupted_error());
             };
             match upstream.chunk().await {
                 Ok(Some(chunk)) => self.push(&chunk)?,
-                // A body may end without a blank line after its last event.
+                // The body may end properly without a blank line after its last event.
                 Ok(None) => return Ok(self.parser.take_partial()),
                 Err(_) => self.resume().await?,
             }
@@ -135,11 +141,13 @@
     }
 }
 
+/// Whether the response is a successful `text/event-stream`.
 fn is_event_stream(response: &UpstreamResponse) -> bool {
-    let content_type = text(response.headers(), &CONTENT_TYPE);
-    response.status().is_success() && content_type.is_some_and(|kind| kind.starts_with("text/event-stream"))
+    let content_type = header_text(response.headers(), &CONTENT_TYPE);
+    response.status().is_success() && content_type.is_some_and(|value| value.starts_with("text/event-stream"))
 }
 
-fn broken_off() -> io::Error {
-    io::Error::other("the stream was broken off")
+/// Returns the error that aborts the client's connection when the stream can't be continued.
+fn interrupted_error() -> io::Error {
+    io::Error::other("the event stream was interrupted or repeated an event, and can't be continued")
 }
--- a/crates/data-plane/tests/support/fake_server.rs
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on loopback sockets that follow a script.
+//! HTTP servers on loopback sockets whose reaction to each request is determined by a script.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,48 +11,53 @@
 /// A request as a fake server read it.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// The head byte for byte, with the blank line that ends it.
+    /// The unmodified bytes of the head, including the blank line that ends it.
     pub head: String,
     /// The request line.
     pub line: String,
-    /// The headers by their names in lower case.
+    /// The values of the headers, by lower-case name. Of repeated headers, it holds the last one.
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
-    /// Counts the connections of the server, from 0.
+    /// The number of the connection on which the request was received; the first connection of a server has
+    /// 0.
     pub connection: usize,
 }
 
 impl ReceivedRequest {
+    /// Returns the value of a header; an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// What a fake server does with a request. `{id}` in what it writes becomes the request's id.
+/// The reaction of a fake server to a request. In the text that it writes, `{id}` is replaced by the
+/// request's id.
 #[derive(Clone, Debug)]
 pub enum Reaction {
-    /// Writes and keeps the connection.
+    /// Writes the text and keeps the connection open for further requests.
     Write(String),
-    /// Writes and closes the connection.
+    /// Writes the text and closes the connection.
     WriteAndClose(String),
-    /// Writes and resets the connection.
+    /// Writes the text and resets the connection.
     WriteAndReset(String),
-    /// Sends nothing until the other side closes.
+    /// Writes nothing and waits until the client closes the connection.
     Hang,
-    /// Writes, then sends nothing more until the other side closes.
+    /// Writes the text and waits until the client closes the connection.
     WriteAndHang(String),
-    /// Writes once it is notified.
+    /// Writes the text after a notification and keeps the connection open for further requests.
     WriteWhenNotified(Arc<Notify>, String),
 }
 
+/// Determines the reaction to a request. The second argument is the number of requests that the server has
+/// received before, on all connections.
 pub type Script = dyn Fn(&ReceivedRequest, usize) -> Reaction + Send + Sync;
 
-/// A server that follows a script.
+/// A running server, which records the requests that it receives.
 pub struct FakeServer {
     pub id: String,
     pub address: SocketAddr,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
-    closed: tokio::sync::Mutex<mpsc::UnboundedReceiver<()>>,
+    closed_receiver: tokio::sync::Mutex<mpsc::UnboundedReceiver<()>>,
 }
 
 impl FakeServer {
@@ -60,91 +65,104 @@
         id: &str,
         script: impl Fn(&ReceivedRequest, usize) -> Reaction + Send + Sync + 'static,
     ) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let received = Arc::new(Mutex::new(Vec::new()));
         let script: Arc<Script> = Arc::new(script);
-        let (closing, closed) = mpsc::unbounded_channel();
-        tokio::spawn(accept(listener, Arc::clone(&received), script, closing));
-        Self { id: id.to_owned(), address, received, closed: tokio::sync::Mutex::new(closed) }
+        let (closed_sender, closed_receiver) = mpsc::unbounded_channel();
+        tokio::spawn(accept(listener, Arc::clone(&received), script, closed_sender));
+        Self {
+            id: id.to_owned(),
+            address,
+            received,
+            closed_receiver: tokio::sync::Mutex::new(closed_receiver),
+        }
     }
 
     pub fn received(&self) -> Vec<ReceivedRequest> {
-        self.received.lock().expect("no panic").clone()
+        self.received.lock().expect("a lock that is not poisoned").clone()
     }
 
-    /// Waits until the other side has closed a connection on which this one hangs.
+    /// Waits until a client has closed a connection to whose request the server reacted with
+    /// [`Reaction::Hang`] or [`Reaction::WriteAndHang`].
     pub async fn wait_for_close(&self) {
-        self.closed.lock().await.recv().await.expect("a fake server");
+        self.closed_receiver.lock().await.recv().await.expect("a fake server");
     }
 }
 
+/// Accepts connections and serves each in a separate task.
 async fn accept(
     listener: TcpListener,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
     script: Arc<Script>,
-    closing: mpsc::UnboundedSender<()>,
+    closed_sender: mpsc::UnboundedSender<()>,
 ) {
     for connection in 0.. {
         let Ok((stream, _)) = listener.accept().await else {
             return;
         };
-        let (received, script, closing) = (Arc::clone(&received), Arc::clone(&script), closing.clone());
-        tokio::spawn(serve(stream, connection, received, script, closing));
+        let (received, script, closed_sender) =
+            (Arc::clone(&received), Arc::clone(&script), closed_sender.clone());
+        tokio::spawn(serve(stream, connection, received, script, closed_sender));
     }
 }
 
+/// Reads requests from a connection, records them and reacts to them according to the script.
 async fn serve(
     mut stream: TcpStream,
     connection: usize,
     received: Arc<Mutex<Vec<ReceivedRequest>>>,
     script: Arc<Script>,
-    closing: mpsc::UnboundedSender<()>,
+    closed_sender: mpsc::UnboundedSender<()>,
 ) {
     let mut buffer = Vec::new();
     while let Some(mut request) = read_request(&mut stream, &mut buffer).await {
         request.connection = connection;
         let number = {
-            let mut received = received.lock().expect("no panic");
+            let mut received = received.lock().expect("a lock that is not poisoned");
             received.push(request.clone());
             received.len() - 1
         };
-        let fill = |text: &str| text.replace("{id}", request.header("attempt-id"));
+        let insert_id = |text: &str| text.replace("{id}", request.header("attempt-id"));
         match script(&request, number) {
-            Reaction::Write(text) => stream.write_all(fill(&text).as_bytes()).await.expect("written"),
+            Reaction::Write(text) => {
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written")
+            }
             Reaction::WriteAndClose(text) => {
-                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written");
                 return;
             }
             Reaction::WriteAndReset(text) => {
-                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written");
                 return reset(&stream);
             }
             Reaction::WriteWhenNotified(notification, text) => {
                 notification.notified().await;
-                stream.write_all(fill(&text).as_bytes()).await.expect("written");
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written");
             }
-            Reaction::Hang => return hang(stream, closing).await,
+            Reaction::Hang => return wait_until_closed(stream, closed_sender).await,
             Reaction::WriteAndHang(text) => {
-                stream.write_all(fill(&text).as_bytes()).await.expect("written");
-                return hang(stream, closing).await;
+                stream.write_all(insert_id(&text).as_bytes()).await.expect("a response that can be written");
+                return wait_until_closed(stream, closed_sender).await;
             }
         }
     }
 }
 
-/// A connection is reset when it is dropped.
+/// Configures the connection so that dropping it resets it instead of closed_sender it.
 pub fn reset(stream: &TcpStream) {
-    stream.set_zero_linger().expect("an option of the socket");
+    stream.set_zero_linger().expect("SO_LINGER can be set");
 }
 
-async fn hang(mut stream: TcpStream, closing: mpsc::UnboundedSender<()>) {
+/// Reads until the client closes the connection, then reports that to [`FakeServer::wait_for_close`].
+async fn wait_until_closed(mut stream: TcpStream, closed_sender: mpsc::UnboundedSender<()>) {
     let mut rest = [0; 64];
     while matches!(stream.read(&mut rest).await, Ok(read) if read > 0) {}
-    let _ = closing.send(());
+    let _ = closed_sender.send(());
 }
 
-/// Reads a request with its body.
+/// Reads a request including its body. `buffer` keeps bytes of the next request. Returns `None` if the
+/// connection ends before the request is complete.
 pub async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let end = loop {
         if let Some(at) = buffer.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -154,7 +172,7 @@
             return None;
         }
     };
-    let head = String::from_utf8(buffer.drain(..end).collect()).expect("text");
+    let head = String::from_utf8(buffer.drain(..end).collect()).expect("valid UTF-8");
     let mut lines = head.split("\r\n");
     let line = lines.next()?.to_owned();
     let pairs = lines.filter_map(|line| line.split_once(": "));
