--- a/crates/batch/tests/cluster/message.rs
+++ b/crates/batch/tests/cluster/message.rs
@@ -2,7 +2,7 @@
 
 use batch::{OwnershipTerm, ReplicaReply, ReplicaRequest, StoreId};
 
-/// A message in flight. Machines that own a job are named by index, replicas by the identity of their disk.
+/// A message in flight. The machine of an owner is given by its index, a replica by the identity of its disk.
 #[derive(Clone)]
 pub enum Message {
     Request {
@@ -23,7 +23,7 @@
         owner: OwnershipTerm,
         from: StoreId,
     },
-    /// A heartbeat of an owner that has everything committed under its term.
+    /// A heartbeat of an owner that has committed its complete log under its term.
     Committed {
         to: StoreId,
         term: OwnershipTerm,
@@ -31,8 +31,9 @@
 }
 
 impl Message {
-    /// What the sender of a request learns if this message is lost; `None` for a heartbeat.
-    pub fn lost(self) -> Option<Self> {
+    /// The message that replaces this one if it is lost: a request or its reply ends in [`Message::NoReply`]
+    /// to the owner, a heartbeat in nothing.
+    pub fn replacement_if_lost(self) -> Option<Self> {
         match self {
             Self::Request { from, owner, to, .. } => Some(Self::NoReply { to: from, owner, from: to }),
             Self::Reply { to, owner, from, .. } => Some(Self::NoReply { to, owner, from }),
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -1,4 +1,4 @@
-//! Compiles a document into routes and services, with the checks that compare its items.
+//! Compiles a document into routes and services, and performs the checks that involve several items.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::route::{Route, RouteKind, Target};
 use crate::service::{Engine, Service};
 
-/// Time-out of a route without one.
+/// Timeout of a route that does not set `expiryMs`.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Servers that may run one request of a client, for a route without this number.
+/// Number of servers that may run one request of a client, for a route that does not set `tries`.
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
-/// Weight of the only service of a route.
+/// Weight of the service of a route that has `postalLine` in place of `split`.
 const SINGLE_TARGET_WEIGHT: u32 = 1;
 
-/// The services by name.
+/// Compiled services by name.
 pub(crate) type Services = HashMap<Arc<str>, Arc<Service>>;
 
 /// Compiles the services.
 ///
 /// # Errors
 ///
-/// [`ConfigurationError::DuplicateName`].
+/// Returns [`ConfigurationError::DuplicateName`] if two services have the same name.
 pub(crate) fn services(documents: Vec<ServiceDocument>) -> Result<Services, ConfigurationError> {
     let mut services = Services::with_capacity(documents.len());
     for document in documents {
@@ -45,7 +45,8 @@
 ///
 /// # Errors
 ///
-/// When two routes have the same name, or a route's time-out, services or weights are invalid.
+/// Returns an error if two routes have the same name, or if the timeout, the services or the weights of a
+/// route are invalid.
 pub(crate) fn routes(
     documents: Vec<RouteDocument>,
     services: &Services,
@@ -63,11 +64,11 @@
     Ok(routes)
 }
 
-/// The routes of each host, longest prefix first.
+/// Groups the routes by host, and sorts the routes of each host by descending length of the prefix.
 ///
 /// # Errors
 ///
-/// [`ConfigurationError::DuplicatePrefix`].
+/// Returns [`ConfigurationError::DuplicatePrefix`] if two routes have the same host and prefix.
 pub(crate) fn index_by_host(
     routes: &[Arc<Route>],
 ) -> Result<HashMap<Arc<str>, Vec<Arc<Route>>>, ConfigurationError> {
@@ -82,14 +83,14 @@
     Ok(routes_by_host)
 }
 
-/// Compiles the limits; those that are absent have their defaults.
+/// Compiles the limits; absent limits get their defaults.
 pub(crate) fn limits(document: LimitsDocument) -> ConfigurationLimits {
     let default = ConfigurationLimits::default();
     ConfigurationLimits {
-        head_bytes: integer(document.head_bytes).unwrap_or(default.head_bytes),
-        body_bytes: integer(document.body_bytes).unwrap_or(default.body_bytes),
-        head_timeout: duration(document.head_timeout).unwrap_or(default.head_timeout),
-        idle_timeout: duration(document.idle_timeout).unwrap_or(default.idle_timeout),
+        head_bytes: to_integer(document.head_bytes).unwrap_or(default.head_bytes),
+        body_bytes: to_integer(document.body_bytes).unwrap_or(default.body_bytes),
+        head_timeout: to_duration(document.head_timeout).unwrap_or(default.head_timeout),
+        idle_timeout: to_duration(document.idle_timeout).unwrap_or(default.idle_timeout),
     }
 }
 
@@ -109,17 +110,17 @@
         let models = document.models.unwrap_or_default();
         Self {
             slots: document.slots.map_or(0, |Count(count)| count),
-            cache_tokens: integer(document.cache_tokens).unwrap_or(0),
-            cache_bytes_per_token: integer(document.cache_bytes_per_token).unwrap_or(0),
+            cache_tokens: to_integer(document.cache_tokens).unwrap_or(0),
+            cache_bytes_per_token: to_integer(document.cache_bytes_per_token).unwrap_or(0),
             link_mbps: document.link_mbps.unwrap_or(0.0),
-            progress_interval_tokens: integer(document.progress_interval_tokens).unwrap_or(0),
+            progress_interval_tokens: to_integer(document.progress_interval_tokens).unwrap_or(0),
             models: models.into_iter().map(|model| model.name.into()).collect(),
         }
     }
 }
 
 fn compile_route(document: RouteDocument, services: &Services) -> Result<Route, ConfigurationError> {
-    let timeout = duration(document.timeout).unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = to_duration(document.timeout).unwrap_or(DEFAULT_TIMEOUT);
     if timeout.is_zero() {
         return Err(ConfigurationError::ZeroTimeout { route: document.name });
     }
@@ -130,13 +131,13 @@
         prefix: document.prefix.into(),
         kind: RouteKind::from_keyword(&document.kind),
         timeout,
-        latency_target: duration(document.latency_target).unwrap_or(timeout),
+        latency_target: to_duration(document.latency_target).unwrap_or(timeout),
         urgency: document.urgency.map_or(0, |Count(count)| count),
         targets,
         max_attempts: document.max_attempts.map_or(DEFAULT_MAX_ATTEMPTS, |Count(count)| count.max(1)),
         resume: document.resume.0,
         single_version: document.single_version.0,
-        delivery_due: duration(document.delivery_due),
+        delivery_due: to_duration(document.delivery_due),
         shelf_life: document.shelf_life.map(|Seconds(duration)| duration),
         prefix_affinity: document.prefix_affinity.0,
     })
@@ -183,7 +184,8 @@
     }
 }
 
-/// Checks the routes of a host, which are sorted, so that equal prefixes are neighbours.
+/// Checks that the routes of a host have different prefixes. `routes` must be sorted, so that routes with
+/// equal prefixes are adjacent.
 fn check_distinct_prefixes(routes: &[Arc<Route>]) -> Result<(), ConfigurationError> {
     match routes.windows(2).find(|pair| pair[0].prefix == pair[1].prefix) {
         Some(pair) => Err(ConfigurationError::DuplicatePrefix {
@@ -194,11 +196,11 @@
     }
 }
 
-/// The integer part of a number; numbers below 0 count as 0.
-fn integer(number: Option<f64>) -> Option<u64> {
+/// Converts a number to its integer part; negative numbers become 0.
+fn to_integer(number: Option<f64>) -> Option<u64> {
     number.map(|number| number as u64)
 }
 
-fn duration(milliseconds: Option<Milliseconds>) -> Option<Duration> {
+fn to_duration(milliseconds: Option<Milliseconds>) -> Option<Duration> {
     milliseconds.map(|Milliseconds(duration)| duration)
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,10 +1,13 @@
-//! The operator's configuration: its form, its checks, changes of it and the matching of requests to routes.
+//! The operator's configuration: the JSON document, its checks and changes, and the matching of requests to
+//! routes.
 //!
-//! The operator sends either a complete document ([`replace`]) or a change of named items ([`patch`]). Both return the
-//! text of the new document, which is stored as it is. [`Configuration::parse`] checks such a text and compiles it
-//! for matching.
+//! The operator sends either a complete document ([`replace`]) or a change of named items ([`patch`]). Both
+//! functions return the text of the new document, which is stored unchanged. [`Configuration::parse`] checks
+//! such a text and compiles it for matching.
 //!
-//! The names of fields in JSON belong to the operator; [`ConfigurationError`] uses them.
+//! The operator defines the names of the JSON fields. [`ConfigurationError`] uses these names. The comments
+//! of the fields of [`Route`], [`Target`], [`Service`], [`Engine`] and [`ConfigurationLimits`] begin with
+//! them.
 
 mod change;
 mod compile;
--- a/crates/control-plane/src/distribution/control_update.rs
+++ b/crates/control-plane/src/distribution/control_update.rs
@@ -1,4 +1,4 @@
-//! Updates of the control state: the configuration, its largest part, is included only where it changed.
+//! Updates of the control state. The configuration, its largest part, is included only if it has changed.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 use state::{AppliedChange, ControlState, Document, MAX_APPLIED_CHANGES};
 
-/// A newer committed value, relative to the configuration that its receiver has.
+/// A newer committed value, without the parts that its receiver has already.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlUpdate {
-    /// The value, without the fields in [`ConfigurationPart`].
-    rest: Versioned<ControlState>,
-    /// `None` where the receiver has this version of the configuration.
+    /// The committed value, with the fields in [`ConfigurationPart`] empty.
+    without_configuration: Versioned<ControlState>,
+    /// Fields that the receiver lacks; `None` if it has this version of the configuration.
     configuration: Option<ConfigurationPart>,
 }
 
@@ -23,7 +23,7 @@
     applied_changes: AppliedChangesPart,
 }
 
-/// The applied changes: all, or those since the version that the receiver has.
+/// The applied changes: all of them, or only those after the version that the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum AppliedChangesPart {
     Complete(VecDeque<AppliedChange>),
@@ -33,9 +33,9 @@
 impl AppliedChangesPart {
     fn new(changes: VecDeque<AppliedChange>, receiver_version: u64) -> Self {
         match changes.iter().position(|change| change.version == receiver_version) {
-            Some(known) => Self::Since {
+            Some(position) => Self::Since {
                 version: receiver_version,
-                changes: changes.into_iter().skip(known + 1).collect(),
+                changes: changes.into_iter().skip(position + 1).collect(),
             },
             None => Self::Complete(changes),
         }
@@ -57,7 +57,8 @@
 }
 
 impl ControlUpdate {
-    /// What a process needs to have `newest`, if it has the version `receiver_version` of the configuration.
+    /// Creates the update to `newest` for a process that has the version `receiver_version` of the
+    /// configuration.
     #[must_use]
     pub fn new(newest: &Versioned<ControlState>, receiver_version: u64) -> Self {
         let mut state = ControlState::clone(&newest.value);
@@ -69,15 +70,15 @@
             ),
         };
         let has_configuration = state.configuration_version == receiver_version;
-        let rest = Versioned { value: Arc::new(state), ..newest.clone() };
-        Self { rest, configuration: (!has_configuration).then_some(part) }
+        let without_configuration = Versioned { value: Arc::new(state), ..newest.clone() };
+        Self { without_configuration, configuration: (!has_configuration).then_some(part) }
     }
 
-    /// The newest value; `None` where the update is relative to another version of the configuration than that of the
-    /// `present` state.
+    /// Applies the update to the `present` state and returns the newer value, or `None` if the update is
+    /// based on another version of the configuration than that of `present`.
     #[must_use]
     pub fn apply(self, present: &ControlState) -> Option<Versioned<ControlState>> {
-        let mut state = Arc::unwrap_or_clone(self.rest.value);
+        let mut state = Arc::unwrap_or_clone(self.without_configuration.value);
         match self.configuration {
             Some(part) => {
                 state.configuration = part.configuration;
@@ -89,6 +90,6 @@
             }
             None => return None,
         }
-        Some(Versioned { value: Arc::new(state), ..self.rest })
+        Some(Versioned { value: Arc::new(state), ..self.without_configuration })
     }
 }
--- a/crates/control-plane/src/distribution/poll_service.rs
+++ b/crates/control-plane/src/distribution/poll_service.rs
@@ -9,40 +9,41 @@
 use super::{ControlUpdate, PollReply, PollRequest, RecentLists};
 use crate::ViewCell;
 
-/// The longest that a reply is delayed.
+/// Maximum time for which a reply is delayed, whatever the request allows.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
 
-/// Replies to long polls from the view of this process.
+/// Replies to long polls with the newest view of this process.
 pub struct PollService {
     view: Arc<ViewCell>,
     recent_lists: Mutex<RecentLists>,
 }
 
 impl PollService {
-    /// A service that distributes `view`.
+    /// Creates a service that distributes `view`.
     #[must_use]
     pub fn new(view: Arc<ViewCell>) -> Arc<Self> {
         Arc::new(Self { view, recent_lists: Mutex::default() })
     }
 
-    /// Replies as soon as anything is newer than the sender has, or after the time that the request allows.
+    /// Replies as soon as anything is newer than the sender has, or after the time that the request allows,
+    /// at most 1 s.
     pub async fn reply(&self, request: PollRequest) -> PollReply {
         let max_wait = Duration::from_millis(request.max_wait_ms.into()).min(MAX_WAIT);
         let deadline = Instant::now() + max_wait;
         let mut views = self.view.subscribe();
         loop {
-            let reply = self.newer_than(&request, &views.borrow_and_update());
+            let reply = self.reply_to(&request, &views.borrow_and_update());
             let remaining = deadline.saturating_duration_since(Instant::now());
             if reply.control.is_some() || reply.servers.is_some() || remaining.is_zero() {
                 return reply;
             }
             if tokio::time::timeout(remaining, views.changed()).await.is_err() {
-                return self.newer_than(&request, &views.borrow_and_update());
+                return self.reply_to(&request, &views.borrow_and_update());
             }
         }
     }
 
-    fn newer_than(&self, request: &PollRequest, view: &View) -> PollReply {
+    fn reply_to(&self, request: &PollRequest, view: &View) -> PollReply {
         let control = self.view.committed().filter(|value| value.ballot > request.ballot);
         let mut recent_lists = self.recent_lists.lock().unwrap_or_else(PoisonError::into_inner);
         PollReply {
--- a/crates/control-plane/src/rollout/order_dispatcher.rs
+++ b/crates/control-plane/src/rollout/order_dispatcher.rs
@@ -1,4 +1,4 @@
-//! The loop of the leader that carries out the planner's actions.
+//! Loop that executes the planner's actions while this process is the leader.
 
 use std::ops::ControlFlow;
 use std::sync::Arc;
@@ -16,27 +16,29 @@
 use super::{CallOutcome, CallTag, OrderTracker, ServerCalls};
 use crate::{Leadership, ViewCell};
 
-/// The longest time between two steps.
+/// Maximum pause before the next step, if no event occurs earlier.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// The shortest time between two steps that no event has caused.
+/// Minimum pause before the next step, if no event occurs earlier.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// The shortest time between two steps, for each listed server: planning takes time that grows with their number.
+/// Minimum time between the starts of two steps while calls are in flight, for each listed server. Planning
+/// takes time that grows with the number of servers.
 const MIN_STEP_INTERVAL_PER_SERVER: Duration = Duration::from_micros(5);
 
-/// Brings servers to the target versions while this process is the leader.
+/// Orders servers to load the target versions of their models while this process is the leader.
 pub struct OrderDispatcher {
-    /// The name of this member.
+    /// Name of this member, as it appears in the control state.
     pub member_name: String,
-    /// Whether this process is the leader and may send orders.
+    /// Leadership of this process, which yields the fencing token for orders once this process may send them.
     pub leadership: Arc<Leadership>,
-    /// The state that the process acts on; reported versions are added to its server list.
+    /// The newest control state and server list that this process has adopted. Reported versions are added to
+    /// its server list.
     pub view: Arc<ViewCell>,
-    /// Calls to servers.
+    /// Sends orders and requests for reports to servers.
     pub servers: Arc<dyn ServerCalls>,
 }
 
 impl OrderDispatcher {
-    /// Sends orders for as long as the process runs.
+    /// Sends orders whenever they are due. Runs until the process ends.
     pub async fn run(self) {
         let mut dispatch = DispatchLoop::start(self);
         while dispatch.step().await.is_continue() {}
@@ -44,8 +46,8 @@
 }
 
 struct DispatchLoop {
-    config: OrderDispatcher,
-    /// Start of the clock of the planner.
+    dispatcher: OrderDispatcher,
+    /// Origin of the planner's clock.
     started_at: Instant,
     views: watch::Receiver<Arc<View>>,
     planner_input: PlannerInput,
@@ -55,24 +57,24 @@
 }
 
 impl DispatchLoop {
-    fn start(config: OrderDispatcher) -> Self {
+    fn start(dispatcher: OrderDispatcher) -> Self {
         Self {
             started_at: Instant::now(),
-            views: config.view.subscribe(),
+            views: dispatcher.view.subscribe(),
             planner_input: PlannerInput::default(),
             tracker: OrderTracker::default(),
             calls: FuturesUnordered::new(),
             reports: VersionReportBatcher::default(),
-            config,
+            dispatcher,
         }
     }
 
-    /// Starts all calls that are due and waits for the next event. Breaks when no further view can come.
+    /// Starts all calls that are due and waits for the next event. Breaks once no further view can arrive.
     async fn step(&mut self) -> ControlFlow<()> {
         let step_started = Instant::now();
         let now = self.started_at.elapsed();
-        self.tracker.set_term(self.config.leadership.fence_for_orders());
-        self.reports.publish(now, &self.config.view, &self.config.leadership);
+        self.tracker.set_term(self.dispatcher.leadership.fence_for_orders());
+        self.reports.publish(now, &self.dispatcher.view, &self.dispatcher.leadership);
         let (actions, pause) = self.plan(now);
         self.start_calls(actions);
         let control_flow = self.wait_for_event(pause.max(MIN_POLL_INTERVAL)).await;
@@ -80,7 +82,8 @@
         control_flow
     }
 
-    /// Records the outcomes of calls until the next step may start, and those that are there then.
+    /// Records the outcomes of calls until the next step may start, and all further outcomes that are
+    /// available at that time.
     async fn collect_outcomes(&mut self, step_started: Instant) {
         if self.calls.is_empty() {
             return;
@@ -95,7 +98,7 @@
         }
     }
 
-    /// The calls that are due now, and the time until the next step if no event comes before.
+    /// Returns the calls that are due now, and the time until the next step if no event occurs earlier.
     fn plan(&mut self, now: Duration) -> (Vec<RolloutAction>, Duration) {
         let Some(planner) = self.tracker.planner() else {
             self.planner_input.reset();
@@ -103,21 +106,22 @@
         };
         self.planner_input.update(planner, now, &self.views.borrow_and_update());
         let actions = planner.next_actions(now);
-        let wake_at = planner.next_wakeup(now).into_iter().chain(self.reports.due_at()).min();
-        let pause = wake_at.map_or(MAX_POLL_INTERVAL, |at| at.saturating_sub(now).min(MAX_POLL_INTERVAL));
+        let next_step_at = planner.next_wakeup(now).into_iter().chain(self.reports.due_at()).min();
+        let pause =
+            next_step_at.map_or(MAX_POLL_INTERVAL, |at| at.saturating_sub(now).min(MAX_POLL_INTERVAL));
         (actions, pause)
     }
 
     fn start_calls(&mut self, actions: Vec<RolloutAction>) {
         for action in actions {
             // The lease is checked again before each call: the process may have been suspended.
-            if self.config.leadership.fence_for_orders() != self.tracker.fence() {
+            if self.dispatcher.leadership.fence_for_orders() != self.tracker.fence() {
                 return;
             }
             let Some(fence) = self.tracker.fence() else { return };
             let Some(tag) = self.tracker.record_call(&action) else { return };
-            let servers = Arc::clone(&self.config.servers);
-            let member_name = self.config.member_name.clone();
+            let servers = Arc::clone(&self.dispatcher.servers);
+            let member_name = self.dispatcher.member_name.clone();
             self.calls.push(Box::pin(async move {
                 let outcome = match action {
                     RolloutAction::SendOrder(order) => {
@@ -142,7 +146,7 @@
                     return ControlFlow::Break(());
                 }
             }
-            () = self.config.leadership.orders_allowed(), if !is_leader => {}
+            () = self.dispatcher.leadership.orders_allowed(), if !is_leader => {}
             () = tokio::time::sleep(pause) => {}
         }
         ControlFlow::Continue(())
--- a/crates/control-plane/src/rollout/planner_input.rs
+++ b/crates/control-plane/src/rollout/planner_input.rs
@@ -1,4 +1,4 @@
-//! What the planner needs from the view, passed on where it has changed.
+//! Passes the target versions and servers of a view to the planner if they have changed.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,31 +7,31 @@
 use rollout::{ModelName, Planner, RolloutServer};
 use state::{ServerCondition, ServerEntry, View};
 
-/// Passes views to the planner of one term. With thousands of servers that takes milliseconds, and the planner is asked
-/// after each reply of a server, so a list is passed on once.
+/// Passes views to the planner of one term. With thousands of servers this takes milliseconds, and the
+/// planner is called after each reply of a server, so each list is passed only once.
 #[derive(Default)]
 pub(super) struct PlannerInput {
-    /// The view that the planner has.
-    passed: Option<Arc<View>>,
+    /// View that was last passed to the planner; `None` if the planner has not received any.
+    passed_view: Option<Arc<View>>,
 }
 
 impl PlannerInput {
-    /// The next planner is a new one.
+    /// Clears the passed view, because the next call of `update` is for a new planner.
     pub(super) fn reset(&mut self) {
-        self.passed = None;
+        self.passed_view = None;
     }
 
-    /// Passes the target versions and the servers with models of the newest view to the planner.
+    /// Passes the target versions and the servers that have models of the newest view to the planner.
     pub(super) fn update(&mut self, planner: &mut Planner, now: Duration, view: &Arc<View>) {
-        let passed = self.passed.replace(Arc::clone(view));
-        if passed.as_ref().is_some_and(|passed| Arc::ptr_eq(passed, view)) {
+        let previous = self.passed_view.replace(Arc::clone(view));
+        if previous.as_ref().is_some_and(|previous| Arc::ptr_eq(previous, view)) {
             return;
         }
         for (model, version) in &view.control.target_versions {
             planner.set_target_version(now, model, *version);
         }
         planner.set_in_place_models(in_place_models(view));
-        if passed.as_ref().is_none_or(|passed| !Arc::ptr_eq(&passed.servers, &view.servers)) {
+        if previous.as_ref().is_none_or(|previous| !Arc::ptr_eq(&previous.servers, &view.servers)) {
             let servers = view.servers.servers.iter().filter(|server| !server.models.is_empty());
             planner.set_servers(servers.map(|server| rollout_server(server)));
         }
@@ -48,8 +48,8 @@
     }
 }
 
-/// Models whose running requests may continue under another version: those of services to which no route leads that
-/// requires a single version per response.
+/// Returns the models of services without a route that requires a single version per response. Running
+/// requests to these models may continue under another version.
 fn in_place_models(view: &View) -> BTreeSet<ModelName> {
     let Some(configuration) = &view.configuration else { return BTreeSet::new() };
     let single_version_services: BTreeSet<&str> = configuration
@@ -59,6 +59,6 @@
         .flat_map(|route| route.targets.iter().map(|target| &*target.service))
         .collect();
     let servers = view.servers.servers.iter();
-    let others = servers.filter(|server| !single_version_services.contains(&*server.service));
-    others.flat_map(|server| server.models.keys().cloned()).collect()
+    let multi_version_servers = servers.filter(|server| !single_version_services.contains(&*server.service));
+    multi_version_servers.flat_map(|server| server.models.keys().cloned()).collect()
 }
--- a/crates/data-plane/tests/support/node.rs
+++ b/crates/data-plane/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! An ingress before fake servers.
+//! A node for tests: an ingress that forwards to fake servers, and a client of that ingress.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,46 +10,50 @@
 use reqwest::{Client, Method, Response, StatusCode};
 use tokio::net::TcpListener;
 
-use super::{forwarder, FakeServer, Reaction, LONG};
+use super::{forwarder, FakeServer, Reaction, LONG_TIMEOUT};
 
-/// Answers with the path it was called with.
-struct Jobs;
+/// Responds to every request with status 202 and the path of the request as body.
+struct EchoJobEndpoint;
 
-impl JobEndpoint for Jobs {
+impl JobEndpoint for EchoJobEndpoint {
     fn handle(&self, request: poem::Request) -> BoxFuture<'_, poem::Response> {
         let path = request.uri().path().to_owned();
         Box::pin(async move { poem::Response::builder().status(StatusCode::ACCEPTED).body(path) })
     }
 }
 
-/// An ingress with a client of it.
+/// A running ingress, and an HTTP client for requests to it.
 pub struct Node {
     pub ingress: Ingress,
     pub address: SocketAddr,
     pub client: Client,
+    /// The result of the ingress's readiness check.
     pub ready: Arc<AtomicBool>,
+    /// Whether the ingress regards its configuration as confirmed to be the newest.
     pub confirmed: Arc<AtomicBool>,
+    /// The task that serves clients. It ends after the shutdown.
     pub serving: tokio::task::JoinHandle<std::io::Result<()>>,
 }
 
 impl Node {
+    /// Starts a node that is ready and whose configuration is confirmed.
     pub async fn start(forwarder: Forwarder) -> Self {
-        Self::start_with(forwarder, LONG).await
+        Self::start_with_accept_time(forwarder, LONG_TIMEOUT).await
     }
 
-    /// A node that takes new connections for this long when it drains.
-    pub async fn start_with(forwarder: Forwarder, accept_while_draining: Duration) -> Self {
+    /// Starts a node that accepts new connections for `accept_while_draining` after its shutdown has started.
+    pub async fn start_with_accept_time(forwarder: Forwarder, accept_while_draining: Duration) -> Self {
         let (ready, confirmed) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicBool::new(true)));
         let (is_ready, is_confirmed) = (Arc::clone(&ready), Arc::clone(&confirmed));
         let settings = IngressSettings {
-            jobs: Arc::new(Jobs),
+            jobs: Arc::new(EchoJobEndpoint),
             is_ready: Box::new(move || is_ready.load(Ordering::Relaxed)),
             is_configuration_confirmed: Box::new(move || is_confirmed.load(Ordering::Relaxed)),
             accept_while_draining,
-            drain_timeout: accept_while_draining + LONG,
+            drain_timeout: accept_while_draining + LONG_TIMEOUT,
         };
         let ingress = Ingress::new(forwarder, settings);
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let serving = tokio::spawn({
             let ingress = ingress.clone();
@@ -63,6 +67,7 @@
         Self { ingress, address, client, ready, confirmed, serving }
     }
 
+    /// Sends a request to the host of the configured routes.
     pub async fn send(&self, method: Method, path: &str, body: &str) -> reqwest::Result<Response> {
         let url = format!("http://{}{path}", self.address);
         let request = self.client.request(method, url).header("host", "h.example");
@@ -78,23 +83,26 @@
     }
 }
 
-pub async fn fake_servers(scripts: Vec<Reaction>) -> Vec<FakeServer> {
+/// Starts one server for each reaction, which reacts in this way to all requests. Their ids are `server0`,
+/// `server1` and so on.
+pub async fn fake_servers(reactions: Vec<Reaction>) -> Vec<FakeServer> {
     let mut servers = Vec::new();
-    for (number, script) in scripts.into_iter().enumerate() {
+    for (number, reaction) in reactions.into_iter().enumerate() {
         let id = format!("server{number}");
-        servers.push(FakeServer::start(&id, move |_, _| script.clone()).await);
+        servers.push(FakeServer::start(&id, move |_, _| reaction.clone()).await);
     }
     servers
 }
 
-/// A node that sends to servers which all do the same.
+/// Starts a node that forwards requests to these servers.
 pub async fn node_with(servers: &[FakeServer]) -> Node {
-    let (forwarder, changes) = forwarder(&servers.iter().collect::<Vec<_>>());
-    // The view stays as it is; the forwarder keeps the last one.
-    drop(changes);
+    let (forwarder, view_sender) = forwarder(&servers.iter().collect::<Vec<_>>());
+    // The forwarder keeps the last view after the channel is closed.
+    drop(view_sender);
     Node::start(forwarder).await
 }
 
+/// Returns the number of requests that all servers together have received.
 pub fn received_count(servers: &[FakeServer]) -> usize {
     servers.iter().map(|server| server.received().len()).sum()
 }
--- a/crates/data-plane/tests/unit/affinity.rs
+++ b/crates/data-plane/tests/unit/affinity.rs
@@ -20,12 +20,12 @@
 }
 
 #[test]
-fn given_the_greatest_number_of_groups_when_one_is_added_then_the_first_recorded_is_evicted() {
+fn given_the_maximum_number_of_groups_when_one_is_added_then_the_first_recorded_is_evicted() {
     let mut affinity = PrefixAffinity::default();
     for number in 0..MAX_GROUPS {
         affinity.record(&group(number), &ServerId::from("a"));
     }
-    // A newer record of a group does not renew its place in the order of eviction.
+    // Recording a group again does not change its position in the order of eviction.
     affinity.record(&group(0), &ServerId::from("b"));
     affinity.record(&group(MAX_GROUPS), &ServerId::from("a"));
     assert_eq!(affinity.server("group0"), None);
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Golden files: the bytes of a small ring that wrapped around, and what a start reads from them.
+//! Golden files: the bytes of a small ring that wrapped around, and the records recovered from them.
 //!
-//! Each file was written once by a run with `GOLDEN_WRITE=1`. A difference means that a ring could not be read by
-//! another version. The forms of single headers are checked in `golden/format.rs`.
+//! A run with `GOLDEN_WRITE=1` creates missing files. A difference means that this version and earlier ones
+//! cannot read each other's rings. `golden/format.rs` checks the encoding of single headers and records.
 
 mod common;
 #[path = "golden/check.rs"]
@@ -24,19 +24,19 @@
 
 fn read_segment(disk: &SimulatedDisk, slot: usize) -> Vec<u8> {
     let mut file = disk.file_system().open(&segment_path(slot)).expect("the segment opens");
-    let mut bytes = vec![0; file.length().expect("it has a length") as usize];
-    let count = file.read_at(0, &mut bytes).expect("it can be read");
+    let mut bytes = vec![0; file.length().expect("the segment has a length") as usize];
+    let count = file.read_at(0, &mut bytes).expect("the segment can be read");
     assert_eq!(count, bytes.len());
     bytes
 }
 
 fn write_segment(disk: &SimulatedDisk, slot: usize, bytes: &[u8]) {
     let mut file = disk.file_system().open(&segment_path(slot)).expect("the segment opens");
-    file.write_at(0, bytes).expect("it can be written");
-    file.sync().expect("it can be synced");
+    file.write_at(0, bytes).expect("the segment can be written");
+    file.sync().expect("the segment can be synced");
 }
 
-/// A ring that wrapped around, was released in part, was opened twice and met a failed sync.
+/// Writes a ring that wrapped around, was partly released, was opened twice and had a failed sync.
 fn write_ring(disk: &SimulatedDisk) {
     let (mut ring, _, _) = open(disk);
     for number in 1..=12 {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn given_a_ring_that_wrapped_around_when_written_then_its_files_are_golden() {
+fn given_a_ring_that_wrapped_around_when_written_then_its_files_match_the_golden_files() {
     let disk = SimulatedDisk::new(51);
     write_ring(&disk);
     for slot in 0..OPTIONS.segments {
@@ -61,7 +61,7 @@
     }
 }
 
-/// What a start found, a record a line, without the names of the code.
+/// Describes the result of an open without Rust names, so that renames do not change the golden file.
 fn describe(ring: &Ring, records: &Records, identity: RingIdentity) -> String {
     let RingIdentity { incarnation, is_new } = identity;
     let RingUsage { used_bytes, capacity_bytes } = ring.usage();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn given_golden_files_of_a_ring_when_opened_then_its_records_are_found_and_appends_go_on() {
+fn given_golden_files_of_a_ring_when_opened_then_its_records_are_recovered_and_appends_succeed() {
     let disk = SimulatedDisk::new(52);
     for slot in 0..OPTIONS.segments {
         write_segment(&disk, slot, &from_hex(&read_golden(&golden_name(slot))));
