--- a/crates/state/src/change/acceptors.rs
+++ b/crates/state/src/change/acceptors.rs
@@ -5,16 +5,18 @@
 use super::{successor, AlreadyMember, StillRequired};
 use crate::ControlState;
 
-/// There is no vacancy for another acceptor: the set is complete, and none of its members has failed.
+/// The machine does not become an acceptor: it is one already, or the set is complete and none of its members
+/// has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoVacancy;
 
-/// Makes a machine an acceptor in one step: in place of its own former incarnation where its disk was lost, beside the
-/// others where there are too few, otherwise in place of one of those that have `failed`.
+/// Makes a machine an acceptor in one step. A machine that lost its disk replaces its own former incarnation.
+/// If there are too few acceptors, the machine is added. Otherwise it replaces one of the acceptors in
+/// `failed`.
 ///
 /// # Errors
 ///
-/// When it is an acceptor already, or has to stand by.
+/// [`NoVacancy`] if the machine is an acceptor already, or can only become a standby.
 pub fn with_acceptor(
     state: &ControlState,
     member: &Member,
@@ -34,9 +36,9 @@
 
 /// How a machine can become an acceptor.
 enum Vacancy {
-    /// In place of this one.
+    /// It replaces the acceptor with this incarnation.
     Replace(Incarnation),
-    /// Beside the others.
+    /// It is added to the acceptors.
     Add,
 }
 
@@ -52,11 +54,12 @@
     Ok(Vacancy::Replace(replaced.incarnation))
 }
 
-/// Registers a machine as a standby, which may replace an acceptor that has failed.
+/// Registers a machine as a standby, which may replace an acceptor that fails. The machine replaces its own
+/// former incarnation among the standbys.
 ///
 /// # Errors
 ///
-/// When it is an acceptor or a standby already.
+/// [`AlreadyMember`] if the machine is an acceptor or a standby already.
 pub fn with_standby(state: &ControlState, member: &Member) -> Result<ControlState, AlreadyMember> {
     if state.acceptors.contains(member) || state.standbys.contains(member) {
         return Err(AlreadyMember);
@@ -67,11 +70,11 @@
     Ok(next)
 }
 
-/// Replaces an acceptor whose process shuts down gracefully by a standby.
+/// Replaces the acceptor `member`, whose process shuts down gracefully, by a standby.
 ///
 /// # Errors
 ///
-/// When `member` is no acceptor, or `standby` no standby.
+/// [`StillRequired`] if `member` is not an acceptor, or `standby` is not a standby.
 pub fn without_acceptor(
     state: &ControlState,
     member: &Member,
--- a/crates/state/src/change/bootstrap.rs
+++ b/crates/state/src/change/bootstrap.rs
@@ -4,10 +4,11 @@
 
 use crate::{ControlState, StoreMember, StoreSet, INITIAL_REVISION};
 
-/// The state of a system that starts for the first time; `None` without any acceptor.
+/// Returns the state of a system that starts for the first time; `None` if there are no acceptors.
 ///
-/// `tolerated_failures` is the number of machines whose loss the system must survive: 2n + 1 acceptors and replicas
-/// are aimed for, or all machines where there are fewer.
+/// `tolerated_failures` is the number n of machines whose loss the system must survive. The intended number
+/// of acceptors, and of replicas of each batch job, is 2n + 1. The intended numbers of acceptors and of
+/// stores are larger if more machines are given.
 #[must_use]
 pub fn initial_state(
     acceptors: Vec<Member>,
@@ -29,11 +30,12 @@
     })
 }
 
-/// The initial value that a coordinator offers to the acceptors: one that an earlier coordinator has offered, otherwise
-/// its `own`.
+/// Chooses the initial value that a coordinator sends to the acceptors: the value with the highest ballot
+/// that an acceptor has accepted from an earlier coordinator, or `own` if there is none.
 ///
-/// `accepted` are the replies of the acceptors of `own`, each with the value that it has accepted, if any. Returns
-/// `None` unless a majority has replied, so that a value that a majority has accepted is always found.
+/// `accepted` contains one element for each acceptor of `own` that replied: the value that it has accepted,
+/// if any. Returns `None` unless a majority has replied, so that a value that a majority has accepted is
+/// always found.
 #[must_use]
 pub fn choose_initial_value(
     own: Versioned<ControlState>,
--- a/crates/state/src/change/leader_lease.rs
+++ b/crates/state/src/change/leader_lease.rs
@@ -1,30 +1,32 @@
-//! The leader lease, its fencing token, and when its holder may send orders to servers.
+//! The leader lease, its fencing token, and the time from which its holder may send orders to servers.
 
 use std::time::Duration;
 
 use super::successor;
 use crate::ControlState;
 
-/// The leader lease from the point of view of its holder.
+/// The state that the holder of the leader lease keeps about it.
 ///
-/// All times are on the holder's own monotonic clock, as durations since the start of its process.
+/// All times are durations since the start of the holder's process, measured by its monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderLease {
     /// The fencing token that was issued for this lease.
     fence: u64,
-    /// The lease is valid before this time.
+    /// Time at which the lease expires. The lease is valid before it.
     expires_at: Duration,
-    /// No orders before this time: those of another leader may still arrive at the servers.
+    /// Earliest time for orders. Before it, orders that another leader sent may still arrive at the servers.
     orders_allowed_from: Duration,
-    /// Whether the register names this member as the issuer of orders.
+    /// Whether the control state names the holder as the issuer of orders.
     is_order_issuer: bool,
 }
 
 impl LeaderLease {
-    /// The lease of a member that has just raised the fencing token, with `state` as the result.
+    /// Returns the lease of a member that has just raised the fencing token. `state` is the resulting control
+    /// state.
     ///
-    /// Where another member may have sent orders, this one sends none for the duration `order_gap`; and none before
-    /// `not_before`, when an order that an earlier incarnation of its process has sent can no longer arrive.
+    /// If another member may have sent orders, the holder waits for the duration `order_gap` from `now`
+    /// before it sends any. In any case it sends none before `not_before`: orders that an earlier process of
+    /// the same member sent can no longer arrive from then on.
     #[must_use]
     pub fn acquired(
         state: &ControlState,
@@ -43,8 +45,9 @@
         }
     }
 
-    /// This lease, whose holder had the lease `earlier` before and lost it. If nobody raised the fencing token between
-    /// the two, nobody else sent orders, and the delay before the first order counts from the earlier lease.
+    /// Returns this lease with the delay before its first order shortened, if it follows directly on the
+    /// lease `earlier` of the same holder. If no other member raised the fencing token between the two, no
+    /// other member sent orders, and the delay counts from the earlier lease.
     #[must_use]
     pub fn continuing(self, earlier: Self) -> Self {
         if self.fence != earlier.fence + 1 {
@@ -53,62 +56,67 @@
         Self { orders_allowed_from: self.orders_allowed_from.min(earlier.orders_allowed_from), ..self }
     }
 
-    /// The same lease with a later expiry; `None` where it has expired before it was renewed.
+    /// Returns the lease with the expiry `expires_at`, unless its present expiry is later; `None` if the
+    /// lease expired before `now`.
     #[must_use]
     pub fn renewed(self, now: Duration, expires_at: Duration) -> Option<Self> {
         self.fence_at(now).map(|_| Self { expires_at: expires_at.max(self.expires_at), ..self })
     }
 
-    /// The fencing token, while the lease is valid.
+    /// Returns the fencing token while the lease is valid; `None` after it has expired.
     #[must_use]
     pub fn fence_at(&self, now: Duration) -> Option<u64> {
         (now < self.expires_at).then_some(self.fence)
     }
 
-    /// The fencing token for orders to servers, once no order of another member can still arrive and the register names
-    /// this member as their issuer.
+    /// Returns the fencing token for orders to servers. `None` after the lease has expired, while orders of
+    /// another member may still arrive, or while the control state does not name the holder as the issuer of
+    /// orders.
     #[must_use]
     pub fn fence_for_orders_at(&self, now: Duration) -> Option<u64> {
         self.fence_at(now).filter(|_| self.is_order_issuer && now >= self.orders_allowed_from)
     }
 
-    /// The fencing token for [`with_order_issuer`], once that change is due.
+    /// Returns the fencing token with which to make the change [`with_order_issuer`], once that change is
+    /// due; `None` before, after the change was made, or after the lease has expired.
     #[must_use]
     pub fn order_issuer_due(&self, now: Duration) -> Option<u64> {
         self.fence_at(now).filter(|_| !self.is_order_issuer && now >= self.orders_allowed_from)
     }
 
-    /// When [`LeaderLease::order_issuer_due`] becomes due; `None` when it is due already or not needed.
+    /// Returns the time at which the change [`with_order_issuer`] becomes due; `None` if it is due already or
+    /// not needed.
     #[must_use]
     pub fn order_issuer_due_at(&self, now: Duration) -> Option<Duration> {
         (now < self.orders_allowed_from && !self.is_order_issuer).then_some(self.orders_allowed_from)
     }
 
-    /// When orders become allowed without any further change of the register; `None` when they are allowed already or
-    /// the register does not name this member yet.
+    /// Returns the time from which orders are allowed without a further change of the control state; `None`
+    /// if they are allowed already, or if the control state does not name the holder as the issuer of orders
+    /// yet.
     #[must_use]
     pub fn orders_allowed_at(&self, now: Duration) -> Option<Duration> {
         (now < self.orders_allowed_from && self.is_order_issuer).then_some(self.orders_allowed_from)
     }
 
-    /// Records that the register names the holder of this fencing token as the issuer of orders.
+    /// Records that the control state names the holder of the fencing token `fence` as the issuer of orders.
+    /// Ignored if this lease has another token.
     pub fn record_order_issuer(&mut self, fence: u64) {
         self.is_order_issuer |= self.fence == fence;
     }
 }
 
-/// Another process has raised the fencing token since.
+/// The change was not made, because a newer fencing token was issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Superseded;
 
-/// Issues the next fencing token to a new leader, if `seen`, the token that it saw while it had the lease, is still the
-/// latest.
-///
-/// A raise that is carried out late, by a leader whose lease has expired, must not supersede the next leader.
+/// Issues the next fencing token to a new leader. `seen` is the latest token that the leader read while it
+/// held the lease. The change is made only if no other token was issued after `seen`: a change that arrives
+/// late, from a leader whose lease has expired, must not supersede the next leader.
 ///
 /// # Errors
 ///
-/// When another token was issued since.
+/// [`Superseded`] if `seen` is not the latest token.
 pub fn with_raised_fence(state: &ControlState, holder: &str, seen: u64) -> Result<ControlState, Superseded> {
     if state.fence != seen {
         return Err(Superseded);
@@ -119,17 +127,17 @@
     Ok(next)
 }
 
-/// Whether a leader may send orders to servers without a delay: no other member may have sent any.
+/// Whether a leader may send orders to servers without a delay, because no other member can have sent any.
 #[must_use]
 pub fn may_issue_orders_immediately(state: &ControlState, holder: &str) -> bool {
     state.order_issuer.as_deref().is_none_or(|issuer| issuer == holder)
 }
 
-/// Names the leader with this fencing token as the issuer of orders from now on.
+/// Names the leader with the fencing token `fence` as the issuer of orders.
 ///
 /// # Errors
 ///
-/// When the token was raised since.
+/// [`Superseded`] if `fence` is not the latest token.
 pub fn with_order_issuer(state: &ControlState, holder: &str, fence: u64) -> Result<ControlState, Superseded> {
     if state.fence != fence {
         return Err(Superseded);
--- a/crates/state/src/change/mod.rs
+++ b/crates/state/src/change/mod.rs
@@ -1,7 +1,9 @@
-//! The changes of a control state, as pure functions: each returns the next state, or the reason why there is none.
+//! Changes of the control state, as pure functions. Each returns the next state, or the reason why the change
+//! is not made.
 //!
-//! A proposer passes one of these functions to the register, which may call it several times. So each must return the
-//! same result for the same state, and must recognize a state in which its change was made already.
+//! A proposer passes one of these functions to the register, which may call it several times. Each function
+//! must therefore return the same result for the same state, and must recognize a state that already contains
+//! its change.
 
 mod acceptors;
 mod bootstrap;
@@ -25,15 +27,15 @@
 
 use crate::ControlState;
 
-/// The machine is a member already, or registered as one that waits, or is being drained: there is nothing to change.
+/// The machine is not added: it is a member already, waits to become one, or is being drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AlreadyMember;
 
-/// The machine stays as it is: it is no member, or cannot be spared.
+/// The machine is not removed: it is not a member, or no other machine can replace it at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StillRequired;
 
-/// A copy to be changed, with the next revision.
+/// Returns a copy of a state with the next revision, to which a change is then applied.
 fn successor(state: &ControlState) -> ControlState {
     ControlState { revision: state.revision + 1, ..state.clone() }
 }
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -1,4 +1,5 @@
-//! Changes by the operator and the trainers: configuration, versions to roll out, draining of stores.
+//! Changes that operators and trainers request: configuration, weight versions to roll out, draining of
+//! stores.
 
 use configuration::{Configuration, ConfigurationError};
 use xxhash_rust::xxh3::Xxh3;
@@ -6,40 +7,41 @@
 use super::successor;
 use crate::{AppliedChange, ControlState, Document, DrainState, MAX_APPLIED_CHANGES};
 
-/// The version of a model for which no trainer has named any.
+/// The weight version to roll out of a model for which no trainer has named one.
 const INITIAL_MODEL_VERSION: u64 = 1;
 
-/// How a configuration is changed.
+/// How the body of a change is applied to the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// A complete document replaces the present one.
+    /// The body is a complete document, which replaces the current one.
     Replace,
-    /// Named items are added, replaced and removed.
+    /// The body lists items of the configuration to add, replace or remove, by name.
     Patch,
 }
 
 /// Why the committed state rejects a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeRejected {
-    /// This very change was applied before.
+    /// The same change was applied before.
     AlreadyApplied,
-    /// It builds on another version of the configuration than the present one, which is this.
+    /// The change is based on another version of the configuration than the current one, which is given here.
     VersionMismatch(u64),
-    /// It builds on a version so old that it is unknown whether it was applied.
+    /// The change is based on a version so old that the control state no longer records whether it was
+    /// applied.
     TooOld,
-    /// The present configuration, which it changes, cannot be read.
+    /// The current configuration, to which the change has to be applied, is corrupt.
     Unreadable,
     /// The resulting configuration is invalid.
     Invalid(ConfigurationError),
-    /// There is nothing to change.
+    /// The state already contains the change, or a later one of the same kind.
     Unchanged,
-    /// There is no such store machine.
+    /// No machine with this name is a store.
     UnknownMember,
-    /// Too few store machines would remain.
+    /// Fewer store machines would remain than a batch job has replicas.
     TooFewStores,
 }
 
-/// A digest (XXH3, 128 bits) that identifies a change of the configuration by its content.
+/// Computes the 128-bit XXH3 digest that identifies a change of the configuration by its content.
 #[must_use]
 pub fn change_digest(kind: ChangeKind, expected: u64, body: &[u8]) -> u128 {
     let mut hasher = Xxh3::new();
@@ -49,13 +51,16 @@
     hasher.digest128()
 }
 
-/// Changes the configuration, if its present version is `expected`. `digest` is the [`change_digest`] of the others.
+/// Changes the configuration, if its current version is `expected`. `digest` is the [`change_digest`] of
+/// `kind`, `expected` and `body`.
 ///
 /// # Errors
 ///
-/// [`ChangeRejected::AlreadyApplied`] for a change that this state contains, whatever was applied after it. Otherwise
-/// [`ChangeRejected::VersionMismatch`] or [`ChangeRejected::TooOld`] where `expected` is not the present version, and
-/// [`ChangeRejected::Unreadable`] or [`ChangeRejected::Invalid`] where no valid configuration results.
+/// - [`ChangeRejected::AlreadyApplied`] if the state records that this change was applied, even if others
+///   followed.
+/// - [`ChangeRejected::VersionMismatch`] or [`ChangeRejected::TooOld`] if `expected` is not the current
+///   version.
+/// - [`ChangeRejected::Unreadable`] or [`ChangeRejected::Invalid`] if no valid configuration results.
 pub fn with_configuration(
     state: &ControlState,
     kind: ChangeKind,
@@ -81,7 +86,8 @@
     Ok(next)
 }
 
-/// Why a change on top of another version than the present one is rejected.
+/// Returns the reason for which a change based on the version `expected`, which is not the current one, is
+/// rejected.
 fn version_mismatch(state: &ControlState, expected: u64) -> ChangeRejected {
     if state.forgets_changes_on(expected) {
         ChangeRejected::TooOld
@@ -90,7 +96,7 @@
     }
 }
 
-/// The JSON document that a change leads to.
+/// Returns the JSON document that results from a change.
 fn changed_document(state: &ControlState, kind: ChangeKind, body: &[u8]) -> Result<String, ChangeRejected> {
     let changed = match kind {
         ChangeKind::Replace => configuration::replace(state.configuration_version, body),
@@ -102,11 +108,11 @@
     changed.map_err(ChangeRejected::Invalid)
 }
 
-/// Sets the version of a model to roll out.
+/// Sets the weight version of a model to roll out.
 ///
 /// # Errors
 ///
-/// [`ChangeRejected::Unchanged`] when this version or a higher one was named before.
+/// [`ChangeRejected::Unchanged`] if this version or a higher one is set already.
 pub fn with_target_version(
     state: &ControlState,
     model: &str,
@@ -121,11 +127,14 @@
     Ok(next)
 }
 
-/// Orders a store machine to be drained; the leader then carries it out.
+/// Marks a store machine as draining. The leader then removes it from the store set and migrates its batch
+/// jobs.
 ///
 /// # Errors
 ///
-/// When it is being drained already, there is no such store, or too few would remain.
+/// - [`ChangeRejected::Unchanged`] if the machine is marked already, or drained.
+/// - [`ChangeRejected::UnknownMember`] if no store has this name.
+/// - [`ChangeRejected::TooFewStores`] if fewer stores would remain than a batch job has replicas.
 pub fn with_draining(state: &ControlState, name: &str) -> Result<ControlState, ChangeRejected> {
     if state.draining.contains_key(name) {
         return Err(ChangeRejected::Unchanged);
--- a/crates/state/src/change/reachability.rs
+++ b/crates/state/src/change/reachability.rs
@@ -1,4 +1,4 @@
-//! Failure detection by the leader: which members reply to its pings.
+//! Failure detection by the leader, which pings all members in rounds and counts missing replies.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,19 +7,22 @@
 
 use crate::ControlState;
 
-/// A member may be removed after this many consecutive rounds of pings without a reply.
+/// Number of consecutive rounds without a reply after which a member may be removed without a replacement.
 const REMOVE_AFTER_ROUNDS: u32 = 5;
-/// A store may be replaced by a waiting machine after this many such rounds, unless configured otherwise.
+/// Number of consecutive rounds without a reply after which a store may be replaced by a waiting machine,
+/// unless [`Reachability::with_replacement_timeout`] sets another.
 const DEFAULT_REPLACE_AFTER_ROUNDS: u32 = 3;
 
-/// For each member, the consecutive rounds of pings without a reply.
+/// Counts for each member the consecutive rounds of pings to which it has not replied.
 ///
-/// Counted in rounds rather than in time: a leader that was suspended has missed the replies itself.
+/// Rounds are counted instead of elapsed time, because a leader whose process was suspended missed the
+/// replies itself.
 #[derive(Clone, Debug)]
 pub struct Reachability {
-    /// 0 for a member that replied in the latest round; no entry for one that was not pinged in it.
+    /// Rounds since the latest reply of a member: 0 if it replied in the latest round. A member that was not
+    /// pinged in the latest round has no entry.
     missed_rounds: BTreeMap<Incarnation, u32>,
-    /// A store may be replaced after this many; between 1 and [`REMOVE_AFTER_ROUNDS`].
+    /// Rounds without a reply after which a store may be replaced; from 1 to [`REMOVE_AFTER_ROUNDS`].
     replace_after_rounds: u32,
 }
 
@@ -30,8 +33,9 @@
 }
 
 impl Reachability {
-    /// No replies yet. With rounds of the length `round`, a store may be replaced after `replace_after` without a reply,
-    /// rounded up to complete rounds.
+    /// Returns an instance without any recorded rounds. A round takes the duration `round`. A store may be
+    /// replaced after it has not replied for `replace_after`, rounded up to whole rounds, but at the latest
+    /// once it may be removed.
     #[must_use]
     pub fn with_replacement_timeout(round: Duration, replace_after: Duration) -> Self {
         let rounds = replace_after.as_millis().div_ceil(round.as_millis().max(1));
@@ -39,10 +43,10 @@
         Self { replace_after_rounds: rounds.clamp(1, REMOVE_AFTER_ROUNDS), ..Self::default() }
     }
 
-    /// Records a round of pings that took `elapsed` and that `responders` replied to.
+    /// Records a round of pings that took the time `elapsed` and to which `responders` replied.
     ///
-    /// A round that took longer than `max_elapsed`, or in which no majority of the acceptors replied, says more about
-    /// this process than about the others: all counts start again.
+    /// If the round took longer than `max_elapsed`, or no majority of the acceptors replied, the cause is
+    /// more likely this process or its network than the members. All counts are then discarded.
     pub fn record_round(
         &mut self,
         state: &ControlState,
@@ -81,7 +85,7 @@
         self.has_missed(member, REMOVE_AFTER_ROUNDS)
     }
 
-    /// How many further failures of acceptors the register tolerates.
+    /// Computes how many further failures of acceptors the register tolerates.
     #[must_use]
     pub fn quorum_margin(&self, state: &ControlState) -> QuorumMargin {
         let acceptors = state.acceptors.len();
@@ -95,18 +99,20 @@
     }
 }
 
-/// How many further failures of acceptors the register tolerates.
+/// Number of acceptors that reply, and how many of them may still fail before the register has no majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuorumMargin {
-    /// The number of acceptors.
+    /// Number of acceptors in the control state.
     pub acceptors: usize,
-    /// Those that replied in the latest round of pings.
+    /// Number of acceptors that replied in the latest round of pings.
     pub responding: usize,
-    /// How many of these may fail while a majority of the acceptors still replies; `None` where no majority does.
+    /// Number of responding acceptors that may fail while a majority of all acceptors still replies; `None`
+    /// if fewer than a majority reply.
     pub tolerated_failures: Option<usize>,
 }
 
-/// All members that the leader monitors, each once, in ascending order: acceptors, stores, and machines that wait.
+/// Returns all members that the leader monitors, without duplicates and in ascending order: acceptors,
+/// stores, standbys and joining stores.
 pub(super) fn monitored_members(state: &ControlState) -> Vec<&Member> {
     let mut members: Vec<&Member> = state.members().collect();
     members.sort();
--- a/crates/state/src/change/reconcile.rs
+++ b/crates/state/src/change/reconcile.rs
@@ -1,7 +1,8 @@
-//! Reconciliation by the leader: the next step from the present members to the intended ones.
+//! Reconciliation by the leader: computes the next step from the current members to the intended ones.
 //!
-//! Failed stores are replaced, new ones are added, drained ones are removed. At most one migration of batch jobs between
-//! store sets is under way at a time: each step that changes the stores waits until the one before has finished.
+//! Failed stores are replaced, new ones are added, draining ones are removed. At most one migration of batch
+//! jobs between store sets is in progress at a time: a step that changes the stores waits until the previous
+//! migration has finished.
 
 use std::collections::BTreeMap;
 
@@ -11,39 +12,39 @@
 use super::{successor, Reachability};
 use crate::{ControlState, DrainState, StoreMember, StoreSet};
 
-/// What the leader has learned about the members by pinging them.
+/// Results of the pings that the leader has sent to the members.
 #[derive(Clone, Debug, Default)]
 pub struct Observation {
-    /// Which members reply.
+    /// Which members reply, and for how many rounds the others have not.
     pub reachability: Reachability,
-    /// For each store, the latest epoch to which it has completely migrated its batch jobs.
+    /// For each store, the latest epoch of the store set to which it has migrated all its batch jobs.
     pub committed_epochs: BTreeMap<Incarnation, u64>,
 }
 
 impl Observation {
-    /// Records the epoch to which a store has migrated all its batch jobs. Epochs only rise: a store accepts nothing of
-    /// an older epoch afterwards.
+    /// Records the epoch to which a store has migrated all its batch jobs. A lower epoch than the recorded
+    /// one is ignored, because a store accepts nothing of an older epoch afterwards.
     pub fn record_committed_epoch(&mut self, store: Incarnation, epoch: u64) {
         let committed = self.committed_epochs.entry(store).or_default();
         *committed = epoch.max(*committed);
     }
 
-    /// All members to ping.
+    /// Returns all members that the leader has to ping, without duplicates.
     #[must_use]
     pub fn members_to_ping(state: &ControlState) -> Vec<Member> {
         monitored_members(state).into_iter().cloned().collect()
     }
 }
 
-/// The next reconciliation step by the leader with this fencing token, if there is any; `None` for a token that has been
-/// superseded.
+/// Returns the state after the next reconciliation step of the leader with the fencing token `fence`. `None`
+/// if there is nothing to do, or if a newer token was issued.
 #[must_use]
 pub fn next_reconciliation(state: &ControlState, fence: u64, observed: &Observation) -> Option<ControlState> {
     if state.fence != fence {
         return None;
     }
-    // Each step changes `next` and returns `Some`, or leaves it as it is and returns `None`. The first that applies ends
-    // the chain: one step at a time, in this order.
+    // Each function changes `next` and returns `Some`, or leaves it unchanged and returns `None`. Only the
+    // first step that applies is taken.
     let mut next = successor(state);
     finish_migration(&mut next, observed)
         .or_else(|| replace_failed_stores(&mut next, observed))
@@ -54,8 +55,9 @@
     Some(next)
 }
 
-/// Finishes a migration once enough stores of the previous set have migrated all their batch jobs: a majority of the
-/// replicas of each job must be among them.
+/// Finishes a migration once enough stores of the previous set have migrated all their batch jobs: these
+/// stores must hold a majority of the replicas of each job. Draining machines outside the current set then
+/// become drained.
 fn finish_migration(next: &mut ControlState, observed: &Observation) -> Option<()> {
     let previous = next.previous_stores.as_ref()?;
     let epoch = next.stores.epoch;
@@ -76,12 +78,13 @@
     Some(())
 }
 
-/// How many stores of a set may be missing while a majority of the replicas of each batch job is still there.
+/// Number of stores of a set that may be missing while the others hold a majority of the replicas of each
+/// batch job.
 fn tolerated_failures(set: &StoreSet) -> usize {
     set.replication_factor.min(set.members.len()).saturating_sub(1) / 2
 }
 
-/// Replaces stores that have failed by machines that wait, all in one step.
+/// Replaces failed stores by waiting machines, as many as possible in one step.
 fn replace_failed_stores(next: &mut ControlState, observed: &Observation) -> Option<()> {
     if next.previous_stores.is_some() {
         return None;
@@ -102,7 +105,8 @@
     Some(())
 }
 
-/// Starts to drain one store machine that the operator has ordered to be drained.
+/// Removes one draining machine from the store set. The intended number of stores is lowered to the number
+/// that remain, if it is higher.
 fn start_drain(next: &mut ControlState) -> Option<()> {
     if next.previous_stores.is_some() {
         return None;
@@ -114,8 +118,8 @@
     Some(())
 }
 
-/// Adds waiting machines to the store set, provided that all its members reply: one that does not may turn out to have
-/// failed, and is then replaced instead.
+/// Adds waiting machines to the store set if all its members reply. A member that does not reply may have
+/// failed; the waiting machines are then needed to replace it.
 fn add_stores(next: &mut ControlState, observed: &Observation) -> Option<()> {
     let is_responding = |store: &StoreMember| observed.reachability.is_responding(&store.member);
     let joining = responding_joining_stores(next, observed);
@@ -128,7 +132,7 @@
     Some(())
 }
 
-/// Removes a store that has failed, where there are more than intended.
+/// Removes a failed store without a replacement, if there are more stores than intended.
 fn remove_surplus_store(next: &mut ControlState, observed: &Observation) -> Option<()> {
     if next.previous_stores.is_some() || !next.has_surplus_store() {
         return None;
@@ -139,7 +143,7 @@
     Some(())
 }
 
-/// Removes waiting machines that have failed. One that returns registers again.
+/// Removes standbys and joining stores that have failed. A machine that returns registers again.
 fn remove_unresponsive_waiting(next: &mut ControlState, observed: &Observation) -> Option<()> {
     let is_kept = |member: &Member| !observed.reachability.may_be_removed(member);
     let before = next.standbys.len() + next.joining_stores.len();
@@ -148,13 +152,13 @@
     (next.standbys.len() + next.joining_stores.len() < before).then_some(())
 }
 
-/// The machines that wait to become stores and reply to pings.
+/// Returns the joining stores that reply to pings.
 fn responding_joining_stores(next: &ControlState, observed: &Observation) -> Vec<StoreMember> {
     let is_responding = |store: &&StoreMember| observed.reachability.is_responding(&store.member);
     next.joining_stores.iter().filter(is_responding).cloned().collect()
 }
 
-/// Removes machines that have become stores from those that wait.
+/// Removes the machines that have become stores from the joining stores.
 fn remove_joined(next: &mut ControlState) {
     let present = &next.stores.members;
     next.joining_stores.retain(|store| !present.contains(store));
--- a/crates/state/src/change/stores.rs
+++ b/crates/state/src/change/stores.rs
@@ -1,22 +1,24 @@
-//! Membership of the store set, as far as the machines change it themselves.
+//! Changes of the store set that store machines request themselves: joining, and leaving at a graceful
+//! shutdown.
 
 use register::Member;
 
 use super::{successor, AlreadyMember, StillRequired};
 use crate::{ControlState, StoreMember};
 
-/// Adds a machine that lost its disk to the store set again, in place of its former incarnation; registers any other
-/// machine as one that waits until the leader adds it.
+/// Adds a machine to the store set. A machine that lost its disk replaces its own former incarnation at once.
+/// Any other machine is registered as a joining store, which waits until the leader adds it.
 ///
-/// While a migration from the previous set is under way, only a former incarnation is replaced, and the previous set
-/// stays. That is safe: replicas are placed by member name, so the replicas of a batch job differ by such replacements
-/// only, and no former incarnation replies any more. A majority of the replicas before, all of them survivors,
-/// intersects a majority of the replicas of any step since in a survivor: of n replicas of which d were replaced, the
-/// first is one of n - d, and the second has more than n / 2 - d of these.
+/// While a migration is in progress, the replacement of a former incarnation keeps the previous set. This is
+/// safe for the following reasons. Replicas are placed by member name, so the replicas of a batch job change
+/// only by such replacements, and a former incarnation no longer replies. Let d of the n replicas of a job be
+/// replaced. A majority of the original replicas that reply lies within the n - d others. A majority of the
+/// replicas after any of the replacements contains more than n / 2 - d of these n - d. The two majorities
+/// therefore have one of them in common.
 ///
 /// # Errors
 ///
-/// When it is a member or waits already, or when the machine is being drained.
+/// [`AlreadyMember`] if the machine is a store or a joining store already, or if it is draining or drained.
 pub fn with_store(state: &ControlState, member: &StoreMember) -> Result<ControlState, AlreadyMember> {
     let is_draining = state.draining.contains_key(&member.member.name);
     let is_waiting = state.joining_stores.contains(member);
@@ -37,12 +39,13 @@
     Ok(next)
 }
 
-/// Removes a store whose process shuts down gracefully, if there are more stores than intended: another one has
-/// replaced it. Otherwise it stays a member, since it is expected to return.
+/// Removes a store whose process shuts down gracefully, if there are more stores than intended, because
+/// another machine has then replaced it. Otherwise it remains a member, since it is expected to return.
 ///
 /// # Errors
 ///
-/// When it is required or no store, or while a migration is under way.
+/// [`StillRequired`] if the store is needed, if the machine is not a store, or while a migration is in
+/// progress.
 pub fn without_store(state: &ControlState, member: &Member) -> Result<ControlState, StillRequired> {
     let position = state.stores.members.iter().position(|store| store.member == *member);
     let may_leave = state.previous_stores.is_none() && state.has_surplus_store();
--- a/crates/state/src/control.rs
+++ b/crates/state/src/control.rs
@@ -1,7 +1,7 @@
-//! The value of the replicated register, and its parts.
+//! The control state, which is the value of the replicated register, and the types of its fields.
 //!
-//! All types here are encoded by position, on disks and between processes: their fields and variants must keep order
-//! and types.
+//! The types in this module are encoded by position, on disks and between processes. The order and the types
+//! of their fields and variants must therefore not change.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,92 +10,98 @@
 
 use crate::Document;
 
-/// The revision of the initial state.
+/// The revision of the control state with which a system starts for the first time.
 pub const INITIAL_REVISION: u64 = 1;
-/// How many changes of the configuration are remembered, so that a repeated change is acknowledged and not rejected. A
-/// change that builds on a version older than all of these gets no definite answer.
+/// The maximum number of applied changes that a control state records. A change that is repeated after a lost
+/// reply is recognized by its record and acknowledged, not rejected. A change based on a configuration
+/// version older than all records gets no definite answer.
 pub const MAX_APPLIED_CHANGES: usize = 1024;
 
-/// A change of the configuration that was applied, identified by its content.
+/// Record of an applied change of the configuration. The change is identified by its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedChange {
-    /// Digest of method, expected version and body; see [`change_digest`](crate::change::change_digest).
+    /// Digest of the kind of change, the expected version and the body, computed by
+    /// [`change_digest`](crate::change::change_digest).
     pub digest: u128,
-    /// The version of the configuration that it produced.
+    /// The configuration version that the change produced.
     pub version: u64,
 }
 
 /// A machine that stores batch jobs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreMember {
-    /// Its identity: name, incarnation of its disk and internal address.
+    /// Name of the machine, incarnation of its disk, and internal address.
     pub member: Member,
-    /// Its zone. Replicas of a batch job are spread over zones.
+    /// Zone of the machine. The replicas of a batch job are spread over zones.
     pub zone: String,
 }
 
 /// The machines that store batch jobs, as of one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreSet {
-    /// Rises with each change of the members.
+    /// Increases by one with each change of the members.
     pub epoch: u64,
-    /// Its members.
+    /// Machines in the set, in the order in which they were added.
     pub members: Vec<StoreMember>,
-    /// The number of replicas of each batch job; fewer where there are fewer members.
+    /// Intended number of replicas of each batch job. A job has fewer replicas if the set has fewer members.
     pub replication_factor: usize,
-    /// The intended number of members. An unresponsive member is removed only where there are more.
+    /// Intended number of members. An unresponsive member is removed without a replacement only while there
+    /// are more.
     pub target_size: usize,
 }
 
 /// The progress of draining a store machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainState {
-    /// Its batch jobs are being moved to other stores.
+    /// The batch jobs of the machine have to be moved to other stores; the move may not have started yet.
     Draining,
-    /// Every batch job that it stored is complete on other stores.
+    /// Every batch job that the machine stored is complete on other stores.
     Drained,
 }
 
-/// The state that the acceptors agree on. Replaced as one value, by compare and swap.
+/// The state that the acceptors agree on. It is replaced as a whole, by compare-and-swap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
-    /// Rises by one with each change.
+    /// Increases by one with each change of the state.
     pub revision: u64,
     /// The acceptors of the register, which are also the grantors of the leader lease.
     pub acceptors: Vec<Member>,
-    /// The intended number of acceptors.
+    /// Intended number of acceptors. While there are fewer, a machine with a disk is added without replacing
+    /// another.
     pub target_acceptor_count: usize,
-    /// The revision of the last change of the acceptors; [`INITIAL_REVISION`] if they never changed.
+    /// Revision of the latest change of the acceptors; [`INITIAL_REVISION`] if they never changed.
     pub acceptors_since: u64,
     /// Machines with a disk that are ready to replace a failed acceptor. They have no vote.
     pub standbys: Vec<Member>,
-    /// The operator's configuration in force, as JSON; empty before the first one.
+    /// The operator's configuration in force, as JSON; empty until an operator has sent one.
     pub configuration: Document,
-    /// The version of the configuration; 0 before the first one.
+    /// Version of `configuration`; 0 until an operator has sent one.
     pub configuration_version: u64,
     /// The latest applied changes of the configuration, oldest first; at most [`MAX_APPLIED_CHANGES`].
     pub applied_changes: VecDeque<AppliedChange>,
-    /// The version to roll out, by model: the highest that a trainer has named. An absent model has version 1.
+    /// Weight version to roll out for each model: the highest that a trainer has named. A model without an
+    /// entry has version 1.
     pub target_versions: BTreeMap<String, u64>,
-    /// The fencing token that was issued last; 0 before the first.
+    /// The latest fencing token that was issued to a leader; 0 before the first one.
     pub fence: u64,
-    /// The name of the member to which that token was issued.
+    /// Name of the member to which `fence` was issued; `None` while `fence` is 0.
     pub fence_owner: Option<String>,
-    /// The name of the member that may have sent orders to servers last.
+    /// Name of the latest member that may have sent orders to servers; `None` if no member has sent any.
     pub order_issuer: Option<String>,
-    /// The machines that store batch jobs.
+    /// The current set of machines that store batch jobs.
     pub stores: StoreSet,
-    /// Machines that wait until the leader adds them to the store set, beside the others or in place of a failed one.
+    /// Machines that wait until the leader adds them to the store set, either as additional members or as
+    /// replacements of failed ones.
     pub joining_stores: Vec<StoreMember>,
-    /// The store set before the present one; `Some` until everything that it stored is complete in the present one.
+    /// The store set before `stores`; `Some` until all batch jobs that it stored are complete in `stores`.
     pub previous_stores: Option<StoreSet>,
     /// Store machines that the operator has ordered to be drained, by member name.
     pub draining: BTreeMap<String, DrainState>,
 }
 
 impl ControlState {
-    /// Whether a change on top of this version of the configuration may have been applied and dropped from
-    /// [`applied_changes`](Self::applied_changes) since.
+    /// Whether a change based on the configuration version `expected` may have been applied, and its record
+    /// removed from [`applied_changes`](Self::applied_changes) since.
     #[must_use]
     pub fn forgets_changes_on(&self, expected: u64) -> bool {
         let is_full = self.applied_changes.len() >= MAX_APPLIED_CHANGES;
@@ -103,14 +109,14 @@
         oldest.is_some_and(|oldest| expected < oldest.version)
     }
 
-    /// Whether the acceptors are those of the initial state.
+    /// Whether the acceptors are those of the initial state, and have never been changed.
     #[must_use]
     pub fn has_initial_acceptors(&self) -> bool {
         self.acceptors_since == INITIAL_REVISION
     }
 
-    /// All members: acceptors, stores of the present and the previous set, and machines that wait. One that is in several
-    /// of these comes several times.
+    /// Iterates over all members: acceptors, stores of the current and the previous set, standbys and joining
+    /// stores. A machine with several of these roles occurs several times.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         let sets = [Some(&self.stores), self.previous_stores.as_ref()];
         let stores = sets.into_iter().flatten().flat_map(|set| &set.members).map(|store| &store.member);
@@ -118,20 +124,21 @@
         self.acceptors.iter().chain(stores).chain(&self.standbys).chain(joining)
     }
 
-    /// Whether there are more stores than intended, so that one may leave without a replacement.
+    /// Whether there are more stores than intended, so that one may be removed without a replacement.
     pub(crate) fn has_surplus_store(&self) -> bool {
         self.stores.members.len() > self.stores.target_size.max(self.stores.replication_factor)
     }
 
-    /// Starts a migration of the batch jobs to a changed store set. The present set becomes the previous one until the
-    /// migration has finished. Only while no other migration is under way: its previous set would be forgotten.
+    /// Starts a migration of the batch jobs to a changed store set. The current set becomes the previous one
+    /// until the migration has finished. Must not be called while another migration is in progress, because
+    /// its previous set would be overwritten.
     pub(crate) fn migrate_stores(&mut self, change: impl FnOnce(&mut Vec<StoreMember>)) {
         self.previous_stores = Some(self.stores.clone());
         self.stores.epoch += 1;
         change(&mut self.stores.members);
     }
 
-    /// Replaces the acceptors, as of this revision.
+    /// Replaces the acceptors as of the current revision, and removes the new acceptors from the standbys.
     pub(crate) fn set_acceptors(&mut self, acceptors: Vec<Member>) {
         self.standbys.retain(|standby| acceptors.iter().all(|member| member.name != standby.name));
         self.acceptors = acceptors;
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -1,7 +1,8 @@
 //! The text of the operator's configuration: compressed, shared between clones, and compared by its digest.
 //!
-//! Each round of the register sends a complete control state, so its largest part must be small on the wire and cheap
-//! to clone and compare. The text is decompressed where it is read.
+//! Each round of the register sends a complete control state, and the configuration is its largest part. It
+//! must therefore be small on the wire and cheap to clone and compare. The text is decompressed only when it
+//! is read.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -14,10 +15,12 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// The longest text that is decompressed.
+/// Maximum length of the decompressed text, in bytes. A longer text is cut there and then rejected, because
+/// its digest differs.
 const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A text that is stored and sent compressed. Clones share it; two are equal if their digests are.
+/// A text that is stored and sent in compressed form. Clones share the text. Two documents are equal if their
+/// digests are equal.
 #[derive(Clone, Default)]
 pub struct Document {
     content: Arc<Content>,
@@ -25,15 +28,15 @@
 
 #[derive(Default)]
 struct Content {
-    /// XXH3, 128 bits, of the text; 0 of the empty one.
+    /// 128-bit XXH3 digest of the text; 0 for the empty text.
     digest: u128,
     /// The text in deflate format; empty for the empty text.
     compressed: Bytes,
-    /// The text, once it was decompressed.
+    /// The decompressed text; set by [`Document::new`] or by the first call of [`Document::text`].
     text: OnceLock<String>,
 }
 
-/// The bytes of a document do not decompress to a text with its digest.
+/// The compressed bytes of a document are corrupt: they do not decompress to a text with the stored digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DocumentError;
 
@@ -46,7 +49,7 @@
 impl std::error::Error for DocumentError {}
 
 impl Document {
-    /// A document with this text.
+    /// Compresses a text into a document.
     #[must_use]
     pub fn new(text: String) -> Self {
         if text.is_empty() {
@@ -57,11 +60,11 @@
         Self { content: Arc::new(Content { digest, compressed, text: OnceLock::from(text) }) }
     }
 
-    /// The text; decompressed by the first call.
+    /// Returns the text. The first call on a received document decompresses it.
     ///
     /// # Errors
     ///
-    /// When the received bytes do not decompress to a text with the received digest.
+    /// [`DocumentError`] if the received bytes do not decompress to a text with the received digest.
     pub fn text(&self) -> Result<&str, DocumentError> {
         if let Some(text) = self.content.text.get() {
             return Ok(text);
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,9 +1,12 @@
-//! The state that all processes share, and the decisions that change it. No I/O and no clock.
+//! The state that all processes share, and the decisions that change it. This crate performs no I/O and reads
+//! no clock.
 //!
-//! [`ControlState`] is the value of the replicated register: members, operator's configuration, fencing token.
-//! [`ServerList`] is what the leader read from the platform. [`View`] joins both into the immutable snapshot that a
-//! process acts on. [`change`] holds the pure functions that lead from one control state to the next; the control
-//! plane proposes their results to the register.
+//! - [`ControlState`] is the value of the replicated register: members, operator's configuration, fencing
+//!   token.
+//! - [`ServerList`] contains the model servers, as read from the platform.
+//! - [`View`] combines both into the immutable snapshot that a process acts on.
+//! - [`change`] contains pure functions that compute the next control state from the current one. The control
+//!   plane proposes their results to the register.
 
 pub mod change;
 mod control;
--- a/crates/state/src/server_list.rs
+++ b/crates/state/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The model servers, as the platform lists them, and the order of such lists.
+//! The model servers as the platform lists them, and the versions that order these lists.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,48 +6,48 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identity of one incarnation of a server.
+/// Identifies one incarnation of a server: a server that restarts has a new id.
 pub type ServerId = Arc<str>;
 
 /// Whether a server accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServerCondition {
-    /// It accepts new requests.
+    /// The server accepts new requests.
     Open,
-    /// It is about to shut down and accepts none.
+    /// The server is about to shut down and accepts no new requests.
     Closing,
 }
 
-/// One server.
+/// A model server as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// Its incarnation.
+    /// Id of this incarnation of the server.
     pub id: ServerId,
-    /// The service that it belongs to.
+    /// Name of the service that the server belongs to.
     pub service: Arc<str>,
-    /// The address that it listens on.
+    /// Address at which the server listens for requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the server runs.
     pub zone: Arc<str>,
-    /// The number of requests that it runs concurrently.
+    /// Maximum number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it accepts new requests.
+    /// Whether the server accepts new requests.
     pub condition: ServerCondition,
-    /// The remaining time of its warm-up when the list was read, in milliseconds; 0 once it is warm.
+    /// Remaining warm-up time when the list was read, in milliseconds; 0 once the warm-up is complete.
     pub warm_up_ms: u64,
-    /// The version of each model that it runs; empty where it runs none.
+    /// Weight version of each model that the server runs; empty if it runs none.
     pub models: BTreeMap<Arc<str>, u64>,
 }
 
 impl ServerEntry {
-    /// Whether a model of this server has reached a higher version than it lists.
+    /// Whether `reached` contains a higher version of a model than this entry lists.
     fn is_behind(&self, reached: &BTreeMap<Arc<str>, u64>) -> bool {
         self.models.iter().any(|(model, version)| reached.get(model).is_some_and(|reached| reached > version))
     }
 
-    /// Raises the versions of a server's models to at least `reached`. Models that it does not list are ignored. The entry
-    /// stays shared where nothing changes.
+    /// Raises the listed versions to at least those in `reached`. Models that this entry does not list are
+    /// ignored. The entry is cloned only if a version changes; otherwise it remains shared with other lists.
     fn raise_versions(self: &mut Arc<Self>, reached: &BTreeMap<Arc<str>, u64>) {
         if !self.is_behind(reached) {
             return;
@@ -77,31 +77,35 @@
     }
 }
 
-/// Orders the lists of all readers: first by fencing token, then by sequence number, then by local count.
+/// Version of a server list. Lists are ordered by the leader's fencing token, then by `sequence`, then by
+/// `local`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerListVersion {
-    /// The fencing token of the leader that read the list.
+    /// Fencing token of the leader that read the list.
     pub fence: u64,
-    /// Rises with each list of that leader.
+    /// Number of the list among those that this leader has read, starting at 1.
     pub sequence: u64,
-    /// Rises with each list that a process read for itself because it received none from the leader; 0 in the leader's
-    /// own lists.
+    /// 0 in lists of the leader. A process that receives no list from the leader reads the platform's list
+    /// itself, and gives it a higher value than that of the list it had. The high bits count such reads, the
+    /// low bits are random.
     pub local: u64,
 }
 
-/// Low bits of [`ServerListVersion::local`], drawn at random so that the lists of two readers hardly ever share a version.
+/// Number of low bits of [`ServerListVersion::local`] that are random. They make it very unlikely that the
+/// lists of two readers get the same version.
 const READER_BITS: u32 = 24;
 
 impl ServerListVersion {
-    /// The version of the next list of the leader with this fencing token; `None` where a list of a later leader is
-    /// known.
+    /// Returns the version of the next list that the leader with the fencing token `fence` reads; `None` if
+    /// this version was issued by a later leader.
     #[must_use]
     pub fn next_of_leader(self, fence: u64) -> Option<Self> {
         let sequence = if self.fence == fence { self.sequence + 1 } else { 1 };
         (self.fence <= fence).then_some(Self { fence, sequence, local: 0 })
     }
 
-    /// The version of the next list that a process reads for itself; `random` distinguishes readers.
+    /// Returns the version of the next list that a process other than the leader reads. `random`
+    /// distinguishes readers.
     #[must_use]
     pub fn next_local(self, random: u64) -> Self {
         let count = (self.local >> READER_BITS) + 1;
@@ -109,17 +113,17 @@
     }
 }
 
-/// All servers.
+/// The model servers of all services, as read from the platform at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerList {
-    /// Its version.
+    /// Orders this list among all lists that processes have read.
     pub version: ServerListVersion,
-    /// The servers, ordered by id. Lists share the entries in which they do not differ.
+    /// The servers, in ascending order of their ids. Successive lists share equal entries.
     pub servers: Vec<Arc<ServerEntry>>,
 }
 
 impl ServerList {
-    /// A list of these servers. Of several entries of one server the first is kept.
+    /// Creates a list of the given servers. Of several entries with one id, only the first is kept.
     #[must_use]
     pub fn new(version: ServerListVersion, servers: impl IntoIterator<Item = ServerEntry>) -> Self {
         let mut servers: Vec<_> = servers.into_iter().map(Arc::new).collect();
@@ -128,7 +132,8 @@
         Self { version, servers }
     }
 
-    /// Raises model versions to those that servers have reported since. Within one incarnation versions only rise.
+    /// Raises model versions to those in `reached`, which servers reported after the list was read. This is
+    /// correct because the versions of one incarnation never decrease.
     pub fn raise_versions(&mut self, reached: &BTreeMap<ServerId, BTreeMap<Arc<str>, u64>>) {
         for server in &mut self.servers {
             if let Some(versions) = reached.get(&server.id) {
@@ -137,8 +142,9 @@
         }
     }
 
-    /// Raises model versions to those of an earlier list. The platform lags, so a list that was read later may contain
-    /// an earlier state of a server. Entries in which the lists do not differ are shared afterwards.
+    /// Raises model versions to those of an earlier list. The platform's list lags behind the servers, so a
+    /// list that was read later may contain an older version of a model. Equal entries are shared between the
+    /// lists afterwards.
     pub fn retain_versions(&mut self, earlier: &Self) {
         for server in &mut self.servers {
             let before = earlier.servers.binary_search_by(|other| other.id.cmp(&server.id));
@@ -152,8 +158,8 @@
         }
     }
 
-    /// Whether two lists have the same servers in the same state. Versions of the lists are ignored, and so is the
-    /// remaining warm-up, which differs at each read.
+    /// Whether two lists contain the same servers in the same state. Ignores the versions of the lists, and
+    /// the remaining warm-up, which differs at each read.
     #[must_use]
     pub fn has_same_servers(&self, other: &Self) -> bool {
         let mut pairs = self.servers.iter().zip(&other.servers);
--- a/crates/state/src/view.rs
+++ b/crates/state/src/view.rs
@@ -1,4 +1,4 @@
-//! The immutable snapshot that a process acts on.
+//! The immutable snapshot of control state and server list that a process acts on.
 
 use std::sync::Arc;
 
@@ -11,10 +11,10 @@
 /// A newer view never contains an older control state or server list than the one that it replaces.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The committed value of the register.
+    /// The newest committed value of the register that this process has received.
     pub control: Arc<ControlState>,
-    /// The operator's configuration in force, compiled; `None` before the first one.
+    /// The operator's configuration in force, in compiled form; `None` until this process has received one.
     pub configuration: Option<Arc<Configuration>>,
-    /// The server list.
+    /// The newest list of model servers; empty until this process has received or read one.
     pub servers: Arc<ServerList>,
 }
