--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -89,7 +89,7 @@
 /// Returns the reason for which a change based on the version `expected`, which is not the current one, is
 /// rejected.
 fn version_mismatch(state: &ControlState, expected: u64) -> ChangeRejected {
-    if state.forgets_changes_on(expected) {
+    if state.may_have_dropped_changes_on(expected) {
         ChangeRejected::TooOld
     } else {
         ChangeRejected::VersionMismatch(state.configuration_version)
--- a/crates/state/src/control.rs
+++ b/crates/state/src/control.rs
@@ -103,7 +103,7 @@
     /// Whether a change based on the configuration version `expected` may have been applied, and its record
     /// removed from [`applied_changes`](Self::applied_changes) since.
     #[must_use]
-    pub fn forgets_changes_on(&self, expected: u64) -> bool {
+    pub fn may_have_dropped_changes_on(&self, expected: u64) -> bool {
         let is_full = self.applied_changes.len() >= MAX_APPLIED_CHANGES;
         let oldest = self.applied_changes.front().filter(|_| is_full);
         oldest.is_some_and(|oldest| expected < oldest.version)
--- a/crates/state/src/server_list.rs
+++ b/crates/state/src/server_list.rs
@@ -93,7 +93,7 @@
 
 /// Number of low bits of [`ServerListVersion::local`] that are random. They make it very unlikely that the
 /// lists of two readers get the same version.
-const READER_BITS: u32 = 24;
+const RANDOM_BITS: u32 = 24;
 
 impl ServerListVersion {
     /// Returns the version of the next list that the leader with the fencing token `fence` reads; `None` if
@@ -108,8 +108,8 @@
     /// distinguishes readers.
     #[must_use]
     pub fn next_local(self, random: u64) -> Self {
-        let count = (self.local >> READER_BITS) + 1;
-        Self { local: count << READER_BITS | (random & ((1 << READER_BITS) - 1)), ..self }
+        let count = (self.local >> RANDOM_BITS) + 1;
+        Self { local: count << RANDOM_BITS | (random & ((1 << RANDOM_BITS) - 1)), ..self }
     }
 }
 
