--- a/crates/rushrudder/src/cli/check.rs
+++ b/crates/rushrudder/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check`: parses files as the processes do, and names every error.
+//! The command `check`: parses files in the same way as the processes, and prints the errors.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
     configuration: Option<PathBuf>,
 }
 
-/// Checks the files and prints an error for each that cannot be used.
+/// Checks the given files, and prints one error for each file that cannot be used.
 pub fn run(options: &CheckOptions) -> ExitCode {
     let settings = options.settings.as_deref().map(|path| check_file(path, check_settings));
     let configuration = options.configuration.as_deref().map(|path| check_file(path, check_configuration));
@@ -37,13 +37,13 @@
     ExitCode::SUCCESS
 }
 
-/// Why a file cannot be used.
+/// Reason for which a file cannot be used.
 enum CheckError {
     /// The file cannot be read.
     Read(std::io::Error),
-    /// It is no settings file.
+    /// The file does not contain valid settings.
     Settings(SettingsError),
-    /// It is no configuration.
+    /// The file does not contain a valid configuration.
     Configuration(ConfigurationError),
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Checks a file; prints the error, if any, and returns whether there is none.
+/// Checks a file with `check`, and prints the error if there is one. Returns whether the file is valid.
 fn check_file(path: &Path, check: fn(&Path) -> Result<(), CheckError>) -> bool {
     let checked = check(path);
     if let Err(error) = &checked {
--- a/crates/rushrudder/src/cli/local.rs
+++ b/crates/rushrudder/src/cli/local.rs
@@ -1,4 +1,5 @@
-//! `local`: a small fleet of real processes on this machine, with emulated platform, servers and trainers.
+//! The command `local`: runs a small fleet of real processes on this machine, with an emulated platform,
+//! emulated model servers and emulated trainers.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -45,7 +46,8 @@
     log_level: log::LevelFilter,
 }
 
-/// Runs a fleet and prints its report. Fails unless every training step is done and no rule is broken.
+/// Runs a fleet and prints its report. Returns failure unless every training step was completed and no rule
+/// violated.
 pub fn run(command: &LocalCommand) -> ExitCode {
     logging::start(command.log_level);
     match run_fleet(command) {
@@ -66,11 +68,11 @@
 
 fn run_fleet(command: &LocalCommand) -> Result<LocalReport, LocalError> {
     let options = options(command)?;
-    eprintln!("files of the processes, with their logs: {}", options.directory.display());
+    eprintln!("directory with the files and logs of the processes: {}", options.directory.display());
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut signals = Signals::listen().map_err(|_| LocalError::Interrupted)?;
-        // Dropping the run ends its processes.
+        // Dropping the future of the run ends the processes of the fleet.
         tokio::select! {
             ended = local_fleet::run(options, |line| eprintln!("{line}")) => ended,
             _ = signals.next() => Err(LocalError::Interrupted),
@@ -106,6 +108,6 @@
     }
     match serde_json::to_string_pretty(report) {
         Ok(text) => println!("{text}"),
-        Err(error) => eprintln!("local: the report cannot be written: {error}"),
+        Err(error) => eprintln!("local: the report cannot be encoded as JSON: {error}"),
     }
 }
--- a/crates/rushrudder/src/cli/logging.rs
+++ b/crates/rushrudder/src/cli/logging.rs
@@ -1,11 +1,11 @@
-//! Logs: one event a line on standard error, in logfmt.
+//! Logging to standard error in logfmt, with one line for each event.
 
 use error_stack::{AttachmentKind, FrameKind, Report};
 use log::LevelFilter;
 use logforth::append::Stderr;
 use logforth::layout::LogfmtLayout;
 
-/// Starts logging at this level.
+/// Starts logging of events at `level` or a more severe one.
 pub fn start(level: LevelFilter) {
     let stderr = Stderr::default().with_layout(LogfmtLayout::default());
     logforth::core::builder().dispatch(|dispatch| dispatch.append(stderr)).apply();
@@ -13,10 +13,10 @@
     log::set_max_level(level);
 }
 
-/// A report as one line: the error, then each of its causes, separated by colons.
+/// Formats a report as one line: the error, then each of its causes, separated by colons.
 ///
-/// The `Debug` form of a report is a tree of several lines with escape codes of a terminal, and its `Display` form
-/// lacks the causes.
+/// The standard formats are not suitable for logs. The `Debug` format is a tree of several lines with
+/// terminal escape codes, and the `Display` format lacks the causes.
 pub fn single_line<Error>(report: &Report<Error>) -> String {
     let parts: Vec<String> = report.frames().filter_map(|frame| text_of(frame.kind())).collect();
     parts.join(": ").lines().collect::<Vec<_>>().join(" ")
--- a/crates/rushrudder/src/cli/mod.rs
+++ b/crates/rushrudder/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The command line: its options and the commands that they select.
+//! The command line: parses the options and runs the command that they select.
 //!
-//! The doc comments of the options are the help texts of the program.
+//! The doc comments of the option structs and of their fields are the help texts of the program.
 
 mod check;
 mod local;
@@ -17,7 +17,7 @@
 use local::LocalCommand;
 use role::RoleOptions;
 
-/// Exit code of a command that was not used as its help says, or whose input cannot be used.
+/// Exit code for invalid arguments, and for settings or options that cannot be used.
 const EXIT_USAGE: u8 = 2;
 
 /// A rollout scheduler for trainers.
--- a/crates/rushrudder/src/cli/role.rs
+++ b/crates/rushrudder/src/cli/role.rs
@@ -1,4 +1,4 @@
-//! `node` and `store`: runs a role of the system until the platform ends the process.
+//! The commands `node` and `store`: run a role of the system until the platform ends the process.
 
 use std::future::Future;
 use std::process::ExitCode;
@@ -20,7 +20,7 @@
     log_level: log::LevelFilter,
 }
 
-/// Loads the settings and runs a role with them. A failure is logged in one line.
+/// Loads the settings and runs a role with them. If the role cannot start, logs the reason in one line.
 pub fn run<Role, Running>(options: &RoleOptions, role: Role) -> ExitCode
 where
     Role: FnOnce(NodeSettings) -> Running,
--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -1,4 +1,4 @@
-//! The journal of a process and what it recovers at a start.
+//! The journal of a process, and the records that it recovers when the process starts.
 
 use std::path::Path;
 
@@ -10,25 +10,27 @@
 
 use crate::RoleError;
 
-/// Whether the role of a process can decode a record of its journal.
+/// Checks that the role of a process can decode a record of its journal.
 pub type RecordCheck = fn(&[u8]) -> Result<(), DecodeError>;
 
-/// The open journal of a process, with what it recovered.
+/// The open journal of a process, with the records that it recovered.
 pub struct RecoveredDisk {
-    /// The journal.
+    /// The journal, ready for further records.
     pub journal: storage::Journal,
-    /// The records that survived, oldest first.
+    /// The recovered records with their positions, oldest first.
     pub records: Vec<(storage::Position, Vec<u8>)>,
-    /// Identifies the disk: after the loss of its data a disk has another incarnation.
+    /// Identifies the data on the disk. A journal that is created anew, for instance after a loss of the
+    /// data, has another incarnation.
     pub incarnation: Incarnation,
 }
 
 impl RecoveredDisk {
-    /// Opens the journal in the data directory; `None` for a process without one. Blocks on the disk.
+    /// Opens the journal in the data directory; `None` if the settings have no data directory. Blocks until
+    /// the journal has been read.
     ///
     /// # Errors
     ///
-    /// [`RoleError::Journal`] when the journal cannot be opened.
+    /// [`RoleError::Journal`] if the journal cannot be opened.
     pub fn open(
         settings: &NodeSettings,
         options: storage::RingOptions,
@@ -47,7 +49,7 @@
         Ok(Some(Self::new(journal, recovered)))
     }
 
-    /// A journal that was opened, with what it recovered.
+    /// Combines an open journal with the records and the incarnation that it recovered.
     #[must_use]
     pub fn new(journal: storage::Journal, recovered: Recovered) -> Self {
         let incarnation = Incarnation(recovered.incarnation);
@@ -55,15 +57,17 @@
     }
 }
 
-/// Opens a journal with `open`. Where durable records are missing, or one cannot be decoded, the disk counts as failed: a
-/// member that may have forgotten what it promised must not go on under the same incarnation. The files are set aside
-/// and a new journal is opened.
+/// Opens a journal with `open`. If durable records are missing or cannot be decoded, the disk counts as
+/// failed: the files are set aside, and a new journal with another incarnation is opened. A member that may
+/// have lost one of its promises must not continue under the same incarnation.
 ///
-/// A record that was torn by a loss of power and never acknowledged is dropped by the journal itself.
+/// A record that a loss of power has torn was never acknowledged. The journal itself drops it, and the disk
+/// does not count as failed.
 ///
 /// # Errors
 ///
-/// When the journal cannot be opened for another reason, or its files cannot be set aside.
+/// A [`StorageError`] if the journal cannot be opened for another reason, or if its files cannot be set
+/// aside.
 pub fn open_or_set_aside<T>(
     file_system: &dyn FileSystem,
     directory: &Path,
@@ -103,7 +107,8 @@
     open()
 }
 
-/// The first record that cannot be decoded, with the error.
+/// Returns the position of the first record that cannot be decoded, with the error; `None` if all can be
+/// decoded.
 fn first_unreadable(recovered: &Recovered, check: RecordCheck) -> Option<(storage::Position, DecodeError)> {
     let records = recovered.records.iter();
     let mut errors = records.filter_map(|(position, bytes)| Some((*position, check(bytes).err()?)));
--- a/crates/rushrudder/src/control/mod.rs
+++ b/crates/rushrudder/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control plane of a process, assembled in the same way for all roles.
 //!
-//! [`ControlPlane`] owns the parts that the roles and the simulator call. `routes` exposes them to other processes;
-//! `tasks` starts the loops that drive them.
+//! [`ControlPlane`] owns the components that the roles and the simulator call. The module `routes` exposes
+//! them to other processes; the module `tasks` starts their loops.
 
 mod clients;
 mod disk;
@@ -28,34 +28,38 @@
 pub use clients::OutboundClients;
 pub use disk::{open_or_set_aside, RecordCheck, RecoveredDisk};
 
-/// The control plane of a process.
+/// The components of the control plane of a process, shared by its endpoints and its tasks.
 pub struct ControlPlane {
     /// The newest snapshot of the control state and the list of servers in this process.
     pub view: Arc<ViewCell>,
-    /// Proposes changes of the control state.
+    /// Proposes changes of the control state to the acceptors.
     pub proposer: Arc<Proposer>,
     /// Replies to the pings of other processes.
     pub ping_service: Arc<PingService>,
-    /// Whether this process holds the leader lease.
+    /// The leader lease of this process, while it holds one.
     pub leadership: Arc<Leadership>,
-    /// Clients for everything that the process calls.
+    /// Clients with which the process calls other processes, the platform and the model servers.
     pub clients: OutboundClients,
-    /// Its address for internal calls, `ip:port`.
+    /// Address at which this process receives calls of other processes, as `ip:port`.
     internal_address: String,
-    /// The internal addresses of the seeds; changes when the settings are reloaded.
+    /// Internal addresses of the seeds, as `ip:port`. Replaced when the settings are reloaded.
     seeds: watch::Sender<Vec<String>>,
     /// Replies to the long polls of other processes.
     poll_service: Arc<PollService>,
+    /// Announcements of other machines, received during the first start of the system.
     bootstrap_announcements: Arc<BootstrapAnnouncements>,
+    /// The newest acceptors that this process has received from others by gossip.
     acceptor_gossip: Arc<AcceptorGossip>,
-    /// The acceptor and the lease grantor, where the process has a disk for them.
+    /// The acceptor and the lease grantor; `None` if the process has no disk for them.
     quorum_service: Option<Arc<QuorumService>>,
-    /// The task that makes this machine an acceptor or a store, once it is started.
+    /// Aborts the task that makes this machine an acceptor or a store; `None` before its start, and after
+    /// [`ControlPlane::stop_joining`].
     join_task: Mutex<Option<AbortHandle>>,
 }
 
 impl ControlPlane {
-    /// The control plane of a process. With a `disk` it has an acceptor and a lease grantor.
+    /// Creates the control plane of a process. It contains an acceptor and a lease grantor if `disk` is
+    /// given.
     pub fn new(settings: &NodeSettings, disk: Option<RecoveredDisk>, clients: OutboundClients) -> Self {
         let view = Arc::new(ViewCell::new());
         let proposer = Proposer::new(Arc::clone(&view), clients.rpc.clone());
@@ -84,12 +88,12 @@
         }
     }
 
-    /// The acceptor of this process, if it has one.
+    /// Returns the acceptor of this process; `None` if it has none.
     pub fn acceptor(&self) -> Option<&Arc<AcceptorService>> {
         self.quorum_service.as_ref().map(|service| service.acceptor())
     }
 
-    /// The membership of this machine in the register.
+    /// Returns a client with which this machine joins and leaves the acceptors of the register, as `member`.
     pub fn acceptor_membership(&self, member: Member) -> AcceptorMembership {
         AcceptorMembership {
             member,
@@ -99,21 +103,21 @@
         }
     }
 
-    /// The membership of this machine in the store set.
+    /// Returns a client with which this machine joins and leaves the store set, as `member`.
     pub fn store_membership(&self, member: StoreMember) -> StoreMembership {
         StoreMembership { member, view: Arc::clone(&self.view), proposer: Arc::clone(&self.proposer) }
     }
 
-    /// Listens at the internal address.
+    /// Opens a listener at the internal address.
     ///
     /// # Errors
     ///
-    /// [`RoleError::Listen`], for instance when the address is in use.
+    /// [`RoleError::Listen`], for instance if the address is in use.
     pub async fn listen(&self) -> Result<TcpListener, Report<RoleError>> {
         listen_at(self.internal_address.as_str()).await
     }
 
-    /// Reloads the settings file. A file that cannot be used is logged and changes nothing.
+    /// Reloads the settings file. If the file cannot be used, logs the error and keeps the present settings.
     pub fn reload_settings(&self) {
         match NodeSettings::from_env() {
             Ok(settings) => self.apply_settings(&settings),
@@ -121,14 +125,15 @@
         }
     }
 
-    /// Applies reloaded settings: the seeds take effect at once, everything else at the next start.
+    /// Applies reloaded settings. The seeds take effect immediately, all other settings at the next start.
     pub fn apply_settings(&self, settings: &NodeSettings) {
         let seeds = internal_seed_addresses(settings);
         log::info!("settings reloaded: seeds {}", seeds.join(" "));
         self.seeds.send_replace(seeds);
     }
 
-    /// Stops the task that makes this machine an acceptor or a store, so that it can leave for good.
+    /// Stops the task that makes this machine an acceptor or a store. Otherwise the machine would join again
+    /// after it has left.
     pub fn stop_joining(&self) {
         let join_task = self.join_task.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(join_task) = join_task {
@@ -141,12 +146,12 @@
     }
 }
 
-/// This process as a member of the acceptors or stores, identified by the incarnation of its disk.
+/// Returns the identity of this process as an acceptor or a store, with the given incarnation of its disk.
 pub(crate) fn local_member(settings: &NodeSettings, incarnation: Incarnation) -> Member {
     Member { name: settings.machine_name.clone(), incarnation, address: settings.internal_address() }
 }
 
-/// Listens at an address, `ip:port`.
+/// Opens a listener at an address, given as `ip:port`.
 pub(crate) async fn listen_at<Address>(address: Address) -> Result<TcpListener, Report<RoleError>>
 where
     Address: ToSocketAddrs + ToString,
@@ -155,8 +160,8 @@
     TcpListener::bind(address).await.change_context(error)
 }
 
-/// The internal addresses of the seeds. The settings give the control addresses of the same machines; the internal
-/// port is the same on all machines.
+/// Returns the internal addresses of the seeds, as `ip:port`. The settings contain the control addresses of
+/// the same machines; the internal port is the same on all machines.
 fn internal_seed_addresses(settings: &NodeSettings) -> Vec<String> {
     let internal_port = settings.internal_ports.0;
     let control_addresses = settings.seeds.iter().filter_map(|seed| seed.parse::<SocketAddr>().ok());
--- a/crates/rushrudder/src/control/routes.rs
+++ b/crates/rushrudder/src/control/routes.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the control plane for other processes.
+//! The endpoints of the control plane that other processes call.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::ControlPlane;
 
 impl ControlPlane {
-    /// The endpoints for other processes; a role may add its own.
+    /// Returns the endpoints that other processes call. A role may add further ones.
     pub fn internal_routes(&self) -> Route {
         let routes = Route::new()
             .at(paths::POLL, self.poll_endpoint())
@@ -57,7 +57,7 @@
     }
 }
 
-/// Adds the endpoints of the acceptor and the lease grantor.
+/// Adds the endpoints of the acceptor and the lease grantor to `routes`.
 fn with_quorum_routes(routes: Route, service: &Arc<QuorumService>) -> Route {
     routes
         .at(paths::REGISTER, acceptor_endpoint(service))
--- a/crates/rushrudder/src/control/tasks.rs
+++ b/crates/rushrudder/src/control/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of the control plane: each loop runs until the process ends.
+//! The tasks of the control plane. Each is spawned at the start of the process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,16 @@
 
 use super::{internal_seed_addresses, ControlPlane};
 
-/// A process with an acceptor reads the platform's list itself when it got no list for this long; the reader adds a
-/// random part.
+/// Time without a new list of servers after which a process with an acceptor reads the platform's list
+/// itself. The reader adds a random time.
 const LIST_STALE_AFTER_ON_ACCEPTOR: Duration = Duration::from_millis(1700);
-/// As [`LIST_STALE_AFTER_ON_ACCEPTOR`], for a process without an acceptor.
+/// Time without a new list of servers after which a process without an acceptor reads the platform's list
+/// itself. The reader adds a random time. It is longer than [`LIST_STALE_AFTER_ON_ACCEPTOR`].
 const LIST_STALE_AFTER: Duration = Duration::from_millis(2300);
 
 impl ControlPlane {
-    /// Starts the tasks. `member` is this process where it has a disk; `capability` says what it can do with it.
+    /// Starts the tasks. `member` is the identity of this process if it has a disk, and `capability` states
+    /// for which role it uses the disk.
     pub fn start(&self, settings: &NodeSettings, member: Option<Member>, capability: Capability) {
         let seeds = internal_seed_addresses(settings);
         log::info!("internal address {}, seeds {}", self.internal_address, seeds.join(" "));
@@ -38,7 +40,8 @@
         }
     }
 
-    /// Follows the control state and the list of servers that other processes know.
+    /// Starts the long polls by which this process receives newer control states and server lists from
+    /// others.
     fn spawn_poller(&self) {
         let poller = Poller {
             view: Arc::clone(&self.view),
@@ -51,7 +54,7 @@
         tokio::spawn(poller.run());
     }
 
-    /// Exchanges the addresses of acceptors with other processes.
+    /// Starts the gossip about acceptors: this process sends the newest acceptors that it has to its seeds.
     fn spawn_acceptor_gossip(&self) {
         let sender = GossipSender {
             view: Arc::clone(&self.view),
@@ -63,7 +66,9 @@
         tokio::spawn(sender.run());
     }
 
-    /// Reads the platform's list of servers, as the leader or where no recent list comes from other processes.
+    /// Starts the reader of the platform's server list. It reads while this process is the leader, or when it
+    /// has received no recent list from other processes. Without a platform list in the settings, no reader
+    /// is started.
     fn spawn_list_reader(&self) {
         let Some(server_list) = &self.clients.server_list else { return };
         let has_acceptor = self.quorum_service.is_some();
@@ -76,7 +81,8 @@
         tokio::spawn(reader.run());
     }
 
-    /// Takes part in the very first start of the system.
+    /// Starts the bootstrap, in which the machines agree on the initial state when the system starts for the
+    /// first time.
     fn spawn_bootstrap(
         &self,
         settings: &NodeSettings,
@@ -97,15 +103,15 @@
         tokio::spawn(bootstrap.run());
     }
 
-    /// Makes this machine a member of the store set.
+    /// Starts the task that makes this machine a member of the store set.
     fn spawn_store_tasks(&self, settings: &NodeSettings, member: Member) {
         let membership = self.store_membership(StoreMember { member, zone: settings.zone.clone() });
         let join_task = tokio::spawn(async move { membership.run().await });
         self.set_join_task(&join_task);
     }
 
-    /// Runs the tasks of a machine with an acceptor and makes it one. Those of the leader wait while another
-    /// process leads.
+    /// Starts the tasks of a machine with an acceptor. The tasks of the leader do nothing while another
+    /// process holds the leader lease.
     fn spawn_acceptor_tasks(&self, settings: &NodeSettings, member: Member) {
         self.spawn_read_repair();
         self.spawn_leader_election(settings);
@@ -114,12 +120,13 @@
         self.spawn_acceptor_join(member);
     }
 
-    /// Confirms with a majority of the acceptors that the committed value known here is the newest (read repair).
+    /// Starts read repair, which confirms with a majority of the acceptors that this process has the newest
+    /// committed value.
     fn spawn_read_repair(&self) {
         tokio::spawn(control_plane::run_read_repair(Arc::clone(&self.view), Arc::clone(&self.proposer)));
     }
 
-    /// Acquires and renews the leader lease.
+    /// Starts the leader election, which acquires and renews the leader lease.
     fn spawn_leader_election(&self, settings: &NodeSettings) {
         let rules = &settings.timing_rules;
         let election = LeaderElection {
@@ -136,7 +143,8 @@
         tokio::spawn(election.run());
     }
 
-    /// As the leader, orders servers to load weight versions.
+    /// Starts the order dispatcher, which orders servers to load weight versions while this process is the
+    /// leader.
     fn spawn_order_dispatcher(&self, settings: &NodeSettings) {
         let dispatcher = OrderDispatcher {
             member_name: settings.machine_name.clone(),
@@ -147,7 +155,8 @@
         tokio::spawn(dispatcher.run());
     }
 
-    /// As the leader, replaces failed members and finishes migrations of batch jobs.
+    /// Starts the reconciler, which replaces failed members and finishes migrations of batch jobs while this
+    /// process is the leader.
     fn spawn_reconciler(&self, settings: &NodeSettings) {
         let reconciler = Reconciler {
             leadership: Arc::clone(&self.leadership),
@@ -159,7 +168,7 @@
         tokio::spawn(reconciler.run());
     }
 
-    /// Makes this machine an acceptor, or a standby for one.
+    /// Starts the task that makes this machine an acceptor or a standby.
     fn spawn_acceptor_join(&self, member: Member) {
         let membership = self.acceptor_membership(member);
         let join_task = tokio::spawn(async move { membership.run().await });
--- a/crates/rushrudder/src/error.rs
+++ b/crates/rushrudder/src/error.rs
@@ -1,19 +1,20 @@
-//! Why a role cannot be served.
+//! The error with which a role fails to start.
 
 use std::fmt;
 
-/// Why a process cannot serve its role. The cause is the next context of its report.
+/// Reason for which a process cannot serve its role. The cause follows as the next context of the error
+/// report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleError {
-    /// The signals of the platform cannot be received.
+    /// The process cannot register for SIGTERM and SIGHUP.
     Signals,
-    /// The journal cannot be opened; the cause names its directory.
+    /// The journal cannot be opened. The cause names its directory.
     Journal,
-    /// The settings of a store have no `dataDir`.
+    /// The settings of a store lack `dataDir`, without which it cannot keep batch jobs.
     MissingDataDir,
-    /// The process cannot listen at an address.
+    /// The process cannot listen at an address of its settings, for instance because it is in use.
     Listen {
-        /// The address, `ip:port`.
+        /// The address at which listening failed, as `ip:port`.
         address: String,
     },
 }
--- a/crates/rushrudder/src/job_api.rs
+++ b/crates/rushrudder/src/job_api.rs
@@ -1,4 +1,5 @@
-//! The trainers' interface to batch jobs at a traffic node: submit, read results, read bodies, cancel.
+//! The HTTP interface of a traffic node through which trainers submit batch jobs, read their results and the
+//! bodies of their items, and end them.
 //!
 //! Every call is forwarded to the stores that keep the batch job.
 
@@ -19,28 +20,28 @@
 
 use crate::control::ControlPlane;
 
-/// The header with the id of a batch job that is submitted.
+/// Request header with the id of the batch job that is submitted.
 const JOB_ID_HEADER: &str = "Attempt-Id";
-/// The header with the time, in milliseconds, for which a read waits for a first result.
+/// Request header with the time, in milliseconds, for which a read waits for a first result.
 const LONG_POLL_HEADER: &str = "Hold-Ms";
-/// The longest time for which a read waits.
+/// Maximum time for which a read waits for a first result, whatever the request asks for.
 const MAX_LONG_POLL: Duration = Duration::from_millis(2000);
-/// Path of calls on a batch job, before its id.
+/// Path prefix of calls that read or end a batch job. The id of the job follows.
 const JOB_PATH: &str = "/api/lots/";
-/// Path of calls on the items of a batch job, before its id.
+/// Path prefix of calls that read the body of an item. The id of the batch job follows.
 const ITEM_PATH: &str = "/api/items/";
-/// Largest batch job in bytes, while there is no configuration.
+/// Maximum size of a submitted batch job in bytes, used while the process has no configuration.
 const DEFAULT_MAX_BODY_BYTES: u64 = 32 * 1024 * 1024;
-/// The `Retry-After` header, in seconds, of the response to a batch job that was not accepted.
+/// Value of the `Retry-After` header, in seconds, in the response to a batch job that was not accepted.
 const RETRY_AFTER_SECONDS: &str = "0.3";
 
-/// Forwards trainers' calls to the stores.
+/// Handles the trainers' calls on batch jobs by forwarding them to the stores.
 pub struct JobApi {
     stores: JobClient,
     view: Arc<ViewCell>,
 }
 
-/// Results of a batch job from a position on, as trainers read them.
+/// JSON body of the response to a read: the results of a batch job from the requested position on.
 #[derive(Serialize)]
 struct ResultsReply<'a> {
     total: u32,
@@ -49,13 +50,13 @@
 }
 
 impl JobApi {
-    /// An interface that finds the stores in the control plane's view.
+    /// Creates an interface that reads the addresses of the stores from the view of `control`.
     pub fn new(control: &ControlPlane) -> Self {
         let stores = JobClient::new(control.clients.rpc.clone(), control.view.subscribe());
         Self { stores, view: Arc::clone(&control.view) }
     }
 
-    /// Dispatches a call by path and method; any path that is none of this interface's own is a submission.
+    /// Dispatches a call by its path and method. A request for any other path submits a batch job.
     async fn route(&self, request: Request) -> Response {
         let path = request.uri().path().to_owned();
         if let Some(job) = path.strip_prefix(JOB_PATH) {
@@ -87,7 +88,8 @@
         submit_response(&job, outcome)
     }
 
-    /// The body of a submission, or the answer to one that cannot be read.
+    /// Reads the body of a submission. Fails with the response to send if the body is too large or cannot be
+    /// received.
     async fn read_submission(&self, request: &mut Request) -> Result<Bytes, Response> {
         let configuration = self.view.view().configuration.clone();
         let max_bytes = configuration.map_or(DEFAULT_MAX_BODY_BYTES, |active| active.limits().body_bytes);
@@ -135,13 +137,14 @@
     }
 }
 
-/// The value of the first parameter of that name in the query.
+/// Returns the value of the first query parameter called `name`; `None` if the query has none.
 fn query_value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     let parameters = request.uri().query()?.split('&').filter_map(|parameter| parameter.split_once('='));
     parameters.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
 }
 
-/// How long a read waits for a first result; not at all unless the trainer asks for it.
+/// Returns the time for which a read waits for a first result; zero if the request has no valid
+/// [`LONG_POLL_HEADER`].
 fn long_poll_timeout(request: &Request) -> Duration {
     let milliseconds = request.header(LONG_POLL_HEADER).and_then(|value| value.trim().parse().ok());
     milliseconds.map(Duration::from_millis).unwrap_or_default().min(MAX_LONG_POLL)
@@ -173,7 +176,7 @@
     Response::builder().content_type("application/json").body(body)
 }
 
-/// The answer when no store could say anything definite about a batch job.
+/// Returns the response for a batch job about which no store gave a definite answer.
 fn unavailable(job: &str) -> Response {
     log::debug!("no store gave a definite answer about batch job {job}");
     error_response(StatusCode::SERVICE_UNAVAILABLE, "no store is sure about this batch job")
--- a/crates/rushrudder/src/lib.rs
+++ b/crates/rushrudder/src/lib.rs
@@ -1,7 +1,7 @@
-//! The roles of the system, assembled from the crates of the planes.
+//! The two roles of the system, assembled from the crates of the control plane, data plane and store plane.
 //!
-//! [`node::TrafficNode`] and [`store::BatchStore`] both contain a [`control::ControlPlane`]. The program runs them over
-//! sockets; the simulator runs them with its own [`control::OutboundClients`].
+//! [`node::TrafficNode`] and [`store::BatchStore`] both contain a [`control::ControlPlane`]. The program
+//! connects them through sockets. The simulator runs them with its own [`control::OutboundClients`].
 
 pub mod control;
 mod error;
--- a/crates/rushrudder/src/main.rs
+++ b/crates/rushrudder/src/main.rs
@@ -1,4 +1,5 @@
-//! The program `rushrudder`: its roles `node` and `store`, and commands for operators.
+//! The program `rushrudder`: runs the roles `node` and `store`, and the operators' commands `local` and
+//! `check`.
 
 mod cli;
 
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -1,4 +1,5 @@
-//! The role of a traffic node: it serves clients, trainers and the operator, and with a disk it is an acceptor.
+//! The role of a traffic node. It serves clients, trainers and operators. With a disk it is an acceptor as
+//! well.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,23 +16,26 @@
 use crate::signals::{SignalEvent, Signals};
 use crate::RoleError;
 
-/// The journal of an acceptor is small: it holds few records, each with the full state.
+/// Size of an acceptor's journal. It is small, because an acceptor needs few records, each with the complete
+/// state.
 const JOURNAL_OPTIONS: storage::RingOptions =
     storage::RingOptions { segment_bytes: 2 * 1024 * 1024, segments: 8 };
-/// A path without a route is answered with 404 only while the configuration was confirmed within this time. Otherwise
-/// a newer configuration may have the route.
+/// Maximum age of the latest confirmation of the configuration at which a path without a route is answered
+/// with 404. After a longer time, a newer configuration may contain the route.
 const MAX_CONFIRMED_AGE: Duration = Duration::from_millis(1900);
-/// After SIGTERM, new connections are accepted for this long: the platform sends clients here until it has seen two
-/// failed readiness checks.
+/// Time after SIGTERM for which new connections are still accepted. The platform directs clients to the node
+/// until two readiness checks have failed.
 const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2500);
-/// How much of the platform's termination grace period is reserved for the exit of the process.
+/// Part of the platform's termination grace period that is reserved for the exit of the process. Requests
+/// have to be finished before.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// Serves as a traffic node until the platform ends it, then shuts down gracefully.
+/// Runs a traffic node until the process receives SIGTERM, then shuts down gracefully.
 ///
 /// # Errors
 ///
-/// When the process cannot start: its disk cannot be opened, or it cannot listen at one of its addresses.
+/// A [`RoleError`] if the process cannot start: it cannot receive signals, its journal cannot be opened, or
+/// it cannot listen at one of its addresses.
 pub async fn run(settings: NodeSettings) -> Result<(), Report<RoleError>> {
     let mut signals = Signals::listen()?;
     let disk = RecoveredDisk::open(&settings, JOURNAL_OPTIONS, control_plane::check_acceptor_record)?;
@@ -50,16 +54,17 @@
     Ok(())
 }
 
-/// A traffic node without the parts that carry clients' requests.
+/// The parts of a traffic node that do not handle clients' requests: the control plane and the operators'
+/// interface.
 pub struct TrafficNode {
-    /// Its control plane.
+    /// Control plane of the node, with the acceptor if the node has a disk.
     pub control: ControlPlane,
-    /// This process as an acceptor, where it has a disk.
+    /// Identity of this process as an acceptor; `None` if it has no disk.
     member: Option<Member>,
 }
 
 impl TrafficNode {
-    /// A node. With a disk it has an acceptor.
+    /// Creates a traffic node. It contains an acceptor if `disk` is given.
     pub fn new(settings: &NodeSettings, disk: Option<RecoveredDisk>, clients: OutboundClients) -> Self {
         let member = disk.as_ref().map(|disk| local_member(settings, disk.incarnation));
         Self { control: ControlPlane::new(settings, disk, clients), member }
@@ -70,12 +75,12 @@
         self.control.start(settings, self.member.clone(), Capability::Acceptor);
     }
 
-    /// The endpoints for the operator.
+    /// Returns the HTTP endpoints for operators.
     pub fn operator_routes(&self) -> impl poem::Endpoint {
         operator_routes(Arc::clone(&self.control.view), Arc::clone(&self.control.proposer))
     }
 
-    /// Releases the leader lease and lets a standby replace this acceptor, before the process ends.
+    /// Prepares the end of the process: releases the leader lease, and lets a standby replace the acceptor.
     pub async fn resign(&self) {
         self.control.stop_joining();
         self.control.ping_service.set_shutting_down();
@@ -93,15 +98,15 @@
     Ok(())
 }
 
-/// The part of a traffic node that carries clients' requests.
+/// The part of a traffic node that handles clients' requests.
 struct ClientServer {
     ingress: Ingress,
-    /// Serves the clients' connections; `None` where the settings have no address for clients.
+    /// Task that serves the clients' connections; `None` if the settings have no address for clients.
     connections: Option<JoinHandle<std::io::Result<()>>>,
 }
 
 impl ClientServer {
-    /// Listens for readiness checks and for clients.
+    /// Starts to serve readiness checks and clients, each if the settings have an address for it.
     async fn start(settings: &NodeSettings, control: &ControlPlane) -> Result<Self, Report<RoleError>> {
         let forwarder = Forwarder::new(control.view.subscribe(), settings.zone.as_str().into());
         let ingress = Ingress::new(forwarder, ingress_settings(settings, control));
@@ -117,11 +122,11 @@
         Ok(Self { ingress, connections })
     }
 
-    /// Finishes the requests in flight.
+    /// Finishes the requests in flight, for at most the drain timeout.
     async fn drain(self) {
         self.ingress.drain();
         if let Some(connections) = self.connections {
-            // The process ends next; an error of the listener changes nothing.
+            // The result is ignored because the process ends next in any case.
             let _ = connections.await;
         }
     }
@@ -138,12 +143,14 @@
     }
 }
 
-/// Whether the process has a confirmed control state, a list of servers and a configuration.
+/// Whether the process has a confirmed control state, a list of servers and a configuration, all of which it
+/// needs to handle requests.
 fn is_ready(view: &ViewCell) -> bool {
     view.confirmed_age().is_some() && view.servers_age().is_some() && view.view().configuration.is_some()
 }
 
-/// Whether a majority confirmed recently that the configuration is the newest.
+/// Whether a majority of the acceptors confirmed within [`MAX_CONFIRMED_AGE`] that the configuration is the
+/// newest.
 fn is_recently_confirmed(view: &ViewCell) -> bool {
     view.confirmed_age().is_some_and(|age| age < MAX_CONFIRMED_AGE)
 }
--- a/crates/rushrudder/src/signals.rs
+++ b/crates/rushrudder/src/signals.rs
@@ -1,31 +1,31 @@
-//! Signals of the platform.
+//! The signals by which the platform controls a process: SIGTERM and SIGHUP.
 
 use error_stack::{Report, ResultExt};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use crate::RoleError;
 
-/// Receives the signals by which the platform controls a process.
+/// Receives SIGTERM and SIGHUP.
 pub struct Signals {
     terminate: Signal,
     reload: Signal,
 }
 
-/// A signal that arrived.
+/// A signal that the process received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalEvent {
-    /// SIGTERM: shut down gracefully.
+    /// SIGTERM: the process has to shut down gracefully.
     Terminate,
-    /// SIGHUP: reload the settings file.
+    /// SIGHUP: the process has to reload its settings file.
     Reload,
 }
 
 impl Signals {
-    /// Registers for SIGTERM and SIGHUP, which no longer end the process from then on.
+    /// Registers for SIGTERM and SIGHUP. From then on they no longer end the process by default.
     ///
     /// # Errors
     ///
-    /// [`RoleError::Signals`] when the operating system declines.
+    /// [`RoleError::Signals`] if the operating system rejects the registration.
     pub fn listen() -> Result<Self, Report<RoleError>> {
         let terminate = signal(SignalKind::terminate()).change_context(RoleError::Signals)?;
         let reload = signal(SignalKind::hangup()).change_context(RoleError::Signals)?;
--- a/crates/rushrudder/src/store.rs
+++ b/crates/rushrudder/src/store.rs
@@ -1,4 +1,4 @@
-//! The role of a store: it replicates batch jobs on disk and runs the items of those that it owns.
+//! The role of a store. It replicates batch jobs on disk, and runs the items of the jobs that it owns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,23 +18,25 @@
 use crate::signals::{SignalEvent, Signals};
 use crate::RoleError;
 
-/// Bytes of a segment of the journal.
+/// Size of a journal segment in bytes.
 const SEGMENT_BYTES: u64 = 16 * 1024 * 1024;
-/// Fewest segments of the journal, however small the disk is.
+/// Minimum number of journal segments, however small the disk is.
 const MIN_SEGMENTS: u64 = 3;
-/// Most segments of the journal, however large the disk is.
+/// Maximum number of journal segments, however large the disk is.
 const MAX_SEGMENTS: u64 = 20;
-/// After its batch jobs were handed over, a store still answers for this long: new owners read its replicas.
+/// Time for which a store still answers calls after it has handed over its batch jobs, because the new owners
+/// read its replicas.
 const ANSWER_AFTER_HANDOVER: Duration = Duration::from_millis(600);
-/// Interval at which the progress of a migration to a new store set is read.
+/// Interval at which a store checks the progress of its migration to a new store set, to report it to the
+/// leader.
 const MIGRATION_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Serves as a store until the platform ends it, then shuts down gracefully.
+/// Runs a store until the process receives SIGTERM, then shuts down gracefully.
 ///
 /// # Errors
 ///
-/// When the process cannot start: it has no data directory, its disk cannot be opened, or it cannot listen at its
-/// internal address.
+/// A [`RoleError`] if the process cannot start: it cannot receive signals, it has no data directory, its
+/// journal cannot be opened, or it cannot listen at its internal address.
 pub async fn run(settings: NodeSettings) -> Result<(), Report<RoleError>> {
     let mut signals = Signals::listen()?;
     let disk = RecoveredDisk::open(&settings, journal_options(&settings), store_plane::check_store_record)?;
@@ -54,18 +56,19 @@
     Ok(())
 }
 
-/// A store without the part that runs items.
+/// The parts of a store that replicate batch jobs. The items of owned jobs are run elsewhere.
 pub struct BatchStore {
-    /// Its control plane.
+    /// Control plane of the store, without an acceptor.
     pub control: ControlPlane,
-    /// Its batch jobs.
+    /// The replicas of batch jobs in this store, and the ownership of jobs.
     pub jobs: JobStore,
-    /// This process as a store.
+    /// Identity of this process as a store: member and zone.
     member: StoreMember,
 }
 
 impl BatchStore {
-    /// A store with what its disk recovered. The receiver gets each batch job whose items are to run here.
+    /// Creates a store with the batch jobs that its disk recovered. The returned receiver yields each batch
+    /// job that this store owns, so that the caller can run its items.
     pub fn new(
         settings: &NodeSettings,
         disk: RecoveredDisk,
@@ -85,19 +88,20 @@
         (Self { control, jobs, member }, owned_jobs)
     }
 
-    /// The endpoints for other processes.
+    /// Returns the endpoints that other processes call.
     pub fn internal_routes(&self) -> Route {
         self.control.internal_routes().nest_no_strip("/batch", self.jobs.endpoint())
     }
 
-    /// Starts the tasks of the control plane and of replication.
+    /// Starts the tasks of the control plane, the replication of batch jobs, and the report of migrations.
     pub fn start(&self, settings: &NodeSettings) {
         self.control.start(settings, Some(self.member.member.clone()), Capability::Store);
         tokio::spawn(self.jobs.clone().run());
         tokio::spawn(report_migration(self.jobs.clone(), Arc::clone(&self.control.ping_service)));
     }
 
-    /// Hands all batch jobs over to other stores, before the process ends.
+    /// Prepares the end of the process: leaves the store set if another machine has replaced this one, and
+    /// hands all batch jobs over to other stores.
     pub async fn resign(&self) {
         self.control.stop_joining();
         self.control.ping_service.set_shutting_down();
@@ -108,15 +112,16 @@
 }
 
 fn journal_options(settings: &NodeSettings) -> storage::RingOptions {
-    // A fifth of the disk stays free for records that are rewritten while their old segments are still in use.
+    // A fifth of the disk is left free for records that are rewritten while their old segments are still in
+    // use.
     let fitting_segments = settings.resource_limits.disk_bytes() * 4 / 5 / SEGMENT_BYTES;
     let segments = fitting_segments.clamp(MIN_SEGMENTS, MAX_SEGMENTS);
     let segments = usize::try_from(segments).expect("it is at most MAX_SEGMENTS");
     storage::RingOptions { segment_bytes: SEGMENT_BYTES, segments }
 }
 
-/// Reports to the leader, in answers to its pings, the epoch of the store set to which this store has migrated; 0 while
-/// a migration is in progress.
+/// Keeps the epoch up to date that this store reports to the leader in its replies to pings: the epoch of the
+/// store set to which it has migrated all its batch jobs, or 0 while a migration is in progress.
 async fn report_migration(store: JobStore, ping_service: Arc<PingService>) {
     ping_service.set_committed_epoch(0);
     loop {
