--- a/crates/rushrudder/src/job_api.rs
+++ b/crates/rushrudder/src/job_api.rs
@@ -107,7 +107,7 @@
         match self.stores.read(Arc::from(job), after, long_poll_timeout(request)).await {
             ReadOutcome::Page(page) => results_response(&page),
             ReadOutcome::NoSuchJob => error_response(StatusCode::NOT_FOUND, "no such batch job"),
-            ReadOutcome::Unknown => unavailable(job),
+            ReadOutcome::Unknown => unavailable_response(job),
         }
     }
 
@@ -118,7 +118,7 @@
         match self.stores.body(Arc::from(job), item).await {
             BodyOutcome::Body(bytes) => Response::builder().body(bytes),
             BodyOutcome::NoSuchItem => error_response(StatusCode::NOT_FOUND, "no such item"),
-            BodyOutcome::Unknown => unavailable(job),
+            BodyOutcome::Unknown => unavailable_response(job),
         }
     }
 
@@ -126,7 +126,7 @@
         match self.stores.end(Arc::from(job)).await {
             EndOutcome::Ended => StatusCode::OK.into(),
             EndOutcome::NoSuchJob => error_response(StatusCode::NOT_FOUND, "no such batch job"),
-            EndOutcome::Unknown => unavailable(job),
+            EndOutcome::Unknown => unavailable_response(job),
         }
     }
 }
@@ -177,7 +177,7 @@
 }
 
 /// Returns the response for a batch job about which no store gave a definite answer.
-fn unavailable(job: &str) -> Response {
+fn unavailable_response(job: &str) -> Response {
     log::debug!("no store gave a definite answer about batch job {job}");
     error_response(StatusCode::SERVICE_UNAVAILABLE, "no store is sure about this batch job")
 }
