--- a/crates/state/tests/bootstrap.rs
+++ b/crates/state/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The initial state, and how acceptors agree on one.
+//! The initial state, and the choice of the value that a coordinator sends to the acceptors.
 
 mod common;
 
@@ -11,29 +11,33 @@
 use yare::parameterized;
 
 #[test]
-fn given_no_acceptor_when_bootstrapped_then_there_is_no_state() {
+fn given_no_acceptors_when_bootstrapped_then_there_is_no_initial_state() {
     assert_eq!(initial_state(Vec::new(), vec![store("v", 1)], 1), None);
 }
 
-fn first(stores: u64) -> Versioned<ControlState> {
+/// Returns the initial value of a system with this number of stores.
+fn initial_value(stores: u64) -> Versioned<ControlState> {
     Versioned::new(Ballot { round: 1, proposer: 0 }, Arc::new(system(stores)))
 }
 
 #[test]
-fn given_a_coordinator_that_failed_midway_when_another_takes_over_then_it_continues_with_the_first_value() {
-    let chosen = choose_initial_value(first(3), vec![None, Some(first(2))]);
-    assert_eq!(chosen, Some(first(2)));
+fn given_an_interrupted_coordinator_when_another_one_takes_over_then_it_chooses_the_value_of_the_first() {
+    let chosen = choose_initial_value(initial_value(3), vec![None, Some(initial_value(2))]);
+    assert_eq!(chosen, Some(initial_value(2)));
 }
 
 #[parameterized(
     all_empty = { 3, true },
     majority = { 2, true },
     minority = { 1, false },
-    nobody = { 0, false },
+    none = { 0, false },
 )]
-fn given_empty_acceptors_when_a_majority_replies_then_the_coordinator_offers_its_own_value(
-    answers: usize,
-    offers: bool,
+fn given_acceptors_without_a_value_when_some_reply_then_the_own_value_is_chosen_if_they_are_a_majority(
+    reply_count: usize,
+    is_own_value_chosen: bool,
 ) {
-    assert_eq!(choose_initial_value(first(3), vec![None; answers]), offers.then(|| first(3)));
+    assert_eq!(
+        choose_initial_value(initial_value(3), vec![None; reply_count]),
+        is_own_value_chosen.then(|| initial_value(3))
+    );
 }
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of changes share.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! States, members and observations that several tests use.
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use std::time::Duration;
 
@@ -17,13 +17,15 @@
     StoreMember { member: member(name, incarnation), zone: "z".into() }
 }
 
-/// Three acceptors a, b, c and this many stores v0, v1 and so on, with one tolerated failure.
+/// Returns the initial state for one tolerated failure, with the acceptors a, b and c and the given number of
+/// stores, which are named v0, v1 and so on and have the incarnations 10, 11 and so on.
 pub fn system(stores: u64) -> ControlState {
     let acceptors = vec![member("a", 1), member("b", 2), member("c", 3)];
     let stores = (0..stores).map(|index| store(&format!("v{index}"), 10 + index)).collect();
     initial_state(acceptors, stores, 1).expect("there are acceptors")
 }
 
+/// Returns a valid configuration document with one route.
 pub fn document(version: u64, route: &str) -> String {
     format!(
         r#"{{"edition":{version},"routes":[{{"name":"{route}","depot":"h","lanePrefix":"/{route}/","kind":"safe",
@@ -31,10 +33,13 @@
     )
 }
 
+/// Duration of a round of pings.
 pub const ROUND: Duration = Duration::from_millis(700);
+/// Duration above which a round of pings is discarded.
 pub const MAX_ROUND_ELAPSED: Duration = Duration::from_millis(2400);
 
-/// The observation after `rounds` of pings to which all members but `unresponsive` replied.
+/// Returns the observation after a number of rounds of pings to which all members except `unresponsive`
+/// replied.
 pub fn observe(state: &ControlState, unresponsive: &[&str], rounds: u32) -> Observation {
     let mut observed = Observation::default();
     for _ in 0..rounds {
@@ -43,37 +48,37 @@
     observed
 }
 
-/// All members but those that are `unresponsive`.
+/// Returns all members of a state except those whose names are in `unresponsive`.
 pub fn responders(state: &ControlState, unresponsive: &[&str]) -> Vec<Member> {
     let mut members = Observation::members_to_ping(state);
     members.retain(|member| !unresponsive.contains(&&*member.name));
     members
 }
 
-/// A leader that has the newest state raises the token.
-pub fn raised(state: &ControlState, name: &str) -> ControlState {
-    with_raised_fence(state, name, state.fence).expect("nobody raised it since")
+/// Issues the next fencing token to the member called `name`.
+pub fn raise_fence(state: &ControlState, name: &str) -> ControlState {
+    with_raised_fence(state, name, state.fence).expect("the token in the state is the latest")
 }
 
-/// The standby `d` waits beside three acceptors.
+/// Returns a state with three acceptors and the standby `d`.
 pub fn with_waiting_standby() -> ControlState {
-    with_standby(&system(3), &member("d", 4)).expect("it waits")
+    with_standby(&system(3), &member("d", 4)).expect("the machine becomes a standby")
 }
 
-/// The store `v9` waits beside the others.
-pub fn joining(state: &ControlState) -> ControlState {
-    let waiting = with_store(state, &store("v9", 90)).expect("it is registered");
-    assert_eq!((&waiting.stores, waiting.joining_stores.len()), (&state.stores, 1));
-    waiting
+/// Registers the machine `v9` as a joining store.
+pub fn with_joining_store(state: &ControlState) -> ControlState {
+    let next = with_store(state, &store("v9", 90)).expect("the machine is registered");
+    assert_eq!((&next.stores, next.joining_stores.len()), (&state.stores, 1));
+    next
 }
 
-/// The store `v9` was added, and the batch jobs are being migrated.
-pub fn migrating(state: &ControlState) -> ControlState {
-    let state = joining(state);
-    next_reconciliation(&state, state.fence, &observe(&state, &[], 1)).expect("it is added")
+/// Adds the store `v9`, which starts a migration of the batch jobs.
+pub fn with_started_migration(state: &ControlState) -> ControlState {
+    let state = with_joining_store(state);
+    next_reconciliation(&state, state.fence, &observe(&state, &[], 1)).expect("the store is added")
 }
 
-/// One store more than intended, and no migration under way.
+/// Returns a state with one store more than intended, and without a migration in progress.
 pub fn with_surplus_store() -> ControlState {
-    ControlState { previous_stores: None, ..migrating(&system(3)) }
+    ControlState { previous_stores: None, ..with_started_migration(&system(3)) }
 }
--- a/crates/state/tests/document.rs
+++ b/crates/state/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents: how they are stored, sent and read.
+//! Documents: encoding, decoding, compression, and detection of corrupt bytes.
 
 use state::{Document, DocumentError};
 use yare::parameterized;
@@ -6,7 +6,7 @@
 const STANDARD: bincode::config::Configuration = bincode::config::standard();
 
 fn encode(document: &Document) -> Vec<u8> {
-    bincode::serde::encode_to_vec(document, STANDARD).expect("it can be serialized")
+    bincode::serde::encode_to_vec(document, STANDARD).expect("a document can be encoded")
 }
 
 fn decode(bytes: &[u8]) -> Option<Document> {
@@ -14,8 +14,8 @@
     read.map(|(document, _)| document)
 }
 
-/// A configuration with this many routes, as operators send them.
-fn routes(count: usize) -> String {
+/// Returns the JSON text of `count` routes with random names, similar to an operator's configuration.
+fn routes_json(count: usize) -> String {
     let mut random = fastrand::Rng::with_seed(1);
     let mut word = |length: usize| (0..length).map(|_| random.lowercase()).collect::<String>();
     let route = |index| {
@@ -27,10 +27,10 @@
     format!("[{}]", (0..count).map(route).collect::<Vec<_>>().join(","))
 }
 
-#[parameterized(empty = { String::new() }, short = { "{}".to_owned() }, long = { routes(1400) })]
-fn given_a_document_when_sent_then_its_text_and_identity_are_the_same(text: String) {
+#[parameterized(empty = { String::new() }, short = { "{}".to_owned() }, long = { routes_json(1400) })]
+fn given_a_document_when_encoded_and_decoded_then_its_text_and_digest_are_unchanged(text: String) {
     let document = Document::new(text.clone());
-    let received = decode(&encode(&document)).expect("it can be read");
+    let received = decode(&encode(&document)).expect("the encoded document can be decoded");
     assert_eq!(received, document);
     assert_eq!(received.text(), Ok(&*text));
     assert_eq!(received.clone().text(), Ok(&*text));
@@ -38,25 +38,28 @@
 }
 
 #[test]
-fn given_a_configuration_of_many_routes_when_sent_then_it_takes_at_most_a_quarter_of_its_length() {
-    let text = routes(1400);
+fn given_a_configuration_of_many_routes_when_encoded_then_it_takes_less_than_a_quarter_of_its_length() {
+    let text = routes_json(1400);
     let bytes = encode(&Document::new(text.clone())).len();
     println!("{} bytes for a text of {}", bytes, text.len());
     assert!(bytes * 4 < text.len());
 }
 
 #[test]
-fn given_a_document_with_any_changed_byte_when_it_is_read_then_it_is_an_error_and_no_other_text() {
-    let text = routes(20);
+fn given_a_document_with_a_changed_byte_when_read_then_it_fails_or_returns_the_original_text() {
+    let text = routes_json(20);
     let bytes = encode(&Document::new(text.clone()));
     for changed in 0..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[changed] ^= 0x55;
-        let Some(document) = decode(&spoilt) else { continue };
+        let mut corrupted = bytes.clone();
+        corrupted[changed] ^= 0x55;
+        let Some(document) = decode(&corrupted) else { continue };
         let read = document.text();
-        assert!(read == Err(DocumentError) || read == Ok(&*text), "byte {changed}");
+        assert!(
+            read == Err(DocumentError) || read == Ok(&*text),
+            "a change of byte {changed} is not detected"
+        );
     }
     for length in 0..bytes.len() {
-        assert!(decode(&bytes[..length]).is_none(), "cut after {length} bytes");
+        assert!(decode(&bytes[..length]).is_none(), "a document truncated to {length} bytes is decoded");
     }
 }
--- a/crates/state/tests/golden.rs
+++ b/crates/state/tests/golden.rs
@@ -1,7 +1,8 @@
-//! The bytes of the shared state, as they stand on disks and travel between processes.
+//! Golden files with the encoded types of the shared state, as they are stored on disks and sent between
+//! processes.
 //!
-//! `bincode` encodes by position, so a field or variant that moves, is added or changes its type changes these bytes.
-//! A file that is missing is written when `GOLDEN_WRITE` is set; otherwise files never change.
+//! `bincode` encodes by position. A field or variant that is moved, is added or gets another type changes the
+//! bytes. If `GOLDEN_WRITE` is set, missing files are written. Existing files are never changed.
 
 mod common;
 
@@ -18,33 +19,39 @@
     ServerListVersion, StoreSet,
 };
 
-/// Compares a value with its file in both directions. The encoding is that of `rpc::encode`.
-fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
-    let encoded =
-        bincode::serde::encode_to_vec(value, bincode::config::standard()).expect("it is serialized");
+/// Checks that a value encodes to the bytes in the golden file, and that these decode to the value. The
+/// encoding is that of `rpc::encode`.
+fn assert_golden<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let encoded = bincode::serde::encode_to_vec(value, bincode::config::standard())
+        .expect("the value can be serialized");
     let hex: String = encoded.chunks(32).map(|line| hex_line(line) + "\n").collect();
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
-        std::fs::write(&path, &hex).expect("the file is written");
+        std::fs::write(&path, &hex).expect("the golden file can be written");
     }
-    let golden = std::fs::read_to_string(&path).expect("the golden file is there");
-    assert_eq!(hex, golden, "{name}: the bytes have changed");
-    let (decoded, read): (T, usize) =
-        bincode::serde::decode_from_slice(&bytes(&golden), bincode::config::standard()).expect("it is read");
-    assert_eq!((&decoded, read), (value, encoded.len()), "{name}");
+    let golden = std::fs::read_to_string(&path).expect("the golden file exists");
+    assert_eq!(hex, golden, "{name}: the value no longer encodes to the bytes of the golden file");
+    let (decoded, read_bytes): (T, usize) =
+        bincode::serde::decode_from_slice(&parse_hex(&golden), bincode::config::standard())
+            .expect("the golden file can be decoded");
+    assert_eq!(
+        (&decoded, read_bytes),
+        (value, encoded.len()),
+        "{name}: the bytes of the golden file decode to another value"
+    );
 }
 
 fn hex_line(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn parse_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex");
     digits.chunks(2).map(byte).collect()
 }
 
-/// A control state with every field set.
+/// Returns a control state in which no field has its default value.
 fn control_state() -> ControlState {
     let stores = |epoch, first: u64| StoreSet {
         epoch,
@@ -77,21 +84,21 @@
 }
 
 #[test]
-fn given_a_control_state_when_encoded_then_its_bytes_stay() {
-    check("control_state.hex", &control_state());
-    check("control_state_default.hex", &ControlState::default());
+fn given_a_control_state_when_encoded_then_its_bytes_match_the_golden_file() {
+    assert_golden("control_state.hex", &control_state());
+    assert_golden("control_state_default.hex", &ControlState::default());
 }
 
 #[test]
-fn given_parts_of_the_control_state_when_encoded_then_their_bytes_stay() {
+fn given_parts_of_the_control_state_when_encoded_then_their_bytes_match_the_golden_files() {
     let state = control_state();
-    check("taken_change.hex", &state.applied_changes[0]);
-    check("document.hex", &state.configuration);
-    check("document_empty.hex", &Document::default());
-    check("store_member.hex", &state.joining_stores[0]);
-    check("store_set.hex", &state.stores);
-    check("drain_state_rolling.hex", &DrainState::Draining);
-    check("drain_state_delivered.hex", &DrainState::Drained);
+    assert_golden("taken_change.hex", &state.applied_changes[0]);
+    assert_golden("document.hex", &state.configuration);
+    assert_golden("document_empty.hex", &Document::default());
+    assert_golden("store_member.hex", &state.joining_stores[0]);
+    assert_golden("store_set.hex", &state.stores);
+    assert_golden("drain_state_rolling.hex", &DrainState::Draining);
+    assert_golden("drain_state_delivered.hex", &DrainState::Drained);
 }
 
 fn entry(id: &str, condition: ServerCondition) -> ServerEntry {
@@ -119,26 +126,29 @@
 }
 
 #[test]
-fn given_a_server_list_when_encoded_then_its_bytes_stay() {
-    check("server_list.hex", &server_list());
-    check("server_list_default.hex", &ServerList::default());
+fn given_a_server_list_when_encoded_then_its_bytes_match_the_golden_file() {
+    assert_golden("server_list.hex", &server_list());
+    assert_golden("server_list_default.hex", &ServerList::default());
 }
 
 #[test]
-fn given_parts_of_a_server_list_when_encoded_then_their_bytes_stay() {
+fn given_parts_of_a_server_list_when_encoded_then_their_bytes_match_the_golden_files() {
     let list = server_list();
-    check("server_list_version.hex", &list.version);
-    check("server_entry_open.hex", &list.servers[0]);
-    check("server_entry_closing.hex", &list.servers[1]);
-    check("condition_open.hex", &ServerCondition::Open);
-    check("condition_closing.hex", &ServerCondition::Closing);
+    assert_golden("server_list_version.hex", &list.version);
+    assert_golden("server_entry_open.hex", &list.servers[0]);
+    assert_golden("server_entry_closing.hex", &list.servers[1]);
+    assert_golden("condition_open.hex", &ServerCondition::Open);
+    assert_golden("condition_closing.hex", &ServerCondition::Closing);
 }
 
 #[test]
-fn given_a_condition_when_written_as_json_then_its_names_stay() {
+fn given_a_server_condition_when_serialized_as_json_then_its_name_is_lowercase_and_can_be_parsed() {
     for (condition, text) in [(ServerCondition::Open, "\"open\""), (ServerCondition::Closing, "\"closing\"")]
     {
-        assert_eq!(serde_json::to_string(&condition).expect("it is serialized"), text);
-        assert_eq!(serde_json::from_str::<ServerCondition>(text).expect("it is read"), condition);
+        assert_eq!(serde_json::to_string(&condition).expect("the value can be serialized"), text);
+        assert_eq!(
+            serde_json::from_str::<ServerCondition>(text).expect("the golden file can be decoded"),
+            condition
+        );
     }
 }
--- a/crates/state/tests/reachability.rs
+++ b/crates/state/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! Failure detection by rounds of pings.
+//! Failure detection: counting of the rounds of pings without a reply.
 
 mod common;
 
@@ -9,11 +9,11 @@
 use yare::parameterized;
 
 #[parameterized(
-    short = { 1000, 2 },
-    usual = { 1800, 3 },
-    capped = { 9000, 5 },
+    short_timeout = { 1000, 2 },
+    medium_timeout = { 1800, 3 },
+    limited_to_the_maximum = { 9000, 5 },
 )]
-fn given_a_replacement_timeout_when_counted_in_rounds_then_a_store_may_be_replaced_after_as_many(
+fn given_a_replacement_timeout_when_counted_in_rounds_then_a_store_may_be_replaced_after_that_many(
     timeout_ms: u64,
     rounds: u32,
 ) {
@@ -32,17 +32,17 @@
     observed.reachability.record_round(&state, &[], MAX_ROUND_ELAPSED * 10, MAX_ROUND_ELAPSED);
     assert_eq!(next_reconciliation(&state, 0, &observed), None);
     observed.reachability.record_round(&state, &responders(&state, &["v1"]), ROUND, MAX_ROUND_ELAPSED);
-    assert_eq!(next_reconciliation(&state, 0, &observed), None, "the count starts again");
+    assert_eq!(next_reconciliation(&state, 0, &observed), None, "the count of missed rounds starts again");
 }
 
 #[test]
-fn given_a_leader_without_majority_when_it_pings_then_no_member_is_removed() {
+fn given_no_replies_from_a_majority_when_rounds_are_recorded_then_no_member_is_removed() {
     let state = with_surplus_store();
     assert_eq!(next_reconciliation(&state, 0, &observe(&state, &["b", "c", "v1"], 50)), None);
 }
 
 #[test]
-fn given_an_occasional_reply_when_pinged_then_the_member_stays() {
+fn given_a_reply_in_every_fifth_round_when_pinged_then_the_member_may_not_be_removed() {
     let state = with_surplus_store();
     let mut reachability = Reachability::default();
     for round in 0..50 {
@@ -54,8 +54,8 @@
 
 #[parameterized(
     all_reply = { &[], 3, Some(1) },
-    no_further_failure = { &["c"], 2, Some(0) },
-    no_majority = { &["b", "c"], 0, None },
+    minimal_majority_replies = { &["c"], 2, Some(0) },
+    no_majority_replies = { &["b", "c"], 0, None },
 )]
 fn given_unresponsive_acceptors_when_the_quorum_margin_is_computed_then_it_counts_the_tolerated_failures(
     unresponsive: &[&str],
--- a/crates/state/tests/server_list.rs
+++ b/crates/state/tests/server_list.rs
@@ -1,4 +1,4 @@
-//! The order of lists of servers.
+//! The order of server lists by their versions, and the comparison of their contents.
 
 use std::sync::Arc;
 
@@ -22,30 +22,30 @@
 }
 
 #[test]
-fn given_a_leader_when_it_reads_repeatedly_then_versions_rise() {
-    let first = ServerListVersion::default().next_of_leader(3).expect("it is the latest leader");
-    let second = first.next_of_leader(3).expect("it is the latest leader");
-    let of_next = second.next_of_leader(4).expect("it is the latest leader");
-    assert!(first < second && second < of_next);
-    assert_eq!(of_next.next_of_leader(3), None, "a later leader is known");
+fn given_a_leader_when_it_reads_repeatedly_then_versions_increase() {
+    let first = ServerListVersion::default().next_of_leader(3).expect("no later leader is known");
+    let second = first.next_of_leader(3).expect("no later leader is known");
+    let next_leader = second.next_of_leader(4).expect("no later leader is known");
+    assert!(first < second && second < next_leader);
+    assert_eq!(next_leader.next_of_leader(3), None, "a later leader is known");
 }
 
 #[test]
-fn given_a_list_that_a_process_read_for_itself_when_the_leader_reads_then_the_leader_wins() {
-    let known = ServerListVersion::default().next_of_leader(3).expect("it is the latest leader");
+fn given_a_list_that_a_process_read_itself_when_the_leader_reads_then_the_list_of_the_leader_is_newer() {
+    let known = ServerListVersion::default().next_of_leader(3).expect("no later leader is known");
     let local = known.next_local(u64::MAX);
     assert!(known < local && local < local.next_local(0), "{local:?}");
-    assert!(local < known.next_of_leader(3).expect("it is the latest leader"));
+    assert!(local < known.next_of_leader(3).expect("no later leader is known"));
 }
 
 #[test]
-fn given_two_processes_when_each_reads_for_itself_then_their_lists_have_different_versions() {
+fn given_two_processes_when_each_reads_the_list_itself_then_their_lists_have_different_versions() {
     let known = ServerListVersion::default();
     assert_ne!(known.next_local(1), known.next_local(2));
 }
 
 #[test]
-fn given_two_lists_when_compared_then_versions_and_warm_up_are_ignored() {
+fn given_two_lists_when_compared_then_the_remaining_warm_up_is_ignored() {
     let open = list(vec![entry("a", 900, ServerCondition::Open)]);
     assert!(open.has_same_servers(&list(vec![entry("a", 100, ServerCondition::Open)])));
     assert!(!open.has_same_servers(&list(vec![entry("a", 900, ServerCondition::Closing)])));
--- a/crates/state/tests/server_versions.rs
+++ b/crates/state/tests/server_versions.rs
@@ -1,4 +1,4 @@
-//! Versions in the list of servers.
+//! Weight versions in server lists: merging of reports, and of earlier lists.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,20 +32,20 @@
     reported_older = { 3, 2, 3 },
     reported_same = { 2, 2, 2 },
 )]
-fn given_a_report_when_it_is_merged_into_a_list_then_versions_only_rise(
-    shown: u64,
+fn given_a_report_when_merged_into_a_list_then_versions_never_decrease(
+    listed: u64,
     reported: u64,
-    joined: u64,
+    merged: u64,
 ) {
-    let mut lease = list(vec![server("a", &[("m", shown)]), server("b", &[("m", 1)])]);
-    lease.raise_versions(&BTreeMap::from([("a".into(), versions(&[("m", reported), ("other", 9)]))]));
-    assert_eq!(lease, list(vec![server("a", &[("m", joined)]), server("b", &[("m", 1)])]));
+    let mut known = list(vec![server("a", &[("m", listed)]), server("b", &[("m", 1)])]);
+    known.raise_versions(&BTreeMap::from([("a".into(), versions(&[("m", reported), ("other", 9)]))]));
+    assert_eq!(known, list(vec![server("a", &[("m", merged)]), server("b", &[("m", 1)])]));
 }
 
 #[test]
-fn given_a_lagging_list_when_it_is_read_then_the_known_versions_of_each_incarnation_are_retained() {
-    let lease = list(vec![server("a", &[("m", 3)]), server("b", &[("m", 3)])]);
+fn given_a_lagging_list_when_read_then_the_known_versions_of_each_incarnation_are_retained() {
+    let known = list(vec![server("a", &[("m", 3)]), server("b", &[("m", 3)])]);
     let mut read = list(vec![server("a", &[("m", 2)]), server("b2", &[("m", 2)])]);
-    read.retain_versions(&lease);
+    read.retain_versions(&known);
     assert_eq!(read, list(vec![server("a", &[("m", 3)]), server("b2", &[("m", 2)])]));
 }
