--- a/crates/rushrudder/tests/docs.rs
+++ b/crates/rushrudder/tests/docs.rs
@@ -1,10 +1,11 @@
-//! The documentation names only files and identifiers that exist.
+//! Checks that links, paths and identifiers in the documentation exist in the repository.
 
 use std::collections::HashSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Pages that tell of the code as it is. Incidents and the journal are history and are not checked.
+/// Pages that describe the current code. Reports of incidents and the journal describe the past and are not
+/// checked.
 const PAGES: [&str; 14] = [
     "README.md",
     "DEVELOPERS.md",
@@ -21,9 +22,10 @@
     "docs/POLICY.md",
     "docs/ROADMAP.md",
 ];
-/// Endings by which a word in backticks is known as a path.
+/// Endings of words in backticks that are checked as paths, if they contain a slash.
 const PATH_ENDINGS: [&str; 4] = [".rs", ".md", ".toml", ".sh"];
 
+/// Returns the root directory of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
@@ -32,20 +34,20 @@
     fs::read_to_string(root().join(page)).unwrap_or_else(|error| panic!("{page}: {error}"))
 }
 
-/// The words between backticks, outside indented blocks.
+/// Returns the text of all code spans (between backticks), except in indented blocks.
 fn code_words(text: &str) -> Vec<&str> {
     let lines = text.lines().filter(|line| !line.starts_with("    "));
     lines.flat_map(|line| line.split('`').skip(1).step_by(2)).collect()
 }
 
-/// The targets of the links.
+/// Returns the targets of all links of a page.
 fn link_targets(text: &str) -> Vec<&str> {
     text.split("](").skip(1).filter_map(|rest| rest.split(')').next()).collect()
 }
 
-/// All Rust sources of the repository.
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in fs::read_dir(folder).expect("a folder of the repository").flatten() {
+/// Adds all Rust sources below a directory to `found`, except those in build output and in the journal.
+fn sources(directory: &Path, found: &mut Vec<PathBuf>) {
+    for entry in fs::read_dir(directory).expect("the directory can be read").flatten() {
         let path = entry.path();
         let name = entry.file_name();
         if path.is_dir() && name != "target" && name != ".git" && name != "journal" {
@@ -56,7 +58,8 @@
     }
 }
 
-/// Whether a file of the repository has this path, or ends with it below a `src` folder, as pages abbreviate it.
+/// Whether a path exists, relative to the root or to `docs`. Pages abbreviate paths of sources, so it is
+/// sufficient if the path of a source ends with it.
 fn exists(path: &str, sources: &[PathBuf]) -> bool {
     let is_abbreviated = || sources.iter().any(|source| source.ends_with(path));
     root().join(path).exists() || root().join("docs").join(path).exists() || is_abbreviated()
@@ -66,10 +69,13 @@
 fn every_link_of_a_page_leads_to_a_file() {
     for page in PAGES {
         let text = read(page);
-        let folder = root().join(page).parent().expect("a page is in a folder").to_owned();
+        let directory = root().join(page).parent().expect("a page is in a directory").to_owned();
         for target in link_targets(&text) {
             let path = target.split('#').next().unwrap_or_default();
-            assert!(path.is_empty() || folder.join(path).exists(), "{page} links to {target}");
+            assert!(
+                path.is_empty() || directory.join(path).exists(),
+                "{page} links to {target}, which does not exist"
+            );
         }
     }
 }
@@ -84,7 +90,7 @@
             let is_path = PATH_ENDINGS.iter().any(|ending| word.ends_with(ending)) && word.contains('/');
             let is_pattern = word.contains(['*', '{', '<', ' ', '…']) || word.starts_with("../");
             if is_path && !is_pattern {
-                assert!(exists(word, &files), "{page} names {word}");
+                assert!(exists(word, &files), "{page} names the path {word}, which does not exist");
             }
         }
     }
@@ -96,17 +102,21 @@
     sources(&root(), &mut files);
     let mut identifiers = HashSet::new();
     for file in &files {
-        let text = fs::read_to_string(file).expect("a source");
+        let text = fs::read_to_string(file).expect("the source can be read");
         let is_separator = |letter: char| !letter.is_alphanumeric() && letter != '_';
         identifiers.extend(text.split(is_separator).map(str::to_owned));
     }
     let glossary = read("docs/GLOSSARY.md");
-    let (words_of_operators, _) = glossary.split_once("## Earlier names").expect("two parts");
-    for row in words_of_operators.lines().filter(|line| line.starts_with("| ")) {
+    let (current_names, _) =
+        glossary.split_once("## Earlier names").expect("the glossary has a section of earlier names");
+    for row in current_names.lines().filter(|line| line.starts_with("| ")) {
         let column = row.split(" | ").nth(2).unwrap_or_default();
         for word in code_words(column) {
             let identifier = word.rsplit("::").next().unwrap_or(word);
-            assert!(identifiers.contains(identifier), "the glossary names {identifier}");
+            assert!(
+                identifiers.contains(identifier),
+                "the glossary names the identifier {identifier}, which does not exist"
+            );
         }
     }
 }
--- a/crates/rushrudder/tests/golden.rs
+++ b/crates/rushrudder/tests/golden.rs
@@ -1,6 +1,8 @@
-//! Golden files: the trainers' interface to batch jobs, and the help of the command line.
+//! Golden files with the responses of the batch job interface for trainers, and with the output of the
+//! command line.
 //!
-//! What the program answers or prints has to equal the golden file byte for byte. `GOLDEN_WRITE=1` writes the files.
+//! Each response or output must be equal to its golden file, byte for byte. `GOLDEN_WRITE=1` writes the
+//! files.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -32,31 +34,32 @@
         std::fs::write(&path, actual).expect("the golden file can be written");
     }
     let expected = std::fs::read_to_string(&path).expect("the golden file exists");
-    assert_eq!(actual, expected, "{name}");
+    assert_eq!(actual, expected, "{name}: the output differs from the golden file");
 }
 
-/// A store's answer to a submitted batch job, in the order of the variants on the wire.
+/// Reply of a store to a submitted batch job. Encoded by position, as the private type in `store-plane`.
 #[derive(Clone, Serialize)]
-enum SubmitAnswer {
+enum SubmitReply {
     Accepted,
     Invalid(JobError),
-    NotTaken,
-    Unsure,
+    NotAccepted,
+    Unknown,
     #[allow(dead_code, reason = "keeps the positions of the variants on the wire")]
-    Elsewhere(StoreId),
+    Redirect(StoreId),
 }
 
-/// A store's answer about a batch job, in the order of the variants on the wire.
+/// Reply of a store to another call on a batch job. Encoded by position, as the private type in
+/// `store-plane`.
 #[derive(Clone, Serialize)]
-enum StoreAnswer<T> {
-    Is(T),
+enum OwnerReply<T> {
+    Success(T),
     NoSuchJob,
-    Unsure,
+    Unknown,
     #[allow(dead_code, reason = "keeps the positions of the variants on the wire")]
-    Elsewhere(StoreId),
+    Redirect(StoreId),
 }
 
-/// A call to a store, in the order of the fields on the wire.
+/// Call to a store. Encoded by position, as the private type in `store-plane`.
 #[derive(Deserialize)]
 struct StoreCall<T> {
     to: StoreId,
@@ -64,6 +67,7 @@
     request: T,
 }
 
+/// Request in a call that submits a batch job.
 #[derive(Deserialize)]
 struct SubmitRequest {
     host: Arc<str>,
@@ -72,20 +76,22 @@
     wait_ms: u64,
 }
 
+/// Request in a call that reads results.
 #[derive(Deserialize)]
 struct ReadRequest {
     after: u64,
     hold_ms: u64,
 }
 
-/// A store that gives one answer to each call and writes down what it was asked.
-struct OneStore {
-    answer: Result<Vec<u8>, CallError>,
+/// Transport to a store that returns the same reply to each call and records the calls as text.
+struct SingleStore {
+    reply: Result<Vec<u8>, CallError>,
     calls: std::sync::Mutex<Vec<String>>,
 }
 
-impl OneStore {
-    fn note(&self, address: &str, path: &str, request: &[u8]) {
+impl SingleStore {
+    /// Records a call as one line of text.
+    fn record_call(&self, address: &str, path: &str, request: &[u8]) {
         let line = match path {
             "/batch/submit" => {
                 let call: StoreCall<SubmitRequest> = rpc::decode(request).expect("a submission");
@@ -110,11 +116,11 @@
                 format!("to {} job {}", call.to, call.job)
             }
         };
-        self.calls.lock().expect("not poisoned").push(format!("{address}{path}: {line}"));
+        self.calls.lock().expect("the lock is not poisoned").push(format!("{address}{path}: {line}"));
     }
 }
 
-impl Transport for OneStore {
+impl Transport for SingleStore {
     fn call<'a>(
         &'a self,
         address: &'a str,
@@ -122,15 +128,16 @@
         request: Vec<u8>,
         _timeout: Duration,
     ) -> BoxFuture<'a, Result<bytes::Bytes, CallError>> {
-        self.note(address, path, &request);
-        let answer = self.answer.clone().map(bytes::Bytes::from);
-        Box::pin(async move { answer })
+        self.record_call(address, path, &request);
+        let reply = self.reply.clone().map(bytes::Bytes::from);
+        Box::pin(async move { reply })
     }
 }
 
-fn control(store: &Arc<OneStore>) -> ControlPlane {
-    let settings = NodeSettings::parse(SETTINGS).expect("valid");
-    let transport: Arc<dyn Transport> = Arc::<OneStore>::clone(store);
+/// Returns the control plane of a node for which `store` is the only store.
+fn control(store: &Arc<SingleStore>) -> ControlPlane {
+    let settings = NodeSettings::parse(SETTINGS).expect("the settings are valid");
+    let transport: Arc<dyn Transport> = Arc::<SingleStore>::clone(store);
     let clients =
         OutboundClients { rpc: rpc::Client::with_transport(transport), ..OutboundClients::http(&settings) };
     let control = ControlPlane::new(&settings, None, clients);
@@ -143,23 +150,25 @@
     control
 }
 
+/// Formats the status, headers and body of a response as text.
 async fn render_response(response: Response) -> String {
     let mut text = format!("{}\n", response.status());
     for (name, value) in response.headers() {
-        text += &format!("{name}: {}\n", value.to_str().expect("a text"));
+        text += &format!("{name}: {}\n", value.to_str().expect("valid text"));
     }
     let body = response.into_body().into_bytes().await.expect("a body");
-    text + "\n" + std::str::from_utf8(&body).expect("a text") + "\n"
+    text + "\n" + std::str::from_utf8(&body).expect("valid text") + "\n"
 }
 
-/// The answer of a node to a call while its only store answers with `answer`, and the first call to that store.
-async fn exchange(answer: Result<Vec<u8>, CallError>, request: Request) -> String {
-    let store = Arc::new(OneStore { answer, calls: std::sync::Mutex::default() });
+/// Sends a request to a node whose only store replies with `reply`. Returns the response of the node,
+/// followed by the first call to the store, as text.
+async fn response_and_call(reply: Result<Vec<u8>, CallError>, request: Request) -> String {
+    let store = Arc::new(SingleStore { reply, calls: std::sync::Mutex::default() });
     let response = JobApi::new(&control(&store)).handle(request).await;
-    let answered = render_response(response).await;
-    let calls = store.calls.lock().expect("not poisoned");
+    let response_text = render_response(response).await;
+    let calls = store.calls.lock().expect("the lock is not poisoned");
     let call = calls.first().map_or("no store was asked", String::as_str);
-    format!("{answered}\n{call}\n")
+    format!("{response_text}\n{call}\n")
 }
 
 fn request(method: Method, uri: &str) -> poem::RequestBuilder {
@@ -170,102 +179,108 @@
     request(Method::POST, "/r/jobs?a=b").header("Host", "h").header("Attempt-Id", "job-1").body(r#"{"a":1}"#)
 }
 
-fn encoded<T: Serialize>(answer: &T) -> Result<Vec<u8>, CallError> {
-    Ok(rpc::encode(answer))
+fn encode_reply<T: Serialize>(reply: &T) -> Result<Vec<u8>, CallError> {
+    Ok(rpc::encode(reply))
 }
 
 fn results_page(deliveries: &'static str) -> Result<Vec<u8>, CallError> {
-    encoded(&StoreAnswer::Is(ResultPage { total: 3, next: 2, deliveries: deliveries.into() }))
+    encode_reply(&OwnerReply::Success(ResultPage { total: 3, next: 2, deliveries: deliveries.into() }))
 }
 
 #[parameterized(
-    accepted = { "submit-accepted", SubmitAnswer::Accepted },
-    unreadable = { "submit-unreadable", SubmitAnswer::Invalid(JobError::Malformed("the cause".into())) },
-    empty = { "submit-empty", SubmitAnswer::Invalid(JobError::NoItems) },
-    repeated = { "submit-repeated-item", SubmitAnswer::Invalid(JobError::DuplicateItem("item-1".into())) },
-    bad_body = { "submit-bad-body", SubmitAnswer::Invalid(JobError::InvalidBody("item-1".into())) },
-    not_taken = { "submit-not-taken", SubmitAnswer::NotTaken },
-    unsure = { "submit-unsure", SubmitAnswer::Unsure },
+    accepted = { "submit-accepted", SubmitReply::Accepted },
+    malformed = { "submit-unreadable", SubmitReply::Invalid(JobError::Malformed("the cause".into())) },
+    no_items = { "submit-empty", SubmitReply::Invalid(JobError::NoItems) },
+    duplicate = { "submit-repeated-item", SubmitReply::Invalid(JobError::DuplicateItem("item-1".into())) },
+    invalid_body = { "submit-bad-body", SubmitReply::Invalid(JobError::InvalidBody("item-1".into())) },
+    not_accepted = { "submit-not-taken", SubmitReply::NotAccepted },
+    unknown = { "submit-unsure", SubmitReply::Unknown },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn given_a_store_answers_when_a_job_is_submitted_then_the_reply_is_golden(
+async fn given_a_reply_of_a_store_when_a_job_is_submitted_then_the_response_matches_the_golden_file(
     name: &str,
-    answer: SubmitAnswer,
+    reply: SubmitReply,
 ) {
-    let answered = exchange(encoded(&answer), submission()).await;
-    assert_golden(&format!("{name}.txt"), &answered);
+    let response_text = response_and_call(encode_reply(&reply), submission()).await;
+    assert_golden(&format!("{name}.txt"), &response_text);
 }
 
 #[parameterized(
     not_sent = { "submit-store-not-reached", CallError::NotSent("down".into()) },
-    unknown = { "submit-store-silent", CallError::Unknown("silent".into()) },
+    unknown_outcome = { "submit-store-silent", CallError::Unknown("silent".into()) },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn given_a_store_fails_when_a_job_is_submitted_then_the_reply_is_golden(name: &str, error: CallError) {
-    assert_golden(&format!("{name}.txt"), &exchange(Err(error), submission()).await);
+async fn given_a_failed_call_to_a_store_when_a_job_is_submitted_then_the_response_matches_the_golden_file(
+    name: &str,
+    error: CallError,
+) {
+    assert_golden(&format!("{name}.txt"), &response_and_call(Err(error), submission()).await);
 }
 
 #[parameterized(
-    no_id = { "submit-without-id", request(Method::POST, "/r/jobs").header("Host", "h").body("{}") },
+    no_job_id = { "submit-without-id", request(Method::POST, "/r/jobs").header("Host", "h").body("{}") },
     no_host = { "submit-without-host", request(Method::POST, "/r/jobs").header("Attempt-Id", "j").body("{}") },
     too_large = {
         "submit-too-large",
         request(Method::POST, "/r/jobs").header("Host", "h").header("Attempt-Id", "j").body(vec![b' '; 33554433])
     },
-    read_method = { "lots-wrong-method", request(Method::POST, "/api/lots/job-1").body(Body::empty()) },
+    job_method = { "lots-wrong-method", request(Method::POST, "/api/lots/job-1").body(Body::empty()) },
     item_method = { "items-wrong-method", request(Method::DELETE, "/api/items/job-1").body(Body::empty()) },
-    bad_after = { "read-bad-after", request(Method::GET, "/api/lots/job-1?after=x").body(Body::empty()) },
-    no_item = { "body-without-id", request(Method::GET, "/api/items/job-1?after=x").body(Body::empty()) },
+    invalid_after = { "read-bad-after", request(Method::GET, "/api/lots/job-1?after=x").body(Body::empty()) },
+    no_item_id = { "body-without-id", request(Method::GET, "/api/items/job-1?after=x").body(Body::empty()) },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn given_a_faulty_call_when_handled_then_the_reply_is_golden(name: &str, request: Request) {
-    let answered = exchange(encoded(&SubmitAnswer::Accepted), request).await;
-    assert_golden(&format!("{name}.txt"), &answered);
+async fn given_an_invalid_request_when_handled_then_the_response_matches_the_golden_file(
+    name: &str,
+    request: Request,
+) {
+    let response_text = response_and_call(encode_reply(&SubmitReply::Accepted), request).await;
+    assert_golden(&format!("{name}.txt"), &response_text);
 }
 
 #[parameterized(
     page = { "read-page", results_page(r#"[{"id":"item-1","state":"delivered"}]"#) },
-    bad_page = { "read-unreadable-page", results_page("[{") },
-    no_such_job = { "read-no-such-job", encoded(&StoreAnswer::<ResultPage>::NoSuchJob) },
-    unsure = { "read-unsure", encoded(&StoreAnswer::<ResultPage>::Unsure) },
+    invalid_page = { "read-unreadable-page", results_page("[{") },
+    no_such_job = { "read-no-such-job", encode_reply(&OwnerReply::<ResultPage>::NoSuchJob) },
+    unknown = { "read-unsure", encode_reply(&OwnerReply::<ResultPage>::Unknown) },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn given_a_store_answers_when_results_are_read_then_the_reply_is_golden(
+async fn given_a_reply_of_a_store_when_results_are_read_then_the_response_matches_the_golden_file(
     name: &str,
-    answer: Result<Vec<u8>, CallError>,
+    reply: Result<Vec<u8>, CallError>,
 ) {
     let read =
         request(Method::GET, "/api/lots/job-1?x=1&after=1").header("Hold-Ms", "9000").body(Body::empty());
-    assert_golden(&format!("{name}.txt"), &exchange(answer, read).await);
+    assert_golden(&format!("{name}.txt"), &response_and_call(reply, read).await);
 }
 
 #[parameterized(
-    body = { "body-found", StoreAnswer::Is(Some("the body".into())) },
-    no_item = { "body-no-such-item", StoreAnswer::Is(None) },
-    no_such_job = { "body-no-such-job", StoreAnswer::NoSuchJob },
-    unsure = { "body-unsure", StoreAnswer::Unsure },
+    body = { "body-found", OwnerReply::Success(Some("the body".into())) },
+    no_such_item = { "body-no-such-item", OwnerReply::Success(None) },
+    no_such_job = { "body-no-such-job", OwnerReply::NoSuchJob },
+    unknown = { "body-unsure", OwnerReply::Unknown },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn given_a_store_answers_when_a_body_is_read_then_the_reply_is_golden(
+async fn given_a_reply_of_a_store_when_a_body_is_read_then_the_response_matches_the_golden_file(
     name: &str,
-    answer: StoreAnswer<Option<bytes::Bytes>>,
+    reply: OwnerReply<Option<bytes::Bytes>>,
 ) {
     let read = request(Method::GET, "/api/items/job-1?id=item-1").body(Body::empty());
-    assert_golden(&format!("{name}.txt"), &exchange(encoded(&answer), read).await);
+    assert_golden(&format!("{name}.txt"), &response_and_call(encode_reply(&reply), read).await);
 }
 
 #[parameterized(
-    ended = { "end-ended", StoreAnswer::Is(()) },
-    no_such_job = { "end-no-such-job", StoreAnswer::NoSuchJob },
-    unsure = { "end-unsure", StoreAnswer::Unsure },
+    ended = { "end-ended", OwnerReply::Success(()) },
+    no_such_job = { "end-no-such-job", OwnerReply::NoSuchJob },
+    unknown = { "end-unsure", OwnerReply::Unknown },
 )]
 #[test_macro(tokio::test(start_paused = true))]
-async fn given_a_store_answers_when_a_job_is_ended_then_the_reply_is_golden(
+async fn given_a_reply_of_a_store_when_a_job_is_ended_then_the_response_matches_the_golden_file(
     name: &str,
-    answer: StoreAnswer<()>,
+    reply: OwnerReply<()>,
 ) {
     let end = request(Method::DELETE, "/api/lots/job-1").body(Body::empty());
-    assert_golden(&format!("{name}.txt"), &exchange(encoded(&answer), end).await);
+    assert_golden(&format!("{name}.txt"), &response_and_call(encode_reply(&reply), end).await);
 }
 
 #[parameterized(
@@ -274,17 +289,19 @@
     store = { "help-store", &["store", "--help"] },
     local = { "help-local", &["local", "--help"] },
     check = { "help-check", &["check", "--help"] },
-    nothing = { "no-arguments", &[] },
-    check_of_nothing = { "check-without-file", &["check"] },
+    no_arguments = { "no-arguments", &[] },
+    check_without_file = { "check-without-file", &["check"] },
     unknown_command = { "unknown-command", &["unknown"] },
     unknown_option = { "unknown-option", &["node", "--unknown"] },
 )]
-fn given_arguments_when_the_program_runs_then_its_output_is_golden(name: &str, arguments: &[&str]) {
+fn given_arguments_when_the_program_runs_then_its_output_matches_the_golden_file(
+    name: &str,
+    arguments: &[&str],
+) {
     let program = env!("CARGO_BIN_EXE_rushrudder");
-    let output = Command::new(program).args(arguments).output().expect("it runs");
-    let code = output.status.code().expect("no signal");
-    let (printed, failed) =
-        (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
-    let rendered = format!("exit code {code}\n--- standard output\n{printed}--- standard error\n{failed}");
+    let output = Command::new(program).args(arguments).output().expect("the program can be started");
+    let code = output.status.code().expect("the program was not ended by a signal");
+    let (stdout, stderr) = (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
+    let rendered = format!("exit code {code}\n--- standard output\n{stdout}--- standard error\n{stderr}");
     assert_golden(&format!("{name}.txt"), &rendered.replace(program, "rushrudder"));
 }
--- a/crates/rushrudder/tests/stored_data.rs
+++ b/crates/rushrudder/tests/stored_data.rs
@@ -1,7 +1,8 @@
-//! Data folders that a released program has written are opened by this one.
+//! Compatibility with stored data: opens data directories that a released program has written.
 //!
-//! `golden/stored_data/` holds the disks of three nodes and three stores as the program of commit fe88581 left them at the
-//! end of `rushrudder local --steps 5`, deflated, and what that program read from them. Neither may ever change.
+//! `golden/stored_data/` contains the journals of three nodes and three stores, as the program of commit
+//! fe88581 left them at the end of `rushrudder local --steps 5`, in deflate format. For each journal, a text
+//! file contains what that program read from it. These files must never change.
 
 use std::fmt::Write as _;
 use std::io::Read;
@@ -13,31 +14,38 @@
 use storage::{Journal, Recovered, RingOptions};
 use yare::parameterized;
 
-const NODE_DISK: RingOptions = RingOptions { segment_bytes: NODE_SEGMENT_BYTES, segments: NODE_SEGMENTS };
-const STORE_DISK: RingOptions = RingOptions { segment_bytes: STORE_SEGMENT_BYTES, segments: STORE_SEGMENTS };
+/// Size of the journal of a node.
+const NODE_JOURNAL: RingOptions = RingOptions { segment_bytes: NODE_SEGMENT_BYTES, segments: NODE_SEGMENTS };
+/// Size of the journal of a store.
+const STORE_JOURNAL: RingOptions =
+    RingOptions { segment_bytes: STORE_SEGMENT_BYTES, segments: STORE_SEGMENTS };
 const NODE_SEGMENT_BYTES: u64 = 2 * 1024 * 1024;
 const NODE_SEGMENTS: usize = 8;
 const STORE_SEGMENT_BYTES: u64 = 16 * 1024 * 1024;
-/// Of a store with a disk of 500 MB.
+/// Number of journal segments of a store with a disk of 500 MB.
 const STORE_SEGMENTS: usize = 20;
 
+/// Returns the path of a golden file.
 fn golden(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/stored_data").join(name)
 }
 
-/// A folder for temporary files, removed when it is dropped.
-struct Folder(PathBuf);
+/// A temporary directory, which is removed when the value is dropped.
+struct TemporaryDirectory(PathBuf);
 
-impl Folder {
-    /// A folder that holds the stored disk of a process.
-    fn with_disk_of(process: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("stored-data-{process}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder for temporary files can be made");
-        let deflated = std::fs::read(golden(&format!("{process}.ring-000.deflate"))).expect("a golden file");
+impl TemporaryDirectory {
+    /// Creates a directory with the stored journal of a process.
+    fn with_journal_of(process: &str) -> Self {
+        let directory = std::env::temp_dir().join(format!("stored-data-{process}-{}", std::process::id()));
+        std::fs::create_dir_all(&directory).expect("the directory can be created");
+        let deflated =
+            std::fs::read(golden(&format!("{process}.ring-000.deflate"))).expect("the golden file exists");
         let mut ring = Vec::new();
-        flate2::read::DeflateDecoder::new(&*deflated).read_to_end(&mut ring).expect("a deflated file");
-        std::fs::write(folder.join("ring-000"), ring).expect("the folder can be written");
-        Self(folder)
+        flate2::read::DeflateDecoder::new(&*deflated)
+            .read_to_end(&mut ring)
+            .expect("the golden file can be decompressed");
+        std::fs::write(directory.join("ring-000"), ring).expect("the directory can be written");
+        Self(directory)
     }
 
     fn path(&self) -> &Path {
@@ -45,16 +53,17 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn open(folder: &Folder, options: RingOptions) -> (Journal, Recovered) {
+/// Opens the journal in a directory, and checks that it existed and contains records.
+fn open(directory: &TemporaryDirectory, options: RingOptions) -> (Journal, Recovered) {
     let (journal, recovered) =
-        Journal::open(folder.path(), options).expect("the disk of fe88581 can be opened");
-    assert!(!recovered.is_new, "the ring was there before");
+        Journal::open(directory.path(), options).expect("the journal of commit fe88581 can be opened");
+    assert!(!recovered.is_new, "the journal existed before");
     assert!(!recovered.records.is_empty());
     (journal, recovered)
 }
@@ -63,7 +72,7 @@
     if std::env::var_os("GOLDEN_WRITE").is_some() {
         std::fs::write(golden(name), actual).expect("the golden file can be written");
     }
-    assert_eq!(actual, std::fs::read_to_string(golden(name)).expect("a golden file"));
+    assert_eq!(actual, std::fs::read_to_string(golden(name)).expect("the golden file exists"));
 }
 
 #[parameterized(
@@ -71,13 +80,15 @@
     node_2 = { "node-2" },
     node_3 = { "node-3" },
 )]
-fn the_committed_control_state_of_an_acceptor_is_read(process: &str) {
-    let folder = Folder::with_disk_of(process);
-    let (journal, recovered) = open(&folder, NODE_DISK);
+fn given_the_stored_journal_of_a_node_when_opened_then_the_committed_control_state_is_recovered(
+    process: &str,
+) {
+    let directory = TemporaryDirectory::with_journal_of(process);
+    let (journal, recovered) = open(&directory, NODE_JOURNAL);
     let incarnation = Incarnation(recovered.incarnation);
     let acceptor = AcceptorService::new(journal, incarnation, &recovered.records);
     assert!(acceptor.is_initialized());
-    let committed = acceptor.committed().expect("a committed value");
+    let committed = acceptor.committed().expect("a value is committed");
     let state = &committed.value;
     assert!(state.acceptors.iter().any(|member| member.incarnation == incarnation));
     let text = format!(
@@ -91,7 +102,7 @@
         state.acceptors.len(),
         state.stores.members.len(),
         state.stores.epoch,
-        state.configuration.text().expect("a document that can be unpacked"),
+        state.configuration.text().expect("the document can be decompressed"),
     );
     assert_golden(&format!("{process}.txt"), &text);
 }
@@ -101,11 +112,13 @@
     store_2 = { "store-2" },
     store_3 = { "store-3" },
 )]
-fn the_logs_of_all_batch_jobs_of_a_store_are_read(process: &str) {
-    let folder = Folder::with_disk_of(process);
-    let (_journal, recovered) = open(&folder, STORE_DISK);
+fn given_the_stored_journal_of_a_store_when_opened_then_the_logs_of_all_batch_jobs_are_recovered(
+    process: &str,
+) {
+    let directory = TemporaryDirectory::with_journal_of(process);
+    let (_journal, recovered) = open(&directory, STORE_JOURNAL);
     let decode =
-        |(_, bytes): (_, Vec<u8>)| rpc::decode::<Vec<Record>>(&bytes).expect("records of batch jobs");
+        |(_, bytes): (_, Vec<u8>)| rpc::decode::<Vec<Record>>(&bytes).expect("the record can be decoded");
     let replicas = Replicas::recover(recovered.records.into_iter().flat_map(decode));
     let mut text = format!("epoch {}\n", replicas.epoch());
     for (job, log) in replicas.logs() {
--- a/crates/rushrudder/tests/unreadable_records.rs
+++ b/crates/rushrudder/tests/unreadable_records.rs
@@ -1,4 +1,5 @@
-//! A disk with a record that cannot be decoded counts as lost; a record that a loss of power has torn does not.
+//! Recovery of a journal with damaged records. A disk with a record that cannot be decoded counts as lost; a
+//! disk whose last record was torn by a loss of power does not.
 
 use std::path::Path;
 
@@ -12,20 +13,21 @@
 const DIRECTORY: &str = "/data";
 const OPTIONS: RingOptions = RingOptions { segment_bytes: 4096, segments: 4 };
 
+/// Opens the journal on a simulated disk as an acceptor does, with a new journal if the disk counts as lost.
 fn open(disk: &SimulatedDisk) -> (Journal, Recovered) {
     let file_system = disk.file_system();
     let open = || Journal::open_inline(disk.file_system(), Path::new(DIRECTORY), OPTIONS);
     let opened: Result<_, Report<StorageError>> =
         open_or_set_aside(&*file_system, Path::new(DIRECTORY), check_acceptor_record, open);
-    opened.expect("it opens")
+    opened.expect("the journal can be opened")
 }
 
-/// A record that an acceptor wrote: a promise of round 0.
+/// Valid record of an acceptor: a promise of round 0.
 const PROMISE: &[u8] = &[0, 0, 0];
 
 #[parameterized(
-    of_another_build = { b"a record of another build" },
-    with_bytes_behind_it = { &[0, 0, 0, 0] },
+    unknown_format = { b"a record of another build" },
+    excess_bytes = { &[0, 0, 0, 0] },
     empty = { b"" },
 )]
 fn given_a_record_that_cannot_be_decoded_when_the_disk_is_opened_then_it_counts_as_lost(record: &[u8]) {
@@ -37,8 +39,11 @@
     let (journal, second) = open(&disk);
     assert!(second.is_new && second.incarnation != first.incarnation, "{second:?}");
     assert!(second.records.is_empty(), "{second:?}");
-    let names = disk.file_system().list(Path::new(DIRECTORY)).expect("it can be listed");
-    assert!(names.iter().any(|name| name == "unreadable-ring-000"), "the bytes stay: {names:?}");
+    let names = disk.file_system().list(Path::new(DIRECTORY)).expect("the directory can be listed");
+    assert!(
+        names.iter().any(|name| name == "unreadable-ring-000"),
+        "the files of the old journal are kept: {names:?}"
+    );
     drop(journal.append(PROMISE.to_vec()));
     drop(journal);
     let (_, third) = open(&disk);
@@ -58,12 +63,16 @@
 }
 
 #[test]
-fn given_a_set_aside_that_was_interrupted_when_the_disk_is_opened_then_it_counts_as_lost() {
+fn given_an_interrupted_set_aside_when_the_disk_is_opened_then_it_counts_as_lost() {
     let disk = SimulatedDisk::new(3);
     let (journal, first) = open(&disk);
     drop(journal.append(PROMISE.to_vec()));
     drop(journal);
-    drop(disk.file_system().open(&Path::new(DIRECTORY).join("setting-aside")).expect("it can be created"));
+    drop(
+        disk.file_system()
+            .open(&Path::new(DIRECTORY).join("setting-aside"))
+            .expect("the file can be created"),
+    );
     let (_, second) = open(&disk);
     assert!(second.is_new && second.incarnation != first.incarnation);
 }
