--- a/crates/rushrudder/src/cli/check.rs
+++ b/crates/rushrudder/src/cli/check.rs
@@ -59,11 +59,11 @@
 
 /// Checks a file with `check`, and prints the error if there is one. Returns whether the file is valid.
 fn check_file(path: &Path, check: fn(&Path) -> Result<(), CheckError>) -> bool {
-    let checked = check(path);
-    if let Err(error) = &checked {
+    let result = check(path);
+    if let Err(error) = &result {
         eprintln!("{}: {error}", path.display());
     }
-    checked.is_ok()
+    result.is_ok()
 }
 
 fn check_settings(path: &Path) -> Result<(), CheckError> {
--- a/crates/rushrudder/src/cli/local.rs
+++ b/crates/rushrudder/src/cli/local.rs
@@ -74,7 +74,7 @@
         let mut signals = Signals::listen().map_err(|_| LocalError::Interrupted)?;
         // Dropping the future of the run ends the processes of the fleet.
         tokio::select! {
-            ended = local_fleet::run(options, |line| eprintln!("{line}")) => ended,
+            result = local_fleet::run(options, |line| eprintln!("{line}")) => result,
             _ = signals.next() => Err(LocalError::Interrupted),
             _ = tokio::signal::ctrl_c() => Err(LocalError::Interrupted),
         }
--- a/crates/rushrudder/src/cli/logging.rs
+++ b/crates/rushrudder/src/cli/logging.rs
@@ -18,11 +18,11 @@
 /// The standard formats are not suitable for logs. The `Debug` format is a tree of several lines with
 /// terminal escape codes, and the `Display` format lacks the causes.
 pub fn single_line<Error>(report: &Report<Error>) -> String {
-    let parts: Vec<String> = report.frames().filter_map(|frame| text_of(frame.kind())).collect();
+    let parts: Vec<String> = report.frames().filter_map(|frame| frame_text(frame.kind())).collect();
     parts.join(": ").lines().collect::<Vec<_>>().join(" ")
 }
 
-fn text_of(kind: FrameKind<'_>) -> Option<String> {
+fn frame_text(kind: FrameKind<'_>) -> Option<String> {
     match kind {
         FrameKind::Context(error) => Some(error.to_string()),
         FrameKind::Attachment(AttachmentKind::Printable(attachment)) => Some(attachment.to_string()),
--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -74,11 +74,11 @@
     check: RecordCheck,
     mut open: impl FnMut() -> Result<(T, Recovered), Report<StorageError>>,
 ) -> Result<(T, Recovered), Report<StorageError>> {
-    let in_folder = |error| {
-        let folder = format!("folder {}", directory.display());
-        Report::new(StorageError::from(error)).attach(folder)
+    let with_directory = |error| {
+        let attachment = format!("folder {}", directory.display());
+        Report::new(StorageError::from(error)).attach(attachment)
     };
-    let is_interrupted = storage::is_set_aside_interrupted(file_system, directory).map_err(in_folder)?;
+    let is_interrupted = storage::is_set_aside_interrupted(file_system, directory).map_err(with_directory)?;
     if !is_interrupted {
         match open() {
             Ok((journal, recovered)) => match first_unreadable(&recovered, check) {
@@ -99,7 +99,7 @@
             Err(error) => return Err(error),
         }
     }
-    storage::set_aside(file_system, directory).map_err(in_folder)?;
+    storage::set_aside(file_system, directory).map_err(with_directory)?;
     log::warn!(
         "the files of the journal in {} were set aside; a new journal is created",
         directory.display()
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -144,8 +144,8 @@
     if !known.any(|store| store.member.name == name) {
         return Err(ChangeRejected::UnknownMember);
     }
-    let stays = |other: &str| other != name && !state.draining.contains_key(other);
-    let remaining = state.stores.members.iter().filter(|store| stays(&store.member.name)).count();
+    let will_remain = |other: &str| other != name && !state.draining.contains_key(other);
+    let remaining = state.stores.members.iter().filter(|store| will_remain(&store.member.name)).count();
     if remaining < state.stores.replication_factor {
         return Err(ChangeRejected::TooFewStores);
     }
--- a/crates/state/src/change/reachability.rs
+++ b/crates/state/src/change/reachability.rs
@@ -59,9 +59,9 @@
             self.missed_rounds.clear();
             return;
         }
-        let before = std::mem::take(&mut self.missed_rounds);
+        let previous_rounds = std::mem::take(&mut self.missed_rounds);
         for member in monitored_members(state) {
-            let missed = before.get(&member.incarnation).copied().unwrap_or(0) + 1;
+            let missed = previous_rounds.get(&member.incarnation).copied().unwrap_or(0) + 1;
             let missed = if responders.contains(member) { 0 } else { missed };
             self.missed_rounds.insert(member.incarnation, missed);
         }
--- a/crates/state/src/change/reconcile.rs
+++ b/crates/state/src/change/reconcile.rs
@@ -69,9 +69,9 @@
         return None;
     }
     next.previous_stores = None;
-    let present = &next.stores.members;
+    let current_stores = &next.stores.members;
     for (name, drain) in &mut next.draining {
-        if !present.iter().any(|store| store.member.name == *name) {
+        if !current_stores.iter().any(|store| store.member.name == *name) {
             *drain = DrainState::Drained;
         }
     }
@@ -112,8 +112,8 @@
         return None;
     }
     let is_draining = |store: &StoreMember| next.draining.contains_key(&store.member.name);
-    let drained = next.stores.members.iter().position(is_draining)?;
-    next.migrate_stores(|members| drop(members.remove(drained)));
+    let draining_index = next.stores.members.iter().position(is_draining)?;
+    next.migrate_stores(|members| drop(members.remove(draining_index)));
     next.stores.target_size = next.stores.target_size.min(next.stores.members.len());
     Some(())
 }
@@ -138,18 +138,18 @@
         return None;
     }
     let has_failed = |store: &StoreMember| observed.reachability.may_be_removed(&store.member);
-    let failed = next.stores.members.iter().position(has_failed)?;
-    next.migrate_stores(|members| drop(members.remove(failed)));
+    let failed_index = next.stores.members.iter().position(has_failed)?;
+    next.migrate_stores(|members| drop(members.remove(failed_index)));
     Some(())
 }
 
 /// Removes standbys and joining stores that have failed. A machine that returns registers again.
 fn remove_unresponsive_waiting(next: &mut ControlState, observed: &Observation) -> Option<()> {
     let is_kept = |member: &Member| !observed.reachability.may_be_removed(member);
-    let before = next.standbys.len() + next.joining_stores.len();
+    let previous_count = next.standbys.len() + next.joining_stores.len();
     next.standbys.retain(is_kept);
     next.joining_stores.retain(|store| is_kept(&store.member));
-    (next.standbys.len() + next.joining_stores.len() < before).then_some(())
+    (next.standbys.len() + next.joining_stores.len() < previous_count).then_some(())
 }
 
 /// Returns the joining stores that reply to pings.
@@ -160,6 +160,6 @@
 
 /// Removes the machines that have become stores from the joining stores.
 fn remove_joined(next: &mut ControlState) {
-    let present = &next.stores.members;
-    next.joining_stores.retain(|store| !present.contains(store));
+    let current_stores = &next.stores.members;
+    next.joining_stores.retain(|store| !current_stores.contains(store));
 }
--- a/crates/state/src/server_list.rs
+++ b/crates/state/src/server_list.rs
@@ -147,12 +147,12 @@
     /// lists afterwards.
     pub fn retain_versions(&mut self, earlier: &Self) {
         for server in &mut self.servers {
-            let before = earlier.servers.binary_search_by(|other| other.id.cmp(&server.id));
-            if let Ok(index) = before {
-                let before = &earlier.servers[index];
-                server.raise_versions(&before.models);
-                if server == before {
-                    server.clone_from(before);
+            let position = earlier.servers.binary_search_by(|other| other.id.cmp(&server.id));
+            if let Ok(index) = position {
+                let earlier_entry = &earlier.servers[index];
+                server.raise_versions(&earlier_entry.models);
+                if server == earlier_entry {
+                    server.clone_from(earlier_entry);
                 }
             }
         }
--- a/crates/state/tests/operator.rs
+++ b/crates/state/tests/operator.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn given_a_target_version_when_it_or_a_lower_one_is_named_again_then_nothing_changes() {
+fn given_a_target_version_when_it_or_a_lower_one_is_set_again_then_the_state_is_unchanged() {
     let state = with_target_version(&system(3), "m", 2).expect("the version is set");
     let state = with_target_version(&state, "m", 3).expect("the version is set");
     for version in [1, 2, 3] {
