--- a/crates/rushrudder/src/job_api.rs
+++ b/crates/rushrudder/src/job_api.rs
@@ -44,8 +44,11 @@
 /// JSON body of the response to a read: the results of a batch job from the requested position on.
 #[derive(Serialize)]
 struct ResultsReply<'a> {
+    /// Number of items of the batch job.
     total: u32,
+    /// Position after the last result in `deliveries`; the next read starts there.
     next: u64,
+    /// JSON array of the results.
     deliveries: &'a RawValue,
 }
 
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -26,8 +26,8 @@
 /// Time after SIGTERM for which new connections are still accepted. The platform directs clients to the node
 /// until two readiness checks have failed.
 const ACCEPT_WHILE_DRAINING: Duration = Duration::from_millis(2500);
-/// Part of the platform's termination grace period that is reserved for the exit of the process. Requests
-/// have to be finished before.
+/// Part of the platform's termination grace period that is reserved for the exit of the process. The
+/// drain timeout ends before it.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
 /// Runs a traffic node until the process receives SIGTERM, then shuts down gracefully.
--- a/crates/rushrudder/src/signals.rs
+++ b/crates/rushrudder/src/signals.rs
@@ -21,7 +21,8 @@
 }
 
 impl Signals {
-    /// Registers for SIGTERM and SIGHUP. From then on they no longer end the process by default.
+    /// Registers for SIGTERM and SIGHUP. From then on, these signals no longer terminate the process by
+    /// themselves.
     ///
     /// # Errors
     ///
--- a/crates/rushrudder/src/store.rs
+++ b/crates/rushrudder/src/store.rs
@@ -56,7 +56,8 @@
     Ok(())
 }
 
-/// The parts of a store that replicate batch jobs. The items of owned jobs are run elsewhere.
+/// The parts of a store that replicate batch jobs. The items of owned jobs are run by the caller,
+/// which receives these jobs from [`BatchStore::new`].
 pub struct BatchStore {
     /// Control plane of the store, without an acceptor.
     pub control: ControlPlane,
--- a/crates/rushrudder/tests/golden.rs
+++ b/crates/rushrudder/tests/golden.rs
@@ -24,8 +24,11 @@
 use store_plane::ResultPage;
 use yare::parameterized;
 
+/// Internal address of the only store.
 const STORE_ADDRESS: &str = "10.1.0.13:7660";
+/// Id of the only store, which is the incarnation of its disk.
 const STORE: StoreId = 77;
+/// Minimal settings of a node.
 const SETTINGS: &str = "station = \"node-1\"\nip = \"10.1.0.12\"\ninnerPorts = [7660, 7675]\n";
 
 fn assert_golden(name: &str, actual: &str) {
@@ -94,7 +97,8 @@
     fn record_call(&self, address: &str, path: &str, request: &[u8]) {
         let line = match path {
             "/batch/submit" => {
-                let call: StoreCall<SubmitRequest> = rpc::decode(request).expect("a submission");
+                let call: StoreCall<SubmitRequest> =
+                    rpc::decode(request).expect("the request is a submission");
                 let SubmitRequest { host, path, body, wait_ms } = call.request;
                 let body = String::from_utf8_lossy(&body).into_owned();
                 format!(
@@ -103,16 +107,16 @@
                 )
             }
             "/batch/read" => {
-                let call: StoreCall<ReadRequest> = rpc::decode(request).expect("a read");
+                let call: StoreCall<ReadRequest> = rpc::decode(request).expect("the request is a read");
                 let ReadRequest { after, hold_ms } = call.request;
                 format!("to {} job {} after {after} hold_ms {hold_ms}", call.to, call.job)
             }
             "/batch/body" => {
-                let call: StoreCall<String> = rpc::decode(request).expect("a read of a body");
+                let call: StoreCall<String> = rpc::decode(request).expect("the request reads a body");
                 format!("to {} job {} item {}", call.to, call.job, call.request)
             }
             _ => {
-                let call: StoreCall<()> = rpc::decode(request).expect("a call without content");
+                let call: StoreCall<()> = rpc::decode(request).expect("the call has no content");
                 format!("to {} job {}", call.to, call.job)
             }
         };
@@ -156,7 +160,7 @@
     for (name, value) in response.headers() {
         text += &format!("{name}: {}\n", value.to_str().expect("valid text"));
     }
-    let body = response.into_body().into_bytes().await.expect("a body");
+    let body = response.into_body().into_bytes().await.expect("the body can be read");
     text + "\n" + std::str::from_utf8(&body).expect("valid text") + "\n"
 }
 
@@ -172,9 +176,10 @@
 }
 
 fn request(method: Method, uri: &str) -> poem::RequestBuilder {
-    Request::builder().method(method).uri(uri.parse().expect("a URI"))
+    Request::builder().method(method).uri(uri.parse().expect("the URI is valid"))
 }
 
+/// Returns a valid request that submits the batch job `job-1`.
 fn submission() -> Request {
     request(Method::POST, "/r/jobs?a=b").header("Host", "h").header("Attempt-Id", "job-1").body(r#"{"a":1}"#)
 }
@@ -183,6 +188,7 @@
     Ok(rpc::encode(reply))
 }
 
+/// Returns the encoded reply of a store with a page of results.
 fn results_page(deliveries: &'static str) -> Result<Vec<u8>, CallError> {
     encode_reply(&OwnerReply::Success(ResultPage { total: 3, next: 2, deliveries: deliveries.into() }))
 }
--- a/crates/state/src/change/bootstrap.rs
+++ b/crates/state/src/change/bootstrap.rs
@@ -8,7 +8,7 @@
 ///
 /// `tolerated_failures` is the number n of machines whose loss the system must survive. The intended number
 /// of acceptors, and of replicas of each batch job, is 2n + 1. The intended numbers of acceptors and of
-/// stores are larger if more machines are given.
+/// stores are larger if more machines are given. While there are fewer machines, all of them are used.
 #[must_use]
 pub fn initial_state(
     acceptors: Vec<Member>,
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -19,7 +19,7 @@
     Patch,
 }
 
-/// Why the committed state rejects a change.
+/// Reason for which the committed control state rejects a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeRejected {
     /// The same change was applied before.
--- a/crates/state/src/change/stores.rs
+++ b/crates/state/src/change/stores.rs
@@ -12,9 +12,10 @@
 /// While a migration is in progress, the replacement of a former incarnation keeps the previous set. This is
 /// safe for the following reasons. Replicas are placed by member name, so the replicas of a batch job change
 /// only by such replacements, and a former incarnation no longer replies. Let d of the n replicas of a job be
-/// replaced. A majority of the original replicas that reply lies within the n - d others. A majority of the
-/// replicas after any of the replacements contains more than n / 2 - d of these n - d. The two majorities
-/// therefore have one of them in common.
+/// replaced. Of the original replicas, only the n - d that were not replaced still reply, so a majority of
+/// the original replicas consists of more than n / 2 of these n - d. A majority of the replicas after any of
+/// the replacements contains more than n / 2 - d of them. These are more than n - d in sum, so the two
+/// majorities have a replica in common that was not replaced.
 ///
 /// # Errors
 ///
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -26,6 +26,7 @@
     content: Arc<Content>,
 }
 
+/// The data that all clones of a document share.
 #[derive(Default)]
 struct Content {
     /// 128-bit XXH3 digest of the text; 0 for the empty text.
--- a/crates/state/tests/golden.rs
+++ b/crates/state/tests/golden.rs
@@ -47,7 +47,10 @@
 
 fn parse_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex");
+    let byte = |pair: &[u8]| {
+        u8::from_str_radix(std::str::from_utf8(pair).expect("the digits are ASCII"), 16)
+            .expect("the digits are hexadecimal")
+    };
     digits.chunks(2).map(byte).collect()
 }
 
@@ -105,7 +108,7 @@
     ServerEntry {
         id: id.into(),
         service: "engine".into(),
-        address: "10.1.2.3:8080".parse().expect("an address"),
+        address: "10.1.2.3:8080".parse().expect("the address is valid"),
         zone: "z1".into(),
         slots: 300,
         condition,
@@ -116,7 +119,7 @@
 
 fn server_list() -> ServerList {
     let over_ipv6 = ServerEntry {
-        address: "[::1]:80".parse().expect("an address"),
+        address: "[::1]:80".parse().expect("the address is valid"),
         ..entry("b", ServerCondition::Closing)
     };
     ServerList {
@@ -146,9 +149,6 @@
     for (condition, text) in [(ServerCondition::Open, "\"open\""), (ServerCondition::Closing, "\"closing\"")]
     {
         assert_eq!(serde_json::to_string(&condition).expect("the value can be serialized"), text);
-        assert_eq!(
-            serde_json::from_str::<ServerCondition>(text).expect("the golden file can be decoded"),
-            condition
-        );
+        assert_eq!(serde_json::from_str::<ServerCondition>(text).expect("the name can be parsed"), condition);
     }
 }
--- a/crates/state/tests/leader_lease.rs
+++ b/crates/state/tests/leader_lease.rs
@@ -60,8 +60,8 @@
     assert_eq!((lease.fence_for_orders_at(at(100)), lease.order_issuer_due(at(100))), (Some(1), None));
 }
 
-/// Orders that the process sent before its restart may still arrive until the time `not_before`, here 1000
-/// ms.
+/// Until the time `not_before`, here 1000 ms, orders that the process sent before its restart may still
+/// arrive.
 #[test]
 fn given_a_restarted_leader_when_it_leads_again_then_it_sends_no_orders_before_not_before() {
     let state =
