--- a/crates/simulator/src/bin/simulate.rs
+++ b/crates/simulator/src/bin/simulate.rs
@@ -85,7 +85,7 @@
 }
 
 /// Plays seeds on several threads.
-struct Campaign<'a> {
+struct SeedRunner<'a> {
     options: &'a SimulateOptions,
     setup: &'a Setup,
     next_seed: AtomicU64,
@@ -109,7 +109,7 @@
     };
     match options.fault_count {
         Some(count) => replay(&options, &setup, count),
-        None => Campaign::new(&options, &setup).run(),
+        None => SeedRunner::new(&options, &setup).run(),
     }
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-impl<'a> Campaign<'a> {
+impl<'a> SeedRunner<'a> {
     fn new(options: &'a SimulateOptions, setup: &'a Setup) -> Self {
         Self {
             options,
@@ -146,7 +146,7 @@
     fn run(&self) -> ExitCode {
         std::thread::scope(|scope| {
             for _ in 0..self.options.thread_count() {
-                scope.spawn(|| self.play_seeds());
+                scope.spawn(|| self.run_seeds());
             }
             scope.spawn(|| self.print_progress());
         });
@@ -155,7 +155,7 @@
         match totals.failed.first() {
             None => ExitCode::SUCCESS,
             Some((seed, _)) => {
-                self.print_shortest(*seed);
+                self.print_shortest_failure(*seed);
                 ExitCode::FAILURE
             }
         }
@@ -173,7 +173,7 @@
         self.is_stopped.load(Ordering::Relaxed)
     }
 
-    fn play_seeds(&self) {
+    fn run_seeds(&self) {
         let end = self.options.first.saturating_add(self.options.seeds);
         loop {
             let seed = self.next_seed.fetch_add(1, Ordering::Relaxed);
@@ -185,10 +185,10 @@
         }
     }
 
-    fn record(&self, seed: u64, played: Result<RunSummary, FailedRun>) {
+    fn record(&self, seed: u64, result: Result<RunSummary, FailedRun>) {
         let mut totals = self.totals();
         totals.runs += 1;
-        match played {
+        match result {
             Ok(summary) => totals.summary = sum(totals.summary, summary),
             Err(failed) => {
                 println!("seed {seed}: {:.3} s: {}", failed.at.as_secs_f64(), failed.violation);
@@ -229,7 +229,7 @@
     }
 
     /// Prints the fewest faults with which a seed still breaks a rule, and how to replay them.
-    fn print_shortest(&self, seed: u64) {
+    fn print_shortest_failure(&self, seed: u64) {
         let faults = self.options.faults(seed, self.setup);
         let Some((count, failed)) = shrink(seed, self.setup, &faults) else { return };
         println!("seed {seed}, the first {count} of {} faults: {}", faults.len(), failed.violation);
--- a/crates/simulator/src/external_requests.rs
+++ b/crates/simulator/src/external_requests.rs
@@ -29,16 +29,16 @@
     /// Read the configuration back.
     Read,
     /// Name a version of a model, which is then rolled out.
-    Name {
+    SetTargetVersion {
         /// The model.
         model: String,
         /// The version.
         version: u64,
     },
     /// Drain a store.
-    Retire(String),
+    Drain(String),
     /// Read whether a store is drained.
-    ReadRetirement(String),
+    ReadDrain(String),
 }
 
 /// A call of a trainer about a batch job.
@@ -89,7 +89,7 @@
 }
 
 #[derive(Deserialize)]
-struct RetirementBody {
+struct DrainBody {
     condition: String,
 }
 
@@ -137,14 +137,14 @@
             .header("If-Match", expected.to_string())
             .body(body.clone()),
         OperatorOrder::Read => request(Method::GET, "/api/timetable").body(Body::empty()),
-        OperatorOrder::Name { model, version } => {
+        OperatorOrder::SetTargetVersion { model, version } => {
             let body = serde_json::json!({ "model": model, "edition": version });
             request(Method::POST, "/api/version-put").body(body.to_string())
         }
-        OperatorOrder::Retire(store) => {
+        OperatorOrder::Drain(store) => {
             request(Method::POST, &format!("/api/retire/{store}")).body(r#"{"overS":10}"#)
         }
-        OperatorOrder::ReadRetirement(store) => {
+        OperatorOrder::ReadDrain(store) => {
             request(Method::GET, &format!("/api/retire/{store}")).body(Body::empty())
         }
     }
@@ -158,9 +158,9 @@
                 serde_json::from_str(&text).expect("a configuration has a version");
             ExternalReply::Configuration(configuration.version, text)
         }
-        OperatorOrder::ReadRetirement(_) if status == 200 => {
-            let retirement: RetirementBody = serde_json::from_slice(body).expect("a condition is reported");
-            if retirement.condition == "delivered" {
+        OperatorOrder::ReadDrain(_) if status == 200 => {
+            let drain: DrainBody = serde_json::from_slice(body).expect("a condition is reported");
+            if drain.condition == "delivered" {
                 ExternalReply::Status(200)
             } else {
                 ExternalReply::Draining
--- a/crates/simulator/src/fleet/delivery.rs
+++ b/crates/simulator/src/fleet/delivery.rs
@@ -20,7 +20,7 @@
 impl Fleet {
     /// Takes the messages that processes have sent, and schedules their arrival.
     pub(super) fn collect_sent(&mut self) {
-        let sent = self.outbox.take();
+        let sent = self.outbox.take_messages();
         for call in sent.calls {
             self.send_call(call);
         }
--- a/crates/simulator/src/fleet/external_clients.rs
+++ b/crates/simulator/src/fleet/external_clients.rs
@@ -16,7 +16,7 @@
 impl Fleet {
     /// Sends a request to a node; the reply, if one arrives, is taken by [`Fleet::take_reply`] with the number that is
     /// returned.
-    pub fn request(&mut self, node: usize, request: ExternalRequest) -> u64 {
+    pub fn send_request(&mut self, node: usize, request: ExternalRequest) -> u64 {
         let call = self.events.next_number();
         let (from, to) = (Endpoint::ExternalClients, Endpoint::Machine(node));
         for delay in self.network.delays(&mut self.random, from, to) {
@@ -40,8 +40,8 @@
     }
 
     /// Sends a request to a node and waits for the reply; `None` when none arrives in time.
-    pub fn call(&mut self, node: usize, request: ExternalRequest) -> Option<ExternalReply> {
-        let call = self.request(node, request);
+    pub fn request_and_wait(&mut self, node: usize, request: ExternalRequest) -> Option<ExternalReply> {
+        let call = self.send_request(node, request);
         self.run_until(REPLY_TIMEOUT, |fleet| fleet.calls.external_replies.contains_key(&call));
         self.take_reply(call)
     }
@@ -51,7 +51,7 @@
     /// # Panics
     ///
     /// When none does within `timeout`.
-    pub fn order(&mut self, timeout: Duration, order: &OperatorOrder) -> ExternalReply {
+    pub fn execute_order(&mut self, timeout: Duration, order: &OperatorOrder) -> ExternalReply {
         self.call_until_conclusive(timeout, &ExternalRequest::Operator(order.clone()))
     }
 
@@ -60,7 +60,7 @@
     /// # Panics
     ///
     /// When none does within `timeout`.
-    pub fn job(&mut self, timeout: Duration, job: &str, call: JobCall) -> ExternalReply {
+    pub fn execute_job_call(&mut self, timeout: Duration, job: &str, call: JobCall) -> ExternalReply {
         self.call_until_conclusive(timeout, &ExternalRequest::Job(job.into(), call))
     }
 
@@ -69,9 +69,9 @@
         while self.now < deadline {
             let nodes = self.present_nodes();
             let node = nodes[self.random.usize(..nodes.len())];
-            match self.call(node, request.clone()) {
+            match self.request_and_wait(node, request.clone()) {
                 Some(reply) if reply.is_conclusive() => return reply,
-                _ => self.run(RETRY_INTERVAL),
+                _ => self.run_for(RETRY_INTERVAL),
             }
         }
         panic!("no clear answer to {request:?} within {timeout:?}");
--- a/crates/simulator/src/fleet/failure_budget.rs
+++ b/crates/simulator/src/fleet/failure_budget.rs
@@ -12,8 +12,8 @@
 impl FailureBudget {
     /// Counts a machine as failed until `until` at least.
     pub(super) fn record(&mut self, machine: usize, until: Duration) {
-        let known = self.failed_until.entry(machine).or_default();
-        *known = until.max(*known);
+        let failed_until = self.failed_until.entry(machine).or_default();
+        *failed_until = until.max(*failed_until);
     }
 
     /// How many machines count as failed at `now`.
--- a/crates/simulator/src/fleet/fault_injection.rs
+++ b/crates/simulator/src/fleet/fault_injection.rs
@@ -4,32 +4,32 @@
 
 use storage::simulated::RandomWriteFaults;
 
-use super::{Fleet, MachineKind, RESTART_WITHIN};
+use super::{Fleet, MachineKind, MAX_RESTART_DELAY};
 use crate::process;
 
 impl Fleet {
     /// Kills a process; its machine starts another within a second.
     pub fn kill(&mut self, machine: usize) {
-        self.record_failure(machine, RESTART_WITHIN);
+        self.record_failure(machine, MAX_RESTART_DELAY);
         self.machines[machine].disk.kill();
         self.end_process(machine);
         self.calls.reset_connections(machine);
-        self.start_within(machine, RESTART_WITHIN);
+        self.schedule_start(machine, MAX_RESTART_DELAY);
     }
 
     /// Cuts the power of a machine, possibly in the middle of a write; its process starts again within a second.
     pub fn lose_power(&mut self, machine: usize) {
-        self.record_failure(machine, RESTART_WITHIN);
+        self.record_failure(machine, MAX_RESTART_DELAY);
         let mut write_faults = RandomWriteFaults::new(self.random.u64(..));
         self.machines[machine].disk.lose_power(&mut write_faults);
         self.end_process(machine);
-        self.start_within(machine, RESTART_WITHIN);
+        self.schedule_start(machine, MAX_RESTART_DELAY);
     }
 
     /// Asks a process to shut down gracefully; its machine starts another within a second, or is removed if it
     /// `is_leaving`.
     pub fn terminate(&mut self, machine: usize, is_leaving: bool) {
-        self.record_failure(machine, RESTART_WITHIN);
+        self.record_failure(machine, MAX_RESTART_DELAY);
         self.machines[machine].terminate(is_leaving);
     }
 
@@ -40,25 +40,25 @@
 
     /// Stalls the disk of a machine, or lets it continue.
     pub fn stall_disk(&mut self, machine: usize, is_stalled: bool) {
-        self.machines[machine].disk_pace.set_stalled(is_stalled);
+        self.machines[machine].sync_delay.set_stalled(is_stalled);
     }
 
     /// Erases the disk of a machine; its process starts again with an empty one within a second.
     pub fn lose_disk(&mut self, machine: usize) {
-        self.record_failure(machine, RESTART_WITHIN);
+        self.record_failure(machine, MAX_RESTART_DELAY);
         self.machines[machine].disk.wipe();
         self.end_process(machine);
-        self.start_within(machine, RESTART_WITHIN);
+        self.schedule_start(machine, MAX_RESTART_DELAY);
     }
 
     /// Ends a process and appends a record to its disk that its role cannot decode, as another build might have; the
     /// process starts again within a second.
-    pub fn spoil_record(&mut self, machine: usize) {
-        self.record_failure(machine, RESTART_WITHIN);
+    pub fn append_undecodable_record(&mut self, machine: usize) {
+        self.record_failure(machine, MAX_RESTART_DELAY);
         self.machines[machine].disk.kill();
         self.end_process(machine);
         process::append_undecodable_record(&self.machines[machine].disk, self.is_store(machine));
-        self.start_within(machine, RESTART_WITHIN);
+        self.schedule_start(machine, MAX_RESTART_DELAY);
     }
 
     /// Counts a machine as failed until it, or its successor, has returned within this time and has caught up.
@@ -77,7 +77,7 @@
     }
 
     /// Removes a machine for good.
-    pub fn remove(&mut self, machine: usize) {
+    pub fn remove_machine(&mut self, machine: usize) {
         self.machines[machine].set_removed();
         self.end_process(machine);
     }
@@ -85,9 +85,9 @@
     /// Removes a machine for good and adds another of the same kind with a new address and an empty disk; returns the
     /// index of the other.
     pub fn replace(&mut self, machine: usize) -> usize {
-        self.record_failure(machine, RESTART_WITHIN);
-        self.remove(machine);
-        self.add(self.machines[machine].kind, false)
+        self.record_failure(machine, MAX_RESTART_DELAY);
+        self.remove_machine(machine);
+        self.add_machine(self.machines[machine].kind, false)
     }
 
     /// Suspends a machine; what is sent to it waits.
@@ -114,8 +114,8 @@
     }
 
     /// Changes the seeds in the settings of a machine, and reloads them if its process runs.
-    pub fn name_seeds(&mut self, machine: usize, seeds: Vec<usize>) {
-        self.machines[machine].named_seeds = Some(seeds);
+    pub fn set_seeds(&mut self, machine: usize, seeds: Vec<usize>) {
+        self.machines[machine].configured_seeds = Some(seeds);
         let settings = self.settings_of(machine);
         if let Some(process) = self.machines[machine].process() {
             process.reload(&settings);
--- a/crates/simulator/src/fleet/machine.rs
+++ b/crates/simulator/src/fleet/machine.rs
@@ -9,9 +9,9 @@
 
 use super::events::FleetEvent;
 use super::shape::MachineKind;
-use crate::disk::DiskPace;
+use crate::disk::SyncDelay;
 use crate::logging::set_log_context;
-use crate::process::{Process, ProcessStart};
+use crate::process::{Process, ProcessOptions};
 use crate::transport::Outbox;
 
 /// Clocks run fast or slow by one part in this many.
@@ -64,9 +64,9 @@
     /// Whether its settings say that the system starts for the first time.
     pub(super) is_first_start: bool,
     /// The seeds that its settings name, if they were set.
-    pub(super) named_seeds: Option<Vec<usize>>,
+    pub(super) configured_seeds: Option<Vec<usize>>,
     pub(super) disk: SimulatedDisk,
-    pub(super) disk_pace: DiskPace,
+    pub(super) sync_delay: SyncDelay,
     process: Option<Process>,
     clock: MachineClock,
     execution: Execution,
@@ -84,9 +84,9 @@
             name,
             kind,
             is_first_start,
-            named_seeds: None,
+            configured_seeds: None,
             disk,
-            disk_pace: DiskPace::default(),
+            sync_delay: SyncDelay::default(),
             process: None,
             clock,
             execution: Execution::default(),
@@ -134,16 +134,16 @@
         outbox: &Outbox,
         seed: u64,
     ) -> bool {
-        let start = ProcessStart {
+        let options = ProcessOptions {
             machine: index,
             settings,
             disk: &self.disk,
-            disk_pace: &self.disk_pace,
+            sync_delay: &self.sync_delay,
             outbox,
             seed,
         };
         set_log_context(now, &self.name);
-        self.process = Process::start(&start);
+        self.process = Process::start(&options);
         self.clock.process_started = now;
         if self.process.is_none() {
             self.process_exits += 1;
@@ -216,7 +216,7 @@
     pub(super) fn end_process(&mut self) {
         self.process = None;
         self.execution = Execution::default();
-        self.disk_pace.set_stalled(false);
+        self.sync_delay.set_stalled(false);
         self.is_first_start = false;
         self.process_exits += 1;
     }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -38,9 +38,9 @@
 /// Time passes in steps of this length: no message is faster.
 const STEP: Duration = Duration::from_millis(2);
 /// A process is started within this time after its machine was added.
-const FIRST_START_WITHIN: Duration = Duration::from_millis(300);
+const MAX_FIRST_START_DELAY: Duration = Duration::from_millis(300);
 /// A process is started again within this time after an exit.
-const RESTART_WITHIN: Duration = Duration::from_secs(1);
+const MAX_RESTART_DELAY: Duration = Duration::from_secs(1);
 
 /// A fleet in simulated time. Everything random in it, and in the code that it runs, is drawn from its seed; only one
 /// fleet may run on a thread at a time.
@@ -88,17 +88,17 @@
         let stores = std::iter::repeat_n(MachineKind::Store, shape.stores);
         let diskless_nodes = std::iter::repeat_n(MachineKind::DisklessNode, shape.diskless_nodes);
         for kind in nodes.chain(stores).chain(diskless_nodes) {
-            fleet.add(kind, true);
+            fleet.add_machine(kind, true);
         }
         fleet
     }
 
     /// Adds a machine with an empty disk, which starts its process soon; returns its index.
-    pub fn add(&mut self, kind: MachineKind, is_first_start: bool) -> usize {
+    pub fn add_machine(&mut self, kind: MachineKind, is_first_start: bool) -> usize {
         let index = self.machines.len();
         let name = format!("{}-{index}", if kind == MachineKind::Store { "store" } else { "node" });
         self.machines.push(Machine::new(name, kind, is_first_start, &mut self.random));
-        self.start_within(index, FIRST_START_WITHIN);
+        self.schedule_start(index, MAX_FIRST_START_DELAY);
         index
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, time: Duration) {
+    pub fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.step();
@@ -143,7 +143,7 @@
         for index in 0..self.machines.len() {
             self.machines[index].run(self.now);
             self.collect_sent();
-            self.handle_shutdown(index);
+            self.finish_shutdown(index);
         }
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Schedules the start of a process at a random time within `limit`.
-    fn start_within(&mut self, machine: usize, limit: Duration) {
+    fn schedule_start(&mut self, machine: usize, limit: Duration) {
         let after = limit.mul_f64(self.random.f64());
         let process_exits = self.machines[machine].process_exits();
         self.schedule(after, FleetEvent::Start { machine, process_exits });
@@ -184,17 +184,17 @@
             return;
         }
         if !machine.start(index, self.now, &settings, &self.outbox, seed) {
-            self.start_within(index, RESTART_WITHIN);
+            self.schedule_start(index, MAX_RESTART_DELAY);
         }
     }
 
     /// After a graceful shutdown a machine is removed, or starts its process again.
-    fn handle_shutdown(&mut self, index: usize) {
+    fn finish_shutdown(&mut self, index: usize) {
         if !self.machines[index].has_shut_down() {
             return;
         }
         if self.machines[index].leaves_after_exit() {
-            self.remove(index);
+            self.remove_machine(index);
         } else {
             self.kill(index);
         }
--- a/crates/simulator/src/fleet/settings.rs
+++ b/crates/simulator/src/fleet/settings.rs
@@ -7,7 +7,7 @@
 use crate::transport::ip_of;
 
 /// How many seeds the settings name.
-const SEED_COUNT: usize = 3;
+const SEEDS_PER_MACHINE: usize = 3;
 /// The port for internal calls.
 const INTERNAL_PORT: u16 = 7000;
 /// The port of the operator's interface.
@@ -40,8 +40,8 @@
     /// The seeds of a machine as quoted addresses: those that were named for it, else nodes that are present.
     fn seed_addresses(&self, index: usize) -> Vec<String> {
         let is_present = |node: &usize| !self.is_store(*node) && !self.machines[*node].is_removed();
-        let present = self.machines().filter(is_present).take(SEED_COUNT);
-        let seeds = self.machines[index].named_seeds.clone().unwrap_or_else(|| present.collect());
+        let present = self.machines().filter(is_present).take(SEEDS_PER_MACHINE);
+        let seeds = self.machines[index].configured_seeds.clone().unwrap_or_else(|| present.collect());
         seeds.into_iter().map(|node| format!("\"{}:{OPERATOR_PORT}\"", ip_of(node))).collect()
     }
 }
--- a/crates/simulator/src/item_runner.rs
+++ b/crates/simulator/src/item_runner.rs
@@ -9,7 +9,7 @@
 use crate::model_server::generated_text;
 
 /// How long an item runs, in milliseconds.
-const ITEM_MS: std::ops::Range<u64> = 20..200;
+const ITEM_DURATION_MS: std::ops::Range<u64> = 20..200;
 
 /// Runs the batch jobs that a store comes to own, until the store ends.
 pub(crate) async fn run_jobs(mut owned: mpsc::UnboundedReceiver<OwnedJob>) {
@@ -26,7 +26,7 @@
         .iter()
         .filter(|item| owned.committed_results.iter().all(|result| result.id != item.id));
     for item in pending {
-        tokio::time::sleep(Duration::from_millis(fastrand::u64(ITEM_MS))).await;
+        tokio::time::sleep(Duration::from_millis(fastrand::u64(ITEM_DURATION_MS))).await;
         if *state.borrow() != JobState::Open {
             return;
         }
--- a/crates/simulator/src/logging.rs
+++ b/crates/simulator/src/logging.rs
@@ -11,9 +11,9 @@
     static MACHINE: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
-struct Printer;
+struct StdoutLogger;
 
-impl Log for Printer {
+impl Log for StdoutLogger {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -48,7 +48,7 @@
 
 /// Prints the log lines of all processes at this level and above to standard output.
 pub fn print_logs(level: LevelFilter) {
-    if log::set_boxed_logger(Box::new(Printer)).is_ok() {
+    if log::set_boxed_logger(Box::new(StdoutLogger)).is_ok() {
         log::set_max_level(level);
     }
 }
--- a/crates/simulator/src/model_server.rs
+++ b/crates/simulator/src/model_server.rs
@@ -94,7 +94,7 @@
         ServerEntry {
             id: Arc::clone(&self.id),
             service: "s".into(),
-            address: address_of(self.index),
+            address: address_of_server(self.index),
             zone: "zone".into(),
             slots: 8,
             condition: ServerCondition::Open,
@@ -110,10 +110,10 @@
         }
         let Ok(order) = serde_json::from_slice::<OrderBody>(body) else { return (400, Bytes::new()) };
         self.received_orders.push(ReceivedOrder { at: now, holder: order.holder, fence: order.fence });
-        (self.load(now, order.model, order.version), Bytes::new())
+        (self.start_load(now, order.model, order.version), Bytes::new())
     }
 
-    fn load(&mut self, now: Duration, model: Arc<str>, version: u64) -> u16 {
+    fn start_load(&mut self, now: Duration, model: Arc<str>, version: u64) -> u16 {
         if self.loading.is_some() {
             return 409;
         }
@@ -140,12 +140,12 @@
     }
 }
 
-fn address_of(index: usize) -> SocketAddr {
+fn address_of_server(index: usize) -> SocketAddr {
     ([10, 0, 1, 0], u16::try_from(index + 1).unwrap_or(u16::MAX)).into()
 }
 
 /// The index of the server at an address.
-pub(crate) fn index_of(address: SocketAddr) -> usize {
+pub(crate) fn index_of_address(address: SocketAddr) -> usize {
     usize::from(address.port()) - 1
 }
 
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -10,10 +10,10 @@
 /// The delay of a message, in microseconds.
 const DELAY_MICROS: std::ops::Range<u64> = 500..12_000;
 /// The delay of a late message, in microseconds.
-const LATE_MICROS: std::ops::Range<u64> = 100_000..3_000_000;
+const LATE_DELAY_MICROS: std::ops::Range<u64> = 100_000..3_000_000;
 
 /// The delay of a late message to a server: an order arrives within the time limit of its call, or never.
-const LATE_TO_SERVER_MICROS: std::ops::Range<u64> = 100_000..1_000_000;
+const LATE_DELAY_TO_SERVER_MICROS: std::ops::Range<u64> = 100_000..1_000_000;
 
 /// The network of a fleet.
 #[derive(Clone, Debug, Default)]
@@ -78,7 +78,8 @@
             drawn if drawn >= 1000 - self.duplicated_per_mille => 2,
             _ => 1,
         };
-        let late = if matches!(to, Endpoint::Server(_)) { LATE_TO_SERVER_MICROS } else { LATE_MICROS };
+        let late =
+            if matches!(to, Endpoint::Server(_)) { LATE_DELAY_TO_SERVER_MICROS } else { LATE_DELAY_MICROS };
         (0..copies).map(|_| self.delay(random, late.clone())).collect()
     }
 
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -23,25 +23,25 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::time::Instant;
 
-use crate::disk::DiskPace;
+use crate::disk::SyncDelay;
 use crate::external_requests::{self, ExternalRequest};
 use crate::item_runner::run_jobs;
 use crate::transport::{CallOutcome, Outbox, SimulatedTransport};
 
 /// The journal of an acceptor: small, so that it wraps around often.
-const NODE_JOURNAL: RingOptions = RingOptions { segment_bytes: 128 * 1024, segments: 4 };
+const NODE_JOURNAL_OPTIONS: RingOptions = RingOptions { segment_bytes: 128 * 1024, segments: 4 };
 /// The journal of a store.
-const STORE_JOURNAL: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
+const STORE_JOURNAL_OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
 
 /// Where the journal is on the disk of a machine.
-const DIRECTORY: &str = "/data";
+const JOURNAL_DIRECTORY: &str = "/data";
 
 /// What a process is started with.
-pub(crate) struct ProcessStart<'a> {
+pub(crate) struct ProcessOptions<'a> {
     pub(crate) machine: usize,
     pub(crate) settings: &'a NodeSettings,
     pub(crate) disk: &'a SimulatedDisk,
-    pub(crate) disk_pace: &'a DiskPace,
+    pub(crate) sync_delay: &'a SyncDelay,
     pub(crate) outbox: &'a Outbox,
     /// The seed of the runtime's draws.
     pub(crate) seed: u64,
@@ -78,26 +78,26 @@
 
 impl Process {
     /// Starts a process; `None` if its disk cannot be opened, as the program ends then.
-    pub(crate) fn start(start: &ProcessStart<'_>) -> Option<Self> {
-        let runtime = runtime(start.seed);
-        let outbox = start.outbox.clone();
-        let transport = Arc::new(SimulatedTransport { outbox: outbox.clone(), machine: start.machine });
+    pub(crate) fn start(options: &ProcessOptions<'_>) -> Option<Self> {
+        let runtime = runtime(options.seed);
+        let outbox = options.outbox.clone();
+        let transport = Arc::new(SimulatedTransport { outbox: outbox.clone(), machine: options.machine });
         let clients = OutboundClients {
             rpc: rpc::Client::with_transport(Arc::clone(&transport) as Arc<dyn rpc::Transport>),
             server_list: Some(Arc::clone(&transport) as Arc<dyn control_plane::ListSource>),
             servers: transport,
         };
-        let (started, planes) = runtime.block_on(async {
-            let has_disk = start.settings.data_dir.is_some();
-            let disk = if has_disk { Some(open_disk(start)?) } else { None };
+        let (started, started_role) = runtime.block_on(async {
+            let has_disk = options.settings.data_dir.is_some();
+            let disk = if has_disk { Some(open_disk(options)?) } else { None };
             let started = Instant::now();
-            let planes = match disk {
-                Some(disk) if start.settings.serves_store() => start_store(start, disk, clients),
-                disk => start_node(start, disk, clients),
+            let started_role = match disk {
+                Some(disk) if options.settings.serves_store() => start_store(options, disk, clients),
+                disk => start_node(options, disk, clients),
             };
-            Some((started, planes))
+            Some((started, started_role))
         })?;
-        let Planes { internal, role, incarnation } = planes;
+        let StartedRole { internal, role, incarnation } = started_role;
         let (clock, internal, has_shut_down) = (Duration::ZERO, Arc::new(internal), Arc::default());
         Some(Self { runtime, started, clock, internal, role, outbox, incarnation, has_shut_down })
     }
@@ -126,7 +126,7 @@
         let (internal, outbox) = (Arc::clone(&self.internal), self.outbox.clone());
         self.runtime.spawn(async move {
             let outcome = respond(&internal, &path, body).await;
-            outbox.reply(call, outcome);
+            outbox.send_reply(call, outcome);
         });
     }
 
@@ -136,7 +136,7 @@
         let outbox = self.outbox.clone();
         self.runtime.spawn(async move {
             let reply = external_requests::execute(&operator, &jobs, request).await;
-            outbox.reply_externally(call, reply);
+            outbox.send_external_reply(call, reply);
         });
     }
 
@@ -211,57 +211,63 @@
 }
 
 /// The assembly of a role, started.
-struct Planes {
+struct StartedRole {
     internal: BoxEndpoint<'static, Response>,
     role: Role,
     incarnation: Option<Incarnation>,
 }
 
-fn start_node(start: &ProcessStart<'_>, disk: Option<RecoveredDisk>, clients: OutboundClients) -> Planes {
+fn start_node(
+    options: &ProcessOptions<'_>,
+    disk: Option<RecoveredDisk>,
+    clients: OutboundClients,
+) -> StartedRole {
     let incarnation = disk.as_ref().map(|disk| disk.incarnation);
-    let node = TrafficNode::new(start.settings, disk, clients);
-    node.start(start.settings);
+    let node = TrafficNode::new(options.settings, disk, clients);
+    node.start(options.settings);
     let internal = node.control.internal_routes().map_to_response().boxed();
     let operator = Arc::new(node.operator_routes().map_to_response().boxed());
     let jobs = Arc::new(JobApi::new(&node.control));
-    Planes { internal, role: Role::Node { node: Arc::new(node), operator, jobs }, incarnation }
+    StartedRole { internal, role: Role::Node { node: Arc::new(node), operator, jobs }, incarnation }
 }
 
-fn start_store(start: &ProcessStart<'_>, disk: RecoveredDisk, clients: OutboundClients) -> Planes {
+fn start_store(options: &ProcessOptions<'_>, disk: RecoveredDisk, clients: OutboundClients) -> StartedRole {
     let incarnation = Some(disk.incarnation);
-    let (store, owned) = BatchStore::new(start.settings, disk, clients);
-    store.start(start.settings);
+    let (store, owned) = BatchStore::new(options.settings, disk, clients);
+    store.start(options.settings);
     tokio::spawn(run_jobs(owned));
     let internal = store.internal_routes().map_to_response().boxed();
-    Planes { internal, role: Role::Store(Arc::new(store)), incarnation }
+    StartedRole { internal, role: Role::Store(Arc::new(store)), incarnation }
 }
 
 /// The journal of a machine, as its role lays it out.
 fn journal_options(is_store: bool) -> RingOptions {
     if is_store {
-        STORE_JOURNAL
+        STORE_JOURNAL_OPTIONS
     } else {
-        NODE_JOURNAL
+        NODE_JOURNAL_OPTIONS
     }
 }
 
 /// Appends a record to the journal of a machine without a process that its role cannot decode. Does nothing where the
 /// journal cannot be opened or written.
 pub(crate) fn append_undecodable_record(disk: &SimulatedDisk, is_store: bool) {
-    let opened = Journal::open_inline(disk.file_system(), Path::new(DIRECTORY), journal_options(is_store));
+    let opened =
+        Journal::open_inline(disk.file_system(), Path::new(JOURNAL_DIRECTORY), journal_options(is_store));
     if let Ok((journal, _)) = opened {
         drop(journal.append(b"a record of another build".to_vec()));
     }
 }
 
-fn open_disk(start: &ProcessStart<'_>) -> Option<RecoveredDisk> {
-    let is_store = start.settings.serves_store();
-    let options = journal_options(is_store);
+fn open_disk(options: &ProcessOptions<'_>) -> Option<RecoveredDisk> {
+    let is_store = options.settings.serves_store();
+    let ring_options = journal_options(is_store);
     let check = if is_store { store_plane::check_store_record } else { control_plane::check_acceptor_record };
-    let (file_system, directory) = (start.disk.file_system(), Path::new(DIRECTORY));
+    let (file_system, directory) = (options.disk.file_system(), Path::new(JOURNAL_DIRECTORY));
     let open = || {
-        let (file_system, pace) = (Arc::clone(&file_system), start.disk_pace.clone());
-        let opened = Journal::open_paced(file_system, directory, options, move || pace.wait());
+        let (file_system, sync_delay) = (Arc::clone(&file_system), options.sync_delay.clone());
+        let opened =
+            Journal::open_paced(file_system, directory, ring_options, move || sync_delay.wait_for_sync());
         opened.map(|(journal, recovered, writing)| ((journal, writing), recovered))
     };
     let opened = open_or_set_aside(&*file_system, directory, check, open);
--- a/crates/simulator/src/simulation/checker.rs
+++ b/crates/simulator/src/simulation/checker.rs
@@ -21,7 +21,7 @@
     /// The value of each revision: two that differ mean that one change has disappeared.
     by_revision: BTreeMap<u64, Arc<ControlState>>,
     /// The last ballot that each process had, by machine and number of earlier processes.
-    known: BTreeMap<(usize, u64), Ballot>,
+    last_ballots: BTreeMap<(usize, u64), Ballot>,
     /// The fencing token of the last lease holder.
     last_fence: u64,
 }
@@ -59,15 +59,19 @@
         committed: &Versioned<ControlState>,
     ) -> Result<(), RegisterViolation> {
         let ballot = committed.ballot;
-        let known = self.known.entry((machine, fleet.process_exits(machine))).or_default();
-        if ballot < *known {
+        let last_ballot = self.last_ballots.entry((machine, fleet.process_exits(machine))).or_default();
+        if ballot < *last_ballot {
             let machine = fleet.name(machine).to_owned();
-            return Err(RegisterViolation::CommittedValueRegressed { machine, before: *known, now: ballot });
+            return Err(RegisterViolation::CommittedValueRegressed {
+                machine,
+                before: *last_ballot,
+                now: ballot,
+            });
         }
-        if ballot == *known {
+        if ballot == *last_ballot {
             return Ok(());
         }
-        *known = ballot;
+        *last_ballot = ballot;
         let first = self.committed.entry(ballot).or_insert_with(|| Arc::clone(&committed.value));
         if **first != *committed.value {
             let machine = fleet.name(machine).to_owned();
--- a/crates/simulator/src/simulation/faults/failure_limits.rs
+++ b/crates/simulator/src/simulation/faults/failure_limits.rs
@@ -12,12 +12,12 @@
 pub(super) fn may_lose_disk(fleet: &Fleet, mix: FaultMix, machine: usize) -> bool {
     match mix {
         FaultMix::All | FaultMix::Absences | FaultMix::Disks => has_recovered(fleet, machine),
-        FaultMix::Turnover => has_budget(fleet, machine),
+        FaultMix::Turnover => is_below_failure_limit(fleet, machine),
     }
 }
 
 /// Whether fewer machines count as failed than may be, and this one is present.
-fn has_budget(fleet: &Fleet, machine: usize) -> bool {
+fn is_below_failure_limit(fleet: &Fleet, machine: usize) -> bool {
     let has_disk = fleet.kind(machine) != MachineKind::DisklessNode;
     let is_present = fleet.has_process(machine) && !fleet.is_leaving(machine);
     has_disk && is_present && fleet.failed_machine_count() < fleet.shape().tolerated_failures
--- a/crates/simulator/src/simulation/faults/injection.rs
+++ b/crates/simulator/src/simulation/faults/injection.rs
@@ -11,7 +11,7 @@
 /// Messages in a thousand that a lossy network drops, and that it duplicates.
 const HIGH_LOSS_PER_MILLE: u32 = 100;
 /// How many seeds are named.
-const SEED_COUNT: usize = 3;
+const SEEDS_PER_MACHINE: usize = 3;
 
 /// A fault with a duration that has not ended yet.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
 }
 
 impl ActiveFault {
-    pub(in crate::simulation) fn is_over(&self, now: Duration) -> bool {
+    pub(in crate::simulation) fn is_expired(&self, now: Duration) -> bool {
         self.ends_at <= now
     }
 
@@ -47,7 +47,7 @@
 
 /// Injects a fault; returns it if it has a duration.
 pub(in crate::simulation) fn inject(fault: &Fault, mix: FaultMix, fleet: &mut Fleet) -> Option<ActiveFault> {
-    let machine = target(fault, fleet)?;
+    let machine = select_target(fault, fleet)?;
     match fault.kind {
         FaultKind::Kill | FaultKind::KillLeader => fleet.kill(machine),
         FaultKind::Terminate => fleet.terminate(machine, false),
@@ -56,13 +56,15 @@
         FaultKind::LosePower => lose_power(fleet, machine),
         FaultKind::LosePowerOfMany => lose_power_of_many(fleet, fault.selector),
         FaultKind::LoseDisk if may_lose_disk(fleet, mix, machine) => fleet.lose_disk(machine),
-        FaultKind::SpoilRecord if may_lose_disk(fleet, mix, machine) => fleet.spoil_record(machine),
+        FaultKind::SpoilRecord if may_lose_disk(fleet, mix, machine) => {
+            fleet.append_undecodable_record(machine)
+        }
         FaultKind::Replace if may_lose_disk(fleet, mix, machine) => drop(fleet.replace(machine)),
         FaultKind::ReplaceAcceptor if may_lose_disk(fleet, mix, machine) => drop(fleet.replace(machine)),
         FaultKind::LoseDisk | FaultKind::SpoilRecord | FaultKind::Replace | FaultKind::ReplaceAcceptor => {}
         // Stores are drained before they are removed, which `tests/stories/membership.rs` covers.
         FaultKind::ReplacePlanned if fleet.is_store(machine) => return None,
-        FaultKind::ReplacePlanned => drop(fleet.add(MachineKind::Node, false)),
+        FaultKind::ReplacePlanned => drop(fleet.add_machine(MachineKind::Node, false)),
         FaultKind::StallDisk => fleet.stall_disk(machine, true),
         FaultKind::FailSync => fleet.fail_sync(machine),
         FaultKind::ChangeSeeds => change_seeds(fleet),
@@ -92,7 +94,8 @@
             }
         }
         FaultKind::PartitionInHalves => {
-            let half: Vec<usize> = fleet.machines().filter(|one| one % 2 == fault.selector % 2).collect();
+            let half: Vec<usize> =
+                fleet.machines().filter(|machine| machine % 2 == fault.selector % 2).collect();
             fleet.network.partition_group(&half, machines.end);
         }
         FaultKind::LossyNetwork => set_loss(fleet, HIGH_LOSS_PER_MILLE),
@@ -105,14 +108,14 @@
     match fault.kind {
         FaultKind::ReplacePlanned | FaultKind::StallDisk | FaultKind::LossyNetwork => {}
         FaultKind::PartitionInHalves => {
-            fleet.machines().for_each(|one| fleet.record_failure(one, fault.duration));
+            fleet.machines().for_each(|machine| fleet.record_failure(machine, fault.duration));
         }
         _ => fleet.record_failure(machine, fault.duration),
     }
 }
 
 /// The machine of a fault: the leader's or an acceptor's, if the kind says so and it runs, else one of those that run.
-fn target(fault: &Fault, fleet: &Fleet) -> Option<usize> {
+fn select_target(fault: &Fault, fleet: &Fleet) -> Option<usize> {
     if fault.kind.targets_leader() {
         if let Some(leader) = fleet.leader().filter(|leader| fleet.is_running(*leader)) {
             return Some(leader);
@@ -120,7 +123,7 @@
     }
     let is_eligible =
         |machine: &usize| fault.kind != FaultKind::ReplaceAcceptor || is_acceptor(fleet, *machine);
-    let machines: Vec<usize> = running(fleet).filter(is_eligible).collect();
+    let machines: Vec<usize> = running_machines(fleet).filter(is_eligible).collect();
     (!machines.is_empty()).then(|| machines[fault.selector % machines.len()])
 }
 
@@ -130,7 +133,7 @@
     newest.is_some_and(|state| state.acceptors.iter().any(|member| member.name == fleet.name(machine)))
 }
 
-fn running(fleet: &Fleet) -> impl Iterator<Item = usize> + '_ {
+fn running_machines(fleet: &Fleet) -> impl Iterator<Item = usize> + '_ {
     fleet.machines().filter(|machine| fleet.is_running(*machine))
 }
 
@@ -147,7 +150,7 @@
 fn lose_power_of_many(fleet: &mut Fleet, selector: usize) {
     let only_nodes = selector.is_multiple_of(2);
     let affected: Vec<usize> =
-        running(fleet).filter(|machine| !only_nodes || !fleet.is_store(*machine)).collect();
+        running_machines(fleet).filter(|machine| !only_nodes || !fleet.is_store(*machine)).collect();
     affected.into_iter().for_each(|machine| lose_power(fleet, machine));
 }
 
@@ -162,19 +165,19 @@
 fn change_seeds(fleet: &mut Fleet) {
     let mut nodes = fleet.present_nodes();
     fleet.random.shuffle(&mut nodes);
-    nodes.truncate(SEED_COUNT);
-    fleet.machines().for_each(|machine| fleet.name_seeds(machine, nodes.clone()));
+    nodes.truncate(SEEDS_PER_MACHINE);
+    fleet.machines().for_each(|machine| fleet.set_seeds(machine, nodes.clone()));
 }
 
 /// All machines lose power at one moment. The disks of some are erased, as many as the settings tolerate.
 pub(in crate::simulation) fn lose_power_of_all(fleet: &mut Fleet) {
-    let mut machines: Vec<usize> = running(fleet).collect();
+    let mut machines: Vec<usize> = running_machines(fleet).collect();
     fleet.random.shuffle(&mut machines);
-    let budget = fleet.shape().tolerated_failures.saturating_sub(fleet.failed_machine_count());
+    let max_erased = fleet.shape().tolerated_failures.saturating_sub(fleet.failed_machine_count());
     let has_disk = |machine: &usize| fleet.kind(*machine) != MachineKind::DisklessNode;
-    let without_disk: Vec<usize> = machines.iter().copied().filter(has_disk).take(budget).collect();
+    let erased: Vec<usize> = machines.iter().copied().filter(has_disk).take(max_erased).collect();
     for machine in machines {
-        if without_disk.contains(&machine) {
+        if erased.contains(&machine) {
             fleet.lose_disk(machine);
         } else {
             fleet.lose_power(machine);
--- a/crates/simulator/src/simulation/operators/mod.rs
+++ b/crates/simulator/src/simulation/operators/mod.rs
@@ -27,7 +27,7 @@
 /// Time from one named version to the next.
 const VERSION_INTERVAL: Duration = Duration::from_secs(2);
 /// Time from one turn to the next until the first configuration is acknowledged.
-const FIRST_TURN_INTERVAL: Duration = Duration::from_millis(20);
+const START_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The operators.
 pub(super) struct Operators {
@@ -45,7 +45,7 @@
     /// Routes of rejected changes.
     rejected_routes: Vec<String>,
     /// The newest version of the model that was named.
-    named_version: u64,
+    target_version: u64,
     /// The longest time from an order to its conclusive reply.
     longest_order: Duration,
 }
@@ -62,7 +62,7 @@
             known_version: 0,
             acknowledged: BTreeMap::new(),
             rejected_routes: Vec::new(),
-            named_version: 1,
+            target_version: 1,
             longest_order: Duration::ZERO,
         }
     }
@@ -74,27 +74,27 @@
         timeout: Duration,
     ) -> Result<(), SimulationViolation> {
         let deadline = fleet.now + timeout;
-        self.add_change(fleet.now, false);
+        self.push_change(fleet.now, false);
         while !self.pending.is_empty() {
             if fleet.now > deadline {
                 return Err(ConfigurationViolation::NotStarted.into());
             }
-            self.take_turn(fleet, false)?;
-            fleet.run(FIRST_TURN_INTERVAL);
+            self.tick(fleet, false)?;
+            fleet.run_for(START_TICK_INTERVAL);
         }
         self.next_version = fleet.now + VERSION_INTERVAL;
         Ok(())
     }
 
     /// Starts orders that are due, sends attempts, and checks replies.
-    pub(super) fn take_turn(
+    pub(super) fn tick(
         &mut self,
         fleet: &mut Fleet,
         starts_new_orders: bool,
     ) -> Result<(), SimulationViolation> {
         if starts_new_orders {
-            self.start_change(fleet.now);
-            self.start_version(fleet.now);
+            self.add_order_if_due(fleet.now);
+            self.set_target_version_if_due(fleet.now);
         }
         self.send_attempts(fleet);
         self.take_replies(fleet)
@@ -135,41 +135,42 @@
     }
 
     /// Starts a read or a change if one is due; now and then both operators build on the same version.
-    fn start_change(&mut self, now: Duration) {
+    fn add_order_if_due(&mut self, now: Duration) {
         if now < self.next_change || self.pending.len() >= MAX_PENDING_ORDERS {
             return;
         }
         let pause = Duration::from_secs_f64(self.random.f64() * 2.0 / self.changes_per_second);
         self.next_change = now + pause;
         match self.random.u8(..10) {
-            0 => self.add_read(now),
+            0 => self.push_read(now),
             drawn => {
-                self.add_change(now, drawn % 2 == 0);
+                self.push_change(now, drawn % 2 == 0);
                 if drawn > 7 && self.pending.len() < MAX_PENDING_ORDERS {
-                    self.add_change(now, drawn % 2 == 1);
+                    self.push_change(now, drawn % 2 == 1);
                 }
             }
         }
     }
 
     /// Names the next version if it is due and no other is being named.
-    fn start_version(&mut self, now: Duration) {
-        let is_naming = self.pending.iter().any(|order| matches!(order.intent, Intent::NameVersion { .. }));
-        if now < self.next_version || is_naming {
+    fn set_target_version_if_due(&mut self, now: Duration) {
+        let is_setting_version =
+            self.pending.iter().any(|order| matches!(order.intent, Intent::SetTargetVersion { .. }));
+        if now < self.next_version || is_setting_version {
             return;
         }
         self.next_version = now + VERSION_INTERVAL;
-        let version = self.named_version + 1;
-        let request = OperatorOrder::Name { model: MODEL.into(), version };
-        self.pending.push(Order::new(now, Intent::NameVersion { version }, request));
+        let version = self.target_version + 1;
+        let request = OperatorOrder::SetTargetVersion { model: MODEL.into(), version };
+        self.pending.push(Order::new(now, Intent::SetTargetVersion { version }, request));
     }
 
-    fn add_read(&mut self, now: Duration) {
+    fn push_read(&mut self, now: Duration) {
         let intent = Intent::Read { at_least: self.known_version };
         self.pending.push(Order::new(now, intent, OperatorOrder::Read));
     }
 
-    fn add_change(&mut self, now: Duration, is_patch: bool) {
+    fn push_change(&mut self, now: Duration, is_patch: bool) {
         let expected = self.known_version;
         let version = expected + self.random.u64(1..4);
         self.route_count += 1;
@@ -229,7 +230,9 @@
                 }
                 self.known_version = self.known_version.max(version);
             }
-            (Intent::NameVersion { version }, ExternalReply::Status(200)) => self.named_version = *version,
+            (Intent::SetTargetVersion { version }, ExternalReply::Status(200)) => {
+                self.target_version = *version
+            }
             (intent, reply) => {
                 let (request, reply) = (intent.to_string(), reply.clone());
                 return Err(SimulationViolation::UnexpectedReply { request, reply });
@@ -269,7 +272,7 @@
         }
         if expected >= self.known_version {
             // The newest version is read before the next change.
-            self.add_read(now);
+            self.push_read(now);
         }
         self.rejected_routes.push(route.to_owned());
         Ok(())
--- a/crates/simulator/src/simulation/operators/order.rs
+++ b/crates/simulator/src/simulation/operators/order.rs
@@ -22,7 +22,7 @@
     /// Read the newest configuration, whose version is `at_least`.
     Read { at_least: u64 },
     /// Name a version of the model.
-    NameVersion { version: u64 },
+    SetTargetVersion { version: u64 },
 }
 
 impl fmt::Display for Intent {
@@ -32,7 +32,7 @@
                 write!(f, "change from version {expected} to {version} with route {route}")
             }
             Self::Read { at_least } => write!(f, "read of version {at_least} or newer"),
-            Self::NameVersion { version } => write!(f, "naming of model version {version}"),
+            Self::SetTargetVersion { version } => write!(f, "naming of model version {version}"),
         }
     }
 }
@@ -89,7 +89,7 @@
             return;
         }
         let node = nodes[random.usize(..nodes.len())];
-        let call = fleet.request(node, ExternalRequest::Operator(self.request.clone()));
+        let call = fleet.send_request(node, ExternalRequest::Operator(self.request.clone()));
         self.attempt = Some(OrderAttempt { call, deadline: fleet.now + REPLY_TIMEOUT });
         self.attempts += 1;
     }
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -13,7 +13,7 @@
 use crate::Fleet;
 
 /// Time from one turn of operators, trainers and checks to the next.
-const TURN_INTERVAL: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time limit for the acknowledgement of the first configuration.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time limit for the recovery from the last fault.
@@ -56,14 +56,14 @@
 /// The first violation.
 pub fn simulate(seed: u64, setup: &Setup, faults: &[Fault]) -> Result<RunSummary, FailedRun> {
     let mut run = Run::new(seed, setup);
-    let played = catch_unwind(AssertUnwindSafe(|| run.play(faults)));
-    match played {
+    let result = catch_unwind(AssertUnwindSafe(|| run.execute(faults)));
+    match result {
         Ok(Ok(())) => Ok(RunSummary { faults: faults.len(), ..run.summary() }),
         Ok(Err(violation)) => {
             run.fleet.log_state();
-            Err(run.failed(violation))
+            Err(run.failed_run(violation))
         }
-        Err(_) => Err(run.failed(SimulationViolation::Panicked)),
+        Err(_) => Err(run.failed_run(SimulationViolation::Panicked)),
     }
 }
 
@@ -73,8 +73,8 @@
 #[must_use]
 pub fn shrink(seed: u64, setup: &Setup, faults: &[Fault]) -> Option<(usize, FailedRun)> {
     (0..=faults.len()).find_map(|count| {
-        let played = simulate(seed, setup, &faults[..count]);
-        played.err().map(|failed| (count, failed))
+        let result = simulate(seed, setup, &faults[..count]);
+        result.err().map(|failed| (count, failed))
     })
 }
 
@@ -99,7 +99,7 @@
         }
     }
 
-    fn play(&mut self, faults: &[Fault]) -> Result<(), SimulationViolation> {
+    fn execute(&mut self, faults: &[Fault]) -> Result<(), SimulationViolation> {
         self.operators.put_first_configuration(&mut self.fleet, START_TIMEOUT)?;
         let started = self.fleet.now;
         for fault in faults {
@@ -118,22 +118,22 @@
     /// Lets operators and trainers work while faults end in their time.
     fn run_until(&mut self, until: Duration) -> Result<(), SimulationViolation> {
         while self.fleet.now < until {
-            self.end_faults_that_are_over();
-            self.take_turn(true)?;
-            self.fleet.run(TURN_INTERVAL);
+            self.end_expired_faults();
+            self.tick(true)?;
+            self.fleet.run_for(TICK_INTERVAL);
         }
         Ok(())
     }
 
-    fn end_faults_that_are_over(&mut self) {
+    fn end_expired_faults(&mut self) {
         let (now, mix) = (self.fleet.now, self.setup.mix);
         let fleet = &mut self.fleet;
         self.active_faults.retain(|fault| {
-            let is_over = fault.is_over(now);
-            if is_over {
+            let is_expired = fault.is_expired(now);
+            if is_expired {
                 fault.end(mix, fleet);
             }
-            !is_over
+            !is_expired
         });
     }
 
@@ -145,9 +145,9 @@
     }
 
     /// One turn of operators, trainers and checks.
-    fn take_turn(&mut self, starts_new_work: bool) -> Result<(), SimulationViolation> {
-        self.operators.take_turn(&mut self.fleet, starts_new_work)?;
-        self.trainers.take_turn(&mut self.fleet, starts_new_work)?;
+    fn tick(&mut self, starts_new_work: bool) -> Result<(), SimulationViolation> {
+        self.operators.tick(&mut self.fleet, starts_new_work)?;
+        self.trainers.tick(&mut self.fleet, starts_new_work)?;
         Ok(self.checker.check(&self.fleet)?)
     }
 
@@ -155,17 +155,17 @@
     fn recover(&mut self) -> Result<(), SimulationViolation> {
         let deadline = self.fleet.now + RECOVERY_TIMEOUT;
         loop {
-            self.take_turn(false)?;
-            let Some(missing) = self.unconverged() else { break };
+            self.tick(false)?;
+            let Some(missing) = self.first_unconverged() else { break };
             if self.fleet.now >= deadline {
                 return Err(SimulationViolation::NotConverged { timeout: RECOVERY_TIMEOUT, missing });
             }
-            self.fleet.run(TURN_INTERVAL);
+            self.fleet.run_for(TICK_INTERVAL);
         }
         Ok(self.operators.check_acknowledged(&self.checker)?)
     }
 
-    fn unconverged(&self) -> Option<Unconverged> {
+    fn first_unconverged(&self) -> Option<Unconverged> {
         self.operators
             .pending_order()
             .or_else(|| self.trainers.unconverged(&self.fleet))
@@ -183,7 +183,7 @@
         }
     }
 
-    fn failed(&self, violation: SimulationViolation) -> FailedRun {
+    fn failed_run(&self, violation: SimulationViolation) -> FailedRun {
         FailedRun { at: self.fleet.now, violation, digest: self.fleet.digest() }
     }
 }
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -19,7 +19,7 @@
 /// Time from the reply to a call about a batch job to the next call.
 const CALL_INTERVAL: Duration = Duration::from_millis(400);
 /// A read that is sent sooner after a batch job was accepted may find that there is none (`settleMs`).
-const VISIBLE_WITHIN: Duration = Duration::from_millis(1000);
+const VISIBILITY_DELAY: Duration = Duration::from_millis(1000);
 /// Items of a batch job.
 const ITEMS: usize = 6;
 /// Reads after the end of a batch job.
@@ -83,7 +83,7 @@
     }
 
     /// Starts a batch job if one is due, sends calls, and checks replies.
-    pub(super) fn take_turn(
+    pub(super) fn tick(
         &mut self,
         fleet: &mut Fleet,
         starts_new_jobs: bool,
@@ -94,7 +94,7 @@
         }
         for job in &mut self.jobs {
             let was_accepted = job.is_accepted();
-            job.take_turn(fleet, &mut self.random)?;
+            job.tick(fleet, &mut self.random)?;
             if job.is_accepted() && !was_accepted {
                 self.accepted_jobs += 1;
             }
@@ -139,7 +139,7 @@
         self.stage == JobStage::Ended && self.reads_left == 0
     }
 
-    fn take_turn(&mut self, fleet: &mut Fleet, random: &mut Rng) -> Result<(), SimulationViolation> {
+    fn tick(&mut self, fleet: &mut Fleet, random: &mut Rng) -> Result<(), SimulationViolation> {
         let Some(pending) = self.pending else {
             self.send_if_due(fleet, random);
             return Ok(());
@@ -162,7 +162,7 @@
         }
         let nodes = fleet.present_nodes();
         let node = nodes[random.usize(..nodes.len())];
-        let call = fleet.request(node, ExternalRequest::Job(self.id.clone(), self.call()));
+        let call = fleet.send_request(node, ExternalRequest::Job(self.id.clone(), self.call()));
         self.pending = Some(PendingCall { call, sent: fleet.now, deadline: fleet.now + REPLY_TIMEOUT });
     }
 
@@ -184,7 +184,7 @@
     ) -> Result<(), SimulationViolation> {
         match (self.stage, reply) {
             (_, ExternalReply::Status(503 | 504)) => {}
-            (JobStage::Reading, ExternalReply::Status(404)) if sent < self.accepted + VISIBLE_WITHIN => {}
+            (JobStage::Reading, ExternalReply::Status(404)) if sent < self.accepted + VISIBILITY_DELAY => {}
             (JobStage::Submitting, ExternalReply::Status(202)) => {
                 self.stage = JobStage::Reading;
                 self.accepted = now;
--- a/crates/simulator/src/transport.rs
+++ b/crates/simulator/src/transport.rs
@@ -66,17 +66,17 @@
     }
 
     /// Takes everything that was sent.
-    pub(crate) fn take(&self) -> SentMessages {
+    pub(crate) fn take_messages(&self) -> SentMessages {
         std::mem::take(&mut *self.lock())
     }
 
     /// Sends the reply to a call of another process.
-    pub(crate) fn reply(&self, call: u64, outcome: CallOutcome) {
+    pub(crate) fn send_reply(&self, call: u64, outcome: CallOutcome) {
         self.lock().replies.push((call, outcome));
     }
 
     /// Sends the reply to a request of an operator or trainer.
-    pub(crate) fn reply_externally(&self, call: u64, reply: ExternalReply) {
+    pub(crate) fn send_external_reply(&self, call: u64, reply: ExternalReply) {
         self.lock().external_replies.push((call, reply));
     }
 
@@ -89,9 +89,9 @@
         body: Bytes,
         timeout: Duration,
     ) -> CallOutcome {
-        let (reply, replied) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         self.lock().calls.push(OutgoingCall { caller, to, path: path.to_owned(), body, reply });
-        match tokio::time::timeout(timeout, replied).await {
+        match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(outcome)) => outcome,
             Ok(Err(_)) => Err(CallError::Unknown("the connection was reset".into())),
             Err(_) => Err(CallError::Unknown("no reply in time".into())),
@@ -100,7 +100,7 @@
 }
 
 /// The machine that an internal address belongs to.
-fn machine_at(address: &str) -> usize {
+fn machine_of_address(address: &str) -> usize {
     let ip = address.split(':').next().unwrap_or_default();
     let index = ip.rsplit('.').next().and_then(|octet| octet.parse().ok());
     index.expect("internal addresses end with the index of the machine")
@@ -132,7 +132,7 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<Bytes, CallError>> {
         Box::pin(async move {
-            let to = Endpoint::Machine(machine_at(address));
+            let to = Endpoint::Machine(machine_of_address(address));
             let called = self.outbox.call(self.machine, to, path, request.into(), timeout);
             let (status, body) = called.await?;
             CallError::check_status(status)?;
@@ -144,7 +144,7 @@
 impl ServerCalls for SimulatedTransport {
     fn send_order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply> {
         Box::pin(async move {
-            let to = Endpoint::Server(model_server::index_of(order.address));
+            let to = Endpoint::Server(model_server::index_of_address(order.address));
             match self.call_external(to, ORDER_PATH, body.into()).await {
                 Ok((status, _)) => OrderReply::from_status(status),
                 Err(error) if error.may_have_run() => OrderReply::Indeterminate,
@@ -155,7 +155,7 @@
 
     fn request_report<'a>(&'a self, request: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>> {
         Box::pin(async move {
-            let to = Endpoint::Server(model_server::index_of(request.address));
+            let to = Endpoint::Server(model_server::index_of_address(request.address));
             let (_, body) = self.call_external(to, REPORT_PATH, Bytes::new()).await.ok()?;
             serde_json::from_slice(&body).ok()
         })
--- a/crates/simulator/tests/stories/first_start.rs
+++ b/crates/simulator/tests/scenarios/first_start.rs
@@ -4,17 +4,17 @@
 
 use simulator::{Fleet, FleetShape, OperatorOrder};
 
-use crate::story::{assert_status, document};
+use crate::scenario::{assert_status, document};
 use crate::support::{seconds, SEEDS};
 
 #[test]
-fn given_a_collector_that_dies_during_the_first_start_when_another_takes_over_then_the_system_starts() {
+fn given_a_collector_that_fails_during_the_first_start_when_another_takes_over_then_the_system_starts() {
     for seed in 0..40 {
         let mut fleet = Fleet::start(seed, FleetShape::default());
-        fleet.run(Duration::from_millis(2400 + 60 * seed));
-        fleet.remove(0);
+        fleet.run_for(Duration::from_millis(2400 + 60 * seed));
+        fleet.remove_machine(0);
         let order = OperatorOrder::Put { expected: 0, body: document(1) };
-        assert_status(&fleet.order(seconds(40), &order), 200);
+        assert_status(&fleet.execute_order(seconds(40), &order), 200);
         let revisions =
             fleet.machines().filter_map(|machine| fleet.state(machine)).map(|state| state.acceptors.clone());
         assert!(revisions.collect::<Vec<_>>().windows(2).all(|pair| pair[0] == pair[1]), "seed {seed}");
@@ -22,18 +22,18 @@
 }
 
 #[test]
-fn given_a_collector_that_reached_only_some_when_another_takes_over_then_it_continues_with_the_same_value() {
+fn given_a_collector_that_reached_only_some_when_another_takes_over_then_the_machines_agree_on_one_value() {
     for seed in SEEDS {
         let mut fleet = Fleet::start(seed, FleetShape::default());
         for store in 3..6 {
             fleet.network.partition_one_way(store, 0);
         }
         fleet.network.partition_one_way(0, 2);
-        fleet.run(Duration::from_millis(5600));
-        fleet.remove(0);
+        fleet.run_for(Duration::from_millis(5600));
+        fleet.remove_machine(0);
         fleet.network.heal();
         let order = OperatorOrder::Put { expected: 0, body: document(1) };
-        assert_status(&fleet.order(seconds(40), &order), 200);
+        assert_status(&fleet.execute_order(seconds(40), &order), 200);
         let all_joined = |fleet: &Fleet| fleet.state(2).is_some_and(|state| state.stores.members.len() == 3);
         assert!(fleet.run_until(seconds(40), all_joined), "seed {seed}: {:?}", fleet.state(2));
     }
--- a/crates/simulator/tests/stories/lease.rs
+++ b/crates/simulator/tests/scenarios/lease.rs
@@ -4,7 +4,7 @@
 
 use simulator::{Fleet, FleetShape, MachineKind};
 
-use crate::story::Story;
+use crate::scenario::Scenario;
 use crate::support::{seconds, SEEDS};
 
 /// Whether this machine is no acceptor in the state that every running node has. Until a majority of the present acceptors
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn given_a_former_grantor_with_another_disk_when_a_former_leader_asks_it_then_the_lease_stays_with_its_holder(
-) {
+fn given_replaced_grantors_when_a_former_leader_resumes_then_at_most_one_process_holds_the_lease() {
     for seed in SEEDS {
-        let mut story = Story::begin(seed, FleetShape::default());
-        let fleet = &mut story.fleet;
-        let spares = [fleet.add(MachineKind::Node, false), fleet.add(MachineKind::Node, false)];
+        let mut scenario = Scenario::start(seed, FleetShape::default());
+        let fleet = &mut scenario.fleet;
+        let spares =
+            [fleet.add_machine(MachineKind::Node, false), fleet.add_machine(MachineKind::Node, false)];
         let stand_by = |fleet: &Fleet| {
             let leader = fleet.leader().and_then(|leader| fleet.state(leader));
             leader.is_some_and(|state| state.standbys.len() == spares.len())
@@ -55,6 +55,6 @@
         fleet.network.heal();
         fleet.thaw(leader);
         assert_one_leads(fleet, seconds(6), seed);
-        story.continue_normally();
+        scenario.assert_normal_operation();
     }
 }
--- a/crates/simulator/tests/stories/main.rs
+++ b/crates/simulator/tests/scenarios/main.rs
@@ -7,7 +7,7 @@
 mod losses;
 mod membership;
 mod partitions;
+mod scenario;
 mod seeds;
-mod story;
 mod support;
 mod suspended;
--- a/crates/simulator/tests/stories/membership.rs
+++ b/crates/simulator/tests/scenarios/membership.rs
@@ -3,15 +3,15 @@
 use simulator::{ExternalReply, Fleet, FleetShape, MachineKind, OperatorOrder};
 use yare::parameterized;
 
-use crate::story::{assert_status, Story, ORDER_TIMEOUT};
-use crate::support::{seconds, FIVE, SEEDS};
+use crate::scenario::{assert_status, Scenario, ORDER_TIMEOUT};
+use crate::support::{seconds, FIVE_NODES, SEEDS};
 
 #[test]
-fn given_a_replaced_machine_when_it_has_caught_up_then_the_former_is_no_member() {
+fn given_replaced_machines_when_their_successors_have_caught_up_then_the_former_are_no_members() {
     for seed in SEEDS {
-        let mut story = Story::begin(seed, FleetShape::default());
-        story.fleet.replace(1);
-        story.fleet.replace(4);
+        let mut scenario = Scenario::start(seed, FleetShape::default());
+        scenario.fleet.replace(1);
+        scenario.fleet.replace(4);
         let is_done = |fleet: &Fleet| {
             fleet.state(0).is_some_and(|state| {
                 let has = |name: &str| state.acceptors.iter().any(|member| member.name == name);
@@ -20,27 +20,30 @@
                 has("node-6") && !has("node-1") && has_store("store-7") && !has_store("store-4")
             })
         };
-        assert!(story.fleet.run_until(seconds(40), is_done), "seed {seed}: {:?}", story.fleet.state(0));
+        assert!(scenario.fleet.run_until(seconds(40), is_done), "seed {seed}: {:?}", scenario.fleet.state(0));
     }
 }
 
 #[test]
-fn given_enough_stores_when_one_is_drained_then_it_is_removed_without_loss() {
+fn given_enough_stores_when_one_is_drained_and_removed_then_nothing_is_lost() {
     for seed in SEEDS {
-        let mut story = Story::begin(seed, FleetShape { stores: 4, ..FleetShape::default() });
-        story.submit("first");
-        story.read_all();
+        let mut scenario = Scenario::start(seed, FleetShape { stores: 4, ..FleetShape::default() });
+        scenario.submit_job("first");
+        scenario.read_all_results();
         let drained = 3 + (seed as usize) % 4;
         let store = format!("store-{drained}");
-        assert_status(&story.fleet.order(ORDER_TIMEOUT, &OperatorOrder::Retire(store.clone())), 200);
-        let read = OperatorOrder::ReadRetirement(store);
-        let deadline = story.fleet.now + seconds(30);
-        while !matches!(story.fleet.order(ORDER_TIMEOUT, &read), ExternalReply::Status(200)) {
-            assert!(story.fleet.now < deadline, "seed {seed}: it is not drained");
-            story.fleet.run(seconds(1));
+        assert_status(
+            &scenario.fleet.execute_order(ORDER_TIMEOUT, &OperatorOrder::Drain(store.clone())),
+            200,
+        );
+        let read = OperatorOrder::ReadDrain(store);
+        let deadline = scenario.fleet.now + seconds(30);
+        while !matches!(scenario.fleet.execute_order(ORDER_TIMEOUT, &read), ExternalReply::Status(200)) {
+            assert!(scenario.fleet.now < deadline, "seed {seed}: it is not drained");
+            scenario.fleet.run_for(seconds(1));
         }
-        story.fleet.remove(drained);
-        story.continue_normally();
+        scenario.fleet.remove_machine(drained);
+        scenario.assert_normal_operation();
     }
 }
 
@@ -83,33 +86,34 @@
     follower_of_three = { FleetShape::default(), ReplacementOrder::Follower },
     newest_of_three = { FleetShape::default(), ReplacementOrder::Newest },
     store_of_three = { FleetShape::default(), ReplacementOrder::Store },
-    leader_of_five = { FIVE, ReplacementOrder::Leader },
-    follower_of_five = { FIVE, ReplacementOrder::Follower },
-    newest_of_five = { FIVE, ReplacementOrder::Newest },
-    store_of_five = { FIVE, ReplacementOrder::Store },
+    leader_of_five = { FIVE_NODES, ReplacementOrder::Leader },
+    follower_of_five = { FIVE_NODES, ReplacementOrder::Follower },
+    newest_of_five = { FIVE_NODES, ReplacementOrder::Newest },
+    store_of_five = { FIVE_NODES, ReplacementOrder::Store },
 )]
-fn given_machines_replaced_one_after_the_other_when_each_has_caught_up_then_the_fleet_serves(
+fn given_machines_replaced_one_after_another_when_each_has_caught_up_then_the_fleet_operates_normally(
     shape: FleetShape,
     order: ReplacementOrder,
 ) {
     for seed in SEEDS {
-        let mut story = Story::begin(seed, shape);
-        story.submit("first");
+        let mut scenario = Scenario::start(seed, shape);
+        scenario.submit_job("first");
         for step in 0..5 {
-            let removed = next_to_replace(&mut story.fleet, order);
-            removed.iter().for_each(|machine| story.fleet.remove(*machine));
-            story.fleet.run(seconds(1));
-            let kinds = removed.iter().map(|machine| story.fleet.kind(*machine));
+            let removed = next_to_replace(&mut scenario.fleet, order);
+            removed.iter().for_each(|machine| scenario.fleet.remove_machine(*machine));
+            scenario.fleet.run_for(seconds(1));
+            let kinds = removed.iter().map(|machine| scenario.fleet.kind(*machine));
             let kinds: Vec<MachineKind> = kinds.collect();
-            let added: Vec<usize> = kinds.into_iter().map(|kind| story.fleet.add(kind, false)).collect();
+            let added: Vec<usize> =
+                kinds.into_iter().map(|kind| scenario.fleet.add_machine(kind, false)).collect();
             let is_there = |fleet: &Fleet| added.iter().all(|machine| fleet.is_running(*machine));
-            assert!(story.fleet.run_until(seconds(1), is_there), "seed {seed}");
+            assert!(scenario.fleet.run_until(seconds(1), is_there), "seed {seed}");
             // From now on they have time to catch up; meanwhile the operator continues.
-            let caught_up = story.fleet.now + shape.catch_up_time();
-            story.change_configuration();
-            assert!(story.fleet.now <= caught_up, "seed {seed}, step {step}: orders wait for too long");
-            story.fleet.run(caught_up - story.fleet.now);
+            let caught_up = scenario.fleet.now + shape.catch_up_time();
+            scenario.change_configuration();
+            assert!(scenario.fleet.now <= caught_up, "seed {seed}, step {step}: orders wait for too long");
+            scenario.fleet.run_for(caught_up - scenario.fleet.now);
         }
-        story.continue_normally();
+        scenario.assert_normal_operation();
     }
 }
--- a/crates/simulator/tests/stories/story.rs
+++ b/crates/simulator/tests/scenarios/scenario.rs
@@ -14,26 +14,27 @@
 const ITEMS: usize = 6;
 
 /// A fleet, and what it has acknowledged so far.
-pub struct Story {
+pub struct Scenario {
     pub fleet: Fleet,
     /// The newest configuration that was acknowledged.
     configuration: (u64, String),
     /// The newest version of the model that was named.
-    named_version: u64,
+    target_version: u64,
     /// Batch jobs that were accepted, with the results that were read.
     jobs: Vec<(String, Vec<batch::ItemResult>)>,
 }
 
-impl Story {
+impl Scenario {
     /// The system has started for the first time, and the first configuration is acknowledged.
-    pub fn begin(seed: u64, shape: FleetShape) -> Self {
+    pub fn start(seed: u64, shape: FleetShape) -> Self {
         if let Some(level) = std::env::var("SIMULATOR_LOG").ok().and_then(|level| level.parse().ok()) {
             simulator::print_logs(level);
         }
         let fleet = Fleet::start(seed, shape);
-        let mut story = Self { fleet, configuration: (0, String::new()), named_version: 1, jobs: Vec::new() };
-        story.change_configuration_within(START_TIMEOUT);
-        story
+        let mut scenario =
+            Self { fleet, configuration: (0, String::new()), target_version: 1, jobs: Vec::new() };
+        scenario.change_configuration_within(START_TIMEOUT);
+        scenario
     }
 
     /// Another configuration is acknowledged.
@@ -51,13 +52,13 @@
         let expected = self.configuration.0;
         let body = document_with_routes(expected + 3, more_routes);
         let order = OperatorOrder::Put { expected, body: body.clone() };
-        assert_status(&self.fleet.order(timeout, &order), 200);
+        assert_status(&self.fleet.execute_order(timeout, &order), 200);
         self.configuration = (expected + 3, body);
-        assert_status(&self.fleet.order(timeout, &order), 200);
+        assert_status(&self.fleet.execute_order(timeout, &order), 200);
     }
 
     /// Another configuration is acknowledged by other nodes than this one; returns its version.
-    pub fn change_configuration_elsewhere(&mut self, node: usize) -> u64 {
+    pub fn change_configuration_at_other_nodes(&mut self, node: usize) -> u64 {
         let expected = self.configuration.0;
         let body = document(expected + 3);
         let order = ExternalRequest::Operator(OperatorOrder::Put { expected, body: body.clone() });
@@ -65,7 +66,7 @@
         let others: Vec<usize> = self.fleet.nodes().filter(|other| *other != node).collect();
         for other in others.iter().cycle() {
             assert!(self.fleet.now < until, "the others do not take it");
-            match self.fleet.call(*other, order.clone()) {
+            match self.fleet.request_and_wait(*other, order.clone()) {
                 Some(ExternalReply::Status(200)) => break,
                 None | Some(ExternalReply::Status(503)) => {}
                 reply => panic!("{reply:?}"),
@@ -76,20 +77,20 @@
     }
 
     /// The next version is named.
-    pub fn name_version(&mut self) {
-        self.name_version_within(ORDER_TIMEOUT);
+    pub fn set_target_version(&mut self) {
+        self.set_target_version_within(ORDER_TIMEOUT);
     }
 
     /// The next version is named within this time.
-    pub fn name_version_within(&mut self, timeout: Duration) {
-        self.named_version += 1;
-        let order = OperatorOrder::Name { model: "m".into(), version: self.named_version };
-        assert_status(&self.fleet.order(timeout, &order), 200);
+    pub fn set_target_version_within(&mut self, timeout: Duration) {
+        self.target_version += 1;
+        let order = OperatorOrder::SetTargetVersion { model: "m".into(), version: self.target_version };
+        assert_status(&self.fleet.execute_order(timeout, &order), 200);
     }
 
     /// All servers come to have the newest named version.
-    pub fn roll_out(&mut self) {
-        let version = self.named_version;
+    pub fn await_rollout(&mut self) {
+        let version = self.target_version;
         let is_rolled_out = |fleet: &Fleet| fleet.servers.iter().all(|server| server.version("m") == version);
         assert!(
             self.fleet.run_until(Duration::from_secs(40), is_rolled_out),
@@ -98,27 +99,29 @@
     }
 
     /// A batch job is accepted.
-    pub fn submit(&mut self, job: &str) {
-        let body = JobCall::Submit(job_body(job, self.named_version));
-        assert_status(&self.fleet.job(ORDER_TIMEOUT, job, body.clone()), 202);
+    pub fn submit_job(&mut self, job: &str) {
+        let body = JobCall::Submit(job_body(job, self.target_version));
+        assert_status(&self.fleet.execute_job_call(ORDER_TIMEOUT, job, body.clone()), 202);
         self.jobs.push((job.to_owned(), Vec::new()));
-        assert_status(&self.fleet.job(ORDER_TIMEOUT, job, body), 202);
+        assert_status(&self.fleet.execute_job_call(ORDER_TIMEOUT, job, body), 202);
     }
 
     /// All results of all batch jobs are read; those that were read before have kept their positions.
-    pub fn read_all(&mut self) {
+    pub fn read_all_results(&mut self) {
         let until = self.fleet.now + Duration::from_secs(60);
         for index in 0..self.jobs.len() {
-            while self.read(index) < ITEMS {
+            while self.read_results(index) < ITEMS {
                 assert!(self.fleet.now < until, "not all results of {} come", self.jobs[index].0);
-                self.fleet.run(Duration::from_millis(400));
+                self.fleet.run_for(Duration::from_millis(400));
             }
         }
     }
 
-    fn read(&mut self, index: usize) -> usize {
+    fn read_results(&mut self, index: usize) -> usize {
         let (job, known) = &mut self.jobs[index];
-        let ExternalReply::Results(results) = self.fleet.job(ORDER_TIMEOUT, job, JobCall::Read(0)) else {
+        let ExternalReply::Results(results) =
+            self.fleet.execute_job_call(ORDER_TIMEOUT, job, JobCall::Read(0))
+        else {
             panic!("the batch job {job} is lost")
         };
         assert!(results.starts_with(known), "{job}: {results:?} does not start with {known:?}");
@@ -131,33 +134,33 @@
     }
 
     /// All that was acknowledged is there, and no conflicting orders were received.
-    pub fn check(&mut self) {
+    pub fn assert_acknowledged_work(&mut self) {
         let ExternalReply::Configuration(version, text) =
-            self.fleet.order(ORDER_TIMEOUT, &OperatorOrder::Read)
+            self.fleet.execute_order(ORDER_TIMEOUT, &OperatorOrder::Read)
         else {
             panic!("the configuration does not come")
         };
         assert_eq!((version, text), self.configuration);
         (0..self.jobs.len()).for_each(|job| {
-            self.read(job);
+            self.read_results(job);
         });
         assert_eq!(self.fleet.conflicting_orders(MIN_GAP_BETWEEN_HOLDERS), None);
     }
 
     /// The fleet serves as before: all that was acknowledged is there, and new work is done.
-    pub fn continue_normally(&mut self) {
-        self.check();
+    pub fn assert_normal_operation(&mut self) {
+        self.assert_acknowledged_work();
         self.change_configuration();
-        self.name_version();
-        self.submit("after");
-        self.roll_out();
-        self.read_all();
-        self.check();
+        self.set_target_version();
+        self.submit_job("after");
+        self.await_rollout();
+        self.read_all_results();
+        self.assert_acknowledged_work();
     }
 }
 
 pub fn assert_status(reply: &ExternalReply, status: u16) {
-    assert!(matches!(reply, ExternalReply::Status(given) if *given == status), "{reply:?}, not {status}");
+    assert!(matches!(reply, ExternalReply::Status(actual) if *actual == status), "{reply:?}, not {status}");
 }
 
 pub fn document(version: u64) -> String {
--- a/crates/simulator/tests/stories/support.rs
+++ b/crates/simulator/tests/scenarios/support.rs
@@ -8,11 +8,11 @@
 /// The seeds of most stories.
 pub const SEEDS: Range<u64> = 0..12;
 /// Five nodes and five stores, of which two may fail.
-pub const FIVE: FleetShape =
+pub const FIVE_NODES: FleetShape =
     FleetShape { nodes: 5, diskless_nodes: 0, stores: 5, servers: 6, tolerated_failures: 2 };
 
 /// A machine counts as failed for this long after it has returned (`catchUpS` where two may fail).
-pub const CATCH_UP: Duration = Duration::from_secs(6);
+pub const CATCH_UP_TIME: Duration = Duration::from_secs(6);
 
 pub const fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -6,24 +6,24 @@
 use yare::parameterized;
 
 #[parameterized(
-    small = { Setup::small(), 0..120 },
-    small_too = { Setup::small(), 120..240 },
-    small_as_well = { Setup::small(), 240..360 },
-    large = { Setup::large(), 0..60 },
-    large_too = { Setup::large(), 60..120 },
-    large_as_well = { Setup::large(), 120..180 },
-    turnover = { Setup::turnover(), 0..60 },
-    turnover_too = { Setup::turnover(), 60..120 },
-    large_turnover = { Setup::large_turnover(), 0..60 },
-    large_turnover_too = { Setup::large_turnover(), 60..120 },
-    absences = { Setup::absences(), 0..60 },
-    absences_too = { Setup::absences(), 60..120 },
-    disks = { Setup::disks(), 0..60 },
-    disks_too = { Setup::disks(), 60..120 },
-    many_changes = { Setup::many_changes(), 0..20 },
-    many_changes_too = { Setup::many_changes(), 120..140 },
+    small_from_0 = { Setup::small(), 0..120 },
+    small_from_120 = { Setup::small(), 120..240 },
+    small_from_240 = { Setup::small(), 240..360 },
+    large_from_0 = { Setup::large(), 0..60 },
+    large_from_60 = { Setup::large(), 60..120 },
+    large_from_120 = { Setup::large(), 120..180 },
+    turnover_from_0 = { Setup::turnover(), 0..60 },
+    turnover_from_60 = { Setup::turnover(), 60..120 },
+    large_turnover_from_0 = { Setup::large_turnover(), 0..60 },
+    large_turnover_from_60 = { Setup::large_turnover(), 60..120 },
+    absences_from_0 = { Setup::absences(), 0..60 },
+    absences_from_60 = { Setup::absences(), 60..120 },
+    disks_from_0 = { Setup::disks(), 0..60 },
+    disks_from_60 = { Setup::disks(), 60..120 },
+    many_changes_from_0 = { Setup::many_changes(), 0..20 },
+    many_changes_from_120 = { Setup::many_changes(), 120..140 },
 )]
-fn given_random_faults_when_simulated_then_no_rule_is_broken_and_the_fleet_recovers(
+fn given_random_faults_when_simulated_then_the_invariants_hold_and_the_fleet_recovers(
     setup: Setup,
     seeds: Range<u64>,
 ) {
@@ -52,7 +52,7 @@
     absences = { Setup::absences() },
     disks = { Setup::disks() },
 )]
-fn given_the_same_seed_when_simulated_again_then_the_run_is_the_same(setup: Setup) {
+fn given_the_same_seed_when_simulated_again_then_the_run_is_identical(setup: Setup) {
     for seed in 0..5 {
         let faults = setup.plan_faults(seed);
         let first = simulate(seed, &setup, &faults);
