--- a/crates/simulator/src/external_requests.rs
+++ b/crates/simulator/src/external_requests.rs
@@ -1,4 +1,5 @@
-//! Requests of operators and trainers, which reach a node by the interfaces that the program serves.
+//! Requests of operators and trainers, which a traffic node handles with the HTTP routes that the program
+//! serves.
 
 use batch::ItemResult;
 use bytes::Bytes;
@@ -9,53 +10,54 @@
 use rushrudder::job_api::JobApi;
 use serde::Deserialize;
 
-/// An order of an operator, or of a trainer that names a version.
+/// A request to the operator API: from an operator, or from a trainer that sets the target version of a
+/// model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorOrder {
-    /// Replace the configuration.
+    /// Replaces the configuration.
     Put {
-        /// The version that the configuration must have before.
+        /// The version that the configuration must have before the change; otherwise the change is rejected.
         expected: u64,
-        /// The document.
+        /// The new configuration document, as JSON text.
         body: String,
     },
-    /// Change entries of the configuration.
+    /// Adds, changes or removes entries of the configuration.
     Patch {
-        /// The version that the configuration must have before.
+        /// The version that the configuration must have before the change; otherwise the change is rejected.
         expected: u64,
-        /// The changes.
+        /// The patch document, as JSON text.
         body: String,
     },
-    /// Read the configuration back.
+    /// Reads the configuration.
     Read,
-    /// Name a version of a model, which is then rolled out.
+    /// Sets the target version of a model, which is then rolled out.
     SetTargetVersion {
-        /// The model.
+        /// The name of the model.
         model: String,
-        /// The version.
+        /// The target version.
         version: u64,
     },
-    /// Drain a store.
+    /// Starts draining the store with this machine name.
     Drain(String),
-    /// Read whether a store is drained.
+    /// Reads whether the store with this machine name is drained.
     ReadDrain(String),
 }
 
 /// A call of a trainer about a batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobCall {
-    /// Submit it.
+    /// Submits the batch job with this body, as JSON text.
     Submit(String),
-    /// Read its results from this position on.
+    /// Reads the results of the batch job, starting at this position.
     Read(usize),
-    /// End it.
+    /// Ends the batch job.
     End,
 }
 
 /// A request of an operator or trainer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExternalRequest {
-    /// An order.
+    /// A request to the operator API.
     Operator(OperatorOrder),
     /// A call about the batch job with this id.
     Job(String, JobCall),
@@ -64,42 +66,46 @@
 /// The reply of a node to an operator or trainer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExternalReply {
-    /// The status, where nothing else is of interest.
+    /// The HTTP status of a reply whose body is not evaluated.
     Status(u16),
-    /// The configuration: its version and text.
+    /// The version and the text of the configuration.
     Configuration(u64, String),
-    /// Results of a batch job.
+    /// Results of a batch job, by position.
     Results(Vec<ItemResult>),
-    /// The store is not drained yet.
+    /// The store is still being drained. A drained store is reported as `Status(200)`.
     Draining,
 }
 
 impl ExternalReply {
-    /// Whether the reply says what became of the request.
+    /// Whether the reply tells if the request was carried out. Statuses 503 and 504 leave that open, so that
+    /// the request is sent again.
     #[must_use]
     pub fn is_conclusive(&self) -> bool {
         !matches!(self, Self::Status(503 | 504))
     }
 }
 
+/// The part of a configuration document that is evaluated.
 #[derive(Deserialize)]
 struct ConfigurationBody {
     #[serde(rename = "edition")]
     version: u64,
 }
 
+/// The reply about the drain of a store.
 #[derive(Deserialize)]
 struct DrainBody {
     condition: String,
 }
 
+/// The reply to a read of results.
 #[derive(Deserialize)]
 struct ResultsBody {
     #[serde(rename = "deliveries")]
     results: Vec<ItemResult>,
 }
 
-/// Sends a request to the interfaces of a node and waits for the reply.
+/// Sends a request to the operator API or the job API of a node and waits for the reply.
 pub(crate) async fn execute(
     operator: &BoxEndpoint<'static, Response>,
     jobs: &JobApi,
@@ -125,7 +131,7 @@
 }
 
 fn request(method: Method, path: &str) -> poem::RequestBuilder {
-    poem::Request::builder().method(method).uri(path.parse().expect("a path"))
+    poem::Request::builder().method(method).uri(path.parse().expect("the path is a valid URI"))
 }
 
 fn order_request(order: &OperatorOrder) -> poem::Request {
@@ -155,11 +161,12 @@
         OperatorOrder::Read if status == 200 => {
             let text = String::from_utf8_lossy(body).into_owned();
             let configuration: ConfigurationBody =
-                serde_json::from_str(&text).expect("a configuration has a version");
+                serde_json::from_str(&text).expect("the reply is a configuration document with a version");
             ExternalReply::Configuration(configuration.version, text)
         }
         OperatorOrder::ReadDrain(_) if status == 200 => {
-            let drain: DrainBody = serde_json::from_slice(body).expect("a condition is reported");
+            let drain: DrainBody =
+                serde_json::from_slice(body).expect("the reply reports the condition of the store");
             if drain.condition == "delivered" {
                 ExternalReply::Status(200)
             } else {
@@ -185,7 +192,7 @@
 fn job_reply(call: &JobCall, status: u16, body: &[u8]) -> ExternalReply {
     match call {
         JobCall::Read(_) if status == 200 => {
-            let body: ResultsBody = serde_json::from_slice(body).expect("results can be read");
+            let body: ResultsBody = serde_json::from_slice(body).expect("the reply is a list of results");
             ExternalReply::Results(body.results)
         }
         _ => ExternalReply::Status(status),
--- a/crates/simulator/src/fleet/calls.rs
+++ b/crates/simulator/src/fleet/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for a reply, and replies that wait for an operator or trainer.
+//! Calls without a reply, and replies that operators and trainers have not read yet.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +10,42 @@
 
 /// A call that has no reply yet.
 pub(super) struct PendingCall {
-    /// The machine that made it.
+    /// The index of the machine that made the call.
     pub(super) caller: usize,
-    /// How many processes had ended at the caller when the call was made: a later process must not get the reply.
+    /// Number of processes that had ended at the caller when the call was made. The reply is dropped if it
+    /// has changed, as a later process must not get it.
     pub(super) caller_process_exits: u64,
     pub(super) to: Endpoint,
     pub(super) path: String,
     pub(super) body: Bytes,
-    /// `None` once the connection was reset.
+    /// Passes the reply to the caller; `None` after a reset of the connection.
     pub(super) reply: Option<oneshot::Sender<CallOutcome>>,
 }
 
 impl PendingCall {
+    /// Whether a machine is the caller or the receiver of the call.
     fn involves(&self, machine: usize) -> bool {
         self.caller == machine || self.to == Endpoint::Machine(machine)
     }
 }
 
-/// All calls that have no reply yet, by number.
+/// The calls without a reply and the replies to external requests, both by number.
 #[derive(Default)]
 pub(super) struct CallTable {
+    /// Calls that have no reply yet.
     pub(super) pending: BTreeMap<u64, PendingCall>,
-    /// Replies to operators and trainers that were not read yet, by the number of the request.
+    /// Replies that operators and trainers have not read yet, by the number of the request.
     pub(super) external_replies: BTreeMap<u64, ExternalReply>,
 }
 
 impl CallTable {
-    /// Drops the calls that a machine has made.
+    /// Removes the calls that a machine has made.
     pub(super) fn drop_calls_of(&mut self, machine: usize) {
         self.pending.retain(|_, pending| pending.caller != machine);
     }
 
-    /// Resets the connections of a machine: its callers and callees see that no reply will come.
+    /// Resets the connections of a machine: pending calls from and to this machine fail with an unknown
+    /// outcome.
     pub(super) fn reset_connections(&mut self, machine: usize) {
         for pending in self.pending.values_mut().filter(|pending| pending.involves(machine)) {
             drop(pending.reply.take());
--- a/crates/simulator/src/fleet/delivery.rs
+++ b/crates/simulator/src/fleet/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of calls and replies from one endpoint to another, with the delays, losses and partitions of the network.
+//! Delivery of calls and replies between endpoints, with the delays, losses and partitions of the network.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use crate::model_server::ModelServer;
 use crate::transport::{CallOutcome, Endpoint, OutgoingCall};
 
-/// A message that a partition stops is sent again after this time.
+/// Time after which a message that a partition has stopped is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a message that a partition stops is sent again before it is dropped.
+/// Number of times that a message stopped by a partition is sent again before it is dropped.
 const MAX_RESENDS: u32 = 8;
 
 impl Fleet {
@@ -32,6 +32,7 @@
         }
     }
 
+    /// Registers a call as pending and schedules its arrival.
     fn send_call(&mut self, outgoing: OutgoingCall) {
         let OutgoingCall { caller, to, path, body, reply } = outgoing;
         self.transcript.record_call(self.now, caller, to, &path, &body);
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sends the reply of a process to a call of another.
+    /// Sends the reply of a process to a call of another process.
     fn send_reply(&mut self, call: u64, outcome: &CallOutcome) {
         self.transcript.record_reply(self.now, call, outcome);
         let Some(pending) = self.calls.pending.get(&call) else { return };
@@ -56,13 +57,15 @@
         self.schedule_reply(call, from, to, transmission, outcome);
     }
 
+    /// Sends the reply of a node to an operator or trainer.
     fn send_external_reply(&mut self, call: u64, reply: &ExternalReply) {
         for delay in self.network.delays(&mut self.random, Endpoint::ExternalClients, Endpoint::Platform) {
             self.schedule(delay, FleetEvent::ExternalReplyArrives { call, reply: reply.clone() });
         }
     }
 
-    /// Sends a reply that takes no time on a link: from a server, from the platform, or because nothing listens.
+    /// Sends a reply without transmission time on a link: a reply of a server or the platform, or a refused
+    /// connection.
     fn reply_directly(&mut self, call: u64, outcome: &CallOutcome) {
         let Some(pending) = self.calls.pending.get(&call) else { return };
         let (from, to) = (pending.to, Endpoint::Machine(pending.caller));
@@ -83,6 +86,7 @@
         }
     }
 
+    /// Passes a call to its receiver, or schedules its arrival again if a partition stops it.
     pub(super) fn deliver_call(&mut self, call: u64, resends: u32) {
         let Some(pending) = self.calls.pending.get(&call) else { return };
         let (from, to) = (Endpoint::Machine(pending.caller), pending.to);
@@ -106,6 +110,7 @@
         }
     }
 
+    /// Passes a call to the process of a machine, or keeps it while the machine is frozen.
     fn deliver_to_machine(&mut self, index: usize, call: u64) {
         let Some(pending) = self.calls.pending.get(&call) else { return };
         match self.machines.get_mut(index) {
@@ -120,10 +125,15 @@
         }
     }
 
+    /// Replies that the call was not sent, because no process listens at the address.
     fn refuse_connection(&mut self, call: u64) {
-        self.reply_directly(call, &Err(CallError::NotSent("nobody listens there".into())));
+        self.reply_directly(
+            call,
+            &Err(CallError::NotSent("connection refused: no process listens at the address".into())),
+        );
     }
 
+    /// Passes a reply to the process that made the call, if that process still exists.
     pub(super) fn deliver_reply(&mut self, call: u64, outcome: CallOutcome, resends: u32) {
         let Some(pending) = self.calls.pending.get(&call) else { return };
         let caller = pending.caller;
@@ -143,7 +153,7 @@
             return;
         }
         if let Some(reply) = self.calls.pending.remove(&call).and_then(|pending| pending.reply) {
-            // The caller may have stopped waiting.
+            // Sending fails if the caller no longer waits for the reply.
             let _ = reply.send(outcome);
         }
     }
--- a/crates/simulator/src/fleet/events.rs
+++ b/crates/simulator/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! The events of a simulated fleet, in the order in which they happen.
+//! Queue of the future events of a simulated fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,14 +6,15 @@
 use crate::external_requests::{ExternalReply, ExternalRequest};
 use crate::transport::CallOutcome;
 
-/// Something that happens at a time.
+/// An event that is scheduled for a point in simulated time.
 pub(super) enum FleetEvent {
-    /// A machine starts its process, unless a process has ended there since this was scheduled (`process_exits`
-    /// differs).
+    /// A machine starts its process. The event is ignored if a process of the machine has ended since the
+    /// start was scheduled: its number of exits then differs from `process_exits`.
     Start { machine: usize, process_exits: u64 },
-    /// A call arrives.
+    /// A call arrives at its receiver, after `resends` earlier arrivals that a partition prevented.
     CallArrives { call: u64, resends: u32 },
-    /// The reply to a call arrives.
+    /// The reply to a call arrives at the caller, after `resends` earlier arrivals that a partition
+    /// prevented.
     ReplyArrives { call: u64, outcome: CallOutcome, resends: u32 },
     /// A request of an operator or trainer arrives at a node.
     ExternalRequestArrives { node: usize, call: u64, request: ExternalRequest },
@@ -21,7 +22,7 @@
     ExternalReplyArrives { call: u64, reply: ExternalReply },
 }
 
-/// Pending events by time; those of the same time happen in the order in which they were scheduled.
+/// Pending events by time. Events of the same time are handled in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BTreeMap<(Duration, u64), FleetEvent>,
@@ -29,19 +30,19 @@
 }
 
 impl EventQueue {
-    /// The next number of an event or a call.
+    /// Returns a new number for an event or a call.
     pub(super) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Schedules an event.
+    /// Schedules an event for the time `at`.
     pub(super) fn schedule(&mut self, at: Duration, event: FleetEvent) {
         let number = self.next_number();
         self.events.insert((at, number), event);
     }
 
-    /// Takes the first event that is due at `now`.
+    /// Removes and returns the earliest event that is due at `now`.
     pub(super) fn pop_due(&mut self, now: Duration) -> Option<FleetEvent> {
         let first = self.events.first_entry().filter(|entry| entry.key().0 <= now)?;
         Some(first.remove())
--- a/crates/simulator/src/fleet/external_clients.rs
+++ b/crates/simulator/src/fleet/external_clients.rs
@@ -1,4 +1,5 @@
-//! Requests of operators and trainers to the fleet, and the check of the orders that servers received.
+//! Requests of operators and trainers to the fleet, and a check of the orders that model servers have
+//! received.
 
 use std::time::Duration;
 
@@ -8,14 +9,14 @@
 use crate::model_server::ReceivedOrder;
 use crate::transport::Endpoint;
 
-/// How long an operator or trainer waits for a reply.
+/// Time for which an operator or trainer waits for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The pause of an operator or trainer between two attempts.
+/// Pause between two attempts of an operator or trainer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Fleet {
-    /// Sends a request to a node; the reply, if one arrives, is taken by [`Fleet::take_reply`] with the number that is
-    /// returned.
+    /// Sends a request to a node without waiting. Returns the number by which [`Fleet::take_reply`] takes the
+    /// reply.
     pub fn send_request(&mut self, node: usize, request: ExternalRequest) -> u64 {
         let call = self.events.next_number();
         let (from, to) = (Endpoint::ExternalClients, Endpoint::Machine(node));
@@ -25,6 +26,7 @@
         call
     }
 
+    /// Passes a request to the process of a node. The request is lost if there is none.
     pub(super) fn deliver_external_request(&mut self, node: usize, call: u64, request: ExternalRequest) {
         let machine = &mut self.machines[node];
         if machine.is_frozen() {
@@ -34,32 +36,32 @@
         }
     }
 
-    /// The reply to a request, once it has arrived.
+    /// Removes and returns the reply to a request; `None` if no reply has arrived.
     pub fn take_reply(&mut self, call: u64) -> Option<ExternalReply> {
         self.calls.external_replies.remove(&call)
     }
 
-    /// Sends a request to a node and waits for the reply; `None` when none arrives in time.
+    /// Sends a request to a node and waits for the reply. Returns `None` if none arrives within 1.5 s.
     pub fn request_and_wait(&mut self, node: usize, request: ExternalRequest) -> Option<ExternalReply> {
         let call = self.send_request(node, request);
         self.run_until(REPLY_TIMEOUT, |fleet| fleet.calls.external_replies.contains_key(&call));
         self.take_reply(call)
     }
 
-    /// Sends an operator's order to random nodes until one gives a conclusive reply.
+    /// Sends an operator's order to random nodes, one after another, until one gives a conclusive reply.
     ///
     /// # Panics
     ///
-    /// When none does within `timeout`.
+    /// If no node gives a conclusive reply within `timeout`.
     pub fn execute_order(&mut self, timeout: Duration, order: &OperatorOrder) -> ExternalReply {
         self.call_until_conclusive(timeout, &ExternalRequest::Operator(order.clone()))
     }
 
-    /// Sends a call about a batch job to random nodes until one gives a conclusive reply.
+    /// Sends a call about a batch job to random nodes, one after another, until one gives a conclusive reply.
     ///
     /// # Panics
     ///
-    /// When none does within `timeout`.
+    /// If no node gives a conclusive reply within `timeout`.
     pub fn execute_job_call(&mut self, timeout: Duration, job: &str, call: JobCall) -> ExternalReply {
         self.call_until_conclusive(timeout, &ExternalRequest::Job(job.into(), call))
     }
@@ -74,11 +76,11 @@
                 _ => self.run_for(RETRY_INTERVAL),
             }
         }
-        panic!("no clear answer to {request:?} within {timeout:?}");
+        panic!("no node gave a conclusive reply to {request:?} within {timeout:?}");
     }
 
-    /// The first two successive orders at a server that break a rule, if any: a lower fencing token after a higher one,
-    /// or orders of two lease holders within `min_gap`.
+    /// Finds two successive orders at a server that must not follow each other: a lower fencing token after a
+    /// higher one, or orders of two lease holders less than `min_gap` apart.
     #[must_use]
     pub fn conflicting_orders(&self, min_gap: Duration) -> Option<[ReceivedOrder; 2]> {
         let mut pairs = self.servers.iter().flat_map(|server| server.received_orders.windows(2));
--- a/crates/simulator/src/fleet/failure_budget.rs
+++ b/crates/simulator/src/fleet/failure_budget.rs
@@ -1,22 +1,23 @@
-//! Which machines count as failed, as the operators count them.
+//! Machines that count as failed against the number of failures that the settings tolerate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Machines that count as failed, each until it has returned and caught up.
+/// The machines that count as failed. A machine counts until it has had time to return and to catch up.
 #[derive(Default)]
 pub(super) struct FailureBudget {
+    /// The end of the latest failure of each machine, by index.
     failed_until: BTreeMap<usize, Duration>,
 }
 
 impl FailureBudget {
-    /// Counts a machine as failed until `until` at least.
+    /// Counts a machine as failed at least until `until`.
     pub(super) fn record(&mut self, machine: usize, until: Duration) {
         let failed_until = self.failed_until.entry(machine).or_default();
         *failed_until = until.max(*failed_until);
     }
 
-    /// How many machines count as failed at `now`.
+    /// Number of machines that count as failed at `now`.
     pub(super) fn failed_at(&self, now: Duration) -> usize {
         self.failed_until.values().filter(|until| **until > now).count()
     }
--- a/crates/simulator/src/fleet/fault_injection.rs
+++ b/crates/simulator/src/fleet/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Faults of machines, disks and connections.
+//! Injection of faults into machines, disks and connections.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::process;
 
 impl Fleet {
-    /// Kills a process; its machine starts another within a second.
+    /// Kills the process of a machine. The machine starts another process within a second.
     pub fn kill(&mut self, machine: usize) {
         self.record_failure(machine, MAX_RESTART_DELAY);
         self.machines[machine].disk.kill();
@@ -17,7 +17,8 @@
         self.schedule_start(machine, MAX_RESTART_DELAY);
     }
 
-    /// Cuts the power of a machine, possibly in the middle of a write; its process starts again within a second.
+    /// Cuts the power of a machine, possibly in the middle of a write. The machine starts another process
+    /// within a second.
     pub fn lose_power(&mut self, machine: usize) {
         self.record_failure(machine, MAX_RESTART_DELAY);
         let mut write_faults = RandomWriteFaults::new(self.random.u64(..));
@@ -26,24 +27,25 @@
         self.schedule_start(machine, MAX_RESTART_DELAY);
     }
 
-    /// Asks a process to shut down gracefully; its machine starts another within a second, or is removed if it
-    /// `is_leaving`.
+    /// Asks the process of a machine to shut down gracefully. Afterwards the machine is removed if
+    /// `is_leaving`; otherwise it starts another process within a second.
     pub fn terminate(&mut self, machine: usize, is_leaving: bool) {
         self.record_failure(machine, MAX_RESTART_DELAY);
         self.machines[machine].terminate(is_leaving);
     }
 
-    /// Lets the next sync of a machine's disk fail.
+    /// Makes the next sync of a machine's disk fail.
     pub fn fail_sync(&mut self, machine: usize) {
         self.machines[machine].disk.fail_syncs(1);
     }
 
-    /// Stalls the disk of a machine, or lets it continue.
+    /// Stalls the disk of a machine, or ends the stall. No sync completes during a stall.
     pub fn stall_disk(&mut self, machine: usize, is_stalled: bool) {
         self.machines[machine].sync_delay.set_stalled(is_stalled);
     }
 
-    /// Erases the disk of a machine; its process starts again with an empty one within a second.
+    /// Erases the disk of a machine and ends its process. The machine starts another process with the empty
+    /// disk within a second.
     pub fn lose_disk(&mut self, machine: usize) {
         self.record_failure(machine, MAX_RESTART_DELAY);
         self.machines[machine].disk.wipe();
@@ -51,8 +53,8 @@
         self.schedule_start(machine, MAX_RESTART_DELAY);
     }
 
-    /// Ends a process and appends a record to its disk that its role cannot decode, as another build might have; the
-    /// process starts again within a second.
+    /// Ends the process of a machine and appends a record to its journal that the role cannot decode, as a
+    /// different build could have written. The machine starts another process within a second.
     pub fn append_undecodable_record(&mut self, machine: usize) {
         self.record_failure(machine, MAX_RESTART_DELAY);
         self.machines[machine].disk.kill();
@@ -61,7 +63,8 @@
         self.schedule_start(machine, MAX_RESTART_DELAY);
     }
 
-    /// Counts a machine as failed until it, or its successor, has returned within this time and has caught up.
+    /// Counts a machine as failed for the time `returns_within`, in which the machine or its successor
+    /// returns, plus the catch-up time. Nodes without a disk do not count.
     pub fn record_failure(&mut self, machine: usize, returns_within: Duration) {
         if self.kind(machine) == MachineKind::DisklessNode {
             return;
@@ -70,32 +73,32 @@
         self.failures.record(machine, until);
     }
 
-    /// How many machines with a disk count as failed now.
+    /// Number of machines with a disk that count as failed now.
     #[must_use]
     pub fn failed_machine_count(&self) -> usize {
         self.failures.failed_at(self.now)
     }
 
-    /// Removes a machine for good.
+    /// Removes a machine and erases its disk. The machine never returns.
     pub fn remove_machine(&mut self, machine: usize) {
         self.machines[machine].set_removed();
         self.end_process(machine);
     }
 
-    /// Removes a machine for good and adds another of the same kind with a new address and an empty disk; returns the
-    /// index of the other.
+    /// Removes a machine and adds another of the same kind, with a new address and an empty disk. Returns the
+    /// index of the added machine.
     pub fn replace(&mut self, machine: usize) -> usize {
         self.record_failure(machine, MAX_RESTART_DELAY);
         self.remove_machine(machine);
         self.add_machine(self.machines[machine].kind, false)
     }
 
-    /// Suspends a machine; what is sent to it waits.
+    /// Suspends a machine. Messages to this machine are delivered after [`Fleet::thaw`].
     pub fn freeze(&mut self, machine: usize) {
         self.machines[machine].freeze();
     }
 
-    /// Lets a frozen machine continue.
+    /// Resumes a frozen machine and delivers the messages that arrived during the freeze.
     pub fn thaw(&mut self, machine: usize) {
         self.record_failure(machine, Duration::ZERO);
         for event in self.machines[machine].thaw(self.now) {
@@ -103,17 +106,18 @@
         }
     }
 
-    /// Slows a machine down so that it only runs now and then, or ends that.
+    /// Slows a machine down, so that its process runs only at long intervals, or ends the slowness.
     pub fn slow_down(&mut self, machine: usize, is_slow: bool) {
         self.machines[machine].set_slow(is_slow);
     }
 
-    /// Resets all connections of a machine: no pending call to it or by it is replied to.
+    /// Resets all connections of a machine: pending calls from and to this machine fail with an unknown
+    /// outcome.
     pub fn reset_connections(&mut self, machine: usize) {
         self.calls.reset_connections(machine);
     }
 
-    /// Changes the seeds in the settings of a machine, and reloads them if its process runs.
+    /// Changes the seeds in the settings of a machine, and reloads the settings if the machine has a process.
     pub fn set_seeds(&mut self, machine: usize, seeds: Vec<usize>) {
         self.machines[machine].configured_seeds = Some(seeds);
         let settings = self.settings_of(machine);
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Ends a process without a trace of its calls.
+    /// Ends the process of a machine and removes the calls that it has made.
     fn end_process(&mut self, machine: usize) {
         self.machines[machine].end_process();
         self.calls.drop_calls_of(machine);
--- a/crates/simulator/src/fleet/links.rs
+++ b/crates/simulator/src/fleet/links.rs
@@ -1,22 +1,23 @@
-//! The links of the machines, which transmit one message after the other.
+//! Network links of the machines. A link transmits one message at a time in each direction.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::transport::Endpoint;
 
-/// One direction of one machine's link.
+/// One direction of the link of the machine with this index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Direction {
     Out(usize),
     In(usize),
 }
 
-/// The bandwidth of the links, and until when each is in use.
+/// The bandwidth of all links, and the times at which they become free.
 #[derive(Default)]
 pub(super) struct Links {
-    /// Of each machine's link, in each direction; `None`: transmission takes no time.
+    /// Bandwidth of each link in each direction; `None` if transmission takes no time.
     bytes_per_second: Option<f64>,
+    /// The time from which on each direction is free; absent if it was never used.
     free_from: BTreeMap<Direction, Duration>,
 }
 
@@ -25,7 +26,8 @@
         self.bytes_per_second = Some(bytes_per_second);
     }
 
-    /// How long a message of this length waits for the links on its way and is transmitted on them.
+    /// Reserves the links of the sender and the receiver for a message. Returns the time until the message
+    /// has passed both, including the wait for earlier messages. Only machines have links.
     pub(super) fn transmit(&mut self, now: Duration, from: Endpoint, to: Endpoint, bytes: usize) -> Duration {
         let Some(speed) = self.bytes_per_second.filter(|_| from != to) else { return Duration::ZERO };
         let transmission = Duration::from_secs_f64(bytes as f64 / speed);
--- a/crates/simulator/src/fleet/machine.rs
+++ b/crates/simulator/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! One machine of a fleet: its disk, its clock and the process that runs on it.
+//! A machine of a fleet: its disk, its clock and the process that runs on it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use crate::process::{Process, ProcessOptions};
 use crate::transport::Outbox;
 
-/// Clocks run fast or slow by one part in this many.
+/// Clocks deviate from the fleet's time by one part in this number, either fast or slow.
 const CLOCK_DRIFT_DIVISOR: u32 = 1000;
-/// A slow machine only runs this often.
+/// Time between two runs of the process of a slow machine.
 const SLOW_RUN_INTERVAL: Duration = Duration::from_millis(120);
 
-/// A clock that drifts.
+/// The clock of a machine, which is always a little fast or slow.
 struct MachineClock {
-    /// When the process was started, in time of the fleet.
+    /// The time of the fleet at which the process was started.
     process_started: Duration,
-    /// Whether the clock runs fast; else it runs slow.
+    /// Whether the clock runs fast; otherwise it runs slow.
     is_fast: bool,
 }
 
 impl MachineClock {
-    /// How far the clock has moved since the start of the process.
+    /// The time since the start of the process by this clock.
     fn elapsed(&self, now: Duration) -> Duration {
         let elapsed = now - self.process_started;
         let drift = elapsed / CLOCK_DRIFT_DIVISOR;
@@ -40,43 +40,46 @@
     }
 }
 
-/// How a machine executes its process.
+/// Whether a machine runs its process normally, slowly or not at all.
 #[derive(Default)]
 struct Execution {
     is_frozen: bool,
     is_slow: bool,
-    /// What arrived while it was frozen.
+    /// Events that arrived at the machine while it was frozen.
     deferred: VecDeque<FleetEvent>,
 }
 
-/// Whether a machine stays in the fleet.
+/// Whether a machine is leaving the fleet or has been removed.
 #[derive(Default)]
 struct Lifecycle {
-    /// It is removed once its process has ended.
+    /// Whether the machine is to be removed after the exit of its process.
     is_leaving: bool,
     is_removed: bool,
 }
 
-/// A machine.
+/// A machine with at most one process.
 pub(super) struct Machine {
+    /// The name in the settings, for example `node-0`.
     pub(super) name: String,
     pub(super) kind: MachineKind,
-    /// Whether its settings say that the system starts for the first time.
+    /// The value of the setting `firstStart`: whether the process may start a new system. It is false after
+    /// the first exit of a process.
     pub(super) is_first_start: bool,
-    /// The seeds that its settings name, if they were set.
+    /// The machines that the settings list as seeds; `None` for the default seeds.
     pub(super) configured_seeds: Option<Vec<usize>>,
     pub(super) disk: SimulatedDisk,
     pub(super) sync_delay: SyncDelay,
+    /// `None` while the machine is down.
     process: Option<Process>,
     clock: MachineClock,
     execution: Execution,
     lifecycle: Lifecycle,
-    /// How many processes have ended here.
+    /// Number of processes that have ended on this machine. It distinguishes the successive processes.
     process_exits: u64,
 }
 
 impl Machine {
-    /// A machine with an empty disk and no process.
+    /// Creates a machine with an empty disk and no process. Whether its clock is fast or slow is random.
     pub(super) fn new(name: String, kind: MachineKind, is_first_start: bool, random: &mut Rng) -> Self {
         let disk = SimulatedDisk::new(random.u64(..));
         let clock = MachineClock { process_started: Duration::ZERO, is_fast: random.bool() };
@@ -115,17 +118,17 @@
         self.lifecycle.is_removed
     }
 
-    /// Whether it has been removed, or will be once its process has ended.
+    /// Whether the machine has been removed, or will be removed after the exit of its process.
     pub(super) fn is_leaving(&self) -> bool {
         self.lifecycle.is_leaving || self.lifecycle.is_removed
     }
 
-    /// Whether a process runs and is not frozen.
+    /// Whether the machine has a process and is not frozen.
     pub(super) fn is_running(&self) -> bool {
         self.process.is_some() && !self.execution.is_frozen
     }
 
-    /// Starts its process. Returns whether it runs: when its disk cannot be opened, it exits at once.
+    /// Starts a process. Returns whether it is running: it exits immediately if its disk cannot be opened.
     pub(super) fn start(
         &mut self,
         index: usize,
@@ -151,7 +154,7 @@
         self.process.is_some()
     }
 
-    /// Lets the process run until its clock has caught up with `now`.
+    /// Runs the process until its clock has caught up with `now`. A slow machine runs only at intervals.
     pub(super) fn run(&mut self, now: Duration) {
         if !self.is_running() {
             return;
@@ -170,7 +173,8 @@
         self.execution.is_frozen = true;
     }
 
-    /// Lets the process continue, with the time of its clock; returns what arrived meanwhile.
+    /// Ends the freeze and advances the clock of the process to the present time. Returns the events that
+    /// arrived during the freeze.
     pub(super) fn thaw(&mut self, now: Duration) -> VecDeque<FleetEvent> {
         self.execution.is_frozen = false;
         let clock = self.clock.elapsed(now);
@@ -180,7 +184,7 @@
         std::mem::take(&mut self.execution.deferred)
     }
 
-    /// Keeps what arrives at a frozen machine until it is thawed.
+    /// Keeps an event of a frozen machine until [`Machine::thaw`].
     pub(super) fn defer(&mut self, event: FleetEvent) {
         self.execution.deferred.push_back(event);
     }
@@ -189,7 +193,7 @@
         self.execution.is_slow = is_slow;
     }
 
-    /// Asks the process to shut down gracefully; the machine is removed afterwards if it `is_leaving`.
+    /// Asks the process to shut down gracefully. With `is_leaving`, the machine is removed afterwards.
     pub(super) fn terminate(&mut self, is_leaving: bool) {
         self.lifecycle.is_leaving |= is_leaving;
         if let Some(process) = &self.process {
@@ -202,17 +206,18 @@
         self.process.as_ref().is_some_and(Process::has_shut_down)
     }
 
-    /// Whether it is to be removed once its process has ended.
+    /// Whether the machine is to be removed after the exit of its process.
     pub(super) fn leaves_after_exit(&self) -> bool {
         self.lifecycle.is_leaving
     }
 
+    /// Erases the disk and marks the machine as removed.
     pub(super) fn set_removed(&mut self) {
         self.disk.wipe();
         self.lifecycle.is_removed = true;
     }
 
-    /// Drops the process with all its tasks.
+    /// Kills the process with all its tasks, and ends the freeze, slowness and disk stall of the machine.
     pub(super) fn end_process(&mut self) {
         self.process = None;
         self.execution = Execution::default();
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet in simulated time: machines, their network and servers.
+//! A fleet in simulated time: machines, their network and model servers.
 //!
-//! [`Fleet`] owns everything and lets time pass in steps. In each step it first handles the events that are due, then
-//! lets one machine's process run after the other and takes the messages that each has sent. Faults are injected by
-//! `fault_injection`, tests and checks read the fleet's state by `observe`, and operators and trainers call by
-//! `external_clients`.
+//! [`Fleet`] owns all parts and advances time in steps. In each step it first handles the events that are
+//! due. It then runs the processes of the machines one after another, and takes the messages that each has
+//! sent. `fault_injection` contains the faults, `observe` the read access for tests and checks, and
+//! `external_clients` the requests of operators and trainers.
 
 mod calls;
 mod delivery;
@@ -35,38 +35,41 @@
 
 pub use shape::{FleetShape, MachineKind};
 
-/// Time passes in steps of this length: no message is faster.
+/// Length of a time step. Messages take at least one step, because they are delivered at the start of a later
+/// step.
 const STEP: Duration = Duration::from_millis(2);
-/// A process is started within this time after its machine was added.
+/// Upper bound of the random delay from the addition of a machine to the start of its process.
 const MAX_FIRST_START_DELAY: Duration = Duration::from_millis(300);
-/// A process is started again within this time after an exit.
+/// Upper bound of the random delay from the exit of a process to the start of the next one.
 const MAX_RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// A fleet in simulated time. Everything random in it, and in the code that it runs, is drawn from its seed; only one
-/// fleet may run on a thread at a time.
+/// A fleet in simulated time. All random choices, also those of the code that its processes run, follow from
+/// its seed. Only one fleet may run on a thread at a time, because the processes use the random generator of
+/// the thread.
 pub struct Fleet {
-    /// The time since the start.
+    /// The simulated time since the start of the fleet.
     pub now: Duration,
-    /// The network; faults may be injected into it.
+    /// The network; tests may change it to inject faults.
     pub network: Network,
-    /// The model servers.
+    /// The model servers, by index. Their number is constant.
     pub servers: Vec<ModelServer>,
-    /// The generator of all random numbers of the fleet and of its faults. The code of the processes draws from the
-    /// generator of the thread, which [`Fleet::start`] seeds.
+    /// The generator of the random numbers of the fleet and of the faults. The code of the processes uses the
+    /// generator of the thread instead, which [`Fleet::start`] seeds.
     pub random: Rng,
     shape: FleetShape,
     machines: Vec<Machine>,
     events: EventQueue,
     calls: CallTable,
     failures: FailureBudget,
-    /// Messages that processes have sent in this step.
+    /// Messages that processes have sent and that are not scheduled for delivery yet.
     outbox: Outbox,
     links: Links,
     transcript: Transcript,
 }
 
 impl Fleet {
-    /// Starts a system of this shape for the first time: all disks are empty.
+    /// Starts a fleet of this shape for the first time: all disks are empty, and the settings permit the
+    /// first start.
     #[must_use]
     pub fn start(seed: u64, shape: FleetShape) -> Self {
         fastrand::seed(seed);
@@ -93,7 +96,8 @@
         fleet
     }
 
-    /// Adds a machine with an empty disk, which starts its process soon; returns its index.
+    /// Adds a machine with an empty disk and schedules the start of its process. `is_first_start` is the
+    /// value of the setting `firstStart`. Returns the index of the machine.
     pub fn add_machine(&mut self, kind: MachineKind, is_first_start: bool) -> usize {
         let index = self.machines.len();
         let name = format!("{}-{index}", if kind == MachineKind::Store { "store" } else { "node" });
@@ -102,18 +106,18 @@
         index
     }
 
-    /// Sets the bandwidth of each machine's link, in bytes a second for each direction.
+    /// Sets the bandwidth of the links of all machines, in bytes per second for each direction.
     pub fn set_link_speed(&mut self, bytes_per_second: f64) {
         self.links.set_speed(bytes_per_second);
     }
 
-    /// Digest of all messages so far, with their times: two runs of one seed have the same.
+    /// Digest of all messages so far with their times. Two runs with the same seed have the same digest.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.transcript.digest()
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by at least `time`, in whole steps.
     pub fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Lets time pass until a condition holds; returns whether it did within `timeout`.
+    /// Advances the simulation until a condition holds. Returns whether it held within `timeout`.
     pub fn run_until(&mut self, timeout: Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let deadline = self.now + timeout;
         while self.now < deadline {
@@ -133,7 +137,7 @@
         condition(self)
     }
 
-    /// Lets one step of time pass.
+    /// Advances the simulation by one step.
     pub fn step(&mut self) {
         self.now += STEP;
         self.servers.iter_mut().for_each(|server| server.advance(self.now));
@@ -169,13 +173,14 @@
         self.events.schedule(self.now + after, event);
     }
 
-    /// Schedules the start of a process at a random time within `limit`.
+    /// Schedules the start of a process after a random delay of at most `limit`.
     fn schedule_start(&mut self, machine: usize, limit: Duration) {
         let after = limit.mul_f64(self.random.f64());
         let process_exits = self.machines[machine].process_exits();
         self.schedule(after, FleetEvent::Start { machine, process_exits });
     }
 
+    /// Starts a process unless the machine has one. If its disk cannot be opened, the start is retried later.
     fn start_process(&mut self, index: usize) {
         let settings = self.settings_of(index);
         let seed = self.random.u64(..);
@@ -188,7 +193,7 @@
         }
     }
 
-    /// After a graceful shutdown a machine is removed, or starts its process again.
+    /// Handles the end of a graceful shutdown: removes the machine if it is leaving, or restarts its process.
     fn finish_shutdown(&mut self, index: usize) {
         if !self.machines[index].has_shut_down() {
             return;
--- a/crates/simulator/src/fleet/observe.rs
+++ b/crates/simulator/src/fleet/observe.rs
@@ -14,38 +14,38 @@
 use crate::process::Process;
 
 impl Fleet {
-    /// The traffic nodes with a disk that were there at the start.
+    /// Indices of the traffic nodes with a disk that the fleet had at its start.
     #[must_use]
     pub fn nodes(&self) -> Range<usize> {
         0..self.shape.nodes
     }
 
-    /// The traffic nodes without a disk that were there at the start.
+    /// Indices of the traffic nodes without a disk that the fleet had at its start.
     #[must_use]
     pub fn diskless_nodes(&self) -> Range<usize> {
         let first = self.shape.nodes + self.shape.stores;
         first..first + self.shape.diskless_nodes
     }
 
-    /// All machines, including those that were removed.
+    /// Indices of all machines, including removed ones.
     #[must_use]
     pub fn machines(&self) -> Range<usize> {
         0..self.machines.len()
     }
 
-    /// The size of the fleet at its start.
+    /// The shape of the fleet at its start.
     #[must_use]
     pub fn shape(&self) -> FleetShape {
         self.shape
     }
 
-    /// The name of a machine.
+    /// The name of a machine in its settings, for example `node-0`.
     #[must_use]
     pub fn name(&self, machine: usize) -> &str {
         &self.machines[machine].name
     }
 
-    /// What a machine runs.
+    /// The role of a machine.
     #[must_use]
     pub fn kind(&self, machine: usize) -> MachineKind {
         self.machines[machine].kind
@@ -57,13 +57,14 @@
         self.machines[machine].kind == MachineKind::Store
     }
 
-    /// The traffic nodes that the operators' list shows: all that are neither removed nor leaving.
+    /// Indices of the traffic nodes that operators and trainers send requests to: all that are neither
+    /// removed nor leaving.
     #[must_use]
     pub fn present_nodes(&self) -> Vec<usize> {
         self.machines().filter(|machine| !self.is_store(*machine) && !self.is_leaving(*machine)).collect()
     }
 
-    /// Whether a machine has been removed, or will be once its process has ended.
+    /// Whether a machine has been removed, or will be removed after the exit of its process.
     #[must_use]
     pub fn is_leaving(&self, machine: usize) -> bool {
         self.machines[machine].is_leaving()
@@ -81,76 +82,79 @@
         self.machines[machine].is_running()
     }
 
-    /// How many processes have ended at a machine.
+    /// Number of processes of a machine that have ended.
     #[must_use]
     pub fn process_exits(&self, machine: usize) -> u64 {
         self.machines[machine].process_exits()
     }
 
-    /// The incarnation of a machine's disk, if it has one and a process.
+    /// The incarnation of a machine's disk; `None` without a disk or a process.
     #[must_use]
     pub fn incarnation(&self, machine: usize) -> Option<Incarnation> {
         self.machines[machine].process().and_then(Process::incarnation)
     }
 
-    /// The newest committed value that a machine's process has.
+    /// The newest committed value that a machine's process has learned; `None` without a process or a value.
     #[must_use]
     pub fn committed(&self, machine: usize) -> Option<Versioned<ControlState>> {
         self.machines[machine].process()?.committed()
     }
 
-    /// The newest committed state that a machine's process has.
+    /// The newest committed state that a machine's process has learned; `None` without a process or a state.
     #[must_use]
     pub fn state(&self, machine: usize) -> Option<Arc<ControlState>> {
         self.committed(machine).map(|committed| committed.value)
     }
 
-    /// The newest committed state that the acceptor of a machine has recorded durably.
+    /// The newest committed state that the acceptor of a machine has recorded durably; `None` without one.
     #[must_use]
     pub fn recorded_state(&self, machine: usize) -> Option<Arc<ControlState>> {
         let acceptor = self.machines[machine].process()?.acceptor()?;
         acceptor.committed().map(|committed| committed.value)
     }
 
-    /// The newest committed state that any process has.
+    /// The newest committed state that any process has learned.
     #[must_use]
     pub fn newest_state(&self) -> Option<Arc<ControlState>> {
         self.machines().filter_map(|machine| self.state(machine)).max_by_key(|state| state.revision)
     }
 
-    /// The fencing token of a machine's process, while it holds the leader lease and is not frozen.
+    /// The fencing token of a machine's process while it holds the leader lease and is not frozen; `None`
+    /// otherwise.
     #[must_use]
     pub fn fence(&self, machine: usize) -> Option<u64> {
         let machine = &self.machines[machine];
         machine.process().filter(|_| !machine.is_frozen())?.fence()
     }
 
-    /// How long ago a majority confirmed the state that a machine's process has.
+    /// The time since a majority of the acceptors last confirmed the state of a machine's process; `None`
+    /// without a process or a confirmation.
     #[must_use]
     pub fn confirmed_age(&self, machine: usize) -> Option<Duration> {
         self.machines[machine].process()?.confirmed_age()
     }
 
-    /// The node that was the last to raise the fencing token, by the newest state that any process has.
+    /// The node that raised the fencing token last, according to the newest state of any process.
     #[must_use]
     pub fn leader(&self) -> Option<usize> {
         let owner = self.newest_state()?.fence_owner.clone()?;
         self.machines.iter().position(|machine| machine.name == owner)
     }
 
-    /// How far a machine's process has migrated its batch jobs, if it is a store.
+    /// Progress of a store in the migration of its batch jobs; `None` for a traffic node or without a
+    /// process.
     #[must_use]
     pub fn migration_status(&self, machine: usize) -> Option<MigrationStatus> {
         Some(self.machines[machine].process()?.jobs()?.migration_status())
     }
 
-    /// Logs the state of each machine.
+    /// Logs the state of each machine, for the analysis of a failed run.
     pub fn log_state(&self) {
         for machine in &self.machines {
             set_log_context(self.now, &machine.name);
             match machine.process() {
                 Some(process) => log_process(machine, process),
-                None => log::info!(is_removed = machine.is_removed(); "no process"),
+                None => log::info!(is_removed = machine.is_removed(); "machine has no process"),
             }
         }
     }
@@ -158,8 +162,8 @@
 
 fn log_process(machine: &Machine, process: &Process) {
     let incarnation = process.incarnation().map(|incarnation| incarnation.0);
-    log::info!(incarnation, is_frozen = machine.is_frozen(), is_slow = machine.is_slow(); "process runs");
-    log_value("known value", process.committed().as_ref());
+    log::info!(incarnation, is_frozen = machine.is_frozen(), is_slow = machine.is_slow(); "process is running");
+    log_value("learned value", process.committed().as_ref());
     if let Some(jobs) = process.jobs() {
         log::info!("migration of batch jobs: {:?}", jobs.migration_status());
         log::debug!("{}", jobs.describe());
--- a/crates/simulator/src/fleet/settings.rs
+++ b/crates/simulator/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! The settings files of a fleet's machines.
+//! Settings files of the machines of a fleet.
 
 use settings::NodeSettings;
 
@@ -6,17 +6,18 @@
 use super::Fleet;
 use crate::transport::ip_of;
 
-/// How many seeds the settings name.
+/// Number of seeds in the settings of a machine.
 const SEEDS_PER_MACHINE: usize = 3;
-/// The port for internal calls.
+/// Port for internal calls.
 const INTERNAL_PORT: u16 = 7000;
-/// The port of the operator's interface.
+/// Port of the operator API, which is also the port of seed addresses.
 const OPERATOR_PORT: u16 = 9000;
-/// Machines are spread over this many zones.
+/// Number of zones over which the machines are distributed.
 const ZONES: usize = 3;
 
 impl Fleet {
-    /// The settings of a machine, as the platform writes them at this moment.
+    /// The settings that the platform would write for a machine now: the default seeds are the first present
+    /// nodes.
     pub(super) fn settings_of(&self, index: usize) -> NodeSettings {
         let machine = &self.machines[index];
         let serves = if self.is_store(index) { r#""vault""# } else { r#""counter", "dispatch""# };
@@ -34,10 +35,11 @@
             self.shape.tolerated_failures,
             self.shape.catch_up_time().as_secs_f64(),
         );
-        NodeSettings::parse(&text).expect("the settings are valid")
+        NodeSettings::parse(&text).expect("the generated settings are valid")
     }
 
-    /// The seeds of a machine as quoted addresses: those that were named for it, else nodes that are present.
+    /// The quoted addresses of the seeds of a machine: the configured ones, or the first nodes that are not
+    /// removed.
     fn seed_addresses(&self, index: usize) -> Vec<String> {
         let is_present = |node: &usize| !self.is_store(*node) && !self.machines[*node].is_removed();
         let present = self.machines().filter(is_present).take(SEEDS_PER_MACHINE);
--- a/crates/simulator/src/fleet/shape.rs
+++ b/crates/simulator/src/fleet/shape.rs
@@ -1,19 +1,19 @@
-//! The size of a fleet and the kinds of its machines.
+//! Number of machines of each kind in a fleet.
 
 use std::time::Duration;
 
-/// The size of a fleet.
+/// Number of machines and servers of a fleet at its start, and the failures that its settings tolerate.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetShape {
-    /// Traffic nodes with a disk.
+    /// Number of traffic nodes with a disk.
     pub nodes: usize,
-    /// Traffic nodes without a disk.
+    /// Number of traffic nodes without a disk.
     pub diskless_nodes: usize,
-    /// Stores.
+    /// Number of stores.
     pub stores: usize,
-    /// Model servers.
+    /// Number of model servers.
     pub servers: usize,
-    /// How many machines with a disk may fail at a time.
+    /// Number of machines with a disk that may be failed at the same time.
     pub tolerated_failures: usize,
 }
 
@@ -24,20 +24,21 @@
 }
 
 impl FleetShape {
-    /// How long a machine counts as failed after its start (`catchUpS`), as deployments of this size set it.
+    /// Time for which a machine still counts as failed after its start (setting `catchUpS`): the value that
+    /// deployments of this size use.
     #[must_use]
     pub fn catch_up_time(&self) -> Duration {
         Duration::from_millis(if self.tolerated_failures > 1 { 6000 } else { 4500 })
     }
 }
 
-/// What a machine runs.
+/// The role of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineKind {
-    /// A traffic node with a disk.
+    /// A traffic node with a disk, which can be an acceptor.
     Node,
-    /// A traffic node without a disk.
+    /// A traffic node without a disk, which is never an acceptor.
     DisklessNode,
-    /// A store.
+    /// A store, which replicates batch jobs on its disk.
     Store,
 }
--- a/crates/simulator/src/fleet/transcript.rs
+++ b/crates/simulator/src/fleet/transcript.rs
@@ -1,5 +1,5 @@
-//! A running digest of all messages of a run: two runs of one seed have the same, unless the code behaves
-//! differently.
+//! Running digest of all messages of a run. Two runs with the same seed have the same digest unless the code
+//! behaves differently.
 
 use std::hash::Hash;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 }
 
 impl Transcript {
-    /// Adds a call of a process.
+    /// Adds a call of a process to the digest.
     pub(super) fn record_call(&mut self, now: Duration, from: usize, to: Endpoint, path: &str, body: &[u8]) {
         (now, from, to, path, body).hash(&mut self.hasher);
     }
 
-    /// Adds the reply of a process to a call.
+    /// Adds the reply of a process to a call to the digest.
     pub(super) fn record_reply(&mut self, now: Duration, call: u64, outcome: &CallOutcome) {
         let status = outcome.as_ref().map_or(0, |(status, _)| *status);
         let body = outcome.as_ref().map_or(&[][..], |(_, body)| body);
--- a/crates/simulator/src/item_runner.rs
+++ b/crates/simulator/src/item_runner.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a store's item runner: it generates the text of each item of a batch job after a while.
+//! Substitute for the item runner of a store: generates the text of each item of a batch job after a random
+//! time.
 
 use std::time::Duration;
 
@@ -8,16 +9,19 @@
 
 use crate::model_server::generated_text;
 
-/// How long an item runs, in milliseconds.
+/// Range of the run time of an item, in milliseconds.
 const ITEM_DURATION_MS: std::ops::Range<u64> = 20..200;
 
-/// Runs the batch jobs that a store comes to own, until the store ends.
+/// Runs each batch job of which the store becomes the owner. Returns when the store has dropped the sender of
+/// `owned`.
 pub(crate) async fn run_jobs(mut owned: mpsc::UnboundedReceiver<OwnedJob>) {
     while let Some(job) = owned.recv().await {
         tokio::spawn(run_job(job));
     }
 }
 
+/// Runs the items without a committed result one after another and appends a result for each. Stops when the
+/// batch job is no longer open or a result cannot be appended.
 async fn run_job(owned: OwnedJob) {
     let state = owned.state();
     let pending = owned
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,15 +1,17 @@
-//! The shipped control and store planes as a fleet in simulated time, with a seeded network, disks, clocks, servers,
-//! operators and trainers.
+//! Deterministic simulation of a fleet: the production code of the control plane and the store plane runs in
+//! simulated time, with a simulated network, disks, clocks, model servers, operators and trainers. A seed
+//! determines every random choice.
 //!
-//! Each process of a [`Fleet`] is the assembly that the program runs ([`rushrudder::node::TrafficNode`],
-//! [`rushrudder::store::BatchStore`]) on a runtime of its own with a paused clock; only its edges are simulated: the
-//! transport of internal calls, the calls to servers and to the platform, the disk under the journal, and the steady
-//! clock. The fleet lets all processes run for one short step after the other, and delivers what they sent. A process
-//! that is frozen does not run while its clock moves on; one that is killed is dropped with all its tasks.
+//! Each process of a [`Fleet`] is the same assembly that the program runs ([`rushrudder::node::TrafficNode`],
+//! [`rushrudder::store::BatchStore`]). It has a separate runtime with a paused clock. Only its interfaces to
+//! the outside are simulated: the transport of internal calls, the calls to servers and to the platform, the
+//! disk below the journal, and the monotonic clock. The fleet advances time in short steps. In each step it
+//! runs the processes one after another and delivers the messages that they have sent. The clock of a frozen
+//! process advances, but the process does not run. Killing a process drops it with all its tasks.
 //!
-//! The data plane is not part of it: a stand-in of the item runner generates the results of batch jobs.
+//! The data plane is not simulated: a substitute for the item runner generates the results of batch jobs.
 //!
-//! [`simulation`] runs fleets with random faults, and checks their invariants throughout.
+//! [`simulation`] runs fleets with random faults and checks their invariants at short intervals.
 
 mod disk;
 mod external_requests;
@@ -22,7 +24,8 @@
 pub mod simulation;
 mod transport;
 
-/// Whether the draws of the runtime are seeded too, so that a seed names a run: only with `--cfg tokio_unstable`.
+/// Whether the random choices of the Tokio runtime are seeded too, so that a seed reproduces a run exactly.
+/// This requires `--cfg tokio_unstable`.
 pub const IS_SEEDED: bool = cfg!(tokio_unstable);
 
 pub use external_requests::{ExternalReply, ExternalRequest, JobCall, OperatorOrder};
--- a/crates/simulator/src/logging.rs
+++ b/crates/simulator/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines of simulated processes, with simulated time and the name of the machine.
+//! Prints the log lines of simulated processes, each with the simulated time and the name of the machine.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -11,6 +11,7 @@
     static MACHINE: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
+/// Prints each log record to standard output, with the time and machine that [`set_log_context`] has set.
 struct StdoutLogger;
 
 impl Log for StdoutLogger {
@@ -29,7 +30,7 @@
     fn flush(&self) {}
 }
 
-/// The key-value fields of a record as ` key=value` each, behind its message.
+/// Formats the key-value fields of a record, each as ` key=value` with a leading space.
 fn key_values(record: &Record<'_>) -> String {
     struct Fields(String);
 
@@ -41,19 +42,20 @@
     }
 
     let mut fields = Fields(String::new());
-    // Collecting into a string does not fail.
+    // `Fields::visit_pair` never returns an error.
     let _ = record.key_values().visit(&mut fields);
     fields.0
 }
 
-/// Prints the log lines of all processes at this level and above to standard output.
+/// Prints the log lines of all processes at `level` and above to standard output. Has no effect if a logger
+/// is already installed.
 pub fn print_logs(level: LevelFilter) {
     if log::set_boxed_logger(Box::new(StdoutLogger)).is_ok() {
         log::set_max_level(level);
     }
 }
 
-/// Sets the simulated time and the machine of the log lines that follow on this thread.
+/// Sets the simulated time and the machine name that later log lines of this thread show.
 pub(crate) fn set_log_context(now: Duration, machine: &str) {
     if log::max_level() > LevelFilter::Off {
         NOW.set(now);
--- a/crates/simulator/src/model_server.rs
+++ b/crates/simulator/src/model_server.rs
@@ -1,4 +1,4 @@
-//! Simulated model servers, which load versions as they are ordered to.
+//! Simulated model servers, which load the versions of their orders and record all orders that they receive.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,33 +9,34 @@
 use serde::Deserialize;
 use state::{ServerCondition, ServerEntry};
 
-/// The path of an order.
+/// The path to which orders are sent.
 pub(crate) const ORDER_PATH: &str = "order";
-/// The path of a report.
+/// The path at which a server reports its versions and load.
 pub(crate) const REPORT_PATH: &str = "report";
-/// How long a server takes to load a version.
+/// Time that a server needs to load a version.
 const LOAD_TIME: Duration = Duration::from_millis(400);
 
 /// An order that a server has received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedOrder {
-    /// When, in time of the fleet.
+    /// The time of receipt, in simulated time since the start of the fleet.
     pub at: Duration,
-    /// The lease holder that issued it.
+    /// The name of the lease holder that issued the order.
     pub holder: String,
-    /// Its fencing token.
+    /// The fencing token of the order.
     pub fence: u64,
 }
 
 impl ReceivedOrder {
-    /// Whether this order must not follow an earlier one: its fencing token is lower, or another lease holder issued it
-    /// within `min_gap`.
+    /// Whether this order must not follow `earlier`: its fencing token is lower, or a different lease holder
+    /// issued it less than `min_gap` later.
     pub(crate) fn conflicts_with(&self, earlier: &Self, min_gap: Duration) -> bool {
         let is_too_soon = self.holder != earlier.holder && self.at < earlier.at + min_gap;
         self.fence < earlier.fence || is_too_soon
     }
 }
 
+/// The body of an order, as the leader encodes it.
 #[derive(Deserialize)]
 struct OrderBody {
     model: Arc<str>,
@@ -50,21 +51,26 @@
 struct Load {
     model: Arc<str>,
     version: u64,
+    /// The simulated time at which the server has the version.
     done_at: Duration,
 }
 
-/// A model server. It does not check fencing tokens, so that conflicting orders are recorded.
+/// A simulated model server. It does not check fencing tokens, so that its record shows conflicting orders.
 #[derive(Debug)]
 pub struct ModelServer {
     id: Arc<str>,
     index: usize,
+    /// The version of each model that the server has loaded.
     versions: BTreeMap<Arc<str>, u64>,
     loading: Option<Load>,
+    /// Number of accepted orders, which reports contain.
     accepted_orders: u64,
+    /// All orders in the order of their receipt, also those that were not accepted.
     pub(crate) received_orders: Vec<ReceivedOrder>,
 }
 
 impl ModelServer {
+    /// Creates a server that has version 1 of `model`.
     pub(crate) fn new(index: usize, model: &str) -> Self {
         Self {
             id: format!("i-{index}").into(),
@@ -76,20 +82,24 @@
         }
     }
 
-    /// The version of a model that it serves.
+    /// The version that the server has of a model.
+    ///
+    /// # Panics
+    ///
+    /// If the server does not have the model.
     #[must_use]
     pub fn version(&self, model: &str) -> u64 {
         self.versions[model]
     }
 
-    /// Completes a load that is done at `now`.
+    /// Completes the load in progress if its time is over at `now`.
     pub(crate) fn advance(&mut self, now: Duration) {
         if let Some(load) = self.loading.take_if(|load| load.done_at <= now) {
             self.versions.insert(load.model, load.version);
         }
     }
 
-    /// Its entry in the platform's list.
+    /// The entry of the server in the platform's list.
     pub(crate) fn list_entry(&self) -> ServerEntry {
         ServerEntry {
             id: Arc::clone(&self.id),
@@ -103,7 +113,7 @@
         }
     }
 
-    /// Responds to a call, with status and body.
+    /// Responds to an order or to the request of a report; returns the status and the body.
     pub(crate) fn respond(&mut self, now: Duration, path: &str, body: &[u8]) -> (u16, Bytes) {
         if path != ORDER_PATH {
             return (200, self.report());
@@ -113,6 +123,8 @@
         (self.start_load(now, order.model, order.version), Bytes::new())
     }
 
+    /// Starts to load a version and returns the status of the reply: 409 during another load, 200 if the
+    /// server already has the version, 202 if the load has started.
     fn start_load(&mut self, now: Duration, model: Arc<str>, version: u64) -> u16 {
         if self.loading.is_some() {
             return 409;
@@ -125,6 +137,7 @@
         202
     }
 
+    /// Encodes the versions, the number of accepted orders and the load of the server.
     fn report(&self) -> Bytes {
         let models = self.versions.iter();
         let models: Vec<_> =
@@ -140,16 +153,17 @@
     }
 }
 
+/// The address of a server; its port is the index of the server plus one.
 fn address_of_server(index: usize) -> SocketAddr {
     ([10, 0, 1, 0], u16::try_from(index + 1).unwrap_or(u16::MAX)).into()
 }
 
-/// The index of the server at an address.
+/// The index of the server that has this address.
 pub(crate) fn index_of_address(address: SocketAddr) -> usize {
     usize::from(address.port()) - 1
 }
 
-/// The text that any server generates for an item.
+/// The text that every server generates for an item.
 pub(crate) fn generated_text(item: &str) -> String {
     format!("the text of {item}")
 }
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! A network that drops, duplicates, delays and reorders messages, and can be partitioned.
+//! Simulated network that drops, duplicates, delays and reorders messages, and can be partitioned.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,45 +7,49 @@
 
 use crate::transport::Endpoint;
 
-/// The delay of a message, in microseconds.
+/// Range of the delay of a message that is not late, in microseconds.
 const DELAY_MICROS: std::ops::Range<u64> = 500..12_000;
-/// The delay of a late message, in microseconds.
+/// Range of the delay of a late message, in microseconds.
 const LATE_DELAY_MICROS: std::ops::Range<u64> = 100_000..3_000_000;
 
-/// The delay of a late message to a server: an order arrives within the time limit of its call, or never.
+/// Range of the delay of a late message to a model server, in microseconds. It ends at the time limit of
+/// calls to servers, because an order arrives within the time limit of its call or never.
 const LATE_DELAY_TO_SERVER_MICROS: std::ops::Range<u64> = 100_000..1_000_000;
 
-/// The network of a fleet.
+/// The network of a fleet: probabilities of lost, duplicated and late messages, and the present partitions.
 #[derive(Clone, Debug, Default)]
 pub struct Network {
-    /// How many of a thousand messages are dropped.
+    /// Number of messages in a thousand that are dropped.
     pub dropped_per_mille: u32,
-    /// How many of a thousand messages are duplicated.
+    /// Number of messages in a thousand that are duplicated.
     pub duplicated_per_mille: u32,
-    /// How many of a thousand messages are late, most of them after the caller has stopped waiting.
+    /// Number of messages in a thousand that are late. Most of them arrive after the caller has stopped
+    /// waiting.
     pub late_per_mille: u32,
-    /// Pairs of machines of which the first cannot reach the second.
+    /// Pairs of machine indices `(from, to)`: messages from the first machine to the second do not arrive.
     partitions: BTreeSet<(usize, usize)>,
 }
 
 impl Network {
-    /// A network that seldom drops, duplicates and delays messages.
+    /// Returns a network that drops and duplicates 1 % of the messages and delays 0.5 % of them.
     #[must_use]
     pub fn ordinary() -> Self {
         Self { dropped_per_mille: 10, duplicated_per_mille: 10, late_per_mille: 5, ..Self::default() }
     }
 
-    /// Stops all messages from one machine to another.
+    /// Stops all messages from one machine to another until [`Network::heal`]; the opposite direction still
+    /// works.
     pub fn partition_one_way(&mut self, from: usize, to: usize) {
         self.partitions.insert((from, to));
     }
 
-    /// Stops all messages between a machine and the others.
+    /// Stops all messages between a machine and the other machines whose index is below `machines`.
     pub fn isolate(&mut self, machine: usize, machines: usize) {
         self.partition_group(&[machine], machines);
     }
 
-    /// Stops all messages between these machines and the others.
+    /// Stops all messages between the machines of `group` and the other machines whose index is below
+    /// `machines`.
     pub fn partition_group(&mut self, group: &[usize], machines: usize) {
         for other in (0..machines).filter(|other| !group.contains(other)) {
             for machine in group {
@@ -55,12 +59,13 @@
         }
     }
 
-    /// Ends all partitions.
+    /// Ends all partitions. The probabilities of lost, duplicated and late messages stay.
     pub fn heal(&mut self) {
         self.partitions.clear();
     }
 
-    /// Whether messages from one endpoint to the other are stopped.
+    /// Whether a partition stops messages from one endpoint to the other. Partitions exist between machines
+    /// only.
     pub(crate) fn is_partitioned(&self, from: Endpoint, to: Endpoint) -> bool {
         match (from, to) {
             (Endpoint::Machine(from), Endpoint::Machine(to)) => self.partitions.contains(&(from, to)),
@@ -68,7 +73,8 @@
         }
     }
 
-    /// The delay of each copy of a message; none for a dropped one.
+    /// Draws the delay of each copy of a message: none if the message is dropped, two if it is duplicated. A
+    /// message of an endpoint to itself is delivered once, without delay.
     pub(crate) fn delays(&self, random: &mut Rng, from: Endpoint, to: Endpoint) -> Vec<Duration> {
         if from == to {
             return vec![Duration::ZERO];
@@ -83,6 +89,7 @@
         (0..copies).map(|_| self.delay(random, late.clone())).collect()
     }
 
+    /// Draws the delay of one copy; `late` is the range for late messages.
     fn delay(&self, random: &mut Rng, late: std::ops::Range<u64>) -> Duration {
         let is_late = random.u32(..1000) < self.late_per_mille;
         Duration::from_micros(random.u64(if is_late { late } else { DELAY_MICROS }))
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -1,4 +1,4 @@
-//! One process: the shipped assembly of its role on a runtime of its own, whose clock is simulated.
+//! One simulated process: the production assembly of its role, on a separate runtime with a simulated clock.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,26 +28,28 @@
 use crate::item_runner::run_jobs;
 use crate::transport::{CallOutcome, Outbox, SimulatedTransport};
 
-/// The journal of an acceptor: small, so that it wraps around often.
+/// Size of the journal of a traffic node, which holds its acceptor's records. It is small, so that the ring
+/// wraps around often.
 const NODE_JOURNAL_OPTIONS: RingOptions = RingOptions { segment_bytes: 128 * 1024, segments: 4 };
-/// The journal of a store.
+/// Size of the journal of a store.
 const STORE_JOURNAL_OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
 
-/// Where the journal is on the disk of a machine.
+/// Directory of the journal on the disk of a machine.
 const JOURNAL_DIRECTORY: &str = "/data";
 
-/// What a process is started with.
+/// Machine, settings and simulated resources that a process is started with.
 pub(crate) struct ProcessOptions<'a> {
+    /// The index of the machine.
     pub(crate) machine: usize,
     pub(crate) settings: &'a NodeSettings,
     pub(crate) disk: &'a SimulatedDisk,
     pub(crate) sync_delay: &'a SyncDelay,
     pub(crate) outbox: &'a Outbox,
-    /// The seed of the runtime's draws.
+    /// The seed of the runtime's random choices.
     pub(crate) seed: u64,
 }
 
-/// The parts of a role that the simulator calls.
+/// The role of a process, with the interfaces that the simulator calls.
 #[derive(Clone)]
 enum Role {
     Node { node: Arc<TrafficNode>, operator: Arc<BoxEndpoint<'static, Response>>, jobs: Arc<JobApi> },
@@ -55,6 +57,7 @@
 }
 
 impl Role {
+    /// The control plane of the process, which both roles have.
     fn control(&self) -> &ControlPlane {
         match self {
             Self::Node { node, .. } => &node.control,
@@ -63,21 +66,26 @@
     }
 }
 
-/// A process while it runs. Dropping it kills it.
+/// A running process. Dropping it kills the process with all its tasks.
 pub(crate) struct Process {
     runtime: Runtime,
+    /// The reading of the runtime's clock when the process started.
     started: Instant,
-    /// How far its clock has moved since it was started.
+    /// The time that has passed since the start by the clock of this process.
     clock: Duration,
+    /// The HTTP endpoint for calls of other processes.
     internal: Arc<BoxEndpoint<'static, Response>>,
     role: Role,
     outbox: Outbox,
+    /// The incarnation of the disk; `None` without a disk.
     incarnation: Option<Incarnation>,
+    /// Set when the graceful shutdown has completed.
     has_shut_down: Arc<AtomicBool>,
 }
 
 impl Process {
-    /// Starts a process; `None` if its disk cannot be opened, as the program ends then.
+    /// Starts a process. Returns `None` if the journal on its disk cannot be opened: the program exits in
+    /// this case.
     pub(crate) fn start(options: &ProcessOptions<'_>) -> Option<Self> {
         let runtime = runtime(options.seed);
         let outbox = options.outbox.clone();
@@ -102,26 +110,26 @@
         Some(Self { runtime, started, clock, internal, role, outbox, incarnation, has_shut_down })
     }
 
-    /// Lets the process run until its clock has moved this far since its start.
+    /// Runs the process until its clock shows `clock` since the start.
     pub(crate) fn run_until(&mut self, clock: Duration) {
         self.clock = clock;
         let until = self.started + clock;
         self.runtime.block_on(async move { tokio::time::sleep_until(until).await });
     }
 
-    /// Moves the clock without running the process.
+    /// Advances the clock to `clock` since the start in one jump, without running the process.
     pub(crate) fn jump_to(&mut self, clock: Duration) {
         let jump = clock.saturating_sub(self.clock);
         self.clock = clock;
         self.runtime.block_on(tokio::time::advance(jump));
     }
 
-    /// How far its clock has moved since it was started.
+    /// The time since the start by the clock of this process.
     pub(crate) fn clock(&self) -> Duration {
         self.clock
     }
 
-    /// Handles a call of another process; the reply goes to the outbox.
+    /// Starts handling a call of another process. The reply is put into the outbox under the number `call`.
     pub(crate) fn handle_call(&self, call: u64, path: String, body: Bytes) {
         let (internal, outbox) = (Arc::clone(&self.internal), self.outbox.clone());
         self.runtime.spawn(async move {
@@ -130,7 +138,8 @@
         });
     }
 
-    /// Handles a request of an operator or trainer; the reply goes to the outbox. Stores have no interface for them.
+    /// Starts handling a request of an operator or trainer. The reply is put into the outbox under the number
+    /// `call`. Stores ignore the request, as they have no interface for operators and trainers.
     pub(crate) fn handle_external_request(&self, call: u64, request: ExternalRequest) {
         let Role::Node { operator, jobs, .. } = self.role.clone() else { return };
         let outbox = self.outbox.clone();
@@ -140,7 +149,7 @@
         });
     }
 
-    /// Asks the process to shut down gracefully, as the platform does by SIGTERM.
+    /// Asks the process to shut down gracefully, as the platform does with SIGTERM.
     pub(crate) fn terminate(&self) {
         let (role, has_shut_down) = (self.role.clone(), Arc::clone(&self.has_shut_down));
         self.runtime.spawn(async move {
@@ -152,17 +161,17 @@
         });
     }
 
-    /// Reloads the settings, as the platform asks for by SIGHUP.
+    /// Applies changed settings, as the program does on SIGHUP.
     pub(crate) fn reload(&self, settings: &NodeSettings) {
         self.role.control().apply_settings(settings);
     }
 
-    /// Whether it has shut down after [`Process::terminate`].
+    /// Whether the graceful shutdown that [`Process::terminate`] started has completed.
     pub(crate) fn has_shut_down(&self) -> bool {
         self.has_shut_down.load(Ordering::Relaxed)
     }
 
-    /// Its batch jobs, if it is a store.
+    /// The batch jobs of a store; `None` for a traffic node.
     pub(crate) fn jobs(&self) -> Option<&JobStore> {
         match &self.role {
             Role::Store(store) => Some(&store.jobs),
@@ -170,36 +179,38 @@
         }
     }
 
-    /// Its acceptor, if it has one.
+    /// The acceptor of the process; `None` if it has none.
     pub(crate) fn acceptor(&self) -> Option<&Arc<AcceptorService>> {
         self.role.control().acceptor()
     }
 
-    /// The incarnation of its disk, if it has one.
+    /// The incarnation of the disk; `None` if the process has no disk.
     pub(crate) fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// The newest committed value that it has.
+    /// The newest committed value that this process has learned; `None` before the first one.
     pub(crate) fn committed(&self) -> Option<Versioned<ControlState>> {
         self.role.control().view.committed()
     }
 
-    /// The fencing token, while it holds the leader lease.
+    /// The fencing token while this process holds the leader lease; `None` otherwise.
     pub(crate) fn fence(&self) -> Option<u64> {
         let _context = self.runtime.enter();
         self.role.control().leadership.fence()
     }
 
-    /// How long ago a majority confirmed the value that it has.
+    /// The time since a majority of the acceptors last confirmed the value of this process; `None` before the
+    /// first confirmation.
     pub(crate) fn confirmed_age(&self) -> Option<Duration> {
         let _context = self.runtime.enter();
         self.role.control().view.confirmed_age()
     }
 }
 
-/// A runtime whose clock only moves when it is advanced. With `--cfg tokio_unstable` its own draws are seeded too, so
-/// that a seed names a run.
+/// Builds a runtime whose clock is paused: it advances only by [`Process::run_until`] and
+/// [`Process::jump_to`]. With `--cfg tokio_unstable`, `seed` also determines the random choices of the
+/// runtime, so that a seed reproduces a run.
 fn runtime(seed: u64) -> Runtime {
     let mut builder = Builder::new_current_thread();
     builder.enable_time().start_paused(true);
@@ -207,10 +218,10 @@
     builder.rng_seed(tokio::runtime::RngSeed::from_bytes(&seed.to_le_bytes()));
     #[cfg(not(tokio_unstable))]
     let _ = seed;
-    builder.build().expect("a runtime without I/O can be made")
+    builder.build().expect("a runtime without I/O can be built")
 }
 
-/// The assembly of a role, started.
+/// The assembly of a role after its start.
 struct StartedRole {
     internal: BoxEndpoint<'static, Response>,
     role: Role,
@@ -240,7 +251,7 @@
     StartedRole { internal, role: Role::Store(Arc::new(store)), incarnation }
 }
 
-/// The journal of a machine, as its role lays it out.
+/// The size of the journal of a store or of a traffic node.
 fn journal_options(is_store: bool) -> RingOptions {
     if is_store {
         STORE_JOURNAL_OPTIONS
@@ -249,8 +260,8 @@
     }
 }
 
-/// Appends a record to the journal of a machine without a process that its role cannot decode. Does nothing where the
-/// journal cannot be opened or written.
+/// Appends a record that the role of the machine cannot decode to its journal. The machine must not have a
+/// process. Has no effect if the journal cannot be opened or written.
 pub(crate) fn append_undecodable_record(disk: &SimulatedDisk, is_store: bool) {
     let opened =
         Journal::open_inline(disk.file_system(), Path::new(JOURNAL_DIRECTORY), journal_options(is_store));
@@ -259,6 +270,8 @@
     }
 }
 
+/// Opens the journal of the machine and starts the task that writes to it. Returns `None` if it cannot be
+/// opened.
 fn open_disk(options: &ProcessOptions<'_>) -> Option<RecoveredDisk> {
     let is_store = options.settings.serves_store();
     let ring_options = journal_options(is_store);
@@ -276,8 +289,12 @@
     Some(RecoveredDisk::new(journal, recovered))
 }
 
+/// Lets the internal endpoint of a process respond to a call.
 async fn respond(internal: &BoxEndpoint<'static, Response>, path: &str, body: Bytes) -> CallOutcome {
-    let request = poem::Request::builder().method(Method::POST).uri(path.parse().expect("a path")).body(body);
+    let request = poem::Request::builder()
+        .method(Method::POST)
+        .uri(path.parse().expect("the path is a valid URI"))
+        .body(body);
     let response = internal.get_response(request).await;
     let status = response.status().as_u16();
     Ok((status, response.into_body().into_bytes().await.unwrap_or_default()))
--- a/crates/simulator/src/simulation/checker.rs
+++ b/crates/simulator/src/simulation/checker.rs
@@ -1,4 +1,5 @@
-//! Invariants that are checked throughout a run: the register keeps every committed value, and one process leads.
+//! Invariants that are checked throughout a run: the register keeps every committed value, and one process
+//! leads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/simulator/src/simulation/convergence.rs
+++ b/crates/simulator/src/simulation/convergence.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// The first thing of the control plane that has not recovered: one process leads, all know the newest state, and all
-/// machines with a disk are members with the disk that they have.
+/// The first thing of the control plane that has not recovered: one process leads, all know the newest state,
+/// and all machines with a disk are members with the disk that they have.
 pub(super) fn check_fleet(fleet: &Fleet) -> Option<Unconverged> {
     let newest = fleet.newest_state()?;
     let fence = fleet.machines().find_map(|machine| fleet.fence(machine));
@@ -105,7 +105,8 @@
     missing.next()
 }
 
-/// The stores of the previous set that have not migrated all their batch jobs, each with its own account of why.
+/// The stores of the previous set that have not migrated all their batch jobs, each with its own account of
+/// why.
 fn unmigrated_stores(fleet: &Fleet, newest: &ControlState) -> Vec<String> {
     let previous = newest.previous_stores.iter().flat_map(|set| &set.members).map(|store| &store.member);
     let machine_of = |member: &Member| {
--- a/crates/simulator/src/simulation/faults/failure_limits.rs
+++ b/crates/simulator/src/simulation/faults/failure_limits.rs
@@ -6,9 +6,10 @@
 use super::FaultMix;
 use crate::{Fleet, MachineKind};
 
-/// Whether the disk of this machine may be erased: fewer machines have failed than the settings tolerate. Earlier
-/// failures count until the system has recovered from them ([`FaultMix::All`], [`FaultMix::Absences`], [`FaultMix::Disks`]), or until the time in which machines
-/// catch up is over ([`FaultMix::Turnover`]).
+/// Whether the disk of this machine may be erased: fewer machines have failed than the settings tolerate.
+/// Earlier failures count until the system has recovered from them ([`FaultMix::All`],
+/// [`FaultMix::Absences`], [`FaultMix::Disks`]), or until the time in which machines catch up is over
+/// ([`FaultMix::Turnover`]).
 pub(super) fn may_lose_disk(fleet: &Fleet, mix: FaultMix, machine: usize) -> bool {
     match mix {
         FaultMix::All | FaultMix::Absences | FaultMix::Disks => has_recovered(fleet, machine),
@@ -42,8 +43,8 @@
     is_member && !is_migrating && absent < fleet.shape().tolerated_failures
 }
 
-/// Whether a majority of the acceptors has recorded durably that the last change of the acceptors is committed. Until then
-/// one failure less is tolerated (`docs/CONTROL.md`, 3).
+/// Whether a majority of the acceptors has recorded durably that the last change of the acceptors is
+/// committed. Until then one failure less is tolerated (`docs/CONTROL.md`, 3).
 fn is_change_recorded(fleet: &Fleet, state: &ControlState) -> bool {
     let has_recorded = |machine: &usize| {
         let recorded = fleet.recorded_state(*machine);
--- a/crates/simulator/src/simulation/faults/injection.rs
+++ b/crates/simulator/src/simulation/faults/injection.rs
@@ -114,7 +114,8 @@
     }
 }
 
-/// The machine of a fault: the leader's or an acceptor's, if the kind says so and it runs, else one of those that run.
+/// The machine of a fault: the leader's or an acceptor's, if the kind says so and it runs, else one of those
+/// that run.
 fn select_target(fault: &Fault, fleet: &Fleet) -> Option<usize> {
     if fault.kind.targets_leader() {
         if let Some(leader) = fleet.leader().filter(|leader| fleet.is_running(*leader)) {
--- a/crates/simulator/src/simulation/faults/mod.rs
+++ b/crates/simulator/src/simulation/faults/mod.rs
@@ -50,7 +50,8 @@
     StallDisk,
     /// A sync fails.
     FailSync,
-    /// A process ends, and the newest record on its disk cannot be decoded any more: its disk counts as failed.
+    /// A process ends, and the newest record on its disk cannot be decoded any more: its disk counts as
+    /// failed.
     SpoilRecord,
     /// The network drops a tenth of all messages, duplicates a tenth and delays a twentieth.
     LossyNetwork,
@@ -87,14 +88,14 @@
 pub enum FaultMix {
     /// All kinds; a disk is erased only when the system has recovered from earlier failures.
     All,
-    /// Mostly machines that are replaced, and changes of seeds; a disk may be erased as soon as earlier failures no
-    /// longer count.
+    /// Mostly machines that are replaced, and changes of seeds; a disk may be erased as soon as earlier
+    /// failures no longer count.
     Turnover,
-    /// Long suspensions and partitions, in which acceptors are replaced one after the other; a disk is erased only when
-    /// the system has recovered from earlier failures.
+    /// Long suspensions and partitions, in which acceptors are replaced one after the other; a disk is erased
+    /// only when the system has recovered from earlier failures.
     Absences,
-    /// Disks that fail for a moment, stall, lose power or have a record that cannot be decoded; a disk is erased or
-    /// spoilt only when the system has recovered from earlier failures.
+    /// Disks that fail for a moment, stall, lose power or have a record that cannot be decoded; a disk is
+    /// erased or spoilt only when the system has recovered from earlier failures.
     Disks,
 }
 
--- a/crates/simulator/src/simulation/faults/plan.rs
+++ b/crates/simulator/src/simulation/faults/plan.rs
@@ -12,7 +12,8 @@
 const MIN_DURATION_MS: u64 = 200;
 /// The longest duration of most faults, in milliseconds.
 const MAX_SHORT_DURATION_MS: u64 = 4_000;
-/// The longest duration of a quarter of the faults, in milliseconds: that of the operators' longest partition.
+/// The longest duration of a quarter of the faults, in milliseconds: that of the operators' longest
+/// partition.
 const MAX_LONG_DURATION_MS: u64 = 20_000;
 
 /// Kinds of [`FaultMix::All`].
@@ -99,8 +100,8 @@
     FaultKind::LossyNetwork,
 ];
 
-/// The faults of a seed, in the order of their times, which lie before `length`. `interval` is the mean time between
-/// two faults.
+/// The faults of a seed, in the order of their times, which lie before `length`. `interval` is the mean time
+/// between two faults.
 pub(in crate::simulation) fn plan_faults(
     seed: u64,
     mix: FaultMix,
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! Random runs: a fleet with faults that are drawn from a seed, requests of operators and trainers, and checks of the
-//! invariants.
+//! Random runs: a fleet with faults that are drawn from a seed, requests of operators and trainers, and
+//! checks of the invariants.
 //!
-//! [`Setup::plan_faults`] draws the faults of a seed, [`simulate`] plays them, and [`shrink`] finds the fewest that still
-//! break a rule.
+//! [`Setup::plan_faults`] draws the faults of a seed, [`simulate`] plays them, and [`shrink`] finds the
+//! fewest that still break a rule.
 
 mod checker;
 mod convergence;
--- a/crates/simulator/src/simulation/operators/order.rs
+++ b/crates/simulator/src/simulation/operators/order.rs
@@ -94,7 +94,8 @@
         self.attempts += 1;
     }
 
-    /// Checks for the reply to the present attempt; schedules a retry if it is inconclusive or has not arrived in time.
+    /// Checks for the reply to the present attempt; schedules a retry if it is inconclusive or has not
+    /// arrived in time.
     pub(super) fn take_reply(&mut self, fleet: &mut Fleet, random: &mut Rng) -> OrderProgress {
         let Some(attempt) = self.attempt else { return OrderProgress::Pending };
         let is_late = fleet.now >= attempt.deadline;
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -69,7 +69,8 @@
 
 /// The smallest number of first faults with which the run still breaks a rule, and how it fails then.
 ///
-/// Each shorter run is played from its start, so that its course may differ; the shortest that fails is returned.
+/// Each shorter run is played from its start, so that its course may differ; the shortest that fails is
+/// returned.
 #[must_use]
 pub fn shrink(seed: u64, setup: &Setup, faults: &[Fault]) -> Option<(usize, FailedRun)> {
     (0..=faults.len()).find_map(|count| {
--- a/crates/simulator/src/simulation/setup.rs
+++ b/crates/simulator/src/simulation/setup.rs
@@ -49,8 +49,8 @@
         Self { shape, ..Self::small() }
     }
 
-    /// Machines are replaced one after the other, each as soon as the one before no longer counts as failed; seeds may
-    /// be nodes without a disk; in the end all machines lose power.
+    /// Machines are replaced one after the other, each as soon as the one before no longer counts as failed;
+    /// seeds may be nodes without a disk; in the end all machines lose power.
     #[must_use]
     pub fn turnover() -> Self {
         let shape = FleetShape { diskless_nodes: 3, ..FleetShape::default() };
@@ -64,7 +64,8 @@
         Self { shape, ..Self::turnover() }
     }
 
-    /// Machines are suspended or partitioned for long, and acceptors are replaced one after the other meanwhile.
+    /// Machines are suspended or partitioned for long, and acceptors are replaced one after the other
+    /// meanwhile.
     #[must_use]
     pub fn absences() -> Self {
         let shape = FleetShape { diskless_nodes: 2, ..FleetShape::default() };
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -208,7 +208,8 @@
         Ok(())
     }
 
-    /// Results start with those that were read before; each occurs once, with the text that servers generate for it.
+    /// Results start with those that were read before; each occurs once, with the text that servers generate
+    /// for it.
     fn check_results(&mut self, results: &[ItemResult]) -> Result<(), JobViolation> {
         if !results.starts_with(&self.results) {
             let (before, now) = (self.results.clone(), results.to_vec());
--- a/crates/simulator/src/transport.rs
+++ b/crates/simulator/src/transport.rs
@@ -1,4 +1,5 @@
-//! The transport of simulated processes: calls leave by an outbox, from which the fleet takes and delivers them.
+//! Transport of simulated processes: calls and replies are put into an outbox, from which the fleet takes and
+//! delivers them.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -14,7 +15,7 @@
 use crate::external_requests::ExternalReply;
 use crate::model_server::{self, ORDER_PATH, REPORT_PATH};
 
-/// The path of the platform's server list.
+/// The path at which the platform serves its list of servers.
 const LIST_PATH: &str = "list";
 /// Time limit of a call to a server or the platform.
 const EXTERNAL_CALL_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -22,39 +23,41 @@
 /// A sender or receiver of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Endpoint {
-    /// A machine of the system.
+    /// The machine with this index.
     Machine(usize),
-    /// A model server.
+    /// The model server with this index.
     Server(usize),
-    /// The platform.
+    /// The platform, which serves the list of servers.
     Platform,
-    /// Operators and trainers.
+    /// All operators and trainers.
     ExternalClients,
 }
 
-/// The status and body of a reply, or why there is none.
+/// The status and body of a reply, or the reason why there is none.
 pub(crate) type CallOutcome = Result<(u16, Bytes), CallError>;
 
-/// A call that a process has made.
+/// A call that a process has made and that the fleet has not taken yet.
 pub(crate) struct OutgoingCall {
+    /// The index of the calling machine.
     pub(crate) caller: usize,
     pub(crate) to: Endpoint,
     pub(crate) path: String,
     pub(crate) body: Bytes,
+    /// Passes the outcome to the caller. Dropping it makes the call fail with an unknown outcome.
     pub(crate) reply: oneshot::Sender<CallOutcome>,
 }
 
-/// What processes have sent since the fleet last took it.
+/// The messages that processes have sent since the fleet last took them.
 #[derive(Default)]
 pub(crate) struct SentMessages {
     pub(crate) calls: Vec<OutgoingCall>,
-    /// Replies to calls of other processes, by the number of the call.
+    /// Replies to calls of other processes, each with the number of the call.
     pub(crate) replies: Vec<(u64, CallOutcome)>,
-    /// Replies to operators and trainers, by the number of the request.
+    /// Replies to operators and trainers, each with the number of the request.
     pub(crate) external_replies: Vec<(u64, ExternalReply)>,
 }
 
-/// Collects what processes send. Clones are the same outbox.
+/// Collects the messages that processes send. All clones share one outbox.
 #[derive(Clone, Default)]
 pub(crate) struct Outbox {
     sent: Arc<Mutex<SentMessages>>,
@@ -65,7 +68,7 @@
         self.sent.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes everything that was sent.
+    /// Removes and returns all collected messages.
     pub(crate) fn take_messages(&self) -> SentMessages {
         std::mem::take(&mut *self.lock())
     }
@@ -80,7 +83,7 @@
         self.lock().external_replies.push((call, reply));
     }
 
-    /// Makes a call and waits for its outcome.
+    /// Sends a call and waits for its outcome, at most for `timeout`.
     async fn call(
         &self,
         caller: usize,
@@ -93,31 +96,32 @@
         self.lock().calls.push(OutgoingCall { caller, to, path: path.to_owned(), body, reply });
         match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) => Err(CallError::Unknown("the connection was reset".into())),
-            Err(_) => Err(CallError::Unknown("no reply in time".into())),
+            Ok(Err(_)) => Err(CallError::Unknown("the connection was reset before a reply".into())),
+            Err(_) => Err(CallError::Unknown("no reply within the time limit of the call".into())),
         }
     }
 }
 
-/// The machine that an internal address belongs to.
+/// The index of the machine that has this internal address: the last number of its IP address.
 fn machine_of_address(address: &str) -> usize {
     let ip = address.split(':').next().unwrap_or_default();
     let index = ip.rsplit('.').next().and_then(|octet| octet.parse().ok());
     index.expect("internal addresses end with the index of the machine")
 }
 
-/// The address of a machine, without port.
+/// The IP address of a machine.
 pub(crate) fn ip_of(machine: usize) -> String {
     format!("10.0.0.{machine}")
 }
 
-/// The transport of one machine's processes.
+/// Sends the calls of the processes of one machine through the outbox.
 pub(crate) struct SimulatedTransport {
     pub(crate) outbox: Outbox,
     pub(crate) machine: usize,
 }
 
 impl SimulatedTransport {
+    /// Calls a model server or the platform.
     async fn call_external(&self, to: Endpoint, path: &str, body: Bytes) -> CallOutcome {
         self.outbox.call(self.machine, to, path, body, EXTERNAL_CALL_TIMEOUT).await
     }
--- a/crates/simulator/tests/scenarios/configuration.rs
+++ b/crates/simulator/tests/scenarios/configuration.rs
@@ -59,8 +59,8 @@
     scenario.assert_normal_operation();
 }
 
-/// Within this time a change is acknowledged and every process has it, when there are no faults and no message is lost: an
-/// operator waits 1.5 s for a lost reply, which says nothing about the links.
+/// Within this time a change is acknowledged and every process has it, when there are no faults and no
+/// message is lost: an operator waits 1.5 s for a lost reply, which says nothing about the links.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Bytes a second of 60 Mbit/s, the narrowest link of the operators' machines.
 const NARROW_LINK_BYTES_PER_SECOND: f64 = 60e6 / 8.0;
--- a/crates/simulator/tests/scenarios/lease.rs
+++ b/crates/simulator/tests/scenarios/lease.rs
@@ -7,8 +7,8 @@
 use crate::scenario::Scenario;
 use crate::support::{seconds, SEEDS};
 
-/// Whether this machine is no acceptor in the state that every running node has. Until a majority of the present acceptors
-/// has recorded a change, one failure less is tolerated (`docs/CONTROL.md`, 3).
+/// Whether this machine is no acceptor in the state that every running node has. Until a majority of the
+/// present acceptors has recorded a change, one failure less is tolerated (`docs/CONTROL.md`, 3).
 fn is_replaced(fleet: &Fleet, machine: usize) -> bool {
     let mut running = fleet.present_nodes().into_iter().filter(|node| fleet.is_running(*node));
     running.all(|node| {
@@ -42,7 +42,8 @@
         let leader = fleet.leader().expect("a node leads");
         let other = fleet.nodes().find(|node| *node != leader).expect("another node");
         for former in [leader, other] {
-            // What is sent to it meanwhile is lost, so that it does not know of its successor when it continues.
+            // What is sent to it meanwhile is lost, so that it does not know of its successor when it
+            // continues.
             fleet.network.isolate(former, fleet.machines().end);
             fleet.freeze(former);
             assert!(
--- a/crates/simulator/tests/scenarios/losses.rs
+++ b/crates/simulator/tests/scenarios/losses.rs
@@ -103,7 +103,8 @@
 fn given_an_isolated_store_when_another_store_loses_its_disk_then_the_migration_waits_for_the_isolated_one() {
     for seed in SEEDS {
         let mut scenario = Scenario::start(seed, FleetShape::default());
-        // Two of three replicas have the batch job; of these one is isolated, and the disk of the other is lost.
+        // Two of three replicas have the batch job; of these one is isolated, and the disk of the other is
+        // lost.
         scenario.fleet.network.isolate(4, 6);
         scenario.submit_job("first");
         scenario.fleet.network.heal();
--- a/crates/simulator/tests/scenarios/main.rs
+++ b/crates/simulator/tests/scenarios/main.rs
@@ -1,4 +1,5 @@
-//! Stories from the first start to results that are read back, with the faults that the operators' pages name.
+//! Stories from the first start to results that are read back, with the faults that the operators' pages
+//! name.
 
 mod configuration;
 mod faults;
--- a/crates/simulator/tests/scenarios/support.rs
+++ b/crates/simulator/tests/scenarios/support.rs
@@ -18,8 +18,8 @@
     Duration::from_secs(seconds)
 }
 
-/// Whether every machine that was there at the start is a member with the disk that it has now, and no batch job is on
-/// being migrated to another set of stores.
+/// Whether every machine that was there at the start is a member with the disk that it has now, and no batch
+/// job is on being migrated to another set of stores.
 pub fn has_recovered(fleet: &Fleet) -> bool {
     let Some(state) = fleet.newest_state() else { return false };
     let mut members: Vec<_> = state.stores.members.iter().map(|store| &store.member).collect();
--- a/crates/simulator/tests/scenarios/suspended.rs
+++ b/crates/simulator/tests/scenarios/suspended.rs
@@ -1,4 +1,5 @@
-//! A process that was suspended or isolated while the acceptors that it knows were replaced finds the present ones.
+//! A process that was suspended or isolated while the acceptors that it knows were replaced finds the present
+//! ones.
 
 use simulator::{Fleet, FleetShape, MachineKind};
 use yare::parameterized;
@@ -142,7 +143,8 @@
         scenario.read_all_results();
         let fleet = &mut scenario.fleet;
         let machine = absent.select_machine(fleet);
-        // Its seeds are the first nodes, which are all replaced. They stay in its settings, and it is nobody's seed.
+        // Its seeds are the first nodes, which are all replaced. They stay in its settings, and it is
+        // nobody's seed.
         let seeds: Vec<usize> = fleet.nodes().filter(|node| *node != machine).collect();
         fleet.machines().for_each(|one| fleet.set_seeds(one, seeds.clone()));
         absence.begin(fleet, machine);
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -41,7 +41,8 @@
     assert!(changes > 100, "operators make progress: {changes} changes");
 }
 
-/// Only with `--cfg tokio_unstable` is the order in which woken tasks run seeded. The digest is that of all messages.
+/// Only with `--cfg tokio_unstable` is the order in which woken tasks run seeded. The digest is that of all
+/// messages.
 #[cfg(tokio_unstable)]
 #[parameterized(
     small = { Setup::small() },
