--- a/crates/simulator/src/bin/simulate.rs
+++ b/crates/simulator/src/bin/simulate.rs
@@ -1,4 +1,4 @@
-//! Plays random faults on simulated fleets for a while, on all cores, and reports violations.
+//! Runs simulated fleets with random faults on all cores for a given time, and reports violations.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,11 +8,11 @@
 use gumdrop::Options;
 use simulator::simulation::{shrink, simulate, FailedRun, Fault, RunSummary, Setup};
 
-/// How often progress is printed.
+/// Time between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
-/// How often the thread that prints progress checks whether all runs have ended.
+/// Time between two checks of the progress thread whether all runs have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// The exit status for options that cannot be used.
+/// Exit status for invalid options or an unsuitable build.
 const USAGE_ERROR: u8 = 2;
 
 /// Plays random faults on simulated fleets that run the shipped code.
@@ -51,6 +51,7 @@
 }
 
 impl SimulateOptions {
+    /// The setup with the name that was given; `None` if the name is unknown.
     fn setup(&self) -> Option<Setup> {
         match &*self.setup {
             "small" => Some(Setup::small()),
@@ -64,11 +65,12 @@
         }
     }
 
-    /// The faults of the run with this seed.
+    /// Draws the faults of the run with this seed.
     fn faults(&self, seed: u64, setup: &Setup) -> Vec<Fault> {
         setup.plan_faults(self.faults_of.unwrap_or(seed))
     }
 
+    /// Number of threads that run fleets.
     fn thread_count(&self) -> usize {
         match self.jobs {
             0 => std::thread::available_parallelism().map_or(1, usize::from),
@@ -77,18 +79,21 @@
     }
 }
 
+/// Results of all runs so far.
 #[derive(Default)]
 struct Totals {
     runs: u64,
     summary: RunSummary,
+    /// The failed runs with their seeds.
     failed: Vec<(u64, FailedRun)>,
 }
 
-/// Plays seeds on several threads.
+/// Runs successive seeds on several threads, until the time is over, all seeds have run or a run has failed.
 struct SeedRunner<'a> {
     options: &'a SimulateOptions,
     setup: &'a Setup,
     next_seed: AtomicU64,
+    /// The time after which no further run is started.
     deadline: Instant,
     is_stopped: AtomicBool,
     totals: Mutex<Totals>,
@@ -97,7 +102,7 @@
 fn main() -> ExitCode {
     let options = SimulateOptions::parse_args_default_or_exit();
     if !simulator::IS_SEEDED {
-        eprintln!("simulate: built without --cfg tokio_unstable, so that a seed would not name a run; use `cargo simulate`");
+        eprintln!("simulate: this build lacks --cfg tokio_unstable, without which a seed does not reproduce a run; use `cargo simulate`");
         return ExitCode::from(USAGE_ERROR);
     }
     let Some(setup) = options.setup() else {
@@ -113,7 +118,7 @@
     }
 }
 
-/// Plays one seed with the first faults, and prints the log lines.
+/// Runs the first seed with only the first `fault_count` faults, and prints the faults and the log lines.
 fn replay(options: &SimulateOptions, setup: &Setup, fault_count: usize) -> ExitCode {
     simulator::print_logs(options.log_level);
     let faults = options.faults(options.first, setup);
@@ -143,6 +148,8 @@
         }
     }
 
+    /// Runs all seeds, prints the totals and, if a run failed, the smallest number of faults with which it
+    /// fails.
     fn run(&self) -> ExitCode {
         std::thread::scope(|scope| {
             for _ in 0..self.options.thread_count() {
@@ -173,6 +180,7 @@
         self.is_stopped.load(Ordering::Relaxed)
     }
 
+    /// Takes and runs seeds until the time is over, all seeds have run or another thread has stopped.
     fn run_seeds(&self) {
         let end = self.options.first.saturating_add(self.options.seeds);
         loop {
@@ -185,6 +193,7 @@
         }
     }
 
+    /// Adds the result of a run to the totals. A failure stops all threads, unless `--keep-on` is given.
     fn record(&self, seed: u64, result: Result<RunSummary, FailedRun>) {
         let mut totals = self.totals();
         totals.runs += 1;
@@ -200,6 +209,7 @@
         }
     }
 
+    /// Prints the number of runs at intervals until the end.
     fn print_progress(&self) {
         let mut next = Instant::now() + PROGRESS_INTERVAL;
         while !self.is_stopped() {
@@ -207,7 +217,7 @@
             if Instant::now() >= next {
                 next += PROGRESS_INTERVAL;
                 let totals = self.totals();
-                eprintln!("{} runs, {} broken", totals.runs, totals.failed.len());
+                eprintln!("{} runs, {} failed", totals.runs, totals.failed.len());
             }
         }
     }
@@ -216,7 +226,7 @@
         let Totals { runs, summary, failed } = totals;
         println!(
             "{runs} runs of {}: {} faults, {} changes acknowledged, {} values committed, {} batch jobs; \
-             the longest order took {:.1} s; {} broken; digest {:016x}",
+             the longest order took {:.1} s; {} runs failed; digest {:016x}",
             self.options.setup,
             summary.faults,
             summary.changes,
@@ -228,20 +238,26 @@
         );
     }
 
-    /// Prints the fewest faults with which a seed still breaks a rule, and how to replay them.
+    /// Prints the smallest number of faults with which the run of a seed still fails, and the command that
+    /// repeats this run.
     fn print_shortest_failure(&self, seed: u64) {
         let faults = self.options.faults(seed, self.setup);
         let Some((count, failed)) = shrink(seed, self.setup, &faults) else { return };
-        println!("seed {seed}, the first {count} of {} faults: {}", faults.len(), failed.violation);
+        println!(
+            "seed {seed} also fails with only the first {count} of {} faults: {}",
+            faults.len(),
+            failed.violation
+        );
         faults[..count].iter().for_each(|fault| println!("  {fault:?}"));
         println!(
-            "once more, with logs: simulate --setup {} --first {seed} --troubles-of {} --troubles {count}",
+            "repeat this run with log lines: simulate --setup {} --first {seed} --troubles-of {} --troubles {count}",
             self.options.setup,
             self.options.faults_of.unwrap_or(seed)
         );
     }
 }
 
+/// Adds two summaries. The longest order is the longer of both.
 fn sum(one: RunSummary, other: RunSummary) -> RunSummary {
     RunSummary {
         faults: one.faults + other.faults,
@@ -249,7 +265,7 @@
         values: one.values + other.values,
         jobs: one.jobs + other.jobs,
         longest_order: one.longest_order.max(other.longest_order),
-        // The order in which the runs end does not matter.
+        // XOR makes the total digest independent of the order in which the runs end.
         digest: one.digest ^ other.digest,
     }
 }
--- a/crates/simulator/src/external_requests.rs
+++ b/crates/simulator/src/external_requests.rs
@@ -77,7 +77,7 @@
 }
 
 impl ExternalReply {
-    /// Whether the reply tells if the request was carried out. Statuses 503 and 504 leave that open, so that
+    /// Whether the reply shows if the request was carried out. Statuses 503 and 504 leave that open, so that
     /// the request is sent again.
     #[must_use]
     pub fn is_conclusive(&self) -> bool {
--- a/crates/simulator/src/simulation/checker.rs
+++ b/crates/simulator/src/simulation/checker.rs
@@ -1,5 +1,5 @@
-//! Invariants that are checked throughout a run: the register keeps every committed value, and one process
-//! leads.
+//! Invariants that are checked throughout a run: no committed value of the register is lost or changed, at
+//! most one process leads, and servers receive no conflicting orders.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,24 +11,26 @@
 use super::violation::RegisterViolation;
 use crate::Fleet;
 
-/// The time that must lie between the orders of two lease holders (`leaseMs`).
+/// Minimum time between the orders of two lease holders (setting `leaseMs`).
 const MIN_GAP_BETWEEN_HOLDERS: Duration = Duration::from_secs(3);
 
-/// Every committed value and lease holder that was observed.
+/// Records the committed values and lease holders that it observes, and checks each observation against them.
 #[derive(Default)]
 pub(super) struct Checker {
-    /// All committed values that any process had, by ballot.
+    /// All committed values that were observed at any process, by ballot.
     committed: BTreeMap<Ballot, Arc<ControlState>>,
-    /// The value of each revision: two that differ mean that one change has disappeared.
+    /// The first observed value of each revision. A second, different value means that a committed change was
+    /// lost.
     by_revision: BTreeMap<u64, Arc<ControlState>>,
-    /// The last ballot that each process had, by machine and number of earlier processes.
+    /// The ballot of the last committed value of each process. A process is identified by the index of its
+    /// machine and the number of earlier processes there.
     last_ballots: BTreeMap<(usize, u64), Ballot>,
-    /// The fencing token of the last lease holder.
+    /// The fencing token of the last observed lease holder.
     last_fence: u64,
 }
 
 impl Checker {
-    /// Observes the fleet.
+    /// Checks all invariants on the present state of the fleet.
     pub(super) fn check(&mut self, fleet: &Fleet) -> Result<(), RegisterViolation> {
         for machine in fleet.machines() {
             if let Some(committed) = fleet.committed(machine) {
@@ -42,17 +44,17 @@
         }
     }
 
-    /// How many committed values were observed.
+    /// Number of different committed values that were observed.
     pub(super) fn value_count(&self) -> usize {
         self.committed.len()
     }
 
-    /// The committed state with this version of the configuration.
+    /// The committed state with this version of the configuration; `None` if none was observed.
     pub(super) fn state_with_configuration(&self, version: u64) -> Option<&ControlState> {
         self.by_revision.values().find(|state| state.configuration_version == version).map(|state| &**state)
     }
 
-    /// A process never goes back to an older value, and a ballot has one value.
+    /// Checks that a process does not go back to an older value, and that each ballot has only one value.
     fn check_committed(
         &mut self,
         fleet: &Fleet,
@@ -81,7 +83,8 @@
         self.check_revision(ballot, &committed.value)
     }
 
-    /// A higher ballot has no lower revision, and a revision has one value.
+    /// Checks that a value with a higher ballot has no lower revision, and that each revision has only one
+    /// value.
     fn check_revision(&mut self, ballot: Ballot, value: &Arc<ControlState>) -> Result<(), RegisterViolation> {
         let revision = value.revision;
         let before = self.committed.range(..ballot).next_back();
@@ -98,7 +101,7 @@
         Ok(())
     }
 
-    /// One process holds the lease at a time, and fencing tokens do not decrease.
+    /// Checks that at most one process holds the leader lease, and that fencing tokens do not decrease.
     fn check_holders(&mut self, fleet: &Fleet) -> Result<(), RegisterViolation> {
         let holders: Vec<(usize, u64)> =
             fleet.machines().filter_map(|machine| Some((machine, fleet.fence(machine)?))).collect();
--- a/crates/simulator/src/simulation/convergence.rs
+++ b/crates/simulator/src/simulation/convergence.rs
@@ -1,4 +1,4 @@
-//! Checks that the fleet recovers once the faults of a run are over.
+//! Checks whether the fleet has recovered after the last fault of a run.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,56 +8,57 @@
 
 use crate::Fleet;
 
-/// Something that has not recovered yet.
+/// A condition of recovery that does not hold yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unconverged {
-    /// The lease holder does not have the newest fencing token.
+    /// No running process holds the leader lease with the newest fencing token.
     LeaseHolder {
-        /// Its fencing token, if there is a holder.
+        /// The fencing token of the lease holder; `None` without a holder.
         fence: Option<u64>,
-        /// The newest fencing token.
+        /// The newest committed fencing token.
         newest: u64,
     },
-    /// Batch jobs are still migrated to another set of stores.
+    /// Batch jobs are still being migrated to a new store set.
     Migration {
-        /// The epoch of that set.
+        /// The epoch of the new store set.
         epoch: u64,
-        /// The stores of the previous set that have not migrated all that they store, each with what it says.
+        /// The stores of the previous set that have not migrated all their batch jobs, each with a
+        /// description of its state.
         waits_for: Vec<String>,
     },
-    /// A process does not have the newest state.
+    /// A process has not learned the newest state.
     StaleState {
-        /// The machine.
+        /// The name of the machine.
         machine: String,
-        /// The revision that it has; `None` without any state.
+        /// The revision that the process has; `None` without any state.
         revision: Option<u64>,
-        /// The newest revision.
+        /// The newest revision of any process.
         newest: u64,
     },
-    /// A machine with a disk is not a member.
+    /// A machine with a disk is not a member of the register or the store set with its present disk.
     NotMember {
-        /// The machine.
+        /// The name of the machine.
         machine: String,
     },
-    /// An order has no conclusive reply.
+    /// An operator's order has no conclusive reply.
     PendingOrder {
-        /// The order.
+        /// Description of the order.
         order: String,
-        /// When it was first sent.
+        /// The time at which the order was first sent.
         since: Duration,
     },
-    /// A batch job has not been ended.
+    /// A batch job has not been ended and read for the last time.
     OpenJob {
-        /// Its id.
+        /// The id of the batch job.
         job: String,
-        /// The results that were read.
+        /// Number of results that were read.
         results: usize,
     },
-    /// Servers do not have the newest version of the weights.
+    /// Servers do not have the target version of the weights.
     StaleServers {
-        /// How many.
+        /// Number of these servers.
         servers: usize,
-        /// The newest version.
+        /// The target version.
         version: u64,
     },
 }
@@ -66,30 +67,35 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::LeaseHolder { fence, newest } => {
-                write!(f, "the lease holder has fencing token {fence:?}, not {newest}")
+                write!(f, "the lease holder has fencing token {fence:?}, not the newest {newest}")
             }
             Self::Migration { epoch, waits_for } => {
                 write!(
                     f,
-                    "batch jobs are still migrated to epoch {epoch}; waits for {}",
+                    "batch jobs are still being migrated to the store set of epoch {epoch}, incomplete are {}",
                     waits_for.join(", ")
                 )
             }
             Self::StaleState { machine, revision, newest } => {
-                write!(f, "{machine} knows revision {revision:?}, not {newest}")
+                write!(f, "{machine} has revision {revision:?} of the state, not the newest {newest}")
             }
-            Self::NotMember { machine } => write!(f, "{machine} is no member"),
+            Self::NotMember { machine } => write!(f, "{machine} is not a member with its present disk"),
             Self::PendingOrder { order, since } => {
-                write!(f, "{order} has no conclusive reply since {since:?}")
+                write!(f, "{order} was sent at {since:?} and has no conclusive reply")
+            }
+            Self::OpenJob { job, results } => {
+                write!(f, "batch job {job} has not ended, {results} results were read")
+            }
+            Self::StaleServers { servers, version } => {
+                write!(f, "{servers} servers do not have target version {version}")
             }
-            Self::OpenJob { job, results } => write!(f, "batch job {job} is open with {results} results"),
-            Self::StaleServers { servers, version } => write!(f, "{servers} servers lack version {version}"),
         }
     }
 }
 
-/// The first thing of the control plane that has not recovered: one process leads, all know the newest state,
-/// and all machines with a disk are members with the disk that they have.
+/// Checks that the control plane has recovered: one process leads, no migration is in progress, all processes
+/// have the newest state, and all machines with a disk are members with their present disk. Returns the first
+/// condition that does not hold.
 pub(super) fn check_fleet(fleet: &Fleet) -> Option<Unconverged> {
     let newest = fleet.newest_state()?;
     let fence = fleet.machines().find_map(|machine| fleet.fence(machine));
@@ -105,8 +111,7 @@
     missing.next()
 }
 
-/// The stores of the previous set that have not migrated all their batch jobs, each with its own account of
-/// why.
+/// Describes the stores of the previous set that have not migrated all their batch jobs.
 fn unmigrated_stores(fleet: &Fleet, newest: &ControlState) -> Vec<String> {
     let previous = newest.previous_stores.iter().flat_map(|set| &set.members).map(|store| &store.member);
     let machine_of = |member: &Member| {
@@ -118,12 +123,12 @@
         let status = fleet.migration_status(machine)?;
         let is_done = status.is_complete && status.epoch >= newest.stores.epoch;
         let (name, epoch) = (&member.name, status.epoch);
-        (!is_done)
-            .then(|| format!("{name} (in epoch {epoch}, knows revision {revision} of {})", newest.revision))
+        (!is_done).then(|| format!("{name} (epoch {epoch}, revision {revision} of {})", newest.revision))
     };
     previous.filter_map(describe).collect()
 }
 
+/// Checks that a machine has the newest state and, if it has a disk, is a member with this disk.
 fn check_machine(fleet: &Fleet, machine: usize, newest: &ControlState) -> Option<Unconverged> {
     let name = fleet.name(machine).to_owned();
     let revision = fleet.state(machine).map(|state| state.revision);
@@ -134,6 +139,7 @@
     (!is_member(newest, &name, incarnation)).then_some(Unconverged::NotMember { machine: name })
 }
 
+/// Whether a machine is an acceptor, a standby or a store with this incarnation of its disk.
 fn is_member(state: &ControlState, name: &str, incarnation: Incarnation) -> bool {
     let stores = state.stores.members.iter().map(|store| &store.member);
     let mut members = state.acceptors.iter().chain(&state.standbys).chain(stores);
--- a/crates/simulator/src/simulation/faults/failure_limits.rs
+++ b/crates/simulator/src/simulation/faults/failure_limits.rs
@@ -1,4 +1,5 @@
-//! The limit of disks that may be erased at a time: what the settings tolerate.
+//! Limit of the disks that may be erased or unavailable at the same time: the number of failures that the
+//! settings tolerate.
 
 use register::Member;
 use state::ControlState;
@@ -6,10 +7,9 @@
 use super::FaultMix;
 use crate::{Fleet, MachineKind};
 
-/// Whether the disk of this machine may be erased: fewer machines have failed than the settings tolerate.
-/// Earlier failures count until the system has recovered from them ([`FaultMix::All`],
-/// [`FaultMix::Absences`], [`FaultMix::Disks`]), or until the time in which machines catch up is over
-/// ([`FaultMix::Turnover`]).
+/// Whether the disk of a machine may be erased now: fewer machines have failed than the settings tolerate. An
+/// earlier failure counts until the system has recovered from it ([`FaultMix::All`], [`FaultMix::Absences`],
+/// [`FaultMix::Disks`]), or until the catch-up time of the machine is over ([`FaultMix::Turnover`]).
 pub(super) fn may_lose_disk(fleet: &Fleet, mix: FaultMix, machine: usize) -> bool {
     match mix {
         FaultMix::All | FaultMix::Absences | FaultMix::Disks => has_recovered(fleet, machine),
@@ -17,14 +17,16 @@
     }
 }
 
-/// Whether fewer machines count as failed than may be, and this one is present.
+/// Whether the machine is present with a disk, and fewer machines count as failed than the settings tolerate.
 fn is_below_failure_limit(fleet: &Fleet, machine: usize) -> bool {
     let has_disk = fleet.kind(machine) != MachineKind::DisklessNode;
     let is_present = fleet.has_process(machine) && !fleet.is_leaving(machine);
     has_disk && is_present && fleet.failed_machine_count() < fleet.shape().tolerated_failures
 }
 
-/// Whether this machine is a member, and fewer members of its kind are absent than may be.
+/// Whether the machine is a present member, and fewer members of its kind are absent than the settings
+/// tolerate. A migration of batch jobs must have ended, and a change of the acceptors must be recorded
+/// durably.
 fn has_recovered(fleet: &Fleet, machine: usize) -> bool {
     let Some(state) = fleet.newest_state() else { return false };
     let is_store = fleet.is_store(machine);
@@ -43,8 +45,8 @@
     is_member && !is_migrating && absent < fleet.shape().tolerated_failures
 }
 
-/// Whether a majority of the acceptors has recorded durably that the last change of the acceptors is
-/// committed. Until then one failure less is tolerated (`docs/CONTROL.md`, 3).
+/// Whether a majority of the acceptors has durably recorded that the last change of the acceptors is
+/// committed. Until then one failure less is tolerated (`docs/CONTROL.md`, section 3).
 fn is_change_recorded(fleet: &Fleet, state: &ControlState) -> bool {
     let has_recorded = |machine: &usize| {
         let recorded = fleet.recorded_state(*machine);
@@ -56,7 +58,7 @@
     fleet.machines().filter(has_recorded).count() * 2 > state.acceptors.len()
 }
 
-/// Whether a member's machine runs with the disk of the member, and stays.
+/// Whether the machine of a member has a process with the disk of the member and is not leaving.
 fn is_present(fleet: &Fleet, member: &Member) -> bool {
     let machine = fleet.machines().find(|machine| fleet.name(*machine) == member.name);
     machine.is_some_and(|machine| {
--- a/crates/simulator/src/simulation/faults/injection.rs
+++ b/crates/simulator/src/simulation/faults/injection.rs
@@ -1,4 +1,4 @@
-//! Injects faults into a fleet, and ends those that have a duration.
+//! Injection of faults into a fleet, and their end if they have a duration.
 
 use std::time::Duration;
 
@@ -6,27 +6,29 @@
 use super::{Fault, FaultKind, FaultMix};
 use crate::{Fleet, MachineKind};
 
-/// Messages in a thousand that an ordinary network drops, and that it duplicates.
+/// Number of messages in a thousand that an ordinary network drops. It duplicates the same number.
 const ORDINARY_LOSS_PER_MILLE: u32 = 10;
-/// Messages in a thousand that a lossy network drops, and that it duplicates.
+/// Number of messages in a thousand that a lossy network drops. It duplicates the same number.
 const HIGH_LOSS_PER_MILLE: u32 = 100;
-/// How many seeds are named.
+/// Number of seeds in the changed settings.
 const SEEDS_PER_MACHINE: usize = 3;
 
-/// A fault with a duration that has not ended yet.
+/// An injected fault that has a duration and has not ended yet.
 #[derive(Debug)]
 pub(in crate::simulation) struct ActiveFault {
     kind: FaultKind,
     machine: usize,
+    /// The end of the fault, in simulated time.
     ends_at: Duration,
 }
 
 impl ActiveFault {
+    /// Whether the duration of the fault is over.
     pub(in crate::simulation) fn is_expired(&self, now: Duration) -> bool {
         self.ends_at <= now
     }
 
-    /// Ends the fault.
+    /// Ends the fault. At the end of [`FaultKind::ReplacePlanned`] the machine is removed if it may be.
     pub(in crate::simulation) fn end(&self, mix: FaultMix, fleet: &mut Fleet) {
         match self.kind {
             FaultKind::Freeze | FaultKind::FreezeLeader => fleet.thaw(self.machine),
@@ -45,7 +47,8 @@
     }
 }
 
-/// Injects a fault; returns it if it has a duration.
+/// Injects a fault and returns it if it has a duration. Erasing a disk, which includes the removal of a
+/// machine, has no effect if too many machines have failed already.
 pub(in crate::simulation) fn inject(fault: &Fault, mix: FaultMix, fleet: &mut Fleet) -> Option<ActiveFault> {
     let machine = select_target(fault, fleet)?;
     match fault.kind {
@@ -62,7 +65,7 @@
         FaultKind::Replace if may_lose_disk(fleet, mix, machine) => drop(fleet.replace(machine)),
         FaultKind::ReplaceAcceptor if may_lose_disk(fleet, mix, machine) => drop(fleet.replace(machine)),
         FaultKind::LoseDisk | FaultKind::SpoilRecord | FaultKind::Replace | FaultKind::ReplaceAcceptor => {}
-        // Stores are drained before they are removed, which `tests/stories/membership.rs` covers.
+        // A planned removal of a store requires a drain, which `tests/scenarios/membership.rs` covers.
         FaultKind::ReplacePlanned if fleet.is_store(machine) => return None,
         FaultKind::ReplacePlanned => drop(fleet.add_machine(MachineKind::Node, false)),
         FaultKind::StallDisk => fleet.stall_disk(machine, true),
@@ -82,6 +85,7 @@
     Some(ActiveFault { kind: fault.kind, machine, ends_at: fleet.now + fault.duration })
 }
 
+/// Injects a partition or a higher loss of messages.
 fn inject_into_network(fault: &Fault, fleet: &mut Fleet, machine: usize) {
     let machines = fleet.machines();
     match fault.kind {
@@ -103,7 +107,7 @@
     }
 }
 
-/// Machines that are partitioned or suspended count as failed as long as that lasts.
+/// Counts partitioned, suspended and slow machines as failed for the duration of the fault.
 fn record_failures(fault: &Fault, fleet: &mut Fleet, machine: usize) {
     match fault.kind {
         FaultKind::ReplacePlanned | FaultKind::StallDisk | FaultKind::LossyNetwork => {}
@@ -114,8 +118,8 @@
     }
 }
 
-/// The machine of a fault: the leader's or an acceptor's, if the kind says so and it runs, else one of those
-/// that run.
+/// Selects the machine of a fault among the running machines: the leader's machine if the kind requires it
+/// and it is running, an acceptor's machine for [`FaultKind::ReplaceAcceptor`], otherwise any machine.
 fn select_target(fault: &Fault, fleet: &Fleet) -> Option<usize> {
     if fault.kind.targets_leader() {
         if let Some(leader) = fleet.leader().filter(|leader| fleet.is_running(*leader)) {
@@ -128,26 +132,28 @@
     (!machines.is_empty()).then(|| machines[fault.selector % machines.len()])
 }
 
-/// Whether a machine is an acceptor in the newest state that any process has.
+/// Whether a machine is an acceptor in the newest state of any process.
 fn is_acceptor(fleet: &Fleet, machine: usize) -> bool {
     let newest = fleet.newest_state();
     newest.is_some_and(|state| state.acceptors.iter().any(|member| member.name == fleet.name(machine)))
 }
 
+/// Indices of the machines with a process that is not frozen.
 fn running_machines(fleet: &Fleet) -> impl Iterator<Item = usize> + '_ {
     fleet.machines().filter(|machine| fleet.is_running(*machine))
 }
 
+/// Cuts the power of a machine, half of the time during a write.
 fn lose_power(fleet: &mut Fleet, machine: usize) {
     if fleet.random.bool() {
-        // What is being written is not synced when the power fails.
+        // The failed sync leaves written data unsynced when the power fails.
         fleet.fail_sync(machine);
         fleet.step();
     }
     fleet.lose_power(machine);
 }
 
-/// All nodes lose power, or all machines.
+/// Cuts the power of all running nodes if `selector` is even, otherwise of all running machines.
 fn lose_power_of_many(fleet: &mut Fleet, selector: usize) {
     let only_nodes = selector.is_multiple_of(2);
     let affected: Vec<usize> =
@@ -155,6 +161,7 @@
     affected.into_iter().for_each(|machine| lose_power(fleet, machine));
 }
 
+/// Sets the share of dropped and of duplicated messages. The share of late messages is half of it.
 fn set_loss(fleet: &mut Fleet, per_mille: u32) {
     let network = &mut fleet.network;
     network.dropped_per_mille = per_mille;
@@ -162,7 +169,7 @@
     network.late_per_mille = per_mille / 2;
 }
 
-/// Random nodes become the seeds of all machines.
+/// Makes random present nodes the seeds of all machines.
 fn change_seeds(fleet: &mut Fleet) {
     let mut nodes = fleet.present_nodes();
     fleet.random.shuffle(&mut nodes);
@@ -170,7 +177,8 @@
     fleet.machines().for_each(|machine| fleet.set_seeds(machine, nodes.clone()));
 }
 
-/// All machines lose power at one moment. The disks of some are erased, as many as the settings tolerate.
+/// Cuts the power of all running machines at the same time. Erases the disks of as many of them as the
+/// settings still tolerate.
 pub(in crate::simulation) fn lose_power_of_all(fleet: &mut Fleet) {
     let mut machines: Vec<usize> = running_machines(fleet).collect();
     fleet.random.shuffle(&mut machines);
--- a/crates/simulator/src/simulation/faults/mod.rs
+++ b/crates/simulator/src/simulation/faults/mod.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: their kinds, how they are drawn from a seed, and how they are injected.
+//! Faults of a run: their kinds, their random choice and their injection.
 
 mod failure_limits;
 mod injection;
@@ -9,58 +9,58 @@
 pub(super) use injection::{inject, lose_power_of_all, ActiveFault};
 pub(super) use plan::plan_faults;
 
-/// A kind of fault. The machine is chosen when the fault is injected, by [`Fault::selector`].
+/// A kind of fault. The affected machine is selected by [`Fault::selector`] when the fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A process is killed.
+    /// Kills a process.
     Kill,
-    /// The process of the lease holder is killed.
+    /// Kills the process of the lease holder.
     KillLeader,
-    /// A machine loses power, half of the time in the middle of a write.
+    /// Cuts the power of a machine, half of the time in the middle of a write.
     LosePower,
-    /// All nodes, or all machines, lose power.
+    /// Cuts the power of all nodes or of all machines.
     LosePowerOfMany,
-    /// The disk of a machine is erased.
+    /// Erases the disk of a machine.
     LoseDisk,
-    /// A machine is removed, and one with another address and an empty disk is added.
+    /// Removes a machine and adds one with a new address and an empty disk.
     Replace,
-    /// A process is shut down gracefully, and started again.
+    /// Shuts a process down gracefully and restarts it.
     Terminate,
-    /// The machine of an acceptor is removed, and one with another address and an empty disk is added.
+    /// Removes the machine of an acceptor and adds one with a new address and an empty disk.
     ReplaceAcceptor,
-    /// A node is added first; later one is shut down gracefully and removed.
+    /// Adds a node; at the end of the fault the selected node is shut down gracefully and removed.
     ReplacePlanned,
-    /// A machine is suspended.
+    /// Suspends a machine.
     Freeze,
-    /// The machine of the lease holder is suspended.
+    /// Suspends the machine of the lease holder.
     FreezeLeader,
-    /// A machine runs slowly.
+    /// Makes a machine run slowly.
     SlowDown,
-    /// A machine is partitioned from all others.
+    /// Partitions a machine from all others.
     Isolate,
-    /// The machine of the lease holder is partitioned from all others.
+    /// Partitions the machine of the lease holder from all others.
     IsolateLeader,
-    /// All messages of a machine are stopped, or all messages to it.
+    /// Stops all messages from a machine or all messages to a machine.
     PartitionOneWay,
-    /// The machines are partitioned into two halves.
+    /// Partitions the machines into two halves.
     PartitionInHalves,
-    /// All connections of a machine are reset.
+    /// Resets all connections of a machine.
     ResetConnections,
-    /// A disk stalls.
+    /// Stalls a disk, so that no sync completes.
     StallDisk,
-    /// A sync fails.
+    /// Makes one sync of a disk fail.
     FailSync,
-    /// A process ends, and the newest record on its disk cannot be decoded any more: its disk counts as
+    /// Ends a process and appends a record that cannot be decoded to its journal, so that its disk counts as
     /// failed.
     SpoilRecord,
-    /// The network drops a tenth of all messages, duplicates a tenth and delays a twentieth.
+    /// Makes the network drop a tenth of all messages, duplicate a tenth and delay a twentieth.
     LossyNetwork,
-    /// All settings name other nodes as seeds, with or without a disk.
+    /// Changes the seeds in all settings to random nodes, with or without a disk.
     ChangeSeeds,
 }
 
 impl FaultKind {
-    /// Whether the fault ends after [`Fault::duration`]; all others are over at once.
+    /// Whether the fault lasts for [`Fault::duration`]. All other faults are instantaneous.
     fn has_duration(self) -> bool {
         matches!(
             self,
@@ -77,37 +77,37 @@
         )
     }
 
-    /// Whether the fault concerns the lease holder rather than any machine.
+    /// Whether the fault affects the machine of the lease holder, if that is running.
     fn targets_leader(self) -> bool {
         matches!(self, Self::KillLeader | Self::FreezeLeader | Self::IsolateLeader)
     }
 }
 
-/// Which faults are drawn, and when the next disk may be erased.
+/// The frequency of each kind of fault, and the condition under which a disk may be erased.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultMix {
-    /// All kinds; a disk is erased only when the system has recovered from earlier failures.
+    /// Nearly all kinds. A disk is erased only after the system has recovered from earlier failures.
     All,
-    /// Mostly machines that are replaced, and changes of seeds; a disk may be erased as soon as earlier
-    /// failures no longer count.
+    /// Mostly replacements of machines and changes of seeds. A disk may be erased as soon as earlier failures
+    /// no longer count.
     Turnover,
-    /// Long suspensions and partitions, in which acceptors are replaced one after the other; a disk is erased
-    /// only when the system has recovered from earlier failures.
+    /// Long suspensions and partitions, during which acceptors are replaced one after another. A disk is
+    /// erased only after the system has recovered from earlier failures.
     Absences,
-    /// Disks that fail for a moment, stall, lose power or have a record that cannot be decoded; a disk is
-    /// erased or spoilt only when the system has recovered from earlier failures.
+    /// Mostly disk faults: failed syncs, stalls, losses of power and records that cannot be decoded. A disk
+    /// is erased or gets such a record only after the system has recovered from earlier failures.
     Disks,
 }
 
-/// A fault of a run.
+/// A planned fault of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// When it is injected, counted from the first configuration.
+    /// The time of injection, counted from the acknowledgement of the first configuration.
     pub at: Duration,
-    /// Its kind.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// A random number that selects the machine among those that run then.
+    /// A random number that selects one of the machines that are running at the time of injection.
     pub selector: usize,
-    /// How long it lasts, if its kind has a duration.
+    /// The duration of the fault; ignored if its kind is instantaneous.
     pub duration: Duration,
 }
--- a/crates/simulator/src/simulation/faults/plan.rs
+++ b/crates/simulator/src/simulation/faults/plan.rs
@@ -1,4 +1,4 @@
-//! The faults that a seed names.
+//! Random choice of the faults of a seed.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 
 use super::{Fault, FaultKind, FaultMix};
 
-/// Mixed into the seed, so that these draws differ from the others of a run.
+/// XORed with the seed, so that the random numbers of the plan are independent of the others of a run.
 const SEED_SALT: u64 = 0x7472_6f75_626c_6573;
-/// The shortest duration of a fault, in milliseconds.
+/// Minimum duration of a fault, in milliseconds.
 const MIN_DURATION_MS: u64 = 200;
-/// The longest duration of most faults, in milliseconds.
+/// Upper bound of the duration of short faults, in milliseconds.
 const MAX_SHORT_DURATION_MS: u64 = 4_000;
-/// The longest duration of a quarter of the faults, in milliseconds: that of the operators' longest
-/// partition.
+/// Upper bound of the duration of long faults, in milliseconds: the longest partition that operators expect.
+/// A quarter of the faults is long, and with [`FaultMix::Absences`] all are.
 const MAX_LONG_DURATION_MS: u64 = 20_000;
 
-/// Kinds of [`FaultMix::All`].
+/// Kinds of [`FaultMix::All`]. A kind that occurs several times is drawn correspondingly more often.
 const ALL_KINDS: [FaultKind; 20] = [
     FaultKind::Terminate,
     FaultKind::ReplacePlanned,
@@ -40,7 +40,7 @@
     FaultKind::LoseDisk,
 ];
 
-/// Kinds of [`FaultMix::Turnover`]; those that occur several times are as much more frequent.
+/// Kinds of [`FaultMix::Turnover`]. A kind that occurs several times is drawn correspondingly more often.
 const TURNOVER_KINDS: [FaultKind; 16] = [
     FaultKind::Replace,
     FaultKind::Replace,
@@ -60,7 +60,7 @@
     FaultKind::Freeze,
 ];
 
-/// Kinds of [`FaultMix::Absences`]; those that occur several times are as much more frequent.
+/// Kinds of [`FaultMix::Absences`]. A kind that occurs several times is drawn correspondingly more often.
 const ABSENCE_KINDS: [FaultKind; 16] = [
     FaultKind::ReplaceAcceptor,
     FaultKind::ReplaceAcceptor,
@@ -80,7 +80,7 @@
     FaultKind::ChangeSeeds,
 ];
 
-/// Kinds of [`FaultMix::Disks`]; those that occur several times are as much more frequent.
+/// Kinds of [`FaultMix::Disks`]. A kind that occurs several times is drawn correspondingly more often.
 const DISK_KINDS: [FaultKind; 16] = [
     FaultKind::FailSync,
     FaultKind::FailSync,
@@ -100,8 +100,8 @@
     FaultKind::LossyNetwork,
 ];
 
-/// The faults of a seed, in the order of their times, which lie before `length`. `interval` is the mean time
-/// between two faults.
+/// Draws the faults of a seed, in the order of their times. All times are below `length`. `interval` is the
+/// mean time between two faults before a third of the intervals is shortened.
 pub(in crate::simulation) fn plan_faults(
     seed: u64,
     mix: FaultMix,
@@ -123,7 +123,7 @@
         let max_duration = if is_long { MAX_LONG_DURATION_MS } else { MAX_SHORT_DURATION_MS };
         let duration = Duration::from_millis(random.u64(MIN_DURATION_MS..max_duration));
         faults.push(Fault { at, kind, selector: random.usize(..), duration });
-        // A third of the faults follows closely after the one before.
+        // A third of the faults follows shortly after the previous one.
         let max_interval = if random.u8(..3) == 0 { interval / 8 } else { interval * 2 };
         at += max_interval.mul_f64(random.f64());
     }
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,8 +1,8 @@
-//! Random runs: a fleet with faults that are drawn from a seed, requests of operators and trainers, and
-//! checks of the invariants.
+//! Simulation runs with random faults: a fleet handles requests of operators and trainers while its
+//! invariants are checked.
 //!
-//! [`Setup::plan_faults`] draws the faults of a seed, [`simulate`] plays them, and [`shrink`] finds the
-//! fewest that still break a rule.
+//! [`Setup::plan_faults`] draws the faults of a seed, [`simulate`] runs a fleet with them, and [`shrink`]
+//! finds the smallest number of faults that still leads to a violation.
 
 mod checker;
 mod convergence;
--- a/crates/simulator/src/simulation/operators/mod.rs
+++ b/crates/simulator/src/simulation/operators/mod.rs
@@ -1,4 +1,5 @@
-//! Two operators that change the configuration at the same time, and a trainer that names versions.
+//! Simulated operators, who change and read the configuration concurrently, and a trainer that sets target
+//! versions.
 
 mod order;
 
@@ -14,37 +15,39 @@
 
 use order::{Intent, Order, OrderProgress};
 
-/// Mixed into the seed, so that these draws differ from the others of a run.
+/// XORed with the seed, so that the operators' random numbers are independent of the others of a run.
 const SEED_SALT: u64 = 0x6f70_6572_6174_6f72;
-/// How many orders are pending at once at most.
+/// Maximum number of pending orders at which further ones are started.
 const MAX_PENDING_ORDERS: usize = 8;
-/// One of so many orders is sent once more after it was acknowledged.
+/// One in this number of acknowledged changes is sent again.
 const REPEATED_ONE_IN: usize = 4;
-/// The delay of such a repetition, in milliseconds.
+/// Range of the delay before an acknowledged change is sent again, in milliseconds.
 const REPETITION_DELAY_MS: std::ops::Range<u64> = 10..6000;
-/// The model whose versions are named.
+/// Name of the model whose target version is set.
 const MODEL: &str = "m";
-/// Time from one named version to the next.
+/// Time between two changes of the target version.
 const VERSION_INTERVAL: Duration = Duration::from_secs(2);
-/// Time from one turn to the next until the first configuration is acknowledged.
+/// Time between two ticks until the first configuration is acknowledged.
 const START_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The operators.
+/// The operators of a run, with their pending orders and the replies that they have received.
 pub(super) struct Operators {
     random: Rng,
     changes_per_second: f64,
     pending: Vec<Order>,
+    /// The time at which the next change or read is due.
     next_change: Duration,
+    /// The time at which the next target version is due.
     next_version: Duration,
-    /// How many routes were added.
+    /// Number of routes that changes add, acknowledged or not.
     route_count: u64,
     /// The newest version of the configuration that was acknowledged to an operator or read by one.
     known_version: u64,
-    /// Acknowledged changes, by the version that they build on.
+    /// Acknowledged changes, by the version of the configuration that they change.
     acknowledged: BTreeMap<u64, AcknowledgedChange>,
-    /// Routes of rejected changes.
+    /// Names of the routes of rejected changes.
     rejected_routes: Vec<String>,
-    /// The newest version of the model that was named.
+    /// The newest acknowledged target version of the model.
     target_version: u64,
     /// The longest time from an order to its conclusive reply.
     longest_order: Duration,
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Puts the first configuration, and lets time pass until it is acknowledged.
+    /// Sends the first configuration and advances the fleet until it is acknowledged.
     pub(super) fn put_first_configuration(
         &mut self,
         fleet: &mut Fleet,
@@ -86,7 +89,7 @@
         Ok(())
     }
 
-    /// Starts orders that are due, sends attempts, and checks replies.
+    /// Starts due orders if `starts_new_orders`, sends due attempts, and checks replies.
     pub(super) fn tick(
         &mut self,
         fleet: &mut Fleet,
@@ -100,7 +103,7 @@
         self.take_replies(fleet)
     }
 
-    /// How many changes were acknowledged.
+    /// Number of acknowledged changes.
     pub(super) fn acknowledged_changes(&self) -> usize {
         self.acknowledged.len()
     }
@@ -110,13 +113,14 @@
         self.longest_order
     }
 
-    /// An order without a conclusive reply, if there is one.
+    /// The first order without a conclusive reply; `None` if there is none.
     pub(super) fn pending_order(&self) -> Option<Unconverged> {
         let order = self.pending.first()?;
         Some(Unconverged::PendingOrder { order: order.intent.to_string(), since: order.started })
     }
 
-    /// Every acknowledged change is among the committed values, and the newest is known.
+    /// Checks that each committed version that was acknowledged contains the acknowledged change, and that
+    /// the newest acknowledged version was committed.
     pub(super) fn check_acknowledged(&self, checker: &Checker) -> Result<(), ConfigurationViolation> {
         for (expected, AcknowledgedChange { version, route }) in &self.acknowledged {
             let Some(state) = checker.state_with_configuration(*version) else { continue };
@@ -134,7 +138,8 @@
         }
     }
 
-    /// Starts a read or a change if one is due; now and then both operators build on the same version.
+    /// Starts a read or a change if one is due. In a fifth of the cases it starts two changes of the same
+    /// version, of which only one may be acknowledged.
     fn add_order_if_due(&mut self, now: Duration) {
         if now < self.next_change || self.pending.len() >= MAX_PENDING_ORDERS {
             return;
@@ -152,7 +157,7 @@
         }
     }
 
-    /// Names the next version if it is due and no other is being named.
+    /// Sets the next target version if it is due and no earlier one is pending.
     fn set_target_version_if_due(&mut self, now: Duration) {
         let is_setting_version =
             self.pending.iter().any(|order| matches!(order.intent, Intent::SetTargetVersion { .. }));
@@ -165,11 +170,13 @@
         self.pending.push(Order::new(now, Intent::SetTargetVersion { version }, request));
     }
 
+    /// Adds a read of the configuration.
     fn push_read(&mut self, now: Duration) {
         let intent = Intent::Read { at_least: self.known_version };
         self.pending.push(Order::new(now, intent, OperatorOrder::Read));
     }
 
+    /// Adds a change of the newest known version of the configuration, as a patch or as a complete document.
     fn push_change(&mut self, now: Duration, is_patch: bool) {
         let expected = self.known_version;
         let version = expected + self.random.u64(1..4);
@@ -183,6 +190,7 @@
         self.pending.push(Order::new(now, Intent::Change { expected, version, route }, request));
     }
 
+    /// Sends the due attempts of all pending orders.
     fn send_attempts(&mut self, fleet: &mut Fleet) {
         let nodes = fleet.present_nodes();
         for order in &mut self.pending {
@@ -190,6 +198,7 @@
         }
     }
 
+    /// Handles the replies that have arrived.
     fn take_replies(&mut self, fleet: &mut Fleet) -> Result<(), SimulationViolation> {
         let orders = std::mem::take(&mut self.pending);
         let mut still_pending = Vec::new();
@@ -206,7 +215,7 @@
         Ok(())
     }
 
-    /// Checks a conclusive reply; returns the order if it is sent once more.
+    /// Checks a conclusive reply. Returns the order if it is to be sent again.
     fn handle_reply(
         &mut self,
         now: Duration,
@@ -241,7 +250,8 @@
         Ok(None)
     }
 
-    /// At most one change is acknowledged on top of each version, and none that was rejected.
+    /// Records an acknowledged change. Checks that it was not rejected before, and that it is the only
+    /// acknowledged change of its version.
     fn record_acknowledged(
         &mut self,
         expected: u64,
@@ -259,7 +269,8 @@
         Ok(())
     }
 
-    /// Another change has won on top of the version, unless this one was acknowledged before.
+    /// Records a rejected change, whose version another change has replaced. A change that was acknowledged
+    /// before must not be rejected.
     fn record_rejected(
         &mut self,
         now: Duration,
@@ -271,14 +282,15 @@
             return Err(ConfigurationViolation::RejectedAfterAcknowledgement { route: route.to_owned() });
         }
         if expected >= self.known_version {
-            // The newest version is read before the next change.
+            // The operators do not know the version that caused the rejection, and read it.
             self.push_read(now);
         }
         self.rejected_routes.push(route.to_owned());
         Ok(())
     }
 
-    /// Sends some acknowledged orders once more, possibly much later.
+    /// Returns a random part of the acknowledged changes, to be sent again after a random delay. The
+    /// repetition must be acknowledged too.
     fn maybe_repeat(&mut self, now: Duration, order: Order) -> Option<Order> {
         if order.is_repetition || self.random.usize(..REPEATED_ONE_IN) > 0 {
             return None;
--- a/crates/simulator/src/simulation/operators/order.rs
+++ b/crates/simulator/src/simulation/operators/order.rs
@@ -1,4 +1,4 @@
-//! One order of an operator, from its first attempt to its conclusive reply.
+//! An operator's order, from the first attempt to the conclusive reply.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 
 use crate::{ExternalReply, ExternalRequest, Fleet, OperatorOrder};
 
-/// An attempt without a reply within this time counts as failed.
+/// Time after which an attempt without a reply counts as failed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The longest delay before a retry grows by this with each attempt, up to [`MAX_BACKOFF`].
+/// Increase of the upper bound of the backoff with each attempt, up to [`MAX_BACKOFF`].
 const BACKOFF_STEP_MS: u64 = 50;
-/// The longest delay before any retry.
+/// Maximum backoff before a retry.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// The purpose of an order, by which its reply is checked.
+/// The purpose of an order, against which its reply is checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Intent {
-    /// Change the configuration from version `expected` to `version`, which adds a route of this name.
+    /// Changes the configuration from version `expected` to `version` and adds the route with this name.
     Change { expected: u64, version: u64, route: String },
-    /// Read the newest configuration, whose version is `at_least`.
+    /// Reads the configuration, whose version must be `at_least` or higher.
     Read { at_least: u64 },
-    /// Name a version of the model.
+    /// Sets the target version of the model.
     SetTargetVersion { version: u64 },
 }
 
@@ -29,26 +29,30 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Change { expected, version, route } => {
-                write!(f, "change from version {expected} to {version} with route {route}")
+                write!(
+                    f,
+                    "change of the configuration from version {expected} to {version} with route {route}"
+                )
             }
-            Self::Read { at_least } => write!(f, "read of version {at_least} or newer"),
-            Self::SetTargetVersion { version } => write!(f, "naming of model version {version}"),
+            Self::Read { at_least } => write!(f, "read of the configuration in version {at_least} or newer"),
+            Self::SetTargetVersion { version } => write!(f, "change of the target version to {version}"),
         }
     }
 }
 
-/// An attempt that waits for its reply.
+/// An attempt without a reply so far.
 #[derive(Clone, Copy)]
 struct OrderAttempt {
+    /// The number of the request.
     call: u64,
     deadline: Duration,
 }
 
 /// The state of an order after a check for its reply.
 pub(super) enum OrderProgress {
-    /// There is no conclusive reply yet.
+    /// The order has no conclusive reply yet.
     Pending,
-    /// The conclusive reply.
+    /// The order has this conclusive reply.
     Replied(ExternalReply),
 }
 
@@ -56,12 +60,15 @@
 pub(super) struct Order {
     pub(super) intent: Intent,
     request: OperatorOrder,
-    /// When it was first sent.
+    /// The time at which the order was started, or is to be sent again.
     pub(super) started: Duration,
+    /// Number of attempts so far.
     attempts: u32,
+    /// The attempt that waits for its reply; `None` between two attempts.
     attempt: Option<OrderAttempt>,
+    /// The earliest time of the next attempt.
     next_attempt: Duration,
-    /// Whether it was acknowledged before, and is sent once more.
+    /// Whether the order was acknowledged before and is sent again.
     pub(super) is_repetition: bool,
 }
 
@@ -78,12 +85,12 @@
         }
     }
 
-    /// The same order once more, from `start` on.
+    /// Returns the same order as a repetition that is sent from `start` on.
     pub(super) fn repeat(self, start: Duration) -> Self {
         Self { is_repetition: true, attempt: None, next_attempt: start, started: start, ..self }
     }
 
-    /// Sends it to a random node if an attempt is due.
+    /// Sends the order to a random node if an attempt is due.
     pub(super) fn send_if_due(&mut self, fleet: &mut Fleet, nodes: &[usize], random: &mut Rng) {
         if self.attempt.is_some() || self.next_attempt > fleet.now {
             return;
@@ -94,8 +101,8 @@
         self.attempts += 1;
     }
 
-    /// Checks for the reply to the present attempt; schedules a retry if it is inconclusive or has not
-    /// arrived in time.
+    /// Takes the reply to the present attempt if it has arrived. Schedules a retry if the reply is
+    /// inconclusive or has not arrived in time.
     pub(super) fn take_reply(&mut self, fleet: &mut Fleet, random: &mut Rng) -> OrderProgress {
         let Some(attempt) = self.attempt else { return OrderProgress::Pending };
         let is_late = fleet.now >= attempt.deadline;
@@ -107,6 +114,8 @@
         OrderProgress::Pending
     }
 
+    /// Schedules the next attempt after a random backoff, whose upper bound grows with the number of
+    /// attempts.
     fn schedule_retry(&mut self, now: Duration, random: &mut Rng) {
         self.attempt = None;
         let backoff = Duration::from_millis(BACKOFF_STEP_MS * u64::from(self.attempts)).min(MAX_BACKOFF);
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -1,4 +1,4 @@
-//! One random run, from the first configuration until the fleet has recovered from all faults.
+//! One simulation run, from the first configuration until the fleet has recovered from all faults.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::Duration;
@@ -12,48 +12,48 @@
 use super::violation::SimulationViolation;
 use crate::Fleet;
 
-/// Time from one turn of operators, trainers and checks to the next.
+/// Time between two ticks, in which operators and trainers act and the invariants are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time limit for the acknowledgement of the first configuration.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time limit for the recovery from the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long operators and trainers start new work after the loss of power in the end.
+/// Time for which operators and trainers still start new work after the final loss of power.
 const TIME_AFTER_POWER_LOSS: Duration = Duration::from_secs(10);
 
 /// The summary of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunSummary {
-    /// Faults that were planned.
+    /// Number of planned faults. A fault has no effect if its target may not fail at its time.
     pub faults: usize,
-    /// Changes of the configuration that were acknowledged.
+    /// Number of acknowledged changes of the configuration.
     pub changes: usize,
-    /// Committed values of the register.
+    /// Number of committed values of the register that were observed.
     pub values: usize,
-    /// Batch jobs that were accepted.
+    /// Number of accepted batch jobs.
     pub jobs: usize,
     /// The longest time from an order to its conclusive reply.
     pub longest_order: Duration,
-    /// Digest of all messages of the run: two runs of one seed have the same.
+    /// Digest of all messages of the run. Two runs with the same seed have the same digest.
     pub digest: u64,
 }
 
-/// A run that has broken a rule.
+/// A run that ended with a violation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedRun {
-    /// When, in time of the fleet.
+    /// The simulated time of the violation, since the start of the fleet.
     pub at: Duration,
-    /// The rule that was broken.
+    /// The violated invariant.
     pub violation: SimulationViolation,
-    /// Digest of all messages up to then: two runs of one seed have the same.
+    /// Digest of all messages up to the violation. Two runs with the same seed have the same digest.
     pub digest: u64,
 }
 
-/// Plays faults on a fleet with this seed.
+/// Runs a fleet with this seed and injects the faults.
 ///
 /// # Errors
 ///
-/// The first violation.
+/// Returns the first violation of an invariant.
 pub fn simulate(seed: u64, setup: &Setup, faults: &[Fault]) -> Result<RunSummary, FailedRun> {
     let mut run = Run::new(seed, setup);
     let result = catch_unwind(AssertUnwindSafe(|| run.execute(faults)));
@@ -67,10 +67,11 @@
     }
 }
 
-/// The smallest number of first faults with which the run still breaks a rule, and how it fails then.
+/// Finds the smallest number of faults, counted from the first one, with which the run still ends with a
+/// violation. Returns this number and the failed run; `None` if no run fails.
 ///
-/// Each shorter run is played from its start, so that its course may differ; the shortest that fails is
-/// returned.
+/// Each attempt is a complete run with fewer faults, which may take a different course. The first failure,
+/// with the fewest faults, is returned.
 #[must_use]
 pub fn shrink(seed: u64, setup: &Setup, faults: &[Fault]) -> Option<(usize, FailedRun)> {
     (0..=faults.len()).find_map(|count| {
@@ -79,12 +80,14 @@
     })
 }
 
+/// A run in progress.
 struct Run<'a> {
     setup: &'a Setup,
     fleet: Fleet,
     operators: Operators,
     trainers: Trainers,
     checker: Checker,
+    /// Faults that have been injected and have not ended yet.
     active_faults: Vec<ActiveFault>,
 }
 
@@ -100,6 +103,7 @@
         }
     }
 
+    /// Starts the fleet, injects the faults at their times, and waits until the fleet has recovered.
     fn execute(&mut self, faults: &[Fault]) -> Result<(), SimulationViolation> {
         self.operators.put_first_configuration(&mut self.fleet, START_TIMEOUT)?;
         let started = self.fleet.now;
@@ -116,7 +120,8 @@
         self.recover()
     }
 
-    /// Lets operators and trainers work while faults end in their time.
+    /// Advances the fleet until `until`, with new work of operators and trainers. Faults end when their
+    /// duration is over.
     fn run_until(&mut self, until: Duration) -> Result<(), SimulationViolation> {
         while self.fleet.now < until {
             self.end_expired_faults();
@@ -126,6 +131,7 @@
         Ok(())
     }
 
+    /// Ends the faults whose duration is over.
     fn end_expired_faults(&mut self) {
         let (now, mix) = (self.fleet.now, self.setup.mix);
         let fleet = &mut self.fleet;
@@ -138,6 +144,7 @@
         });
     }
 
+    /// Ends all active faults and all partitions.
     fn end_all_faults(&mut self) {
         for fault in self.active_faults.drain(..) {
             fault.end(self.setup.mix, &mut self.fleet);
@@ -145,14 +152,15 @@
         self.fleet.network.heal();
     }
 
-    /// One turn of operators, trainers and checks.
+    /// Lets operators and trainers act once, and checks the invariants.
     fn tick(&mut self, starts_new_work: bool) -> Result<(), SimulationViolation> {
         self.operators.tick(&mut self.fleet, starts_new_work)?;
         self.trainers.tick(&mut self.fleet, starts_new_work)?;
         Ok(self.checker.check(&self.fleet)?)
     }
 
-    /// After the last fault, all work that was started comes to its end, and the fleet recovers.
+    /// Advances the fleet after the last fault until all started work has ended and the fleet has recovered.
+    /// Then checks the acknowledged changes.
     fn recover(&mut self) -> Result<(), SimulationViolation> {
         let deadline = self.fleet.now + RECOVERY_TIMEOUT;
         loop {
@@ -166,6 +174,7 @@
         Ok(self.operators.check_acknowledged(&self.checker)?)
     }
 
+    /// The first condition of recovery that does not hold yet; `None` after the recovery.
     fn first_unconverged(&self) -> Option<Unconverged> {
         self.operators
             .pending_order()
@@ -173,6 +182,7 @@
             .or_else(|| convergence::check_fleet(&self.fleet))
     }
 
+    /// The summary of the run so far, without the number of faults.
     fn summary(&self) -> RunSummary {
         RunSummary {
             faults: 0,
@@ -184,6 +194,7 @@
         }
     }
 
+    /// Describes the end of the run by a violation at the present time.
     fn failed_run(&self, violation: SimulationViolation) -> FailedRun {
         FailedRun { at: self.fleet.now, violation, digest: self.fleet.digest() }
     }
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -1,4 +1,4 @@
-//! Trainers that submit batch jobs, read their results and end them.
+//! Simulated trainers, which submit batch jobs, read their results and end them.
 
 use std::time::Duration;
 
@@ -10,63 +10,68 @@
 use crate::model_server::generated_text;
 use crate::{ExternalReply, ExternalRequest, Fleet, JobCall};
 
-/// Mixed into the seed, so that these draws differ from the others of a run.
+/// XORed with the seed, so that the trainers' random numbers are independent of the others of a run.
 const SEED_SALT: u64 = 0x7472_6169_6e65_7273;
-/// Time from one batch job to the next.
+/// Time between the starts of two batch jobs.
 const JOB_INTERVAL: Duration = Duration::from_secs(4);
-/// A call without a reply within this time counts as failed.
+/// Time after which a call without a reply counts as failed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Time from the reply to a call about a batch job to the next call.
+/// Pause between the reply to a call about a batch job and the next call.
 const CALL_INTERVAL: Duration = Duration::from_millis(400);
-/// A read that is sent sooner after a batch job was accepted may find that there is none (`settleMs`).
+/// Time after the acceptance of a batch job in which a read may still report that the job does not exist
+/// (setting `settleMs`).
 const VISIBILITY_DELAY: Duration = Duration::from_millis(1000);
-/// Items of a batch job.
+/// Number of items of a batch job.
 const ITEMS: usize = 6;
-/// Reads after the end of a batch job.
+/// Number of reads after the end of a batch job.
 const READS_AFTER_END: u32 = 2;
-/// The model of the batch jobs.
+/// Name of the model of the batch jobs.
 const MODEL: &str = "m";
 
-/// The stage of a batch job at its trainer, which determines the next call.
+/// The stage of a batch job from the view of its trainer. It determines the next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum JobStage {
-    /// It is submitted until it is accepted.
+    /// The trainer submits the batch job until it is accepted.
     Submitting,
-    /// Its results are read until all are there.
+    /// The trainer reads the results until all are complete.
     Reading,
-    /// It is ended.
+    /// The trainer ends the batch job.
     Ending,
-    /// It was ended; its results must not change.
+    /// The batch job has been ended. Its results must not change any more.
     Ended,
 }
 
-/// A call that waits for its reply.
+/// A call without a reply so far.
 #[derive(Clone, Copy)]
 struct PendingCall {
+    /// The number of the request.
     call: u64,
     sent: Duration,
     deadline: Duration,
 }
 
-/// A batch job as its trainer sees it.
+/// A batch job from the view of its trainer.
 struct TrainerJob {
     id: String,
+    /// The body of the submission.
     body: String,
     stage: JobStage,
-    /// Results that were read, by position.
+    /// The results of the last read, by position.
     results: Vec<ItemResult>,
     pending: Option<PendingCall>,
+    /// The earliest time of the next call.
     next_call: Duration,
-    /// When it was accepted; [`Duration::MAX`] before.
+    /// The time of acceptance; [`Duration::MAX`] before.
     accepted: Duration,
-    /// Reads that are still to be made after the end.
+    /// Number of reads that remain after the end of the batch job.
     reads_left: u32,
 }
 
-/// The trainers.
+/// All trainers of a run, with their batch jobs.
 pub(super) struct Trainers {
     random: Rng,
     jobs: Vec<TrainerJob>,
+    /// The time at which the next batch job is due.
     next_job: Duration,
     accepted_jobs: usize,
 }
@@ -77,12 +82,12 @@
         Self { random, jobs: Vec::new(), next_job: Duration::ZERO, accepted_jobs: 0 }
     }
 
-    /// How many batch jobs were accepted.
+    /// Number of accepted batch jobs.
     pub(super) fn accepted_jobs(&self) -> usize {
         self.accepted_jobs
     }
 
-    /// Starts a batch job if one is due, sends calls, and checks replies.
+    /// Starts a batch job if one is due and `starts_new_jobs`, sends due calls, and checks replies.
     pub(super) fn tick(
         &mut self,
         fleet: &mut Fleet,
@@ -102,7 +107,8 @@
         Ok(())
     }
 
-    /// A batch job that is open, or servers without the newest version, if there are any.
+    /// The first unfinished batch job or, if there is none, the servers that do not have the target version.
+    /// `None` if there are neither.
     pub(super) fn unconverged(&self, fleet: &Fleet) -> Option<Unconverged> {
         if let Some(job) = self.jobs.iter().find(|job| !job.is_finished()) {
             return Some(Unconverged::OpenJob { job: job.id.clone(), results: job.results.len() });
@@ -139,6 +145,7 @@
         self.stage == JobStage::Ended && self.reads_left == 0
     }
 
+    /// Sends the next call if it is due, or handles the reply to the pending one.
     fn tick(&mut self, fleet: &mut Fleet, random: &mut Rng) -> Result<(), SimulationViolation> {
         let Some(pending) = self.pending else {
             self.send_if_due(fleet, random);
@@ -156,6 +163,7 @@
         }
     }
 
+    /// Sends the next call to a random node if it is due.
     fn send_if_due(&mut self, fleet: &mut Fleet, random: &mut Rng) {
         if self.is_finished() || self.next_call > fleet.now {
             return;
@@ -166,7 +174,7 @@
         self.pending = Some(PendingCall { call, sent: fleet.now, deadline: fleet.now + REPLY_TIMEOUT });
     }
 
-    /// The call that this stage makes.
+    /// The next call in the present stage.
     fn call(&self) -> JobCall {
         match self.stage {
             JobStage::Submitting => JobCall::Submit(self.body.clone()),
@@ -175,7 +183,8 @@
         }
     }
 
-    /// Checks the reply to a call that was sent at `sent`, and moves on to the next stage.
+    /// Checks the reply to the call that was sent at `sent`, and advances to the next stage if the present
+    /// one is complete.
     fn handle_reply(
         &mut self,
         now: Duration,
@@ -208,8 +217,8 @@
         Ok(())
     }
 
-    /// Results start with those that were read before; each occurs once, with the text that servers generate
-    /// for it.
+    /// Checks that the results start with the ones of the last read, and that each item occurs once with the
+    /// text that servers generate for it.
     fn check_results(&mut self, results: &[ItemResult]) -> Result<(), JobViolation> {
         if !results.starts_with(&self.results) {
             let (before, now) = (self.results.clone(), results.to_vec());
--- a/crates/simulator/src/simulation/violation.rs
+++ b/crates/simulator/src/simulation/violation.rs
@@ -1,4 +1,4 @@
-//! The rules that a run can break.
+//! Violations of invariants that a run can end with.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,54 +9,54 @@
 use super::convergence::Unconverged;
 use crate::{ExternalReply, ReceivedOrder};
 
-/// A committed value of the register has disappeared or changed, or several processes lead.
+/// A violation of the register, the leader lease or the orders to servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterViolation {
-    /// A process has an older committed value than before.
+    /// The committed value of a process is older than one that it had before.
     CommittedValueRegressed {
-        /// The machine.
+        /// The name of the machine.
         machine: String,
-        /// The ballot of the value before.
+        /// The ballot of the earlier value.
         before: Ballot,
-        /// The ballot of the value now.
+        /// The ballot of the present value.
         now: Ballot,
     },
     /// Two processes have different committed values under one ballot.
     ConflictingValues {
-        /// The machine that showed the second value.
+        /// The name of the machine whose value differs from the first one that was observed.
         machine: String,
-        /// The ballot.
+        /// The ballot of both values.
         ballot: Ballot,
     },
-    /// A higher ballot has a lower revision than one before.
+    /// A value with a higher ballot has a lower revision.
     RevisionOutOfOrder {
-        /// The revision.
+        /// The revision of the value that was observed last.
         revision: u64,
-        /// Its ballot.
+        /// The ballot of this value.
         ballot: Ballot,
     },
-    /// One revision has two values, so that one of two committed changes has disappeared.
+    /// Two committed values have the same revision, so that one of two committed changes is lost.
     ConflictingRevisions {
-        /// The revision.
+        /// The revision of both values.
         revision: u64,
     },
-    /// Several processes have the leader lease at the same time.
+    /// Several processes hold the leader lease at the same time.
     MultipleLeaseHolders {
-        /// Each machine with its fencing token.
+        /// The index and the fencing token of each holder.
         holders: Vec<(usize, u64)>,
     },
-    /// A lease holder has a lower fencing token than the one before.
+    /// A lease holder has a lower fencing token than the previous holder.
     FencingTokenRegressed {
-        /// The machine.
+        /// The name of the machine that holds the lease.
         machine: String,
-        /// Its fencing token.
+        /// The fencing token of this machine.
         fence: u64,
-        /// The fencing token of the holder before.
+        /// The fencing token of the previous holder.
         before: u64,
     },
-    /// A server received two orders that must not follow each other.
+    /// A server received two successive orders that must not follow each other.
     ConflictingOrders {
-        /// The earlier order and the later one.
+        /// The earlier and the later order.
         orders: Box<[ReceivedOrder; 2]>,
     },
 }
@@ -65,76 +65,81 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::CommittedValueRegressed { machine, before, now } => {
-                write!(f, "{machine} went back from {before:?} to {now:?}")
+                write!(f, "the committed value of {machine} went back from ballot {before:?} to {now:?}")
             }
             Self::ConflictingValues { machine, ballot } => {
-                write!(f, "{machine}: two values under {ballot:?}")
+                write!(
+                    f,
+                    "{machine} has a different committed value under ballot {ballot:?} than another process"
+                )
             }
             Self::RevisionOutOfOrder { revision, ballot } => {
-                write!(f, "revision {revision} under {ballot:?} is out of order")
+                write!(f, "revision {revision} under ballot {ballot:?} contradicts the order of the ballots")
             }
             Self::ConflictingRevisions { revision } => {
-                write!(f, "two values of revision {revision}: a committed change was lost")
+                write!(f, "revision {revision} has two committed values: a committed change was lost")
             }
             Self::MultipleLeaseHolders { holders } => {
-                write!(f, "several machines hold the lease, with fencing tokens: {holders:?}")
+                write!(f, "several machines hold the leader lease (index, fencing token): {holders:?}")
             }
             Self::FencingTokenRegressed { machine, fence, before } => {
-                write!(f, "{machine} leads with fencing token {fence} after {before}")
+                write!(f, "{machine} holds the leader lease with fencing token {fence}, lower than the previous {before}")
+            }
+            Self::ConflictingOrders { orders } => {
+                write!(f, "a server received conflicting orders: {orders:?}")
             }
-            Self::ConflictingOrders { orders } => write!(f, "conflicting orders: {orders:?}"),
         }
     }
 }
 
-/// A change of the configuration: the version that results, and the route that it adds.
+/// A change of the configuration that was acknowledged to an operator. Each change adds a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcknowledgedChange {
-    /// The version.
+    /// The version of the configuration after the change.
     pub version: u64,
-    /// The name of the route.
+    /// The name of the added route, which is unique in a run.
     pub route: String,
 }
 
-/// What was acknowledged to operators contradicts itself, or is not what was committed.
+/// Replies to operators that contradict each other or the committed values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationViolation {
     /// The first configuration was not acknowledged in time.
     NotStarted,
     /// A change was acknowledged after it had been rejected.
     AcknowledgedAfterRejection {
-        /// The route that the change adds.
+        /// The name of the route that the change adds.
         route: String,
     },
-    /// A change was rejected when it was sent again after its acknowledgement.
+    /// An acknowledged change was rejected when it was sent again.
     RejectedAfterAcknowledgement {
-        /// The route that the change adds.
+        /// The name of the route that the change adds.
         route: String,
     },
-    /// Two changes on top of one version were both acknowledged.
+    /// Two changes of the same version were both acknowledged.
     BothAcknowledged {
-        /// The version before both.
+        /// The version before both changes.
         expected: u64,
         /// The two changes.
         changes: Box<[AcknowledgedChange; 2]>,
     },
-    /// The committed version is not the change that was acknowledged.
+    /// The committed configuration with the version of an acknowledged change does not contain the change.
     ChangeReplaced {
         /// The version before the change.
         expected: u64,
-        /// The version after it.
+        /// The version after the change.
         version: u64,
     },
-    /// No process has the newest version that was acknowledged.
+    /// The newest acknowledged version was never observed as a committed value of a process.
     ChangeLost {
-        /// The version.
+        /// The acknowledged version.
         version: u64,
     },
-    /// A read returned an older version than one that was acknowledged before.
+    /// A read returned a version older than one that had been acknowledged or read before the read was sent.
     StaleRead {
         /// The version that was read.
         version: u64,
-        /// The acknowledged version.
+        /// The version that had been acknowledged or read.
         at_least: u64,
     },
 }
@@ -142,46 +147,49 @@
 impl fmt::Display for ConfigurationViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotStarted => f.write_str("the first configuration is not acknowledged"),
+            Self::NotStarted => f.write_str("the first configuration was not acknowledged in time"),
             Self::AcknowledgedAfterRejection { route } => {
-                write!(f, "{route} was rejected and then acknowledged")
+                write!(f, "the change with route {route} was rejected and then acknowledged")
             }
             Self::RejectedAfterAcknowledgement { route } => {
-                write!(f, "{route} was acknowledged and then rejected")
+                write!(f, "the change with route {route} was acknowledged and then rejected")
             }
             Self::BothAcknowledged { expected, changes } => {
-                write!(f, "{changes:?} were both acknowledged on top of {expected}")
+                write!(f, "two changes of version {expected} were both acknowledged: {changes:?}")
             }
             Self::ChangeReplaced { expected, version } => {
-                write!(f, "version {version} on top of {expected} is not the one that was acknowledged")
+                write!(f, "committed version {version} does not contain the acknowledged change of version {expected}")
             }
             Self::ChangeLost { version } => {
-                write!(f, "version {version} was acknowledged, and no process knows it")
+                write!(f, "version {version} was acknowledged, but no process committed it")
             }
             Self::StaleRead { version, at_least } => {
-                write!(f, "read version {version} after {at_least} was acknowledged")
+                write!(
+                    f,
+                    "a read returned version {version} although version {at_least} was acknowledged before"
+                )
             }
         }
     }
 }
 
-/// The results of a batch job have changed or are not what servers generated.
+/// A violation of the results of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobViolation {
-    /// The results do not start with those that were read before.
+    /// The results do not start with the ones of an earlier read.
     ResultsChanged {
-        /// The batch job.
+        /// The id of the batch job.
         job: String,
-        /// The results that were read before.
+        /// The results of the earlier read.
         before: Vec<ItemResult>,
-        /// The results now.
+        /// The results of the present read.
         now: Vec<ItemResult>,
     },
-    /// A result occurs twice, or has a text that no server generated for its item.
+    /// A result occurs twice, or its text differs from the one that servers generate for its item.
     InvalidResult {
-        /// The batch job.
+        /// The id of the batch job.
         job: String,
-        /// The result.
+        /// The first invalid result.
         result: Box<ItemResult>,
     },
 }
@@ -190,34 +198,36 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::ResultsChanged { job, before, now } => {
-                write!(f, "{job}: {now:?} does not start with {before:?}")
+                write!(f, "the results of batch job {job} changed from {before:?} to {now:?}")
+            }
+            Self::InvalidResult { job, result } => {
+                write!(f, "batch job {job} has a duplicate or wrong result: {result:?}")
             }
-            Self::InvalidResult { job, result } => write!(f, "{job}: invalid result {result:?}"),
         }
     }
 }
 
-/// A rule that a run has broken.
+/// The reason for which a run failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SimulationViolation {
-    /// A rule of the register, the leader lease or orders to servers.
+    /// A violation of the register, the leader lease or the orders to servers.
     Register(RegisterViolation),
-    /// A rule of changes of the configuration.
+    /// A violation of the changes and reads of the configuration.
     Configuration(ConfigurationViolation),
-    /// A rule of batch jobs.
+    /// A violation of the results of a batch job.
     Job(JobViolation),
-    /// A request got a reply that its state does not allow.
+    /// A request received a reply that is not possible in its state.
     UnexpectedReply {
-        /// The request.
+        /// Description of the request.
         request: String,
         /// The reply.
         reply: ExternalReply,
     },
-    /// The fleet had not recovered in time after the last fault.
+    /// The fleet did not recover in time after the last fault.
     NotConverged {
-        /// The time that it had.
+        /// The time limit of the recovery.
         timeout: Duration,
-        /// The first thing that was missing.
+        /// The first condition of recovery that did not hold.
         missing: Unconverged,
     },
     /// A process or a check panicked.
@@ -230,11 +240,13 @@
             Self::Register(violation) => violation.fmt(f),
             Self::Configuration(violation) => violation.fmt(f),
             Self::Job(violation) => violation.fmt(f),
-            Self::UnexpectedReply { request, reply } => write!(f, "{request} got the reply {reply:?}"),
+            Self::UnexpectedReply { request, reply } => {
+                write!(f, "{request} received the unexpected reply {reply:?}")
+            }
             Self::NotConverged { timeout, missing } => {
-                write!(f, "not recovered after {timeout:?}: {missing}")
+                write!(f, "the fleet has not recovered {timeout:?} after the last fault: {missing}")
             }
-            Self::Panicked => f.write_str("a process panicked"),
+            Self::Panicked => f.write_str("a process or a check panicked"),
         }
     }
 }
