--- a/crates/simulator/tests/scenarios/configuration.rs
+++ b/crates/simulator/tests/scenarios/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration: conflicts, many of them, and large ones.
+//! Changes of the configuration: conflicting, frequent and large ones.
 
 use std::time::Duration;
 
@@ -40,16 +40,19 @@
         }
         if [400, 800, 900, 950, 1000, 1100].contains(&change) {
             let healed_at = scenario.fleet.now;
-            let all_know = |fleet: &Fleet| {
+            let all_have_newest = |fleet: &Fleet| {
                 let all_run = fleet.machines().all(|one| fleet.is_running(one));
                 all_run
                     && fleet
                         .machines()
                         .all(|one| fleet.state(one).map(|state| state.revision) == newest(fleet))
             };
-            assert!(scenario.fleet.run_until(seconds(4), all_know), "after change {change}");
+            assert!(
+                scenario.fleet.run_until(seconds(4), all_have_newest),
+                "after change {change}: some process does not learn the newest state in time"
+            );
             println!(
-                "after change {change}: all know the newest state {:?} later",
+                "after change {change}: all processes have the newest state {:?} later",
                 scenario.fleet.now - healed_at
             );
         }
@@ -59,10 +62,11 @@
     scenario.assert_normal_operation();
 }
 
-/// Within this time a change is acknowledged and every process has it, when there are no faults and no
-/// message is lost: an operator waits 1.5 s for a lost reply, which says nothing about the links.
+/// Time limit for the acknowledgement of a change, and for its propagation to all processes, without faults.
+/// No messages are lost in these tests: operators wait 1.5 s for a lost reply, which would hide the delay of
+/// the links.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Bytes a second of 60 Mbit/s, the narrowest link of the operators' machines.
+/// 60 Mbit/s, the lowest bandwidth of the links of operators' machines, in bytes per second.
 const NARROW_LINK_BYTES_PER_SECOND: f64 = 60e6 / 8.0;
 
 #[parameterized(
@@ -77,12 +81,15 @@
         scenario.fleet.network = Network::default();
         scenario.fleet.set_link_speed(NARROW_LINK_BYTES_PER_SECOND);
         scenario.put_configuration(PROPAGATION_TIMEOUT, 1400);
-        let newest = scenario.fleet.state(0).expect("it knows the state").configuration_version;
-        let is_known = |fleet: &Fleet| {
+        let newest = scenario.fleet.state(0).expect("node 0 has a state").configuration_version;
+        let is_propagated = |fleet: &Fleet| {
             let mut states = fleet.machines().map(|machine| fleet.state(machine));
             states.all(|state| state.is_some_and(|state| state.configuration_version >= newest))
         };
-        assert!(scenario.fleet.run_until(PROPAGATION_TIMEOUT, is_known), "seed {seed}: all know it");
+        assert!(
+            scenario.fleet.run_until(PROPAGATION_TIMEOUT, is_propagated),
+            "seed {seed}: the configuration does not reach all processes in time"
+        );
         for _ in 0..4 {
             scenario.fleet.run_for(Duration::from_millis(300));
             scenario.set_target_version_within(PROPAGATION_TIMEOUT);
--- a/crates/simulator/tests/scenarios/faults.rs
+++ b/crates/simulator/tests/scenarios/faults.rs
@@ -1,12 +1,14 @@
-//! Faults of the stories; the fleet has had time to catch up when they return.
+//! Faults of the scenarios.
 
 use simulator::Fleet;
 
 use crate::support::seconds;
 
-/// Injects a fault; the fleet has had time to catch up when this returns.
+/// Injects a fault. Faults that remove or disconnect a machine return after the fleet has had time to
+/// recover; after the others the machines still have to restart.
 pub type InjectFault = fn(&mut Fleet);
 
+/// Leaves the fleet without a fault, for comparison.
 pub fn no_fault(_: &mut Fleet) {}
 
 pub fn replace_node(fleet: &mut Fleet) {
@@ -15,7 +17,7 @@
 }
 
 pub fn replace_leader(fleet: &mut Fleet) {
-    let leader = fleet.leader().expect("a node leads");
+    let leader = fleet.leader().expect("some node is the leader");
     fleet.replace(leader);
     fleet.run_for(seconds(12));
 }
@@ -45,6 +47,7 @@
     fleet.machines().for_each(|machine| fleet.lose_power(machine));
 }
 
+/// Erases the disks of one node and one store while all other machines lose power.
 pub fn lose_disks_of_node_and_store_and_power_of_others(fleet: &mut Fleet) {
     let lost = [2, fleet.nodes().end + 2];
     fleet.machines().filter(|machine| !lost.contains(machine)).for_each(|machine| fleet.lose_power(machine));
@@ -52,21 +55,21 @@
 }
 
 pub fn freeze_leader(fleet: &mut Fleet) {
-    let leader = fleet.leader().expect("a node leads");
+    let leader = fleet.leader().expect("some node is the leader");
     fleet.freeze(leader);
     fleet.run_for(seconds(8));
     fleet.thaw(leader);
 }
 
 pub fn isolate_leader(fleet: &mut Fleet) {
-    let leader = fleet.leader().expect("a node leads");
+    let leader = fleet.leader().expect("some node is the leader");
     fleet.network.isolate(leader, fleet.machines().end);
     fleet.run_for(seconds(8));
     fleet.network.heal();
 }
 
 pub fn stop_messages_from_leader(fleet: &mut Fleet) {
-    let leader = fleet.leader().expect("a node leads");
+    let leader = fleet.leader().expect("some node is the leader");
     for other in fleet.machines().filter(|other| *other != leader) {
         fleet.network.partition_one_way(leader, other);
     }
@@ -75,7 +78,7 @@
 }
 
 pub fn stop_messages_to_leader(fleet: &mut Fleet) {
-    let leader = fleet.leader().expect("a node leads");
+    let leader = fleet.leader().expect("some node is the leader");
     for other in fleet.machines().filter(|other| *other != leader) {
         fleet.network.partition_one_way(other, leader);
     }
@@ -90,6 +93,7 @@
     fleet.thaw(store);
 }
 
+/// Makes the network drop a tenth of all messages and duplicate a tenth, for the rest of the scenario.
 pub fn make_network_lossy(fleet: &mut Fleet) {
     (fleet.network.dropped_per_mille, fleet.network.duplicated_per_mille) = (100, 100);
 }
--- a/crates/simulator/tests/scenarios/first_start.rs
+++ b/crates/simulator/tests/scenarios/first_start.rs
@@ -1,4 +1,4 @@
-//! The first start of a system whose first collector of announcements fails.
+//! First start of a system in which the first collector of announcements fails.
 
 use std::time::Duration;
 
@@ -15,9 +15,12 @@
         fleet.remove_machine(0);
         let order = OperatorOrder::Put { expected: 0, body: document(1) };
         assert_status(&fleet.execute_order(seconds(40), &order), 200);
-        let revisions =
+        let acceptors =
             fleet.machines().filter_map(|machine| fleet.state(machine)).map(|state| state.acceptors.clone());
-        assert!(revisions.collect::<Vec<_>>().windows(2).all(|pair| pair[0] == pair[1]), "seed {seed}");
+        assert!(
+            acceptors.collect::<Vec<_>>().windows(2).all(|pair| pair[0] == pair[1]),
+            "seed {seed}: processes have different acceptors"
+        );
     }
 }
 
@@ -35,6 +38,10 @@
         let order = OperatorOrder::Put { expected: 0, body: document(1) };
         assert_status(&fleet.execute_order(seconds(40), &order), 200);
         let all_joined = |fleet: &Fleet| fleet.state(2).is_some_and(|state| state.stores.members.len() == 3);
-        assert!(fleet.run_until(seconds(40), all_joined), "seed {seed}: {:?}", fleet.state(2));
+        assert!(
+            fleet.run_until(seconds(40), all_joined),
+            "seed {seed}: not all stores have joined: {:?}",
+            fleet.state(2)
+        );
     }
 }
--- a/crates/simulator/tests/scenarios/lease.rs
+++ b/crates/simulator/tests/scenarios/lease.rs
@@ -1,4 +1,4 @@
-//! One node holds the leader lease, also when disks and machines change.
+//! At most one node holds the leader lease, also during replacements of disks and machines.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use crate::scenario::Scenario;
 use crate::support::{seconds, SEEDS};
 
-/// Whether this machine is no acceptor in the state that every running node has. Until a majority of the
-/// present acceptors has recorded a change, one failure less is tolerated (`docs/CONTROL.md`, 3).
+/// Whether no running node has a state in which this machine is an acceptor. Until a majority of the present
+/// acceptors has recorded a change, one failure less is tolerated (`docs/CONTROL.md`, section 3).
 fn is_replaced(fleet: &Fleet, machine: usize) -> bool {
     let mut running = fleet.present_nodes().into_iter().filter(|node| fleet.is_running(*node));
     running.all(|node| {
@@ -17,12 +17,12 @@
     })
 }
 
-/// Asserts that at no moment of this time two processes hold the lease.
-fn assert_one_leads(fleet: &mut Fleet, time: Duration, seed: u64) {
+/// Runs the fleet for this time and asserts after each step that at most one process holds the lease.
+fn assert_at_most_one_leader(fleet: &mut Fleet, time: Duration, seed: u64) {
     let until = fleet.now + time;
     while fleet.now < until {
         let holders = fleet.machines().filter(|machine| fleet.fence(*machine).is_some()).count();
-        assert!(holders < 2, "seed {seed}: {holders} hold the lease at {:?}", fleet.now);
+        assert!(holders < 2, "seed {seed}: {holders} processes hold the lease at {:?}", fleet.now);
         fleet.step();
     }
 }
@@ -34,28 +34,32 @@
         let fleet = &mut scenario.fleet;
         let spares =
             [fleet.add_machine(MachineKind::Node, false), fleet.add_machine(MachineKind::Node, false)];
-        let stand_by = |fleet: &Fleet| {
+        let are_standbys = |fleet: &Fleet| {
             let leader = fleet.leader().and_then(|leader| fleet.state(leader));
             leader.is_some_and(|state| state.standbys.len() == spares.len())
         };
-        assert!(fleet.run_until(seconds(20), stand_by), "seed {seed}: both spares stand by");
-        let leader = fleet.leader().expect("a node leads");
-        let other = fleet.nodes().find(|node| *node != leader).expect("another node");
+        assert!(
+            fleet.run_until(seconds(20), are_standbys),
+            "seed {seed}: the spare nodes do not become standbys in time"
+        );
+        let leader = fleet.leader().expect("some node is the leader");
+        let other =
+            fleet.nodes().find(|node| *node != leader).expect("there is a node that is not the leader");
         for former in [leader, other] {
-            // What is sent to it meanwhile is lost, so that it does not know of its successor when it
-            // continues.
+            // Messages to the machine during the freeze are lost, so that it has not learned of its successor
+            // when it resumes.
             fleet.network.isolate(former, fleet.machines().end);
             fleet.freeze(former);
             assert!(
                 fleet.run_until(seconds(20), |fleet| is_replaced(fleet, former)),
-                "seed {seed}: a spare takes the place of {former}"
+                "seed {seed}: no spare node replaces acceptor {former} in time"
             );
         }
         fleet.lose_disk(other);
-        assert_one_leads(fleet, seconds(6), seed);
+        assert_at_most_one_leader(fleet, seconds(6), seed);
         fleet.network.heal();
         fleet.thaw(leader);
-        assert_one_leads(fleet, seconds(6), seed);
+        assert_at_most_one_leader(fleet, seconds(6), seed);
         scenario.assert_normal_operation();
     }
 }
--- a/crates/simulator/tests/scenarios/losses.rs
+++ b/crates/simulator/tests/scenarios/losses.rs
@@ -1,4 +1,4 @@
-//! Nothing that was acknowledged is lost when machines, disks or power fail.
+//! No acknowledged work is lost when machines, disks or power fail.
 
 use simulator::{Fleet, FleetShape};
 use yare::parameterized;
@@ -52,7 +52,7 @@
         for lost in [0, 1, 5, 6] {
             scenario.fleet.lose_disk(lost);
         }
-        // All of them return within a second; from then on they have time to catch up.
+        // All four machines restart within a second and then have the catch-up time.
         let caught_up = scenario.fleet.now + seconds(1) + CATCH_UP_TIME;
         scenario.assert_normal_operation();
         scenario.fleet.run_for(caught_up.saturating_sub(scenario.fleet.now));
@@ -81,41 +81,56 @@
         lost.iter().for_each(|machine| scenario.fleet.lose_disk(*machine));
         let lost_at = scenario.fleet.now;
         let all_run = |fleet: &Fleet| fleet.machines().all(|machine| fleet.is_running(machine));
-        assert!(scenario.fleet.run_until(seconds(2), all_run));
+        assert!(
+            scenario.fleet.run_until(seconds(2), all_run),
+            "seed {seed}: not all machines have restarted in time"
+        );
         let returned_at = scenario.fleet.now;
         assert!(
             scenario.fleet.run_until(seconds(30), has_recovered),
-            "seed {seed}: {:?}",
+            "seed {seed}: the fleet has not recovered in time: {:?}",
             scenario.fleet.state(4)
         );
         times.push(scenario.fleet.now - returned_at);
         assert!(
             scenario.fleet.now - lost_at <= seconds(1) + CATCH_UP_TIME,
-            "seed {seed}: {:?}",
+            "seed {seed}: recovery took {:?} after the return of the machines",
             scenario.fleet.now - returned_at
         );
     }
     times.sort_unstable();
-    println!("recovered after {:?} (median), {:?} at most", times[times.len() / 2], times[times.len() - 1]);
+    println!(
+        "recovery took {:?} (median) and {:?} (maximum)",
+        times[times.len() / 2],
+        times[times.len() - 1]
+    );
 }
 
 #[test]
 fn given_an_isolated_store_when_another_store_loses_its_disk_then_the_migration_waits_for_the_isolated_one() {
     for seed in SEEDS {
         let mut scenario = Scenario::start(seed, FleetShape::default());
-        // Two of three replicas have the batch job; of these one is isolated, and the disk of the other is
-        // lost.
+        // Only two of three replicas have the batch job. One of them is isolated, and the other loses its
+        // disk.
         scenario.fleet.network.isolate(4, 6);
         scenario.submit_job("first");
         scenario.fleet.network.heal();
         scenario.fleet.network.isolate(3, 6);
         scenario.fleet.lose_disk(5);
         scenario.fleet.run_for(seconds(12));
-        // The new disk answers at the address of the lost one; it has not migrated what that one had.
+        // The store with the new disk replies at the same address, but it has not migrated the data of the
+        // lost disk.
         let is_migrating = scenario.fleet.state(0).is_some_and(|state| state.previous_stores.is_some());
-        assert!(is_migrating, "seed {seed}: {:?}", scenario.fleet.state(0));
+        assert!(
+            is_migrating,
+            "seed {seed}: the migration ended without the isolated store: {:?}",
+            scenario.fleet.state(0)
+        );
         scenario.fleet.network.heal();
-        assert!(scenario.fleet.run_until(seconds(10), has_recovered), "seed {seed}");
+        assert!(
+            scenario.fleet.run_until(seconds(10), has_recovered),
+            "seed {seed}: no recovery after the partition"
+        );
         scenario.assert_normal_operation();
     }
 }
--- a/crates/simulator/tests/scenarios/main.rs
+++ b/crates/simulator/tests/scenarios/main.rs
@@ -1,5 +1,5 @@
-//! Stories from the first start to results that are read back, with the faults that the operators' pages
-//! name.
+//! Scenarios with specific faults, from the first start of a fleet to the results of its batch jobs. The
+//! faults are the ones that the documentation for operators names.
 
 mod configuration;
 mod faults;
--- a/crates/simulator/tests/scenarios/membership.rs
+++ b/crates/simulator/tests/scenarios/membership.rs
@@ -1,4 +1,4 @@
-//! Machines are replaced, drained and removed.
+//! Replacement, drain and removal of machines.
 
 use simulator::{ExternalReply, Fleet, FleetShape, MachineKind, OperatorOrder};
 use yare::parameterized;
@@ -20,7 +20,11 @@
                 has("node-6") && !has("node-1") && has_store("store-7") && !has_store("store-4")
             })
         };
-        assert!(scenario.fleet.run_until(seconds(40), is_done), "seed {seed}: {:?}", scenario.fleet.state(0));
+        assert!(
+            scenario.fleet.run_until(seconds(40), is_done),
+            "seed {seed}: the replaced machines are still members: {:?}",
+            scenario.fleet.state(0)
+        );
     }
 }
 
@@ -39,7 +43,7 @@
         let read = OperatorOrder::ReadDrain(store);
         let deadline = scenario.fleet.now + seconds(30);
         while !matches!(scenario.fleet.execute_order(ORDER_TIMEOUT, &read), ExternalReply::Status(200)) {
-            assert!(scenario.fleet.now < deadline, "seed {seed}: it is not drained");
+            assert!(scenario.fleet.now < deadline, "seed {seed}: the store is not drained in time");
             scenario.fleet.run_for(seconds(1));
         }
         scenario.fleet.remove_machine(drained);
@@ -47,20 +51,20 @@
     }
 }
 
-/// Which machines are replaced first.
+/// The machines that are preferred for replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReplacementOrder {
     /// The lease holder.
     Leader,
     /// A node that does not hold the lease.
     Follower,
-    /// The node that was added last.
+    /// The nodes that were added last.
     Newest,
-    /// Stores.
+    /// Random stores.
     Store,
 }
 
-/// The machines that are replaced next, as many as may fail at a time.
+/// Selects the machines that are replaced next: as many as may fail at the same time.
 fn next_to_replace(fleet: &mut Fleet, order: ReplacementOrder) -> Vec<usize> {
     let leader = fleet.leader();
     let is_store = order == ReplacementOrder::Store;
@@ -106,12 +110,19 @@
             let kinds: Vec<MachineKind> = kinds.collect();
             let added: Vec<usize> =
                 kinds.into_iter().map(|kind| scenario.fleet.add_machine(kind, false)).collect();
-            let is_there = |fleet: &Fleet| added.iter().all(|machine| fleet.is_running(*machine));
-            assert!(scenario.fleet.run_until(seconds(1), is_there), "seed {seed}");
-            // From now on they have time to catch up; meanwhile the operator continues.
+            let all_started = |fleet: &Fleet| added.iter().all(|machine| fleet.is_running(*machine));
+            assert!(
+                scenario.fleet.run_until(seconds(1), all_started),
+                "seed {seed}: an added machine has not started in time"
+            );
+            // The added machines have the catch-up time from now on. Orders must be acknowledged during this
+            // time.
             let caught_up = scenario.fleet.now + shape.catch_up_time();
             scenario.change_configuration();
-            assert!(scenario.fleet.now <= caught_up, "seed {seed}, step {step}: orders wait for too long");
+            assert!(
+                scenario.fleet.now <= caught_up,
+                "seed {seed}, step {step}: the change was acknowledged only after the catch-up time"
+            );
             scenario.fleet.run_for(caught_up - scenario.fleet.now);
         }
         scenario.assert_normal_operation();
--- a/crates/simulator/tests/scenarios/partitions.rs
+++ b/crates/simulator/tests/scenarios/partitions.rs
@@ -1,4 +1,4 @@
-//! Nodes without a majority neither acknowledge nor lead.
+//! Nodes without contact to a majority of the acceptors neither acknowledge orders nor lead.
 
 use simulator::{ExternalReply, ExternalRequest, Fleet, FleetShape, OperatorOrder};
 use yare::parameterized;
@@ -13,17 +13,18 @@
     scenario.fleet.run_for(seconds(2));
     let order = OperatorOrder::Put { expected: 3, body: document(9) };
     let reply = scenario.fleet.request_and_wait(2, ExternalRequest::Operator(order));
-    assert!(matches!(reply, None | Some(ExternalReply::Status(503))), "{reply:?}");
+    assert!(matches!(reply, None | Some(ExternalReply::Status(503))), "the isolated node replied {reply:?}");
     scenario.fleet.network.heal();
 }
 
-/// Disconnects a node from the others.
+/// Separates a node from all or most other machines.
 type Disconnect = fn(&mut Fleet, usize);
 
 fn isolate_node(fleet: &mut Fleet, node: usize) {
     fleet.network.isolate(node, fleet.machines().end);
 }
 
+/// Partitions the node and one store from all other machines.
 fn isolate_node_with_a_store(fleet: &mut Fleet, node: usize) {
     fleet.network.partition_group(&[node, fleet.nodes().end], fleet.machines().end);
 }
@@ -62,32 +63,45 @@
 ) {
     for seed in SEEDS {
         let mut scenario = Scenario::start(seed, FleetShape::default());
-        assert!(scenario.fleet.run_until(seconds(5), |fleet| fleet.leader().is_some()), "seed {seed}");
-        let leader = scenario.fleet.leader().expect("a node leads");
+        assert!(
+            scenario.fleet.run_until(seconds(5), |fleet| fleet.leader().is_some()),
+            "seed {seed}: no node leads in time"
+        );
+        let leader = scenario.fleet.leader().expect("some node is the leader");
         let node = if is_leader { leader } else { (leader + 1) % 3 };
         let has_confirmed = |fleet: &Fleet| fleet.confirmed_age(node).is_some();
         assert!(
             scenario.fleet.run_until(seconds(5), has_confirmed),
-            "seed {seed}: it has confirmed the state"
+            "seed {seed}: the state of node {node} was not confirmed in time"
         );
         let known = scenario.fleet.state(node).map(|state| state.revision);
         disconnect(&mut scenario.fleet, node);
         let deadline = scenario.fleet.now + seconds(20);
-        // The others continue, with orders and a lease of their own.
+        // The other nodes elect a leader and acknowledge orders.
         scenario.fleet.run_for(seconds(3));
         let version = scenario.change_configuration_at_other_nodes(node);
         while scenario.fleet.now < deadline {
-            // It builds on the version that the node knows, and that the others have left behind.
+            // The order changes the version that the disconnected node has, which is no longer the newest.
             let order = OperatorOrder::Put { expected: version - 3, body: document(version + 1) };
             let reply = scenario.fleet.request_and_wait(node, ExternalRequest::Operator(order));
-            assert!(matches!(reply, None | Some(ExternalReply::Status(503))), "seed {seed}: {reply:?}");
+            assert!(
+                matches!(reply, None | Some(ExternalReply::Status(503))),
+                "seed {seed}: the disconnected node replied {reply:?}"
+            );
             let reply = scenario.fleet.request_and_wait(node, ExternalRequest::Operator(OperatorOrder::Read));
-            assert!(matches!(reply, None | Some(ExternalReply::Status(503))), "seed {seed}: {reply:?}");
-            assert_eq!(scenario.fleet.fence(node), None, "seed {seed}: it leads");
+            assert!(
+                matches!(reply, None | Some(ExternalReply::Status(503))),
+                "seed {seed}: the disconnected node replied {reply:?}"
+            );
+            assert_eq!(
+                scenario.fleet.fence(node),
+                None,
+                "seed {seed}: the disconnected node holds the leader lease"
+            );
             let age = scenario.fleet.confirmed_age(node);
             assert!(
                 !scenario.fleet.is_running(node) || age.is_some_and(|age| age > seconds(1)),
-                "seed {seed}: {age:?}"
+                "seed {seed}: the disconnected node has a state that was confirmed {age:?} ago"
             );
         }
         scenario.fleet.network.heal();
@@ -101,7 +115,10 @@
             fleet.state(node).map(|state| state.revision) == newest(fleet)
                 && fleet.confirmed_age(node).is_some_and(|age| age < seconds(1))
         };
-        assert!(scenario.fleet.run_until(seconds(3), has_caught_up), "seed {seed}: from {known:?}");
+        assert!(
+            scenario.fleet.run_until(seconds(3), has_caught_up),
+            "seed {seed}: the node did not catch up from revision {known:?}"
+        );
         scenario.assert_normal_operation();
     }
 }
--- a/crates/simulator/tests/scenarios/scenario.rs
+++ b/crates/simulator/tests/scenarios/scenario.rs
@@ -1,31 +1,33 @@
-//! The steps of stories, and what must hold after each.
+//! The steps of scenarios. Each step asserts its expected outcome.
 
 use std::time::Duration;
 
 use simulator::{ExternalReply, ExternalRequest, Fleet, FleetShape, JobCall, OperatorOrder};
 
-/// Time limit of an order, once the system has started and while a majority is present.
+/// Time limit of an operator's order after the first start, while a majority of the acceptors is present.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time limit of the first order: the first start collects announcements before.
+/// Time limit of the first order. It is longer, because the first start collects the announcements of the
+/// machines before.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// The time that must lie between the orders of two lease holders.
+/// Minimum time between the orders of two lease holders.
 const MIN_GAP_BETWEEN_HOLDERS: Duration = Duration::from_secs(3);
-/// Items of a batch job.
+/// Number of items of a batch job.
 const ITEMS: usize = 6;
 
-/// A fleet, and what it has acknowledged so far.
+/// A fleet and the work that it has acknowledged so far.
 pub struct Scenario {
     pub fleet: Fleet,
-    /// The newest configuration that was acknowledged.
+    /// Version and text of the newest acknowledged configuration.
     configuration: (u64, String),
-    /// The newest version of the model that was named.
+    /// The newest acknowledged target version of the model.
     target_version: u64,
-    /// Batch jobs that were accepted, with the results that were read.
+    /// The accepted batch jobs, each with the results of the last read.
     jobs: Vec<(String, Vec<batch::ItemResult>)>,
 }
 
 impl Scenario {
-    /// The system has started for the first time, and the first configuration is acknowledged.
+    /// Starts a fleet for the first time and waits until the first configuration is acknowledged. The
+    /// environment variable `SIMULATOR_LOG` sets the level of printed log lines.
     pub fn start(seed: u64, shape: FleetShape) -> Self {
         if let Some(level) = std::env::var("SIMULATOR_LOG").ok().and_then(|level| level.parse().ok()) {
             simulator::print_logs(level);
@@ -37,17 +39,18 @@
         scenario
     }
 
-    /// Another configuration is acknowledged.
+    /// Changes the configuration and waits for the acknowledgement.
     pub fn change_configuration(&mut self) {
         self.change_configuration_within(ORDER_TIMEOUT);
     }
 
-    /// Another configuration is acknowledged within this time.
+    /// Changes the configuration and waits for the acknowledgement, at most for `timeout`.
     pub fn change_configuration_within(&mut self, timeout: Duration) {
         self.put_configuration(timeout, 0);
     }
 
-    /// A configuration with this many more routes is acknowledged within this time.
+    /// Puts a configuration with `more_routes` additional routes and waits for the acknowledgement, at most
+    /// for `timeout`. Then sends the same change again, which must be acknowledged too.
     pub fn put_configuration(&mut self, timeout: Duration, more_routes: usize) {
         let expected = self.configuration.0;
         let body = document_with_routes(expected + 3, more_routes);
@@ -57,7 +60,7 @@
         assert_status(&self.fleet.execute_order(timeout, &order), 200);
     }
 
-    /// Another configuration is acknowledged by other nodes than this one; returns its version.
+    /// Changes the configuration through the nodes other than `node`; returns the new version.
     pub fn change_configuration_at_other_nodes(&mut self, node: usize) -> u64 {
         let expected = self.configuration.0;
         let body = document(expected + 3);
@@ -65,40 +68,40 @@
         let until = self.fleet.now + ORDER_TIMEOUT;
         let others: Vec<usize> = self.fleet.nodes().filter(|other| *other != node).collect();
         for other in others.iter().cycle() {
-            assert!(self.fleet.now < until, "the others do not take it");
+            assert!(self.fleet.now < until, "the other nodes do not acknowledge the change in time");
             match self.fleet.request_and_wait(*other, order.clone()) {
                 Some(ExternalReply::Status(200)) => break,
                 None | Some(ExternalReply::Status(503)) => {}
-                reply => panic!("{reply:?}"),
+                reply => panic!("the change received the unexpected reply {reply:?}"),
             }
         }
         self.configuration = (expected + 3, body);
         expected + 3
     }
 
-    /// The next version is named.
+    /// Sets the next target version of the model and waits for the acknowledgement.
     pub fn set_target_version(&mut self) {
         self.set_target_version_within(ORDER_TIMEOUT);
     }
 
-    /// The next version is named within this time.
+    /// Sets the next target version of the model and waits for the acknowledgement, at most for `timeout`.
     pub fn set_target_version_within(&mut self, timeout: Duration) {
         self.target_version += 1;
         let order = OperatorOrder::SetTargetVersion { model: "m".into(), version: self.target_version };
         assert_status(&self.fleet.execute_order(timeout, &order), 200);
     }
 
-    /// All servers come to have the newest named version.
+    /// Waits until all servers have the target version.
     pub fn await_rollout(&mut self) {
         let version = self.target_version;
         let is_rolled_out = |fleet: &Fleet| fleet.servers.iter().all(|server| server.version("m") == version);
         assert!(
             self.fleet.run_until(Duration::from_secs(40), is_rolled_out),
-            "version {version} is not rolled out"
+            "version {version} is not rolled out to all servers in time"
         );
     }
 
-    /// A batch job is accepted.
+    /// Submits a batch job and waits until it is accepted. Then submits it again, which must be accepted too.
     pub fn submit_job(&mut self, job: &str) {
         let body = JobCall::Submit(job_body(job, self.target_version));
         assert_status(&self.fleet.execute_job_call(ORDER_TIMEOUT, job, body.clone()), 202);
@@ -106,25 +109,34 @@
         assert_status(&self.fleet.execute_job_call(ORDER_TIMEOUT, job, body), 202);
     }
 
-    /// All results of all batch jobs are read; those that were read before have kept their positions.
+    /// Reads all batch jobs until all results are complete.
     pub fn read_all_results(&mut self) {
         let until = self.fleet.now + Duration::from_secs(60);
         for index in 0..self.jobs.len() {
             while self.read_results(index) < ITEMS {
-                assert!(self.fleet.now < until, "not all results of {} come", self.jobs[index].0);
+                assert!(
+                    self.fleet.now < until,
+                    "the results of batch job {} are not complete in time",
+                    self.jobs[index].0
+                );
                 self.fleet.run_for(Duration::from_millis(400));
             }
         }
     }
 
+    /// Reads the results of a batch job and returns their number. Results of earlier reads must have kept
+    /// their positions, and each item must occur once with the text that servers generate for it.
     fn read_results(&mut self, index: usize) -> usize {
         let (job, known) = &mut self.jobs[index];
         let ExternalReply::Results(results) =
             self.fleet.execute_job_call(ORDER_TIMEOUT, job, JobCall::Read(0))
         else {
-            panic!("the batch job {job} is lost")
+            panic!("the results of batch job {job} cannot be read")
         };
-        assert!(results.starts_with(known), "{job}: {results:?} does not start with {known:?}");
+        assert!(
+            results.starts_with(known),
+            "the results of batch job {job} changed from {known:?} to {results:?}"
+        );
         for result in &results {
             assert_eq!(result.text, format!("the text of {}", result.id));
             assert_eq!(results.iter().filter(|other| other.id == result.id).count(), 1);
@@ -133,12 +145,13 @@
         results.len()
     }
 
-    /// All that was acknowledged is there, and no conflicting orders were received.
+    /// Asserts that the acknowledged configuration and all results that were read are still the same, and
+    /// that no server has received conflicting orders.
     pub fn assert_acknowledged_work(&mut self) {
         let ExternalReply::Configuration(version, text) =
             self.fleet.execute_order(ORDER_TIMEOUT, &OperatorOrder::Read)
         else {
-            panic!("the configuration does not come")
+            panic!("the configuration cannot be read")
         };
         assert_eq!((version, text), self.configuration);
         (0..self.jobs.len()).for_each(|job| {
@@ -147,7 +160,7 @@
         assert_eq!(self.fleet.conflicting_orders(MIN_GAP_BETWEEN_HOLDERS), None);
     }
 
-    /// The fleet serves as before: all that was acknowledged is there, and new work is done.
+    /// Asserts that no acknowledged work is lost, and that the fleet completes new work of each kind.
     pub fn assert_normal_operation(&mut self) {
         self.assert_acknowledged_work();
         self.change_configuration();
@@ -159,15 +172,20 @@
     }
 }
 
+/// Asserts that a reply is this HTTP status without further content.
 pub fn assert_status(reply: &ExternalReply, status: u16) {
-    assert!(matches!(reply, ExternalReply::Status(actual) if *actual == status), "{reply:?}, not {status}");
+    assert!(
+        matches!(reply, ExternalReply::Status(actual) if *actual == status),
+        "the reply is {reply:?} instead of status {status}"
+    );
 }
 
+/// A configuration with one route.
 pub fn document(version: u64) -> String {
     document_with_routes(version, 0)
 }
 
-/// A configuration with this many more routes, of names as operators choose them.
+/// A configuration with `more` additional routes. Their names are random words, like names that operators choose.
 fn document_with_routes(version: u64, more: usize) -> String {
     let mut random = fastrand::Rng::with_seed(version);
     let mut word = || (0..8).map(|_| random.lowercase()).collect::<String>();
@@ -185,6 +203,7 @@
     )
 }
 
+/// The body of a batch job whose results may come from version `oldest` or newer ones.
 fn job_body(job: &str, oldest: u64) -> String {
     let item = |index| format!(r#"{{"id":"{job}-{index}","lane":"/r/{index}"}}"#);
     let items: Vec<String> = (0..ITEMS).map(item).collect();
--- a/crates/simulator/tests/scenarios/seeds.rs
+++ b/crates/simulator/tests/scenarios/seeds.rs
@@ -1,4 +1,5 @@
-//! All machines find the acceptors again when their seeds are nodes without a disk.
+//! After a failure of all machines, all processes find the acceptors again although their seeds are nodes
+//! without a disk.
 
 use std::time::Duration;
 
@@ -9,14 +10,16 @@
 use crate::scenario::Scenario;
 use crate::support::{seconds, SEEDS};
 
+/// Three nodes, three diskless nodes and three stores, of which one may fail.
 const THREE_NODES_WITH_DISKLESS: FleetShape =
     FleetShape { nodes: 3, diskless_nodes: 3, stores: 3, servers: 4, tolerated_failures: 1 };
+/// Five nodes, four diskless nodes and five stores, of which two may fail.
 const FIVE_NODES_WITH_DISKLESS: FleetShape =
     FleetShape { nodes: 5, diskless_nodes: 4, stores: 5, servers: 6, tolerated_failures: 2 };
-/// Everything is served again within this time after all machines are back (`recoverS`).
+/// Time limit for the recovery after all machines have restarted (setting `recoverS`).
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Lets all machines fail.
+/// Makes all machines fail.
 type FailAll = fn(&mut Fleet);
 
 fn lose_disk_of_store_and_power_of_others(fleet: &mut Fleet) {
@@ -30,7 +33,8 @@
     fleet.lose_disk(0);
 }
 
-/// Whether every process knows the newest state, and a majority has confirmed it recently.
+/// Whether every process has the newest state, and a majority of the acceptors has confirmed it in the last
+/// two seconds.
 fn all_have_newest_state(fleet: &Fleet) -> bool {
     let newest =
         fleet.machines().filter_map(|machine| fleet.state(machine)).map(|state| state.revision).max();
@@ -43,17 +47,19 @@
 /// Changes the seeds in all settings.
 type SetSeeds = fn(&mut Fleet);
 
+/// Makes the first three diskless nodes the seeds of all machines.
 fn seed_with_diskless_nodes(fleet: &mut Fleet) {
     let seeds: Vec<usize> = fleet.diskless_nodes().take(3).collect();
     fleet.machines().for_each(|machine| fleet.set_seeds(machine, seeds.clone()));
 }
 
-/// Each diskless node is given the one before as its seed, and all other machines the last.
+/// Makes each diskless node the seed of the next one. The first diskless node and all other machines get the
+/// last one.
 fn seed_with_chain_of_diskless_nodes(fleet: &mut Fleet) {
     let diskless = fleet.diskless_nodes();
     for machine in fleet.machines() {
-        let is_behind_another = diskless.contains(&machine) && machine > diskless.start;
-        fleet.set_seeds(machine, vec![if is_behind_another { machine - 1 } else { diskless.end - 1 }]);
+        let is_after_another = diskless.contains(&machine) && machine > diskless.start;
+        fleet.set_seeds(machine, vec![if is_after_another { machine - 1 } else { diskless.end - 1 }]);
     }
 }
 
@@ -76,9 +82,12 @@
             scenario.read_all_results();
             fail_all(&mut scenario.fleet);
             let is_back = |fleet: &Fleet| fleet.machines().all(|machine| fleet.is_running(machine));
-            assert!(scenario.fleet.run_until(seconds(2), is_back), "seed {seed}: all machines start again");
+            assert!(
+                scenario.fleet.run_until(seconds(2), is_back),
+                "seed {seed}: not all machines have restarted in time"
+            );
             let have_recovered = scenario.fleet.run_until(RECOVERY_TIMEOUT, all_have_newest_state);
-            assert!(have_recovered, "seed {seed}: some process does not find the acceptors");
+            assert!(have_recovered, "seed {seed}: some process does not find the acceptors in time");
             scenario.assert_normal_operation();
         }
     }
--- a/crates/simulator/tests/scenarios/support.rs
+++ b/crates/simulator/tests/scenarios/support.rs
@@ -1,25 +1,26 @@
-//! Shapes, seeds and conditions that several stories use.
+//! Shapes, seeds and conditions that several scenarios use.
 
 use std::ops::Range;
 use std::time::Duration;
 
 use simulator::{Fleet, FleetShape};
 
-/// The seeds of most stories.
+/// Seeds of most scenarios.
 pub const SEEDS: Range<u64> = 0..12;
-/// Five nodes and five stores, of which two may fail.
+/// Five nodes and five stores, of which two may fail at the same time.
 pub const FIVE_NODES: FleetShape =
     FleetShape { nodes: 5, diskless_nodes: 0, stores: 5, servers: 6, tolerated_failures: 2 };
 
-/// A machine counts as failed for this long after it has returned (`catchUpS` where two may fail).
+/// Time for which a machine still counts as failed after its return (setting `catchUpS`, where two may fail).
 pub const CATCH_UP_TIME: Duration = Duration::from_secs(6);
 
+/// Shorthand for [`Duration::from_secs`].
 pub const fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-/// Whether every machine that was there at the start is a member with the disk that it has now, and no batch
-/// job is on being migrated to another set of stores.
+/// Whether every machine is an acceptor or a store with its present disk, and no migration of batch jobs is
+/// in progress.
 pub fn has_recovered(fleet: &Fleet) -> bool {
     let Some(state) = fleet.newest_state() else { return false };
     let mut members: Vec<_> = state.stores.members.iter().map(|store| &store.member).collect();
--- a/crates/simulator/tests/scenarios/suspended.rs
+++ b/crates/simulator/tests/scenarios/suspended.rs
@@ -1,5 +1,5 @@
-//! A process that was suspended or isolated while the acceptors that it knows were replaced finds the present
-//! ones.
+//! A process is suspended or isolated while all acceptors that it knows are replaced. After its return it
+//! must find the current acceptors.
 
 use simulator::{Fleet, FleetShape, MachineKind};
 use yare::parameterized;
@@ -7,28 +7,30 @@
 use crate::scenario::Scenario;
 use crate::support::{seconds, SEEDS};
 
+/// Three nodes, two diskless nodes and three stores, of which one may fail.
 const SHAPE: FleetShape =
     FleetShape { nodes: 3, diskless_nodes: 2, stores: 3, servers: 4, tolerated_failures: 1 };
-/// A process whose peers have all been replaced knows the newest state within this time after its return.
+/// Time limit for an absent process to learn the newest state after its return, if all its peers have been
+/// replaced.
 const CATCH_UP_TIMEOUT: std::time::Duration = seconds(15);
 
-/// Which process is absent.
+/// The process that is suspended or isolated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AbsentProcess {
     /// A member of the store set.
     Store,
-    /// An acceptor, which is replaced before the others are.
+    /// An acceptor, which is replaced before the other acceptors.
     Acceptor,
-    /// A machine that waits to become an acceptor.
+    /// A standby, which waits to become an acceptor.
     Standby,
-    /// A node without a disk, which no other process knows.
+    /// A node without a disk, which is no member, so that no other process has its address.
     DisklessNode,
-    /// A store in whose place another machine is taken.
+    /// A store that another store replaces during the absence.
     ReplacedStore,
 }
 
 impl AbsentProcess {
-    /// The machine of this kind.
+    /// Selects the machine of the absent process. Adds a standby if that is the absent process.
     fn select_machine(self, fleet: &mut Fleet) -> usize {
         match self {
             Self::Acceptor => 0,
@@ -41,14 +43,14 @@
                     let newest = fleet.newest_state();
                     newest.is_some_and(|state| state.standbys.iter().any(|member| member.name == name))
                 };
-                assert!(fleet.run_until(seconds(20), is_standby), "it stands by");
+                assert!(fleet.run_until(seconds(20), is_standby), "the added node becomes a standby");
                 standby
             }
         }
     }
 }
 
-/// How a process is absent.
+/// The manner in which a process is absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Absence {
     Suspended,
@@ -71,7 +73,7 @@
     }
 }
 
-/// Isolates a machine from all that there are, and from some that will be added.
+/// Isolates a machine from all present machines and from the next 12 that are added.
 fn isolate(fleet: &mut Fleet, machine: usize) {
     const MAX_ADDED: usize = 12;
     let end = fleet.machines().end + MAX_ADDED;
@@ -83,7 +85,7 @@
     newest.is_some_and(|state| state.acceptors.iter().any(|member| member.name == fleet.name(machine)))
 }
 
-/// Adds a machine whose seeds are the present acceptors, so that it does not know the absent process.
+/// Adds a machine whose seeds are the present acceptors other than the absent process.
 fn add_unknown_to(fleet: &mut Fleet, kind: MachineKind, absent: usize) -> usize {
     let present = |one: &usize| *one != absent && fleet.has_process(*one) && is_acceptor(fleet, *one);
     let seeds: Vec<usize> = fleet.machines().filter(present).collect();
@@ -92,21 +94,25 @@
     added
 }
 
-/// Replaces a machine, and waits until another one is an acceptor in its place.
+/// Replaces the machine of an acceptor and waits until another machine is an acceptor instead.
 fn replace_acceptor(fleet: &mut Fleet, machine: usize, absent: usize) {
     fleet.remove_machine(machine);
     add_unknown_to(fleet, MachineKind::Node, absent);
     let is_replaced = |fleet: &Fleet| !is_acceptor(fleet, machine);
-    assert!(fleet.run_until(seconds(20), is_replaced), "another machine becomes an acceptor");
+    assert!(
+        fleet.run_until(seconds(20), is_replaced),
+        "another machine becomes an acceptor in place of the removed one"
+    );
     fleet.run_for(fleet.shape().catch_up_time());
 }
 
-/// Replaces all acceptors one after the other except for `absent`, in whose place a further machine is taken.
+/// Replaces all acceptors one after another. `absent` itself is not removed; if it is an acceptor, an added
+/// machine replaces it.
 fn replace_all_acceptors(fleet: &mut Fleet, absent: usize) {
     if is_acceptor(fleet, absent) {
         add_unknown_to(fleet, MachineKind::Node, absent);
         let is_replaced = |fleet: &Fleet| !is_acceptor(fleet, absent);
-        assert!(fleet.run_until(seconds(20), is_replaced), "a standby takes its place");
+        assert!(fleet.run_until(seconds(20), is_replaced), "a standby replaces the absent acceptor");
         fleet.run_for(fleet.shape().catch_up_time());
     }
     for node in fleet.nodes().filter(|node| *node != absent) {
@@ -114,7 +120,8 @@
     }
 }
 
-/// Whether a process knows the newest state, and a majority has confirmed it recently.
+/// Whether a process has the newest state, and a majority of the acceptors has confirmed it in the last two
+/// seconds.
 fn has_newest_state(fleet: &Fleet, machine: usize) -> bool {
     let newest = fleet.newest_state().map(|state| state.revision);
     let revision = fleet.state(machine).map(|state| state.revision);
@@ -143,8 +150,8 @@
         scenario.read_all_results();
         let fleet = &mut scenario.fleet;
         let machine = absent.select_machine(fleet);
-        // Its seeds are the first nodes, which are all replaced. They stay in its settings, and it is
-        // nobody's seed.
+        // The seeds of all machines are the first nodes, which are all replaced. They stay in the settings of
+        // the absent process, which is not a seed of any machine.
         let seeds: Vec<usize> = fleet.nodes().filter(|node| *node != machine).collect();
         fleet.machines().for_each(|one| fleet.set_seeds(one, seeds.clone()));
         absence.begin(fleet, machine);
@@ -156,7 +163,11 @@
         let fleet = &mut scenario.fleet;
         absence.end(fleet, machine);
         let has_found = fleet.run_until(CATCH_UP_TIMEOUT, |fleet| has_newest_state(fleet, machine));
-        assert!(has_found, "seed {seed}: {} does not find the acceptors", fleet.name(machine));
+        assert!(
+            has_found,
+            "seed {seed}: {} does not find the current acceptors in time",
+            fleet.name(machine)
+        );
         scenario.assert_normal_operation();
     }
 }
@@ -171,13 +182,14 @@
         let absent = fleet.nodes().end;
         fleet.freeze(absent);
         replace_all_acceptors(fleet, absent);
-        // The nodes are gone, and so are the stores that it knew: the leader alone knows it.
+        // All nodes that the store knew are replaced, and it cannot reach the other stores. Only the leader
+        // has its address.
         for store in [absent + 1, absent + 2] {
             fleet.network.partition_one_way(absent, store);
             fleet.network.partition_one_way(store, absent);
         }
         fleet.thaw(absent);
         let has_found = fleet.run_until(CATCH_UP_TIMEOUT, |fleet| has_newest_state(fleet, absent));
-        assert!(has_found, "seed {seed}: the store does not find the acceptors");
+        assert!(has_found, "seed {seed}: the store does not find the current acceptors in time");
     }
 }
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! A fixed set of random runs of the shipped code, each watched by checks.
+//! A fixed set of simulation runs with random faults, in which the invariants are checked.
 
 use std::ops::Range;
 
@@ -34,15 +34,15 @@
             Ok(summary) => changes += summary.changes,
             Err(failed) => {
                 let shortest = shrink(seed, &setup, &faults);
-                panic!("seed {seed}: {failed:?}; with the fewest faults: {shortest:?}");
+                panic!("seed {seed}: {failed:?}; shortest sequence of faults that fails: {shortest:?}");
             }
         }
     }
-    assert!(changes > 100, "operators make progress: {changes} changes");
+    assert!(changes > 100, "only {changes} changes of the configuration were acknowledged in all runs");
 }
 
-/// Only with `--cfg tokio_unstable` is the order in which woken tasks run seeded. The digest is that of all
-/// messages.
+/// The order in which woken tasks run is seeded only with `--cfg tokio_unstable`. The compared results
+/// contain the digest of all messages.
 #[cfg(tokio_unstable)]
 #[parameterized(
     small = { Setup::small() },
@@ -58,6 +58,10 @@
         let faults = setup.plan_faults(seed);
         let first = simulate(seed, &setup, &faults);
         assert_eq!(first, simulate(seed, &setup, &faults), "seed {seed}");
-        assert_ne!(first, simulate(seed + 1, &setup, &faults), "another seed is another run");
+        assert_ne!(
+            first,
+            simulate(seed + 1, &setup, &faults),
+            "seed {seed} and the next one give the same run"
+        );
     }
 }
