--- a/crates/simulator/src/bin/simulate.rs
+++ b/crates/simulator/src/bin/simulate.rs
@@ -198,7 +198,7 @@
         let mut totals = self.totals();
         totals.runs += 1;
         match result {
-            Ok(summary) => totals.summary = sum(totals.summary, summary),
+            Ok(summary) => totals.summary = add_summaries(totals.summary, summary),
             Err(failed) => {
                 println!("seed {seed}: {:.3} s: {}", failed.at.as_secs_f64(), failed.violation);
                 totals.failed.push((seed, failed));
@@ -257,15 +257,15 @@
     }
 }
 
-/// Adds two summaries. The longest order is the longer of both.
-fn sum(one: RunSummary, other: RunSummary) -> RunSummary {
+/// Adds two summaries. The longest order is the longer one of both.
+fn add_summaries(first: RunSummary, second: RunSummary) -> RunSummary {
     RunSummary {
-        faults: one.faults + other.faults,
-        changes: one.changes + other.changes,
-        values: one.values + other.values,
-        jobs: one.jobs + other.jobs,
-        longest_order: one.longest_order.max(other.longest_order),
+        faults: first.faults + second.faults,
+        changes: first.changes + second.changes,
+        values: first.values + second.values,
+        jobs: first.jobs + second.jobs,
+        longest_order: first.longest_order.max(second.longest_order),
         // XOR makes the total digest independent of the order in which the runs end.
-        digest: one.digest ^ other.digest,
+        digest: first.digest ^ second.digest,
     }
 }
--- a/crates/simulator/src/external_requests.rs
+++ b/crates/simulator/src/external_requests.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 
 /// A request to the operator API: from an operator, or from a trainer that sets the target version of a
-/// model.
+/// model. It is unrelated to the orders that the leader sends to model servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorOrder {
     /// Replaces the configuration.
--- a/crates/simulator/src/fleet/links.rs
+++ b/crates/simulator/src/fleet/links.rs
@@ -17,7 +17,7 @@
 pub(super) struct Links {
     /// Bandwidth of each link in each direction; `None` if transmission takes no time.
     bytes_per_second: Option<f64>,
-    /// The time from which on each direction is free; absent if it was never used.
+    /// The time from which a direction of a link is free. Unused directions have no entry.
     free_from: BTreeMap<Direction, Duration>,
 }
 
--- a/crates/simulator/src/model_server.rs
+++ b/crates/simulator/src/model_server.rs
@@ -29,7 +29,7 @@
 
 impl ReceivedOrder {
     /// Whether this order must not follow `earlier`: its fencing token is lower, or a different lease holder
-    /// issued it less than `min_gap` later.
+    /// issued it and it arrived less than `min_gap` after `earlier`.
     pub(crate) fn conflicts_with(&self, earlier: &Self, min_gap: Duration) -> bool {
         let is_too_soon = self.holder != earlier.holder && self.at < earlier.at + min_gap;
         self.fence < earlier.fence || is_too_soon
--- a/crates/simulator/src/simulation/operators/mod.rs
+++ b/crates/simulator/src/simulation/operators/mod.rs
@@ -148,10 +148,10 @@
         self.next_change = now + pause;
         match self.random.u8(..10) {
             0 => self.push_read(now),
-            drawn => {
-                self.push_change(now, drawn % 2 == 0);
-                if drawn > 7 && self.pending.len() < MAX_PENDING_ORDERS {
-                    self.push_change(now, drawn % 2 == 1);
+            choice => {
+                self.push_change(now, choice % 2 == 0);
+                if choice > 7 && self.pending.len() < MAX_PENDING_ORDERS {
+                    self.push_change(now, choice % 2 == 1);
                 }
             }
         }
--- a/crates/simulator/src/simulation/operators/order.rs
+++ b/crates/simulator/src/simulation/operators/order.rs
@@ -1,4 +1,5 @@
-//! An operator's order, from the first attempt to the conclusive reply.
+//! An operator's order, which is a request to the operator API, from the first attempt to the conclusive
+//! reply.
 
 use std::fmt;
 use std::time::Duration;
--- a/crates/simulator/tests/scenarios/configuration.rs
+++ b/crates/simulator/tests/scenarios/configuration.rs
@@ -14,18 +14,19 @@
     for seed in SEEDS {
         let mut scenario = Scenario::start(seed, FleetShape::default());
         let order = |body: String| OperatorOrder::Put { expected: 3, body };
-        let [one, other] = [order(document(9)), order(document(9).replace("/r/", "/q/"))];
-        assert_status(&scenario.fleet.execute_order(ORDER_TIMEOUT, &one), 200);
-        assert_status(&scenario.fleet.execute_order(ORDER_TIMEOUT, &other), 412);
-        assert_status(&scenario.fleet.execute_order(ORDER_TIMEOUT, &one), 200);
+        let [first, second] = [order(document(9)), order(document(9).replace("/r/", "/q/"))];
+        assert_status(&scenario.fleet.execute_order(ORDER_TIMEOUT, &first), 200);
+        assert_status(&scenario.fleet.execute_order(ORDER_TIMEOUT, &second), 412);
+        assert_status(&scenario.fleet.execute_order(ORDER_TIMEOUT, &first), 200);
     }
 }
 
 #[test]
 fn given_more_than_a_thousand_changes_when_members_miss_hundreds_of_them_then_each_catches_up() {
     let mut scenario = Scenario::start(1, FleetShape::default());
-    let newest =
-        |fleet: &Fleet| fleet.machines().filter_map(|one| fleet.state(one)).map(|state| state.revision).max();
+    let newest = |fleet: &Fleet| {
+        fleet.machines().filter_map(|machine| fleet.state(machine)).map(|state| state.revision).max()
+    };
     for change in 0..1200 {
         match change {
             100 => scenario.fleet.freeze(1),
@@ -41,11 +42,11 @@
         if [400, 800, 900, 950, 1000, 1100].contains(&change) {
             let healed_at = scenario.fleet.now;
             let all_have_newest = |fleet: &Fleet| {
-                let all_run = fleet.machines().all(|one| fleet.is_running(one));
+                let all_run = fleet.machines().all(|machine| fleet.is_running(machine));
                 all_run
                     && fleet
                         .machines()
-                        .all(|one| fleet.state(one).map(|state| state.revision) == newest(fleet))
+                        .all(|machine| fleet.state(machine).map(|state| state.revision) == newest(fleet))
             };
             assert!(
                 scenario.fleet.run_until(seconds(4), all_have_newest),
--- a/crates/simulator/tests/scenarios/first_start.rs
+++ b/crates/simulator/tests/scenarios/first_start.rs
@@ -11,6 +11,7 @@
 fn given_a_collector_that_fails_during_the_first_start_when_another_takes_over_then_the_system_starts() {
     for seed in 0..40 {
         let mut fleet = Fleet::start(seed, FleetShape::default());
+        // Removes node 0, the first collector, at a different moment of the first start with each seed.
         fleet.run_for(Duration::from_millis(2400 + 60 * seed));
         fleet.remove_machine(0);
         let order = OperatorOrder::Put { expected: 0, body: document(1) };
@@ -28,6 +29,7 @@
 fn given_a_collector_that_reached_only_some_when_another_takes_over_then_the_machines_agree_on_one_value() {
     for seed in SEEDS {
         let mut fleet = Fleet::start(seed, FleetShape::default());
+        // Node 0, the first collector, receives no messages from the stores, and node 2 receives none from node 0.
         for store in 3..6 {
             fleet.network.partition_one_way(store, 0);
         }
--- a/crates/simulator/tests/scenarios/lease.rs
+++ b/crates/simulator/tests/scenarios/lease.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn given_replaced_grantors_when_a_former_leader_resumes_then_at_most_one_process_holds_the_lease() {
+fn given_a_former_grantor_with_a_new_disk_when_a_former_leader_resumes_then_at_most_one_process_leads() {
     for seed in SEEDS {
         let mut scenario = Scenario::start(seed, FleetShape::default());
         let fleet = &mut scenario.fleet;
@@ -55,6 +55,7 @@
                 "seed {seed}: no spare node replaces acceptor {former} in time"
             );
         }
+        // With an empty disk, the former grantor does not have a record of the leases that it granted.
         fleet.lose_disk(other);
         assert_at_most_one_leader(fleet, seconds(6), seed);
         fleet.network.heal();
--- a/crates/simulator/tests/scenarios/losses.rs
+++ b/crates/simulator/tests/scenarios/losses.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn given_two_tolerated_failures_when_two_disks_of_each_kind_are_lost_at_once_then_nothing_is_lost() {
+fn given_two_tolerated_failures_when_two_nodes_and_two_stores_lose_their_disks_then_nothing_is_lost() {
     for seed in SEEDS {
         let mut scenario = Scenario::start(seed, FIVE_NODES);
         scenario.submit_job("first");
--- a/crates/simulator/tests/scenarios/partitions.rs
+++ b/crates/simulator/tests/scenarios/partitions.rs
@@ -109,7 +109,7 @@
             scenario.fleet.thaw(node);
         }
         let newest = |fleet: &Fleet| {
-            fleet.machines().filter_map(|one| fleet.state(one)).map(|state| state.revision).max()
+            fleet.machines().filter_map(|machine| fleet.state(machine)).map(|state| state.revision).max()
         };
         let has_caught_up = |fleet: &Fleet| {
             fleet.state(node).map(|state| state.revision) == newest(fleet)
--- a/crates/simulator/tests/scenarios/suspended.rs
+++ b/crates/simulator/tests/scenarios/suspended.rs
@@ -23,7 +23,7 @@
     Acceptor,
     /// A standby, which waits to become an acceptor.
     Standby,
-    /// A node without a disk, which is no member, so that no other process has its address.
+    /// A node without a disk. No other process has its address.
     DisklessNode,
     /// A store that another store replaces during the absence.
     ReplacedStore,
@@ -87,8 +87,8 @@
 
 /// Adds a machine whose seeds are the present acceptors other than the absent process.
 fn add_unknown_to(fleet: &mut Fleet, kind: MachineKind, absent: usize) -> usize {
-    let present = |one: &usize| *one != absent && fleet.has_process(*one) && is_acceptor(fleet, *one);
-    let seeds: Vec<usize> = fleet.machines().filter(present).collect();
+    let is_seed = |node: &usize| *node != absent && fleet.has_process(*node) && is_acceptor(fleet, *node);
+    let seeds: Vec<usize> = fleet.machines().filter(is_seed).collect();
     let added = fleet.add_machine(kind, false);
     fleet.set_seeds(added, seeds);
     added
@@ -153,7 +153,7 @@
         // The seeds of all machines are the first nodes, which are all replaced. They stay in the settings of
         // the absent process, which is not a seed of any machine.
         let seeds: Vec<usize> = fleet.nodes().filter(|node| *node != machine).collect();
-        fleet.machines().for_each(|one| fleet.set_seeds(one, seeds.clone()));
+        fleet.machines().for_each(|index| fleet.set_seeds(index, seeds.clone()));
         absence.begin(fleet, machine);
         if absent == AbsentProcess::ReplacedStore {
             add_unknown_to(fleet, MachineKind::Store, machine);
