--- a/crates/simulator/src/simulation/operators/mod.rs
+++ b/crates/simulator/src/simulation/operators/mod.rs
@@ -17,7 +17,7 @@
 
 /// XORed with the seed, so that the operators' random numbers are independent of the others of a run.
 const SEED_SALT: u64 = 0x6f70_6572_6174_6f72;
-/// Maximum number of pending orders at which further ones are started.
+/// Number of pending orders from which on no further changes and reads are started.
 const MAX_PENDING_ORDERS: usize = 8;
 /// One in this number of acknowledged changes is sent again.
 const REPEATED_ONE_IN: usize = 4;
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -57,7 +57,7 @@
     for seed in 0..5 {
         let faults = setup.plan_faults(seed);
         let first = simulate(seed, &setup, &faults);
-        assert_eq!(first, simulate(seed, &setup, &faults), "seed {seed}");
+        assert_eq!(first, simulate(seed, &setup, &faults), "two runs of seed {seed} differ");
         assert_ne!(
             first,
             simulate(seed + 1, &setup, &faults),
