--- a/crates/simulator/src/simulation/faults/mod.rs
+++ b/crates/simulator/src/simulation/faults/mod.rs
@@ -28,7 +28,8 @@
     Terminate,
     /// Removes the machine of an acceptor and adds one with a new address and an empty disk.
     ReplaceAcceptor,
-    /// Adds a node; at the end of the fault the selected node is shut down gracefully and removed. Has no effect on stores.
+    /// Adds a node; at the end of the fault the selected node is shut down gracefully and removed. Has no
+    /// effect on stores.
     ReplacePlanned,
     /// Suspends a machine.
     Freeze,
--- a/crates/simulator/tests/scenarios/first_start.rs
+++ b/crates/simulator/tests/scenarios/first_start.rs
@@ -29,7 +29,8 @@
 fn given_a_collector_that_reached_only_some_when_another_takes_over_then_the_machines_agree_on_one_value() {
     for seed in SEEDS {
         let mut fleet = Fleet::start(seed, FleetShape::default());
-        // Node 0, the first collector, receives no messages from the stores, and node 2 receives none from node 0.
+        // Node 0, the first collector, receives no messages from the stores, and node 2 receives none from
+        // node 0.
         for store in 3..6 {
             fleet.network.partition_one_way(store, 0);
         }
--- a/crates/simulator/tests/scenarios/scenario.rs
+++ b/crates/simulator/tests/scenarios/scenario.rs
@@ -185,7 +185,8 @@
     document_with_routes(version, 0)
 }
 
-/// A configuration with `more` additional routes. Their names are random words, like names that operators choose.
+/// A configuration with `more` additional routes. Their names are random words, like names that operators
+/// choose.
 fn document_with_routes(version: u64, more: usize) -> String {
     let mut random = fastrand::Rng::with_seed(version);
     let mut word = || (0..8).map(|_| random.lowercase()).collect::<String>();
