--- a/crates/simulator/src/simulation/convergence.rs
+++ b/crates/simulator/src/simulation/convergence.rs
@@ -72,7 +72,7 @@
             Self::Migration { epoch, waits_for } => {
                 write!(
                     f,
-                    "batch jobs are still being migrated to the store set of epoch {epoch}, incomplete are {}",
+                    "batch jobs are still being migrated to the store set of epoch {epoch}; not finished: {}",
                     waits_for.join(", ")
                 )
             }
