--- a/crates/simulator/tests/scenarios/suspended.rs
+++ b/crates/simulator/tests/scenarios/suspended.rs
@@ -85,8 +85,9 @@
     newest.is_some_and(|state| state.acceptors.iter().any(|member| member.name == fleet.name(machine)))
 }
 
-/// Adds a machine whose seeds are the present acceptors other than the absent process.
-fn add_unknown_to(fleet: &mut Fleet, kind: MachineKind, absent: usize) -> usize {
+/// Adds a machine whose seeds are the present acceptors, so that it does not have the address of the absent
+/// process.
+fn add_without_contact_to(fleet: &mut Fleet, kind: MachineKind, absent: usize) -> usize {
     let is_seed = |node: &usize| *node != absent && fleet.has_process(*node) && is_acceptor(fleet, *node);
     let seeds: Vec<usize> = fleet.machines().filter(is_seed).collect();
     let added = fleet.add_machine(kind, false);
@@ -97,7 +98,7 @@
 /// Replaces the machine of an acceptor and waits until another machine is an acceptor instead.
 fn replace_acceptor(fleet: &mut Fleet, machine: usize, absent: usize) {
     fleet.remove_machine(machine);
-    add_unknown_to(fleet, MachineKind::Node, absent);
+    add_without_contact_to(fleet, MachineKind::Node, absent);
     let is_replaced = |fleet: &Fleet| !is_acceptor(fleet, machine);
     assert!(
         fleet.run_until(seconds(20), is_replaced),
@@ -110,7 +111,7 @@
 /// machine replaces it.
 fn replace_all_acceptors(fleet: &mut Fleet, absent: usize) {
     if is_acceptor(fleet, absent) {
-        add_unknown_to(fleet, MachineKind::Node, absent);
+        add_without_contact_to(fleet, MachineKind::Node, absent);
         let is_replaced = |fleet: &Fleet| !is_acceptor(fleet, absent);
         assert!(fleet.run_until(seconds(20), is_replaced), "a standby replaces the absent acceptor");
         fleet.run_for(fleet.shape().catch_up_time());
@@ -156,7 +157,7 @@
         fleet.machines().for_each(|index| fleet.set_seeds(index, seeds.clone()));
         absence.begin(fleet, machine);
         if absent == AbsentProcess::ReplacedStore {
-            add_unknown_to(fleet, MachineKind::Store, machine);
+            add_without_contact_to(fleet, MachineKind::Store, machine);
         }
         replace_all_acceptors(fleet, machine);
         scenario.change_configuration();
