--- /dev/null
+++ b/crates/simulator/tests/scenarios/main.rs
@@ -0,0 +1,14 @@
+//! Scenarios with specific faults, from the first start of a fleet to the results of its batch jobs. The
+//! faults are the ones that the documentation for operators names.
+
+mod configuration;
+mod faults;
+mod first_start;
+mod lease;
+mod losses;
+mod membership;
+mod partitions;
+mod scenario;
+mod seeds;
+mod support;
+mod suspended;
