--- a/crates/local-fleet/src/clients/client.rs
+++ b/crates/local-fleet/src/clients/client.rs
@@ -35,14 +35,14 @@
 
 /// A route, and when it is in force at all nodes.
 #[derive(Clone, Debug)]
-struct KnownRoute {
+struct ClientRoute {
     path_prefix: String,
     in_force_from: Instant,
 }
 
 #[derive(Debug, Default)]
 struct ClientState {
-    routes: Vec<KnownRoute>,
+    routes: Vec<ClientRoute>,
     counts: ClientCounts,
 }
 
@@ -79,7 +79,7 @@
 
     /// Sends requests by a route from `in_force_from` on.
     pub fn add_route(&self, path_prefix: &str, in_force_from: Instant) {
-        self.state().routes.push(KnownRoute { path_prefix: path_prefix.to_owned(), in_force_from });
+        self.state().routes.push(ClientRoute { path_prefix: path_prefix.to_owned(), in_force_from });
     }
 
     /// Outcomes so far.
@@ -128,7 +128,7 @@
     /// A path of one of the routes that are in force at `now`.
     fn random_path(&self, now: Instant) -> Option<String> {
         let state = self.state();
-        let in_force: Vec<&KnownRoute> =
+        let in_force: Vec<&ClientRoute> =
             state.routes.iter().filter(|route| route.in_force_from <= now).collect();
         let route = in_force.get(fastrand::usize(..in_force.len().max(1)))?;
         Some(format!("{}{:04x}", route.path_prefix, fastrand::u16(..)))
@@ -138,14 +138,14 @@
         let id = random_request_id();
         let services = vec![self.service.clone()];
         let expected = ExpectedRequest { path: path.to_owned(), body: body.clone(), services };
-        self.request_log.expect(&id, expected);
+        self.request_log.expect_request(&id, expected);
         let call = HttpCall::new(Method::POST, path)
             .header("Host", self.host.clone())
             .header(header::ATTEMPT_ID, id.clone())
             .header(header::TIME_LEFT, time_left.as_millis().to_string())
             .timeout(time_left);
         let call = HttpCall { body: body.clone(), ..call };
-        match self.caller.call_once(self.load_balancer.pick(), &call).await {
+        match self.caller.call_once(self.load_balancer.select_node(), &call).await {
             Ok(reply) => self.check(&id, path, &reply),
             Err(error) => {
                 log::debug!("request {id}: {error}");
@@ -197,6 +197,6 @@
     }
 
     fn report(&self, rule: Rule, description: String) {
-        self.request_log.report(Violation::new(rule, description));
+        self.request_log.record_violation(Violation::new(rule, description));
     }
 }
--- a/crates/local-fleet/src/clients/load_balancer.rs
+++ b/crates/local-fleet/src/clients/load_balancer.rs
@@ -10,7 +10,7 @@
 use crate::http::{HttpCall, HttpCaller};
 
 /// The path of a node's readiness check.
-const READY_PATH: &str = "/api/ready";
+const READINESS_PATH: &str = "/api/ready";
 /// Time from one readiness check of a node to the next.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// A node that has failed this many checks in a row gets no new connections.
@@ -19,9 +19,9 @@
 #[derive(Debug)]
 struct BalancedNode {
     /// Where it serves clients.
-    front: SocketAddr,
+    client_address: SocketAddr,
     /// Where it answers readiness checks.
-    ready: SocketAddr,
+    readiness_address: SocketAddr,
     /// Failed checks in a row.
     failed_checks: u32,
 }
@@ -47,8 +47,8 @@
     /// When the HTTP client cannot be set up.
     pub fn new(layout: &Layout) -> reqwest::Result<Self> {
         let node = |node| BalancedNode {
-            front: layout.front(node),
-            ready: layout.ready(node),
+            client_address: layout.client_address(node),
+            readiness_address: layout.readiness_address(node),
             failed_checks: MAX_FAILED_CHECKS,
         };
         let nodes = (0..layout.nodes).map(node).collect();
@@ -61,8 +61,8 @@
 
     /// Checks every node once; returns how many are healthy.
     pub async fn check_all(&self) -> usize {
-        let addresses: Vec<SocketAddr> = self.nodes().iter().map(|node| node.ready).collect();
-        let call = HttpCall::new(Method::GET, READY_PATH);
+        let addresses: Vec<SocketAddr> = self.nodes().iter().map(|node| node.readiness_address).collect();
+        let call = HttpCall::new(Method::GET, READINESS_PATH);
         let checks = addresses.iter().map(|address| self.caller.call_once(*address, &call));
         let replies = futures_util::future::join_all(checks).await;
         let mut nodes = self.nodes();
@@ -87,13 +87,13 @@
     ///
     /// When the fleet has no nodes.
     #[must_use]
-    pub fn pick(&self) -> SocketAddr {
+    pub fn select_node(&self) -> SocketAddr {
         let nodes = self.nodes();
-        let mut fronts: Vec<SocketAddr> =
-            nodes.iter().filter(|node| node.is_healthy()).map(|node| node.front).collect();
-        if fronts.len() * 2 < nodes.len() {
-            fronts = nodes.iter().map(|node| node.front).collect();
+        let mut addresses: Vec<SocketAddr> =
+            nodes.iter().filter(|node| node.is_healthy()).map(|node| node.client_address).collect();
+        if addresses.len() * 2 < nodes.len() {
+            addresses = nodes.iter().map(|node| node.client_address).collect();
         }
-        fronts[fastrand::usize(..fronts.len())]
+        addresses[fastrand::usize(..addresses.len())]
     }
 }
--- a/crates/local-fleet/src/deployment/configuration_file.rs
+++ b/crates/local-fleet/src/deployment/configuration_file.rs
@@ -296,8 +296,8 @@
         let mut patched = Self { version: patch.version, ..self.clone() };
         patched.routes.retain(|route| !patch.removals.routes.contains(&route.name));
         for route in &patch.updates.routes {
-            match patched.routes.iter_mut().find(|present| present.name == route.name) {
-                Some(present) => *present = route.clone(),
+            match patched.routes.iter_mut().find(|existing| existing.name == route.name) {
+                Some(existing) => *existing = route.clone(),
                 None => patched.routes.push(route.clone()),
             }
         }
--- a/crates/local-fleet/src/deployment/layout.rs
+++ b/crates/local-fleet/src/deployment/layout.rs
@@ -5,11 +5,11 @@
 /// The range of ports for internal calls between processes.
 pub const INTERNAL_PORTS: (u16, u16) = (7660, 7675);
 /// The port for clients and trainers.
-const FRONT_PORT: u16 = 8144;
+const CLIENT_PORT: u16 = 8144;
 /// The port for readiness checks.
-const READY_PORT: u16 = 8140;
+const READINESS_PORT: u16 = 8140;
 /// The port for the operator.
-const CONTROL_PORT: u16 = 8146;
+const OPERATOR_PORT: u16 = 8146;
 /// The port of the platform's server list.
 const PLATFORM_PORT: u16 = 8142;
 /// The port of plain servers and engines.
@@ -65,43 +65,43 @@
 
     /// Where a node serves clients.
     #[must_use]
-    pub fn front(&self, node: u8) -> SocketAddr {
-        (self.node_ip(node), FRONT_PORT).into()
+    pub fn client_address(&self, node: u8) -> SocketAddr {
+        (self.node_ip(node), CLIENT_PORT).into()
     }
 
     /// Where a node answers readiness checks.
     #[must_use]
-    pub fn ready(&self, node: u8) -> SocketAddr {
-        (self.node_ip(node), READY_PORT).into()
+    pub fn readiness_address(&self, node: u8) -> SocketAddr {
+        (self.node_ip(node), READINESS_PORT).into()
     }
 
     /// Where a node serves the operator.
     #[must_use]
-    pub fn control(&self, node: u8) -> SocketAddr {
-        (self.node_ip(node), CONTROL_PORT).into()
+    pub fn operator_address(&self, node: u8) -> SocketAddr {
+        (self.node_ip(node), OPERATOR_PORT).into()
     }
 
     /// The nodes that settings name as seeds, by the operator's address.
     #[must_use]
     pub fn seeds(&self) -> Vec<SocketAddr> {
-        (0..self.nodes_with_disk()).map(|node| self.control(node)).collect()
+        (0..self.nodes_with_disk()).map(|node| self.operator_address(node)).collect()
     }
 
     /// The address of the platform.
     #[must_use]
-    pub fn platform(&self) -> SocketAddr {
+    pub fn platform_address(&self) -> SocketAddr {
         (self.ip(PLATFORM_OCTET), PLATFORM_PORT).into()
     }
 
     /// The address of a plain server, counted from 0.
     #[must_use]
-    pub fn plain_server(&self, server: u8) -> SocketAddr {
+    pub fn plain_server_address(&self, server: u8) -> SocketAddr {
         (self.ip(FIRST_PLAIN_SERVER_OCTET + server), SERVER_PORT).into()
     }
 
     /// The address of an engine, counted from 0.
     #[must_use]
-    pub fn engine(&self, engine: u8) -> SocketAddr {
+    pub fn engine_address(&self, engine: u8) -> SocketAddr {
         (self.ip(FIRST_ENGINE_OCTET + engine), SERVER_PORT).into()
     }
 
--- a/crates/local-fleet/src/deployment/process.rs
+++ b/crates/local-fleet/src/deployment/process.rs
@@ -92,10 +92,10 @@
     fn spawn(&self, executable: &Path) -> Result<Child, FleetError> {
         let settings = self.write_files()?;
         let log = self.open_log()?;
-        let errors = log.try_clone().map_err(FleetError::io("log"))?;
+        let stderr = log.try_clone().map_err(FleetError::io("log"))?;
         let mut command = Command::new(executable);
         command.arg(self.subcommand()).env_clear().env(SETTINGS_VARIABLE, &settings);
-        command.stdin(Stdio::null()).stdout(log).stderr(errors);
+        command.stdin(Stdio::null()).stdout(log).stderr(stderr);
         for variable in INHERITED_VARIABLES {
             if let Some(value) = std::env::var_os(variable) {
                 command.env(variable, value);
--- a/crates/local-fleet/src/deployment/settings_file.rs
+++ b/crates/local-fleet/src/deployment/settings_file.rs
@@ -114,9 +114,9 @@
     pub fn node(layout: &Layout, node: u8, directory: &Path) -> Self {
         let has_disk = node < layout.nodes_with_disk();
         let addresses = ListenAddresses {
-            clients: Some(layout.front(node).to_string()),
-            readiness: Some(layout.ready(node).to_string()),
-            operator: Some(layout.control(node).to_string()),
+            clients: Some(layout.client_address(node).to_string()),
+            readiness: Some(layout.readiness_address(node).to_string()),
+            operator: Some(layout.operator_address(node).to_string()),
         };
         Self {
             name: format!("counter-{}-{}", layout.zone(node), node + 1),
@@ -128,7 +128,7 @@
             counts_for_quorum: has_disk,
             data_dir: has_disk.then(|| directory.join("data")),
             addresses,
-            limits: ProcessLimits::with(0.41, 260, 4100, if has_disk { 64 } else { 0 }),
+            limits: ProcessLimits::new(0.41, 260, 4100, if has_disk { 64 } else { 0 }),
             ..Self::store(layout, 0, directory)
         }
     }
@@ -157,14 +157,14 @@
             ],
             zones: ZONES.iter().map(|zone| (*zone, REGION)).collect(),
             addresses: ListenAddresses::default(),
-            limits: ProcessLimits::with(0.5, 300, 8200, 500),
+            limits: ProcessLimits::new(0.5, 300, 8200, 500),
             tolerated_failures: ToleratedFailures {
                 machines: layout.tolerated_failures(),
                 zones: 0,
                 regions: 0,
             },
             timing: TimingRules::default(),
-            platform: PlatformSettings::of(layout),
+            platform: PlatformSettings::for_layout(layout),
         }
     }
 
@@ -197,15 +197,15 @@
 }
 
 impl ProcessLimits {
-    fn with(cpu_share: f64, memory_mb: u64, file_handles: u64, disk_mb: u64) -> Self {
+    fn new(cpu_share: f64, memory_mb: u64, file_handles: u64, disk_mb: u64) -> Self {
         Self { cpu_share, cores: 1, memory_mb, file_handles, link_mbps: 1000.0, disk_mb }
     }
 }
 
 impl PlatformSettings {
-    fn of(layout: &Layout) -> Self {
+    fn for_layout(layout: &Layout) -> Self {
         Self {
-            address: layout.platform().to_string(),
+            address: layout.platform_address().to_string(),
             calls_per_second: PLATFORM_CALLS_PER_SECOND,
             rounds: Vec::new(),
             lag_ms: u64::try_from(PLATFORM_LAG.as_millis()).unwrap_or(u64::MAX),
--- a/crates/local-fleet/src/deployment/timing_rules.rs
+++ b/crates/local-fleet/src/deployment/timing_rules.rs
@@ -85,13 +85,13 @@
 impl TimingRules {
     /// How long a process may take to end after SIGTERM.
     #[must_use]
-    pub fn shutdown_grace(&self) -> Duration {
+    pub fn termination_grace_period(&self) -> Duration {
         Duration::from_secs(self.shutdown_grace_s)
     }
 
     /// From the acknowledgement of a configuration until it is in force at all nodes.
     #[must_use]
-    pub fn configuration_in_force_within(&self) -> Duration {
+    pub fn configuration_propagation_timeout(&self) -> Duration {
         Duration::from_millis(self.configuration_in_force_ms)
     }
 
@@ -103,7 +103,7 @@
 
     /// From the acknowledgement of a batch job until all nodes know it.
     #[must_use]
-    pub fn job_visible_within(&self) -> Duration {
+    pub fn batch_job_propagation_timeout(&self) -> Duration {
         Duration::from_millis(self.job_visible_ms)
     }
 
--- a/crates/local-fleet/src/http/caller.rs
+++ b/crates/local-fleet/src/http/caller.rs
@@ -107,7 +107,7 @@
 impl fmt::Display for HttpCallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Failed(why) => write!(f, "no answer: {why}"),
+            Self::Failed(reason) => write!(f, "no answer: {reason}"),
             Self::Inconclusive(status) => write!(f, "no clear answer: status {status}"),
         }
     }
@@ -128,7 +128,7 @@
     ///
     /// When the HTTP client cannot be set up.
     pub fn without_reuse() -> reqwest::Result<Self> {
-        Ok(Self { http: builder().pool_max_idle_per_host(0).build()? })
+        Ok(Self { http: client_builder().pool_max_idle_per_host(0).build()? })
     }
 
     /// A caller that keeps connections for further calls.
@@ -137,7 +137,7 @@
     ///
     /// When the HTTP client cannot be set up.
     pub fn with_reuse() -> reqwest::Result<Self> {
-        Ok(Self { http: builder().build()? })
+        Ok(Self { http: client_builder().build()? })
     }
 
     /// Makes one attempt.
@@ -150,9 +150,10 @@
         for (name, value) in &call.headers {
             request = request.header(*name, value);
         }
-        let answer = request.timeout(call.timeout).body(call.body.clone()).send().await.map_err(failed)?;
-        let (status, headers) = (answer.status().as_u16(), answer.headers().clone());
-        let body = answer.bytes().await.map_err(failed)?;
+        let response =
+            request.timeout(call.timeout).body(call.body.clone()).send().await.map_err(call_failed)?;
+        let (status, headers) = (response.status().as_u16(), response.headers().clone());
+        let body = response.bytes().await.map_err(call_failed)?;
         Ok(HttpReply { status, headers, body })
     }
 
@@ -186,7 +187,7 @@
     }
 }
 
-fn builder() -> reqwest::ClientBuilder {
+fn client_builder() -> reqwest::ClientBuilder {
     reqwest::Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
         .redirect(reqwest::redirect::Policy::limited(MAX_REDIRECTS))
@@ -195,12 +196,12 @@
 }
 
 /// The error with the text of all its causes.
-fn failed(error: reqwest::Error) -> HttpCallError {
-    let mut why = error.to_string();
+fn call_failed(error: reqwest::Error) -> HttpCallError {
+    let mut reason = error.to_string();
     let mut source = std::error::Error::source(&error);
     while let Some(inner) = source {
-        why = format!("{why}: {inner}");
+        reason = format!("{reason}: {inner}");
         source = inner.source();
     }
-    HttpCallError::Failed(why)
+    HttpCallError::Failed(reason)
 }
--- a/crates/local-fleet/src/http/listener.rs
+++ b/crates/local-fleet/src/http/listener.rs
@@ -35,12 +35,14 @@
         let acceptor = AbortableAcceptor::new(listener, connections.clone())?;
         let (shutdown, on_shutdown) = oneshot::channel::<()>();
         tokio::spawn(async move {
-            let until = async move {
+            let shutdown_requested = async move {
                 // Nothing is ever sent: the channel closes when the sender is dropped.
                 let _ = on_shutdown.await;
             };
             let server = poem::Server::new_with_acceptor(acceptor);
-            if let Err(error) = server.run_with_graceful_shutdown(app, until, Some(Duration::ZERO)).await {
+            if let Err(error) =
+                server.run_with_graceful_shutdown(app, shutdown_requested, Some(Duration::ZERO)).await
+            {
                 log::warn!("HTTP listener at {address} failed: {error}");
             }
         });
--- a/crates/local-fleet/src/operator.rs
+++ b/crates/local-fleet/src/operator.rs
@@ -66,7 +66,7 @@
     ///
     /// When the HTTP client cannot be set up.
     pub fn new(layout: &Layout) -> reqwest::Result<Self> {
-        Self::with_nodes((0..layout.nodes).map(|node| layout.control(node)).collect())
+        Self::with_nodes((0..layout.nodes).map(|node| layout.operator_address(node)).collect())
     }
 
     /// An operator that reaches these nodes.
--- a/crates/local-fleet/src/platform/lagging_list.rs
+++ b/crates/local-fleet/src/platform/lagging_list.rs
@@ -22,7 +22,7 @@
     }
 
     /// Replaces the list; the first one is visible at once.
-    pub fn set(&mut self, now: Instant, servers: Vec<ListedServer>) {
+    pub fn replace(&mut self, now: Instant, servers: Vec<ListedServer>) {
         let visible_from = if self.versions.is_empty() { now } else { now + self.lag };
         self.versions.push_back((visible_from, servers.into()));
     }
--- a/crates/local-fleet/src/platform/mod.rs
+++ b/crates/local-fleet/src/platform/mod.rs
@@ -91,7 +91,7 @@
 
     /// Replaces the list of servers; the change becomes visible after the lag.
     pub fn set_servers(&self, servers: Vec<ListedServer>) {
-        lock(&self.state).list.set(Instant::now(), servers);
+        lock(&self.state).list.replace(Instant::now(), servers);
     }
 
     /// Calls so far.
--- a/crates/local-fleet/src/platform/rate_limit.rs
+++ b/crates/local-fleet/src/platform/rate_limit.rs
@@ -19,9 +19,9 @@
 
     /// Takes a token if there is one; returns whether the call is allowed.
     pub fn try_acquire(&mut self, now: Instant) -> bool {
-        let passed = self.last_refill.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
+        let elapsed = self.last_refill.map_or(Duration::ZERO, |last| now.saturating_duration_since(last));
         self.last_refill = Some(now);
-        self.tokens = (self.tokens + passed.as_secs_f64() * self.per_second).min(self.per_second);
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * self.per_second).min(self.per_second);
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/local-fleet/src/run/environment.rs
+++ b/crates/local-fleet/src/run/environment.rs
@@ -57,17 +57,17 @@
             calls_per_second: PLATFORM_CALLS_PER_SECOND,
             page_entries: PAGE_ENTRIES,
         };
-        let platform = Arc::new(Platform::start(layout.platform(), options).await?);
+        let platform = Arc::new(Platform::start(layout.platform_address(), options).await?);
         let mut listed = Vec::new();
         let mut plain_servers = Vec::new();
         for number in 0..layout.plain_servers {
-            let (options, address) = (plain_options(names), layout.plain_server(number));
+            let (options, address) = (plain_options(names), layout.plain_server_address(number));
             listed.push(listed_plain_server(layout, number, &options));
             plain_servers.push(PlainServer::start(address, options, Arc::clone(request_log)).await?);
         }
         let mut engines = Vec::new();
         for number in 0..layout.engines {
-            let (options, address) = (engine_options(names, truncate_every), layout.engine(number));
+            let (options, address) = (engine_options(names, truncate_every), layout.engine_address(number));
             listed.push(listed_engine(layout, number, &options));
             engines.push(EngineServer::start(address, options, Arc::clone(request_log)).await?);
         }
@@ -135,7 +135,7 @@
 fn listed_plain_server(layout: &Layout, number: u8, options: &PlainOptions) -> ListedServer {
     ListedServer {
         service: Arc::clone(&options.service),
-        address: layout.plain_server(number),
+        address: layout.plain_server_address(number),
         zone: layout.zone(number).into(),
         software: SOFTWARE_VERSION.into(),
         slots: options.slots,
@@ -150,7 +150,7 @@
 fn listed_engine(layout: &Layout, number: u8, options: &EngineOptions) -> ListedServer {
     ListedServer {
         service: Arc::clone(&options.service),
-        address: layout.engine(number),
+        address: layout.engine_address(number),
         zone: layout.zone(number).into(),
         software: SOFTWARE_VERSION.into(),
         slots: options.slots,
--- a/crates/local-fleet/src/run/local_run.rs
+++ b/crates/local-fleet/src/run/local_run.rs
@@ -23,7 +23,7 @@
 /// Time from one readiness check of all nodes at the start to the next.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time limit of an operator's order with its retries.
-const ORDER_TIMEOUT: Duration = Duration::from_secs(15);
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(15);
 /// Path prefixes of the first routes.
 const SAFE_PREFIX: &str = "/sightings/";
 const REWARD_PREFIX: &str = "/rewards/";
@@ -31,14 +31,14 @@
 /// The configuration changes after every so many steps.
 const STEPS_PER_CONFIGURATION_CHANGE: u64 = 2;
 /// The version of the first configuration.
-const FIRST_CONFIGURATION_VERSION: u64 = 2;
+const INITIAL_CONFIGURATION_VERSION: u64 = 2;
 /// Tokens of a prompt that its group shares.
 const SHARED_PROMPT_TOKENS: u64 = 255;
 /// Tokens of a prompt that belong to one item.
-const OWN_PROMPT_TOKENS: u64 = 16;
+const UNIQUE_PROMPT_TOKENS: u64 = 16;
 
 /// The stand-ins around the fleet.
-struct StandIns {
+struct Emulators {
     environment: Environment,
     load_balancer: LoadBalancer,
     operator: Operator,
@@ -46,7 +46,7 @@
     trainer: Trainer,
 }
 
-impl StandIns {
+impl Emulators {
     /// Starts platform and servers, and sets up the callers.
     async fn start(
         layout: &Layout,
@@ -82,7 +82,7 @@
     timing: TimingRules,
     names: Names,
     request_log: Arc<RequestLog>,
-    stand_ins: StandIns,
+    emulators: Emulators,
     fleet: Fleet,
     /// The newest configuration that was acknowledged.
     configuration: ConfigurationFile,
@@ -100,18 +100,18 @@
         let names = Names::random();
         let request_log =
             Arc::new(RequestLog::new(timing.cancellation_timeout(), timing.leader_handover_interval()));
-        let stand_ins = StandIns::start(&layout, &names, &timing, &options.workload, &request_log).await?;
+        let emulators = Emulators::start(&layout, &names, &timing, &options.workload, &request_log).await?;
         let mut fleet = Fleet::new(&layout, &options.executable, &options.directory);
         // A system starts for the first time only if its disks are empty.
         fleet.names().iter().try_for_each(|name| fleet.wipe(name))?;
         Ok(Self {
-            configuration: first_configuration(&names, options.workload.single_version),
+            configuration: initial_configuration(&names, options.workload.single_version),
             options,
             print_progress,
             timing,
             names,
             request_log,
-            stand_ins,
+            emulators,
             fleet,
             report: LocalReport::default(),
             background_tasks: JoinSet::new(),
@@ -121,7 +121,7 @@
 
     /// Starts the processes, puts the first configuration, and waits until all nodes are ready.
     pub(super) async fn start(&mut self) -> Result<(), LocalError> {
-        let StandIns { environment, load_balancer, operator, client, .. } = &self.stand_ins;
+        let Emulators { environment, load_balancer, operator, client, .. } = &self.emulators;
         self.background_tasks.spawn(environment.update_list());
         self.fleet.start_all()?;
         (self.print_progress)(&format!("started {}", self.fleet.names().join(", ")));
@@ -131,7 +131,7 @@
         self.wait_until_ready().await?;
         self.report.start_seconds = self.started.elapsed().as_secs_f64();
         (self.print_progress)(&format!("all nodes are ready after {:.1} s", self.report.start_seconds));
-        client.add_route(SAFE_PREFIX, Instant::now() + self.timing.configuration_in_force_within());
+        client.add_route(SAFE_PREFIX, Instant::now() + self.timing.configuration_propagation_timeout());
         self.background_tasks.spawn(load_balancer.clone().run());
         self.background_tasks.spawn(client.clone().run(self.options.workload.request_period));
         Ok(())
@@ -141,7 +141,7 @@
         let nodes = self.options.size.nodes;
         let deadline = Instant::now() + START_TIMEOUT;
         loop {
-            let ready = self.stand_ins.load_balancer.check_all().await;
+            let ready = self.emulators.load_balancer.check_all().await;
             if ready == usize::from(nodes) {
                 return Ok(());
             }
@@ -160,7 +160,7 @@
             if let Some(outcome) = self.record_outcome(step, outcome) {
                 incomplete_groups = outcome.incomplete_groups;
             }
-            self.restart_exited()?;
+            self.restart_exited_processes()?;
             if (step + 1) % STEPS_PER_CONFIGURATION_CHANGE == 0 {
                 self.change_configuration(step).await;
             }
@@ -176,9 +176,9 @@
     ) -> Result<Result<StepOutcome, TrainerError>, LocalError> {
         let faults = self.options.faults.iter().filter(|fault| fault.after_step + 1 == step);
         let faults: Vec<ProcessFault> = faults.cloned().collect();
-        let injection = inject_all(&faults, &mut self.fleet, self.timing.shutdown_grace());
+        let injection = inject_faults(&faults, &mut self.fleet, self.timing.termination_grace_period());
         let (outcome, injected) =
-            tokio::join!(self.stand_ins.trainer.run_step(step, incomplete_groups), injection);
+            tokio::join!(self.emulators.trainer.run_step(step, incomplete_groups), injection);
         for (fault, ended_in_time) in faults.iter().zip(injected?) {
             self.record_fault(fault, ended_in_time);
         }
@@ -217,7 +217,7 @@
         }
     }
 
-    fn restart_exited(&mut self) -> Result<(), LocalError> {
+    fn restart_exited_processes(&mut self) -> Result<(), LocalError> {
         for name in self.fleet.take_unexpected_exits() {
             let description = format!("{name} ended by itself");
             (self.print_progress)(&description);
@@ -239,12 +239,12 @@
             updates: RouteUpdates { routes },
             removals: RouteRemovals::default(),
         };
-        match self.stand_ins.operator.patch(&patch, expected_version, ORDER_TIMEOUT).await {
+        match self.emulators.operator.patch(&patch, expected_version, OPERATOR_TIMEOUT).await {
             Ok(()) => {
                 (self.print_progress)(&format!("configuration {version} adds the route {prefix}"));
                 self.configuration = self.configuration.patched(&patch);
-                let in_force_from = Instant::now() + self.timing.configuration_in_force_within();
-                self.stand_ins.client.add_route(&prefix, in_force_from);
+                let in_force_from = Instant::now() + self.timing.configuration_propagation_timeout();
+                self.emulators.client.add_route(&prefix, in_force_from);
                 self.report.configurations += 1;
             }
             Err(error) => {
@@ -256,13 +256,13 @@
     /// Reads everything back, shuts the processes down, and completes the report.
     pub(super) async fn finish(mut self) -> Result<LocalReport, LocalError> {
         self.background_tasks.shutdown().await;
-        self.stand_ins.trainer.read_back().await;
+        self.emulators.trainer.read_back().await;
         self.check_configuration().await;
-        self.restart_exited()?;
-        for name in self.fleet.stop_all(self.timing.shutdown_grace()).await? {
+        self.restart_exited_processes()?;
+        for name in self.fleet.stop_all(self.timing.termination_grace_period()).await? {
             self.report_violation(Rule::ProcessExit, format!("{name} did not end in time"));
         }
-        let client = &self.stand_ins.client;
+        let client = &self.emulators.client;
         if client.has_too_many_rejections() {
             let description = format!("{} proper requests were refused", client.counts().rejected);
             self.report_violation(Rule::WrongRejection, description);
@@ -271,7 +271,7 @@
     }
 
     async fn check_configuration(&self) {
-        match self.stand_ins.operator.read(ORDER_TIMEOUT).await {
+        match self.emulators.operator.read(OPERATOR_TIMEOUT).await {
             Ok(read) if read == self.configuration => {}
             Ok(read) => {
                 let acknowledged = self.configuration.version;
@@ -283,8 +283,8 @@
     }
 
     fn complete_report(self) -> LocalReport {
-        let counts = self.stand_ins.client.counts();
-        let environment = &self.stand_ins.environment;
+        let counts = self.emulators.client.counts();
+        let environment = &self.emulators.environment;
         LocalReport {
             requests_sent: counts.sent,
             requests_served: counts.served,
@@ -300,12 +300,12 @@
     }
 
     fn report_violation(&self, rule: Rule, description: String) {
-        self.request_log.report(Violation::new(rule, description));
+        self.request_log.record_violation(Violation::new(rule, description));
     }
 }
 
 /// Injects faults one after the other; returns for each whether its process ended in time.
-async fn inject_all(
+async fn inject_faults(
     faults: &[ProcessFault],
     fleet: &mut Fleet,
     grace: Duration,
@@ -332,15 +332,15 @@
         items_per_group: workload.items_per_group,
         required_groups: workload.required_groups,
         shared_tokens: SHARED_PROMPT_TOKENS,
-        own_tokens: OWN_PROMPT_TOKENS,
+        unique_tokens: UNIQUE_PROMPT_TOKENS,
         events: workload.events,
         single_version: workload.single_version,
     }
 }
 
-fn first_configuration(names: &Names, single_version: bool) -> ConfigurationFile {
+fn initial_configuration(names: &Names, single_version: bool) -> ConfigurationFile {
     ConfigurationFile {
-        version: FIRST_CONFIGURATION_VERSION,
+        version: INITIAL_CONFIGURATION_VERSION,
         routes: vec![
             RouteEntry::safe(names, SAFE_PREFIX),
             RouteEntry::reward(names, REWARD_PREFIX),
--- a/crates/local-fleet/src/servers/engine.rs
+++ b/crates/local-fleet/src/servers/engine.rs
@@ -185,9 +185,9 @@
         let (Some(holder), Some(fence), Some(version)) = (order.holder, order.fence, order.version) else {
             return StatusCode::BAD_REQUEST;
         };
-        let is_own_model = order.model.as_deref() == Some(&*self.options.model);
+        let is_served_model = order.model.as_deref() == Some(&*self.options.model);
         let is_named = version <= self.request_log.newest_named_version();
-        if order.order != LOAD_ORDER || !is_own_model || !is_named {
+        if order.order != LOAD_ORDER || !is_served_model || !is_named {
             return StatusCode::BAD_REQUEST;
         }
         let record = OrderRecord { server: self.options.id.to_string(), holder, fence, at: Instant::now() };
@@ -203,11 +203,11 @@
         }
         *accepted_orders += 1;
         self.weights.send_replace(WeightState { version: weights.version, is_loading: true });
-        tokio::spawn(Arc::clone(self).load(version));
+        tokio::spawn(Arc::clone(self).load_version(version));
         StatusCode::ACCEPTED
     }
 
-    async fn load(self: Arc<Self>, version: u64) {
+    async fn load_version(self: Arc<Self>, version: u64) {
         tokio::time::sleep(self.options.load_time).await;
         self.weights.send_replace(WeightState { version, is_loading: false });
     }
--- a/crates/local-fleet/src/servers/plain.rs
+++ b/crates/local-fleet/src/servers/plain.rs
@@ -104,16 +104,16 @@
         if deadline.is_some_and(|deadline| now >= deadline) {
             return responses::not_run(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let arrived = self.record_arrival(request, id, body, now);
+        let arrival_sequence = self.record_arrival(request, id, body, now);
         let finished = now + self.options.service_time;
         match deadline {
             Some(deadline) if deadline < finished => {
                 tokio::time::sleep_until(deadline.into()).await;
-                self.stamped_response(id, StatusCode::GATEWAY_TIMEOUT, arrived)
+                self.stamped_response(id, StatusCode::GATEWAY_TIMEOUT, arrival_sequence)
             }
             _ => {
                 tokio::time::sleep_until(finished.into()).await;
-                self.stamped_response(id, StatusCode::OK, arrived)
+                self.stamped_response(id, StatusCode::OK, arrival_sequence)
             }
         }
     }
@@ -125,12 +125,16 @@
     }
 
     /// A response with a stamp by which the request log finds it.
-    fn stamped_response(&self, id: &str, status: StatusCode, arrived: u64) -> Response {
+    fn stamped_response(&self, id: &str, status: StatusCode, arrival_sequence: u64) -> Response {
         let number = self.response_count.fetch_add(1, Ordering::Relaxed);
         let stamp = format!("{}.{number:x}.{:08x}", self.options.id, fastrand::u32(..));
         let body = Bytes::from(format!("answer {stamp} to {id}"));
-        let recorded =
-            RecordedResponse { id: id.to_owned(), status: status.as_u16(), body: body.clone(), arrived };
+        let recorded = RecordedResponse {
+            id: id.to_owned(),
+            status: status.as_u16(),
+            body: body.clone(),
+            arrival_sequence,
+        };
         self.request_log.record_response(&stamp, recorded);
         let mut response = Response::builder().status(status).body(body);
         responses::set_header(&mut response, header::STAMP, &stamp);
--- a/crates/local-fleet/src/trainer/mod.rs
+++ b/crates/local-fleet/src/trainer/mod.rs
@@ -33,13 +33,13 @@
 /// Time from one read to the next.
 const READ_INTERVAL: Duration = Duration::from_millis(300);
 /// One read of so many starts again at the first position.
-const REREAD_ONE_IN: u32 = 5;
+const READS_PER_REREAD: u32 = 5;
 /// Time limit of one attempt to submit a batch job.
 const SUBMIT_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time limit of a submission with its retries.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time limit for ending a batch job, naming a version or reading a batch job back, with retries.
-const ORDER_TIMEOUT: Duration = Duration::from_secs(15);
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// After this time a step gives up on the groups that are missing.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -117,12 +117,13 @@
         self.check_item_body(&mut job).await;
         let is_done = self.wait_for_groups(&mut job).await;
         let duration = submitted.elapsed();
-        self.end(&mut job).await;
+        self.end_job(&mut job).await;
         self.request_log.name_version(newest_version + 1);
-        let named = self.operator.name_version(&self.template.model, newest_version + 1, ORDER_TIMEOUT).await;
+        let acknowledged =
+            self.operator.name_version(&self.template.model, newest_version + 1, CALL_TIMEOUT).await;
         let outcome = job.outcome(step, self.template.required_groups, is_done, duration);
         self.finished_jobs.push(job);
-        named.map(|()| outcome).map_err(TrainerError::VersionNotNamed)
+        acknowledged.map(|()| outcome).map_err(TrainerError::VersionNotNamed)
     }
 
     fn call(&self, method: Method, path: String) -> HttpCall {
@@ -137,8 +138,10 @@
             .timeout(SUBMIT_ATTEMPT_TIMEOUT)
             .json(&plan.job)
             .map_err(|error| TrainerError::NotAccepted(HttpCallError::Failed(error.to_string())))?;
-        let reply =
-            self.caller.call_until_conclusive(|| self.load_balancer.pick(), &call, SUBMIT_TIMEOUT).await;
+        let reply = self
+            .caller
+            .call_until_conclusive(|| self.load_balancer.select_node(), &call, SUBMIT_TIMEOUT)
+            .await;
         match reply.map_err(TrainerError::NotAccepted)?.status {
             202 => Ok(()),
             status => Err(TrainerError::Rejected(status)),
@@ -150,14 +153,14 @@
         let Some(item) = job.plan.job.items.last().cloned() else { return };
         let call = self.call(Method::GET, format!("/api/items/{}?id={}", job.plan.id, item.id));
         let reply =
-            self.caller.call_until_conclusive(|| self.load_balancer.pick(), &call, ORDER_TIMEOUT).await;
+            self.caller.call_until_conclusive(|| self.load_balancer.select_node(), &call, CALL_TIMEOUT).await;
         let Ok(reply) = reply else { return };
         match reply.status {
             200 if reply.body == decode_body(&item.body) => {}
             200 => self.report(Rule::Mismatch, format!("the body of item {} has other bytes", item.id)),
             _ => {
-                self.read(job, 0, job.accepted).await;
-                if self.is_known_everywhere(job.accepted) && !job.history.contains(&item.id) {
+                self.read_page(job, 0, job.accepted).await;
+                if self.must_be_visible(job.accepted) && !job.history.contains(&item.id) {
                     self.report(Rule::Lost, format!("item {} is not listed and has no body", item.id));
                 }
             }
@@ -165,15 +168,15 @@
     }
 
     /// Whether all nodes know a batch job that was accepted at `accepted`.
-    fn is_known_everywhere(&self, accepted: Instant) -> bool {
-        accepted.elapsed() > self.timing.job_visible_within()
+    fn must_be_visible(&self, accepted: Instant) -> bool {
+        accepted.elapsed() > self.timing.batch_job_propagation_timeout()
     }
 
     /// Reads results until the required groups are complete; returns whether they are.
     async fn wait_for_groups(&self, job: &mut SubmittedJob) -> bool {
         loop {
-            let from = if fastrand::u32(..REREAD_ONE_IN) == 0 { 0 } else { job.history.count() };
-            self.read(job, from, job.accepted).await;
+            let from = if fastrand::u32(..READS_PER_REREAD) == 0 { 0 } else { job.history.count() };
+            self.read_page(job, from, job.accepted).await;
             if job.has_required_groups(self.template.required_groups) {
                 return true;
             }
@@ -186,13 +189,13 @@
 
     /// Reads results from a position on; returns whether a node sent a page. Nodes may not know a batch job until some
     /// time after `accepted`.
-    async fn read(&self, job: &mut SubmittedJob, from: usize, accepted: Instant) -> bool {
+    async fn read_page(&self, job: &mut SubmittedJob, from: usize, accepted: Instant) -> bool {
         let long_poll = if from < job.history.count() { Duration::ZERO } else { LONG_POLL_TIMEOUT };
         let call = self
             .call(Method::GET, format!("/api/lots/{}?after={from}", job.plan.id))
             .header(header::LONG_POLL_TIMEOUT, long_poll.as_millis().to_string())
             .timeout(LONG_POLL_TIMEOUT + LONG_POLL_MARGIN);
-        let reply = match self.caller.call_once(self.load_balancer.pick(), &call).await {
+        let reply = match self.caller.call_once(self.load_balancer.select_node(), &call).await {
             Ok(reply) => reply,
             Err(error) => {
                 log::debug!("batch job {}: {error}", job.plan.id);
@@ -201,7 +204,7 @@
         };
         match reply.status {
             200 => self.add_page(job, from, &reply.body),
-            404 | 410 if self.is_known_everywhere(accepted) => {
+            404 | 410 if self.must_be_visible(accepted) => {
                 self.report(Rule::Lost, format!("batch job {} answers {}", job.plan.id, reply.status));
                 false
             }
@@ -221,22 +224,29 @@
         let (new, violations) = job.history.add_page(&job.plan.id, from, page);
         let results =
             new.iter().flat_map(|result| check_result(&self.request_log, &job.plan.expectations, result));
-        violations.into_iter().chain(results).for_each(|violation| self.request_log.report(violation));
+        violations
+            .into_iter()
+            .chain(results)
+            .for_each(|violation| self.request_log.record_violation(violation));
         true
     }
 
     /// Ends a batch job; its requests must not start much later.
-    async fn end(&self, job: &mut SubmittedJob) {
+    async fn end_job(&self, job: &mut SubmittedJob) {
         // From here on, items may be listed as undeliverable.
         job.plan.expectations.may_be_undeliverable = true;
         let id = &job.plan.id;
         let call = self.call(Method::DELETE, format!("/api/lots/{id}"));
-        match self.caller.call_until_conclusive(|| self.load_balancer.pick(), &call, ORDER_TIMEOUT).await {
+        match self
+            .caller
+            .call_until_conclusive(|| self.load_balancer.select_node(), &call, CALL_TIMEOUT)
+            .await
+        {
             Ok(reply) if reply.status == 200 => {}
             Ok(reply) => self.report(Rule::Lost, format!("the end of {id} is answered {}", reply.status)),
             Err(error) => self.report(Rule::Acknowledged, format!("the end of {id}: {error}")),
         }
-        self.request_log.end(job.plan.request_ids(), Instant::now());
+        self.request_log.record_end(job.plan.request_ids(), Instant::now());
     }
 
     /// Reads every batch job again whose results are still retained; each must show what it showed before.
@@ -244,17 +254,17 @@
         let retention = self.timing.result_retention();
         let mut jobs = std::mem::take(&mut self.finished_jobs);
         for job in jobs.iter_mut().filter(|job| job.submitted.elapsed() < retention) {
-            self.read_all(job).await;
+            self.read_all_pages(job).await;
         }
         self.finished_jobs = jobs;
     }
 
-    async fn read_all(&self, job: &mut SubmittedJob) {
-        let (submitted, known) = (job.submitted, job.history.count());
-        let deadline = Instant::now() + ORDER_TIMEOUT;
+    async fn read_all_pages(&self, job: &mut SubmittedJob) {
+        let (submitted, result_count) = (job.submitted, job.history.count());
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let mut from = 0;
-        while from < known {
-            if self.read(job, from, submitted).await {
+        while from < result_count {
+            if self.read_page(job, from, submitted).await {
                 from = job.history.last_page_end().max(from);
             } else if Instant::now() > deadline {
                 let description =
@@ -267,6 +277,6 @@
     }
 
     fn report(&self, rule: Rule, description: String) {
-        self.request_log.report(Violation::new(rule, description));
+        self.request_log.record_violation(Violation::new(rule, description));
     }
 }
--- a/crates/local-fleet/src/trainer/result_history.rs
+++ b/crates/local-fleet/src/trainer/result_history.rs
@@ -60,10 +60,10 @@
         let mut new = Vec::new();
         for (position, result) in (from..).zip(page.results) {
             match self.results.get(position) {
-                Some(known) if *known == result => {}
-                Some(known) => {
+                Some(existing) if *existing == result => {}
+                Some(existing) => {
                     let description =
-                        format!("position {position} of {job} held {}, now {}", known.id, result.id);
+                        format!("position {position} of {job} held {}, now {}", existing.id, result.id);
                     violations.push(Violation::new(Rule::Duplicate, description));
                 }
                 None => {
--- a/crates/local-fleet/src/trainer/step_plan.rs
+++ b/crates/local-fleet/src/trainer/step_plan.rs
@@ -45,7 +45,7 @@
     /// Tokens of a prompt that its group shares.
     pub shared_tokens: u64,
     /// Tokens of a prompt that belong to one item.
-    pub own_tokens: u64,
+    pub unique_tokens: u64,
     /// Events of a complete text.
     pub events: u64,
     /// One version must generate a complete text.
@@ -107,11 +107,14 @@
         for item in &self.job.items {
             let services = vec![routing.engine_service.clone()];
             let body = decode_body(&item.body);
-            request_log.expect(&item.id, ExpectedRequest { path: item.path.clone(), body, services });
+            request_log.expect_request(&item.id, ExpectedRequest { path: item.path.clone(), body, services });
             if let Some(reward) = &item.reward {
                 let services = vec![routing.reward_service.clone()];
                 let body = decode_body(&reward.body);
-                request_log.expect(&reward.id, ExpectedRequest { path: reward.path.clone(), body, services });
+                request_log.expect_request(
+                    &reward.id,
+                    ExpectedRequest { path: reward.path.clone(), body, services },
+                );
             }
         }
     }
@@ -161,9 +164,9 @@
 }
 
 fn random_item(template: &JobTemplate, group: &Arc<str>, shared_prefix: u32) -> Item {
-    let JobTemplate { routing, shared_tokens, own_tokens, .. } = template;
-    let prompt_tokens = shared_tokens + own_tokens;
-    let prefixes = format!("{shared_prefix:06x}:{shared_tokens},{:06x}:{own_tokens}", fastrand::u32(..));
+    let JobTemplate { routing, shared_tokens, unique_tokens, .. } = template;
+    let prompt_tokens = shared_tokens + unique_tokens;
+    let prefixes = format!("{shared_prefix:06x}:{shared_tokens},{:06x}:{unique_tokens}", fastrand::u32(..));
     let headers = BTreeMap::from([
         (header::MODEL.to_owned(), template.model.clone()),
         (header::TOKENS.to_owned(), format!("{prompt_tokens},{}", template.events)),
--- a/crates/local-fleet/src/trainer/submitted_job.rs
+++ b/crates/local-fleet/src/trainer/submitted_job.rs
@@ -27,7 +27,7 @@
     pub(super) fn has_required_groups(&self, required_groups: usize) -> bool {
         let complete = self.plan.complete_groups(self.history.ids());
         complete.iter().take(self.plan.carried_groups).all(|is_complete| *is_complete)
-            && count(&complete) >= required_groups
+            && count_true(&complete) >= required_groups
     }
 
     pub(super) fn outcome(
@@ -42,7 +42,7 @@
         let incomplete = groups.filter(|(_, is_complete)| !**is_complete).map(|(group, _)| group.clone());
         StepOutcome {
             step,
-            complete_groups: count(&complete),
+            complete_groups: count_true(&complete),
             required_groups,
             is_done,
             results: self.history.count(),
@@ -52,6 +52,6 @@
     }
 }
 
-fn count(flags: &[bool]) -> usize {
+fn count_true(flags: &[bool]) -> usize {
     flags.iter().filter(|flag| **flag).count()
 }
--- a/crates/local-fleet/src/verification/request_log.rs
+++ b/crates/local-fleet/src/verification/request_log.rs
@@ -49,7 +49,7 @@
     /// Its body.
     pub body: Bytes,
     /// When the request arrived, in the order of all logged events.
-    pub arrived: u64,
+    pub arrival_sequence: u64,
 }
 
 /// Identifies one generation: one execution of a request for tokens at an engine.
@@ -64,7 +64,7 @@
     /// The version of the weights that generated it.
     pub version: u64,
     /// When it was generated, in the order of all logged events.
-    pub generated: u64,
+    pub sequence: u64,
 }
 
 /// A generation and its events.
@@ -93,7 +93,7 @@
 #[derive(Debug, Default)]
 struct LogState {
     /// Counts all logged events; it orders them.
-    clock: u64,
+    last_sequence: u64,
     expected: HashMap<String, ExpectedRequest>,
     /// When the end of a request's batch job was acknowledged.
     ended: HashMap<String, Instant>,
@@ -129,7 +129,7 @@
     }
 
     /// Records a request that is about to be sent.
-    pub fn expect(&self, id: &str, expected: ExpectedRequest) {
+    pub fn expect_request(&self, id: &str, expected: ExpectedRequest) {
         let mut state = self.state();
         state.ended.remove(id);
         state.expected.insert(id.to_owned(), expected);
@@ -137,7 +137,7 @@
 
     /// Records that the end of the batch job of these requests was acknowledged at `at`, so that they must not start
     /// much later.
-    pub fn end<'a>(&self, ids: impl Iterator<Item = &'a str>, at: Instant) {
+    pub fn record_end<'a>(&self, ids: impl Iterator<Item = &'a str>, at: Instant) {
         let mut state = self.state();
         for id in ids {
             state.ended.insert(id.to_owned(), at);
@@ -147,11 +147,11 @@
     /// Records that a server runs a request; returns its number in the order of all logged events.
     pub fn record_arrival(&self, arrival: &RequestArrival<'_>) -> u64 {
         let mut state = self.state();
-        state.clock += 1;
+        state.last_sequence += 1;
         for violation in state.check_arrival(arrival, self.cancellation_timeout) {
-            state.report(violation);
+            state.record_violation(violation);
         }
-        state.clock
+        state.last_sequence
     }
 
     /// Records a complete response, which carries `stamp`.
@@ -168,8 +168,8 @@
     /// Records the start of a generation of an item that continues after event `after` (0: from its start).
     pub fn start_generation(&self, item: &str, after: u64) -> GenerationId {
         let mut state = self.state();
-        state.clock += 1;
-        let generation = GenerationId(state.clock);
+        state.last_sequence += 1;
+        let generation = GenerationId(state.last_sequence);
         let record = GenerationRecord { item: item.to_owned(), after, events: Vec::new() };
         state.generations.insert(generation, record);
         generation
@@ -178,10 +178,10 @@
     /// Records an event of a generation.
     pub fn record_event(&self, generation: GenerationId, index: u64, version: u64) {
         let mut state = self.state();
-        state.clock += 1;
-        let generated = state.clock;
+        state.last_sequence += 1;
+        let sequence = state.last_sequence;
         if let Some(record) = state.generations.get_mut(&generation) {
-            record.events.push(GeneratedEvent { index, version, generated });
+            record.events.push(GeneratedEvent { index, version, sequence });
         }
     }
 
@@ -193,7 +193,7 @@
     pub fn record_order(&self, order: OrderRecord) {
         let mut state = self.state();
         for violation in state.check_order(&order, self.handover_interval) {
-            state.report(violation);
+            state.record_violation(violation);
         }
         state.orders.push(order);
     }
@@ -217,8 +217,8 @@
     }
 
     /// Records a violation, and logs it.
-    pub fn report(&self, violation: Violation) {
-        self.state().report(violation);
+    pub fn record_violation(&self, violation: Violation) {
+        self.state().record_violation(violation);
     }
 
     /// The first violations, at most 200.
@@ -235,7 +235,7 @@
 }
 
 impl LogState {
-    fn report(&mut self, violation: Violation) {
+    fn record_violation(&mut self, violation: Violation) {
         log::warn!("rule broken: {violation}");
         self.violation_count += 1;
         if self.violations.len() < MAX_RETAINED_VIOLATIONS {
@@ -269,9 +269,9 @@
         cancellation_timeout: Duration,
     ) -> Option<Violation> {
         let RequestArrival { id, server, .. } = arrival;
-        let late = arrival.at.saturating_duration_since(*self.ended.get(*id)?);
-        (late > cancellation_timeout).then(|| {
-            let description = format!("{server} runs {id} {late:?} after the end of its batch job");
+        let delay = arrival.at.saturating_duration_since(*self.ended.get(*id)?);
+        (delay > cancellation_timeout).then(|| {
+            let description = format!("{server} runs {id} {delay:?} after the end of its batch job");
             Violation::new(Rule::UnexpectedRequest, description)
         })
     }
@@ -305,10 +305,10 @@
         let description = format!("{}: fencing token {} after {}", order.server, order.fence, last.fence);
         violations.push(Violation::new(Rule::SingleLeader, description));
     }
-    let passed = order.at.saturating_duration_since(last.at);
-    if order.holder != last.holder && passed < handover_interval {
+    let elapsed = order.at.saturating_duration_since(last.at);
+    if order.holder != last.holder && elapsed < handover_interval {
         let description =
-            format!("{}: {} orders {passed:?} after {}", order.server, order.holder, last.holder);
+            format!("{}: {} orders {elapsed:?} after {}", order.server, order.holder, last.holder);
         violations.push(Violation::new(Rule::SingleLeader, description));
     }
     violations
--- a/crates/local-fleet/src/verification/result_check.rs
+++ b/crates/local-fleet/src/verification/result_check.rs
@@ -53,13 +53,13 @@
     let Ok(text) = result.text.lines().map(EventData::from_str).collect::<Result<Vec<_>, _>>() else {
         return mismatch(format!("the text of {id} holds what no engine made"));
     };
-    let generations = Generations::read(request_log, &text);
+    let generations = Generations::load(request_log, &text);
     let mut violations = Vec::new();
     violations.extend(check_length(id, &text, item.events));
     violations.extend(check_event_order(id, &text));
     violations.extend(check_generations(id, &text, &generations));
     violations.extend(check_versions(expected, result, &text));
-    violations.extend(check_grade(request_log, item, result, generations.time_of_last(&text)));
+    violations.extend(check_grade(request_log, item, result, generations.sequence_of_last(&text)));
     violations
 }
 
@@ -67,7 +67,7 @@
 struct Generations(HashMap<GenerationId, GenerationRecord>);
 
 impl Generations {
-    fn read(request_log: &RequestLog, text: &[EventData]) -> Self {
+    fn load(request_log: &RequestLog, text: &[EventData]) -> Self {
         let ids: BTreeSet<GenerationId> = text.iter().map(|event| event.generation).collect();
         Self(ids.into_iter().filter_map(|id| Some((id, request_log.generation(id)?))).collect())
     }
@@ -81,8 +81,8 @@
     }
 
     /// When the last event of a text was generated, in the order of the request log.
-    fn time_of_last(&self, text: &[EventData]) -> Option<u64> {
-        text.last().and_then(|event| self.event(event)).map(|event| event.generated)
+    fn sequence_of_last(&self, text: &[EventData]) -> Option<u64> {
+        text.last().and_then(|event| self.event(event)).map(|event| event.sequence)
     }
 }
 
@@ -159,7 +159,7 @@
     request_log: &RequestLog,
     item: &ExpectedItem,
     result: &ItemResult,
-    last_generated: Option<u64>,
+    last_event_sequence: Option<u64>,
 ) -> Option<Violation> {
     let id = &result.id;
     let mismatch = |description: String| Some(Violation::new(Rule::Mismatch, description));
@@ -175,7 +175,8 @@
             response.id, response.status
         ));
     }
-    if last_generated.is_some_and(|last_generated| response.arrived < last_generated) {
+    if last_event_sequence.is_some_and(|last_event_sequence| response.arrival_sequence < last_event_sequence)
+    {
         return mismatch(format!("the reward call of {id} came before its text was whole"));
     }
     None
--- a/crates/local-fleet/tests/platform.rs
+++ b/crates/local-fleet/tests/platform.rs
@@ -103,8 +103,8 @@
 fn given_a_change_when_read_later_then_it_is_visible_after_the_lag(milliseconds: u64, expected: usize) {
     let start = Instant::now();
     let mut list = LaggingList::new(Duration::from_millis(800));
-    list.set(start, servers(1));
-    list.set(start, servers(3));
+    list.replace(start, servers(1));
+    list.replace(start, servers(3));
     assert_eq!(list.visible(start + Duration::from_millis(milliseconds)).len(), expected);
 }
 
--- a/crates/local-fleet/tests/servers.rs
+++ b/crates/local-fleet/tests/servers.rs
@@ -54,7 +54,7 @@
 
 fn expect(request_log: &RequestLog, id: &str, service: &str) {
     let services = vec![service.to_owned()];
-    request_log.expect(id, ExpectedRequest { path: "/a/1".into(), body: "body".into(), services });
+    request_log.expect_request(id, ExpectedRequest { path: "/a/1".into(), body: "body".into(), services });
 }
 
 fn post(to: SocketAddr, id: &str) -> reqwest::RequestBuilder {
@@ -79,7 +79,7 @@
     request.send().await.expect("an answer").status().as_u16()
 }
 
-fn named(answer: &reqwest::Response, name: &str) -> Option<String> {
+fn header_value(answer: &reqwest::Response, name: &str) -> Option<String> {
     Some(answer.headers().get(name)?.to_str().ok()?.to_owned())
 }
 
@@ -90,9 +90,9 @@
     let server = plain(&request_log, 2, Duration::ZERO).await;
     let answer = post(server.address(), "q1").send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 200);
-    assert_eq!(named(&answer, header::ATTEMPT_ID).as_deref(), Some("q1"));
-    assert!(named(&answer, header::LOAD).is_some_and(|load| load.ends_with(",2")));
-    let stamp = named(&answer, header::STAMP).expect("a stamp");
+    assert_eq!(header_value(&answer, header::ATTEMPT_ID).as_deref(), Some("q1"));
+    assert!(header_value(&answer, header::LOAD).is_some_and(|load| load.ends_with(",2")));
+    let stamp = header_value(&answer, header::STAMP).expect("a stamp");
     let body = answer.bytes().await.expect("a body");
     assert_eq!(
         request_log.response(&stamp).map(|answer| (answer.id, answer.body)),
@@ -108,8 +108,8 @@
     let request = post(server.address(), "q1").header(header::EXPECTED_SERVER, "i-9");
     let answer = request.send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 421);
-    assert_eq!(named(&answer, header::NOT_RUN).as_deref(), Some("1"));
-    assert_eq!(named(&answer, header::SERVER).as_deref(), Some("i-1"));
+    assert_eq!(header_value(&answer, header::NOT_RUN).as_deref(), Some("1"));
+    assert_eq!(header_value(&answer, header::SERVER).as_deref(), Some("i-1"));
     assert!(request_log.violations().is_empty(), "a request that was not run has not come to a server");
 }
 
@@ -119,7 +119,7 @@
     let url = format!("http://{}/a/1", server.address());
     let answer = reqwest::Client::new().post(url).send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 400);
-    assert_eq!(named(&answer, header::NOT_RUN).as_deref(), Some("1"));
+    assert_eq!(header_value(&answer, header::NOT_RUN).as_deref(), Some("1"));
 }
 
 #[tokio::test]
@@ -128,7 +128,7 @@
     let server = plain(&request_log, 0, Duration::ZERO).await;
     let answer = post(server.address(), "q1").send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 503);
-    assert_eq!(named(&answer, header::NOT_RUN).as_deref(), Some("1"));
+    assert_eq!(header_value(&answer, header::NOT_RUN).as_deref(), Some("1"));
 }
 
 #[tokio::test]
@@ -139,8 +139,8 @@
     let request = post(server.address(), "q1").header(header::TIME_LEFT, "5");
     let answer = request.send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 504);
-    assert_eq!(named(&answer, header::NOT_RUN), None);
-    assert!(named(&answer, header::STAMP).is_some());
+    assert_eq!(header_value(&answer, header::NOT_RUN), None);
+    assert!(header_value(&answer, header::STAMP).is_some());
 }
 
 #[tokio::test]
@@ -159,7 +159,7 @@
     let server = plain(&request_log(), 1, Duration::ZERO).await;
     let answer = reqwest::get(format!("http://{}/health", server.address())).await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 200);
-    assert_eq!(named(&answer, header::SERVER).as_deref(), Some("i-1"));
+    assert_eq!(header_value(&answer, header::SERVER).as_deref(), Some("i-1"));
 }
 
 #[tokio::test]
@@ -168,8 +168,8 @@
     expect(&request_log, "t1", "llm");
     let server = engine(&request_log, engine_options()).await;
     let answer = generation(server.address(), "t1").send().await.expect("an answer");
-    assert_eq!(named(&answer, "content-type").as_deref(), Some("text/event-stream"));
-    assert_eq!(named(&answer, header::VERSION).as_deref(), Some("1"));
+    assert_eq!(header_value(&answer, "content-type").as_deref(), Some("text/event-stream"));
+    assert_eq!(header_value(&answer, header::VERSION).as_deref(), Some("1"));
     assert_eq!(ids(&answer.text().await.expect("a whole stream")), [1, 2, 3, 4]);
 }
 
@@ -208,8 +208,8 @@
     let request = generation(server.address(), "t1").header(header::EXPECTED_VERSION, "2");
     let answer = request.send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 421);
-    assert_eq!(named(&answer, header::NOT_RUN).as_deref(), Some("1"));
-    assert_eq!(named(&answer, header::VERSION).as_deref(), Some("1"));
+    assert_eq!(header_value(&answer, header::NOT_RUN).as_deref(), Some("1"));
+    assert_eq!(header_value(&answer, header::VERSION).as_deref(), Some("1"));
 }
 
 #[tokio::test]
@@ -235,7 +235,7 @@
     assert_eq!(order(server.address(), &load_order(2, 1)).await, 409);
     let answer = generation(server.address(), "t1").send().await.expect("an answer");
     assert_eq!(answer.status().as_u16(), 503);
-    assert_eq!(named(&answer, header::NOT_RUN).as_deref(), Some("1"));
+    assert_eq!(header_value(&answer, header::NOT_RUN).as_deref(), Some("1"));
 }
 
 #[tokio::test]
--- a/crates/local-fleet/tests/steps.rs
+++ b/crates/local-fleet/tests/steps.rs
@@ -18,7 +18,7 @@
         items_per_group: 2,
         required_groups: 3,
         shared_tokens: 255,
-        own_tokens: 16,
+        unique_tokens: 16,
         events: 26,
         single_version: true,
     }
--- a/crates/local-fleet/tests/verify.rs
+++ b/crates/local-fleet/tests/verify.rs
@@ -35,14 +35,18 @@
 }
 
 fn grade(request_log: &RequestLog, id: &str, status: u16) -> String {
-    request_log
-        .expect(id, ExpectedRequest { path: "/r".into(), body: "b".into(), services: vec!["tally".into()] });
+    request_log.expect_request(
+        id,
+        ExpectedRequest { path: "/r".into(), body: "b".into(), services: vec!["tally".into()] },
+    );
     let arrival =
         RequestArrival { id, path: "/r", body: b"b", service: "tally", server: "i-1", at: Instant::now() };
-    let arrived = request_log.record_arrival(&arrival);
-    let stamp = format!("stamp-{arrived}");
-    request_log
-        .record_response(&stamp, RecordedResponse { id: id.into(), status, body: "graded".into(), arrived });
+    let arrival_sequence = request_log.record_arrival(&arrival);
+    let stamp = format!("stamp-{arrival_sequence}");
+    request_log.record_response(
+        &stamp,
+        RecordedResponse { id: id.into(), status, body: "graded".into(), arrival_sequence },
+    );
     stamp
 }
 
@@ -191,11 +195,11 @@
     expected: Option<Rule>,
 ) {
     let (request_log, start) = (request_log(), Instant::now());
-    request_log.expect(
+    request_log.expect_request(
         "q1",
         ExpectedRequest { path: "/a".into(), body: "b".into(), services: vec!["tally".into()] },
     );
-    request_log.end(["q1"].into_iter(), start);
+    request_log.record_end(["q1"].into_iter(), start);
     let at = start + Duration::from_secs(seconds);
     request_log.record_arrival(&RequestArrival { id: "q1", path, body: b"b", service, server: "i-1", at });
     assert_eq!(request_log.violations().first().map(|violation| violation.rule), expected);
