--- a/crates/local-fleet/src/clients/client.rs
+++ b/crates/local-fleet/src/clients/client.rs
@@ -1,4 +1,4 @@
-//! Stand-in of clients: a trickle of idempotent requests, whose responses are checked.
+//! The emulated clients: they send idempotent requests at a constant rate and check the responses.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -13,27 +13,29 @@
 
 /// Time limit of a request with all its attempts.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Attempts within the time limit.
+/// Maximum number of attempts of a request within its time limit.
 const MAX_ATTEMPTS: u32 = 2;
-/// Bytes of a body.
+/// Size of a request body, in bytes.
 const BODY_BYTES: usize = 800;
-/// This many rejections of valid requests are tolerated ...
+/// Number of rejections of valid requests that are tolerated in any run. Further ones are tolerated in
+/// proportion to the number of requests, see [`REQUESTS_PER_TOLERATED_REJECTION`].
 const BASE_TOLERATED_REJECTIONS: u64 = 5;
-/// ... and one more for so many requests.
+/// One more rejection is tolerated for each this many requests.
 const REQUESTS_PER_TOLERATED_REJECTION: u64 = 500;
 
-/// Outcomes of the clients' requests.
+/// Counts of the clients' requests, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientCounts {
-    /// Requests.
+    /// Requests that were sent, each counted once whatever its number of attempts.
     pub sent: u64,
-    /// Requests that got a server's success in time.
+    /// Requests that got a response with a 2xx status within the time limit.
     pub served: u64,
-    /// Attempts that were rejected though they were valid.
+    /// Attempts that a node rejected with a 3xx or 4xx status (except 408, 421 and 429) although they were
+    /// valid.
     pub rejected: u64,
 }
 
-/// A route, and when it is in force at all nodes.
+/// A route that clients use, and the time from which it must be in force at all nodes.
 #[derive(Clone, Debug)]
 struct ClientRoute {
     path_prefix: String,
@@ -46,7 +48,7 @@
     counts: ClientCounts,
 }
 
-/// The clients. Clones share their state.
+/// The clients of a fleet. Clones share their state.
 #[derive(Clone, Debug)]
 pub struct Client {
     host: String,
@@ -58,7 +60,8 @@
 }
 
 impl Client {
-    /// Clients of the routes of `host` to plain servers of `service`.
+    /// Returns clients of the routes of `host`, whose requests only plain servers of `service` may run. They
+    /// send no requests before [`Self::add_route`].
     ///
     /// # Errors
     ///
@@ -77,18 +80,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends requests by a route from `in_force_from` on.
+    /// Adds a route to which clients send requests from `in_force_from` on.
     pub fn add_route(&self, path_prefix: &str, in_force_from: Instant) {
         self.state().routes.push(ClientRoute { path_prefix: path_prefix.to_owned(), in_force_from });
     }
 
-    /// Outcomes so far.
+    /// Returns the counts of the requests so far.
     #[must_use]
     pub fn counts(&self) -> ClientCounts {
         self.state().counts
     }
 
-    /// Whether more valid requests were rejected than the rule tolerates.
+    /// Returns whether more valid requests were rejected than [`Rule::WrongRejection`] tolerates.
     #[must_use]
     pub fn has_too_many_rejections(&self) -> bool {
         let counts = self.counts();
@@ -106,7 +109,8 @@
         }
     }
 
-    /// Sends one request with its retries; returns whether it was served.
+    /// Sends one request and retries it on failure; returns whether it was served. Without a route that is in
+    /// force, no request is sent.
     pub async fn request(&self) -> bool {
         let Some(path) = self.random_path(Instant::now()) else { return false };
         self.state().counts.sent += 1;
@@ -125,7 +129,7 @@
         false
     }
 
-    /// A path of one of the routes that are in force at `now`.
+    /// Returns a random path of a random route that is in force at `now`; `None` if there is none.
     fn random_path(&self, now: Instant) -> Option<String> {
         let state = self.state();
         let in_force: Vec<&ClientRoute> =
@@ -134,6 +138,7 @@
         Some(format!("{}{:04x}", route.path_prefix, fastrand::u16(..)))
     }
 
+    /// Sends one attempt under a new id; returns whether it got a response with a 2xx status.
     async fn attempt(&self, path: &str, body: &Bytes, time_left: Duration) -> bool {
         let id = random_request_id();
         let services = vec![self.service.clone()];
@@ -148,7 +153,7 @@
         match self.caller.call_once(self.load_balancer.select_node(), &call).await {
             Ok(reply) => self.check(&id, path, &reply),
             Err(error) => {
-                log::debug!("request {id}: {error}");
+                log::debug!("attempt {id} of a client request to {path} failed: {error}");
                 false
             }
         }
@@ -167,7 +172,8 @@
         reply.is_success()
     }
 
-    /// A reply with a stamp is exactly what the server returned.
+    /// Checks a reply with a stamp, which must be exactly the response that the server recorded under this
+    /// stamp.
     fn check_stamped(&self, id: &str, stamp: &str, reply: &HttpReply) {
         let Some(response) = self.request_log.response(stamp) else {
             return self.report(Rule::Mismatch, format!("{id} got a stamp that no server gave: {stamp}"));
@@ -182,7 +188,8 @@
         }
     }
 
-    /// A reply without a stamp comes from a node: it must not be a success, and few valid requests may be rejected.
+    /// Checks a reply without a stamp, which a node generated itself: it must not be a success. Rejections
+    /// are counted, since only few valid requests may be rejected.
     fn check_unstamped(&self, id: &str, path: &str, reply: &HttpReply) {
         match reply.status {
             200..=299 => self.report(Rule::Mismatch, format!("{id} got a success without a stamp")),
--- a/crates/local-fleet/src/clients/load_balancer.rs
+++ b/crates/local-fleet/src/clients/load_balancer.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the platform's load balancer: it directs new connections to nodes that pass their readiness checks.
+//! The emulated load balancer of the platform: it directs new connections to nodes that pass their readiness
+//! checks.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,20 +10,20 @@
 use crate::deployment::Layout;
 use crate::http::{HttpCall, HttpCaller};
 
-/// The path of a node's readiness check.
+/// Path of the readiness check at a node.
 const READINESS_PATH: &str = "/api/ready";
-/// Time from one readiness check of a node to the next.
+/// Time between the end of a round of readiness checks and the next round.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A node that has failed this many checks in a row gets no new connections.
+/// Number of consecutive failed checks after which a node gets no new connections.
 const MAX_FAILED_CHECKS: u32 = 2;
 
 #[derive(Debug)]
 struct BalancedNode {
-    /// Where it serves clients.
+    /// Address at which the node serves clients.
     client_address: SocketAddr,
-    /// Where it answers readiness checks.
+    /// Address at which the node answers readiness checks.
     readiness_address: SocketAddr,
-    /// Failed checks in a row.
+    /// Number of consecutive failed checks.
     failed_checks: u32,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// The load balancer. Clones share its state.
+/// The load balancer of a fleet. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     nodes: Arc<Mutex<Vec<BalancedNode>>>,
@@ -40,7 +41,7 @@
 }
 
 impl LoadBalancer {
-    /// A load balancer for all nodes of a layout; none is healthy before its first check.
+    /// Returns a load balancer for all nodes of a layout; each node is unhealthy until it passes a check.
     ///
     /// # Errors
     ///
@@ -59,7 +60,7 @@
         self.nodes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Checks every node once; returns how many are healthy.
+    /// Checks every node once, concurrently; returns the number of healthy nodes.
     pub async fn check_all(&self) -> usize {
         let addresses: Vec<SocketAddr> = self.nodes().iter().map(|node| node.readiness_address).collect();
         let call = HttpCall::new(Method::GET, READINESS_PATH);
@@ -81,7 +82,8 @@
         }
     }
 
-    /// The node for a new connection: a healthy one, or any if fewer than half are healthy.
+    /// Returns the address of a random node for a new connection: a healthy node, or any node if fewer than
+    /// half of the nodes are healthy.
     ///
     /// # Panics
     ///
--- a/crates/local-fleet/src/clients/mod.rs
+++ b/crates/local-fleet/src/clients/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins of clients and of the load balancer through which clients and trainers reach the nodes.
+//! The emulated clients, and the emulated load balancer through which clients and the trainer reach the
+//! nodes.
 
 mod client;
 mod load_balancer;
--- a/crates/local-fleet/src/deployment/error.rs
+++ b/crates/local-fleet/src/deployment/error.rs
@@ -1,25 +1,25 @@
-//! Why a process cannot be started or signalled.
+//! Errors of the processes of a fleet.
 
 use std::fmt;
 use std::io;
 
-/// A process cannot be started or signalled.
+/// Error of an operation on a process of a fleet or on its files.
 #[derive(Debug)]
 pub enum FleetError {
-    /// No process has this name.
+    /// The fleet has no process of this name, or the process has no valid process id.
     UnknownProcess(String),
-    /// An operation on the named file or process failed.
+    /// An operation on this file or process failed.
     Io(String, io::Error),
-    /// The settings cannot be serialized.
+    /// The settings of a process cannot be serialized.
     Settings(toml::ser::Error),
 }
 
 impl fmt::Display for FleetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::UnknownProcess(name) => write!(f, "no process is named {name}"),
+            Self::UnknownProcess(name) => write!(f, "the fleet has no process named {name}"),
             Self::Io(subject, error) => write!(f, "{subject}: {error}"),
-            Self::Settings(error) => write!(f, "settings cannot be written: {error}"),
+            Self::Settings(error) => write!(f, "the settings of a process cannot be serialized: {error}"),
         }
     }
 }
@@ -27,7 +27,7 @@
 impl std::error::Error for FleetError {}
 
 impl FleetError {
-    /// Turns an I/O error of a file or process into a fleet error.
+    /// Returns a function that converts an I/O error of the file or process `subject`.
     pub(super) fn io(subject: impl fmt::Display) -> impl FnOnce(io::Error) -> Self {
         move |error| Self::Io(subject.to_string(), error)
     }
--- a/crates/local-fleet/src/deployment/fault.rs
+++ b/crates/local-fleet/src/deployment/fault.rs
@@ -7,21 +7,21 @@
 use super::error::FleetError;
 use super::fleet::Fleet;
 
-/// From the start of a step to its fault.
+/// Time from the start of a step until its fault is injected.
 const FAULT_DELAY: Duration = Duration::from_millis(400);
-/// From the end of a process to its restart.
+/// Time from the end of a process to its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(800);
 
-/// What happens to a process, which is restarted afterwards.
+/// Kinds of faults; each ends one or all processes, which are restarted afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessFaultKind {
-    /// It is killed.
+    /// The process is killed.
     Kill,
-    /// It is killed and its disk is erased.
+    /// The process is killed and its data is deleted.
     Wipe,
-    /// It is shut down gracefully.
+    /// The process is shut down gracefully, by SIGTERM.
     Stop,
-    /// All processes are killed at once; the name of the process has no meaning.
+    /// All processes are killed; the process name of the fault is ignored.
     KillAll,
 }
 
@@ -36,14 +36,15 @@
     }
 }
 
-/// A fault; as text `STEP:kill|wipe|stop:PROCESS` or `STEP:kill-all`.
+/// A fault to inject; its text form is `STEP:kill|wipe|stop:PROCESS` or `STEP:kill-all`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProcessFault {
-    /// It is injected early in the step after this one.
+    /// Number of the step, from 0, before the step in which the fault is injected. A fault whose following
+    /// step does not exist is not injected.
     pub after_step: u64,
-    /// What happens.
+    /// Kind of the fault.
     pub kind: ProcessFaultKind,
-    /// The process, such as `node-1` or `store-2`.
+    /// Name of the process, such as `node-1` or `store-2`; usually empty for [`ProcessFaultKind::KillAll`].
     pub process: String,
 }
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// The text does not describe a fault.
+/// Error for a text, which it contains, that does not describe a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseProcessFaultError(String);
 
@@ -88,12 +89,12 @@
 }
 
 impl ProcessFault {
-    /// Injects the fault and restarts what ended; returns whether a graceful shutdown ended in time (`true` for all
-    /// other faults).
+    /// Injects the fault and restarts the ended processes. Returns `false` if a graceful shutdown took longer
+    /// than `grace`, so that the process was killed, else `true`.
     ///
     /// # Errors
     ///
-    /// When a process cannot be signalled or started.
+    /// When the process does not exist, or a process cannot be signalled or started.
     pub async fn inject(&self, fleet: &mut Fleet, grace: Duration) -> Result<bool, FleetError> {
         tokio::time::sleep(FAULT_DELAY).await;
         let mut ended_in_time = true;
--- a/crates/local-fleet/src/deployment/fleet.rs
+++ b/crates/local-fleet/src/deployment/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of the system, by name.
+//! The child processes that run the system under test.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,18 +9,20 @@
 use super::process::Process;
 use super::settings_file::SettingsFile;
 
-/// A process that was asked to end is polled this often.
+/// Time between two checks whether a process that received SIGTERM has ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The processes of a fleet; all of them are killed when it is dropped.
+/// The processes of a fleet, by names such as `node-1` and `store-2`. Dropping the fleet kills all of them.
 #[derive(Debug)]
 pub struct Fleet {
+    /// Program that all processes run.
     executable: PathBuf,
     processes: BTreeMap<String, Process>,
 }
 
 impl Fleet {
-    /// Prepares the processes of a layout, with their files under `directory`; none is started.
+    /// Prepares the processes of a layout without starting them. Each process has a directory for its files
+    /// under `directory`.
     #[must_use]
     pub fn new(layout: &Layout, executable: &Path, directory: &Path) -> Self {
         let node = |node| {
@@ -39,7 +41,7 @@
         Self { executable: executable.to_owned(), processes }
     }
 
-    /// The names of all processes.
+    /// Returns the names of all processes, running or not.
     #[must_use]
     pub fn names(&self) -> Vec<String> {
         self.processes.keys().cloned().collect()
@@ -53,12 +55,13 @@
     ///
     /// # Errors
     ///
-    /// When one cannot be started.
+    /// When a process cannot be started.
     pub fn start_all(&mut self) -> Result<(), FleetError> {
         self.names().iter().try_for_each(|name| self.start(name))
     }
 
-    /// Starts a process, unless it is running. Only its first start counts as the first start of the system.
+    /// Starts a process, unless it is running. Its settings mark only the first start as the first start of
+    /// the system.
     ///
     /// # Errors
     ///
@@ -68,7 +71,7 @@
         self.process(name)?.start(&executable)
     }
 
-    /// Kills a process and waits for its end.
+    /// Kills a process and waits for its end; does nothing if it is not running.
     ///
     /// # Errors
     ///
@@ -77,7 +80,8 @@
         self.process(name)?.kill()
     }
 
-    /// Shuts a process down gracefully; returns whether it ended within `grace`, else it is killed.
+    /// Shuts a process down by SIGTERM and kills it if it has not ended after `grace`; returns whether it
+    /// ended in time.
     ///
     /// # Errors
     ///
@@ -96,11 +100,12 @@
         Ok(true)
     }
 
-    /// Shuts all processes down gracefully; returns the names of those that did not end within `grace` and were killed.
+    /// Shuts all processes down by SIGTERM and kills those that have not ended after `grace`; returns the
+    /// names of the killed processes.
     ///
     /// # Errors
     ///
-    /// When one cannot be signalled.
+    /// When a process cannot be signalled.
     pub async fn stop_all(&mut self, grace: Duration) -> Result<Vec<String>, FleetError> {
         self.processes.values().try_for_each(Process::terminate)?;
         let deadline = Instant::now() + grace;
@@ -113,16 +118,17 @@
         Ok(killed)
     }
 
-    /// Removes the data of a process that is not running.
+    /// Deletes the data of a process, which must not be running.
     ///
     /// # Errors
     ///
-    /// When there is no such process, or its data cannot be removed.
+    /// When there is no such process, or its data cannot be deleted.
     pub fn wipe(&mut self, name: &str) -> Result<(), FleetError> {
         self.process(name)?.wipe()
     }
 
-    /// The processes that exited unexpectedly since they were started; they count as not running from now on.
+    /// Returns the names of the processes that exited unexpectedly since they were started, and marks them as
+    /// not running.
     pub fn take_unexpected_exits(&mut self) -> Vec<String> {
         let exited = self.processes.iter_mut().filter_map(|(name, process)| {
             let has_exited = process.take_unexpected_exit();
@@ -131,7 +137,7 @@
         exited.collect()
     }
 
-    /// Whether a process was started and is not known to have ended.
+    /// Returns whether a process was started and its end was not observed yet.
     #[must_use]
     pub fn is_running(&self, name: &str) -> bool {
         self.processes.get(name).is_some_and(Process::is_running)
--- a/crates/local-fleet/src/deployment/layout.rs
+++ b/crates/local-fleet/src/deployment/layout.rs
@@ -1,48 +1,54 @@
-//! The addresses of a fleet: one loopback address for each machine, the same ports on all.
+//! The addresses of a fleet: one loopback address for each machine, with the same ports on all machines of a
+//! kind.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// The range of ports for internal calls between processes.
+/// First and last port for calls between the processes of the system.
 pub const INTERNAL_PORTS: (u16, u16) = (7660, 7675);
-/// The port for clients and trainers.
+/// Port at which nodes serve clients and trainers.
 const CLIENT_PORT: u16 = 8144;
-/// The port for readiness checks.
+/// Port at which nodes answer readiness checks.
 const READINESS_PORT: u16 = 8140;
-/// The port for the operator.
+/// Port at which nodes serve the operator; also the port of the seeds.
 const OPERATOR_PORT: u16 = 8146;
-/// The port of the platform's server list.
+/// Port at which the platform serves the list of servers.
 const PLATFORM_PORT: u16 = 8142;
-/// The port of plain servers and engines.
+/// Port of plain servers and engines.
 const SERVER_PORT: u16 = 8080;
 
-/// The last octet of the first machine of each kind.
+/// Last octet of the first node's address; the addresses of further machines of a kind follow that of the
+/// first.
 const FIRST_NODE_OCTET: u8 = 1;
+/// Last octet of the first store's address.
 const FIRST_STORE_OCTET: u8 = 64;
+/// Last octet of the platform's address.
 const PLATFORM_OCTET: u8 = 128;
+/// Last octet of the first plain server's address.
 const FIRST_PLAIN_SERVER_OCTET: u8 = 130;
+/// Last octet of the first engine's address.
 const FIRST_ENGINE_OCTET: u8 = 160;
 
-/// Machines of one kind that fit into the layout.
+/// Maximum number of machines of one kind, so that the address ranges of the kinds do not overlap.
 pub const MAX_MACHINES_PER_KIND: u8 = 24;
-/// The first nodes have a disk; this many at most.
+/// Maximum number of nodes with a disk.
 const MAX_NODES_WITH_DISK: u8 = 3;
-/// Zones of the fleet.
+/// Names of the fleet's zones, over which the machines of each kind are distributed in rotation.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
-/// The region of all zones.
+/// Name of the region that contains all zones.
 pub const REGION: &str = "loopback";
 
-/// The addresses of a fleet.
+/// The number of machines of each kind in a fleet, and their addresses `127.10.SUBNET.x`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Layout {
-    /// The third octet of all addresses; fleets with different ones can run side by side.
+    /// Third octet of all addresses; fleets in different subnets can run at the same time.
     pub subnet: u8,
-    /// Traffic nodes.
+    /// Number of traffic nodes.
     pub nodes: u8,
-    /// Stores.
+    /// Number of stores.
     pub stores: u8,
-    /// Plain servers.
+    /// Number of plain servers.
     pub plain_servers: u8,
-    /// Engine servers.
+    /// Number of engines.
     pub engines: u8,
 }
 
@@ -51,73 +57,75 @@
         Ipv4Addr::new(127, 10, self.subnet, last_octet).into()
     }
 
-    /// The address of a node, counted from 0.
+    /// Returns the IP address of a node, counted from 0.
     #[must_use]
     pub fn node_ip(&self, node: u8) -> IpAddr {
         self.ip(FIRST_NODE_OCTET + node)
     }
 
-    /// The address of a store, counted from 0.
+    /// Returns the IP address of a store, counted from 0.
     #[must_use]
     pub fn store_ip(&self, store: u8) -> IpAddr {
         self.ip(FIRST_STORE_OCTET + store)
     }
 
-    /// Where a node serves clients.
+    /// Returns the address at which a node, counted from 0, serves clients and trainers.
     #[must_use]
     pub fn client_address(&self, node: u8) -> SocketAddr {
         (self.node_ip(node), CLIENT_PORT).into()
     }
 
-    /// Where a node answers readiness checks.
+    /// Returns the address at which a node, counted from 0, answers readiness checks.
     #[must_use]
     pub fn readiness_address(&self, node: u8) -> SocketAddr {
         (self.node_ip(node), READINESS_PORT).into()
     }
 
-    /// Where a node serves the operator.
+    /// Returns the address at which a node, counted from 0, serves the operator.
     #[must_use]
     pub fn operator_address(&self, node: u8) -> SocketAddr {
         (self.node_ip(node), OPERATOR_PORT).into()
     }
 
-    /// The nodes that settings name as seeds, by the operator's address.
+    /// Returns the addresses that the settings name as seeds: the operator addresses of the nodes with a
+    /// disk.
     #[must_use]
     pub fn seeds(&self) -> Vec<SocketAddr> {
         (0..self.nodes_with_disk()).map(|node| self.operator_address(node)).collect()
     }
 
-    /// The address of the platform.
+    /// Returns the address at which the platform serves the list of servers.
     #[must_use]
     pub fn platform_address(&self) -> SocketAddr {
         (self.ip(PLATFORM_OCTET), PLATFORM_PORT).into()
     }
 
-    /// The address of a plain server, counted from 0.
+    /// Returns the address of a plain server, counted from 0.
     #[must_use]
     pub fn plain_server_address(&self, server: u8) -> SocketAddr {
         (self.ip(FIRST_PLAIN_SERVER_OCTET + server), SERVER_PORT).into()
     }
 
-    /// The address of an engine, counted from 0.
+    /// Returns the address of an engine, counted from 0.
     #[must_use]
     pub fn engine_address(&self, engine: u8) -> SocketAddr {
         (self.ip(FIRST_ENGINE_OCTET + engine), SERVER_PORT).into()
     }
 
-    /// How many nodes have a disk; these are the first ones.
+    /// Returns the number of nodes with a disk; the nodes with the lowest numbers have one.
     #[must_use]
     pub fn nodes_with_disk(&self) -> u8 {
         self.nodes.min(MAX_NODES_WITH_DISK)
     }
 
-    /// How many of the nodes with a disk, and how many stores, may fail at once.
+    /// Returns the number of nodes with a disk that may fail at the same time, and also that of stores: a
+    /// majority of each must remain.
     #[must_use]
     pub fn tolerated_failures(&self) -> u8 {
         (self.nodes_with_disk().min(self.stores).max(1) - 1) / 2
     }
 
-    /// The zone of the machine with this number of its kind.
+    /// Returns the zone of the machine with this number, counted from 0 among the machines of its kind.
     #[must_use]
     pub fn zone(&self, number: u8) -> &'static str {
         ZONES[usize::from(number) % ZONES.len()]
--- a/crates/local-fleet/src/deployment/mod.rs
+++ b/crates/local-fleet/src/deployment/mod.rs
@@ -1,4 +1,5 @@
-//! The system under test: its processes, their addresses, settings and configuration, and the faults injected into them.
+//! The system under test: its processes with their addresses, settings and configuration, and faults to
+//! inject.
 
 mod configuration_file;
 mod error;
--- a/crates/local-fleet/src/deployment/process.rs
+++ b/crates/local-fleet/src/deployment/process.rs
@@ -1,4 +1,4 @@
-//! One process of the system: its files and its operating-system process.
+//! One process of the system: its files and the child process that runs it.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -9,33 +9,35 @@
 use super::error::FleetError;
 use super::settings_file::{MachineClass, SettingsFile};
 
-/// The environment variable that names the settings file to a process.
+/// Environment variable with the path of the settings file.
 const SETTINGS_VARIABLE: &str = "RUSHRUDDER_BOOT";
-/// Environment variables that a process inherits.
+/// Environment variables that a process inherits; all others are removed.
 const INHERITED_VARIABLES: [&str; 3] = ["PATH", "HOME", "LANG"];
 
 /// A process of the system, running or not.
 #[derive(Debug)]
 pub(super) struct Process {
     name: String,
-    /// Holds its settings, its log and its data.
+    /// Directory of the settings, the log and the data of the process.
     directory: PathBuf,
     settings: SettingsFile,
+    /// `None` before the first start and after the end was observed.
     child: Option<Child>,
 }
 
 impl Process {
-    /// A process that is not running.
+    /// Returns a process that is not running.
     pub(super) fn new(name: String, directory: PathBuf, settings: SettingsFile) -> Self {
         Self { name, directory, settings, child: None }
     }
 
-    /// Whether it was started and is not known to have ended.
+    /// Returns whether the process was started and its end was not observed yet.
     pub(super) fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Starts it, unless it is running. Only its first start counts as the first start of the system.
+    /// Starts the process, unless it is running. Its settings mark only the first start as the first start of
+    /// the system.
     pub(super) fn start(&mut self, executable: &Path) -> Result<(), FleetError> {
         if self.child.is_none() {
             self.child = Some(self.spawn(executable)?);
@@ -44,14 +46,14 @@
         Ok(())
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its end; does nothing if it is not running.
     pub(super) fn kill(&mut self) -> Result<(), FleetError> {
         let Some(mut child) = self.child.take() else { return Ok(()) };
         child.kill().and_then(|()| child.wait()).map_err(FleetError::io(&self.name))?;
         Ok(())
     }
 
-    /// Sends SIGTERM.
+    /// Sends SIGTERM to the process; does nothing if it is not running.
     pub(super) fn terminate(&self) -> Result<(), FleetError> {
         let Some(child) = &self.child else { return Ok(()) };
         let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Whether it has ended, or was not running.
+    /// Returns whether the process has ended or was not running.
     pub(super) fn has_ended(&mut self) -> Result<bool, FleetError> {
         let Some(child) = &mut self.child else { return Ok(true) };
         let has_ended = child.try_wait().map_err(FleetError::io(&self.name))?.is_some();
@@ -72,16 +74,17 @@
         Ok(has_ended)
     }
 
-    /// Whether it has ended since it was started; it counts as not running from then on.
+    /// Returns whether a process that was running has exited without a call of this module, and marks it as
+    /// not running.
     pub(super) fn take_unexpected_exit(&mut self) -> bool {
         let status = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
         let Some(status) = status else { return false };
-        log::warn!("{} exited unexpectedly: {status}", self.name);
+        log::warn!("process {} exited unexpectedly: {status}", self.name);
         self.child = None;
         true
     }
 
-    /// Removes its data.
+    /// Deletes the data directory, if there is one.
     pub(super) fn wipe(&self) -> Result<(), FleetError> {
         match self.settings.data_dir() {
             Some(data) if data.exists() => fs::remove_dir_all(data).map_err(FleetError::io(data.display())),
@@ -89,10 +92,11 @@
         }
     }
 
+    /// Spawns the child process with stdout and stderr appended to the log file.
     fn spawn(&self, executable: &Path) -> Result<Child, FleetError> {
         let settings = self.write_files()?;
         let log = self.open_log()?;
-        let stderr = log.try_clone().map_err(FleetError::io("log"))?;
+        let stderr = log.try_clone().map_err(FleetError::io("handle of the log file"))?;
         let mut command = Command::new(executable);
         command.arg(self.subcommand()).env_clear().env(SETTINGS_VARIABLE, &settings);
         command.stdin(Stdio::null()).stdout(log).stderr(stderr);
@@ -104,7 +108,7 @@
         command.spawn().map_err(FleetError::io(executable.display()))
     }
 
-    /// Creates its directories and writes its settings; returns the path of the settings file.
+    /// Creates the directories of the process and writes the settings file; returns its path.
     fn write_files(&self) -> Result<PathBuf, FleetError> {
         fs::create_dir_all(&self.directory).map_err(FleetError::io(self.directory.display()))?;
         if let Some(data) = self.settings.data_dir() {
@@ -132,7 +136,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Err(error) = self.kill() {
-            log::warn!("{} cannot be killed: {error}", self.name);
+            log::warn!("process {} cannot be killed: {error}", self.name);
         }
     }
 }
--- a/crates/local-fleet/src/deployment/settings_file.rs
+++ b/crates/local-fleet/src/deployment/settings_file.rs
@@ -1,6 +1,7 @@
-//! The settings file of a process, as the program reads it at its start.
+//! The settings file that a process reads when it starts.
 //!
-//! The types are write-only: fields are named after the keys of the file or renamed by `serde`.
+//! The types are only written, never read. Fields have the names of the keys in the file or are renamed by
+//! `serde`.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -12,23 +13,23 @@
 use super::layout::{Layout, INTERNAL_PORTS, REGION, ZONES};
 use super::timing_rules::TimingRules;
 
-/// Calls a second that the platform accepts from all nodes together.
+/// Number of calls a second that the platform accepts from all nodes together.
 pub const PLATFORM_CALLS_PER_SECOND: f64 = 44.0;
-/// How far the platform's server list lags.
+/// Time from a change of the platform's server list until calls return it.
 pub const PLATFORM_LAG: Duration = Duration::from_millis(800);
 
-/// The purpose of a machine.
+/// Kind of process that a machine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum MachineClass {
-    /// A traffic node.
+    /// A traffic node, which proxies requests to servers.
     #[serde(rename = "counter")]
     Node,
-    /// A store of batch jobs.
+    /// A store, which keeps replicas of batch jobs on disk.
     #[serde(rename = "vault")]
     Store,
 }
 
-/// The addresses at which a node serves clients, readiness checks and the operator.
+/// The addresses at which a node serves clients, readiness checks and the operator; all `None` for a store.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ListenAddresses {
     #[serde(rename = "front", skip_serializing_if = "Option::is_none")]
@@ -39,7 +40,7 @@
     operator: Option<String>,
 }
 
-/// The resources that a process may use.
+/// The resources that a process may use. The unit of a size or rate is in the name of its field.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ProcessLimits {
@@ -51,7 +52,7 @@
     disk_mb: u64,
 }
 
-/// Failures at one time that the system tolerates.
+/// The number of machines, zones and regions that may fail at the same time without an outage.
 #[derive(Clone, Debug, Serialize)]
 pub struct ToleratedFailures {
     machines: u8,
@@ -59,7 +60,7 @@
     regions: u8,
 }
 
-/// How the platform is reached.
+/// The address and limits of the platform's server list.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct PlatformSettings {
@@ -70,7 +71,7 @@
     lag_ms: u64,
 }
 
-/// The settings of a process.
+/// The settings of a process, with all sections of the file.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SettingsFile {
@@ -86,7 +87,8 @@
     internal_ports: (u16, u16),
     #[serde(rename = "seedStations")]
     seeds: Vec<String>,
-    /// Whether the system starts for the first time.
+    /// Whether the system starts for the first time, so that its stored state is empty. Set only for the
+    /// first start of a process.
     pub first_start: bool,
     counts_for_quorum: bool,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -109,7 +111,7 @@
 }
 
 impl SettingsFile {
-    /// The settings of a traffic node, with its files under `directory`.
+    /// Returns the settings of a traffic node, counted from 0, with its files under `directory`.
     #[must_use]
     pub fn node(layout: &Layout, node: u8, directory: &Path) -> Self {
         let has_disk = node < layout.nodes_with_disk();
@@ -133,7 +135,7 @@
         }
     }
 
-    /// The settings of a store, with its files under `directory`.
+    /// Returns the settings of a store, counted from 0, with its files under `directory`.
     #[must_use]
     pub fn store(layout: &Layout, store: u8, directory: &Path) -> Self {
         Self {
@@ -168,29 +170,29 @@
         }
     }
 
-    /// The name of the machine.
+    /// Returns the name of the machine, which is unique in the fleet.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The purpose of the machine.
+    /// Returns the kind of process that the machine runs.
     #[must_use]
     pub fn machine_class(&self) -> MachineClass {
         self.machine_class
     }
 
-    /// Where the process keeps its files, if it has a disk.
+    /// Returns the directory for the data of the process; `None` for a machine without a disk.
     #[must_use]
     pub fn data_dir(&self) -> Option<&Path> {
         self.data_dir.as_deref()
     }
 
-    /// The text of the file.
+    /// Returns the text of the settings file.
     ///
     /// # Errors
     ///
-    /// When a path cannot be written as text.
+    /// When a path is not valid UTF-8.
     pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
--- a/crates/local-fleet/src/deployment/timing_rules.rs
+++ b/crates/local-fleet/src/deployment/timing_rules.rs
@@ -4,8 +4,8 @@
 
 use serde::Serialize;
 
-/// The time limits of the system's rules; the section `timetable` of the settings file. What each one bounds is
-/// explained at `settings::TimingRules`, which reads it.
+/// The time limits of the system's rules, in the section `timetable` of the settings file.
+/// `settings::TimingRules`, which reads the section, explains each value.
 #[derive(Clone, Debug, Serialize)]
 pub struct TimingRules {
     #[serde(rename = "seedLagS")]
@@ -83,37 +83,39 @@
 }
 
 impl TimingRules {
-    /// How long a process may take to end after SIGTERM.
+    /// Returns the time within which a process must end after SIGTERM.
     #[must_use]
     pub fn termination_grace_period(&self) -> Duration {
         Duration::from_secs(self.shutdown_grace_s)
     }
 
-    /// From the acknowledgement of a configuration until it is in force at all nodes.
+    /// Returns the maximum time from the acknowledgement of a configuration until it is in force at all
+    /// nodes.
     #[must_use]
     pub fn configuration_propagation_timeout(&self) -> Duration {
         Duration::from_millis(self.configuration_in_force_ms)
     }
 
-    /// How long items of a batch job may still arrive at servers after its end was acknowledged.
+    /// Returns the time for which items of a batch job may still arrive at servers after its end was
+    /// acknowledged.
     #[must_use]
     pub fn cancellation_timeout(&self) -> Duration {
         Duration::from_millis(self.cancellation_timeout_ms)
     }
 
-    /// From the acknowledgement of a batch job until all nodes know it.
+    /// Returns the maximum time from the acknowledgement of a batch job until all nodes serve it.
     #[must_use]
     pub fn batch_job_propagation_timeout(&self) -> Duration {
         Duration::from_millis(self.job_visible_ms)
     }
 
-    /// How long results are retained.
+    /// Returns the time for which the results of a batch job are retained.
     #[must_use]
     pub fn result_retention(&self) -> Duration {
         Duration::from_secs(self.result_retention_s)
     }
 
-    /// How far apart orders of successive lease holders to one server have to be.
+    /// Returns the minimum time between orders of successive lease holders to the same server.
     #[must_use]
     pub fn leader_handover_interval(&self) -> Duration {
         Duration::from_millis(self.leader_handover_interval_ms)
--- a/crates/local-fleet/src/http/caller.rs
+++ b/crates/local-fleet/src/http/caller.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the stand-ins: single attempts, and calls that are retried until the outcome is known.
+//! The HTTP client of the emulators: single attempts, and calls that are retried until the outcome is known.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,30 +10,30 @@
 
 /// Time limit for a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many redirects are followed.
+/// Maximum number of redirects that an attempt follows.
 const MAX_REDIRECTS: usize = 2;
-/// The delay before the second attempt; it doubles with each further one, up to [`MAX_BACKOFF`].
+/// Delay before the second attempt; it doubles with each further attempt, up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// The longest delay before an attempt.
+/// Maximum delay before an attempt.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// An HTTP request.
+/// An HTTP request, which can be sent several times.
 #[derive(Clone, Debug)]
 pub struct HttpCall {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path with its query.
+    /// Path with the query, without scheme and host.
     pub path: String,
-    /// Its headers.
+    /// Names and values of the headers, in the order in which they are sent.
     pub headers: Vec<(&'static str, String)>,
-    /// Its body.
+    /// Request body; empty for none.
     pub body: Bytes,
-    /// Time limit of one attempt.
+    /// Time limit of one attempt, until the response is complete.
     pub timeout: Duration,
 }
 
 impl HttpCall {
-    /// A request without headers and body, with a time limit of one second.
+    /// Returns a request without headers and body, with a time limit of one second.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -50,7 +50,7 @@
         self
     }
 
-    /// Sets a JSON body.
+    /// Sets a JSON body and its `Content-Type` header.
     ///
     /// # Errors
     ///
@@ -67,40 +67,42 @@
     }
 }
 
-/// A complete response.
+/// A response whose body was received completely.
 #[derive(Clone, Debug)]
 pub struct HttpReply {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its headers.
+    /// Headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl HttpReply {
-    /// Whether the status is 2xx.
+    /// Returns whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// Whether the outcome of the call is known: neither a server error nor overload.
+    /// Returns whether the status states the outcome of the call: it is no server error (5xx), timeout (408)
+    /// or overload (429), after which a call may or may not have been executed.
     fn is_conclusive(&self) -> bool {
         self.status < 500 && self.status != 408 && self.status != 429
     }
 
-    /// A header, if it is present and text.
+    /// Returns the value of a header; `None` if it is missing or contains other characters than visible
+    /// ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// The outcome of a call is unknown.
+/// Error of a call whose outcome is unknown: it may or may not have been executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HttpCallError {
-    /// No complete response arrived.
+    /// No complete response arrived; the text names the cause.
     Failed(String),
-    /// The last attempt got this status, which leaves the outcome open.
+    /// The last attempt got this status, which does not state the outcome.
     Inconclusive(u16),
 }
 
@@ -115,14 +117,14 @@
 
 impl std::error::Error for HttpCallError {}
 
-/// Makes HTTP calls.
+/// Makes HTTP calls. Clones share their connections.
 #[derive(Clone, Debug)]
 pub struct HttpCaller {
     http: reqwest::Client,
 }
 
 impl HttpCaller {
-    /// A caller that opens a connection for each call.
+    /// Returns a caller that opens a new connection for each call.
     ///
     /// # Errors
     ///
@@ -131,7 +133,7 @@
         Ok(Self { http: client_builder().pool_max_idle_per_host(0).build()? })
     }
 
-    /// A caller that keeps connections for further calls.
+    /// Returns a caller that reuses connections.
     ///
     /// # Errors
     ///
@@ -144,7 +146,7 @@
     ///
     /// # Errors
     ///
-    /// When no connection came up, or no complete response came within the call's timeout.
+    /// When no connection is established, or no complete response arrives within the call's timeout.
     pub async fn call_once(&self, to: SocketAddr, call: &HttpCall) -> Result<HttpReply, HttpCallError> {
         let mut request = self.http.request(call.method.clone(), format!("http://{to}{}", call.path));
         for (name, value) in &call.headers {
@@ -157,7 +159,8 @@
         Ok(HttpReply { status, headers, body })
     }
 
-    /// Makes attempts at one peer after the other, with backoff, until the outcome is known or `timeout` has passed.
+    /// Makes attempts with backoff until the outcome is known or `timeout` has passed. `peer` returns the
+    /// address of the next attempt.
     ///
     /// # Errors
     ///
@@ -177,7 +180,7 @@
                 Ok(reply) => HttpCallError::Inconclusive(reply.status),
                 Err(error) => error,
             };
-            log::debug!("{} {} at {to}: {error}", call.method, call.path);
+            log::debug!("attempt {} {} at {to} failed: {error}", call.method, call.path);
             if Instant::now() + backoff >= deadline {
                 return Err(error);
             }
@@ -195,7 +198,7 @@
         .no_proxy()
 }
 
-/// The error with the text of all its causes.
+/// Converts an error of the HTTP client; the text lists all its causes.
 fn call_failed(error: reqwest::Error) -> HttpCallError {
     let mut reason = error.to_string();
     let mut source = std::error::Error::source(&error);
--- a/crates/local-fleet/src/http/connections.rs
+++ b/crates/local-fleet/src/http/connections.rs
@@ -1,7 +1,8 @@
 //! Connections that can be aborted in the middle of a response.
 //!
-//! When the stream of a chunked body ends with an error, poem's server still writes the last chunk, so that the
-//! client takes the response for complete. A server that is to break off therefore aborts the connection first.
+//! When the stream of a chunked body ends with an error, poem's server still writes the final chunk, and the
+//! client considers the response complete. A server that truncates a response therefore aborts the connection
+//! first.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,21 +18,22 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Open connections by the address of the peer.
+/// Open connections, by the socket address of the peer.
 type ConnectionsByPeer = Arc<Mutex<HashMap<SocketAddr, Connection>>>;
 
-/// A handle to a connection.
+/// A handle to a connection; clones refer to the same connection.
 #[derive(Clone, Debug, Default)]
 pub struct Connection {
     is_aborted: Arc<AtomicBool>,
 }
 
 impl Connection {
-    /// Fails every further read and write.
+    /// Makes every further read and write of the connection fail.
     pub fn abort(&self) {
         self.is_aborted.store(true, Ordering::Relaxed);
     }
 
+    /// Fails if the connection was aborted.
     fn check(&self) -> io::Result<()> {
         if self.is_aborted.load(Ordering::Relaxed) {
             return Err(io::ErrorKind::ConnectionReset.into());
@@ -40,7 +42,7 @@
     }
 }
 
-/// The open connections of a listener.
+/// The open connections of a listener; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
     by_peer: ConnectionsByPeer,
@@ -51,7 +53,7 @@
         self.by_peer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The connection by which a request arrived.
+    /// Returns the connection on which a request arrived; an unconnected handle if it is closed already.
     pub fn of_request(&self, request: &Request) -> Connection {
         let peer = request.remote_addr().as_socket_addr();
         peer.and_then(|peer| self.by_peer().get(peer).cloned()).unwrap_or_default()
@@ -70,7 +72,7 @@
 }
 
 impl AbortableAcceptor {
-    /// An acceptor that registers its connections in `connections`.
+    /// Returns an acceptor that registers its connections in `connections`.
     pub fn new(listener: TcpListener, connections: Connections) -> io::Result<Self> {
         Ok(Self { inner: TcpAcceptor::from_tokio(listener)?, connections })
     }
@@ -94,7 +96,7 @@
     }
 }
 
-/// The byte stream of a connection that can be aborted.
+/// The byte stream of a connection that can be aborted; it unregisters the connection when it is dropped.
 pub struct AbortableStream {
     socket: TcpStream,
     peer: SocketAddr,
--- a/crates/local-fleet/src/http/listener.rs
+++ b/crates/local-fleet/src/http/listener.rs
@@ -1,4 +1,4 @@
-//! The HTTP listener of a stand-in.
+//! The HTTP listener of an emulator.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 
 use super::connections::{AbortableAcceptor, Connections};
 
-/// Serves HTTP until it is dropped, which also aborts its connections.
+/// Serves HTTP until it is dropped; dropping it also aborts its connections.
 #[derive(Debug)]
 pub struct HttpListener {
     address: SocketAddr,
@@ -20,7 +20,7 @@
 }
 
 impl HttpListener {
-    /// Serves `app` at `address` (port 0: any free port) and registers its connections in `connections`.
+    /// Serves `app` at `address` (port 0 selects a free port) and registers the connections in `connections`.
     ///
     /// # Errors
     ///
@@ -49,7 +49,7 @@
         Ok(Self { address, connections, _shutdown: shutdown })
     }
 
-    /// The address that it is bound to.
+    /// Returns the address that the listener is bound to, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/local-fleet/src/http/mod.rs
+++ b/crates/local-fleet/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP for the stand-ins: a client with retries, and listeners whose connections can be aborted.
+//! HTTP for the emulators: a client with retries, and listeners whose connections can be aborted.
 
 mod caller;
 mod connections;
--- a/crates/local-fleet/src/lib.rs
+++ b/crates/local-fleet/src/lib.rs
@@ -1,14 +1,16 @@
-//! A small fleet on loopback: real processes of the system between stand-ins of everything around them.
+//! A small fleet on loopback for end-to-end tests: real processes of the system, and emulators of all parties
+//! that exchange messages with them.
 //!
-//! [`run()`] starts traffic nodes and stores as child processes, a [`Platform`], plain and engine servers, an
-//! [`Operator`], a [`Trainer`] and a [`Client`], and takes training steps through the system while it injects faults. A
-//! [`RequestLog`] records what the servers ran and generated; every response and result is compared with it, so that
-//! the report names the rule that was broken.
+//! [`run()`] starts traffic nodes and stores as child processes. In its own process it emulates the platform
+//! ([`Platform`]), plain servers and engines, the [`Operator`], a [`Trainer`] and a [`Client`]. It then runs
+//! training steps and injects faults into the child processes. A [`RequestLog`] records what the servers
+//! executed and generated; every response and result is compared with it, so that the report names each rule
+//! that was broken.
 //!
-//! - [`deployment`] has the system under test: processes, addresses, settings, configuration, faults.
-//! - [`platform`], [`servers`], [`clients`], [`operator`] and [`trainer`] are the stand-ins.
-//! - [`verification`] has the rules and their checks.
-//! - [`run`](mod@run) puts them together.
+//! - [`deployment`] contains the system under test: processes, addresses, settings, configuration, faults.
+//! - [`platform`], [`servers`], [`clients`], [`operator`] and [`trainer`] are the emulators.
+//! - [`verification`] contains the rules and their checks.
+//! - [`run`](mod@run) combines them.
 
 pub mod clients;
 pub mod deployment;
--- a/crates/local-fleet/src/operator.rs
+++ b/crates/local-fleet/src/operator.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the operator, who changes the configuration, and of trainers where they name versions.
+//! The emulated operator, who reads and changes the configuration and requests roll-outs of versions. The
+//! trainer uses it too, to name the version that each step produces.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,19 +11,20 @@
 use crate::http::{HttpCall, HttpCallError, HttpCaller, HttpReply};
 use crate::protocol::NamedVersion;
 
-/// The path of the configuration.
+/// Path at which nodes serve the configuration.
 const CONFIGURATION_PATH: &str = "/api/timetable";
-/// The path for naming versions.
+/// Path at which nodes accept the version to roll out.
 const VERSION_PATH: &str = "/api/version-put";
-/// Time limit of one attempt; the largest documents take longer than the usual second.
+/// Time limit of one attempt to read or change the configuration. The default of one second is too short for
+/// the largest documents.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An order was not acknowledged.
+/// Error of a call of the operator that was not acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorError {
-    /// Its outcome is unknown.
+    /// The outcome of the call is unknown.
     Inconclusive(HttpCallError),
-    /// It was rejected, with this status and body.
+    /// A node rejected the call with this status and body.
     Rejected(u16, String),
     /// A message cannot be serialized or parsed.
     Malformed(String),
@@ -52,7 +54,8 @@
     }
 }
 
-/// The operator.
+/// An operator that calls the nodes in rotation, starting at a random one, until one of them acknowledges a
+/// call.
 #[derive(Clone, Debug)]
 pub struct Operator {
     caller: HttpCaller,
@@ -60,7 +63,7 @@
 }
 
 impl Operator {
-    /// An operator that reaches all nodes of a layout.
+    /// Returns an operator that calls all nodes of a layout.
     ///
     /// # Errors
     ///
@@ -69,7 +72,7 @@
         Self::with_nodes((0..layout.nodes).map(|node| layout.operator_address(node)).collect())
     }
 
-    /// An operator that reaches these nodes.
+    /// Returns an operator that calls the nodes at these addresses.
     ///
     /// # Errors
     ///
@@ -95,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// When it is not acknowledged within `timeout`.
+    /// When no node acknowledges the configuration within `timeout`, or a node rejects it.
     pub async fn put(
         &self,
         configuration: &ConfigurationFile,
@@ -107,11 +110,11 @@
         self.call(&call, timeout).await.map(drop)
     }
 
-    /// Changes named entries of the configuration, on the condition that its version is `expected_version`.
+    /// Changes single entries of the configuration, on the condition that its version is `expected_version`.
     ///
     /// # Errors
     ///
-    /// When it is not acknowledged within `timeout`.
+    /// When no node acknowledges the change within `timeout`, or a node rejects it.
     pub async fn patch(
         &self,
         patch: &ConfigurationPatch,
@@ -127,17 +130,17 @@
     ///
     /// # Errors
     ///
-    /// When no node sends it within `timeout`.
+    /// When no node returns it within `timeout`, a node rejects the call, or the document cannot be parsed.
     pub async fn read(&self, timeout: Duration) -> Result<ConfigurationFile, OperatorError> {
         let call = HttpCall::new(Method::GET, CONFIGURATION_PATH).timeout(CONFIGURATION_TIMEOUT);
         Ok(serde_json::from_slice(&self.call(&call, timeout).await?.body)?)
     }
 
-    /// Names a version of a model's weights, which the system then rolls out.
+    /// Names the version of a model's weights that the system rolls out next.
     ///
     /// # Errors
     ///
-    /// When it is not acknowledged within `timeout`.
+    /// When no node acknowledges the version within `timeout`, or a node rejects it.
     pub async fn name_version(
         &self,
         model: &str,
--- a/crates/local-fleet/src/platform/lagging_list.rs
+++ b/crates/local-fleet/src/platform/lagging_list.rs
@@ -1,4 +1,4 @@
-//! The server list as the platform shows it, some time after it has changed.
+//! The server list as the platform returns it: changes become visible after a lag.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -6,28 +6,30 @@
 
 use crate::protocol::ListedServer;
 
-/// A list that shows what it was some time ago.
+/// A server list whose changes become visible after a fixed lag.
 #[derive(Debug)]
 pub struct LaggingList {
     lag: Duration,
-    /// Each version with the time from which it is visible, oldest first; the first is visible now.
+    /// Each version of the list with the time from which it is visible, oldest first. The first version is
+    /// visible until the time of the second.
     versions: VecDeque<(Instant, Arc<[ListedServer]>)>,
 }
 
 impl LaggingList {
-    /// An empty list that lags by `lag`.
+    /// Returns an empty list whose changes become visible after `lag`.
     #[must_use]
     pub fn new(lag: Duration) -> Self {
         Self { lag, versions: VecDeque::new() }
     }
 
-    /// Replaces the list; the first one is visible at once.
+    /// Replaces the list at `now`. The first list is visible at once, later ones after the lag.
     pub fn replace(&mut self, now: Instant, servers: Vec<ListedServer>) {
         let visible_from = if self.versions.is_empty() { now } else { now + self.lag };
         self.versions.push_back((visible_from, servers.into()));
     }
 
-    /// The version that is visible at `now`.
+    /// Returns the version that is visible at `now`, and drops older ones; `now` must not decrease between
+    /// calls.
     pub fn visible(&mut self, now: Instant) -> Arc<[ListedServer]> {
         while self.versions.get(1).is_some_and(|(visible_from, _)| *visible_from <= now) {
             self.versions.pop_front();
--- a/crates/local-fleet/src/platform/mod.rs
+++ b/crates/local-fleet/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: its HTTP list of servers, which lags, is paginated and has a rate limit.
+//! The emulated platform: an HTTP API for the list of servers, which lags, is paginated and has a rate limit.
 
 mod lagging_list;
 mod rate_limit;
@@ -18,25 +18,26 @@
 pub use lagging_list::LaggingList;
 pub use rate_limit::RateLimit;
 
-/// Starts the token of a page; the position of its first entry follows.
+/// Prefix of a page token; the position of the page's first entry follows.
 const PAGE_TOKEN_PREFIX: &str = "p-";
 
-/// How the platform behaves.
+/// Behavior of the emulated platform.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// How far the list lags.
+    /// Time from a change of the list until calls return it.
     pub lag: Duration,
-    /// Calls a second that it accepts.
+    /// Number of calls a second that the platform accepts from all callers together; further calls get status
+    /// 429.
     pub calls_per_second: f64,
-    /// Entries of a page.
+    /// Maximum number of entries of a page.
     pub page_entries: usize,
 }
 
-/// Calls to the platform; in JSON an array of both numbers.
+/// Numbers of calls to the platform; in JSON an array `[total, rejected]`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(u64, u64)")]
 pub struct PlatformCalls {
-    /// All calls.
+    /// All calls, including rejected ones.
     pub total: u64,
     /// Calls that were rejected because they exceeded the rate limit.
     pub rejected: u64,
@@ -55,7 +56,7 @@
     calls: PlatformCalls,
 }
 
-/// The platform; it stops when it is dropped.
+/// A running emulator of the platform; dropping it closes its listener.
 #[derive(Debug)]
 pub struct Platform {
     state: Arc<Mutex<PlatformState>>,
@@ -64,13 +65,15 @@
 
 #[derive(Deserialize)]
 struct ListQuery {
+    /// Zone whose servers are requested; `None` for all zones.
     zone: Option<String>,
+    /// Token of the requested page; `None` for the first page.
     #[serde(rename = "leaf")]
     page: Option<String>,
 }
 
 impl Platform {
-    /// Starts it at `address` (port 0: any free port).
+    /// Starts the platform with an empty list at `address` (port 0 selects a free port).
     ///
     /// # Errors
     ///
@@ -89,18 +92,18 @@
         Ok(Self { state, listener })
     }
 
-    /// Replaces the list of servers; the change becomes visible after the lag.
+    /// Replaces the list of servers. The first list is visible at once, a later one after the lag.
     pub fn set_servers(&self, servers: Vec<ListedServer>) {
         lock(&self.state).list.replace(Instant::now(), servers);
     }
 
-    /// Calls so far.
+    /// Returns the numbers of calls so far.
     #[must_use]
     pub fn calls(&self) -> PlatformCalls {
         lock(&self.state).calls
     }
 
-    /// The address that it is bound to.
+    /// Returns the address that the listener is bound to, with the actual port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
@@ -128,6 +131,7 @@
         json_response(&self.page(now, query.zone.as_deref(), first, page_entries))
     }
 
+    /// Returns the page that starts at position `first` of the visible servers of `zone`.
     fn page(
         &mut self,
         now: Instant,
@@ -146,6 +150,7 @@
     }
 }
 
+/// Returns the position of the first entry of the page with this token; `None` if the token is invalid.
 fn first_entry(page: Option<&str>) -> Option<usize> {
     match page {
         None | Some("") => Some(0),
--- a/crates/local-fleet/src/run/environment.rs
+++ b/crates/local-fleet/src/run/environment.rs
@@ -1,4 +1,4 @@
-//! The platform and the servers around a fleet.
+//! The emulated platform and servers of a run, with their parameters.
 
 use std::future::Future;
 use std::io;
@@ -11,41 +11,42 @@
 use crate::servers::{EngineOptions, EngineServer, PlainOptions, PlainServer, PREFILL_AND_DECODE};
 use crate::verification::RequestLog;
 
-/// Requests that a plain server runs concurrently.
+/// Number of requests that a plain server runs concurrently.
 const PLAIN_SLOTS: usize = 6;
-/// Requests that an engine runs concurrently.
+/// Number of requests that an engine runs concurrently.
 pub(super) const ENGINE_SLOTS: usize = 8;
-/// Requests that a server queues.
+/// Maximum number of requests that wait for a slot at a server.
 const MAX_QUEUED_REQUESTS: usize = 4;
-/// Tokens that the KV cache of an engine holds.
+/// Capacity of an engine's KV cache, in tokens.
 pub(super) const ENGINE_CACHE_TOKENS: u64 = 39_117;
-/// How long a request runs at a plain server.
+/// Time that a request runs at a plain server.
 const PLAIN_SERVICE_TIME: Duration = Duration::from_millis(25);
-/// Time from one event of a stream to the next.
+/// Time before each event of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(12);
-/// How long an engine takes to load a version.
+/// Time that an engine takes to load a version of its weights.
 const LOAD_TIME: Duration = Duration::from_millis(400);
-/// Entries of a page of the server list.
+/// Maximum number of entries on a page of the server list.
 const PAGE_ENTRIES: usize = 5;
-/// Time from one update of the server list to the next.
+/// Time between two comparisons of the server list with the versions of the engines.
 const LIST_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
-/// The version of the servers' software.
+/// Software version that the server list states for all servers.
 const SOFTWARE_VERSION: &str = "v1";
-/// The path of the servers' health checks.
+/// Path of the health check at all servers.
 const HEALTH_PATH: &str = "/health";
 
-/// The platform and the servers; they stop when it is dropped.
+/// The running platform and servers; dropping it stops all of them.
 #[derive(Debug)]
 pub(super) struct Environment {
     pub(super) platform: Arc<Platform>,
     pub(super) engines: Arc<[EngineServer]>,
-    /// The server list as it was at the start.
+    /// Server list at the start of the run.
     listed: Vec<ListedServer>,
     _plain_servers: Vec<PlainServer>,
 }
 
 impl Environment {
-    /// Starts platform and servers. Every `truncate_every`th stream of an engine breaks off.
+    /// Starts the platform and the servers. Each engine truncates every `truncate_every`th of its streams; 0
+    /// truncates none.
     pub(super) async fn start(
         layout: &Layout,
         names: &Names,
@@ -75,7 +76,8 @@
         Ok(Self { platform, engines: engines.into(), listed, _plain_servers: plain_servers })
     }
 
-    /// Updates the versions in the server list when engines have loaded others; never returns.
+    /// Updates the versions in the server list whenever an engine has loaded another one; the future never
+    /// completes.
     pub(super) fn update_list(&self) -> impl Future<Output = ()> + Send + 'static {
         let (platform, engines) = (Arc::clone(&self.platform), Arc::clone(&self.engines));
         let mut listed = self.listed.clone();
@@ -92,6 +94,7 @@
     }
 }
 
+/// Returns the entries of `listed` with the versions that the engines use now.
 fn with_current_versions(listed: &[ListedServer], engines: &[EngineServer]) -> Vec<ListedServer> {
     let mut servers = listed.to_vec();
     for engine in engines {
--- a/crates/local-fleet/src/run/error.rs
+++ b/crates/local-fleet/src/run/error.rs
@@ -1,4 +1,4 @@
-//! Why a run cannot start or continue.
+//! Errors that prevent or end a run.
 
 use std::fmt;
 use std::io;
@@ -6,26 +6,26 @@
 use crate::deployment::FleetError;
 use crate::operator::OperatorError;
 
-/// A run cannot start or continue.
+/// Error that prevents a run or ends it early.
 #[derive(Debug)]
 pub enum LocalError {
-    /// An option is out of its range.
+    /// An option is out of its range; the text names the option and the range.
     Options(&'static str),
-    /// The address of a stand-in cannot be bound.
+    /// The address of an emulated server or of the emulated platform cannot be bound.
     Listen(io::Error),
     /// An HTTP client cannot be set up.
     Http(reqwest::Error),
     /// A process cannot be started or signalled.
     Fleet(FleetError),
-    /// The first configuration was not acknowledged.
+    /// The initial configuration was not acknowledged.
     NotConfigured(OperatorError),
-    /// Signals cannot be handled, or one arrived before the end.
+    /// Signals cannot be handled, or a signal arrived before the end of the run.
     Interrupted,
     /// Not all nodes became ready in time.
     NotReady {
-        /// Nodes that are ready.
+        /// Number of nodes that were ready at the end of the time limit.
         ready: usize,
-        /// All nodes.
+        /// Number of all nodes.
         nodes: u8,
     },
 }
@@ -34,12 +34,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Options(reason) => f.write_str(reason),
-            Self::Listen(error) => write!(f, "a stand-in cannot listen: {error}"),
-            Self::Http(error) => write!(f, "no HTTP client: {error}"),
+            Self::Listen(error) => {
+                write!(f, "an emulated server or the emulated platform cannot listen: {error}")
+            }
+            Self::Http(error) => write!(f, "an HTTP client cannot be created: {error}"),
             Self::Fleet(error) => error.fmt(f),
-            Self::NotConfigured(error) => write!(f, "the first configuration was not taken: {error}"),
+            Self::NotConfigured(error) => {
+                write!(f, "the initial configuration was not acknowledged: {error}")
+            }
             Self::Interrupted => f.write_str("interrupted"),
-            Self::NotReady { ready, nodes } => write!(f, "only {ready} of {nodes} nodes got ready in time"),
+            Self::NotReady { ready, nodes } => {
+                write!(f, "only {ready} of {nodes} nodes became ready within the time limit")
+            }
         }
     }
 }
--- a/crates/local-fleet/src/run/local_run.rs
+++ b/crates/local-fleet/src/run/local_run.rs
@@ -1,4 +1,4 @@
-//! The course of a run.
+//! The phases of a run: preparation, start, training steps with faults, and the final checks.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,26 +18,28 @@
 use crate::trainer::{ItemGroup, JobRouting, JobTemplate, StepOutcome, Trainer, TrainerError};
 use crate::verification::{RequestLog, Rule, Violation};
 
-/// Time limit for the start of the fleet.
+/// Time limit for the acknowledgement of the initial configuration, and again until all nodes are ready.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time from one readiness check of all nodes at the start to the next.
+/// Time between two readiness checks of all nodes during the start.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time limit of an operator's order with its retries.
+/// Time limit of a call of the operator, including retries.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(15);
-/// Path prefixes of the first routes.
+/// Path prefix of the initial route for client requests.
 const SAFE_PREFIX: &str = "/sightings/";
+/// Path prefix of the route for reward calls.
 const REWARD_PREFIX: &str = "/rewards/";
+/// Path prefix of the route for batch jobs and their items.
 const ROLLOUT_PREFIX: &str = "/rollouts/";
-/// The configuration changes after every so many steps.
+/// The configuration is changed after each this many steps.
 const STEPS_PER_CONFIGURATION_CHANGE: u64 = 2;
-/// The version of the first configuration.
+/// Version of the initial configuration.
 const INITIAL_CONFIGURATION_VERSION: u64 = 2;
-/// Tokens of a prompt that its group shares.
+/// Number of prompt tokens in the prefix that all items of a group share.
 const SHARED_PROMPT_TOKENS: u64 = 255;
-/// Tokens of a prompt that belong to one item.
+/// Number of prompt tokens after the shared prefix, which differ for each item.
 const UNIQUE_PROMPT_TOKENS: u64 = 16;
 
-/// The stand-ins around the fleet.
+/// The emulators that exchange messages with the processes of the fleet.
 struct Emulators {
     environment: Environment,
     load_balancer: LoadBalancer,
@@ -47,7 +49,7 @@
 }
 
 impl Emulators {
-    /// Starts platform and servers, and sets up the callers.
+    /// Starts the platform and the servers, and creates the load balancer, operator, clients and trainer.
     async fn start(
         layout: &Layout,
         names: &Names,
@@ -78,21 +80,23 @@
 /// A run in progress.
 pub(super) struct LocalRun<P> {
     options: LocalOptions,
+    /// Called with each line that the run prints.
     print_progress: P,
     timing: TimingRules,
     names: Names,
     request_log: Arc<RequestLog>,
     emulators: Emulators,
     fleet: Fleet,
-    /// The newest configuration that was acknowledged.
+    /// Newest configuration that was acknowledged; before the start, the initial configuration.
     configuration: ConfigurationFile,
     report: LocalReport,
+    /// Tasks of the load balancer, the clients and the server list, which end with the run.
     background_tasks: JoinSet<()>,
     started: Instant,
 }
 
 impl<P: Fn(&str)> LocalRun<P> {
-    /// Starts the stand-ins and prepares the processes, with empty disks.
+    /// Starts the emulators, and prepares the processes with empty disks.
     pub(super) async fn prepare(options: LocalOptions, print_progress: P) -> Result<Self, LocalError> {
         let layout = options.layout()?;
         let started = Instant::now();
@@ -102,7 +106,7 @@
             Arc::new(RequestLog::new(timing.cancellation_timeout(), timing.leader_handover_interval()));
         let emulators = Emulators::start(&layout, &names, &timing, &options.workload, &request_log).await?;
         let mut fleet = Fleet::new(&layout, &options.executable, &options.directory);
-        // A system starts for the first time only if its disks are empty.
+        // The settings state a first start of the system, which requires empty disks.
         fleet.names().iter().try_for_each(|name| fleet.wipe(name))?;
         Ok(Self {
             configuration: initial_configuration(&names, options.workload.single_version),
@@ -119,7 +123,8 @@
         })
     }
 
-    /// Starts the processes, puts the first configuration, and waits until all nodes are ready.
+    /// Starts the processes, sends the initial configuration, waits until all nodes are ready, and starts the
+    /// clients.
     pub(super) async fn start(&mut self) -> Result<(), LocalError> {
         let Emulators { environment, load_balancer, operator, client, .. } = &self.emulators;
         self.background_tasks.spawn(environment.update_list());
@@ -137,6 +142,7 @@
         Ok(())
     }
 
+    /// Waits until all nodes pass their readiness checks; fails after [`START_TIMEOUT`].
     async fn wait_until_ready(&self) -> Result<(), LocalError> {
         let nodes = self.options.size.nodes;
         let deadline = Instant::now() + START_TIMEOUT;
@@ -152,7 +158,8 @@
         }
     }
 
-    /// Runs all steps, with the faults and changes of the configuration between them.
+    /// Runs all steps with their faults, and changes the configuration after every second step. Restarts
+    /// processes that exited unexpectedly after each step.
     pub(super) async fn run_steps(&mut self) -> Result<(), LocalError> {
         let mut incomplete_groups: Vec<ItemGroup> = Vec::new();
         for step in 0..self.options.workload.steps {
@@ -168,7 +175,7 @@
         Ok(())
     }
 
-    /// Runs one step while the faults of this step are injected.
+    /// Runs one step while the faults of this step are injected. The inner result is that of the trainer.
     async fn run_step(
         &mut self,
         step: u64,
@@ -185,6 +192,8 @@
         Ok(outcome)
     }
 
+    /// Prints the outcome of a step and adds it to the report; returns it unless the step failed with an
+    /// error.
     fn record_outcome(
         &mut self,
         step: u64,
@@ -217,6 +226,7 @@
         }
     }
 
+    /// Restarts processes that exited unexpectedly, and reports each exit as a violation.
     fn restart_exited_processes(&mut self) -> Result<(), LocalError> {
         for name in self.fleet.take_unexpected_exits() {
             let description = format!("{name} ended by itself");
@@ -227,12 +237,13 @@
         Ok(())
     }
 
-    /// Adds a route to the plain servers; clients use it once it must be in force.
+    /// Adds a route to the plain servers; clients use it from the time at which it must be in force at all
+    /// nodes.
     async fn change_configuration(&mut self, step: u64) {
         let prefix = format!("/sightings-{step}/");
         let routes = vec![RouteEntry::safe(&self.names, &prefix)];
         let expected_version = self.configuration.version;
-        // Versions need not be consecutive.
+        // Versions must increase but need not be consecutive; some changes skip one or two versions.
         let version = expected_version + 1 + step % 3;
         let patch = ConfigurationPatch {
             version,
@@ -253,7 +264,7 @@
         }
     }
 
-    /// Reads everything back, shuts the processes down, and completes the report.
+    /// Reads the results and the configuration again, shuts the processes down, and completes the report.
     pub(super) async fn finish(mut self) -> Result<LocalReport, LocalError> {
         self.background_tasks.shutdown().await;
         self.emulators.trainer.read_back().await;
@@ -270,6 +281,7 @@
         Ok(self.complete_report())
     }
 
+    /// Checks that the nodes return the newest acknowledged configuration.
     async fn check_configuration(&self) {
         match self.emulators.operator.read(OPERATOR_TIMEOUT).await {
             Ok(read) if read == self.configuration => {}
@@ -304,7 +316,8 @@
     }
 }
 
-/// Injects faults one after the other; returns for each whether its process ended in time.
+/// Injects faults one after the other; returns for each fault `false` if its process did not end within
+/// `grace`.
 async fn inject_faults(
     faults: &[ProcessFault],
     fleet: &mut Fleet,
--- a/crates/local-fleet/src/run/report.rs
+++ b/crates/local-fleet/src/run/report.rs
@@ -6,48 +6,48 @@
 
 use crate::platform::PlatformCalls;
 
-/// The report of a run; its text and JSON are read by people and scripts.
+/// The report of a run. Scripts read its JSON and its text form, so that neither may change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LocalReport {
-    /// Training steps whose required groups were completed.
+    /// Number of training steps whose required groups were completed.
     pub steps_done: u64,
-    /// All other training steps.
+    /// Number of all other training steps.
     pub steps_failed: u64,
-    /// Groups that were completed.
+    /// Number of groups that were completed, in all steps together.
     #[serde(rename = "groups_whole")]
     pub complete_groups: u64,
-    /// Results that were read.
+    /// Number of results that the trainer read.
     pub results: u64,
-    /// Requests of clients.
+    /// Number of requests that clients sent.
     pub requests_sent: u64,
-    /// Requests of clients that were served.
+    /// Number of client requests that got a response with a 2xx status within their time limit.
     pub requests_served: u64,
-    /// Changes of the configuration that were acknowledged.
+    /// Number of configurations that were acknowledged, including the initial one.
     pub configurations: u64,
-    /// The newest version of the weights that the trainer named.
+    /// Newest version of the weights that the trainer named for roll-out.
     pub newest_version: u64,
-    /// The version of the weights of each engine at the end.
+    /// Version of the weights of each engine at the end of the run.
     pub engine_versions: Vec<u64>,
-    /// Orders that engines accepted.
+    /// Number of valid orders that arrived at engines.
     pub orders: u64,
-    /// Calls to the platform.
+    /// Numbers of calls to the platform.
     pub platform_calls: PlatformCalls,
     /// Seconds from the start of the run until all nodes were ready.
     pub start_seconds: f64,
     /// Seconds from the start of the run to its end.
     pub seconds: f64,
-    /// Faults that were injected.
+    /// Faults that were injected, in their text form.
     #[serde(rename = "troubles")]
     pub faults: Vec<String>,
-    /// The first violations of rules.
+    /// Descriptions of the first violations of rules, at most 200.
     pub violations: Vec<String>,
-    /// The number of all violations.
+    /// Number of all violations.
     #[serde(rename = "violations_seen")]
     pub violation_count: usize,
 }
 
 impl LocalReport {
-    /// Whether every step was done and no rule was broken.
+    /// Returns whether no step failed and no rule was broken.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.steps_failed == 0 && self.violation_count == 0
--- a/crates/local-fleet/src/servers/engine.rs
+++ b/crates/local-fleet/src/servers/engine.rs
@@ -1,5 +1,5 @@
-//! Stand-in of an engine (a model server): it streams generated text, reports its status and loads versions of its
-//! weights as it is ordered to.
+//! The emulated engine (a model server): it streams generated text, reports its status, and loads the
+//! versions of its weights that it is ordered to load.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,41 +19,41 @@
 use crate::protocol::{header, json_response, EngineOrder, EngineReport, ModelVersion};
 use crate::verification::{GenerationId, OrderRecord, RequestArrival, RequestLog};
 
-/// The path of an engine's status report.
+/// Path of the status report.
 const REPORT_PATH: &str = "/api/report";
-/// The path of orders.
+/// Path at which an engine receives orders.
 const ORDER_PATH: &str = "/api/order";
-/// The order to load a version of the weights.
+/// Kind of the order to load a version of the weights; no other kind is accepted.
 const LOAD_ORDER: &str = "edition";
-/// The phase of an engine that runs both prefill and decode.
+/// Reported phase of an engine that runs both prefill and decode.
 pub(crate) const PREFILL_AND_DECODE: &str = "both";
 
-/// How an engine behaves.
+/// Behavior of an emulated engine.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Its service.
+    /// Name of the service that the engine belongs to.
     pub service: Arc<str>,
-    /// Identifies this start of the engine.
+    /// Id of this start of the engine.
     pub id: Arc<str>,
-    /// The path of its health check.
+    /// Path of the health check.
     pub health_path: Arc<str>,
-    /// Its model.
+    /// Name of the model that the engine serves.
     pub model: Arc<str>,
-    /// Requests that it runs concurrently.
+    /// Number of requests that the engine runs concurrently.
     pub slots: usize,
-    /// Requests that it queues.
+    /// Maximum number of requests that wait for a slot; further ones are rejected with status 503.
     pub max_queued: usize,
-    /// Time from one event of a stream to the next.
+    /// Time before each event of a stream.
     pub event_interval: Duration,
-    /// How long it takes to load a version.
+    /// Time that the engine takes to load a version of its weights.
     pub load_time: Duration,
-    /// Tokens that its KV cache holds.
+    /// Capacity of the KV cache, in tokens.
     pub cache_tokens: u64,
-    /// Every so many streams, one breaks off after half of its events; 0: none.
+    /// Truncates every stream whose number is a multiple of this after half of its events; 0 truncates none.
     pub truncate_every: u64,
 }
 
-/// An engine; it stops when it is dropped.
+/// A running engine; dropping it closes its listener and connections.
 #[derive(Debug)]
 pub struct EngineServer {
     listener: HttpListener,
@@ -66,24 +66,25 @@
     slots: Slots,
     request_log: Arc<RequestLog>,
     weights: watch::Sender<WeightState>,
-    /// Orders that were accepted. The lock also serializes orders.
+    /// Number of orders accepted for execution. Its lock also serializes the handling of orders.
     accepted_orders: Mutex<u64>,
+    /// Number of streams started so far.
     stream_count: AtomicU64,
     connections: Connections,
 }
 
-/// A request for tokens that has a slot.
+/// A request to generate text that has been admitted.
 struct GenerationRequest<'a> {
     request: &'a Request,
     id: &'a str,
     body: &'a [u8],
-    /// Events of the complete text.
+    /// Number of events in the complete text.
     events: u64,
     deadline: Option<Instant>,
 }
 
 impl EngineServer {
-    /// Starts it at `address` (port 0: any free port), with version 1 of its weights.
+    /// Starts an engine with version 1 of its weights at `address` (port 0 selects a free port).
     ///
     /// # Errors
     ///
@@ -111,19 +112,19 @@
         Ok(Self { listener: HttpListener::start(address, connections, app).await?, handler })
     }
 
-    /// The address that it is bound to.
+    /// Returns the address that the engine is bound to, with the actual port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// The version of its weights.
+    /// Returns the version of the weights in use; while another version is loaded, the previous version.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.handler.weights.borrow().version
     }
 
-    /// Orders that it accepted.
+    /// Returns the number of orders that the engine accepted for execution.
     #[must_use]
     pub fn accepted_orders(&self) -> u64 {
         *self.handler.lock_accepted_orders()
@@ -180,7 +181,9 @@
         self.handle_order(order).into()
     }
 
-    /// Checks an order, and starts the load that it asks for.
+    /// Checks an order, and starts to load the ordered version. Returns status 202 if the load starts, 200 if
+    /// the version is in use already, 409 if another load is in progress or the precondition fails, and 400
+    /// for an invalid order.
     fn handle_order(self: &Arc<Self>, order: EngineOrder) -> StatusCode {
         let (Some(holder), Some(fence), Some(version)) = (order.holder, order.fence, order.version) else {
             return StatusCode::BAD_REQUEST;
@@ -224,7 +227,8 @@
         response
     }
 
-    /// Waits for a slot, and starts the stream unless the request is meant for another server or version.
+    /// Waits for a slot and starts the stream. Rejects requests that expect another server or version, and
+    /// requests that get no slot or arrive while weights are loaded.
     async fn admit_generation(&self, request: &Request, id: &str, body: &[u8]) -> Response {
         let deadline = responses::deadline(request, Instant::now());
         if responses::expects_other_server(request, &self.options.id) || self.expects_other_version(request) {
@@ -268,11 +272,13 @@
         response
     }
 
+    /// Returns a new stamp for the stream of a generation.
     fn stamp(&self, generation: GenerationId) -> String {
         format!("{}.{:x}.{:08x}", self.options.id, generation.0, fastrand::u32(..))
     }
 
-    /// The event after which the next stream breaks off, if it is one that does.
+    /// Counts a new stream, and returns the index of the event after which it is truncated; `None` for a
+    /// complete stream.
     fn truncation_point(&self, after: u64, events: u64) -> Option<u64> {
         let number = self.stream_count.fetch_add(1, Ordering::Relaxed) + 1;
         let every = self.options.truncate_every;
@@ -285,11 +291,13 @@
     }
 }
 
-/// Events of the complete text: the generated tokens that the request asks for.
+/// Returns the number of events in the complete text: one for each token that the request asks to generate.
+/// `None` for a missing or invalid header.
 fn requested_events(request: &Request) -> Option<u64> {
     request.header(header::TOKENS)?.split_once(',')?.1.trim().parse().ok()
 }
 
+/// Returns the index of the last event that the caller has received; 0 for a new request.
 fn last_received_event(request: &Request) -> u64 {
     request.header(header::LAST_EVENT_ID).and_then(|id| id.parse().ok()).unwrap_or(0)
 }
--- a/crates/local-fleet/src/servers/generation.rs
+++ b/crates/local-fleet/src/servers/generation.rs
@@ -1,4 +1,4 @@
-//! The event stream of one generation.
+//! The event stream that an engine returns for one generation.
 
 use std::io;
 use std::sync::Arc;
@@ -14,21 +14,21 @@
 use crate::protocol::header;
 use crate::verification::{EventData, GenerationId, RequestLog};
 
-/// The content and timing of a stream, and the event after which it breaks off.
+/// The content and timing of a stream, and the event after which it is truncated.
 pub struct GenerationPlan {
-    /// The generation.
+    /// Id of the generation in the request log.
     pub id: GenerationId,
-    /// It continues after this event; 0: from the start of the text.
+    /// Index of the event after which the stream continues; 0 if it starts at the beginning of the text.
     pub after: u64,
-    /// Events of the complete text.
+    /// Number of events in the complete text.
     pub events: u64,
-    /// Time from one event to the next.
+    /// Time before each event.
     pub event_interval: Duration,
-    /// The caller's deadline.
+    /// Deadline of the caller, after which the connection is aborted; `None` for no deadline.
     pub deadline: Option<Instant>,
-    /// The connection is aborted after this event.
+    /// Index of the event after which the connection is aborted; `None` for a complete stream.
     pub truncate_after: Option<u64>,
-    /// The connection that carries the events.
+    /// Connection on which the events are sent.
     pub connection: Connection,
 }
 
@@ -36,14 +36,16 @@
     plan: GenerationPlan,
     weights: watch::Receiver<WeightState>,
     request_log: Arc<RequestLog>,
+    /// Index of the event that was generated last.
     last_event: u64,
-    /// The version that was last announced to the caller, by the header or by an event.
+    /// Version of the weights that was last reported to the caller, in the response header or in an event.
     announced_version: u64,
+    /// Frees the slot when the stream ends.
     _slot: Slot,
 }
 
-/// Generates the events of a text one by one. While new weights are loaded the generation pauses; it continues with the
-/// new version.
+/// Returns the stream of the events, which are generated one by one. While weights are loaded, the generation
+/// pauses; it continues with the new version.
 pub fn events(
     plan: GenerationPlan,
     weights: watch::Receiver<WeightState>,
@@ -56,7 +58,8 @@
 }
 
 impl Generation {
-    /// The next event and the rest of the generation; there is no rest after an error.
+    /// Generates the next event; returns it with the remaining generation, or an error without one. Returns
+    /// `None` when the text is complete.
     async fn next(mut self) -> Option<(io::Result<Bytes>, Option<Self>)> {
         if self.last_event >= self.plan.events {
             return None;
@@ -76,12 +79,14 @@
         Some((Ok(event), Some(self)))
     }
 
-    /// Aborts the connection, so that the response does not look complete.
+    /// Aborts the connection, so that the client does not consider the response complete.
     fn abort(self, reason: io::ErrorKind) -> Option<(io::Result<Bytes>, Option<Self>)> {
         self.plan.connection.abort();
         Some((Err(reason.into()), None))
     }
 
+    /// Records the next event in the request log and encodes it. The event reports the version of the weights
+    /// if it has changed since the last report.
     fn generate(&mut self, version: u64) -> Bytes {
         let index = self.last_event + 1;
         self.last_event = index;
--- a/crates/local-fleet/src/servers/mod.rs
+++ b/crates/local-fleet/src/servers/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins of servers: plain servers, which answer requests one by one, and engines, which stream generated text.
+//! The emulated servers: plain servers, which return one complete response to each request, and engines
+//! (model servers), which stream generated text.
 
 mod engine;
 mod generation;
--- a/crates/local-fleet/src/servers/plain.rs
+++ b/crates/local-fleet/src/servers/plain.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a plain server: it responds to each request after a fixed time. The stamps of its responses to reward
-//! calls serve as grades.
+//! The emulated plain server: it responds to each request after a fixed time. The stamps of its responses to
+//! reward calls are the grades of the items.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,24 +17,24 @@
 use crate::protocol::header;
 use crate::verification::{RecordedResponse, RequestArrival, RequestLog};
 
-/// How a plain server behaves.
+/// Behavior of an emulated plain server.
 #[derive(Clone, Debug)]
 pub struct PlainOptions {
-    /// Its service.
+    /// Name of the service that the server belongs to.
     pub service: Arc<str>,
-    /// Identifies this start of the server.
+    /// Id of this start of the server.
     pub id: Arc<str>,
-    /// The path of its health check.
+    /// Path of the health check.
     pub health_path: Arc<str>,
-    /// Requests that it runs concurrently.
+    /// Number of requests that the server runs concurrently.
     pub slots: usize,
-    /// Requests that it queues.
+    /// Maximum number of requests that wait for a slot; further ones are rejected with status 503.
     pub max_queued: usize,
-    /// How long a request runs.
+    /// Time that a request runs.
     pub service_time: Duration,
 }
 
-/// A plain server; it stops when it is dropped.
+/// A running plain server; dropping it closes its listener and connections.
 #[derive(Debug)]
 pub struct PlainServer {
     listener: HttpListener,
@@ -48,7 +48,7 @@
 }
 
 impl PlainServer {
-    /// Starts it at `address` (port 0: any free port).
+    /// Starts a plain server at `address` (port 0 selects a free port).
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
         Ok(Self { listener: HttpListener::start(address, Connections::default(), app).await? })
     }
 
-    /// The address that it is bound to.
+    /// Returns the address that the server is bound to, with the actual port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
@@ -92,6 +92,8 @@
         response
     }
 
+    /// Runs a request in a slot; the response has status 504 if the request does not finish before its
+    /// deadline.
     async fn run(&self, request: &Request, id: &str, body: &[u8]) -> Response {
         let deadline = responses::deadline(request, Instant::now());
         if responses::expects_other_server(request, &self.options.id) {
@@ -124,7 +126,7 @@
         self.request_log.record_arrival(&RequestArrival { id, path, body, service, server, at })
     }
 
-    /// A response with a stamp by which the request log finds it.
+    /// Returns a response with a new stamp, under which it is recorded in the request log.
     fn stamped_response(&self, id: &str, status: StatusCode, arrival_sequence: u64) -> Response {
         let number = self.response_count.fetch_add(1, Ordering::Relaxed);
         let stamp = format!("{}.{number:x}.{:08x}", self.options.id, fastrand::u32(..));
--- a/crates/local-fleet/src/servers/slots.rs
+++ b/crates/local-fleet/src/servers/slots.rs
@@ -1,4 +1,4 @@
-//! Admission to a server: a limited number of requests runs concurrently, and a few are queued.
+//! Admission control of a server: limits for the numbers of running and queued requests.
 
 use std::fmt;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,14 +6,14 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The load that a server reports, as text `running,queued,slots`.
+/// The load that a server reports; its text form is `running,queued,slots`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Running requests.
+    /// Number of running requests.
     pub running: usize,
-    /// Queued requests.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Requests that may run concurrently.
+    /// Maximum number of requests that run concurrently.
     pub slots: usize,
 }
 
@@ -23,11 +23,11 @@
     }
 }
 
-/// All slots are in use and the queue is full.
+/// Error for a request that is not admitted because all slots are in use and the queue is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
-/// The slots of a server. Clones share them.
+/// The slots and the queue of a server. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Slots {
     free: Arc<Semaphore>,
@@ -36,13 +36,14 @@
     max_queued: usize,
 }
 
-/// A slot that a request occupies until this is dropped.
+/// A slot that a request occupies; dropping it frees the slot.
 #[derive(Debug)]
 pub struct Slot {
     _permit: OwnedSemaphorePermit,
 }
 
-/// Counts a queued request until it runs or its caller disconnects.
+/// Counts one queued request; it is dropped, and the request no longer counted, when the request gets a slot
+/// or its caller disconnects.
 struct QueuedRequest(Arc<AtomicUsize>);
 
 impl QueuedRequest {
@@ -59,18 +60,18 @@
 }
 
 impl Slots {
-    /// Slots for `slots` concurrent requests, with a queue of `max_queued`.
+    /// Returns `slots` free slots with an empty queue for at most `max_queued` requests.
     #[must_use]
     pub fn new(slots: usize, max_queued: usize) -> Self {
         let free = Arc::new(Semaphore::new(slots));
         Self { free, queued: Arc::new(AtomicUsize::new(0)), slots, max_queued }
     }
 
-    /// Waits for a slot.
+    /// Occupies a slot; waits in the queue if none is free.
     ///
     /// # Errors
     ///
-    /// At once, when the queue is full.
+    /// Without waiting, when no slot is free and the queue is full.
     pub async fn acquire(&self) -> Result<Slot, QueueFull> {
         if let Ok(permit) = Arc::clone(&self.free).try_acquire_owned() {
             return Ok(Slot { _permit: permit });
@@ -83,7 +84,7 @@
         Ok(Slot { _permit: permit })
     }
 
-    /// The present load.
+    /// Returns the current load.
     #[must_use]
     pub fn load(&self) -> ServerLoad {
         let running = self.slots - self.free.available_permits();
--- a/crates/local-fleet/src/servers/weights.rs
+++ b/crates/local-fleet/src/servers/weights.rs
@@ -1,9 +1,10 @@
-//! The weights of an engine: the version in use, and a load that is in progress.
+//! The state of an engine's weights: the version in use, and whether another version is being loaded.
 
-/// The weights of an engine.
+/// The state of an engine's weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct WeightState {
-    /// The version that generates text; while a load is in progress, the version before it.
+    /// Version in use; while another version is loaded, the previous version.
     pub(super) version: u64,
+    /// Whether another version is being loaded; no text is generated until it is complete.
     pub(super) is_loading: bool,
 }
--- a/crates/local-fleet/src/trainer/mod.rs
+++ b/crates/local-fleet/src/trainer/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in of a trainer: it submits one batch job a step, reads and checks the results, and names versions of the
-//! weights.
+//! The emulated trainer: in each training step it submits a batch job, reads and checks the results, ends the
+//! batch job, and names the next version of the weights, which the system then rolls out.
 
 mod result_history;
 mod step_outcome;
@@ -26,31 +26,33 @@
 use step_plan::decode_body;
 use submitted_job::SubmittedJob;
 
-/// How long a read may wait for a new result.
+/// Time for which a node may delay the response to a read until there is a new result.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Readers wait longer than the long poll by this.
+/// Time by which the time limit of a read exceeds the duration of its long poll.
 const LONG_POLL_MARGIN: Duration = Duration::from_millis(1500);
-/// Time from one read to the next.
+/// Time between the end of a read and the next read.
 const READ_INTERVAL: Duration = Duration::from_millis(300);
-/// One read of so many starts again at the first position.
+/// On average one of this many reads starts again at the first position, to check that earlier results are
+/// unchanged.
 const READS_PER_REREAD: u32 = 5;
 /// Time limit of one attempt to submit a batch job.
 const SUBMIT_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time limit of a submission with its retries.
+/// Time limit of the submission of a batch job, including retries.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time limit for ending a batch job, naming a version or reading a batch job back, with retries.
+/// Time limit, including retries, for reading an item's body, ending a batch job, naming a version, or
+/// reading a finished batch job again.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// After this time a step gives up on the groups that are missing.
+/// Time after the submission at which a step ends without the groups that are still incomplete.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A step failed.
+/// Error of a training step that was not completed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrainerError {
-    /// No node accepted the batch job.
+    /// No node stated whether the batch job was accepted.
     NotAccepted(HttpCallError),
-    /// A node rejected it with this status.
+    /// A node rejected the batch job with this status.
     Rejected(u16),
-    /// The next version was not acknowledged.
+    /// The request to roll out the next version was not acknowledged.
     VersionNotNamed(OperatorError),
 }
 
@@ -66,7 +68,7 @@
 
 impl std::error::Error for TrainerError {}
 
-/// The trainer.
+/// A trainer that runs training steps one after the other.
 #[derive(Debug)]
 pub struct Trainer {
     template: JobTemplate,
@@ -75,12 +77,12 @@
     caller: HttpCaller,
     load_balancer: LoadBalancer,
     operator: Operator,
-    /// The batch jobs of earlier steps.
+    /// Batch jobs of earlier steps, which [`Trainer::read_back`] checks.
     finished_jobs: Vec<SubmittedJob>,
 }
 
 impl Trainer {
-    /// A trainer that reaches the nodes by `load_balancer`, and names versions as `operator`.
+    /// Returns a trainer that calls the nodes through `load_balancer`, and names versions through `operator`.
     ///
     /// # Errors
     ///
@@ -97,7 +99,9 @@
         Ok(Self { template, timing, request_log, caller, load_balancer, operator, finished_jobs })
     }
 
-    /// Runs a step: submits its batch job, waits for the required groups, ends it and names the next version.
+    /// Runs a training step: submits a batch job, waits for the required groups, ends the batch job and names
+    /// the next version. `incomplete_groups` are groups of the previous step that the batch job may include
+    /// again.
     ///
     /// # Errors
     ///
@@ -130,6 +134,7 @@
         HttpCall::new(method, path).header("Host", self.template.routing.host.clone())
     }
 
+    /// Submits a batch job, with retries under the same id.
     async fn submit(&self, plan: &StepPlan) -> Result<(), TrainerError> {
         let path = format!("{}{}", self.template.routing.rollout_prefix, plan.id);
         let call = self
@@ -148,7 +153,7 @@
         }
     }
 
-    /// Reads the body of the last item, which must be there until its result is.
+    /// Reads the body of the last item of a batch job, which nodes must return until the item has a result.
     async fn check_item_body(&self, job: &mut SubmittedJob) {
         let Some(item) = job.plan.job.items.last().cloned() else { return };
         let call = self.call(Method::GET, format!("/api/items/{}?id={}", job.plan.id, item.id));
@@ -167,12 +172,13 @@
         }
     }
 
-    /// Whether all nodes know a batch job that was accepted at `accepted`.
+    /// Returns whether all nodes must serve a batch job that was accepted at `accepted`.
     fn must_be_visible(&self, accepted: Instant) -> bool {
         accepted.elapsed() > self.timing.batch_job_propagation_timeout()
     }
 
-    /// Reads results until the required groups are complete; returns whether they are.
+    /// Reads results until the required groups are complete or [`STEP_TIMEOUT`] has passed; returns whether
+    /// they are complete.
     async fn wait_for_groups(&self, job: &mut SubmittedJob) -> bool {
         loop {
             let from = if fastrand::u32(..READS_PER_REREAD) == 0 { 0 } else { job.history.count() };
@@ -187,8 +193,9 @@
         }
     }
 
-    /// Reads results from a position on; returns whether a node sent a page. Nodes may not know a batch job until some
-    /// time after `accepted`.
+    /// Reads a page of results from position `from`, and checks it; returns whether a node sent a valid page.
+    /// A node that does not find the batch job breaks a rule only if the job must be visible, see
+    /// [`Self::must_be_visible`].
     async fn read_page(&self, job: &mut SubmittedJob, from: usize, accepted: Instant) -> bool {
         let long_poll = if from < job.history.count() { Duration::ZERO } else { LONG_POLL_TIMEOUT };
         let call = self
@@ -198,7 +205,7 @@
         let reply = match self.caller.call_once(self.load_balancer.select_node(), &call).await {
             Ok(reply) => reply,
             Err(error) => {
-                log::debug!("batch job {}: {error}", job.plan.id);
+                log::debug!("reading results of batch job {} failed: {error}", job.plan.id);
                 return false;
             }
         };
@@ -212,6 +219,7 @@
         }
     }
 
+    /// Checks a page of results and adds it to the history; returns whether it can be parsed.
     fn add_page(&self, job: &mut SubmittedJob, from: usize, body: &[u8]) -> bool {
         let page: ResultPage = match serde_json::from_slice(body) {
             Ok(page) => page,
@@ -231,7 +239,7 @@
         true
     }
 
-    /// Ends a batch job; its requests must not start much later.
+    /// Ends a batch job, and records the end of its requests in the request log.
     async fn end_job(&self, job: &mut SubmittedJob) {
         // From here on, items may be listed as undeliverable.
         job.plan.expectations.may_be_undeliverable = true;
@@ -249,7 +257,8 @@
         self.request_log.record_end(job.plan.request_ids(), Instant::now());
     }
 
-    /// Reads every batch job again whose results are still retained; each must show what it showed before.
+    /// Reads every finished batch job again whose results must still be retained, and checks that they are
+    /// unchanged.
     pub async fn read_back(&mut self) {
         let retention = self.timing.result_retention();
         let mut jobs = std::mem::take(&mut self.finished_jobs);
@@ -259,6 +268,8 @@
         self.finished_jobs = jobs;
     }
 
+    /// Reads all results again that were read before; reports a violation if this takes longer than
+    /// [`CALL_TIMEOUT`].
     async fn read_all_pages(&self, job: &mut SubmittedJob) {
         let (submitted, result_count) = (job.submitted, job.history.count());
         let deadline = Instant::now() + CALL_TIMEOUT;
--- a/crates/local-fleet/src/trainer/result_history.rs
+++ b/crates/local-fleet/src/trainer/result_history.rs
@@ -1,4 +1,4 @@
-//! The results of a batch job as a reader has seen them; positions must not change.
+//! The results of a batch job that a reader has received; their positions must not change.
 
 use std::collections::HashSet;
 
@@ -7,48 +7,50 @@
 use crate::protocol::ResultPage;
 use crate::verification::{Rule, Violation};
 
-/// What a reader has seen of a batch job.
+/// The results of a batch job that a reader has received, by position.
 #[derive(Debug)]
 pub struct ResultHistory {
-    /// Items of the batch job.
+    /// Number of items of the batch job.
     items: usize,
-    /// By position.
+    /// Results in the order of their positions, without gaps.
     results: Vec<ItemResult>,
+    /// Ids of the items in `results`.
     ids: HashSet<String>,
     last_page_end: usize,
 }
 
 impl ResultHistory {
-    /// The empty history of a batch job with `items` items.
+    /// Returns the empty history of a batch job with `items` items.
     #[must_use]
     pub fn new(items: usize) -> Self {
         Self { items, results: Vec::new(), ids: HashSet::new(), last_page_end: 0 }
     }
 
-    /// How many results were read.
+    /// Returns the number of results that were read.
     #[must_use]
     pub fn count(&self) -> usize {
         self.results.len()
     }
 
-    /// The position after the last result of the last page.
+    /// Returns the position after the last result of the page that was added last; 0 before the first page.
     #[must_use]
     pub fn last_page_end(&self) -> usize {
         self.last_page_end
     }
 
-    /// Whether the result of an item was read.
+    /// Returns whether the result of an item was read.
     #[must_use]
     pub fn contains(&self, id: &str) -> bool {
         self.ids.contains(id)
     }
 
-    /// The items whose results were read.
+    /// Returns the ids of the items whose results were read, in no particular order.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         self.ids.iter().map(String::as_str)
     }
 
-    /// Adds a page that was requested from position `from` on; returns the results that are new, and the violations.
+    /// Adds a page of batch job `job` that was requested from position `from` on; returns the new results and
+    /// the violations. Results that were read before must be unchanged.
     pub fn add_page(
         &mut self,
         job: &str,
@@ -75,7 +77,8 @@
         (new, violations)
     }
 
-    /// The counts of a page are consistent, and it has the results that were read before.
+    /// Checks that the counts of a page are consistent, and that the page is not empty where results were
+    /// read before.
     fn check_page(&self, job: &str, from: usize, page: &ResultPage) -> Vec<Violation> {
         let mut violations = Vec::new();
         if page.total != self.items {
@@ -94,6 +97,7 @@
         violations
     }
 
+    /// Adds a new result; returns a violation if the item has a result at another position.
     fn add_result(&mut self, job: &str, result: &ItemResult) -> Option<Violation> {
         let is_duplicate = !self.ids.insert(result.id.to_string());
         self.results.push(result.clone());
--- a/crates/local-fleet/src/trainer/step_outcome.rs
+++ b/crates/local-fleet/src/trainer/step_outcome.rs
@@ -5,22 +5,23 @@
 
 use super::step_plan::ItemGroup;
 
-/// The outcome of a training step.
+/// The outcome of a training step; its text form is printed during a run.
 #[derive(Clone, Debug)]
 pub struct StepOutcome {
-    /// The step, from 0.
+    /// Number of the step, from 0.
     pub step: u64,
-    /// Groups that were complete at its end.
+    /// Number of groups that were complete at the end of the step.
     pub complete_groups: usize,
-    /// Complete groups that it needed.
+    /// Number of complete groups that the step needed.
     pub required_groups: usize,
-    /// The required groups were complete, and all groups that were carried over.
+    /// Whether the required number of groups was complete, and with them all groups carried over from the
+    /// previous step.
     pub is_done: bool,
-    /// Results that were read.
+    /// Number of results that were read.
     pub results: usize,
-    /// From the submission to the last required result.
+    /// Time from the submission until the required groups were complete or the step timed out.
     pub duration: Duration,
-    /// Groups that were not complete.
+    /// Groups that were not complete at the end of the step.
     pub incomplete_groups: Vec<ItemGroup>,
 }
 
--- a/crates/local-fleet/src/trainer/submitted_job.rs
+++ b/crates/local-fleet/src/trainer/submitted_job.rs
@@ -1,4 +1,4 @@
-//! A batch job that a node has accepted, with what was read of it.
+//! A batch job that a node has accepted, with the results that were read.
 
 use std::time::{Duration, Instant};
 
@@ -6,14 +6,14 @@
 use super::step_outcome::StepOutcome;
 use super::step_plan::StepPlan;
 
-/// A batch job that was accepted.
+/// An accepted batch job and the history of its results.
 #[derive(Debug)]
 pub(super) struct SubmittedJob {
     pub(super) plan: StepPlan,
     pub(super) history: ResultHistory,
-    /// When the submission started.
+    /// Time at which the submission started.
     pub(super) submitted: Instant,
-    /// When it was acknowledged.
+    /// Time at which the submission was acknowledged.
     pub(super) accepted: Instant,
 }
 
@@ -23,7 +23,8 @@
         Self { plan, history, submitted, accepted }
     }
 
-    /// Whether all groups that were carried over, and as many as the step needs, are complete.
+    /// Returns whether all groups that were carried over are complete, and at least `required_groups` groups
+    /// in total.
     pub(super) fn has_required_groups(&self, required_groups: usize) -> bool {
         let complete = self.plan.complete_groups(self.history.ids());
         complete.iter().take(self.plan.carried_groups).all(|is_complete| *is_complete)
--- a/crates/local-fleet/src/verification/event_data.rs
+++ b/crates/local-fleet/src/verification/event_data.rs
@@ -1,24 +1,25 @@
-//! The data of a generated event, which names its generation, so that a check finds the record of it.
+//! The data of a generated event. It names the generation, by which a check finds the event in the request
+//! log.
 
 use std::fmt;
 use std::str::FromStr;
 
 use super::request_log::GenerationId;
 
-/// The data of an event of a stream.
+/// The data of an event in an engine's stream.
 ///
-/// As text: `event 3 of run 41 by version 6`.
+/// Its text form is `event 3 of run 41 by version 6`, where `run` is the id of the generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventData {
-    /// The id of the event, from 1.
+    /// Position of the event in the complete text, from 1; also the id of the event in the stream.
     pub index: u64,
-    /// The generation that made it.
+    /// The generation that produced the event.
     pub generation: GenerationId,
-    /// The version of the weights that made it.
+    /// Version of the weights that generated the event.
     pub version: u64,
 }
 
-/// The text is not the data of an event.
+/// Error for a text that is not the text form of [`EventData`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseEventDataError;
 
--- a/crates/local-fleet/src/verification/mod.rs
+++ b/crates/local-fleet/src/verification/mod.rs
@@ -1,7 +1,8 @@
-//! Checks of the system's rules: the log of what the servers ran and generated, and the rules that results and
-//! responses are checked against.
+//! Checks of the system's rules: the log of what the servers executed and generated, and the rules against
+//! which results and responses are checked.
 //!
-//! The stand-ins of servers, clients and trainers write one [`RequestLog`]; a broken rule becomes a [`Violation`] there.
+//! The emulated servers, clients and trainer share one [`RequestLog`], which records each broken rule as a
+//! [`Violation`].
 
 mod event_data;
 mod request_log;
--- a/crates/local-fleet/src/verification/request_log.rs
+++ b/crates/local-fleet/src/verification/request_log.rs
@@ -1,4 +1,5 @@
-//! The log of what was sent, what servers ran and what they returned: the reference for every check.
+//! The log of the requests that were sent, and of what servers ran and returned: the reference for every
+//! check.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,106 +9,110 @@
 
 use super::violation::{Rule, Violation};
 
-/// This many violations are kept with their description; further ones are only counted.
+/// Number of violations that are kept with their description; further ones are only counted.
 const MAX_RETAINED_VIOLATIONS: usize = 200;
 
-/// A request that may arrive at servers.
+/// A request that servers may run.
 #[derive(Clone, Debug)]
 pub struct ExpectedRequest {
-    /// Its path with its query.
+    /// Path with the query.
     pub path: String,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
-    /// The services that its route allows.
+    /// Services that the request's route allows.
     pub services: Vec<String>,
 }
 
 /// A request that arrived at a server, which is about to run it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestArrival<'a> {
-    /// Its id.
+    /// Id of the request, which must have been passed to [`RequestLog::expect_request`].
     pub id: &'a str,
-    /// Its path with its query.
+    /// Path with the query.
     pub path: &'a str,
-    /// Its body.
+    /// Request body.
     pub body: &'a [u8],
-    /// The service of the server.
+    /// Service that the server belongs to.
     pub service: &'a str,
-    /// The id of the server.
+    /// Id of the server.
     pub server: &'a str,
-    /// When it arrived.
+    /// Time at which the server starts to run the request.
     pub at: Instant,
 }
 
-/// A complete response of a plain server.
+/// A response of a plain server to a request that it ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedResponse {
-    /// The id of the request.
+    /// Id of the request.
     pub id: String,
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
-    /// When the request arrived, in the order of all logged events.
+    /// Sequence number of the request's arrival, which orders it among all logged events.
     pub arrival_sequence: u64,
 }
 
-/// Identifies one generation: one execution of a request for tokens at an engine.
+/// Identifies one generation: one execution of an item at an engine. Retried items have several generations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct GenerationId(pub u64);
 
 /// An event that an engine generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GeneratedEvent {
-    /// Its id, from 1.
+    /// Position of the event in the complete text, from 1.
     pub index: u64,
-    /// The version of the weights that generated it.
+    /// Version of the weights that generated the event.
     pub version: u64,
-    /// When it was generated, in the order of all logged events.
+    /// Sequence number of the event, which orders it among all logged events.
     pub sequence: u64,
 }
 
 /// A generation and its events.
 #[derive(Clone, Debug)]
 pub(crate) struct GenerationRecord {
-    /// The id of the item.
+    /// Id of the item whose text is generated.
     pub(crate) item: String,
-    /// The generation continues after this event; 0: from the start of the text.
+    /// Index of the event after which the generation continues; 0 if it starts at the beginning of the text.
     pub(crate) after: u64,
     pub(crate) events: Vec<GeneratedEvent>,
 }
 
-/// An order that a server accepted.
+/// A valid order that arrived at a server, whether or not the server was able to execute it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderRecord {
-    /// The id of the server.
+    /// Id of the server.
     pub server: String,
-    /// The lease holder that issued it.
+    /// Name of the lease holder that issued the order.
     pub holder: String,
-    /// Its fencing token.
+    /// Fencing token of the holder's lease.
     pub fence: u64,
-    /// When it arrived.
+    /// Time of the order's arrival.
     pub at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct LogState {
-    /// Counts all logged events; it orders them.
+    /// Sequence number of the last logged event; arrivals, starts of generations and generated events share
+    /// one sequence.
     last_sequence: u64,
+    /// Requests that were sent, by id.
     expected: HashMap<String, ExpectedRequest>,
-    /// When the end of a request's batch job was acknowledged.
+    /// Time at which the end of a request's batch job was acknowledged, by the id of the request.
     ended: HashMap<String, Instant>,
     generations: HashMap<GenerationId, GenerationRecord>,
-    /// By the stamp that the response carries.
+    /// Responses of plain servers, by the stamp in the response.
     responses: HashMap<String, RecordedResponse>,
+    /// Orders to all servers, in the order of their arrival.
     orders: Vec<OrderRecord>,
     newest_named_version: u64,
+    /// The first violations, at most [`MAX_RETAINED_VIOLATIONS`].
     violations: Vec<Violation>,
-    /// All violations, including those that were not retained.
+    /// Number of all violations, including those that were not retained.
     violation_count: usize,
 }
 
-/// The request log; all stand-ins of a fleet share one.
+/// The request log, which all emulators of a fleet share.
 #[derive(Debug)]
 pub struct RequestLog {
     state: Mutex<LogState>,
@@ -116,8 +121,9 @@
 }
 
 impl RequestLog {
-    /// An empty log of a deployment in which items of an ended batch job may still arrive at servers for
-    /// `cancellation_timeout`, and orders of successive lease holders are at least `handover_interval` apart.
+    /// Returns an empty log. Items of a batch job may arrive at servers until `cancellation_timeout` after
+    /// the end of the job was acknowledged. Orders of different lease holders to one server must be at least
+    /// `handover_interval` apart.
     #[must_use]
     pub fn new(cancellation_timeout: Duration, handover_interval: Duration) -> Self {
         let state = LogState { newest_named_version: 1, ..LogState::default() };
@@ -128,15 +134,15 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records a request that is about to be sent.
+    /// Records a request that is about to be sent. If it was ended before, it may run again.
     pub fn expect_request(&self, id: &str, expected: ExpectedRequest) {
         let mut state = self.state();
         state.ended.remove(id);
         state.expected.insert(id.to_owned(), expected);
     }
 
-    /// Records that the end of the batch job of these requests was acknowledged at `at`, so that they must not start
-    /// much later.
+    /// Records that the end of the batch job of these requests was acknowledged at `at`. A later start of one
+    /// of them is a violation once the cancellation timeout has passed.
     pub fn record_end<'a>(&self, ids: impl Iterator<Item = &'a str>, at: Instant) {
         let mut state = self.state();
         for id in ids {
@@ -144,7 +150,8 @@
         }
     }
 
-    /// Records that a server runs a request; returns its number in the order of all logged events.
+    /// Records that a server is about to run a request, and checks it; returns the sequence number of the
+    /// arrival.
     pub fn record_arrival(&self, arrival: &RequestArrival<'_>) -> u64 {
         let mut state = self.state();
         state.last_sequence += 1;
@@ -154,18 +161,19 @@
         state.last_sequence
     }
 
-    /// Records a complete response, which carries `stamp`.
+    /// Records a response that a server is about to return with `stamp`.
     pub fn record_response(&self, stamp: &str, response: RecordedResponse) {
         self.state().responses.insert(stamp.to_owned(), response);
     }
 
-    /// The response that carries `stamp`.
+    /// Returns the response that was recorded with `stamp`.
     #[must_use]
     pub fn response(&self, stamp: &str) -> Option<RecordedResponse> {
         self.state().responses.get(stamp).cloned()
     }
 
-    /// Records the start of a generation of an item that continues after event `after` (0: from its start).
+    /// Records the start of a generation of an item, which continues after the event with index `after` (0:
+    /// it starts at the beginning of the text).
     pub fn start_generation(&self, item: &str, after: u64) -> GenerationId {
         let mut state = self.state();
         state.last_sequence += 1;
@@ -175,7 +183,7 @@
         generation
     }
 
-    /// Records an event of a generation.
+    /// Records an event that a generation produced.
     pub fn record_event(&self, generation: GenerationId, index: u64, version: u64) {
         let mut state = self.state();
         state.last_sequence += 1;
@@ -189,7 +197,8 @@
         self.state().generations.get(&generation).cloned()
     }
 
-    /// Records an order that a server accepted.
+    /// Records a valid order that arrived at a server, and checks that only one leader at a time sends
+    /// orders.
     pub fn record_order(&self, order: OrderRecord) {
         let mut state = self.state();
         for violation in state.check_order(&order, self.handover_interval) {
@@ -198,36 +207,37 @@
         state.orders.push(order);
     }
 
-    /// How many orders servers accepted.
+    /// Returns the number of valid orders that arrived at servers.
     #[must_use]
     pub fn order_count(&self) -> usize {
         self.state().orders.len()
     }
 
-    /// Records that a version of the weights is about to be named by the trainer.
+    /// Records that the trainer is about to name `version` for roll-out; servers reject orders to load a
+    /// newer one.
     pub fn name_version(&self, version: u64) {
         let mut state = self.state();
         state.newest_named_version = state.newest_named_version.max(version);
     }
 
-    /// The newest version of the weights that the trainer named.
+    /// Returns the newest version of the weights that the trainer named; 1 before the first.
     #[must_use]
     pub fn newest_named_version(&self) -> u64 {
         self.state().newest_named_version
     }
 
-    /// Records a violation, and logs it.
+    /// Records and logs a violation.
     pub fn record_violation(&self, violation: Violation) {
         self.state().record_violation(violation);
     }
 
-    /// The first violations, at most 200.
+    /// Returns the first violations, at most 200.
     #[must_use]
     pub fn violations(&self) -> Vec<Violation> {
         self.state().violations.clone()
     }
 
-    /// How many violations were recorded, including those that are not kept.
+    /// Returns the number of all violations, including those that were not kept.
     #[must_use]
     pub fn violation_count(&self) -> usize {
         self.state().violation_count
@@ -236,13 +246,15 @@
 
 impl LogState {
     fn record_violation(&mut self, violation: Violation) {
-        log::warn!("rule broken: {violation}");
+        log::warn!("violation of a rule: {violation}");
         self.violation_count += 1;
         if self.violations.len() < MAX_RETAINED_VIOLATIONS {
             self.violations.push(violation);
         }
     }
 
+    /// Checks that a request was sent with this path and body, that its route allows the server's service,
+    /// and that its batch job was not ended too long ago.
     fn check_arrival(&self, arrival: &RequestArrival<'_>, cancellation_timeout: Duration) -> Vec<Violation> {
         let RequestArrival { id, server, service, .. } = arrival;
         let Some(expected) = self.expected.get(*id) else {
@@ -262,7 +274,7 @@
         violations
     }
 
-    /// Items of an ended batch job may arrive for `cancellation_timeout` after the end, not later.
+    /// Checks that a request of an ended batch job arrives at most `cancellation_timeout` after the end.
     fn check_cancellation(
         &self,
         arrival: &RequestArrival<'_>,
@@ -276,6 +288,8 @@
         })
     }
 
+    /// Checks that no two holders share a fencing token, and that the order may follow the previous one to
+    /// its server.
     fn check_order(&self, order: &OrderRecord, handover_interval: Duration) -> Vec<Violation> {
         let mut violations = Vec::new();
         let has_same_fence =
@@ -293,8 +307,8 @@
     }
 }
 
-/// Between two orders to one server the fencing token must not decrease, and another holder must wait for
-/// `handover_interval`.
+/// Checks two successive orders to one server: the fencing token must not decrease, and orders of different
+/// holders must be at least `handover_interval` apart.
 fn check_successive_orders(
     last: &OrderRecord,
     order: &OrderRecord,
