--- a/crates/local-fleet/src/clients/client.rs
+++ b/crates/local-fleet/src/clients/client.rs
@@ -20,7 +20,7 @@
 /// Number of rejections of valid requests that are tolerated in any run. Further ones are tolerated in
 /// proportion to the number of requests, see [`REQUESTS_PER_TOLERATED_REJECTION`].
 const BASE_TOLERATED_REJECTIONS: u64 = 5;
-/// One more rejection is tolerated for each this many requests.
+/// Number of requests for which one more rejection is tolerated.
 const REQUESTS_PER_TOLERATED_REJECTION: u64 = 500;
 
 /// Counts of the clients' requests, by outcome.
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Checks a reply; returns whether it is a success.
+    /// Checks that a reply belongs to the attempt `id` and was generated for it; returns whether its status
+    /// is 2xx.
     fn check(&self, id: &str, path: &str, reply: &HttpReply) -> bool {
         if let Some(other) = reply.header(header::ATTEMPT_ID).filter(|other| *other != id) {
             self.report(Rule::Mismatch, format!("request {id} got the answer to {other}"));
--- a/crates/local-fleet/src/protocol.rs
+++ b/crates/local-fleet/src/protocol.rs
@@ -15,7 +15,7 @@
 pub mod header {
     /// Id that identifies a request, or one attempt at it; the response repeats it.
     pub const ATTEMPT_ID: &str = "Attempt-Id";
-    /// Stamp that a server puts on each response that it generated itself; unique for each response.
+    /// Stamp of the response to a request that a server ran; unique for each response.
     pub const STAMP: &str = "Postmark";
     /// Milliseconds left until the caller's deadline, counted from the arrival of the request.
     pub const TIME_LEFT: &str = "Time-Left-Ms";
@@ -30,7 +30,8 @@
     /// The only version of the weights that may generate the text; an engine with another version rejects the
     /// request.
     pub const EXPECTED_VERSION: &str = "Expect-Version";
-    /// The version of the weights that the engine uses at the time of the response.
+    /// The version of the weights that the engine uses at the time of the response. Events of a stream have a
+    /// field of this name when the version changes.
     pub const VERSION: &str = "Weight-Editions";
     /// Id of the last event that the caller has received; the stream continues after it.
     pub const LAST_EVENT_ID: &str = "Last-Event-Id";
--- a/crates/local-fleet/tests/files.rs
+++ b/crates/local-fleet/tests/files.rs
@@ -1,4 +1,5 @@
-//! The system can read the settings, the configuration and the options that this crate writes.
+//! Checks that the system parses the settings and configurations that this crate writes, and that this crate
+//! parses the options that describe faults.
 
 use std::path::Path;
 
@@ -14,13 +15,13 @@
     Layout { subnet: 7, nodes, stores, plain_servers: 1, engines: 1 }
 }
 
-fn read(file: &SettingsFile) -> NodeSettings {
-    NodeSettings::parse(&file.to_toml().expect("text")).expect("settings that are in order")
+fn parsed_settings(file: &SettingsFile) -> NodeSettings {
+    NodeSettings::parse(&file.to_toml().expect("serialized settings")).expect("valid settings")
 }
 
 #[test]
-fn given_the_settings_of_a_node_when_read_then_it_has_addresses_seeds_and_a_disk() {
-    let settings = read(&SettingsFile::node(&layout(4, 3), 1, Path::new("files")));
+fn given_the_settings_of_a_node_when_parsed_then_they_have_its_name_the_seeds_and_a_data_directory() {
+    let settings = parsed_settings(&SettingsFile::node(&layout(4, 3), 1, Path::new("files")));
     assert_eq!(settings.machine_name, "counter-zone-b-2");
     assert_eq!(settings.seeds, ["127.10.7.1:8146", "127.10.7.2:8146", "127.10.7.3:8146"]);
     assert_eq!(settings.data_dir.as_deref(), Some(Path::new("files/data")));
@@ -28,8 +29,8 @@
 }
 
 #[test]
-fn given_a_fourth_node_when_its_settings_are_read_then_it_has_no_disk() {
-    assert_eq!(read(&SettingsFile::node(&layout(4, 3), 3, Path::new("files"))).data_dir, None);
+fn given_the_settings_of_a_fourth_node_when_parsed_then_they_have_no_data_directory() {
+    assert_eq!(parsed_settings(&SettingsFile::node(&layout(4, 3), 3, Path::new("files"))).data_dir, None);
 }
 
 #[parameterized(
@@ -37,12 +38,12 @@
     one_store = { 3, 1, 0 },
     one_node = { 1, 3, 0 },
 )]
-fn given_machines_when_settings_of_a_store_are_read_then_they_state_the_tolerated_failures(
+fn given_the_settings_of_a_store_when_parsed_then_the_tolerated_failures_depend_on_the_number_of_machines(
     nodes: u8,
     stores: u8,
     tolerated_failures: u32,
 ) {
-    let settings = read(&SettingsFile::store(&layout(nodes, stores), 0, Path::new("files")));
+    let settings = parsed_settings(&SettingsFile::store(&layout(nodes, stores), 0, Path::new("files")));
     assert_eq!(settings.machine_name, "vault-zone-a-1");
     assert_eq!(u64::from(settings.fault_tolerance.machines), u64::from(tolerated_failures));
 }
@@ -64,13 +65,13 @@
 }
 
 #[test]
-fn given_the_first_configuration_when_read_then_it_is_valid() {
+fn given_a_configuration_when_parsed_then_it_is_valid() {
     let json = serde_json::to_vec(&configuration(&Names::random())).expect("JSON");
     assert_eq!(Configuration::parse(&json).expect("a valid configuration").routes().len(), 3);
 }
 
 #[test]
-fn given_a_change_when_made_then_routes_are_added_replaced_and_removed() {
+fn given_a_patch_when_applied_then_routes_are_added_replaced_and_removed() {
     let names = Names::random();
     let mut replaced = RouteEntry::safe(&names, "/b/");
     replaced.max_attempts = 9;
@@ -89,7 +90,7 @@
     stop = { "1:stop:node-1", ProcessFaultKind::Stop, "node-1" },
     kill_all = { "1:kill-all", ProcessFaultKind::KillAll, "" },
 )]
-fn given_the_text_of_a_fault_when_parsed_then_it_is_that_fault(
+fn given_the_text_of_a_fault_when_parsed_then_step_kind_and_process_are_returned(
     text: &str,
     kind: ProcessFaultKind,
     process: &str,
@@ -97,7 +98,12 @@
     assert_eq!(text.parse(), Ok(ProcessFault { after_step: 1, kind, process: process.into() }));
 }
 
-#[parameterized(empty = { "" }, no_step = { "kill:node-1" }, no_process = { "1:kill" }, unknown = { "1:melt:node-1" })]
+#[parameterized(
+    empty = { "" },
+    no_step = { "kill:node-1" },
+    no_process = { "1:kill" },
+    unknown_kind = { "1:melt:node-1" },
+)]
 fn given_a_text_that_describes_no_fault_when_parsed_then_it_is_rejected(text: &str) {
     assert!(text.parse::<ProcessFault>().is_err());
 }
--- a/crates/local-fleet/tests/golden.rs
+++ b/crates/local-fleet/tests/golden.rs
@@ -1,7 +1,7 @@
-//! What the local fleet prints, writes and sends, byte for byte.
+//! Checks the texts that the local fleet prints, writes and sends, byte for byte.
 //!
-//! Each form is compared with a file in `tests/golden/`. A run with `GOLDEN_WRITE=1` writes the files that are missing;
-//! files that exist are never overwritten.
+//! Each text is compared with a file in `tests/golden/`. With `GOLDEN_WRITE=1` in the environment, missing
+//! files are written; existing files are never overwritten.
 
 use std::fmt::Debug;
 use std::fs;
@@ -27,13 +27,13 @@
 use serde::Serialize;
 use yare::parameterized;
 
-fn golden_file(name: &str) -> PathBuf {
+fn golden_file_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Compares a text with its golden file, and returns what the file holds.
+/// Compares a text with a golden file; returns the content of the file.
 fn assert_golden(name: &str, text: &str) -> String {
-    let path = golden_file(name);
+    let path = golden_file_path(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
         fs::write(&path, text).expect("the golden file can be written");
     }
@@ -42,13 +42,13 @@
     expected
 }
 
-/// Compares the JSON of a value with its golden file, and decodes the file to an equal value.
+/// Compares the JSON of a value with a golden file, and checks that the file is decoded to an equal value.
 fn assert_golden_json<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
     let expected = assert_golden(name, &serde_json::to_string(value).expect("JSON"));
-    assert_eq!(serde_json::from_str::<T>(&expected).expect("a readable file"), *value);
+    assert_eq!(serde_json::from_str::<T>(&expected).expect("valid JSON in the golden file"), *value);
 }
 
-fn report() -> LocalReport {
+fn example_report() -> LocalReport {
     LocalReport {
         steps_done: 4,
         steps_failed: 1,
@@ -70,27 +70,27 @@
 }
 
 #[test]
-fn given_a_report_when_printed_then_its_text_is_as_in_the_file() {
-    assert_golden("report.txt", &report().to_string());
+fn given_a_report_when_printed_then_its_text_matches_the_golden_file() {
+    assert_golden("report.txt", &example_report().to_string());
 }
 
 #[test]
-fn given_a_report_when_printed_as_json_then_its_text_is_as_in_the_file() {
-    assert_golden("report.json", &serde_json::to_string_pretty(&report()).expect("JSON"));
+fn given_a_report_when_printed_as_json_then_its_text_matches_the_golden_file() {
+    assert_golden("report.json", &serde_json::to_string_pretty(&example_report()).expect("JSON"));
 }
 
 #[test]
-fn given_the_report_of_a_run_without_steps_when_printed_then_its_text_is_as_in_the_file() {
+fn given_the_report_of_a_run_without_steps_when_printed_then_its_text_matches_the_golden_file() {
     assert_golden("report-empty.txt", &LocalReport::default().to_string());
 }
 
 #[parameterized(done = { "step-done.txt", true }, not_done = { "step-not-done.txt", false })]
-fn given_the_outcome_of_a_step_when_printed_then_its_text_is_as_in_the_file(name: &str, done: bool) {
+fn given_the_outcome_of_a_step_when_printed_then_its_text_matches_the_golden_file(name: &str, is_done: bool) {
     let outcome = StepOutcome {
         step: 3,
         complete_groups: 8,
         required_groups: 7,
-        is_done: done,
+        is_done,
         results: 36,
         duration: Duration::from_millis(5432),
         incomplete_groups: Vec::new(),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn given_each_rule_when_a_violation_is_printed_then_its_text_is_as_in_the_file() {
+fn given_a_violation_of_each_rule_when_printed_then_its_text_matches_the_golden_file() {
     let rules = [
         Rule::Mismatch,
         Rule::UnexpectedRequest,
@@ -119,21 +119,22 @@
 }
 
 #[test]
-fn given_each_option_that_describes_a_fault_when_printed_then_it_is_the_option() {
-    let trouble =
+fn given_each_kind_of_fault_when_printed_then_it_matches_the_golden_file_and_is_parsed_again() {
+    let fault =
         |after_step, kind, process: &str| ProcessFault { after_step, kind, process: process.to_owned() };
-    let troubles = [
-        trouble(0, ProcessFaultKind::Kill, "node-1"),
-        trouble(1, ProcessFaultKind::Wipe, "store-2"),
-        trouble(2, ProcessFaultKind::Stop, "node-3"),
-        trouble(3, ProcessFaultKind::KillAll, ""),
+    let faults = [
+        fault(0, ProcessFaultKind::Kill, "node-1"),
+        fault(1, ProcessFaultKind::Wipe, "store-2"),
+        fault(2, ProcessFaultKind::Stop, "node-3"),
+        fault(3, ProcessFaultKind::KillAll, ""),
     ];
-    let text: String = troubles.iter().map(|trouble| format!("{trouble}\n")).collect();
+    let text: String = faults.iter().map(|fault| format!("{fault}\n")).collect();
     let expected = assert_golden("trouble-options.txt", &text);
-    let read: Vec<ProcessFault> = expected.lines().map(|line| line.parse().expect("an option")).collect();
-    assert_eq!(read, troubles);
-    let unreadable = "1:melt:node-1".parse::<ProcessFault>().expect_err("no such kind");
-    assert_golden("trouble-option-unreadable.txt", &unreadable.to_string());
+    let parsed: Vec<ProcessFault> =
+        expected.lines().map(|line| line.parse().expect("a valid option")).collect();
+    assert_eq!(parsed, faults);
+    let error = "1:melt:node-1".parse::<ProcessFault>().expect_err("an unknown kind of fault");
+    assert_golden("trouble-option-unreadable.txt", &error.to_string());
 }
 
 fn layout() -> Layout {
@@ -141,21 +142,21 @@
 }
 
 #[parameterized(with_disk = { "settings-node.toml", 1 }, without_disk = { "settings-node-without-disk.toml", 3 })]
-fn given_a_node_when_its_settings_are_written_then_the_file_is_as_before(name: &str, node: u8) {
+fn given_a_node_when_its_settings_are_written_then_the_file_matches_the_golden_file(name: &str, node: u8) {
     let file = SettingsFile::node(&layout(), node, Path::new("files"));
     let text = assert_golden(name, &file.to_toml().expect("TOML"));
     assert_eq!(settings::NodeSettings::parse(&text).expect("settings").machine_name, file.name());
 }
 
 #[test]
-fn given_a_store_when_its_settings_are_written_then_the_file_is_as_before() {
+fn given_a_store_when_its_settings_are_written_then_the_file_matches_the_golden_file() {
     let file = SettingsFile::store(&layout(), 2, Path::new("files"));
     let text = assert_golden("settings-store.toml", &file.to_toml().expect("TOML"));
     assert_eq!(settings::NodeSettings::parse(&text).expect("settings").machine_name, file.name());
 }
 
 #[test]
-fn given_a_layout_when_its_addresses_are_listed_then_they_are_as_in_the_file() {
+fn given_a_layout_when_its_addresses_are_listed_then_they_match_the_golden_file() {
     let layout = layout();
     let lines = [
         format!("node {}", layout.node_ip(3)),
@@ -200,12 +201,12 @@
 }
 
 #[test]
-fn given_a_configuration_when_sent_then_its_json_is_as_in_the_file() {
+fn given_a_configuration_when_sent_then_its_json_matches_the_golden_file() {
     assert_golden_json("configuration.json", &configuration());
 }
 
 #[test]
-fn given_a_change_of_the_configuration_when_sent_then_its_json_is_as_in_the_file() {
+fn given_a_patch_of_the_configuration_when_sent_then_its_json_matches_the_golden_file() {
     let routes = vec![RouteEntry::safe(&names(), "/sightings-1/")];
     let removals = RouteRemovals { routes: vec!["r-sightings".to_owned()] };
     let patch = ConfigurationPatch { version: 4, updates: RouteUpdates { routes }, removals };
@@ -233,7 +234,7 @@
 }
 
 #[test]
-fn given_a_page_of_the_platforms_list_when_sent_then_its_json_is_as_in_the_file() {
+fn given_a_page_of_the_server_list_when_sent_then_its_json_matches_the_golden_file() {
     let servers = vec![
         server(ServerCondition::Open, Some("both"), vec![model_version()]),
         server(ServerCondition::Closing, None, Vec::new()),
@@ -243,7 +244,7 @@
 }
 
 #[test]
-fn given_the_report_of_an_engine_when_sent_then_its_json_is_as_in_the_file() {
+fn given_the_status_report_of_an_engine_when_sent_then_its_json_matches_the_golden_file() {
     let report = EngineReport {
         phase: "both".into(),
         models: vec![model_version()],
@@ -259,7 +260,7 @@
 }
 
 #[test]
-fn given_an_order_to_an_engine_when_sent_then_its_json_is_as_in_the_file() {
+fn given_an_order_to_an_engine_when_sent_then_its_json_matches_the_golden_file() {
     let order = EngineOrder {
         order: "edition".to_owned(),
         model: Some("stuvwx04".to_owned()),
@@ -274,7 +275,7 @@
 }
 
 #[test]
-fn given_a_page_of_results_when_sent_then_its_json_is_as_in_the_file() {
+fn given_a_page_of_results_when_sent_then_its_json_matches_the_golden_file() {
     let result = ItemResult {
         id: "t1".into(),
         condition: ItemCondition::Delivered,
@@ -286,12 +287,12 @@
 }
 
 #[test]
-fn given_a_named_version_when_sent_then_its_json_is_as_in_the_file() {
+fn given_a_named_version_when_sent_then_its_json_matches_the_golden_file() {
     assert_golden_json("named-version.json", &NamedVersion { model: "stuvwx04".to_owned(), version: 6 });
 }
 
 #[test]
-fn given_data_and_load_of_servers_when_sent_then_their_texts_are_as_in_the_files() {
+fn given_the_event_data_and_the_load_of_a_server_when_sent_then_their_texts_match_the_golden_files() {
     let data = EventData { index: 3, generation: GenerationId(41), version: 6 };
     let text = assert_golden("event-data.txt", &data.to_string());
     assert_eq!(text.parse(), Ok(data));
--- a/crates/local-fleet/tests/platform.rs
+++ b/crates/local-fleet/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform.
+//! Tests of the emulated platform: the pages, zones, lag and rate limit of its server list.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -27,16 +27,16 @@
     (0..count).map(|number| server(number, if number % 2 == 0 { "even" } else { "odd" })).collect()
 }
 
-async fn platform(calls_per_second: f64) -> Platform {
+async fn start_platform(calls_per_second: f64) -> Platform {
     let options = PlatformOptions { lag: Duration::ZERO, calls_per_second, page_entries: 2 };
     Platform::start(SocketAddr::from(([127, 0, 0, 1], 0)), options).await.expect("a free port")
 }
 
-async fn get(platform: &Platform, query: &str) -> (u16, Value) {
+async fn get_page(platform: &Platform, query: &str) -> (u16, Value) {
     let url = format!("http://{}/carriers{query}", platform.address());
-    let answer = reqwest::get(url).await.expect("an answer");
-    let status = answer.status().as_u16();
-    (status, serde_json::from_slice(&answer.bytes().await.expect("a body")).unwrap_or_default())
+    let response = reqwest::get(url).await.expect("a response");
+    let status = response.status().as_u16();
+    (status, serde_json::from_slice(&response.bytes().await.expect("a body")).unwrap_or_default())
 }
 
 fn ids(page: &Value) -> Vec<&str> {
@@ -45,13 +45,19 @@
 
 #[tokio::test]
 async fn given_five_servers_when_pages_are_followed_then_each_server_occurs_once() {
-    let platform = platform(100.0).await;
+    let platform = start_platform(100.0).await;
     platform.set_servers(servers(5));
-    let (_, first) = get(&platform, "").await;
-    let (_, second) =
-        get(&platform, &format!("?leaf={}", first["next"].as_str().expect("a page follows"))).await;
-    let (_, third) =
-        get(&platform, &format!("?leaf={}", second["next"].as_str().expect("a page follows"))).await;
+    let (_, first) = get_page(&platform, "").await;
+    let (_, second) = get_page(
+        &platform,
+        &format!("?leaf={}", first["next"].as_str().expect("the token of the next page")),
+    )
+    .await;
+    let (_, third) = get_page(
+        &platform,
+        &format!("?leaf={}", second["next"].as_str().expect("the token of the next page")),
+    )
+    .await;
     assert_eq!(ids(&first), ["i-0", "i-1"]);
     assert_eq!(ids(&second), ["i-2", "i-3"]);
     assert_eq!(ids(&third), ["i-4"]);
@@ -59,18 +65,18 @@
 }
 
 #[tokio::test]
-async fn given_two_zones_when_one_is_requested_then_only_its_servers_are_returned() {
-    let platform = platform(100.0).await;
+async fn given_servers_in_two_zones_when_one_zone_is_requested_then_only_its_servers_are_returned() {
+    let platform = start_platform(100.0).await;
     platform.set_servers(servers(3));
-    let (_, page) = get(&platform, "?zone=odd").await;
+    let (_, page) = get_page(&platform, "?zone=odd").await;
     assert_eq!(ids(&page), ["i-1"]);
 }
 
 #[tokio::test]
 async fn given_a_server_when_listed_then_its_fields_have_the_names_of_the_protocol() {
-    let platform = platform(100.0).await;
+    let platform = start_platform(100.0).await;
     platform.set_servers(servers(1));
-    let (_, page) = get(&platform, "").await;
+    let (_, page) = get_page(&platform, "").await;
     let entry = &page["carriers"][0];
     assert_eq!(entry["postalLine"], "tally");
     assert_eq!(entry["berths"], 6);
@@ -80,36 +86,39 @@
 }
 
 #[tokio::test]
-async fn given_two_calls_a_second_when_three_come_at_once_then_the_third_is_rejected() {
-    let platform = platform(2.0).await;
+async fn given_a_limit_of_two_calls_a_second_when_three_calls_arrive_then_the_third_is_rejected() {
+    let platform = start_platform(2.0).await;
     let mut statuses = Vec::new();
     for _ in 0..3 {
-        statuses.push(get(&platform, "").await.0);
+        statuses.push(get_page(&platform, "").await.0);
     }
     assert_eq!(statuses, [200, 200, 429]);
     assert_eq!(platform.calls(), PlatformCalls { total: 3, rejected: 1 });
 }
 
 #[tokio::test]
-async fn given_a_page_that_does_not_exist_when_requested_then_it_is_rejected() {
-    assert_eq!(get(&platform(100.0).await, "?leaf=nonsense").await.0, 400);
+async fn given_an_invalid_page_token_when_sent_then_the_call_is_rejected() {
+    assert_eq!(get_page(&start_platform(100.0).await, "?leaf=nonsense").await.0, 400);
 }
 
 #[parameterized(
-    at_once = { 0, 1 },
-    before_the_lag = { 799, 1 },
-    after_the_lag = { 800, 3 },
+    immediately = { 0, 1 },
+    just_before_the_end_of_the_lag = { 799, 1 },
+    at_the_end_of_the_lag = { 800, 3 },
 )]
-fn given_a_change_when_read_later_then_it_is_visible_after_the_lag(milliseconds: u64, expected: usize) {
+fn given_a_changed_list_when_read_then_the_change_is_visible_after_the_lag(
+    milliseconds: u64,
+    expected_count: usize,
+) {
     let start = Instant::now();
     let mut list = LaggingList::new(Duration::from_millis(800));
     list.replace(start, servers(1));
     list.replace(start, servers(3));
-    assert_eq!(list.visible(start + Duration::from_millis(milliseconds)).len(), expected);
+    assert_eq!(list.visible(start + Duration::from_millis(milliseconds)).len(), expected_count);
 }
 
 #[test]
-fn given_a_used_up_rate_when_time_passes_then_calls_are_allowed_again() {
+fn given_an_exhausted_rate_limit_when_time_passes_then_calls_are_allowed_again() {
     let start = Instant::now();
     let mut limit = RateLimit::new(2.0);
     assert!(limit.try_acquire(start) && limit.try_acquire(start));
--- a/crates/local-fleet/tests/verify.rs
+++ b/crates/local-fleet/tests/verify.rs
@@ -1,4 +1,4 @@
-//! The checks of results against what the engines made.
+//! Tests of the rules: results against the generated events, arrivals of requests, and orders of leaders.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -24,7 +24,8 @@
     JobExpectations { items, oldest_version: 2, single_version: true, may_be_undeliverable: false }
 }
 
-/// A generation of `t1` that continues after event `after` up to `last` with `version`.
+/// Records a generation of item `t1` that continues after event `after` up to event `last`, all by `version`;
+/// returns its events.
 fn generate(request_log: &RequestLog, after: u64, last: u64, version: u64) -> (GenerationId, Vec<EventData>) {
     let generation = request_log.start_generation("t1", after);
     let data = (after + 1..=last).map(|index| {
@@ -34,7 +35,8 @@
     (generation, data.collect())
 }
 
-fn grade(request_log: &RequestLog, id: &str, status: u16) -> String {
+/// Records a reward call with this id and its response with `status`; returns the stamp of the response.
+fn record_grade(request_log: &RequestLog, id: &str, status: u16) -> String {
     request_log.expect_request(
         id,
         ExpectedRequest { path: "/r".into(), body: "b".into(), services: vec!["tally".into()] },
@@ -61,16 +63,16 @@
     }
 }
 
-fn rules(request_log: &RequestLog, expectations: &JobExpectations, result: &ItemResult) -> Vec<Rule> {
+fn broken_rules(request_log: &RequestLog, expectations: &JobExpectations, result: &ItemResult) -> Vec<Rule> {
     check_result(request_log, expectations, result).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn given_a_complete_text_with_its_grade_when_checked_then_no_rule_is_broken() {
+fn given_a_complete_text_with_a_grade_when_checked_then_no_rule_is_broken() {
     let request_log = request_log();
     let (_, text) = generate(&request_log, 0, 3, 2);
-    let stamp = grade(&request_log, "w1", 200);
-    assert_eq!(rules(&request_log, &expectations(3), &result(&text, &[2], Some(stamp))), []);
+    let stamp = record_grade(&request_log, "w1", 200);
+    assert_eq!(broken_rules(&request_log, &expectations(3), &result(&text, &[2], Some(stamp))), []);
 }
 
 #[test]
@@ -78,45 +80,55 @@
     let request_log = request_log();
     let (_, first) = generate(&request_log, 0, 2, 2);
     let (_, second) = generate(&request_log, 2, 4, 2);
-    let stamp = grade(&request_log, "w1", 200);
+    let stamp = record_grade(&request_log, "w1", 200);
     let text = [first, second].concat();
-    assert_eq!(rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))), []);
+    assert_eq!(broken_rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))), []);
 }
 
 #[test]
-fn given_a_second_generation_that_does_not_continue_the_first_when_checked_then_the_order_is_broken() {
+fn given_a_second_generation_that_does_not_continue_the_first_when_checked_then_the_event_order_is_violated()
+{
     let request_log = request_log();
     let (_, first) = generate(&request_log, 0, 2, 2);
     let (_, second) = generate(&request_log, 0, 4, 2);
-    let stamp = grade(&request_log, "w1", 200);
+    let stamp = record_grade(&request_log, "w1", 200);
     let text = [&first[..], &second[2..]].concat();
-    assert_eq!(rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))), [Rule::EventOrder]);
+    assert_eq!(
+        broken_rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))),
+        [Rule::EventOrder]
+    );
 }
 
 #[test]
 fn given_a_short_text_when_checked_then_it_is_a_mismatch() {
     let request_log = request_log();
     let (_, text) = generate(&request_log, 0, 3, 2);
-    let stamp = grade(&request_log, "w1", 200);
-    assert_eq!(rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
+    let stamp = record_grade(&request_log, "w1", 200);
+    assert_eq!(
+        broken_rules(&request_log, &expectations(4), &result(&text, &[2], Some(stamp))),
+        [Rule::Mismatch]
+    );
 }
 
 #[test]
-fn given_a_missing_event_when_checked_then_the_order_is_broken() {
+fn given_a_missing_event_when_checked_then_the_event_order_is_violated() {
     let request_log = request_log();
     let (_, mut text) = generate(&request_log, 0, 4, 2);
     text.remove(1);
-    let stamp = grade(&request_log, "w1", 200);
-    assert_eq!(rules(&request_log, &expectations(3), &result(&text, &[2], Some(stamp))), [Rule::EventOrder]);
+    let stamp = record_grade(&request_log, "w1", 200);
+    assert_eq!(
+        broken_rules(&request_log, &expectations(3), &result(&text, &[2], Some(stamp))),
+        [Rule::EventOrder]
+    );
 }
 
 #[test]
-fn given_a_text_that_no_engine_made_when_checked_then_it_is_a_mismatch() {
+fn given_a_text_that_no_engine_generated_when_checked_then_it_is_a_mismatch() {
     let request_log = request_log();
-    let stamp = grade(&request_log, "w1", 200);
-    let mut made_up = result(&[], &[2], Some(stamp));
-    made_up.text = "an invented line".into();
-    assert_eq!(rules(&request_log, &expectations(1), &made_up), [Rule::Mismatch]);
+    let stamp = record_grade(&request_log, "w1", 200);
+    let mut invented = result(&[], &[2], Some(stamp));
+    invented.text = "an invented line".into();
+    assert_eq!(broken_rules(&request_log, &expectations(1), &invented), [Rule::Mismatch]);
 }
 
 #[parameterized(
@@ -124,71 +136,83 @@
     wrongly_reported = { 2, &[3] },
     too_old = { 1, &[1] },
 )]
-fn given_versions_that_do_not_fit_when_checked_then_the_version_rule_is_broken(
+fn given_unreported_wrong_or_outdated_versions_when_checked_then_the_version_rule_is_broken(
     actual: u64,
     reported: &[u64],
 ) {
     let request_log = request_log();
     let (_, text) = generate(&request_log, 0, 2, actual);
-    let stamp = grade(&request_log, "w1", 200);
-    assert_eq!(rules(&request_log, &expectations(2), &result(&text, reported, Some(stamp))), [Rule::Version]);
+    let stamp = record_grade(&request_log, "w1", 200);
+    assert_eq!(
+        broken_rules(&request_log, &expectations(2), &result(&text, reported, Some(stamp))),
+        [Rule::Version]
+    );
 }
 
-#[parameterized(one_version_a_text = { true, &[Rule::Version] }, any_versions = { false, &[] })]
-fn given_a_text_of_two_versions_when_checked_then_the_route_decides(single: bool, expected: &[Rule]) {
+#[parameterized(single_version = { true, &[Rule::Version] }, several_versions = { false, &[] })]
+fn given_a_text_of_two_versions_when_checked_then_it_is_a_violation_only_if_a_single_version_is_required(
+    single_version: bool,
+    expected: &[Rule],
+) {
     let request_log = request_log();
     let (_, first) = generate(&request_log, 0, 2, 2);
     let (_, second) = generate(&request_log, 2, 4, 3);
-    let stamp = grade(&request_log, "w1", 200);
-    let expectations = JobExpectations { single_version: single, ..expectations(4) };
+    let stamp = record_grade(&request_log, "w1", 200);
+    let expectations = JobExpectations { single_version, ..expectations(4) };
     let text = [first, second].concat();
-    assert_eq!(rules(&request_log, &expectations, &result(&text, &[2, 3], Some(stamp))), expected);
+    assert_eq!(broken_rules(&request_log, &expectations, &result(&text, &[2, 3], Some(stamp))), expected);
 }
 
-#[parameterized(failed = { "w1", 500 }, of_another_item = { "w2", 200 })]
-fn given_a_grade_that_is_no_success_of_its_reward_call_when_checked_then_it_is_a_mismatch(
+#[parameterized(failed_call = { "w1", 500 }, call_of_another_item = { "w2", 200 })]
+fn given_a_grade_of_a_failed_or_foreign_reward_call_when_checked_then_it_is_a_mismatch(
     id: &str,
     status: u16,
 ) {
     let request_log = request_log();
     let (_, text) = generate(&request_log, 0, 2, 2);
-    let stamp = grade(&request_log, id, status);
-    assert_eq!(rules(&request_log, &expectations(2), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
+    let stamp = record_grade(&request_log, id, status);
+    assert_eq!(
+        broken_rules(&request_log, &expectations(2), &result(&text, &[2], Some(stamp))),
+        [Rule::Mismatch]
+    );
 }
 
 #[test]
-fn given_no_grade_when_checked_then_it_is_a_mismatch() {
+fn given_a_result_without_a_grade_when_checked_then_it_is_a_mismatch() {
     let request_log = request_log();
     let (_, text) = generate(&request_log, 0, 2, 2);
-    assert_eq!(rules(&request_log, &expectations(2), &result(&text, &[2], None)), [Rule::Mismatch]);
+    assert_eq!(broken_rules(&request_log, &expectations(2), &result(&text, &[2], None)), [Rule::Mismatch]);
 }
 
 #[test]
 fn given_a_reward_call_before_the_last_event_when_checked_then_it_is_a_mismatch() {
     let request_log = request_log();
-    let stamp = grade(&request_log, "w1", 200);
+    let stamp = record_grade(&request_log, "w1", 200);
     let (_, text) = generate(&request_log, 0, 2, 2);
-    assert_eq!(rules(&request_log, &expectations(2), &result(&text, &[2], Some(stamp))), [Rule::Mismatch]);
+    assert_eq!(
+        broken_rules(&request_log, &expectations(2), &result(&text, &[2], Some(stamp))),
+        [Rule::Mismatch]
+    );
 }
 
-#[parameterized(open = { false, &[Rule::Mismatch] }, ended = { true, &[] })]
-fn given_an_undeliverable_item_when_checked_then_the_end_of_its_batch_job_decides(
+#[parameterized(running_job = { false, &[Rule::Mismatch] }, ended_job = { true, &[] })]
+fn given_an_undeliverable_item_when_checked_then_it_is_a_mismatch_unless_its_batch_job_was_ended(
     may_be_undeliverable: bool,
     expected: &[Rule],
 ) {
     let undeliverable = ItemResult { condition: ItemCondition::Undeliverable, ..result(&[], &[], None) };
     let expectations = JobExpectations { may_be_undeliverable, ..expectations(2) };
-    assert_eq!(rules(&request_log(), &expectations, &undeliverable), expected);
+    assert_eq!(broken_rules(&request_log(), &expectations, &undeliverable), expected);
 }
 
 #[parameterized(
-    as_sent = { "/a", "tally", 0, None },
+    unchanged = { "/a", "tally", 0, None },
     another_path = { "/b", "tally", 0, Some(Rule::UnexpectedRequest) },
     another_service = { "/a", "llm", 0, Some(Rule::Route) },
-    soon_after_the_end = { "/a", "tally", 3, None },
-    long_after_the_end = { "/a", "tally", 4, Some(Rule::UnexpectedRequest) },
+    at_the_end_of_the_timeout = { "/a", "tally", 3, None },
+    after_the_timeout = { "/a", "tally", 4, Some(Rule::UnexpectedRequest) },
 )]
-fn given_an_ended_request_when_it_comes_to_a_server_then_it_must_be_as_sent_and_in_time(
+fn given_an_ended_request_when_it_arrives_at_a_server_then_path_service_and_time_are_checked(
     path: &str,
     service: &str,
     seconds: u64,
@@ -206,13 +230,13 @@
 }
 
 #[parameterized(
-    the_same_holder = { "a", 1, 0, None },
-    the_next_holder_after_the_lease = { "b", 2, 3, None },
-    the_next_holder_within_the_lease = { "b", 2, 2, Some(Rule::SingleLeader) },
-    a_shared_token = { "b", 1, 3, Some(Rule::SingleLeader) },
-    a_lower_token = { "a", 0, 0, Some(Rule::SingleLeader) },
+    same_holder = { "a", 1, 0, None },
+    next_holder_after_the_handover_interval = { "b", 2, 3, None },
+    next_holder_within_the_handover_interval = { "b", 2, 2, Some(Rule::SingleLeader) },
+    shared_fencing_token = { "b", 1, 3, Some(Rule::SingleLeader) },
+    lower_fencing_token = { "a", 0, 0, Some(Rule::SingleLeader) },
 )]
-fn given_an_order_of_holder_a_when_another_follows_then_one_holder_leads(
+fn given_an_order_when_another_follows_then_fencing_token_and_handover_interval_are_checked(
     holder: &str,
     fence: u64,
     seconds: u64,
