--- a/crates/local-fleet/src/deployment/configuration_file.rs
+++ b/crates/local-fleet/src/deployment/configuration_file.rs
@@ -75,8 +75,8 @@
     /// Maximum number of attempts at servers.
     #[serde(rename = "tries")]
     pub max_attempts: u32,
-    /// Latency target for all results of a batch job, in milliseconds. `None` except for rollout routes, as
-    /// for the fields that follow.
+    /// Latency target for all results of a batch job, in milliseconds. This field and the following ones are
+    /// `None` unless the route is of kind `RouteKind::Rollout`.
     #[serde(rename = "deliveryDueMs", skip_serializing_if = "Option::is_none", default)]
     pub job_latency_target_ms: Option<u64>,
     /// Time after which an item without a result may be abandoned, in seconds.
@@ -292,7 +292,7 @@
 }
 
 impl ConfigurationFile {
-    /// Returns the configuration after a change; `self` stays as it is.
+    /// Returns the configuration after a change, and leaves `self` unchanged.
     #[must_use]
     pub fn patched(&self, patch: &ConfigurationPatch) -> Self {
         let mut patched = Self { version: patch.version, ..self.clone() };
--- a/crates/local-fleet/src/deployment/fault.rs
+++ b/crates/local-fleet/src/deployment/fault.rs
@@ -39,8 +39,8 @@
 /// A fault to inject; its text form is `STEP:kill|wipe|stop:PROCESS` or `STEP:kill-all`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProcessFault {
-    /// Number of the step, from 0, before the step in which the fault is injected. A fault whose following
-    /// step does not exist is not injected.
+    /// Number of a step, from 0. The fault is injected at the beginning of the next step; if the run has no
+    /// next step, the fault is not injected.
     pub after_step: u64,
     /// Kind of the fault.
     pub kind: ProcessFaultKind,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Error for a text, which it contains, that does not describe a fault.
+/// Error for a text that does not describe a fault; contains the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseProcessFaultError(String);
 
--- a/crates/local-fleet/src/deployment/layout.rs
+++ b/crates/local-fleet/src/deployment/layout.rs
@@ -16,8 +16,7 @@
 /// Port of plain servers and engines.
 const SERVER_PORT: u16 = 8080;
 
-/// Last octet of the first node's address; the addresses of further machines of a kind follow that of the
-/// first.
+/// Last octet of the first node's address. Further machines of each kind have the addresses that follow.
 const FIRST_NODE_OCTET: u8 = 1;
 /// Last octet of the first store's address.
 const FIRST_STORE_OCTET: u8 = 64;
@@ -118,8 +117,8 @@
         self.nodes.min(MAX_NODES_WITH_DISK)
     }
 
-    /// Returns the number of nodes with a disk that may fail at the same time, and also that of stores: a
-    /// majority of each must remain.
+    /// Returns the number of nodes with a disk that may fail at the same time while a majority of them
+    /// remains. As many stores may fail at the same time.
     #[must_use]
     pub fn tolerated_failures(&self) -> u8 {
         (self.nodes_with_disk().min(self.stores).max(1) - 1) / 2
--- a/crates/local-fleet/src/platform/lagging_list.rs
+++ b/crates/local-fleet/src/platform/lagging_list.rs
@@ -10,8 +10,8 @@
 #[derive(Debug)]
 pub struct LaggingList {
     lag: Duration,
-    /// Each version of the list with the time from which it is visible, oldest first. The first version is
-    /// visible until the time of the second.
+    /// Each version of the list with the time from which it is visible, oldest first. Each version is visible
+    /// until the time of the next one.
     versions: VecDeque<(Instant, Arc<[ListedServer]>)>,
 }
 
--- a/crates/local-fleet/src/run/local_run.rs
+++ b/crates/local-fleet/src/run/local_run.rs
@@ -30,7 +30,7 @@
 const REWARD_PREFIX: &str = "/rewards/";
 /// Path prefix of the route for batch jobs and their items.
 const ROLLOUT_PREFIX: &str = "/rollouts/";
-/// The configuration is changed after each this many steps.
+/// Number of steps after which the configuration is changed, repeatedly.
 const STEPS_PER_CONFIGURATION_CHANGE: u64 = 2;
 /// Version of the initial configuration.
 const INITIAL_CONFIGURATION_VERSION: u64 = 2;
@@ -158,8 +158,9 @@
         }
     }
 
-    /// Runs all steps with their faults, and changes the configuration after every second step. Restarts
-    /// processes that exited unexpectedly after each step.
+    /// Runs all steps with their faults, and changes the configuration every
+    /// [`STEPS_PER_CONFIGURATION_CHANGE`] steps. After each step, restarts processes that exited
+    /// unexpectedly.
     pub(super) async fn run_steps(&mut self) -> Result<(), LocalError> {
         let mut incomplete_groups: Vec<ItemGroup> = Vec::new();
         for step in 0..self.options.workload.steps {
--- a/crates/local-fleet/src/run/report.rs
+++ b/crates/local-fleet/src/run/report.rs
@@ -6,7 +6,7 @@
 
 use crate::platform::PlatformCalls;
 
-/// The report of a run. Scripts read its JSON and its text form, so that neither may change.
+/// The report of a run. Scripts read its JSON and its text form, so neither may change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct LocalReport {
     /// Number of training steps whose required groups were completed.
--- a/crates/local-fleet/src/servers/engine.rs
+++ b/crates/local-fleet/src/servers/engine.rs
@@ -73,7 +73,7 @@
     connections: Connections,
 }
 
-/// A request to generate text that has been admitted.
+/// An admitted request to generate text, for which a slot is occupied.
 struct GenerationRequest<'a> {
     request: &'a Request,
     id: &'a str,
--- a/crates/local-fleet/src/servers/responses.rs
+++ b/crates/local-fleet/src/servers/responses.rs
@@ -31,7 +31,7 @@
     response
 }
 
-/// Returns whether a request may only be run by another server than `server`.
+/// Returns whether a request names another server than `server` as the only one that may run it.
 pub fn expects_other_server(request: &Request, server: &str) -> bool {
     request.header(header::EXPECTED_SERVER).is_some_and(|expected| expected != server)
 }
