--- a/crates/local-fleet/src/deployment/timing_rules.rs
+++ b/crates/local-fleet/src/deployment/timing_rules.rs
@@ -21,11 +21,11 @@
     #[serde(rename = "drainMs")]
     drain_timeout_ms: u64,
     #[serde(rename = "graceS")]
-    shutdown_grace_s: u64,
+    termination_grace_period_s: u64,
     #[serde(rename = "lostMs")]
     request_acceptance_delay_ms: u64,
     #[serde(rename = "inForceMs")]
-    configuration_in_force_ms: u64,
+    configuration_propagation_timeout_ms: u64,
     #[serde(rename = "backMs")]
     configuration_regression_tolerance_ms: u64,
     #[serde(rename = "stretchMs")]
@@ -42,7 +42,7 @@
     #[serde(rename = "recallMs")]
     cancellation_timeout_ms: u64,
     #[serde(rename = "settleMs")]
-    job_visible_ms: u64,
+    batch_job_propagation_timeout_ms: u64,
     #[serde(rename = "quotaOver")]
     quota_overshoot: f64,
     #[serde(rename = "fenceChecked")]
@@ -62,9 +62,9 @@
             acknowledgement_timeout_ms: 4000,
             rejoin_period_s: 4.8,
             drain_timeout_ms: 3000,
-            shutdown_grace_s: 8,
+            termination_grace_period_s: 8,
             request_acceptance_delay_ms: 200,
-            configuration_in_force_ms: 2000,
+            configuration_propagation_timeout_ms: 2000,
             configuration_regression_tolerance_ms: 250,
             unstable_core_extension_ms: 5000,
             recovery_timeout_s: 12,
@@ -73,7 +73,7 @@
             batch_completion_extension_s: 10,
             result_retention_s: 120,
             cancellation_timeout_ms: 3000,
-            job_visible_ms: 1000,
+            batch_job_propagation_timeout_ms: 1000,
             quota_overshoot: 0.1,
             servers_check_fencing: false,
             leader_handover_interval_ms: 3000,
@@ -86,14 +86,14 @@
     /// Returns the time within which a process must end after SIGTERM.
     #[must_use]
     pub fn termination_grace_period(&self) -> Duration {
-        Duration::from_secs(self.shutdown_grace_s)
+        Duration::from_secs(self.termination_grace_period_s)
     }
 
     /// Returns the maximum time from the acknowledgement of a configuration until it is in force at all
     /// nodes.
     #[must_use]
     pub fn configuration_propagation_timeout(&self) -> Duration {
-        Duration::from_millis(self.configuration_in_force_ms)
+        Duration::from_millis(self.configuration_propagation_timeout_ms)
     }
 
     /// Returns the time for which items of a batch job may still arrive at servers after its end was
@@ -106,7 +106,7 @@
     /// Returns the maximum time from the acknowledgement of a batch job until all nodes serve it.
     #[must_use]
     pub fn batch_job_propagation_timeout(&self) -> Duration {
-        Duration::from_millis(self.job_visible_ms)
+        Duration::from_millis(self.batch_job_propagation_timeout_ms)
     }
 
     /// Returns the time for which the results of a batch job are retained.
