--- a/crates/node-emulator/src/build.rs
+++ b/crates/node-emulator/src/build.rs
@@ -18,10 +18,10 @@
 
 /// A build could not be measured.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: {name} at {size}: {source}", binary.display())]
+#[error("{}: {quantity} at {size}: {source}", binary.display())]
 pub struct BuildError {
     binary: PathBuf,
-    name: String,
+    quantity: String,
     size: usize,
     source: MeasureError,
 }
@@ -101,7 +101,7 @@
     ) -> Result<BuildMeasurement, BuildError> {
         self.run(quantity, size, seed, memory_mb).map_err(|source| BuildError {
             binary: self.binary.clone(),
-            name: quantity.name(),
+            quantity: quantity.name(),
             size,
             source,
         })
@@ -123,7 +123,7 @@
         command.args(["--seed", &seed.to_string(), "--report"]).arg(&report);
         // A report names the commit checked out in the working folder: run the build where its binary is.
         command.current_dir(&self.folder).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        let status = wait(&mut command.spawn().map_err(MeasureError::Start)?)?;
+        let status = wait_with_timeout(&mut command.spawn().map_err(MeasureError::Start)?)?;
         if !status.success() {
             let log = fs::read_to_string(folder.path().join("log")).unwrap_or_default();
             let last_line = log.lines().next_back().unwrap_or_default().to_owned();
@@ -136,17 +136,17 @@
 }
 
 /// Waits for a process, which is killed at the time-out.
-fn wait(child: &mut Child) -> Result<ExitStatus, MeasureError> {
+fn wait_with_timeout(child: &mut Child) -> Result<ExitStatus, MeasureError> {
     let started = Instant::now();
     loop {
         match child.try_wait() {
             Ok(Some(status)) => return Ok(status),
             Ok(None) if started.elapsed() < MEASURE_TIMEOUT => thread::sleep(Duration::from_millis(2)),
-            unfinished => {
+            result => {
                 // `kill` fails where the process has ended meanwhile.
                 let _ = child.kill();
                 let _ = child.wait();
-                return Err(unfinished.map_or_else(MeasureError::Wait, |_| MeasureError::TimedOut));
+                return Err(result.map_or_else(MeasureError::Wait, |_| MeasureError::TimedOut));
             }
         }
     }
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -205,9 +205,9 @@
 
     /// When a version was published; `None` for one that was not.
     #[must_use]
-    pub fn published(&self, revision: u64) -> Option<Instant> {
-        let at = usize::try_from(revision.checked_sub(1)?).ok()?;
-        self.published.get(at).copied()
+    pub fn published_at(&self, revision: u64) -> Option<Instant> {
+        let index = usize::try_from(revision.checked_sub(1)?).ok()?;
+        self.published.get(index).copied()
     }
 
     /// A server by its number.
@@ -230,7 +230,7 @@
 
     /// The numbers of the servers that now occupy these slots.
     #[must_use]
-    pub fn numbers(&self, slots: &[usize]) -> Vec<usize> {
+    pub fn servers_in(&self, slots: &[usize]) -> Vec<usize> {
         slots.iter().map(|slot| self.slots[*slot]).collect()
     }
 
@@ -242,7 +242,7 @@
             let server = &mut self.servers[*number];
             server.phase = phase;
         }
-        self.commit(numbers);
+        self.publish(numbers);
     }
 
     /// Sets whether servers respond; the list does not change.
@@ -257,7 +257,7 @@
             (server.phase, server.reachability, server.up_since_ms) =
                 (Phase::Active, Reachability::Up, up_since_ms);
         }
-        self.commit(numbers);
+        self.publish(numbers);
     }
 
     /// Adds new servers in these slots, in one new version. The servers that occupied them keep their state.
@@ -274,26 +274,26 @@
                 in_flight: 0,
             });
         }
-        self.commit(&(first..self.servers.len()).collect::<Vec<_>>());
+        self.publish(&(first..self.servers.len()).collect::<Vec<_>>());
     }
 
     /// Changes the configuration of a service, here the weight of its servers, in one new version.
     pub fn set_service_weight(&mut self, service: usize, weight: f64) {
         let slots = 0..self.size.servers;
         let of_service: Vec<_> = slots.filter(|slot| self.size.service(*slot) == service).collect();
-        let numbers = self.numbers(&of_service);
+        let numbers = self.servers_in(&of_service);
         numbers.iter().for_each(|number| self.servers[*number].weight = weight);
-        self.commit(&numbers);
+        self.publish(&numbers);
     }
 
     /// Publishes a new version in which these servers changed.
-    fn commit(&mut self, numbers: &[usize]) {
+    fn publish(&mut self, numbers: &[usize]) {
         self.published.push(Instant::now());
         let revision = self.revision();
         self.log.extend(numbers.iter().map(|number| (revision, *number)));
         while self.log.len() > self.max_log_entries {
-            let Some((dropped, _)) = self.log.pop_front() else { break };
-            self.last_truncated_revision = dropped;
+            let Some((revision, _)) = self.log.pop_front() else { break };
+            self.last_truncated_revision = revision;
         }
         self.complete = None;
         self.changes.clear();
@@ -302,32 +302,32 @@
     // ---- Responses
 
     /// The complete list; encoded once for each version.
-    pub fn complete(&mut self) -> ListResponse {
+    pub fn complete_list(&mut self) -> ListResponse {
         if let Some(complete) = &self.complete {
             return complete.clone();
         }
         // Servers that left occupy no slot, except those of failed machines that were not replaced.
         let mut listed: BTreeSet<usize> = self.slots.iter().copied().collect();
-        listed.extend((0..self.servers.len()).filter(|at| self.servers[*at].phase == Phase::Leaving));
-        listed.retain(|at| self.servers[*at].phase != Phase::Left);
+        listed.extend((0..self.servers.len()).filter(|number| self.servers[*number].phase == Phase::Leaving));
+        listed.retain(|number| self.servers[*number].phase != Phase::Left);
         let complete = self.encode(true, listed);
         self.complete = Some(complete.clone());
         complete
     }
 
     /// What changed since a version: the complete list where that is unknown or the log no longer reaches back to it.
-    pub fn since(&mut self, revision: u64) -> ListResponse {
+    pub fn changes_since(&mut self, revision: u64) -> ListResponse {
         if revision > self.revision() || revision < self.last_truncated_revision {
-            return self.complete();
+            return self.complete_list();
         }
-        if let Some(answer) = self.changes.get(&revision) {
-            return answer.clone();
+        if let Some(response) = self.changes.get(&revision) {
+            return response.clone();
         }
-        let later = self.log.iter().rev().take_while(|(at, _)| *at > revision);
-        let changed = later.map(|(_, number)| *number).collect();
-        let answer = self.encode(false, changed);
-        self.changes.insert(revision, answer.clone());
-        answer
+        let later_changes = self.log.iter().rev().take_while(|(changed_in, _)| *changed_in > revision);
+        let changed = later_changes.map(|(_, number)| *number).collect();
+        let response = self.encode(false, changed);
+        self.changes.insert(revision, response.clone());
+        response
     }
 
     fn encode(&self, complete: bool, numbers: BTreeSet<usize>) -> ListResponse {
@@ -342,7 +342,7 @@
         let server = &self.servers[number];
         let rack = self.size.rack(server.slot);
         MemberBody {
-            id: name(number),
+            id: server_name(number),
             host_port: self.addresses[rack],
             locality: &self.zones[self.size.zone(rack)],
             flavor: KIND,
@@ -362,12 +362,12 @@
 
 /// The name of a server.
 #[must_use]
-pub fn name(number: usize) -> String {
+pub fn server_name(number: usize) -> String {
     format!("s-{number:08x}")
 }
 
 /// The number of a server, from its name.
 #[must_use]
-pub fn number(name: &str) -> Option<usize> {
+pub fn server_number(name: &str) -> Option<usize> {
     usize::from_str_radix(name.strip_prefix("s-")?, 16).ok()
 }
--- a/crates/node-emulator/src/counters.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -105,18 +105,24 @@
 impl NodeCounters {
     /// Records that a node went from version `from` to the newer version `to`; `published` returns when a version was
     /// published.
-    pub fn advanced(&mut self, now: Instant, from: u64, to: u64, published: impl Fn(u64) -> Option<Instant>) {
-        let since = |version| published(version).map(|at| now.saturating_duration_since(at));
-        self.behind += since(from + 1).unwrap_or_default();
+    pub fn record_advance(
+        &mut self,
+        now: Instant,
+        from: u64,
+        to: u64,
+        published: impl Fn(u64) -> Option<Instant>,
+    ) {
+        let elapsed_since = |version| published(version).map(|at| now.saturating_duration_since(at));
+        self.behind += elapsed_since(from + 1).unwrap_or_default();
         for version in from + 1..=to {
-            let Some(lag) = since(version) else { continue };
+            let Some(lag) = elapsed_since(version) else { continue };
             self.lag.add(lag);
-            let at = usize::try_from(version).unwrap_or(0);
-            if self.propagation.len() <= at {
-                self.propagation.resize(at + 1, VersionPropagation::default());
+            let index = usize::try_from(version).unwrap_or(0);
+            if self.propagation.len() <= index {
+                self.propagation.resize(index + 1, VersionPropagation::default());
             }
-            self.propagation[at].nodes += 1;
-            self.propagation[at].longest = self.propagation[at].longest.max(lag);
+            self.propagation[index].nodes += 1;
+            self.propagation[index].longest = self.propagation[index].longest.max(lag);
         }
     }
 
@@ -129,9 +135,9 @@
         self.wake_up_delay.merge(&other.wake_up_delay);
         self.propagation
             .resize(self.propagation.len().max(other.propagation.len()), VersionPropagation::default());
-        for (mine, other) in self.propagation.iter_mut().zip(&other.propagation) {
-            mine.nodes += other.nodes;
-            mine.longest = mine.longest.max(other.longest);
+        for (propagation, other) in self.propagation.iter_mut().zip(&other.propagation) {
+            propagation.nodes += other.nodes;
+            propagation.longest = propagation.longest.max(other.longest);
         }
         self.behind += other.behind;
         self.list_responses += other.list_responses;
--- a/crates/node-emulator/src/discovery.rs
+++ b/crates/node-emulator/src/discovery.rs
@@ -15,7 +15,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::time::timeout;
 
-use crate::traffic::Counted;
+use crate::traffic::CountedStream;
 use crate::world::{accept, World};
 
 /// Longest wait of a long poll.
@@ -67,7 +67,7 @@
         tokio::task::spawn_local(async move {
             // Small answers must not wait for the client's acknowledgement.
             let _ = stream.set_nodelay(true);
-            let stream = TokioIo::new(Counted::new(stream, Arc::clone(&world.discovery)));
+            let stream = TokioIo::new(CountedStream::new(stream, Arc::clone(&world.discovery)));
             let service = service_fn(|request| handle_request(&world, region, request));
             // It fails where the client breaks the connection off, as it does when the agent is unresponsive.
             let _ = http1::Builder::new().serve_connection(stream, service).await;
@@ -81,7 +81,7 @@
     region: usize,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    world.discovery.message();
+    world.discovery.count_message();
     let status = |code| {
         let mut response = Response::new(Full::default());
         *response.status_mut() = code;
@@ -99,17 +99,17 @@
         let _ = timeout(wait, world.newest().wait_for(|newest| *newest != revision)).await;
     }
     // An unresponsive agent leaves the call open until the client gives up: then this future is dropped.
-    world.wait_until_answering(region).await;
+    world.wait_until_responsive(region).await;
     let mut catalogue = world.catalogue();
     let response_list = match list_request {
-        ListRequest::Complete => catalogue.complete(),
-        ListRequest::ChangesSince { revision, .. } => catalogue.since(revision),
+        ListRequest::Complete => catalogue.complete_list(),
+        ListRequest::ChangesSince { revision, .. } => catalogue.changes_since(revision),
     };
     drop(catalogue);
     let count = match response_list.members {
         _ if response_list.complete => &world.counts.complete_lists,
-        0 => &world.counts.unchanged,
-        _ => &world.counts.changes,
+        0 => &world.counts.unchanged_answers,
+        _ => &world.counts.change_answers,
     };
     count.fetch_add(1, Relaxed);
     let response = Response::builder().header("Content-Type", "application/json");
--- a/crates/node-emulator/src/fit.rs
+++ b/crates/node-emulator/src/fit.rs
@@ -18,14 +18,14 @@
 /// Fits a line to the points; `None` for fewer than two different `x`.
 #[must_use]
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
-    let (slope, intercept, r2) = line(points)?;
+    let (slope, intercept, r2) = least_squares(points)?;
     let positive = points.iter().all(|(x, y)| *x > 0.0 && *y > 0.0);
     let logs: Vec<_> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
-    let exponent = if positive { line(&logs).map(|(slope, ..)| slope) } else { None };
+    let exponent = if positive { least_squares(&logs).map(|(slope, ..)| slope) } else { None };
     Some(Fit { slope, intercept, r2, exponent })
 }
 
-fn line(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
+fn least_squares(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
     let n = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
     let (x, y) = (mean(|p| p.0), mean(|p| p.1));
--- a/crates/node-emulator/src/main.rs
+++ b/crates/node-emulator/src/main.rs
@@ -113,7 +113,7 @@
     scenario.seed = arguments.seed.unwrap_or(scenario.seed);
     let (node_threads, start_timeout_s) = (arguments.node_threads.into(), arguments.start_timeout_s);
     let options = scenario_run::RunOptions { node_threads, memory_mb, start_timeout_s };
-    let (commit, modified) = report::commit();
+    let (commit, modified) = report::checked_out_commit();
     let measured = scenario_run::run(&scenario, options)?;
     print!("{}", scenario_run::table(&scenario, &measured));
     let path = arguments.report.unwrap_or_else(|| format!("logs/play-{}.json", scenario.name).into());
@@ -142,11 +142,11 @@
         memory_mb,
         baseline: arguments.baseline,
     };
-    let (commit, modified) = report::commit();
+    let (commit, modified) = report::checked_out_commit();
     let measured = slopes::measure(&options)?;
     print!("{}", slopes::table(&measured.slopes));
     let mut cpu_seconds = measured.cpu_seconds;
-    cpu_seconds.insert("process".into(), usage::process_time().as_secs_f64());
+    cpu_seconds.insert("process".into(), usage::process_cpu_time().as_secs_f64());
     let report = Report {
         command: "slopes",
         seed: options.seed,
--- a/crates/node-emulator/src/node/emulated_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -74,18 +74,18 @@
     }
 
     /// Stops the node: outcomes of its attempts in flight are ignored.
-    pub(super) fn end(&self) {
+    pub(super) fn stop(&self) {
         self.stopped.set(true);
         self.pending_requests.borrow_mut().clear();
     }
 
     /// Reads the first list, then follows discovery for as long as the node runs.
     pub(super) async fn follow(self: Rc<Self>) {
-        let known = {
+        let connection = {
             let _permit = self.thread.start_permits.acquire().await;
             discovery::fetch_initial(&self).await
         };
-        discovery::follow(self, known).await;
+        discovery::follow(self, connection).await;
     }
 
     // ---- Requests
@@ -125,7 +125,7 @@
         self.remove_if_finished(id);
     }
 
-    pub(super) fn handle(self: &Rc<Self>, event: BalancerEvent) {
+    pub(super) fn handle_event(self: &Rc<Self>, event: BalancerEvent) {
         let actions = self.decide(event);
         self.execute(actions);
     }
@@ -163,7 +163,7 @@
                     let after = Duration::try_from_secs_f64(after_ms / 1000.0).unwrap_or_default();
                     tokio::task::spawn_local(async move {
                         sleep(after).await;
-                        node.handle(BalancerEvent::TimerFired(timer));
+                        node.handle_event(BalancerEvent::TimerFired(timer));
                     });
                 }
                 BalancerAction::Log(text) => tracing::debug!(node = self.number, "{text}"),
@@ -195,16 +195,16 @@
     pub(super) fn send(self: &Rc<Self>, request: RequestId, server: ServerId) {
         let mut pending_requests = self.pending_requests.borrow_mut();
         let Some(pending) = pending_requests.get_mut(&request) else { return };
-        let (stop, stopped) = oneshot::channel();
+        let (cancel, cancelled) = oneshot::channel();
         let attempt = pending.attempts.len();
-        pending.attempts.push(Some(stop));
+        pending.attempts.push(Some(cancel));
         lock(&self.thread.counters).sends += 1;
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let started_at = Instant::now();
             let (outcome, report) = tokio::select! {
                 reply = node.thread.call(server, node.region, "/api") => reply,
-                _ = stopped => (AttemptOutcome::Cancelled, None),
+                _ = cancelled => (AttemptOutcome::Cancelled, None),
             };
             node.on_attempt_ended(request, attempt, started_at.elapsed(), outcome, report);
         });
@@ -226,7 +226,7 @@
         }
         let complete = self.pending_requests.borrow().get(&request).is_none_or(|pending| pending.answered);
         let elapsed_ms = elapsed.as_secs_f64() * 1000.0;
-        self.handle(BalancerEvent::AttemptEnded(AttemptEnd {
+        self.handle_event(BalancerEvent::AttemptEnded(AttemptEnd {
             request,
             attempt,
             elapsed_ms,
@@ -242,7 +242,7 @@
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let (outcome, report) = node.thread.call(server, node.region, "/_load").await;
-            node.handle(BalancerEvent::ProbeEnded { server, outcome, report });
+            node.handle_event(BalancerEvent::ProbeEnded { server, outcome, report });
         });
     }
 }
@@ -272,7 +272,7 @@
         if self.stopped.get() {
             return;
         }
-        let before = self.revision.replace(Some(list.revision));
+        let previous = self.revision.replace(Some(list.revision));
         let endpoint_update = endpoint_update(&list, &self.thread.zones);
         let (revision, complete) = (list.revision, list.complete);
         drop(list);
@@ -284,11 +284,11 @@
         counters.endpoint_update.add(now - started_at);
         counters.list_responses += 1;
         counters.complete_lists += u64::from(complete);
-        match before {
+        match previous {
             None => counters.start.add(now - self.started),
-            Some(before) if before < revision => {
+            Some(previous) if previous < revision => {
                 let catalogue = self.thread.world.catalogue();
-                counters.advanced(now, before, revision, |version| catalogue.published(version));
+                counters.record_advance(now, previous, revision, |version| catalogue.published_at(version));
             }
             Some(_) => {}
         }
@@ -299,6 +299,6 @@
 
     fn unavailable(self: &Rc<Self>) {
         lock(&self.thread.counters).failed_calls += 1;
-        self.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
+        self.handle_event(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
     }
 }
--- a/crates/node-emulator/src/node/endpoint_update.rs
+++ b/crates/node-emulator/src/node/endpoint_update.rs
@@ -19,7 +19,7 @@
 #[must_use]
 pub fn endpoint_update(list: &ServerList, zones: &[String]) -> EndpointUpdate {
     let entry = |member: &ListedMember| {
-        let server = ServerId(catalogue::number(&member.id)?);
+        let server = ServerId(catalogue::server_number(&member.id)?);
         let zone = zones.iter().position(|zone| *zone == member.locality).unwrap_or(zones.len());
         Some(member.to_entry(server, zone, 0, wire::key(&member.id)))
     };
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -99,18 +99,18 @@
         known_versions,
         start_permits: Semaphore::new(MAX_CONCURRENT_STARTS),
     });
-    tokio::task::spawn_local(Rc::clone(&thread).measure_lateness());
+    tokio::task::spawn_local(Rc::clone(&thread).measure_wake_up_delay());
     let mut running: HashMap<usize, (Rc<EmulatedNode>, Vec<AbortHandle>)> = HashMap::new();
     while let Some(NodeCommand::Start(number)) = commands.recv().await {
         if let Some((old, tasks)) = running.remove(&number) {
-            old.end();
+            old.stop();
             tasks.iter().for_each(AbortHandle::abort);
         }
         match EmulatedNode::new(&thread, number) {
             Ok(node) => {
-                let follow = tokio::task::spawn_local(Rc::clone(&node).follow());
-                let take = tokio::task::spawn_local(Rc::clone(&node).generate_requests());
-                running.insert(number, (node, vec![follow.abort_handle(), take.abort_handle()]));
+                let follow_task = tokio::task::spawn_local(Rc::clone(&node).follow());
+                let request_task = tokio::task::spawn_local(Rc::clone(&node).generate_requests());
+                running.insert(number, (node, vec![follow_task.abort_handle(), request_task.abort_handle()]));
             }
             Err(error) => tracing::error!(number, %error, "a node cannot start"),
         }
--- a/crates/node-emulator/src/node/thread.rs
+++ b/crates/node-emulator/src/node/thread.rs
@@ -23,10 +23,10 @@
 use crate::world::World;
 
 /// How often the wake-up delay of a thread is measured.
-pub(super) const LATENESS_INTERVAL: Duration = Duration::from_millis(50);
+pub(super) const WAKE_UP_DELAY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Longest body of a server's response.
-pub(super) const MAX_ANSWER_BYTES: usize = 1 << 10;
+pub(super) const MAX_RESPONSE_BYTES: usize = 1 << 10;
 
 /// Idle connections kept to the servers of one rack, for all nodes of a thread.
 pub(super) const MAX_IDLE_CONNECTIONS: usize = 32;
@@ -48,16 +48,16 @@
 }
 
 impl NodeThread {
-    pub(super) async fn measure_lateness(self: Rc<Self>) {
+    pub(super) async fn measure_wake_up_delay(self: Rc<Self>) {
         loop {
-            let due = Instant::now() + LATENESS_INTERVAL;
+            let due = Instant::now() + WAKE_UP_DELAY_INTERVAL;
             tokio::time::sleep_until(due.into()).await;
             lock(&self.counters).wake_up_delay.add(due.elapsed());
         }
     }
 
     /// The longest deadline of all request classes, which bounds an attempt.
-    pub(super) fn max_attempt_duration(&self) -> Duration {
+    pub(super) fn attempt_timeout(&self) -> Duration {
         let deadline_ms =
             self.config.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
         Duration::try_from_secs_f64(deadline_ms / 1000.0).unwrap_or_default()
@@ -71,7 +71,7 @@
         path: &str,
     ) -> (AttemptOutcome, Option<LoadReport>) {
         let call = self.exchange(server, region, path);
-        timeout(self.max_attempt_duration(), call).await.unwrap_or((AttemptOutcome::TimedOut, None))
+        timeout(self.attempt_timeout(), call).await.unwrap_or((AttemptOutcome::TimedOut, None))
     }
 
     /// Sends a request to a server and reads its response, without a time-out.
@@ -87,11 +87,11 @@
         let Some(mut sender) = self.idle_or_new_connection(address).await else {
             return (AttemptOutcome::Unreachable, None);
         };
-        let request = hyper::Request::get(path).header("Host", catalogue::name(server.0));
+        let request = hyper::Request::get(path).header("Host", catalogue::server_name(server.0));
         let request = request.header("X-From", region).body(Empty::new()).expect("a sound request");
         let Ok(response) = sender.send_request(request).await else { return (AttemptOutcome::Reset, None) };
         let (head, body) = response.into_parts();
-        let complete = Limited::new(body, MAX_ANSWER_BYTES).collect().await.is_ok();
+        let complete = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.is_ok();
         let mut idle = self.idle.borrow_mut();
         let idle = idle.entry(address).or_default();
         if complete && idle.len() < MAX_IDLE_CONNECTIONS {
@@ -114,10 +114,10 @@
         address: SocketAddr,
     ) -> Option<SendRequest<Empty<Bytes>>> {
         loop {
-            let kept = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
-            let Some(mut kept) = kept else { break };
-            if kept.ready().await.is_ok() {
-                return Some(kept);
+            let sender = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
+            let Some(mut sender) = sender else { break };
+            if sender.ready().await.is_ok() {
+                return Some(sender);
             }
         }
         let stream = TcpStream::connect(address).await.ok()?;
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -65,7 +65,7 @@
 
     /// What the size of the fleet is counted in.
     #[must_use]
-    pub fn against(self) -> &'static str {
+    pub fn size_unit(self) -> &'static str {
         match self {
             Self::TenantMemory | Self::TenantStart => "tenants",
             Self::ServeChange | Self::ServeChangeBytes => "watches",
@@ -75,7 +75,7 @@
     }
 
     pub(crate) fn default_sizes(self) -> &'static [usize] {
-        match self.against() {
+        match self.size_unit() {
             "tenants" => &[100, 1_000, 10_000, 53_000],
             "watches" => &[100, 500, 1_000, 2_000],
             "services" => &[1, 10, 100, 660],
--- a/crates/node-emulator/src/report.rs
+++ b/crates/node-emulator/src/report.rs
@@ -69,7 +69,7 @@
 
 /// The commit that is checked out in the working folder, and whether files differ from it.
 #[must_use]
-pub fn commit() -> (String, bool) {
+pub fn checked_out_commit() -> (String, bool) {
     let git = |arguments: &[&str]| {
         let output = Command::new("git").args(arguments).output().ok()?;
         let text = String::from_utf8(output.stdout).ok()?;
--- a/crates/node-emulator/src/scenario/check.rs
+++ b/crates/node-emulator/src/scenario/check.rs
@@ -22,43 +22,44 @@
 pub(super) const MAX_SIZE: usize = 1_000_000;
 
 /// An invalid value and its position in the text.
-pub(super) struct Fault {
-    pub(super) at: Range<usize>,
+pub(super) struct InvalidKey {
+    pub(super) span: Range<usize>,
     pub(super) key: String,
-    pub(super) why: String,
+    pub(super) reason: String,
 }
 
-pub(super) fn fault<T>(at: Range<usize>, key: &str, why: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { at, key: key.into(), why: why.into() })
+pub(super) fn invalid<T>(span: Range<usize>, key: &str, reason: impl Into<String>) -> Result<T, InvalidKey> {
+    Err(InvalidKey { span, key: key.into(), reason: reason.into() })
 }
 
-pub(super) fn line_of(text: &str, at: usize) -> usize {
-    1 + text.bytes().take(at).filter(|byte| *byte == b'\n').count()
+pub(super) fn line_number(text: &str, offset: usize) -> usize {
+    1 + text.bytes().take(offset).filter(|byte| *byte == b'\n').count()
 }
 
 /// Converts an error of the TOML parser. It names a key only where that is missing, unknown or duplicate; otherwise
 /// the key is that of the line.
-pub(super) fn toml_fault(text: &str, error: &toml::de::Error) -> Fault {
-    let at = error.span().unwrap_or(0..0);
-    let why = error.message().to_owned();
-    let named = ["missing field `", "unknown field `", "duplicate key `"].iter();
-    let mut named = named.filter_map(|before| why.split_once(before)?.1.split_once('`')).map(|(key, _)| key);
-    let line = text.lines().nth(line_of(text, at.start) - 1).unwrap_or_default();
-    let of_line = line.split_once('=').map_or(line, |(key, _)| key).trim();
-    let key = named.next_back().unwrap_or(of_line).to_owned();
-    Fault { at, key, why }
+pub(super) fn from_toml_error(text: &str, error: &toml::de::Error) -> InvalidKey {
+    let span = error.span().unwrap_or(0..0);
+    let reason = error.message().to_owned();
+    let prefixes = ["missing field `", "unknown field `", "duplicate key `"].iter();
+    let mut named =
+        prefixes.filter_map(|prefix| reason.split_once(prefix)?.1.split_once('`')).map(|(key, _)| key);
+    let line = text.lines().nth(line_number(text, span.start) - 1).unwrap_or_default();
+    let key_of_line = line.split_once('=').map_or(line, |(key, _)| key).trim();
+    let key = named.next_back().unwrap_or(key_of_line).to_owned();
+    InvalidKey { span, key, reason }
 }
 
-pub(super) fn check_scenario(raw: RawScenario) -> Result<Scenario, Fault> {
+pub(super) fn check_scenario(raw: RawScenario) -> Result<Scenario, InvalidKey> {
     let name = raw.name.get_ref();
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     if name.is_empty() || name.len() > 64 || !name.chars().all(is_allowed) {
-        return fault(raw.name.span(), "name", "must be 1 to 64 letters, digits, `-` or `_`");
+        return invalid(raw.name.span(), "name", "must be 1 to 64 letters, digits, `-` or `_`");
     }
-    let duration_s = within(&raw.duration_s, "duration_s", 0.1, MAX_DURATION_S)?;
+    let duration_s = check_range(&raw.duration_s, "duration_s", 0.1, MAX_DURATION_S)?;
     let max_catch_up_s = raw.max_catch_up_s.as_ref();
     let max_catch_up_s = max_catch_up_s
-        .map_or(Ok(DEFAULT_MAX_CATCH_UP_S), |value| within(value, "settle_s", 0.0, MAX_DURATION_S))?;
+        .map_or(Ok(DEFAULT_MAX_CATCH_UP_S), |value| check_range(value, "settle_s", 0.0, MAX_DURATION_S))?;
     let size = check_size(&raw.size)?;
     let load = check_load(&raw.load)?;
     let events = raw.event.into_iter().map(|event| check_event(event, size, duration_s));
@@ -73,10 +74,10 @@
     })
 }
 
-pub(super) fn check_size(raw: &RawSize) -> Result<Size, Fault> {
-    let count = |value: &Spanned<usize>, key, min: usize, why: &str, max: usize| match *value.get_ref() {
-        n if n < min || n == 0 => fault(value.span(), key, format!("must be at least {why}")),
-        n if n > max => fault(value.span(), key, format!("must be {max} at most")),
+pub(super) fn check_size(raw: &RawSize) -> Result<Size, InvalidKey> {
+    let count = |value: &Spanned<usize>, key, min: usize, min_text: &str, max: usize| match *value.get_ref() {
+        n if n < min || n == 0 => invalid(value.span(), key, format!("must be at least {min_text}")),
+        n if n > max => invalid(value.span(), key, format!("must be {max} at most")),
         n => Ok(n),
     };
     let regions = count(&raw.regions, "size.regions", 1, "1", MAX_REGIONS)?;
@@ -89,13 +90,13 @@
     Ok(Size { regions, zones, racks, services, servers, nodes })
 }
 
-pub(super) fn check_load(raw: &RawLoad) -> Result<Load, Fault> {
+pub(super) fn check_load(raw: &RawLoad) -> Result<Load, InvalidKey> {
     let number = |value: &Option<Spanned<f64>>, key, default: f64, min, max| {
-        value.as_ref().map_or(Ok(default), |value| within(value, key, min, max))
+        value.as_ref().map_or(Ok(default), |value| check_range(value, key, min, max))
     };
     let integer = |value: &Option<Spanned<usize>>, key, default: usize| match value {
         Some(value) if *value.get_ref() == 0 || *value.get_ref() > MAX_SIZE => {
-            fault(value.span(), key, format!("must be 1 to {MAX_SIZE}"))
+            invalid(value.span(), key, format!("must be 1 to {MAX_SIZE}"))
         }
         value => Ok(value.as_ref().map_or(default, |value| *value.get_ref())),
     };
@@ -110,10 +111,10 @@
     })
 }
 
-pub(super) fn within(value: &Spanned<f64>, key: &str, min: f64, max: f64) -> Result<f64, Fault> {
+pub(super) fn check_range(value: &Spanned<f64>, key: &str, min: f64, max: f64) -> Result<f64, InvalidKey> {
     let number = *value.get_ref();
     if number.is_finite() && (min..=max).contains(&number) {
         return Ok(number);
     }
-    fault(value.span(), key, format!("must be {min} to {max}"))
+    invalid(value.span(), key, format!("must be {min} to {max}"))
 }
--- a/crates/node-emulator/src/scenario/event.rs
+++ b/crates/node-emulator/src/scenario/event.rs
@@ -4,7 +4,7 @@
 
 use toml::Spanned;
 
-use super::check::{fault, within, Fault, MAX_SIZE};
+use super::check::{check_range, invalid, InvalidKey, MAX_SIZE};
 use super::file::RawEvent;
 use super::{Event, EventKind};
 use crate::catalogue::Size;
@@ -17,13 +17,13 @@
 }
 
 impl EventKeys {
-    pub(super) fn required<T>(&self, value: Option<T>, key: &str) -> Result<T, Fault> {
-        value.map_or_else(|| fault(self.span.clone(), key, "is missing"), Ok)
+    pub(super) fn required<T>(&self, value: Option<T>, key: &str) -> Result<T, InvalidKey> {
+        value.map_or_else(|| invalid(self.span.clone(), key, "is missing"), Ok)
     }
 
     /// A time within the duration of the scenario, in seconds.
-    pub(super) fn time(&self, value: Option<Spanned<f64>>, key: &str) -> Result<f64, Fault> {
-        within(&self.required(value, key)?, key, 0.0, self.duration_s)
+    pub(super) fn time(&self, value: Option<Spanned<f64>>, key: &str) -> Result<f64, InvalidKey> {
+        check_range(&self.required(value, key)?, key, 0.0, self.duration_s)
     }
 
     pub(super) fn index(
@@ -31,36 +31,36 @@
         value: Option<Spanned<usize>>,
         key: &str,
         count: usize,
-    ) -> Result<usize, Fault> {
+    ) -> Result<usize, InvalidKey> {
         let value = self.required(value, key)?;
         if *value.get_ref() < count {
             return Ok(value.into_inner());
         }
-        fault(value.span(), key, format!("there are {count}, numbered from 0"))
+        invalid(value.span(), key, format!("there are {count}, numbered from 0"))
     }
 
-    pub(super) fn for_s(&mut self) -> Result<f64, Fault> {
+    pub(super) fn for_s(&mut self) -> Result<f64, InvalidKey> {
         let value = self.raw.for_s.take();
         self.time(value, "for_s")
     }
 
-    pub(super) fn over_s(&mut self) -> Result<f64, Fault> {
+    pub(super) fn over_s(&mut self) -> Result<f64, InvalidKey> {
         let value = self.raw.over_s.take();
         self.time(value, "over_s")
     }
 
-    pub(super) fn noticed_s(&mut self) -> Result<f64, Fault> {
+    pub(super) fn noticed_s(&mut self) -> Result<f64, InvalidKey> {
         let value = self.raw.noticed_s.take();
         self.time(value, "noticed_s")
     }
 
-    pub(super) fn region(&mut self, size: Size) -> Result<usize, Fault> {
+    pub(super) fn region(&mut self, size: Size) -> Result<usize, InvalidKey> {
         let value = self.raw.region.take();
         self.index(value, "region", size.regions)
     }
 
     /// The event's kind with its keys, and how long it lasts, in seconds.
-    fn kind(&mut self, kind: &Spanned<String>, size: Size) -> Result<(EventKind, f64), Fault> {
+    fn kind(&mut self, kind: &Spanned<String>, size: Size) -> Result<(EventKind, f64), InvalidKey> {
         Ok(match kind.get_ref().as_str() {
             "ordinary-day" => self.ordinary_day()?,
             "rolling-replacement" => self.rolling_replacement()?,
@@ -86,7 +86,7 @@
             }
             "configuration-storm" => {
                 let changes = self.raw.changes.take();
-                let changes = self.count(changes, "changes")?;
+                let changes = self.positive_count(changes, "changes")?;
                 let over_s = self.over_s()?;
                 (EventKind::ConfigurationStorm { changes, over_s }, over_s)
             }
@@ -94,41 +94,41 @@
                 let for_s = self.for_s()?;
                 (EventKind::DiscoveryUnresponsive { for_s }, for_s)
             }
-            other => return fault(kind.span(), "kind", format!("there is no event `{other}`")),
+            unknown => return invalid(kind.span(), "kind", format!("there is no event `{unknown}`")),
         })
     }
 
-    fn ordinary_day(&mut self) -> Result<(EventKind, f64), Fault> {
+    fn ordinary_day(&mut self) -> Result<(EventKind, f64), InvalidKey> {
         let speed = self.raw.speed.take();
-        let speed = speed.map_or(Ok(1.0), |speed| within(&speed, "speed", 0.001, 100_000.0))?;
+        let speed = speed.map_or(Ok(1.0), |speed| check_range(&speed, "speed", 0.001, 100_000.0))?;
         let for_s = self.for_s()?;
         Ok((EventKind::OrdinaryDay { for_s, speed }, for_s))
     }
 
-    fn rolling_replacement(&mut self) -> Result<(EventKind, f64), Fault> {
+    fn rolling_replacement(&mut self) -> Result<(EventKind, f64), InvalidKey> {
         let part = self.raw.part.take();
-        let part = within(&self.required(part, "part")?, "part", 0.0, 1.0)?;
+        let part = check_range(&self.required(part, "part")?, "part", 0.0, 1.0)?;
         let batches = self.raw.batches.take();
-        let batches = self.count(batches, "batches")?;
+        let batches = self.positive_count(batches, "batches")?;
         let drain = self.raw.drain_s.take();
         let (over_s, drain_s) = (self.over_s()?, self.time(drain, "drain_s")?);
         Ok((EventKind::RollingReplacement { part, batches, over_s, drain_s }, over_s + drain_s))
     }
 
     /// A count above zero.
-    fn count(&self, value: Option<Spanned<usize>>, key: &str) -> Result<usize, Fault> {
+    fn positive_count(&self, value: Option<Spanned<usize>>, key: &str) -> Result<usize, InvalidKey> {
         let value = self.required(value, key)?;
         match *value.get_ref() {
             n if (1..=MAX_SIZE).contains(&n) => Ok(n),
-            _ => fault(value.span(), key, format!("must be 1 to {MAX_SIZE}")),
+            _ => invalid(value.span(), key, format!("must be 1 to {MAX_SIZE}")),
         }
     }
 
-    pub(super) fn nothing_left(&self) -> Result<(), Fault> {
+    pub(super) fn check_no_keys_left(&self) -> Result<(), InvalidKey> {
         let raw = &self.raw;
         let number_span = |value: &Option<Spanned<f64>>| value.as_ref().map(Spanned::span);
         let integer_span = |value: &Option<Spanned<usize>>| value.as_ref().map(Spanned::span);
-        let left = [
+        let remaining_keys = [
             ("for_s", number_span(&raw.for_s)),
             ("over_s", number_span(&raw.over_s)),
             ("noticed_s", number_span(&raw.noticed_s)),
@@ -141,25 +141,32 @@
             ("zone", integer_span(&raw.zone)),
             ("region", integer_span(&raw.region)),
         ];
-        match left.into_iter().find_map(|(key, span)| Some((key, span?))) {
-            Some((key, span)) => fault(span, key, "does not belong to an event of this kind"),
+        match remaining_keys.into_iter().find_map(|(key, span)| Some((key, span?))) {
+            Some((key, span)) => invalid(span, key, "does not belong to an event of this kind"),
             None => Ok(()),
         }
     }
 }
 
-pub(super) fn check_event(event: Spanned<RawEvent>, size: Size, duration_s: f64) -> Result<Event, Fault> {
+pub(super) fn check_event(
+    event: Spanned<RawEvent>,
+    size: Size,
+    duration_s: f64,
+) -> Result<Event, InvalidKey> {
     let mut keys = EventKeys { span: event.span(), raw: event.into_inner(), duration_s };
     let kind = keys.raw.kind.take();
     let kind = keys.required(kind, "kind")?;
     let at = keys.raw.at_s.take();
     let at_span = at.as_ref().map_or(keys.span.clone(), Spanned::span);
     let at_s = keys.time(at, "at_s")?;
-    let (kind, lasts_s) = keys.kind(&kind, size)?;
-    keys.nothing_left()?;
-    if at_s + lasts_s > duration_s {
-        let why = format!("the event ends {} s after the start, and the play {duration_s} s", at_s + lasts_s);
-        return fault(at_span, "at_s", why);
+    let (kind, event_duration_s) = keys.kind(&kind, size)?;
+    keys.check_no_keys_left()?;
+    if at_s + event_duration_s > duration_s {
+        let reason = format!(
+            "the event ends {} s after the start, and the play {duration_s} s",
+            at_s + event_duration_s
+        );
+        return invalid(at_span, "at_s", reason);
     }
     Ok(Event { at_s, kind })
 }
--- a/crates/node-emulator/src/scenario/mod.rs
+++ b/crates/node-emulator/src/scenario/mod.rs
@@ -9,7 +9,7 @@
 
 use serde::Serialize;
 
-use self::check::{check_scenario, line_of, toml_fault};
+use self::check::{check_scenario, from_toml_error, line_number};
 use crate::catalogue::Size;
 
 /// A scenario file cannot be used.
@@ -24,8 +24,8 @@
         source: io::Error,
     },
     /// A key is missing, unknown or out of range.
-    #[error("{path}:{line}: `{key}`: {why}")]
-    Bad {
+    #[error("{path}:{line}: `{key}`: {reason}")]
+    Invalid {
         /// The file.
         path: PathBuf,
         /// The line, from 1.
@@ -33,7 +33,7 @@
         /// The key at fault.
         key: String,
         /// What is wrong with it.
-        why: String,
+        reason: String,
     },
 }
 
@@ -175,12 +175,12 @@
     ///
     /// Names the key and line at fault.
     pub fn parse(path: &Path, text: &str) -> Result<Self, ScenarioError> {
-        let raw = toml::from_str(text).map_err(|error| toml_fault(text, &error));
-        raw.and_then(check_scenario).map_err(|fault| ScenarioError::Bad {
+        let raw = toml::from_str(text).map_err(|error| from_toml_error(text, &error));
+        raw.and_then(check_scenario).map_err(|invalid| ScenarioError::Invalid {
             path: path.to_owned(),
-            line: line_of(text, fault.at.start),
-            key: fault.key,
-            why: fault.why,
+            line: line_number(text, invalid.span.start),
+            key: invalid.key,
+            reason: invalid.reason,
         })
     }
 }
--- a/crates/node-emulator/src/scenario_run/mod.rs
+++ b/crates/node-emulator/src/scenario_run/mod.rs
@@ -145,13 +145,13 @@
 /// Where it needs too much memory, cannot be set up, or its nodes get no list.
 pub fn run(scenario: &Scenario, options: RunOptions) -> Result<ScenarioMeasurements, ScenarioRunError> {
     check_memory_limit(scenario.size, options)?;
-    usage::allow_descriptors(required_descriptors(scenario, options))?;
+    usage::raise_descriptor_limit(required_descriptors(scenario, options))?;
     let settings = settings(&scenario.load);
     settings.validate()?;
     let fleet = RunningFleet::start(scenario, settings, options)?;
     let runtime = runtime()?;
     let measured = LocalSet::new().block_on(&runtime, fleet.run(scenario, options));
-    let joined = fleet.end();
+    let joined = fleet.shut_down();
     let measured = measured?;
     joined?;
     Ok(measured)
--- a/crates/node-emulator/src/scenario_run/results.rs
+++ b/crates/node-emulator/src/scenario_run/results.rs
@@ -106,15 +106,15 @@
 
 impl RunningFleet {
     /// The number of nodes that are not on the newest version, and the sum of the times since they were.
-    fn still_behind(&self, first: u64) -> (usize, Duration) {
+    fn nodes_and_time_behind(&self, first: u64) -> (usize, Duration) {
         let now = Instant::now();
         let catalogue = self.world.catalogue();
         let (mut nodes, mut behind) = (0, Duration::ZERO);
         for version in self.known_versions.versions().filter(|version| *version < catalogue.revision()) {
             nodes += 1;
-            let cpu_seconds_since = catalogue.published(version.max(first) + 1);
-            behind += cpu_seconds_since
-                .map_or(Duration::ZERO, |cpu_seconds_since| now.saturating_duration_since(cpu_seconds_since));
+            let superseded_at = catalogue.published_at(version.max(first) + 1);
+            behind += superseded_at
+                .map_or(Duration::ZERO, |superseded_at| now.saturating_duration_since(superseded_at));
         }
         (nodes, behind)
     }
@@ -127,7 +127,7 @@
         steps: &[TimedStep],
         answers: ResponseTotals,
     ) -> ScenarioResults {
-        let (nodes_behind_at_end, behind) = self.still_behind(first);
+        let (nodes_behind_at_end, behind) = self.nodes_and_time_behind(first);
         let newest = self.world.catalogue().revision();
         let mut all_nodes = DurationHistogram::default();
         let reached = counters.propagation.iter().filter(|propagation| propagation.nodes > 0);
@@ -161,7 +161,7 @@
     }
 
     pub(super) fn traffic(&self) -> BTreeMap<String, TrafficTotals> {
-        let (discovery, server) = (self.world.discovery.sums(), self.world.servers.sums());
+        let (discovery, server) = (self.world.discovery.totals(), self.world.servers.totals());
         // All traffic is between nodes and either discovery or servers: that of the nodes is the sum of both, reversed.
         let node = TrafficTotals {
             received_bytes: discovery.sent_bytes + server.sent_bytes,
@@ -170,7 +170,7 @@
             connections: discovery.connections + server.connections,
         };
         [("discovery", discovery), ("server", server), ("node", node)]
-            .map(|(role, sums)| (role.to_owned(), sums))
+            .map(|(role, totals)| (role.to_owned(), totals))
             .into()
     }
 }
--- a/crates/node-emulator/src/scenario_run/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -42,7 +42,7 @@
 }
 
 /// Listeners at the first addresses of a network.
-fn listeners(network: u8, count: usize) -> io::Result<Vec<TcpListener>> {
+fn bind_listeners(network: u8, count: usize) -> io::Result<Vec<TcpListener>> {
     let listener = |index: usize| {
         let [.., third, fourth] = (index as u32 + 1).to_be_bytes();
         world::listen(Ipv4Addr::new(127, network, third, fourth))
@@ -62,8 +62,8 @@
         options: RunOptions,
     ) -> Result<Self, ScenarioRunError> {
         let size = scenario.size;
-        let agents = listeners(AGENT_NETWORK, size.regions)?;
-        let racks = listeners(RACK_NETWORK, size.racks)?;
+        let agents = bind_listeners(AGENT_NETWORK, size.regions)?;
+        let racks = bind_listeners(RACK_NETWORK, size.racks)?;
         let catalogue = Catalogue::new(size, addresses(&racks)?, scenario.load.log_entries);
         let config = NodeConfig {
             size,
@@ -147,12 +147,12 @@
 
     /// Starts a node, and stops it first if it runs.
     pub(super) fn start_node(&self, number: usize) {
-        // It fails where the thread has panicked, which `end` reports.
+        // It fails where the thread has panicked, which `shut_down` reports.
         let _ = self.commands[number % self.commands.len()].send(NodeCommand::Start(number));
     }
 
     /// Ends and joins all threads.
-    pub(super) fn end(self) -> Result<(), ScenarioRunError> {
+    pub(super) fn shut_down(self) -> Result<(), ScenarioRunError> {
         self.shutdown.send_replace(true);
         drop(self.commands);
         for thread in self.threads {
@@ -162,12 +162,12 @@
     }
 
     /// Nodes that have no list yet.
-    pub(super) fn without_list(&self) -> usize {
+    pub(super) fn count_without_list(&self) -> usize {
         self.known_versions.versions().filter(|version| *version == 0).count()
     }
 
     /// Nodes that are not on the newest version.
-    pub(super) fn behind(&self) -> usize {
+    pub(super) fn count_behind(&self) -> usize {
         let newest = self.world.catalogue().revision();
         self.known_versions.versions().filter(|version| *version < newest).count()
     }
--- a/crates/node-emulator/src/scenario_run/step.rs
+++ b/crates/node-emulator/src/scenario_run/step.rs
@@ -10,7 +10,7 @@
     /// Changes the servers that occupy slots now.
     fn change_servers(&self, slots: &[usize], change: impl Fn(&mut Catalogue, &[usize])) {
         self.world.change(|catalogue| {
-            let numbers = catalogue.numbers(slots);
+            let numbers = catalogue.servers_in(slots);
             change(catalogue, &numbers);
         });
     }
@@ -29,7 +29,7 @@
             Step::Unlist(slots) => self.change_servers(slots, |c, numbers| c.set_phase(numbers, Phase::Left)),
             Step::Return(slots) => self.change_servers(slots, |c, numbers| c.restart(numbers, up_since)),
             Step::Replace { batch, slots } => self.world.change(|catalogue| {
-                let old = catalogue.numbers(slots);
+                let old = catalogue.servers_in(slots);
                 catalogue.join(slots, up_since);
                 catalogue.set_phase(&old, Phase::Leaving);
                 batches.insert(*batch, old);
@@ -44,7 +44,7 @@
             Step::Partition { region, partitioned } => self.world.set_partitioned(*region, *partitioned),
             Step::DiscoveryAnswering(answering) => {
                 (0..self.world.catalogue().size().regions)
-                    .for_each(|region| self.world.set_discovery_answering(region, *answering));
+                    .for_each(|region| self.world.set_discovery_responsive(region, *answering));
             }
             Step::RestartNodes(nodes) => nodes.iter().for_each(|node| self.start_node(*node)),
         }
--- a/crates/node-emulator/src/scenario_run/table.rs
+++ b/crates/node-emulator/src/scenario_run/table.rs
@@ -11,7 +11,7 @@
 struct Table(String);
 
 impl Table {
-    fn row(&mut self, name: &str, value: impl std::fmt::Display) {
+    fn add_row(&mut self, name: &str, value: impl std::fmt::Display) {
         // Writing to a string does not fail.
         let _ = writeln!(self.0, "{name:<28} {value}");
     }
@@ -21,71 +21,72 @@
 #[must_use]
 pub fn table(scenario: &Scenario, measured: &ScenarioMeasurements) -> String {
     let mut table = Table::default();
-    add_course(&mut table, scenario, &measured.results);
+    add_overview(&mut table, scenario, &measured.results);
     add_requests(&mut table, &measured.results);
     add_resources(&mut table, measured);
     table.0
 }
 
-fn times(s: &Summary) -> String {
+fn format_summary(s: &Summary) -> String {
     format!("p50 {:.1}  p99 {:.1}  max {:.1} ms  ({})", s.p50_ms, s.p99_ms, s.max_ms, s.count)
 }
 
-fn add_course(table: &mut Table, scenario: &Scenario, r: &ScenarioResults) {
+fn add_overview(table: &mut Table, scenario: &Scenario, r: &ScenarioResults) {
     let size = scenario.size;
-    table.row("scenario", format!("{} (seed {})", scenario.name, scenario.seed));
-    table.row("nodes, servers, services", format!("{}, {}, {}", size.nodes, size.servers, size.services));
-    table.row("first lists, play", format!("{:.1} s, {:.1} s", r.start_seconds, r.seconds));
-    table.row("steps, versions", format!("{}, {} ({} reached)", r.steps, r.versions, r.versions_reached));
-    table.row("a node on a version", times(&r.node_lag));
-    table.row("all nodes on a version", times(&r.all_nodes_lag));
-    table.row("nodes behind at the end", r.nodes_behind_at_end);
-    table.row("on an old version", format!("{:.1} node seconds", r.node_seconds_behind));
-    table.row("decisions take a list", times(&r.apply_list));
-    table.row("decisions take a request", times(&r.decide_request));
-    table.row("node threads wake late by", times(&r.wake_up_delay));
+    table.add_row("scenario", format!("{} (seed {})", scenario.name, scenario.seed));
+    table.add_row("nodes, servers, services", format!("{}, {}, {}", size.nodes, size.servers, size.services));
+    table.add_row("first lists, play", format!("{:.1} s, {:.1} s", r.start_seconds, r.seconds));
+    table.add_row("steps, versions", format!("{}, {} ({} reached)", r.steps, r.versions, r.versions_reached));
+    table.add_row("a node on a version", format_summary(&r.node_lag));
+    table.add_row("all nodes on a version", format_summary(&r.all_nodes_lag));
+    table.add_row("nodes behind at the end", r.nodes_behind_at_end);
+    table.add_row("on an old version", format!("{:.1} node seconds", r.node_seconds_behind));
+    table.add_row("decisions take a list", format_summary(&r.apply_list));
+    table.add_row("decisions take a request", format_summary(&r.decide_request));
+    table.add_row("node threads wake late by", format_summary(&r.wake_up_delay));
     let a = &r.answers;
     let (complete, changes, unchanged) = (a.complete_lists, a.change_answers, a.unchanged_answers);
-    table.row(
+    table.add_row(
         "answers of discovery",
         format!("{complete} whole lists, {changes} changes, {unchanged} no news"),
     );
-    table.row("failed calls to it", r.failed_calls);
+    table.add_row("failed calls to it", r.failed_calls);
     if r.node_starts > 0 {
-        table.row("node starts, first list", format!("{}, {}", r.node_starts, times(&r.restart)));
+        table
+            .add_row("node starts, first list", format!("{}, {}", r.node_starts, format_summary(&r.restart)));
     }
 }
 
 fn add_requests(table: &mut Table, r: &ScenarioResults) {
-    table.row(
+    table.add_row(
         "requests",
         format!("{}: {} served, {} refused, {} failed", r.requests, r.served, r.rejected, r.failed),
     );
     let a = &r.answers;
     let (left, draining, unresponsive) = (a.sends_to_left, a.sends_to_draining, a.sends_to_unresponsive);
-    table.row(
+    table.add_row(
         "sends",
         format!("{}: {left} to left, {draining} to draining, {unresponsive} to silent servers", r.sends),
     );
 }
 
 fn add_resources(table: &mut Table, measured: &ScenarioMeasurements) {
-    for (role, sums) in &measured.traffic {
-        let (received, sent) = (sums.received_bytes, sums.sent_bytes);
-        let (messages, connections) = (sums.messages, sums.connections);
-        table.row(
+    for (role, totals) in &measured.traffic {
+        let (received, sent) = (totals.received_bytes, totals.sent_bytes);
+        let (messages, connections) = (totals.messages, totals.connections);
+        table.add_row(
             &format!("{role}: bytes in, out"),
             format!("{received}, {sent}; {messages} messages, {connections} new connections"),
         );
     }
     for (role, seconds) in &measured.cpu_seconds {
-        table.row(&format!("{role}: processor"), format!("{seconds:.2} s"));
+        table.add_row(&format!("{role}: processor"), format!("{seconds:.2} s"));
     }
     let r = &measured.results;
     let (bytes, core) = (r.control_bytes_per_node_s, r.core_percent_per_node);
-    table.row("for one node", format!("{bytes:.0} bytes/s from discovery, {core:.3}% of a core"));
+    table.add_row("for one node", format!("{bytes:.0} bytes/s from discovery, {core:.3}% of a core"));
     let mib = |bytes: u64| bytes >> 20;
-    table.row(
+    table.add_row(
         "memory",
         format!("{} MiB, {} at the peak", mib(measured.memory.resident), mib(measured.memory.peak)),
     );
--- a/crates/node-emulator/src/scenario_run/timeline.rs
+++ b/crates/node-emulator/src/scenario_run/timeline.rs
@@ -52,9 +52,9 @@
         // The start of the nodes is reported by its duration alone; all other measurements begin here.
         self.counters.iter().for_each(|counters| *lock(counters) = NodeCounters::default());
         let readings = StartReadings {
-            cpu_seconds: usage::seconds_by_role(),
+            cpu_seconds: usage::cpu_seconds_by_role(),
             traffic: self.traffic(),
-            answers: self.world.counts.sums(),
+            answers: self.world.counts.totals(),
             revision: self.world.catalogue().revision(),
         };
         let steps = steps(scenario);
@@ -73,11 +73,11 @@
         let started_at = Instant::now();
         let mut reported_at = started_at;
         loop {
-            let (without, nodes) = (self.without_list(), scenario.size.nodes);
+            let (without, nodes) = (self.count_without_list(), scenario.size.nodes);
             let within_s = options.start_timeout_s;
             if started_at.elapsed() >= Duration::from_secs(within_s) {
-                let complete_lists = self.world.counts.sums().complete_lists;
-                let sent_bytes = self.world.discovery.sums().sent_bytes;
+                let complete_lists = self.world.counts.totals().complete_lists;
+                let sent_bytes = self.world.discovery.totals().sent_bytes;
                 return Err(ScenarioRunError::NoInitialList {
                     without,
                     nodes,
@@ -106,11 +106,11 @@
         steps: &[TimedStep],
     ) -> ScenarioMeasurements {
         let memory = Memory::now();
-        let cpu_seconds = cpu_seconds_since(&usage::seconds_by_role(), &start.cpu_seconds);
+        let cpu_seconds = cpu_seconds_since(&usage::cpu_seconds_by_role(), &start.cpu_seconds);
         let traffic: BTreeMap<_, _> = self.traffic();
         let traffic: BTreeMap<_, _> =
-            traffic.iter().map(|(role, sums)| (role.clone(), sums.since(start.traffic[role]))).collect();
-        let answers = totals_since(self.world.counts.sums(), start.answers);
+            traffic.iter().map(|(role, totals)| (role.clone(), totals.since(start.traffic[role]))).collect();
+        let answers = totals_since(self.world.counts.totals(), start.answers);
         let mut counters = NodeCounters::default();
         self.counters.iter().for_each(|of_thread| counters.merge(&lock(of_thread)));
         let times = (start_seconds, seconds);
@@ -139,7 +139,7 @@
     }
 
     fn log_progress(&self) {
-        let (at_s, behind) = (self.began_at.elapsed().as_secs(), self.fleet.behind());
+        let (at_s, behind) = (self.began_at.elapsed().as_secs(), self.fleet.count_behind());
         tracing::info!(at_s, of_s = self.scenario.duration_s, steps = self.steps_done, behind, "playing");
     }
 
@@ -162,8 +162,8 @@
 
     /// Waits until all nodes have the newest version, at most as long as the scenario allows.
     async fn wait_for_newest_version(&mut self) {
-        let until = self.ends_at() + Duration::from_secs_f64(self.scenario.max_catch_up_s);
-        while self.fleet.behind() > 0 && tokio::time::Instant::now() < until {
+        let deadline = self.ends_at() + Duration::from_secs_f64(self.scenario.max_catch_up_s);
+        while self.fleet.count_behind() > 0 && tokio::time::Instant::now() < deadline {
             tokio::select! {
                 () = sleep(POLL_INTERVAL) => {}
                 _ = self.progress.tick() => self.log_progress(),
--- a/crates/node-emulator/src/server.rs
+++ b/crates/node-emulator/src/server.rs
@@ -18,7 +18,7 @@
 use hyper_util::rt::TokioIo;
 
 use crate::catalogue::{self, Phase, Reachability};
-use crate::traffic::Counted;
+use crate::traffic::CountedStream;
 use crate::world::{accept, World};
 
 /// Serves the servers of one rack; runs within a `LocalSet`, for as long as that does.
@@ -27,7 +27,7 @@
         let world = Arc::clone(&world);
         tokio::task::spawn_local(async move {
             let _ = stream.set_nodelay(true);
-            let stream = TokioIo::new(Counted::new(stream, Arc::clone(&world.servers)));
+            let stream = TokioIo::new(CountedStream::new(stream, Arc::clone(&world.servers)));
             let service = service_fn(|request| handle_request(&world, request, service_time));
             // It fails where the client breaks the connection off.
             let _ = http1::Builder::new().serve_connection(stream, service).await;
@@ -64,20 +64,20 @@
     request: Request<Incoming>,
     service_time: Duration,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    world.servers.message();
+    world.servers.count_message();
     let header = |name| request.headers().get(name).and_then(|value| value.to_str().ok());
-    let number = header("host").and_then(catalogue::number);
+    let number = header("host").and_then(catalogue::server_number);
     let from = header("x-from").and_then(|region| region.parse().ok());
     let (Some(number), Some(from)) = (number, from) else {
         return Ok(respond(StatusCode::NOT_FOUND, None));
     };
     match world.reachability(from, number) {
         Reachability::Terminated => {
-            world.counts.to_removed.fetch_add(1, Relaxed);
+            world.counts.sends_to_left.fetch_add(1, Relaxed);
             return Ok(respond(StatusCode::GONE, None));
         }
         Reachability::Unresponsive => {
-            world.counts.to_unresponsive.fetch_add(1, Relaxed);
+            world.counts.sends_to_unresponsive.fetch_add(1, Relaxed);
             // Until the client gives up: then this future is dropped.
             std::future::pending::<()>().await;
         }
@@ -85,7 +85,7 @@
     }
     let draining = world.catalogue().server(number).is_some_and(|server| server.phase != Phase::Active);
     if draining {
-        world.counts.to_draining.fetch_add(1, Relaxed);
+        world.counts.sends_to_draining.fetch_add(1, Relaxed);
     }
     let in_flight_request = InFlightRequest::new(world, number);
     if request.uri().path() != "/_load" {
--- a/crates/node-emulator/src/slopes/bench.rs
+++ b/crates/node-emulator/src/slopes/bench.rs
@@ -8,8 +8,8 @@
 use super::decisions::tenant_start;
 use super::discovery_cost::{change_bytes, make_list};
 use super::memory::ROUGH_MEMORY_SAMPLE_BYTES;
-use super::model::{fleet, SERVERS_PER_SERVICE};
-use super::{point, Point, SlopesError};
+use super::model::{fleet_size, SERVERS_PER_SERVICE};
+use super::{new_point, Point, SlopesError};
 use crate::catalogue::Catalogue;
 use crate::quantity::Quantity;
 use crate::traffic::TrafficTotals;
@@ -50,7 +50,7 @@
         Self { seed, memory_sample_bytes, traffic: TrafficTotals::default(), retained_states: Vec::new() }
     }
 
-    pub(super) fn point(
+    pub(super) fn measure_point(
         &mut self,
         quantity: Quantity,
         size: usize,
@@ -66,7 +66,7 @@
             Quantity::OneChange => self.one_change(size, repeats)?,
             Quantity::Request => self.request(size, repeats)?,
             Quantity::ListBytes => {
-                vec![Catalogue::without_listeners(fleet(size)).complete().body.len() as f64]
+                vec![Catalogue::without_listeners(fleet_size(size)).complete_list().body.len() as f64]
             }
             Quantity::ChangeBytes => vec![change_bytes(size)],
             Quantity::ReadList => self.read_list(size, repeats)?.into_iter().map(|(cpu, _)| cpu).collect(),
@@ -84,14 +84,14 @@
             Quantity::Connections => vec![self.connections(1, size)?],
             Quantity::ServiceConnections => vec![self.connections(size, SERVERS_PER_SERVICE)?],
         };
-        Ok(point(size, values))
+        Ok(new_point(size, values))
     }
 
-    pub(super) fn count(&mut self, world: &World) {
-        let sums = world.discovery.sums();
-        self.traffic.received_bytes += sums.received_bytes;
-        self.traffic.sent_bytes += sums.sent_bytes;
-        self.traffic.messages += sums.messages;
-        self.traffic.connections += sums.connections;
+    pub(super) fn add_traffic(&mut self, world: &World) {
+        let totals = world.discovery.totals();
+        self.traffic.received_bytes += totals.received_bytes;
+        self.traffic.sent_bytes += totals.sent_bytes;
+        self.traffic.messages += totals.messages;
+        self.traffic.connections += totals.connections;
     }
 }
--- a/crates/node-emulator/src/slopes/decisions.rs
+++ b/crates/node-emulator/src/slopes/decisions.rs
@@ -13,8 +13,10 @@
 use serde_json::json;
 
 use super::bench::Bench;
-use super::model::{balancer, config, entries, fleet, nodes, read, MAX_NODES};
-use super::{micros, SlopesError};
+use super::model::{
+    decode_list, fleet_size, new_balancer, node_config, node_count, server_entries, MAX_NODES,
+};
+use super::{to_microseconds, SlopesError};
 use crate::catalogue::Catalogue;
 
 /// Requests at one node in a second: 120,000 over 2,000 nodes.
@@ -36,29 +38,29 @@
         let balancer = Balancer::new(settings, 1).map_err(|error| SlopesError::Failed(error.to_string()))?;
         let time = started_at.elapsed();
         drop(black_box(balancer));
-        Ok(micros(time))
+        Ok(to_microseconds(time))
     };
     (0..repeats).map(measure).collect()
 }
 
 impl Bench {
     pub(super) fn node_start(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-        let size = fleet(servers);
-        let body = Catalogue::without_listeners(size).complete().body;
+        let size = fleet_size(servers);
+        let body = Catalogue::without_listeners(size).complete_list().body;
         let measure = |_| {
-            let config = config(size, self.seed, read(&body)?);
+            let config = node_config(size, self.seed, decode_list(&body)?);
             let started_at = Instant::now();
             let node = Node::start(config).map_err(|error| SlopesError::Failed(error.to_string()))?;
             let time = started_at.elapsed();
             drop(node);
-            Ok(micros(time))
+            Ok(to_microseconds(time))
         };
         (0..repeats).map(measure).collect()
     }
 
     pub(super) fn snapshot(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-        let entries = entries(&mut Catalogue::without_listeners(fleet(servers)))?;
-        let mut balancer = balancer(nodes(servers), self.seed)?;
+        let entries = server_entries(&mut Catalogue::without_listeners(fleet_size(servers)))?;
+        let mut balancer = new_balancer(node_count(servers), self.seed)?;
         let mut actions = Vec::new();
         // The first list builds the tables that the later ones replace; only those are measured.
         balancer.handle(
@@ -70,15 +72,15 @@
             let event = BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone()));
             let started_at = Instant::now();
             balancer.handle(1_000.0, event, &mut actions);
-            micros(started_at.elapsed())
+            to_microseconds(started_at.elapsed())
         };
         Ok((0..repeats).map(|_| measure()).collect())
     }
 
     pub(super) fn one_change(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-        let entries = entries(&mut Catalogue::without_listeners(fleet(servers)))?;
+        let entries = server_entries(&mut Catalogue::without_listeners(fleet_size(servers)))?;
         let mut random = fastrand::Rng::with_seed(self.seed);
-        let mut balancer = balancer(nodes(servers), self.seed)?;
+        let mut balancer = new_balancer(node_count(servers), self.seed)?;
         let mut actions = Vec::new();
         balancer.handle(
             0.0,
@@ -88,7 +90,7 @@
         // A server begins to drain and becomes active again, alternately.
         let mut measure = |_| {
             let mut changed = entries[random.usize(..entries.len())].clone();
-            let back = changed.clone();
+            let restored = changed.clone();
             changed.availability = balancer::Availability::Draining;
             let started_at = Instant::now();
             balancer.handle(
@@ -98,16 +100,16 @@
             );
             balancer.handle(
                 1_000.0,
-                BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![back])),
+                BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![restored])),
                 &mut actions,
             );
-            micros(started_at.elapsed()) / 2.0
+            to_microseconds(started_at.elapsed()) / 2.0
         };
         Ok((0..repeats * 4).map(&mut measure).collect())
     }
 
     pub(super) fn request(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-        let mut service = Service::new(servers, nodes(servers), self.seed)?;
+        let mut service = Service::new(servers, node_count(servers), self.seed)?;
         let mut next = 0;
         let mut run = |requests: u64| {
             let started_at = Instant::now();
@@ -115,7 +117,7 @@
                 next += 1;
                 black_box(service.serve(next, next as f64 * 1000.0 / REQUESTS_PER_SECOND));
             }
-            micros(started_at.elapsed()) / requests as f64
+            to_microseconds(started_at.elapsed()) / requests as f64
         };
         run(500);
         Ok((0..repeats).map(|_| run(500)).collect())
@@ -124,7 +126,7 @@
     /// Servers that a node sends to within a minute, its requests spread over services at random.
     pub(super) fn connections(&self, services: usize, servers: usize) -> Result<f64, SlopesError> {
         let mut random = fastrand::Rng::with_seed(self.seed);
-        let nodes = if services == 1 { nodes(servers) } else { MAX_NODES };
+        let nodes = if services == 1 { node_count(servers) } else { MAX_NODES };
         let service = |i| Service::new(servers, nodes, self.seed + i as u64);
         let mut all = (0..services).map(service).collect::<Result<Vec<_>, _>>()?;
         let mut contacted = HashSet::new();
@@ -146,8 +148,8 @@
 
 impl Service {
     pub(super) fn new(servers: usize, nodes: usize, seed: u64) -> Result<Self, SlopesError> {
-        let mut balancer = balancer(nodes, seed)?;
-        let entries = entries(&mut Catalogue::without_listeners(fleet(servers)))?;
+        let mut balancer = new_balancer(nodes, seed)?;
+        let entries = server_entries(&mut Catalogue::without_listeners(fleet_size(servers)))?;
         balancer.handle(
             0.0,
             BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries)),
--- a/crates/node-emulator/src/slopes/discovery_cost.rs
+++ b/crates/node-emulator/src/slopes/discovery_cost.rs
@@ -13,11 +13,11 @@
 use tokio::task::LocalSet;
 
 use super::bench::Bench;
-use super::model::fleet;
-use super::{micros, SlopesError};
+use super::model::fleet_size;
+use super::{to_microseconds, SlopesError};
 use crate::catalogue::Catalogue;
 use crate::discovery;
-use crate::usage::{self, thread_time};
+use crate::usage::{self, thread_cpu_time};
 use crate::world::{listen, World};
 
 /// Complete lists sent for one measurement.
@@ -31,8 +31,8 @@
         servers: usize,
         repeats: usize,
     ) -> Result<Vec<(f64, f64)>, SlopesError> {
-        let world = Arc::new(World::new(Catalogue::without_listeners(fleet(servers))));
-        world.catalogue().complete();
+        let world = Arc::new(World::new(Catalogue::without_listeners(fleet_size(servers))));
+        world.catalogue().complete_list();
         let (agent, world_of_agent) = (listen(Ipv4Addr::LOCALHOST)?, Arc::clone(&world));
         let address = agent.local_addr()?;
         let (end, ended) = oneshot::channel::<()>();
@@ -48,10 +48,13 @@
             for _ in 0..repeats {
                 let reader =
                     Rc::new(ListReader { address, update_requested: Notify::new(), read: false.into() });
-                let (started_at, cpu) = (Instant::now(), thread_time());
+                let (started_at, cpu) = (Instant::now(), thread_cpu_time());
                 let connection = fetch_initial(&reader).await;
                 if reader.read.get() {
-                    values.push((micros(thread_time() - cpu), micros(started_at.elapsed())));
+                    values.push((
+                        to_microseconds(thread_cpu_time() - cpu),
+                        to_microseconds(started_at.elapsed()),
+                    ));
                 } else {
                     tracing::warn!(servers, "the discovery client did not read the list");
                     break;
@@ -62,13 +65,13 @@
         })?;
         drop(end);
         thread.join().map_err(|_| SlopesError::Failed("the discovery thread panicked".into()))??;
-        self.count(&world);
+        self.add_traffic(&world);
         Ok(values)
     }
 
     pub(super) fn serve_list(&mut self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-        let world = Arc::new(World::new(Catalogue::without_listeners(fleet(servers))));
-        world.catalogue().complete();
+        let world = Arc::new(World::new(Catalogue::without_listeners(fleet_size(servers))));
+        world.catalogue().complete_list();
         let agent = listen(Ipv4Addr::LOCALHOST)?;
         let address = agent.local_addr()?;
         let world_of_agent = Arc::clone(&world);
@@ -76,7 +79,7 @@
             tokio::task::spawn_local(discovery::serve(agent, world_of_agent, 0));
             let mut values = Vec::new();
             for _ in 0..repeats {
-                let cpu = thread_time();
+                let cpu = thread_cpu_time();
                 run_in_thread(move || {
                     let mut client = PollClient::connect(address)?;
                     for _ in 0..LISTS {
@@ -86,11 +89,11 @@
                     Ok(())
                 })
                 .await?;
-                values.push(micros(thread_time() - cpu) / f64::from(LISTS));
+                values.push(to_microseconds(thread_cpu_time() - cpu) / f64::from(LISTS));
             }
             Ok::<_, SlopesError>(values)
         })??;
-        self.count(&world);
+        self.add_traffic(&world);
         Ok(values)
     }
 
@@ -101,8 +104,8 @@
         long_polls: usize,
         repeats: usize,
     ) -> Result<Vec<(f64, f64)>, SlopesError> {
-        usage::allow_descriptors(2 * long_polls as u64 + 100)?;
-        let world = Arc::new(World::new(Catalogue::without_listeners(fleet(1_000))));
+        usage::raise_descriptor_limit(2 * long_polls as u64 + 100)?;
+        let world = Arc::new(World::new(Catalogue::without_listeners(fleet_size(1_000))));
         let agent = listen(Ipv4Addr::LOCALHOST)?;
         let address = agent.local_addr()?;
         let world_of_agent = Arc::clone(&world);
@@ -116,10 +119,10 @@
             for round in 0..repeats {
                 let revision = world_of_agent.catalogue().revision();
                 clients = send_polls(clients, revision).await?;
-                while world_of_agent.discovery.sums().messages < (long_polls * (round + 1)) as u64 {
+                while world_of_agent.discovery.totals().messages < (long_polls * (round + 1)) as u64 {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
-                let (cpu, sent) = (thread_time(), world_of_agent.discovery.sums().sent_bytes);
+                let (cpu, sent) = (thread_cpu_time(), world_of_agent.discovery.totals().sent_bytes);
                 world_of_agent.change(|catalogue| catalogue.restart(&[round % 1_000], 1 + round as u64));
                 clients = run_in_thread(move || {
                     clients.iter_mut().try_for_each(PollClient::read_response)?;
@@ -127,13 +130,13 @@
                 })
                 .await?;
                 values.push((
-                    micros(thread_time() - cpu),
-                    (world_of_agent.discovery.sums().sent_bytes - sent) as f64,
+                    to_microseconds(thread_cpu_time() - cpu),
+                    (world_of_agent.discovery.totals().sent_bytes - sent) as f64,
                 ));
             }
             Ok::<_, SlopesError>(values)
         })??;
-        self.count(&world);
+        self.add_traffic(&world);
         Ok(values)
     }
 }
@@ -149,21 +152,21 @@
 }
 
 pub(super) fn make_list(servers: usize, repeats: usize) -> Vec<f64> {
-    let mut catalogue = Catalogue::without_listeners(fleet(servers));
+    let mut catalogue = Catalogue::without_listeners(fleet_size(servers));
     let mut measure = |round: usize| {
         catalogue.restart(&[round % servers], 1);
-        let started_at = thread_time();
-        black_box(catalogue.complete());
-        micros(thread_time() - started_at)
+        let started_at = thread_cpu_time();
+        black_box(catalogue.complete_list());
+        to_microseconds(thread_cpu_time() - started_at)
     };
     (0..repeats).map(&mut measure).collect()
 }
 
 pub(super) fn change_bytes(servers: usize) -> f64 {
-    let mut catalogue = Catalogue::without_listeners(fleet(servers));
+    let mut catalogue = Catalogue::without_listeners(fleet_size(servers));
     let before = catalogue.revision();
     catalogue.restart(&[servers / 2], 1_700_000_000_000);
-    catalogue.since(before).body.len() as f64
+    catalogue.changes_since(before).body.len() as f64
 }
 
 /// A subscriber that only records that a list was read.
--- a/crates/node-emulator/src/slopes/memory.rs
+++ b/crates/node-emulator/src/slopes/memory.rs
@@ -5,7 +5,10 @@
 use balancer::{Balancer, BalancerEvent, EndpointUpdate};
 
 use super::bench::{Bench, RetainedState};
-use super::model::{balancer, config, entries, fleet, nodes, read, settings, MAX_NODES};
+use super::model::{
+    decision_settings, decode_list, fleet_size, new_balancer, node_config, node_count, server_entries,
+    MAX_NODES,
+};
 use super::SlopesError;
 use crate::catalogue::Catalogue;
 use crate::usage::Memory;
@@ -24,24 +27,24 @@
 
 impl Bench {
     /// Memory of one object, the mean of many. `estimated_bytes` is a rough estimate of it.
-    pub(super) fn memory(
+    pub(super) fn measure_memory(
         &mut self,
         estimated_bytes: usize,
-        mut state: impl FnMut(u64) -> Result<RetainedState, SlopesError>,
+        mut build: impl FnMut(u64) -> Result<RetainedState, SlopesError>,
     ) -> Result<f64, SlopesError> {
         let count = (self.memory_sample_bytes / estimated_bytes.max(1)).clamp(1, MAX_STATES);
         // Memory that is needed only while an object is built stays with the allocator from now on.
-        self.retained_states.push(state(self.seed)?);
+        self.retained_states.push(build(self.seed)?);
         let before = Memory::now().resident;
         for i in 1..=count {
-            self.retained_states.push(state(self.seed + i as u64)?);
+            self.retained_states.push(build(self.seed + i as u64)?);
         }
         Ok((Memory::now().resident.saturating_sub(before)) as f64 / count as f64)
     }
 
     pub(super) fn tenant_memory(&mut self, tenants: usize) -> Result<f64, SlopesError> {
-        self.memory(tenants * 40, |seed| {
-            let mut settings = settings(MAX_NODES);
+        self.measure_memory(tenants * 40, |seed| {
+            let mut settings = decision_settings(MAX_NODES);
             settings.quotas_per_s = vec![10.0; tenants];
             let balancer = Balancer::new(settings, seed);
             let balancer = balancer.map_err(|error| SlopesError::Failed(error.to_string()))?;
@@ -50,9 +53,9 @@
     }
 
     pub(super) fn balancer_memory(&mut self, servers: usize) -> Result<f64, SlopesError> {
-        let entries = entries(&mut Catalogue::without_listeners(fleet(servers)))?;
-        self.memory(servers * STATE_BYTES / 2, |seed| {
-            let mut balancer = balancer(nodes(servers), seed)?;
+        let entries = server_entries(&mut Catalogue::without_listeners(fleet_size(servers)))?;
+        self.measure_memory(servers * STATE_BYTES / 2, |seed| {
+            let mut balancer = new_balancer(node_count(servers), seed)?;
             balancer.handle(
                 1_000.0,
                 BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
@@ -63,10 +66,10 @@
     }
 
     pub(super) fn node_memory(&mut self, servers: usize) -> Result<f64, SlopesError> {
-        let size = fleet(servers);
-        let body = Catalogue::without_listeners(size).complete().body;
-        self.memory(servers * STATE_BYTES, |seed| {
-            let config = config(size, seed, read(&body)?);
+        let size = fleet_size(servers);
+        let body = Catalogue::without_listeners(size).complete_list().body;
+        self.measure_memory(servers * STATE_BYTES, |seed| {
+            let config = node_config(size, seed, decode_list(&body)?);
             Node::start(config)
                 .map(RetainedState::Node)
                 .map_err(|error| SlopesError::Failed(error.to_string()))
--- a/crates/node-emulator/src/slopes/mod.rs
+++ b/crates/node-emulator/src/slopes/mod.rs
@@ -182,7 +182,7 @@
     let builds = [Build::this()?, Build::at(baseline)?];
     let mut measured = Measured::default();
     for &quantity in quantities {
-        measured.slopes.push(compare(&builds, quantity, &options.sizes(quantity), options)?);
+        measured.slopes.push(compare_builds(&builds, quantity, &options.sizes(quantity), options)?);
     }
     Ok(measured)
 }
@@ -195,14 +195,14 @@
         if !quantity.is_memory() {
             bench.retained_states.clear();
         }
-        let before = usage::process_time();
+        let before = usage::process_cpu_time();
         let mut points = Vec::new();
         for size in options.sizes(quantity) {
-            points.push(bench.point(quantity, size, options.repeats)?);
+            points.push(bench.measure_point(quantity, size, options.repeats)?);
             tracing::info!(quantity = quantity.name(), size, value = points.last().and_then(|p| p.value));
         }
-        measured.slopes.push(slope(quantity, points, None));
-        let cpu = usage::process_time().saturating_sub(before).as_secs_f64();
+        measured.slopes.push(new_slope(quantity, points, None));
+        let cpu = usage::process_cpu_time().saturating_sub(before).as_secs_f64();
         measured.cpu_seconds.insert(quantity.name(), cpu);
         let traffic = std::mem::take(&mut bench.traffic);
         if traffic != TrafficTotals::default() {
@@ -212,8 +212,8 @@
     Ok(measured)
 }
 
-fn slope(quantity: Quantity, points: Vec<Point>, baseline: Option<Baseline>) -> Slope {
-    let (unit, against) = (quantity.unit(), quantity.against());
+fn new_slope(quantity: Quantity, points: Vec<Point>, baseline: Option<Baseline>) -> Slope {
+    let (unit, against) = (quantity.unit(), quantity.size_unit());
     Slope { quantity, unit, against, fit: fit_points(&points), points, baseline }
 }
 
@@ -224,7 +224,7 @@
 
 /// Measures a quantity with this build and an earlier one: one process for each measurement, in turns, so that
 /// other load of the machine affects both alike.
-fn compare(
+fn compare_builds(
     builds: &[Build; 2],
     quantity: Quantity,
     sizes: &[usize],
@@ -246,7 +246,7 @@
             }
         }
         for (points, values) in points.iter_mut().zip(values) {
-            points.push(point(size, values));
+            points.push(new_point(size, values));
         }
         let [this_build, baseline_value] =
             points.each_ref().map(|points| points.last().and_then(|p| p.value));
@@ -254,7 +254,7 @@
     }
     let [this_build, points] = points;
     let baseline = Baseline { commit, modified, fit: fit_points(&points), points };
-    Ok(slope(quantity, this_build, Some(baseline)))
+    Ok(new_slope(quantity, this_build, Some(baseline)))
 }
 
 fn check_size(size: usize, states: usize, limit_mb: u64) -> Result<(), SlopesError> {
@@ -267,11 +267,11 @@
     }
 }
 
-fn micros(time: Duration) -> f64 {
+fn to_microseconds(time: Duration) -> f64 {
     time.as_secs_f64() * 1e6
 }
 
-fn point(size: usize, mut values: Vec<f64>) -> Point {
+fn new_point(size: usize, mut values: Vec<f64>) -> Point {
     values.sort_by(f64::total_cmp);
     Point {
         size,
--- a/crates/node-emulator/src/slopes/model.rs
+++ b/crates/node-emulator/src/slopes/model.rs
@@ -18,7 +18,7 @@
 pub(super) const SERVERS_PER_SERVICE: usize = 32;
 
 /// A fleet of so many servers of a single service, its other sizes in proportion.
-pub(super) fn fleet(servers: usize) -> Size {
+pub(super) fn fleet_size(servers: usize) -> Size {
     let zones = 10.min(servers);
     Size {
         regions: 4.min(zones),
@@ -26,39 +26,39 @@
         racks: (servers / 50).max(zones),
         services: (servers / SERVERS_PER_SERVICE).max(1),
         servers,
-        nodes: nodes(servers),
+        nodes: node_count(servers),
     }
 }
 
-pub(super) fn nodes(servers: usize) -> usize {
+pub(super) fn node_count(servers: usize) -> usize {
     (servers * 3 / 2).clamp(1, MAX_NODES)
 }
 
-pub(super) fn settings(nodes: usize) -> DecisionSettings {
+pub(super) fn decision_settings(nodes: usize) -> DecisionSettings {
     let mut settings = DecisionSettings::new(vec![RequestClass::new(80.0, 400.0, Idempotency::Safe)]);
     settings.nodes = nodes;
     settings
 }
 
-pub(super) fn read(body: &[u8]) -> Result<ServerList, SlopesError> {
+pub(super) fn decode_list(body: &[u8]) -> Result<ServerList, SlopesError> {
     read_list(body).map_err(|error| SlopesError::Failed(format!("a list: {error}")))
 }
 
-pub(super) fn entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
-    let list = read(&catalogue.complete().body)?;
+pub(super) fn server_entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
+    let list = decode_list(&catalogue.complete_list().body)?;
     match endpoint_update(&list, &zone_names(catalogue.size())) {
         EndpointUpdate::Snapshot(entries) => Ok(entries),
         _ => Err(SlopesError::Failed("the whole list is not whole".into())),
     }
 }
 
-pub(super) fn balancer(nodes: usize, seed: u64) -> Result<Balancer, SlopesError> {
-    Balancer::new(settings(nodes), seed).map_err(|error| SlopesError::Failed(error.to_string()))
+pub(super) fn new_balancer(nodes: usize, seed: u64) -> Result<Balancer, SlopesError> {
+    Balancer::new(decision_settings(nodes), seed).map_err(|error| SlopesError::Failed(error.to_string()))
 }
 
 /// A real node's configuration, whose addresses have no listeners.
-pub(super) fn config(size: Size, seed: u64, known: ServerList) -> Config {
-    let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+pub(super) fn node_config(size: Size, seed: u64, initial_list: ServerList) -> Config {
+    let unused_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let names = SettingNames {
         classes: vec!["all".into()],
         tenants: Vec::new(),
@@ -67,13 +67,13 @@
     };
     Config {
         name: "hollow".into(),
-        listen: nowhere,
-        discovery: nowhere,
+        listen: unused_address,
+        discovery: unused_address,
         seed,
         max_sockets: 1024,
         max_list_bytes: 48 << 20,
-        initial_list: known,
-        settings: settings(size.nodes),
+        initial_list,
+        settings: decision_settings(size.nodes),
         names,
         idle_timeout: Duration::from_secs(60),
         dial_timeout: Duration::from_millis(400),
--- a/crates/node-emulator/src/slopes/table.rs
+++ b/crates/node-emulator/src/slopes/table.rs
@@ -12,27 +12,27 @@
     for slope in slopes {
         // Writing to a string does not fail.
         let _ = write!(text, "{} ({} by {}):", slope.quantity.name(), slope.unit, slope.against);
-        lines(&mut text, &slope.points, slope.fit);
+        write_points(&mut text, &slope.points, slope.fit);
         if let Some(baseline) = &slope.baseline {
             let files = if baseline.modified { " and changes" } else { "" };
             let _ = write!(text, "  baseline {:.7}{files}:", baseline.commit);
-            lines(&mut text, &baseline.points, baseline.fit);
+            write_points(&mut text, &baseline.points, baseline.fit);
         }
     }
     text
 }
 
-pub(super) fn lines(text: &mut String, points: &[Point], fit: Option<Fit>) {
+pub(super) fn write_points(text: &mut String, points: &[Point], fit: Option<Fit>) {
     for point in points {
-        let value = point.value.map_or_else(|| "not read".into(), figure);
+        let value = point.value.map_or_else(|| "not read".into(), format_value);
         let _ = write!(text, "  {}: {value}", point.size);
     }
     let _ = match fit {
         Some(fit) => writeln!(
             text,
             "\n    slope {} for one, intercept {}, r2 {:.3}, exponent {}",
-            figure(fit.slope),
-            figure(fit.intercept),
+            format_value(fit.slope),
+            format_value(fit.intercept),
             fit.r2,
             fit.exponent.map_or_else(|| "-".into(), |exponent| format!("{exponent:.2}")),
         ),
@@ -41,7 +41,7 @@
 }
 
 /// Formats a value with four significant digits, at most six of them decimals.
-pub(super) fn figure(value: f64) -> String {
+pub(super) fn format_value(value: f64) -> String {
     let digits = if value == 0.0 { 0 } else { value.abs().log10().floor() as i32 };
     let decimals = usize::try_from(3 - digits).unwrap_or(0).min(6);
     format!("{value:.decimals$}")
--- a/crates/node-emulator/src/steps.rs
+++ b/crates/node-emulator/src/steps.rs
@@ -70,7 +70,7 @@
     let mut generator = StepGenerator {
         scenario,
         random: fastrand::Rng::with_seed(scenario.seed),
-        batch: 0,
+        next_batch: 0,
         steps: Vec::new(),
     };
     for event in &scenario.events {
@@ -84,7 +84,7 @@
 struct StepGenerator<'a> {
     scenario: &'a Scenario,
     random: fastrand::Rng,
-    batch: usize,
+    next_batch: usize,
     steps: Vec<TimedStep>,
 }
 
@@ -101,7 +101,7 @@
                 self.rolling_replacement(at, part, batches, over_s, drain_s);
             }
             EventKind::RackLost { rack, noticed_s, for_s } => {
-                self.fail_machines(at, &size.slots(|of| of == rack), noticed_s, for_s);
+                self.fail_machines(at, &size.slots(|slot_rack| slot_rack == rack), noticed_s, for_s);
             }
             EventKind::ZoneLost { zone, noticed_s, for_s } => {
                 self.fail_machines(at, &size.slots(|rack| size.zone(rack) == zone), noticed_s, for_s);
@@ -135,12 +135,12 @@
         let mut slots: Vec<usize> = (0..size.servers).collect();
         self.random.shuffle(&mut slots);
         slots.truncate((part * size.servers as f64).round() as usize);
-        let each = slots.len().div_ceil(batches).max(1);
-        for (i, slots) in slots.chunks(each).enumerate() {
-            let begins = at + over_s * i as f64 / batches as f64;
-            self.push(begins, Step::Replace { batch: self.batch, slots: slots.to_vec() });
-            self.push(begins + drain_s, Step::Retire { batch: self.batch });
-            self.batch += 1;
+        let batch_size = slots.len().div_ceil(batches).max(1);
+        for (i, slots) in slots.chunks(batch_size).enumerate() {
+            let starts_at = at + over_s * i as f64 / batches as f64;
+            self.push(starts_at, Step::Replace { batch: self.next_batch, slots: slots.to_vec() });
+            self.push(starts_at + drain_s, Step::Retire { batch: self.next_batch });
+            self.next_batch += 1;
         }
     }
 
@@ -160,7 +160,7 @@
     }
 
     fn ordinary_day(&mut self, at: f64, for_s: f64, speed: f64) {
-        let times = |per_day: f64, random: &mut fastrand::Rng| {
+        let event_times = |per_day: f64, random: &mut fastrand::Rng| {
             let mut times = Vec::new();
             let mut next = at;
             loop {
@@ -171,9 +171,9 @@
                 times.push(next);
             }
         };
-        let failures = times(FAILURES_PER_DAY, &mut self.random);
-        let restarts = times(RESTARTS_PER_DAY, &mut self.random);
-        let changes = times(CHANGES_PER_DAY, &mut self.random);
+        let failures = event_times(FAILURES_PER_DAY, &mut self.random);
+        let restarts = event_times(RESTARTS_PER_DAY, &mut self.random);
+        let changes = event_times(CHANGES_PER_DAY, &mut self.random);
         for at in failures {
             let slot = self.random.usize(0..self.scenario.size.servers);
             self.fail_machines(at, &[slot], DRAIN_S, RESTART_S);
--- a/crates/node-emulator/src/traffic.rs
+++ b/crates/node-emulator/src/traffic.rs
@@ -45,13 +45,13 @@
 
 impl Traffic {
     /// Counts a request.
-    pub fn message(&self) {
+    pub fn count_message(&self) {
         self.messages.fetch_add(1, Relaxed);
     }
 
     /// The totals so far.
     #[must_use]
-    pub fn sums(&self) -> TrafficTotals {
+    pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
             received_bytes: self.received.load(Relaxed),
             sent_bytes: self.sent.load(Relaxed),
@@ -62,12 +62,12 @@
 }
 
 /// A stream whose bytes are counted.
-pub struct Counted<T> {
+pub struct CountedStream<T> {
     stream: T,
     traffic: Arc<Traffic>,
 }
 
-impl<T> Counted<T> {
+impl<T> CountedStream<T> {
     /// Counts a new connection and all that will pass on it.
     pub fn new(stream: T, traffic: Arc<Traffic>) -> Self {
         traffic.connections.fetch_add(1, Relaxed);
@@ -75,7 +75,7 @@
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Counted<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for CountedStream<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -88,8 +88,8 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> Counted<T> {
-    fn count(&self, polled: Poll<std::io::Result<usize>>) -> Poll<std::io::Result<usize>> {
+impl<T: AsyncWrite + Unpin> CountedStream<T> {
+    fn count_written(&self, polled: Poll<std::io::Result<usize>>) -> Poll<std::io::Result<usize>> {
         if let Poll::Ready(Ok(written)) = &polled {
             self.traffic.sent.fetch_add(*written as u64, Relaxed);
         }
@@ -97,14 +97,14 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Counted<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for CountedStream<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.count(polled)
+        self.count_written(polled)
     }
 
     fn poll_write_vectored(
@@ -113,7 +113,7 @@
         slices: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.count(polled)
+        self.count_written(polled)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/node-emulator/src/usage.rs
+++ b/crates/node-emulator/src/usage.rs
@@ -21,41 +21,41 @@
 /// # Errors
 ///
 /// Where the hard limit is lower than `required`.
-pub fn allow_descriptors(required: u64) -> Result<(), TooFewDescriptors> {
+pub fn raise_descriptor_limit(required: u64) -> Result<(), TooFewDescriptors> {
     let limits = getrlimit(Resource::Nofile);
     let soft = limits.current.unwrap_or(u64::MAX);
     if soft >= required {
         return Ok(());
     }
     let limit = limits.maximum.unwrap_or(u64::MAX);
-    let rejected = TooFewDescriptors { required, limit };
+    let error = TooFewDescriptors { required, limit };
     if limit < required || setrlimit(Resource::Nofile, Rlimit { current: Some(required), ..limits }).is_err()
     {
-        return Err(rejected);
+        return Err(error);
     }
     Ok(())
 }
 
 /// Processor time of the calling thread.
 #[must_use]
-pub fn thread_time() -> Duration {
-    since_zero(ClockId::ThreadCPUTime)
+pub fn thread_cpu_time() -> Duration {
+    read_clock(ClockId::ThreadCPUTime)
 }
 
 /// Processor time of the process.
 #[must_use]
-pub fn process_time() -> Duration {
-    since_zero(ClockId::ProcessCPUTime)
+pub fn process_cpu_time() -> Duration {
+    read_clock(ClockId::ProcessCPUTime)
 }
 
-fn since_zero(clock: ClockId) -> Duration {
+fn read_clock(clock: ClockId) -> Duration {
     let time = clock_gettime(clock);
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
 /// Processor seconds of the running threads by role: a thread's name up to its first `-`.
 #[must_use]
-pub fn seconds_by_role() -> BTreeMap<String, f64> {
+pub fn cpu_seconds_by_role() -> BTreeMap<String, f64> {
     let mut roles = BTreeMap::new();
     for task in fs::read_dir("/proc/self/task").into_iter().flatten().flatten() {
         // A thread may end after its folder was listed.
--- a/crates/node-emulator/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -21,7 +21,7 @@
 /// The state of a region.
 struct Region {
     /// Whether its discovery agent responds.
-    answering: watch::Sender<bool>,
+    responsive: watch::Sender<bool>,
     /// Whether it is partitioned from the other regions.
     partitioned: AtomicBool,
 }
@@ -48,15 +48,15 @@
     /// Complete lists sent.
     pub complete_lists: AtomicU64,
     /// Responses of discovery with changes.
-    pub changes: AtomicU64,
+    pub change_answers: AtomicU64,
     /// Responses of discovery without a change.
-    pub unchanged: AtomicU64,
+    pub unchanged_answers: AtomicU64,
     /// Requests to servers that had left.
-    pub to_removed: AtomicU64,
+    pub sends_to_left: AtomicU64,
     /// Requests to draining servers.
-    pub to_draining: AtomicU64,
+    pub sends_to_draining: AtomicU64,
     /// Requests to unresponsive or partitioned servers.
-    pub to_unresponsive: AtomicU64,
+    pub sends_to_unresponsive: AtomicU64,
 }
 
 /// A reading of [`ResponseCounts`].
@@ -82,14 +82,14 @@
 impl ResponseCounts {
     /// The counts so far.
     #[must_use]
-    pub fn sums(&self) -> ResponseTotals {
+    pub fn totals(&self) -> ResponseTotals {
         ResponseTotals {
             complete_lists: self.complete_lists.load(Relaxed),
-            change_answers: self.changes.load(Relaxed),
-            unchanged_answers: self.unchanged.load(Relaxed),
-            sends_to_left: self.to_removed.load(Relaxed),
-            sends_to_draining: self.to_draining.load(Relaxed),
-            sends_to_unresponsive: self.to_unresponsive.load(Relaxed),
+            change_answers: self.change_answers.load(Relaxed),
+            unchanged_answers: self.unchanged_answers.load(Relaxed),
+            sends_to_left: self.sends_to_left.load(Relaxed),
+            sends_to_draining: self.sends_to_draining.load(Relaxed),
+            sends_to_unresponsive: self.sends_to_unresponsive.load(Relaxed),
         }
     }
 }
@@ -98,7 +98,7 @@
     /// A fleet without faults.
     #[must_use]
     pub fn new(catalogue: Catalogue) -> Self {
-        let region = |_| Region { answering: watch::Sender::new(true), partitioned: AtomicBool::new(false) };
+        let region = |_| Region { responsive: watch::Sender::new(true), partitioned: AtomicBool::new(false) };
         Self {
             newest: watch::Sender::new(catalogue.revision()),
             regions: (0..catalogue.size().regions).map(region).collect(),
@@ -141,20 +141,20 @@
     }
 
     /// Sets whether the discovery agent of a region responds.
-    pub fn set_discovery_answering(&self, region: usize, answering: bool) {
-        self.regions[region].answering.send_replace(answering);
+    pub fn set_discovery_responsive(&self, region: usize, responsive: bool) {
+        self.regions[region].responsive.send_replace(responsive);
     }
 
     /// Waits until the discovery agent of a region responds.
-    pub async fn wait_until_answering(&self, region: usize) {
+    pub async fn wait_until_responsive(&self, region: usize) {
         // The sender lives as long as the world.
-        let _ = self.regions[region].answering.subscribe().wait_for(|answering| *answering).await;
+        let _ = self.regions[region].responsive.subscribe().wait_for(|responsive| *responsive).await;
     }
 
     /// Partitions a region from the others, which makes its discovery agent unresponsive, or heals the partition.
     pub fn set_partitioned(&self, region: usize, partitioned: bool) {
         self.regions[region].partitioned.store(partitioned, Relaxed);
-        self.set_discovery_answering(region, !partitioned);
+        self.set_discovery_responsive(region, !partitioned);
     }
 
     /// What happens to a request from a region to a server.
@@ -185,14 +185,17 @@
 }
 
 /// Accepts connections for as long as the thread runs, and hands each to `each`.
-pub async fn accept(listener: std::net::TcpListener, mut each: impl FnMut(tokio::net::TcpStream)) {
+pub async fn accept(
+    listener: std::net::TcpListener,
+    mut handle_connection: impl FnMut(tokio::net::TcpStream),
+) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(error) => return tracing::error!(%error, "a listener cannot be used"),
     };
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => each(stream),
+            Ok((stream, _)) => handle_connection(stream),
             // Out of descriptors, or a client that has disconnected already: others may still connect.
             Err(error) => {
                 tracing::warn!(%error, "a connection cannot be accepted");
--- a/crates/node-emulator/tests/catalogue.rs
+++ b/crates/node-emulator/tests/catalogue.rs
@@ -8,7 +8,7 @@
 
 use balancer::net::discovery::{fetch_initial, follow, Subscriber};
 use balancer::net::list::ServerList;
-use node_emulator::catalogue::{name, number, Catalogue, Phase, Reachability, Size};
+use node_emulator::catalogue::{server_name, server_number, Catalogue, Phase, Reachability, Size};
 use node_emulator::discovery::{serve, ListRequest};
 use node_emulator::world::{listen, World};
 use tokio::sync::{mpsc, Notify};
@@ -21,24 +21,28 @@
     Catalogue::new(SIZE, (1..=4).map(address).collect(), max_log_entries)
 }
 
-fn read(body: &[u8]) -> ServerList {
+fn decode_list(body: &[u8]) -> ServerList {
     node_emulator::node::read_list(body).expect("a list of the protocol")
 }
 
 #[test]
 fn the_complete_list_names_every_server_once_and_is_encoded_once_for_each_version() {
     let mut catalogue = catalogue(100);
-    let complete = catalogue.complete();
-    let list = read(&complete.body);
+    let complete = catalogue.complete_list();
+    let list = decode_list(&complete.body);
     assert!(list.complete && complete.complete);
     assert_eq!((list.revision, list.members.len()), (1, 20));
-    let numbers: Vec<_> = list.members.iter().map(|member| number(&member.id)).collect();
+    let numbers: Vec<_> = list.members.iter().map(|member| server_number(&member.id)).collect();
     assert_eq!(numbers, (0..20).map(Some).collect::<Vec<_>>());
     assert_eq!((list.members[6].locality.as_str(), list.members[6].cell), ("region0-zone2", 2));
     assert_eq!(list.members[6].host_port, "127.20.0.3:8081".parse().expect("an address"));
-    assert_eq!(catalogue.complete().body.as_ptr(), complete.body.as_ptr(), "the same bytes are sent again");
+    assert_eq!(
+        catalogue.complete_list().body.as_ptr(),
+        complete.body.as_ptr(),
+        "the same bytes are sent again"
+    );
     catalogue.set_service_weight(0, 2.0);
-    assert_eq!(read(&catalogue.complete().body).revision, 2);
+    assert_eq!(decode_list(&catalogue.complete_list().body).revision, 2);
 }
 
 #[test]
@@ -50,16 +54,16 @@
     catalogue.set_phase(&[7], Phase::Left);
     let updates =
         |list: &ServerList| list.members.iter().map(|m| (m.id.clone(), m.phase as u8)).collect::<Vec<_>>();
-    let list = read(&catalogue.since(1).body);
+    let list = decode_list(&catalogue.changes_since(1).body);
     assert!(!list.complete);
     assert_eq!(list.revision, 4);
-    assert_eq!(updates(&list), [(name(7), 2), (name(20), 0)], "one left, its successor active");
-    assert_eq!(updates(&read(&catalogue.since(3).body)), [(name(7), 2)]);
-    assert_eq!(catalogue.since(4).members, 0);
+    assert_eq!(updates(&list), [(server_name(7), 2), (server_name(20), 0)], "one left, its successor active");
+    assert_eq!(updates(&decode_list(&catalogue.changes_since(3).body)), [(server_name(7), 2)]);
+    assert_eq!(catalogue.changes_since(4).members, 0);
     // The complete list no longer has the server that left.
-    let complete = read(&catalogue.complete().body);
+    let complete = decode_list(&catalogue.complete_list().body);
     assert_eq!(complete.members.len(), 20);
-    assert!(complete.members.iter().all(|member| member.id != name(7)));
+    assert!(complete.members.iter().all(|member| member.id != server_name(7)));
 }
 
 #[test]
@@ -70,14 +74,14 @@
     }
     assert_eq!(catalogue.revision(), 6);
     // Versions 4 to 6 are in the log.
-    assert!(!catalogue.since(3).complete);
-    assert_eq!(catalogue.since(3).members, 3);
-    assert!(catalogue.since(2).complete);
-    assert!(catalogue.since(7).complete, "a version that never was");
+    assert!(!catalogue.changes_since(3).complete);
+    assert_eq!(catalogue.changes_since(3).members, 3);
+    assert!(catalogue.changes_since(2).complete);
+    assert!(catalogue.changes_since(7).complete, "a version that never was");
     // A version of which only some changes are in the log is not answered from it.
     catalogue.set_service_weight(1, 2.0);
-    assert!(catalogue.since(6).complete);
-    assert!(!catalogue.since(7).complete);
+    assert!(catalogue.changes_since(6).complete);
+    assert!(!catalogue.changes_since(7).complete);
 }
 
 #[test]
@@ -169,13 +173,13 @@
         world.change(|catalogue| catalogue.restart(&[3], 1_000));
         assert_eq!(received.recv().await, Some(Some((2, false, 1))));
         // An outage in another region does not affect it; its own agent is unresponsive until it is back.
-        world.set_discovery_answering(0, false);
+        world.set_discovery_responsive(0, false);
         world.change(|catalogue| catalogue.restart(&[4], 1_000));
         assert_eq!(received.recv().await, Some(Some((3, false, 1))));
-        world.set_discovery_answering(1, false);
+        world.set_discovery_responsive(1, false);
         world.change(|catalogue| catalogue.restart(&[5, 6], 1_000));
         assert_eq!(received.recv().await, Some(None), "an unanswered call fails");
-        world.set_discovery_answering(1, true);
+        world.set_discovery_responsive(1, true);
         while received.recv().await != Some(Some((4, false, 2))) {}
         // More changes in one version than the log retains: the complete list.
         world.change(|catalogue| catalogue.restart(&[0, 1, 2, 3, 4, 5], 2_000));
