--- a/crates/node-emulator/src/build.rs
+++ b/crates/node-emulator/src/build.rs
@@ -1,5 +1,5 @@
-//! Builds of this program that are measured side by side: each measurement is a process of its own, whose result is
-//! read from the report that it writes.
+//! Runs measurements of this build and of an earlier build of the program side by side. Each measurement is a
+//! separate process, and its result is read from the report that it writes.
 
 use std::env;
 use std::fs::{self, File};
@@ -13,12 +13,12 @@
 
 use crate::quantity::Quantity;
 
-/// A measurement that takes longer is killed.
+/// Maximum duration of one measurement, after which its process is killed.
 const MEASURE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A build could not be measured.
+/// A measurement with one of the builds failed.
 #[derive(Debug, thiserror::Error)]
-#[error("{}: {quantity} at {size}: {source}", binary.display())]
+#[error("the build {} cannot measure {quantity} at {size}: {source}", binary.display())]
 pub struct BuildError {
     binary: PathBuf,
     quantity: String,
@@ -26,39 +26,40 @@
     source: MeasureError,
 }
 
-/// Why one measurement of a build failed.
+/// The reason for which a measurement failed.
 #[derive(Debug, thiserror::Error)]
 enum MeasureError {
-    #[error("no temporary folder: {0}")]
+    #[error("the temporary folder or its log file cannot be created: {0}")]
     Folder(io::Error),
-    #[error("cannot be run: {0}")]
+    #[error("the process cannot be started: {0}")]
     Start(io::Error),
-    #[error("its end cannot be seen: {0}")]
+    #[error("the exit status of the process cannot be read: {0}")]
     Wait(io::Error),
-    #[error("took over {} s", MEASURE_TIMEOUT.as_secs())]
+    #[error("the process took over {} s and was killed", MEASURE_TIMEOUT.as_secs())]
     TimedOut,
     #[error("{status}: {last_line}")]
     Failed { status: ExitStatus, last_line: String },
-    #[error("no report: {0}")]
+    #[error("no report can be read: {0}")]
     NoReport(io::Error),
-    #[error("a bad report: {0}")]
+    #[error("the report is not valid JSON: {0}")]
     BadReport(serde_json::Error),
-    #[error("its report does not have the quantity")]
+    #[error("the report does not contain a value of this quantity at this size")]
     NoQuantity,
 }
 
-/// One quantity at one size, as a build's report has it.
+/// The measurement of one quantity at one size, as read from the report of a build.
 #[derive(Debug)]
 pub struct BuildMeasurement {
-    /// `None` where the build could not measure it, see [`Point::value`](crate::slopes::Point::value).
+    /// The measured value; `None` if the build cannot measure the quantity at this size, see
+    /// [`Point::value`](crate::slopes::Point::value).
     pub value: Option<f64>,
-    /// The commit that is checked out where the binary lies, or `unknown`.
+    /// The commit that is checked out in the folder of the binary, or `unknown`.
     pub commit: String,
-    /// Whether files differed from it.
+    /// Whether files in that folder differed from the commit.
     pub modified: bool,
 }
 
-/// A binary of this program.
+/// A binary of this program, which measurements are run with.
 pub struct Build {
     binary: PathBuf,
     folder: PathBuf,
@@ -69,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// Where the path of the executable is unknown.
+    /// Fails if the path of the executable is unknown.
     pub fn this() -> io::Result<Self> {
         Self::at(&env::current_exe()?)
     }
@@ -78,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// Where there is no file at `path`.
+    /// Fails if there is no file at `path`.
     pub fn at(path: &Path) -> io::Result<Self> {
         let binary = path.canonicalize().map_err(|error| {
             io::Error::new(error.kind(), format!("cannot run the build {}: {error}", path.display()))
@@ -87,11 +88,12 @@
         Ok(Self { binary, folder })
     }
 
-    /// Measures a quantity at one size, once.
+    /// Measures a quantity at one size with one repeat.
     ///
     /// # Errors
     ///
-    /// Where the binary cannot be run, fails, takes over two minutes, or its report does not have the quantity.
+    /// Fails if the binary cannot be started, fails or takes over two minutes, or if its report lacks the
+    /// quantity.
     pub fn measure(
         &self,
         quantity: Quantity,
@@ -121,7 +123,8 @@
         command.args(["--log-level", "warn", "--memory-mb", &memory_mb.to_string(), "slopes"]);
         command.args(["--quantity", &quantity.name(), "--sizes", &size.to_string(), "--repeats", "1"]);
         command.args(["--seed", &seed.to_string(), "--report"]).arg(&report);
-        // A report names the commit checked out in the working folder: run the build where its binary is.
+        // The report names the commit that is checked out in the working folder. The process runs in the
+        // folder of its binary, so that this is the commit of the build.
         command.current_dir(&self.folder).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let status = wait_with_timeout(&mut command.spawn().map_err(MeasureError::Start)?)?;
         if !status.success() {
@@ -135,7 +138,7 @@
     }
 }
 
-/// Waits for a process, which is killed at the time-out.
+/// Waits until a process has ended. Kills it after [`MEASURE_TIMEOUT`].
 fn wait_with_timeout(child: &mut Child) -> Result<ExitStatus, MeasureError> {
     let started = Instant::now();
     loop {
@@ -143,7 +146,7 @@
             Ok(Some(status)) => return Ok(status),
             Ok(None) if started.elapsed() < MEASURE_TIMEOUT => thread::sleep(Duration::from_millis(2)),
             result => {
-                // `kill` fails where the process has ended meanwhile.
+                // `kill` fails if the process has ended since `try_wait`.
                 let _ = child.kill();
                 let _ = child.wait();
                 return Err(result.map_or_else(MeasureError::Wait, |_| MeasureError::TimedOut));
@@ -152,6 +155,7 @@
     }
 }
 
+/// Finds the value of a quantity at one size in a report; `None` if the report lacks it.
 fn find_measurement(report: &Value, name: &str, size: usize) -> Option<BuildMeasurement> {
     let slope = report["results"].as_array()?.iter().find(|slope| slope["quantity"] == name)?;
     let point = slope["points"].as_array()?.iter().find(|point| point["size"] == size)?;
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -1,7 +1,9 @@
-//! The catalogue: every server of the fleet, versioned, with a bounded log of its changes.
+//! The catalogue of the stand-in discovery service: all servers of the fleet, the version of their list, and
+//! a bounded log of the changes.
 //!
-//! A server occupies a *slot*: a position in a rack that belongs to a service. A replacement occupies the same slot
-//! under a new name. Names encode the servers' numbers (indices), so that no emulated node has to store them.
+//! A server occupies a *slot*: a position in a rack that belongs to a service. A replacement occupies the
+//! same slot under a new name and number. The number of a server is its index in the catalogue. Names encode
+//! the numbers, so that emulated nodes don't have to store names.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -13,71 +15,72 @@
 /// The number of regions, zones, racks, services, servers and nodes of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Size {
-    /// Regions; each has its own agent of discovery.
+    /// Number of regions; each has a discovery agent.
     pub regions: usize,
-    /// Zones over all regions.
+    /// Number of zones in all regions together.
     pub zones: usize,
-    /// Racks over all zones.
+    /// Number of racks in all zones together.
     pub racks: usize,
-    /// Services; each has an equal range of the slots.
+    /// Number of services; each has a contiguous range of the slots, of equal length up to rounding.
     pub services: usize,
-    /// Servers over all services.
+    /// Number of servers in all services together, which is the number of slots.
     pub servers: usize,
-    /// Nodes over all zones.
+    /// Number of nodes in all zones together.
     pub nodes: usize,
 }
 
 impl Size {
-    /// The rack of a slot: neighbouring slots are in different racks, so that a service spreads over all zones.
+    /// The rack of a slot. Consecutive slots are in different racks, so that the servers of a service are
+    /// distributed over all zones.
     #[must_use]
     pub fn rack(&self, slot: usize) -> usize {
         slot % self.racks
     }
 
-    /// The service of a slot.
+    /// The service that a slot belongs to.
     #[must_use]
     pub fn service(&self, slot: usize) -> usize {
         slot * self.services / self.servers
     }
 
-    /// The zone of a rack; of a node as well, by its number.
+    /// The zone of a rack. Called with the number of a node, it returns the zone of that node.
     #[must_use]
     pub fn zone(&self, rack: usize) -> usize {
         rack % self.zones
     }
 
-    /// The region of a zone.
+    /// The region that a zone belongs to.
     #[must_use]
     pub fn region(&self, zone: usize) -> usize {
         zone % self.regions
     }
 
-    /// The slots in the racks for which `of_rack` is true.
+    /// The slots in the racks for which `of_rack` returns true.
     pub fn slots(&self, of_rack: impl Fn(usize) -> bool) -> Vec<usize> {
         (0..self.servers).filter(|slot| of_rack(self.rack(*slot))).collect()
     }
 }
 
-/// The state in which discovery lists a server.
+/// The state of a server in the list of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes requests.
+    /// The server accepts requests.
     Active,
-    /// It drains: it finishes its requests in flight and takes no new ones.
+    /// The server drains: it completes the requests in flight and is to receive no new ones.
     Leaving,
-    /// It is off the list.
+    /// The server has been removed from the list.
     Left,
 }
 
-/// What happens to a request to a server, whatever discovery lists.
+/// What happens to a request to a server. This is independent of the state that discovery lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// It is answered.
+    /// The server responds.
     Up,
     /// The machine does not respond: the request stays open until the client gives up.
     Unresponsive,
-    /// The process has ended: the connection is refused, which status 410 stands for.
+    /// The process of the server has ended. Status 410 represents the refused connection.
     Terminated,
 }
 
@@ -86,26 +89,26 @@
 pub struct Server {
     /// The slot that it occupies.
     pub slot: usize,
-    /// The state in which discovery lists it.
+    /// The listed state.
     pub phase: Phase,
-    /// Whether it responds; discovery may not know.
+    /// Whether the server responds. The list does not show this.
     pub reachability: Reachability,
-    /// Its listed weight.
+    /// The listed weight, relative to a new server with 1.0.
     pub weight: f64,
-    /// When it last started, as Unix time in milliseconds; 0 where it ran before the emulation began.
+    /// Time of the last start, as Unix time in milliseconds; 0 if the server ran before the emulation began.
     pub up_since_ms: u64,
-    /// Requests in flight at it.
+    /// Number of requests in flight at the server.
     pub in_flight: u32,
 }
 
 /// A response of discovery: a complete list, or the changes since a version.
 #[derive(Clone, Debug)]
 pub struct ListResponse {
-    /// The list as JSON.
+    /// The encoded list, as JSON.
     pub body: Bytes,
-    /// Whether it is the complete list.
+    /// Whether `body` is the complete list, not only changes.
     pub complete: bool,
-    /// The number of servers in it.
+    /// The number of servers in `body`.
     pub members: usize,
 }
 
@@ -128,34 +131,36 @@
     up_since_ms: u64,
 }
 
-/// The name of the only kind of machine.
+/// The name of the machine type that all emulated servers have.
 pub const KIND: &str = "m1";
 
-/// All servers, the version of their list, and its latest changes.
+/// All servers, the version of their list, and the log of its latest changes.
 pub struct Catalogue {
     size: Size,
     zones: Vec<String>,
-    /// The address of the servers of each rack, by rack.
+    /// The address that all servers of a rack share, by rack.
     addresses: Vec<SocketAddr>,
-    /// By number; a server that left keeps its number.
+    /// All servers by number. Servers that left stay here, so that numbers are never reused.
     servers: Vec<Server>,
-    /// The number of the server in each slot, by slot.
+    /// The number of the server that occupies each slot, by slot.
     slots: Vec<usize>,
-    /// When each version was published; the first is version 1, at index 0.
+    /// The time of publication of each version. Version 1 is at index 0.
     published: Vec<Instant>,
-    /// Versions and the numbers of the servers that they changed, oldest first.
+    /// Pairs of a version and the number of a server that changed in it, oldest first.
     log: VecDeque<(u64, usize)>,
     max_log_entries: usize,
-    /// The latest version of which some change is no longer in the log; changes are answered from there on only.
+    /// The latest version of which some change is no longer in the log. Changes can be sent since this
+    /// version or a later one; for earlier versions the complete list is sent.
     last_truncated_revision: u64,
-    /// The complete list of the newest version, once it was asked for.
+    /// The complete list of the newest version; `None` until the first request for it.
     complete: Option<ListResponse>,
-    /// Changes since earlier versions up to the newest, by earlier version.
+    /// Encoded changes up to the newest version, by the version since which they were requested.
     changes: HashMap<u64, ListResponse>,
 }
 
 impl Catalogue {
-    /// The first version: every slot has a server that started long ago. The log holds at most `log_most` changes.
+    /// A catalogue at version 1, in which every slot is occupied by a server that started before the
+    /// emulation. The log retains at most `max_log_entries` changes.
     #[must_use]
     pub fn new(size: Size, addresses: Vec<SocketAddr>, max_log_entries: usize) -> Self {
         let server = |slot| Server {
@@ -181,7 +186,7 @@
         }
     }
 
-    /// A catalogue whose racks have addresses without listeners, to measure lists with.
+    /// A catalogue whose addresses have no listeners. It is used to measure lists, to which nobody connects.
     #[must_use]
     pub fn without_listeners(size: Size) -> Self {
         let address = |rack: usize| {
@@ -191,52 +196,50 @@
         Self::new(size, (0..size.racks).map(address).collect(), 1 << 16)
     }
 
-    /// The sizes of the fleet.
+    /// The sizes of the fleet that the catalogue was created for.
     #[must_use]
     pub fn size(&self) -> Size {
         self.size
     }
 
-    /// The newest version.
+    /// The newest version; the first one is 1.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.published.len() as u64
     }
 
-    /// When a version was published; `None` for one that was not.
+    /// The time of publication of a version; `None` if it has not been published.
     #[must_use]
     pub fn published_at(&self, revision: u64) -> Option<Instant> {
         let index = usize::try_from(revision.checked_sub(1)?).ok()?;
         self.published.get(index).copied()
     }
 
-    /// A server by its number.
+    /// Looks up a server by number, also one that has left.
     pub fn server(&mut self, number: usize) -> Option<&mut Server> {
         self.servers.get_mut(number)
     }
 
-    /// The address of a server.
+    /// The address of a server by number, which is the address of its rack.
     #[must_use]
     pub fn address(&self, number: usize) -> Option<SocketAddr> {
         self.servers.get(number).map(|server| self.addresses[self.size.rack(server.slot)])
     }
 
-    /// The region of a server.
+    /// The region of a server by number.
     #[must_use]
     pub fn region(&self, number: usize) -> Option<usize> {
         let rack = self.size.rack(self.servers.get(number)?.slot);
         Some(self.size.region(self.size.zone(rack)))
     }
 
-    /// The numbers of the servers that now occupy these slots.
+    /// The numbers of the servers that currently occupy `slots`.
     #[must_use]
     pub fn servers_in(&self, slots: &[usize]) -> Vec<usize> {
         slots.iter().map(|slot| self.slots[*slot]).collect()
     }
 
-    // ---- Changes
-
-    /// Changes the listed state of servers, in one new version.
+    /// Changes the listed state of servers and publishes one new version.
     pub fn set_phase(&mut self, numbers: &[usize], phase: Phase) {
         for number in numbers {
             let server = &mut self.servers[*number];
@@ -245,12 +248,12 @@
         self.publish(numbers);
     }
 
-    /// Sets whether servers respond; the list does not change.
+    /// Sets whether servers respond. The list and its version do not change.
     pub fn set_reachability(&mut self, numbers: &[usize], reachability: Reachability) {
         numbers.iter().for_each(|number| self.servers[*number].reachability = reachability);
     }
 
-    /// Restarts servers under their names, in one new version.
+    /// Restarts servers under their old names and publishes one new version in which they are active.
     pub fn restart(&mut self, numbers: &[usize], up_since_ms: u64) {
         for number in numbers {
             let server = &mut self.servers[*number];
@@ -260,7 +263,8 @@
         self.publish(numbers);
     }
 
-    /// Adds new servers in these slots, in one new version. The servers that occupied them keep their state.
+    /// Adds new servers in `slots` and publishes one new version. The servers that occupied the slots keep
+    /// their state.
     pub fn join(&mut self, slots: &[usize], up_since_ms: u64) {
         let first = self.servers.len();
         for slot in slots {
@@ -277,7 +281,8 @@
         self.publish(&(first..self.servers.len()).collect::<Vec<_>>());
     }
 
-    /// Changes the configuration of a service, here the weight of its servers, in one new version.
+    /// Sets the weight of all servers of a service and publishes one new version. Changes of the weight
+    /// represent changes of the configuration.
     pub fn set_service_weight(&mut self, service: usize, weight: f64) {
         let slots = 0..self.size.servers;
         let of_service: Vec<_> = slots.filter(|slot| self.size.service(*slot) == service).collect();
@@ -286,7 +291,7 @@
         self.publish(&numbers);
     }
 
-    /// Publishes a new version in which these servers changed.
+    /// Publishes a new version in which `numbers` changed, and discards the encoded responses.
     fn publish(&mut self, numbers: &[usize]) {
         self.published.push(Instant::now());
         let revision = self.revision();
@@ -299,14 +304,14 @@
         self.changes.clear();
     }
 
-    // ---- Responses
-
-    /// The complete list; encoded once for each version.
+    /// The complete list of the newest version. It is encoded once for each version.
     pub fn complete_list(&mut self) -> ListResponse {
         if let Some(complete) = &self.complete {
             return complete.clone();
         }
-        // Servers that left occupy no slot, except those of failed machines that were not replaced.
+        // The servers that occupy the slots, and draining servers that were replaced. Servers that left
+        // without a replacement, such as those of failed machines, still occupy their slots and are filtered
+        // out.
         let mut listed: BTreeSet<usize> = self.slots.iter().copied().collect();
         listed.extend((0..self.servers.len()).filter(|number| self.servers[*number].phase == Phase::Leaving));
         listed.retain(|number| self.servers[*number].phase != Phase::Left);
@@ -315,7 +320,8 @@
         complete
     }
 
-    /// What changed since a version: the complete list where that is unknown or the log no longer reaches back to it.
+    /// The servers that changed since a version, each in its current state. Returns the complete list if the
+    /// version is unknown or the log no longer has all later changes.
     pub fn changes_since(&mut self, revision: u64) -> ListResponse {
         if revision > self.revision() || revision < self.last_truncated_revision {
             return self.complete_list();
@@ -330,14 +336,16 @@
         response
     }
 
+    /// Encodes the servers in `numbers` as a list of the newest version.
     fn encode(&self, complete: bool, numbers: BTreeSet<usize>) -> ListResponse {
         let members: Vec<_> = numbers.iter().map(|number| self.member(*number)).collect();
         let count = members.len();
         let list = ListBody { revision: self.revision(), complete, members };
-        let body = serde_json::to_vec(&list).expect("plain values").into();
+        let body = serde_json::to_vec(&list).expect("the list has only serializable values").into();
         ListResponse { body, complete, members: count }
     }
 
+    /// The entry of a server in the list.
     fn member(&self, number: usize) -> MemberBody<'_> {
         let server = &self.servers[number];
         let rack = self.size.rack(server.slot);
@@ -354,19 +362,19 @@
     }
 }
 
-/// The names of all zones, in order.
+/// The names of all zones, by index.
 #[must_use]
 pub fn zone_names(size: Size) -> Vec<String> {
     (0..size.zones).map(|zone| format!("region{}-zone{zone}", size.region(zone))).collect()
 }
 
-/// The name of a server.
+/// The name of the server with this number.
 #[must_use]
 pub fn server_name(number: usize) -> String {
     format!("s-{number:08x}")
 }
 
-/// The number of a server, from its name.
+/// The number of the server with this name; `None` if the name was not made by [`server_name`].
 #[must_use]
 pub fn server_number(name: &str) -> Option<usize> {
     usize::from_str_radix(name.strip_prefix("s-")?, 16).ok()
--- a/crates/node-emulator/src/counters.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -1,38 +1,40 @@
-//! Counts and times that the emulated nodes of one thread record.
+//! Counters and histograms that the emulated nodes of one thread update.
 
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// A histogram of times, in microseconds up to an hour, to three digits.
+/// A histogram of durations from a microsecond to an hour, with three significant digits.
 #[derive(Clone, Debug)]
 pub struct DurationHistogram(Histogram<u64>);
 
+/// Longest recorded duration, in microseconds.
 const HOUR_US: u64 = 3_600_000_000;
 
 impl Default for DurationHistogram {
     fn default() -> Self {
-        Self(Histogram::new_with_bounds(1, HOUR_US, 3).expect("sound bounds"))
+        Self(Histogram::new_with_bounds(1, HOUR_US, 3).expect("the bounds are valid"))
     }
 }
 
 impl DurationHistogram {
-    /// Adds a time; one over an hour counts as an hour.
+    /// Records a duration. Durations over an hour count as an hour, those below a microsecond as a
+    /// microsecond.
     pub fn add(&mut self, time: Duration) {
         self.0.saturating_record(u64::try_from(time.as_micros()).unwrap_or(HOUR_US).max(1));
     }
 
-    /// Adds all times of another.
+    /// Adds all durations of another histogram.
     ///
     /// # Panics
     ///
     /// Never: all histograms of this type have the same bounds.
     pub fn merge(&mut self, other: &Self) {
-        self.0.add(&other.0).expect("the same bounds");
+        self.0.add(&other.0).expect("both histograms have the same bounds");
     }
 
-    /// Count, median, 99th percentile and maximum.
+    /// The count, median, 99th percentile and maximum of the recorded durations.
     #[must_use]
     pub fn summary(&self) -> Summary {
         let ms = |us: u64| us as f64 / 1000.0;
@@ -41,60 +43,63 @@
     }
 }
 
-/// Summary of a [`DurationHistogram`], in milliseconds; 0 where it is empty.
+/// Summary of a [`DurationHistogram`]. All values are 0 if the histogram is empty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// Number of recorded times.
+    /// Number of recorded durations.
     pub count: u64,
-    /// Median.
+    /// Median, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile.
+    /// 99th percentile, in milliseconds.
     pub p99_ms: f64,
-    /// Maximum.
+    /// Maximum, in milliseconds.
     pub max_ms: f64,
 }
 
-/// How a version propagated to the nodes.
+/// How a version of the server list propagated to the nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VersionPropagation {
-    /// Nodes that went from an older version to this one or a newer one.
+    /// Number of nodes that went from an older version to this one or a newer one.
     pub nodes: u64,
-    /// The longest time from its publication until one of them did.
+    /// The longest time from the publication of the version until one of these nodes applied it or a newer
+    /// one.
     pub longest: Duration,
 }
 
-/// Counts and times of some nodes.
+/// Counters and histograms of a group of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct NodeCounters {
-    /// From the publication of a version until a node applied it or a later one.
+    /// Time from the publication of a version until a node applied it or a later one.
     pub lag: DurationHistogram,
-    /// From the start of a node until it applied its first list.
+    /// Time from the start of a node until it applied its first list.
     pub start: DurationHistogram,
-    /// Time in which a node's decisions applied a list.
+    /// Time in which the `Balancer` of a node applied a list.
     pub endpoint_update: DurationHistogram,
-    /// Time in which they decided about a new request.
+    /// Time in which the `Balancer` of a node decided about a new request.
     pub request: DurationHistogram,
-    /// By how much the thread's event loop woke up late: this is contained in all other times.
+    /// Delay between the due time of a timer and the wake-up of the thread's event loop. All other durations
+    /// include such delays.
     pub wake_up_delay: DurationHistogram,
-    /// By version.
+    /// The propagation of each version, indexed by version.
     pub propagation: Vec<VersionPropagation>,
-    /// Time on a version that was not the newest, summed over nodes.
+    /// Time during which nodes had a version that was not the newest, summed over nodes. It is added when a
+    /// node applies a newer version.
     pub behind: Duration,
-    /// Responses of discovery that were applied.
+    /// Lists from discovery that were applied, complete or not.
     pub list_responses: u64,
-    /// Complete lists among them.
+    /// Complete lists from discovery that were applied.
     pub complete_lists: u64,
     /// Calls to discovery that failed or were not answered.
     pub failed_calls: u64,
-    /// Node starts.
+    /// Starts of nodes, restarts included.
     pub starts: u64,
-    /// Requests that arrived.
+    /// Requests that arrived from clients.
     pub requests: u64,
-    /// Requests served.
+    /// Requests that were served.
     pub served: u64,
-    /// Requests refused: trying again is harmless.
+    /// Requests that were rejected. They were not executed, so the client may safely retry them.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: u64,
     /// Attempts sent to servers.
     pub sends: u64,
@@ -103,8 +108,8 @@
 }
 
 impl NodeCounters {
-    /// Records that a node went from version `from` to the newer version `to`; `published` returns when a version was
-    /// published.
+    /// Records that a node went from version `from` to the newer version `to` at `now`. `published` returns
+    /// the time of publication of a version.
     pub fn record_advance(
         &mut self,
         now: Instant,
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Adds the counts and times of other nodes.
+    /// Adds the counters and histograms of other nodes.
     pub fn merge(&mut self, other: &Self) {
         self.lag.merge(&other.lag);
         self.start.merge(&other.start);
--- a/crates/node-emulator/src/discovery.rs
+++ b/crates/node-emulator/src/discovery.rs
@@ -1,4 +1,7 @@
-//! The stand-in discovery service: one agent for each region, as in the chapter 'Discovery' of the protocol page.
+//! The stand-in discovery service, with one agent for each region.
+//!
+//! An agent responds to `GET /catalog/members` with the complete server list. With the parameters `since` (a
+//! version) and `timeout_ms` the request is a long poll, and the response has the changes since that version.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -18,7 +21,7 @@
 use crate::traffic::CountedStream;
 use crate::world::{accept, World};
 
-/// Longest wait of a long poll.
+/// Longest wait of a long poll, whatever `timeout_ms` says.
 const MAX_LONG_POLL: Duration = Duration::from_secs(60);
 
 /// A request for the server list.
@@ -26,21 +29,21 @@
 pub enum ListRequest {
     /// The complete list.
     Complete,
-    /// The changes since a version, once there are any (a long poll).
+    /// A long poll: the changes since a version, as soon as there are any.
     ChangesSince {
-        /// The version that the client has.
+        /// The version of the list that the client has.
         revision: u64,
-        /// The longest wait.
+        /// Time after which the response is sent without a change.
         wait: Duration,
     },
 }
 
 impl ListRequest {
-    /// Reads the path and query of a call; the error is the status to answer with.
+    /// Parses the path and query of a request. The error is the status of the response.
     ///
     /// # Errors
     ///
-    /// 404 for another path, 400 for a query that cannot be read.
+    /// Returns 404 for an unknown path and 400 for an invalid query.
     pub fn parse(uri: &Uri) -> Result<Self, StatusCode> {
         if uri.path() != "/catalog/members" {
             return Err(StatusCode::NOT_FOUND);
@@ -60,16 +63,17 @@
     }
 }
 
-/// Serves the agent of one region; runs within a `LocalSet`, for as long as that does.
+/// Runs the discovery agent of one region. Must be called within a `LocalSet`; it ends with that set.
 pub async fn serve(listener: TcpListener, world: Arc<World>, region: usize) {
     accept(listener, |stream| {
         let world = Arc::clone(&world);
         tokio::task::spawn_local(async move {
-            // Small answers must not wait for the client's acknowledgement.
+            // Without `TCP_NODELAY`, a small response could wait for the client's acknowledgement of an
+            // earlier one.
             let _ = stream.set_nodelay(true);
             let stream = TokioIo::new(CountedStream::new(stream, Arc::clone(&world.discovery)));
             let service = service_fn(|request| handle_request(&world, region, request));
-            // It fails where the client breaks the connection off, as it does when the agent is unresponsive.
+            // This fails if the client closes the connection, as it does when the agent is unresponsive.
             let _ = http1::Builder::new().serve_connection(stream, service).await;
         });
     })
@@ -95,10 +99,11 @@
         Err(code) => return status(code),
     };
     if let ListRequest::ChangesSince { revision, wait } = list_request {
-        // A wait that ends without a change is answered as well.
+        // After the time limit a response without changes is sent.
         let _ = timeout(wait, world.newest().wait_for(|newest| *newest != revision)).await;
     }
-    // An unresponsive agent leaves the call open until the client gives up: then this future is dropped.
+    // While the agent is unresponsive, the request stays open. This future is dropped when the client closes
+    // the connection.
     world.wait_until_responsive(region).await;
     let mut catalogue = world.catalogue();
     let response_list = match list_request {
@@ -113,5 +118,5 @@
     };
     count.fetch_add(1, Relaxed);
     let response = Response::builder().header("Content-Type", "application/json");
-    Ok(response.body(Full::new(response_list.body)).expect("a sound response"))
+    Ok(response.body(Full::new(response_list.body)).expect("the response is valid"))
 }
--- a/crates/node-emulator/src/fit.rs
+++ b/crates/node-emulator/src/fit.rs
@@ -1,21 +1,24 @@
-//! A straight line through measured points, by least squares.
+//! Fits a straight line to measured points by least squares.
 
 use serde::Serialize;
 
-/// A line `y = intercept + slope * x`, and the power law that fits the same points.
+/// The line `y = intercept + slope * x` that fits measured points, and the exponent of the power law that
+/// fits them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// Units of `y` for each unit of `x`.
+    /// Growth of `y` per unit of `x`.
     pub slope: f64,
-    /// `y` where `x` is 0.
+    /// The value of the line at `x = 0`.
     pub intercept: f64,
-    /// Part of the variance of `y` that the line accounts for; 1 where all points lie on it.
+    /// Coefficient of determination: the fraction of the variance of `y` that the line explains; 1 if all
+    /// points are on the line.
     pub r2: f64,
-    /// The slope of `ln y` over `ln x`: 1 for what grows in proportion. `None` where a value is not above 0.
+    /// The slope of `ln y` over `ln x`, which is 1 if `y` is proportional to `x`. `None` if a coordinate is
+    /// not positive.
     pub exponent: Option<f64>,
 }
 
-/// Fits a line to the points; `None` for fewer than two different `x`.
+/// Fits a line to points `(x, y)`. Returns `None` if there are fewer than two different `x`.
 #[must_use]
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
     let (slope, intercept, r2) = least_squares(points)?;
@@ -25,6 +28,8 @@
     Some(Fit { slope, intercept, r2, exponent })
 }
 
+/// The slope, intercept and coefficient of determination of the least-squares line; `None` if there are fewer
+/// than two different `x`.
 fn least_squares(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
     let n = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
--- a/crates/node-emulator/src/lib.rs
+++ b/crates/node-emulator/src/lib.rs
@@ -1,9 +1,10 @@
-//! Emulates the fleet that the node serves in: a stand-in discovery service, servers and nodes on loopback addresses
-//! of one process, driven by a scenario ([`scenario_run`]); and measures single quantities against size ([`slopes`]).
+//! Emulates the fleet around a traffic node, in one process on loopback addresses: a stand-in discovery
+//! service, servers and nodes, driven by a scenario ([`scenario_run`]). It also measures single quantities,
+//! such as the memory of a node, against the size of the fleet ([`slopes`]).
 //!
-//! Emulated nodes run the project's own decisions ([`balancer::Balancer`]) and its own discovery client
-//! ([`balancer::net::discovery`]). Clients, the work of the servers and the node's sockets to clients are emulated.
-//! All measured values are those of the machine that the emulator runs on.
+//! Emulated nodes run the real load balancer ([`balancer::Balancer`]) and the real discovery client
+//! ([`balancer::net::discovery`]). Clients, the work of the servers and the node's sockets to clients are
+//! emulated. All measured values depend on the machine that the emulator runs on.
 
 pub mod build;
 pub mod catalogue;
--- a/crates/node-emulator/src/main.rs
+++ b/crates/node-emulator/src/main.rs
@@ -1,4 +1,6 @@
-//! `node-emulator`: measures single quantities against size, and runs scenarios of the complete fleet.
+//! The program `node-emulator`. `slopes` measures single quantities, such as the memory of a node, against
+//! the size of the fleet; `play` runs a scenario of an emulated fleet. Both print a table and write a JSON
+//! report.
 
 use std::io;
 use std::path::PathBuf;
--- a/crates/node-emulator/src/node/emulated_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -1,4 +1,4 @@
-//! One emulated node: its decisions, its pending requests and its subscription to discovery.
+//! One emulated node: its `Balancer`, its pending requests and its subscription to discovery.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,33 +20,37 @@
 use super::thread::NodeThread;
 use crate::counters::NodeCounters;
 
-/// A request that has arrived at a node and is not finished.
+/// A request that has arrived at a node and either has no response yet or still has attempts in flight.
 #[derive(Default)]
 pub(super) struct PendingRequest {
-    /// Whether the client has its response.
+    /// Whether the client has received a response.
     pub(super) answered: bool,
-    /// By attempt: its cancellation, while it is in flight.
+    /// For each attempt in flight the sender whose drop cancels it; `None` for an attempt that has ended.
     pub(super) attempts: Vec<Option<oneshot::Sender<()>>>,
 }
 
-/// A node of which only the decisions and the discovery client are real.
+/// A node with a real `Balancer` and a real discovery client. Its clients are emulated.
 pub struct EmulatedNode {
     pub(super) thread: Rc<NodeThread>,
     pub(super) number: usize,
     pub(super) region: usize,
+    /// Notified to start the long polls: at the start of the node and whenever the `Balancer` requests it.
     pub(super) update_requested: Notify,
+    /// Required by [`Subscriber`], but never notified: the addresses of the agents do not change.
     pub(super) discovery_moved: Notify,
     pub(super) started: Instant,
-    /// The version of the list that the decisions have; `None` before the first.
+    /// The version of the list that the `Balancer` has; `None` before the first list.
     pub(super) revision: Cell<Option<u64>>,
-    /// Set when the node is to be restarted: later events are ignored.
+    /// Set when the node is stopped for a restart. Later events are ignored.
     pub(super) stopped: Cell<bool>,
     pub(super) balancer: RefCell<Balancer>,
     pub(super) pending_requests: RefCell<HashMap<RequestId, PendingRequest>>,
+    /// Identifier of the latest request.
     pub(super) last_request: Cell<u64>,
 }
 
 impl EmulatedNode {
+    /// Creates a node without a list. Its seed differs from those of all other nodes.
     pub(super) fn new(thread: &Rc<NodeThread>, number: usize) -> Result<Rc<Self>, balancer::SettingsError> {
         let size = thread.config.size;
         let zone = size.zone(number);
@@ -68,18 +72,19 @@
             pending_requests: RefCell::default(),
             last_request: Cell::new(0),
         });
-        // As a real node does where lists are pushed.
+        // The settings have `DiscoveryMode::Push`, in which the `Balancer` does not request the first
+        // updates. A real node starts its long polls in the same way.
         node.update_requested.notify_one();
         Ok(node)
     }
 
-    /// Stops the node: outcomes of its attempts in flight are ignored.
+    /// Stops the node and cancels its attempts in flight. Their outcomes are ignored.
     pub(super) fn stop(&self) {
         self.stopped.set(true);
         self.pending_requests.borrow_mut().clear();
     }
 
-    /// Reads the first list, then follows discovery for as long as the node runs.
+    /// Reads the first list and then follows discovery until the task is aborted.
     pub(super) async fn follow(self: Rc<Self>) {
         let connection = {
             let _permit = self.thread.start_permits.acquire().await;
@@ -88,15 +93,14 @@
         discovery::follow(self, connection).await;
     }
 
-    // ---- Requests
-
-    /// Starts requests at random times (a Poisson process) once the clients send.
+    /// Starts requests at random times (a Poisson process) after the clients have been started. While the
+    /// node has no list, no requests arrive.
     pub(super) async fn generate_requests(self: Rc<Self>) {
         let rate = self.thread.config.requests_per_s;
         if rate <= 0.0 {
             return;
         }
-        // It fails where the run ended before the clients were started.
+        // This fails if the run ends before the clients are started.
         let _ = self.thread.clients_started.clone().wait_for(|clients_started| *clients_started).await;
         let mut random =
             fastrand::Rng::with_seed(self.thread.config.seed.rotate_left(32) ^ self.number as u64);
@@ -110,6 +114,7 @@
         }
     }
 
+    /// Starts a request of a class, and measures the time in which the `Balancer` decides about it.
     pub(super) fn start_request(self: &Rc<Self>, class: usize) {
         let id = RequestId(self.last_request.get() + 1);
         self.last_request.set(id.0);
@@ -125,11 +130,13 @@
         self.remove_if_finished(id);
     }
 
+    /// Passes an event to the `Balancer` and executes the resulting actions.
     pub(super) fn handle_event(self: &Rc<Self>, event: BalancerEvent) {
         let actions = self.decide(event);
         self.execute(actions);
     }
 
+    /// Passes an event to the `Balancer` and returns the resulting actions; none if the node is stopped.
     pub(super) fn decide(&self, event: BalancerEvent) -> Vec<BalancerAction> {
         let mut actions = Vec::new();
         if !self.stopped.get() {
@@ -138,6 +145,7 @@
         actions
     }
 
+    /// Executes actions of the `Balancer`.
     pub(super) fn execute(self: &Rc<Self>, actions: Vec<BalancerAction>) {
         for action in actions {
             match action {
@@ -171,7 +179,7 @@
         }
     }
 
-    /// Records the response to a client; only the first one counts.
+    /// Records the response to a client with `count`. Further responses to the same request are not counted.
     pub(super) fn finish_request(&self, request: RequestId, count: impl FnOnce(&mut NodeCounters)) {
         if let Some(pending) = self.pending_requests.borrow_mut().get_mut(&request) {
             if !std::mem::replace(&mut pending.answered, true) {
@@ -181,7 +189,7 @@
         self.remove_if_finished(request);
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
+    /// Removes a request if it has a response and no attempt in flight.
     pub(super) fn remove_if_finished(&self, request: RequestId) {
         let mut pending_requests = self.pending_requests.borrow_mut();
         if pending_requests
@@ -192,6 +200,7 @@
         }
     }
 
+    /// Starts an attempt of a request at a server.
     pub(super) fn send(self: &Rc<Self>, request: RequestId, server: ServerId) {
         let mut pending_requests = self.pending_requests.borrow_mut();
         let Some(pending) = pending_requests.get_mut(&request) else { return };
@@ -210,6 +219,8 @@
         });
     }
 
+    /// Passes the outcome of an attempt to the `Balancer`. The first served attempt is the response to the
+    /// client.
     pub(super) fn on_attempt_ended(
         self: &Rc<Self>,
         request: RequestId,
@@ -237,6 +248,7 @@
         self.remove_if_finished(request);
     }
 
+    /// Starts a load probe of a server.
     pub(super) fn probe(self: &Rc<Self>, server: ServerId) {
         lock(&self.thread.counters).probes += 1;
         let node = Rc::clone(self);
@@ -278,7 +290,8 @@
         drop(list);
         let started_at = Instant::now();
         let actions = self.decide(BalancerEvent::EndpointsUpdated(endpoint_update));
-        // The time until here is that of the decisions; the lag of a version ends once they have it.
+        // Both the time to apply the list and the lag of its version end here, when the `Balancer` has the
+        // list.
         let now = Instant::now();
         let mut counters = lock(&self.thread.counters);
         counters.endpoint_update.add(now - started_at);
--- a/crates/node-emulator/src/node/endpoint_update.rs
+++ b/crates/node-emulator/src/node/endpoint_update.rs
@@ -1,21 +1,22 @@
-//! Converts lists of discovery to the updates that the decisions take.
+//! Converts server lists of discovery to updates of the `Balancer`.
 
 use balancer::net::list::{ListDecoder, ListError, ListedMember, ServerList};
 use balancer::{wire, EndpointUpdate, ServerId};
 
 use crate::catalogue;
 
-/// Decodes a list of the discovery protocol.
+/// Decodes a server list of the discovery protocol.
 ///
 /// # Errors
 ///
-/// Where `body` is not such a list.
+/// Fails if `body` is not a valid list.
 pub fn read_list(body: &[u8]) -> Result<ServerList, ListError> {
     let mut decoder = ListDecoder::new(usize::MAX);
     decoder.feed(body).and_then(|()| decoder.finish())
 }
 
-/// The update of the decisions that a list stands for; servers with foreign names are left out.
+/// Converts a list to an update. Servers whose names were not made by the emulator are omitted. A server in
+/// none of `zones` gets the index after the last zone.
 #[must_use]
 pub fn endpoint_update(list: &ServerList, zones: &[String]) -> EndpointUpdate {
     let entry = |member: &ListedMember| {
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -1,7 +1,8 @@
-//! Emulated nodes: the project's own decisions and its own discovery client, many nodes to a thread.
+//! Emulated nodes, which run the real `Balancer` and the real discovery client. A thread runs many nodes.
 //!
-//! The nodes of a thread share their connections to the servers and their counters. A node owns its `Balancer` and
-//! little more: server names encode the servers' numbers, and addresses are looked up in the catalogue.
+//! The nodes of a thread share their connections to the servers and their counters. To save memory, a node
+//! stores neither names nor addresses of servers: names encode the servers' numbers, and addresses are looked
+//! up in the catalogue.
 
 mod emulated_node;
 mod endpoint_update;
@@ -25,8 +26,8 @@
 use crate::counters::NodeCounters;
 use crate::world::World;
 
-/// Nodes of a thread that may read their first list at once. They share one core, which real nodes do not: if all
-/// read at once, each would exceed the client's time-out.
+/// Number of nodes of a thread that may read their first list concurrently. Unlike real nodes, they share one
+/// core: if all read concurrently, each would exceed the timeout of the discovery client.
 const MAX_CONCURRENT_STARTS: usize = 2;
 
 /// The configuration that all emulated nodes share.
@@ -38,49 +39,50 @@
     pub seed: u64,
     /// The address of the discovery agent of each region, by region.
     pub agents: Vec<SocketAddr>,
-    /// The settings of the decisions; `nodes`, `node_index` and `zone` are replaced by each node's own.
+    /// The settings of the `Balancer`. Each node replaces `nodes`, `node_index` and `zone` by its own values.
     pub settings: DecisionSettings,
-    /// Requests that arrive at one node in a second, on average.
+    /// Average rate of the requests that arrive at one node, per second.
     pub requests_per_s: f64,
 }
 
 /// A command to a thread of nodes.
 #[derive(Clone, Copy, Debug)]
 pub enum NodeCommand {
-    /// Starts a node, and stops it first if it runs.
+    /// Starts the node with this number, and stops it before if it is running.
     Start(usize),
 }
 
-/// The counters of a thread, shared with their reader.
+/// The counters of a thread, shared with the thread that reports them.
 pub type SharedCounters = Arc<Mutex<NodeCounters>>;
 
-/// Locks the counters.
+/// Locks the counters, also after a panic of another thread that held the lock.
 pub fn lock(counters: &Mutex<NodeCounters>) -> MutexGuard<'_, NodeCounters> {
     counters.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The version of the list that each node has, by node; 0 for none.
+/// The version of the server list that each node has, by node; 0 for a node without a list.
 #[derive(Debug)]
 pub struct KnownVersions(Vec<std::sync::atomic::AtomicU64>);
 
 impl KnownVersions {
-    /// No node has a list yet.
+    /// Creates the versions of nodes that have no list yet.
     #[must_use]
     pub fn new(nodes: usize) -> Self {
         Self((0..nodes).map(|_| 0.into()).collect())
     }
 
-    /// The versions, by node.
+    /// The versions in the order of the nodes.
     pub fn versions(&self) -> impl Iterator<Item = u64> + '_ {
         self.0.iter().map(|version| version.load(std::sync::atomic::Ordering::Relaxed))
     }
 
+    /// Sets the version of a node; 0 if it has lost its list in a restart.
     fn set(&self, node: usize, version: u64) {
         self.0[node].store(version, std::sync::atomic::Ordering::Relaxed);
     }
 }
 
-/// Runs the nodes of a thread until the sender of commands is dropped; must be called within a `LocalSet`.
+/// Runs the nodes of a thread until the sender of `commands` is dropped. Must be called within a `LocalSet`.
 pub async fn run(
     config: Arc<NodeConfig>,
     world: Arc<World>,
@@ -112,7 +114,7 @@
                 let request_task = tokio::task::spawn_local(Rc::clone(&node).generate_requests());
                 running.insert(number, (node, vec![follow_task.abort_handle(), request_task.abort_handle()]));
             }
-            Err(error) => tracing::error!(number, %error, "a node cannot start"),
+            Err(error) => tracing::error!(number, %error, "cannot start an emulated node"),
         }
     }
 }
--- a/crates/node-emulator/src/node/thread.rs
+++ b/crates/node-emulator/src/node/thread.rs
@@ -1,4 +1,4 @@
-//! What the emulated nodes of one thread share: connections, counters and the configuration.
+//! State that the emulated nodes of one thread share: connections, counters and the configuration.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -22,32 +22,35 @@
 use crate::catalogue;
 use crate::world::World;
 
-/// How often the wake-up delay of a thread is measured.
+/// Interval at which the wake-up delay of a thread is measured.
 pub(super) const WAKE_UP_DELAY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest body of a server's response.
+/// Maximum length of the body of a server's response. The attempt fails if the body is longer.
 pub(super) const MAX_RESPONSE_BYTES: usize = 1 << 10;
 
-/// Idle connections kept to the servers of one rack, for all nodes of a thread.
+/// Maximum number of idle connections to one rack, for all nodes of a thread together.
 pub(super) const MAX_IDLE_CONNECTIONS: usize = 32;
 
 /// State that the nodes of one thread share.
 pub(super) struct NodeThread {
     pub(super) config: Arc<NodeConfig>,
     pub(super) world: Arc<World>,
+    /// Names of all zones, by index.
     pub(super) zones: Vec<String>,
     pub(super) counters: SharedCounters,
     /// Idle connections, by the address of a rack.
     pub(super) idle: RefCell<HashMap<SocketAddr, Vec<SendRequest<Empty<Bytes>>>>>,
-    /// Becomes true, for good, when the clients begin to send.
+    /// Becomes true when the clients start to send requests, and stays true.
     pub(super) clients_started: watch::Receiver<bool>,
-    /// Versions of the nodes' lists, from which the run sees whether all have the newest.
+    /// The versions that the nodes have. The run reads them to determine whether all nodes have the newest
+    /// one.
     pub(super) known_versions: Arc<KnownVersions>,
-    /// Limits the first reads of a list to [`MAX_CONCURRENT_STARTS`](super::MAX_CONCURRENT_STARTS).
+    /// Limits concurrent reads of first lists to [`MAX_CONCURRENT_STARTS`](super::MAX_CONCURRENT_STARTS).
     pub(super) start_permits: Semaphore,
 }
 
 impl NodeThread {
+    /// Records periodically by how much the event loop wakes up after the due time of a timer.
     pub(super) async fn measure_wake_up_delay(self: Rc<Self>) {
         loop {
             let due = Instant::now() + WAKE_UP_DELAY_INTERVAL;
@@ -56,14 +59,14 @@
         }
     }
 
-    /// The longest deadline of all request classes, which bounds an attempt.
+    /// The timeout of an attempt: the longest deadline of all request classes.
     pub(super) fn attempt_timeout(&self) -> Duration {
         let deadline_ms =
             self.config.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
         Duration::try_from_secs_f64(deadline_ms / 1000.0).unwrap_or_default()
     }
 
-    /// Sends a request to a server within the time-out of an attempt.
+    /// Sends a request to a server and reads its response, limited by the timeout of an attempt.
     pub(super) async fn call(
         &self,
         server: ServerId,
@@ -74,7 +77,7 @@
         timeout(self.attempt_timeout(), call).await.unwrap_or((AttemptOutcome::TimedOut, None))
     }
 
-    /// Sends a request to a server and reads its response, without a time-out.
+    /// Sends a request to a server and reads its response, without a timeout.
     pub(super) async fn exchange(
         &self,
         server: ServerId,
@@ -88,7 +91,7 @@
             return (AttemptOutcome::Unreachable, None);
         };
         let request = hyper::Request::get(path).header("Host", catalogue::server_name(server.0));
-        let request = request.header("X-From", region).body(Empty::new()).expect("a sound request");
+        let request = request.header("X-From", region).body(Empty::new()).expect("the request is valid");
         let Ok(response) = sender.send_request(request).await else { return (AttemptOutcome::Reset, None) };
         let (head, body) = response.into_parts();
         let complete = Limited::new(body, MAX_RESPONSE_BYTES).collect().await.is_ok();
@@ -102,13 +105,14 @@
         let outcome = match head.status {
             _ if !complete => AttemptOutcome::Reset,
             StatusCode::OK => AttemptOutcome::Served,
-            // The emulated servers' stand-in for a refused connection.
+            // The emulated servers send this status where real ones would refuse the connection.
             StatusCode::GONE => AttemptOutcome::Unreachable,
             _ => AttemptOutcome::Error,
         };
         (outcome, report)
     }
 
+    /// Returns an idle connection that is still open, or a new one; `None` if the connection attempt fails.
     pub(super) async fn idle_or_new_connection(
         &self,
         address: SocketAddr,
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -3,7 +3,11 @@
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// What can be measured.
+/// A quantity that `slopes` measures.
+///
+/// The comments of the variants are help texts of the command line, and the variants' names are its values.
+/// The order of the variants is the order of the measurements: memory comes first, so that no other
+/// measurement has freed any before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
@@ -48,11 +52,13 @@
 }
 
 impl Quantity {
+    /// Whether the quantity is an amount of memory. Those are measured before all others: memory that other
+    /// measurements have freed would be reused, and the growth of the process would be too low.
     pub(crate) fn is_memory(self) -> bool {
         matches!(self, Self::TenantMemory | Self::BalancerMemory | Self::NodeMemory)
     }
 
-    /// Its unit; only times (`us`) differ from run to run.
+    /// The unit of the measured values. Only times (`us`, microseconds) need repeated measurements.
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
@@ -63,7 +69,7 @@
         }
     }
 
-    /// What the size of the fleet is counted in.
+    /// What the size counts, such as servers or tenants.
     #[must_use]
     pub fn size_unit(self) -> &'static str {
         match self {
@@ -74,6 +80,7 @@
         }
     }
 
+    /// The sizes to measure at if the command line names none.
     pub(crate) fn default_sizes(self) -> &'static [usize] {
         match self.size_unit() {
             "tenants" => &[100, 1_000, 10_000, 53_000],
@@ -83,7 +90,7 @@
         }
     }
 
-    /// As the command line names it.
+    /// The name in options of the command line and in reports.
     #[must_use]
     pub fn name(self) -> String {
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
--- a/crates/node-emulator/src/report.rs
+++ b/crates/node-emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: JSON that is either complete or absent.
+//! The JSON report of a run. It is written atomically: the file is either complete or absent.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -12,7 +12,7 @@
 use crate::traffic::TrafficTotals;
 use crate::usage::Memory;
 
-/// A report could not be written; an earlier one at the same path is unchanged.
+/// The report could not be written. A previous report at the same path is unchanged.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot write the report {path}: {source}")]
 pub struct ReportError {
@@ -20,26 +20,27 @@
     source: io::Error,
 }
 
-/// The report of a run; `results` depends on the command.
+/// The report of a run of the command `play` or `slopes`, which determines the types of `settings` and
+/// `results`.
 #[derive(Debug, Serialize)]
 pub struct Report<S, R> {
-    /// `play` or `slopes`.
+    /// The command that was run, `play` or `slopes`.
     pub command: &'static str,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// The commit that was checked out where the run began, or `unknown`.
+    /// The commit that was checked out in the working folder at the start of the run, or `unknown`.
     pub commit: String,
-    /// Whether files differed from that commit.
+    /// Whether files in the working folder differed from that commit.
     pub modified: bool,
-    /// The settings of the run.
+    /// The options of the run, and the scenario of `play`.
     pub settings: S,
-    /// Memory of the process, in bytes.
+    /// Memory of the process at the end of the run.
     pub memory: Memory,
-    /// Processor seconds by role of thread.
+    /// Processor seconds by role of thread; for `slopes` by quantity.
     pub cpu_seconds: BTreeMap<String, f64>,
-    /// Bytes and messages by role.
+    /// Bytes, messages and connections by role, such as `discovery`.
     pub traffic: BTreeMap<String, TrafficTotals>,
-    /// What was measured.
+    /// The measurements.
     pub results: R,
 }
 
@@ -48,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Where the folder cannot be made or written to.
+    /// Fails if the folder cannot be created or written to, or if a value cannot be serialized.
     pub fn write(&self, path: &Path) -> Result<(), ReportError> {
         write_atomically(path, self).map_err(|source| ReportError { path: path.to_owned(), source })
     }
@@ -60,14 +61,14 @@
     let mut file = BufWriter::new(NamedTempFile::new_in(folder)?);
     serde_json::to_writer_pretty(&mut file, report)?;
     file.write_all(b"\n")?;
-    // A temporary file that is dropped on an error, here or above, is removed.
+    // On an error, here or above, the temporary file is dropped and thereby deleted.
     let file = file.into_inner().map_err(IntoInnerError::into_error)?;
     file.as_file().sync_all()?;
     file.persist(path)?;
     Ok(())
 }
 
-/// The commit that is checked out in the working folder, and whether files differ from it.
+/// The commit that is checked out in the working folder, or `unknown`, and whether files differ from it.
 #[must_use]
 pub fn checked_out_commit() -> (String, bool) {
     let git = |arguments: &[&str]| {
--- a/crates/node-emulator/src/scenario/check.rs
+++ b/crates/node-emulator/src/scenario/check.rs
@@ -1,4 +1,4 @@
-//! Checks a scenario file, and finds the line and key of a fault.
+//! Checks the values of a scenario file, and reports an invalid one with its key and position.
 
 use std::ops::Range;
 
@@ -9,35 +9,37 @@
 use super::{Load, Scenario};
 use crate::catalogue::Size;
 
-/// Default of [`Scenario::max_catch_up_s`].
+/// Default of [`Scenario::max_catch_up_s`], in seconds.
 pub(super) const DEFAULT_MAX_CATCH_UP_S: f64 = 30.0;
 
-/// Most regions: each has a loopback address of its own.
+/// Maximum number of regions. Each region has a separate loopback address.
 pub(super) const MAX_REGIONS: usize = 250;
 
-/// Longest scenario, a day, in seconds.
+/// Maximum duration of a scenario: a day, in seconds.
 pub(super) const MAX_DURATION_S: f64 = 86_400.0;
 
-/// Largest count of anything.
+/// Maximum of all counts that have no lower limit.
 pub(super) const MAX_SIZE: usize = 1_000_000;
 
-/// An invalid value and its position in the text.
+/// A key that is missing, unknown or has an invalid value, and its position in the text.
 pub(super) struct InvalidKey {
     pub(super) span: Range<usize>,
     pub(super) key: String,
     pub(super) reason: String,
 }
 
+/// Returns the error for an invalid key.
 pub(super) fn invalid<T>(span: Range<usize>, key: &str, reason: impl Into<String>) -> Result<T, InvalidKey> {
     Err(InvalidKey { span, key: key.into(), reason: reason.into() })
 }
 
+/// The number of the line, counted from 1, that contains the byte at `offset`.
 pub(super) fn line_number(text: &str, offset: usize) -> usize {
     1 + text.bytes().take(offset).filter(|byte| *byte == b'\n').count()
 }
 
-/// Converts an error of the TOML parser. It names a key only where that is missing, unknown or duplicate; otherwise
-/// the key is that of the line.
+/// Converts an error of the TOML parser. The parser names a key only if it is missing, unknown or duplicate;
+/// for other errors the key is taken from the line.
 pub(super) fn from_toml_error(text: &str, error: &toml::de::Error) -> InvalidKey {
     let span = error.span().unwrap_or(0..0);
     let reason = error.message().to_owned();
@@ -50,6 +52,7 @@
     InvalidKey { span, key, reason }
 }
 
+/// Checks a scenario and fills in the defaults.
 pub(super) fn check_scenario(raw: RawScenario) -> Result<Scenario, InvalidKey> {
     let name = raw.name.get_ref();
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
@@ -74,10 +77,11 @@
     })
 }
 
+/// Checks the sizes: each region has a zone, each zone a rack, and each rack and service a server.
 pub(super) fn check_size(raw: &RawSize) -> Result<Size, InvalidKey> {
     let count = |value: &Spanned<usize>, key, min: usize, min_text: &str, max: usize| match *value.get_ref() {
         n if n < min || n == 0 => invalid(value.span(), key, format!("must be at least {min_text}")),
-        n if n > max => invalid(value.span(), key, format!("must be {max} at most")),
+        n if n > max => invalid(value.span(), key, format!("must be at most {max}")),
         n => Ok(n),
     };
     let regions = count(&raw.regions, "size.regions", 1, "1", MAX_REGIONS)?;
@@ -90,6 +94,7 @@
     Ok(Size { regions, zones, racks, services, servers, nodes })
 }
 
+/// Checks the load and fills in the defaults.
 pub(super) fn check_load(raw: &RawLoad) -> Result<Load, InvalidKey> {
     let number = |value: &Option<Spanned<f64>>, key, default: f64, min, max| {
         value.as_ref().map_or(Ok(default), |value| check_range(value, key, min, max))
@@ -111,6 +116,7 @@
     })
 }
 
+/// Checks that a number is finite and from `min` to `max`.
 pub(super) fn check_range(value: &Spanned<f64>, key: &str, min: f64, max: f64) -> Result<f64, InvalidKey> {
     let number = *value.get_ref();
     if number.is_finite() && (min..=max).contains(&number) {
--- a/crates/node-emulator/src/scenario/event.rs
+++ b/crates/node-emulator/src/scenario/event.rs
@@ -1,4 +1,4 @@
-//! Checks the events of a scenario file.
+//! Checks the events of a scenario file and converts them.
 
 use std::ops::Range;
 
@@ -9,23 +9,28 @@
 use super::{Event, EventKind};
 use crate::catalogue::Size;
 
-/// Takes the keys of an event one by one; a key that is left over does not belong to its kind.
+/// The keys of an event. They are removed one by one as they are checked; a key that remains at the end does
+/// not belong to the event's kind.
 pub(super) struct EventKeys {
     pub(super) raw: RawEvent,
+    /// Position of the event in the text, for errors about missing keys.
     pub(super) span: Range<usize>,
+    /// Duration of the scenario, in seconds.
     pub(super) duration_s: f64,
 }
 
 impl EventKeys {
+    /// Returns the value of a mandatory key.
     pub(super) fn required<T>(&self, value: Option<T>, key: &str) -> Result<T, InvalidKey> {
         value.map_or_else(|| invalid(self.span.clone(), key, "is missing"), Ok)
     }
 
-    /// A time within the duration of the scenario, in seconds.
+    /// Checks that a time is within the duration of the scenario, in seconds.
     pub(super) fn time(&self, value: Option<Spanned<f64>>, key: &str) -> Result<f64, InvalidKey> {
         check_range(&self.required(value, key)?, key, 0.0, self.duration_s)
     }
 
+    /// Checks that an index is below `count`.
     pub(super) fn index(
         &self,
         value: Option<Spanned<usize>>,
@@ -59,7 +64,7 @@
         self.index(value, "region", size.regions)
     }
 
-    /// The event's kind with its keys, and how long it lasts, in seconds.
+    /// Returns the kind of the event with its parameters, and the duration of the event in seconds.
     fn kind(&mut self, kind: &Spanned<String>, size: Size) -> Result<(EventKind, f64), InvalidKey> {
         Ok(match kind.get_ref().as_str() {
             "ordinary-day" => self.ordinary_day()?,
@@ -94,7 +99,7 @@
                 let for_s = self.for_s()?;
                 (EventKind::DiscoveryUnresponsive { for_s }, for_s)
             }
-            unknown => return invalid(kind.span(), "kind", format!("there is no event `{unknown}`")),
+            unknown => return invalid(kind.span(), "kind", format!("`{unknown}` is not a kind of event")),
         })
     }
 
@@ -115,7 +120,7 @@
         Ok((EventKind::RollingReplacement { part, batches, over_s, drain_s }, over_s + drain_s))
     }
 
-    /// A count above zero.
+    /// Checks that a count is from 1 to [`MAX_SIZE`].
     fn positive_count(&self, value: Option<Spanned<usize>>, key: &str) -> Result<usize, InvalidKey> {
         let value = self.required(value, key)?;
         match *value.get_ref() {
@@ -124,6 +129,7 @@
         }
     }
 
+    /// Fails if the event has a key that does not belong to its kind.
     pub(super) fn check_no_keys_left(&self) -> Result<(), InvalidKey> {
         let raw = &self.raw;
         let number_span = |value: &Option<Spanned<f64>>| value.as_ref().map(Spanned::span);
@@ -148,6 +154,7 @@
     }
 }
 
+/// Checks an event of a scenario that lasts `duration_s` seconds.
 pub(super) fn check_event(
     event: Spanned<RawEvent>,
     size: Size,
@@ -163,7 +170,7 @@
     keys.check_no_keys_left()?;
     if at_s + event_duration_s > duration_s {
         let reason = format!(
-            "the event ends {} s after the start, and the play {duration_s} s",
+            "the event ends {} s after the start of the run, but the run ends after {duration_s} s",
             at_s + event_duration_s
         );
         return invalid(at_span, "at_s", reason);
--- a/crates/node-emulator/src/scenario/file.rs
+++ b/crates/node-emulator/src/scenario/file.rs
@@ -1,4 +1,5 @@
-//! The TOML form of a scenario, before it is checked.
+//! The structure of a scenario file, before its values are checked. Positions in the text are kept for
+//! errors.
 
 use serde::Deserialize;
 use toml::Spanned;
@@ -42,6 +43,7 @@
     pub(super) log_entries: Option<Spanned<usize>>,
 }
 
+/// An event with the keys of all kinds of events. `event.rs` checks that only those of its kind are present.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawEvent {
--- a/crates/node-emulator/src/scenario/mod.rs
+++ b/crates/node-emulator/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! Scenario files: the sizes of a fleet, its load, and the events that happen to it. README.md lists the keys.
+//! Scenario files: the sizes of a fleet, its load, and the events that happen to it. `README.md` of this
+//! crate lists the keys.
 
 mod check;
 mod event;
@@ -12,27 +13,27 @@
 use self::check::{check_scenario, from_toml_error, line_number};
 use crate::catalogue::Size;
 
-/// A scenario file cannot be used.
+/// A scenario file cannot be read or is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("cannot read the scenario {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the scenario file.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: io::Error,
     },
     /// A key is missing, unknown or out of range.
     #[error("{path}:{line}: `{key}`: {reason}")]
     Invalid {
-        /// The file.
+        /// Path of the scenario file.
         path: PathBuf,
-        /// The line, from 1.
+        /// Number of the line, counted from 1.
         line: usize,
-        /// The key at fault.
+        /// Name of the invalid key.
         key: String,
-        /// What is wrong with it.
+        /// Why the key or its value is invalid.
         reason: String,
     },
 }
@@ -40,49 +41,52 @@
 /// A scenario: a fleet, its load and the events that happen to it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Scenario {
-    /// Its name, for the report.
+    /// Name of the scenario. The default path of the report contains it.
     pub name: String,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Duration once all nodes have a list, in seconds.
+    /// Duration of the run, in seconds. It begins when all nodes have a list.
     pub duration_s: f64,
-    /// Longest wait after that, in seconds, until all nodes have the newest version.
+    /// Maximum time after the duration, in seconds, in which the run waits until all nodes have the newest
+    /// version.
     #[serde(rename = "settle_s")]
     pub max_catch_up_s: f64,
     /// The sizes of the fleet.
     pub size: Size,
-    /// The load, and the settings of the nodes.
+    /// The requests of clients, and the settings of nodes and discovery.
     pub load: Load,
-    /// The events, in the file's order.
+    /// The events in the order of the file.
     pub events: Vec<Event>,
 }
 
-/// The requests of clients, and the settings of the nodes.
+/// The requests of clients, and the settings of nodes and discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Load {
-    /// Requests in a second, over all nodes.
+    /// Rate of requests per second, summed over all nodes.
     pub requests_per_s: f64,
-    /// Time in which a server responds, in milliseconds.
+    /// Time that a server takes to respond, in milliseconds.
     pub service_ms: f64,
-    /// Responses within this time have their full value, in milliseconds.
+    /// Latency target in milliseconds. Responses within this time have their full value.
     #[serde(rename = "aim_ms")]
     pub latency_target_ms: f64,
-    /// Time that a client waits for a response, in milliseconds.
+    /// Time in milliseconds after which a client stops waiting for a response.
     pub deadline_ms: f64,
-    /// How long requests may be sent to a server that is listed as draining, in milliseconds.
+    /// Time in milliseconds during which requests may still be sent to a server after it is listed as
+    /// draining.
     pub drain_grace_ms: f64,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// Changes that the log of discovery retains.
+    /// Maximum number of changes in the log of discovery. For a version that the log does not reach back to,
+    /// it sends the complete list.
     pub log_entries: usize,
 }
 
 /// An event of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
-    /// When it begins, in seconds from the begin of the run.
+    /// Time at which the event begins, in seconds from the start of the run.
     pub at_s: f64,
-    /// What happens.
+    /// What happens, and the parameters of that.
     #[serde(flatten)]
     pub kind: EventKind,
 }
@@ -91,68 +95,70 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum EventKind {
-    /// Machines fail, servers restart and the configuration changes as often as on an ordinary day.
+    /// Machines fail, servers restart and the configuration changes at the rates of an ordinary day,
+    /// multiplied by `speed`.
     OrdinaryDay {
-        /// For how long.
+        /// Duration of the event.
         for_s: f64,
-        /// How many times as often.
+        /// Factor by which the rates are higher than on an ordinary day.
         speed: f64,
     },
     /// Servers are replaced, one batch after the other.
     RollingReplacement {
-        /// The fraction of all servers, 0 to 1.
+        /// Fraction of all servers that are replaced, 0 to 1.
         part: f64,
-        /// How many batches.
+        /// Number of batches.
         batches: usize,
-        /// The batches begin evenly over this time.
+        /// Time over which the starts of the batches are evenly distributed.
         over_s: f64,
-        /// How long a server drains.
+        /// Time for which a replaced server drains before it ends.
         drain_s: f64,
     },
-    /// The machines of a rack fail.
+    /// All machines of a rack fail at the same time.
     RackLost {
-        /// The rack.
+        /// Index of the rack.
         rack: usize,
-        /// Discovery takes its servers off the list after this time, if they are not back before.
+        /// Time after which discovery removes the servers from the list, unless they are back before.
         noticed_s: f64,
-        /// They come back warming up after this time.
+        /// Time after which the servers are back; they have restarted and warm up.
         for_s: f64,
     },
-    /// The machines of a zone fail.
+    /// All machines of a zone fail at the same time.
     ZoneLost {
-        /// The zone.
+        /// Index of the zone.
         zone: usize,
-        /// Discovery takes its servers off the list after this time, if they are not back before.
+        /// Time after which discovery removes the servers from the list, unless they are back before.
         noticed_s: f64,
-        /// They come back warming up after this time.
+        /// Time after which the servers are back; they have restarted and warm up.
         for_s: f64,
     },
-    /// A region is partitioned from the others: its nodes receive no updates, and no request crosses its border.
+    /// A region is partitioned from all others: its nodes receive no updates of the list, and no request
+    /// enters or leaves the region.
     #[serde(rename = "region-cut")]
     RegionPartitioned {
-        /// The region.
+        /// Index of the region.
         region: usize,
-        /// For how long.
+        /// Duration of the partition.
         for_s: f64,
     },
-    /// All nodes of a region are restarted.
+    /// All nodes of a region are restarted, one after the other.
     RestartNodes {
-        /// The region.
+        /// Index of the region.
         region: usize,
-        /// Evenly over this time.
+        /// Time over which the restarts are evenly distributed.
         over_s: f64,
     },
-    /// The configuration of one service after another changes.
+    /// The configuration of randomly chosen services changes.
     ConfigurationStorm {
-        /// How many changes.
+        /// Number of changes.
         changes: usize,
-        /// Evenly over this time.
+        /// Time over which the changes are evenly distributed.
         over_s: f64,
     },
-    /// Discovery is unresponsive in all regions.
+    /// The discovery agents of all regions are unresponsive.
     #[serde(rename = "discovery-silent")]
     DiscoveryUnresponsive {
-        /// For how long.
+        /// Duration of the outage.
         for_s: f64,
     },
 }
@@ -162,18 +168,18 @@
     ///
     /// # Errors
     ///
-    /// Where it cannot be read, or with the key and line at fault.
+    /// Fails if the file cannot be read, or names the first invalid key and its line.
     pub fn read(path: &Path) -> Result<Self, ScenarioError> {
         let unreadable = |source| ScenarioError::Unreadable { path: path.to_owned(), source };
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
         Self::parse(path, &text)
     }
 
-    /// Reads the text of a scenario; `path` is only named in the error.
+    /// Parses the text of a scenario file. `path` is used only in errors.
     ///
     /// # Errors
     ///
-    /// Names the key and line at fault.
+    /// Names the first invalid key and its line.
     pub fn parse(path: &Path, text: &str) -> Result<Self, ScenarioError> {
         let raw = toml::from_str(text).map_err(|error| from_toml_error(text, &error));
         raw.and_then(check_scenario).map_err(|invalid| ScenarioError::Invalid {
--- a/crates/node-emulator/src/scenario_run/mod.rs
+++ b/crates/node-emulator/src/scenario_run/mod.rs
@@ -1,4 +1,5 @@
-//! Runs a scenario: threads of emulated nodes, of servers and of discovery, and the steps at their times.
+//! Runs a scenario: starts threads for the emulated nodes, the servers and discovery, executes the steps at
+//! their due times, and measures.
 
 mod results;
 mod running_fleet;
@@ -21,78 +22,80 @@
 use crate::slopes;
 use crate::usage::{self, TooFewDescriptors};
 
-/// Memory of a node without its servers, with both ends of its connection to discovery, in bytes.
+/// Estimated memory of a node without any servers, in bytes, including both ends of its connection to
+/// discovery.
 const BYTES_PER_NODE: u64 = 64 * 1024;
 
-/// Memory of a server in an encoded list, in a decoded list and in the catalogue, in bytes.
+/// Estimated memory of a server in an encoded list, in a decoded list and in the catalogue together, in
+/// bytes.
 const BYTES_PER_MEMBER: u64 = 600;
 
-/// Most complete lists that the nodes of one thread read at once as they start.
+/// Maximum number of complete lists that the starting nodes of one thread are assumed to read concurrently.
 const MAX_CONCURRENT_LIST_READS: u64 = 4;
 
-/// Descriptors besides connections and listeners: event loops, files, the standard streams.
+/// File descriptors besides those of connections and listeners: event loops, files and the standard streams.
 const BASE_DESCRIPTORS: u64 = 200;
 
-/// How a scenario is run.
+/// Options of a run that do not belong to the scenario.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RunOptions {
-    /// Threads that the emulated nodes are distributed over.
+    /// Number of threads that the emulated nodes are distributed over.
     pub node_threads: usize,
-    /// Limit of the estimated memory, in MiB.
+    /// Limit of the estimated memory, in MiB. A run whose estimate is higher is rejected.
     pub memory_mb: u64,
-    /// The run fails if a node has no list so many seconds after its start.
+    /// Time limit in seconds until all nodes have their first list. The run fails if a node still has none.
     #[serde(rename = "start_most_s")]
     pub start_timeout_s: u64,
 }
 
-/// A scenario could not be run to its end.
+/// A scenario could not be run completely.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioRunError {
     /// The estimated memory is over the limit.
-    #[error("{nodes} nodes before {servers} servers need about {need_mb} MiB, and {limit_mb} are allowed (--memory-mb)")]
+    #[error("{nodes} nodes with lists of {servers} servers need about {need_mb} MiB, and {limit_mb} are allowed (--memory-mb)")]
     TooLarge {
-        /// Nodes.
+        /// Number of nodes of the scenario.
         nodes: usize,
-        /// Servers.
+        /// Number of servers of the scenario.
         servers: usize,
-        /// The estimate, in MiB.
+        /// The estimated memory, in MiB.
         need_mb: u64,
-        /// The limit, in MiB.
+        /// The limit of the options, in MiB.
         limit_mb: u64,
     },
-    /// The memory of a node's decisions could not be measured for the estimate.
-    #[error("the memory of a node cannot be measured: {0}")]
+    /// The memory of a `Balancer`, which the estimate is based on, could not be measured.
+    #[error("the memory of a balancer cannot be measured: {0}")]
     NotMeasured(String),
-    /// More descriptors are required than allowed.
+    /// The run requires more file descriptors than the hard limit allows.
     #[error(transparent)]
     Descriptors(#[from] TooFewDescriptors),
-    /// A socket, thread or event loop could not be set up.
-    #[error("cannot set the play up: {0}")]
+    /// A socket, thread or event loop could not be created.
+    #[error("cannot create a socket, thread or event loop of the run: {0}")]
     Setup(#[from] io::Error),
-    /// The nodes' settings are invalid.
-    #[error("the nodes' settings: {0}")]
+    /// The settings that follow from the scenario are invalid.
+    #[error("the settings of the nodes are invalid: {0}")]
     Settings(#[from] balancer::SettingsError),
-    /// Some nodes got no first list before the time-out.
-    #[error("{without} of {nodes} nodes had no list within {within_s} s, in which discovery sent {complete_lists} whole lists, {sent_bytes} bytes: is the list over the client's limit?")]
+    /// Some nodes did not receive their first list before the time limit.
+    #[error("{without} of {nodes} nodes had no list within {within_s} s, in which discovery sent {complete_lists} complete lists and {sent_bytes} bytes; the list may exceed the limit of the discovery client")]
     NoInitialList {
-        /// Nodes without a list.
+        /// Number of nodes without a list.
         without: usize,
-        /// All nodes.
+        /// Number of all nodes.
         nodes: usize,
-        /// The time-out, in seconds.
+        /// The time limit, in seconds.
         within_s: u64,
-        /// Complete lists that were sent meanwhile.
+        /// Number of complete lists that discovery sent during this time.
         complete_lists: u64,
-        /// Bytes that discovery sent meanwhile.
+        /// Bytes that discovery sent during this time.
         sent_bytes: u64,
     },
-    /// A thread panicked.
-    #[error("a thread of the play panicked")]
+    /// A thread of nodes, servers or discovery panicked.
+    #[error("a thread of the run panicked")]
     Panicked,
 }
 
-/// Estimates the peak memory of a run, in bytes; `bytes_per_server` is the memory of one node's decisions for each
-/// server.
+/// Estimates the peak memory of a run, in bytes. `bytes_per_server` is the memory of one node's `Balancer`
+/// for each server.
 #[must_use]
 pub fn estimate_memory_bytes(size: Size, options: RunOptions, bytes_per_server: u64) -> u64 {
     let (nodes, servers) = (size.nodes as u64, size.servers as u64);
@@ -100,12 +103,13 @@
     nodes * (BYTES_PER_NODE + servers * bytes_per_server) + lists * servers * BYTES_PER_MEMBER
 }
 
-/// Checks the estimated memory against the limit; the memory of the decisions is measured first.
+/// Checks that the estimated memory is within the limit. The estimate uses the measured memory of a
+/// `Balancer`.
 fn check_memory_limit(size: Size, options: RunOptions) -> Result<(), ScenarioRunError> {
     let bytes =
         slopes::bytes_per_server().map_err(|error| ScenarioRunError::NotMeasured(error.to_string()))?;
     let need_mb = estimate_memory_bytes(size, options, bytes).div_ceil(1 << 20);
-    tracing::info!(bytes_per_server = bytes, need_mb, "memory estimated");
+    tracing::info!(bytes_per_server = bytes, need_mb, "estimated the memory of the run");
     if need_mb <= options.memory_mb {
         return Ok(());
     }
@@ -113,18 +117,19 @@
     Err(ScenarioRunError::TooLarge { nodes, servers, need_mb, limit_mb: options.memory_mb })
 }
 
-/// Descriptors that a run requires: both ends of every connection belong to this process.
+/// Number of file descriptors that a run requires. Both ends of every connection belong to this process.
 fn required_descriptors(scenario: &Scenario, options: RunOptions) -> u64 {
     let size = scenario.size;
     let load = scenario.load;
     let (nodes, racks) = (size.nodes as u64, size.racks as u64);
-    // Idle connections, and those of the requests in flight if every server left them open until their deadline.
+    // Idle connections, and connections of the requests in flight in the worst case: no server responds
+    // before the deadline.
     let idle = if load.requests_per_s > 0.0 { options.node_threads as u64 * racks } else { 0 };
     let busy = (load.requests_per_s * load.deadline_ms.max(load.service_ms) / 1000.0).ceil() as u64;
     BASE_DESCRIPTORS + size.regions as u64 + racks + 2 * (nodes + idle + busy)
 }
 
-/// The settings of the emulated nodes' decisions.
+/// The settings of the `Balancer` of all emulated nodes, with a single class of idempotent requests.
 #[must_use]
 pub fn settings(load: &Load) -> DecisionSettings {
     let mut settings = DecisionSettings::new(vec![RequestClass::new(
@@ -138,11 +143,12 @@
     settings
 }
 
-/// Runs a scenario to its end.
+/// Runs a scenario completely and returns its measurements.
 ///
 /// # Errors
 ///
-/// Where it needs too much memory, cannot be set up, or its nodes get no list.
+/// Fails if the run needs too much memory or too many file descriptors, cannot be set up, or if nodes receive
+/// no list.
 pub fn run(scenario: &Scenario, options: RunOptions) -> Result<ScenarioMeasurements, ScenarioRunError> {
     check_memory_limit(scenario.size, options)?;
     usage::raise_descriptor_limit(required_descriptors(scenario, options))?;
--- a/crates/node-emulator/src/scenario_run/results.rs
+++ b/crates/node-emulator/src/scenario_run/results.rs
@@ -1,4 +1,4 @@
-//! The measurements of a run, and how they are assembled at its end.
+//! The measurements of a run, and their assembly at the end of the run.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,77 +12,80 @@
 use crate::usage::Memory;
 use crate::world::ResponseTotals;
 
-/// What was measured in a run, from its begin (when all nodes had a list) to its end.
+/// The measurements from the start of a run, when all nodes have a list, to its end.
 ///
-/// The names of the fields in the JSON report are older than those here.
+/// Some fields have other names in the JSON report, which tools read and which therefore do not change.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScenarioResults {
     /// Seconds from the start of the nodes until all had their first list.
     pub start_seconds: f64,
-    /// Seconds from then to the end of the run.
+    /// Duration of the run in seconds, from the moment when all nodes had a list.
     pub seconds: f64,
-    /// Steps carried out.
+    /// Number of steps that were executed.
     pub steps: usize,
-    /// Versions that were published.
+    /// Number of versions that were published during the run.
     pub versions: u64,
-    /// Versions that some node reached or skipped.
+    /// Number of versions that at least one node applied, or skipped by applying a later one.
     pub versions_reached: usize,
-    /// Nodes that were not on the newest version at the end.
+    /// Number of nodes that did not have the newest version at the end.
     pub nodes_behind_at_end: usize,
-    /// From the publication of a version until a node applied it or a later one.
+    /// Time from the publication of a version until a node applied it or a later one.
     pub node_lag: Summary,
-    /// From the publication of a version until the last of the nodes that reached or skipped it did.
+    /// For each version the longest time from its publication until a node applied it or a later one. Nodes
+    /// that did neither are not included.
     pub all_nodes_lag: Summary,
-    /// Seconds on a version that was not the newest, summed over nodes.
+    /// Time in seconds during which nodes had a version that was not the newest, summed over nodes.
     pub node_seconds_behind: f64,
-    /// From the start of a node to its first list, over the restarts in the run.
+    /// Time from the restart of a node during the run until it applied its first list.
     pub restart: Summary,
-    /// Time in which a node's decisions applied a list.
+    /// Time in which the `Balancer` of a node applied a list.
     #[serde(rename = "take_list")]
     pub apply_list: Summary,
-    /// Time in which they decided about a new request.
+    /// Time in which the `Balancer` of a node decided about a new request.
     #[serde(rename = "take_request")]
     pub decide_request: Summary,
-    /// By how much the node threads woke up late: this is contained in all other times.
+    /// Delay between the due time of a timer and the wake-up of a node thread. All other durations include
+    /// such delays.
     #[serde(rename = "late")]
     pub wake_up_delay: Summary,
-    /// Responses of discovery, and requests to servers by their state.
+    /// Responses of discovery by kind, and requests to servers by the state of the server.
     pub answers: ResponseTotals,
-    /// Calls to discovery that failed or were not answered, seen by the nodes.
+    /// Number of calls to discovery that failed or received no response, as counted by the nodes.
     pub failed_calls: u64,
-    /// Restarts of nodes in the run.
+    /// Number of restarts of nodes during the run.
     pub node_starts: u64,
-    /// Requests that arrived at nodes.
+    /// Number of requests that arrived at nodes.
     pub requests: u64,
-    /// Requests served.
+    /// Number of requests that were served.
     pub served: u64,
-    /// Requests rejected.
+    /// Number of requests that were rejected without being executed.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Requests failed.
+    /// Number of requests that failed.
     pub failed: u64,
-    /// Attempts sent to servers.
+    /// Number of attempts that were sent to servers.
     pub sends: u64,
-    /// Probes sent to servers.
+    /// Number of load probes that were sent to servers.
     pub probes: u64,
-    /// Bytes that discovery sent to one node in a second, on average.
+    /// Average rate at which discovery sent to one node, in bytes per second.
     pub control_bytes_per_node_s: f64,
-    /// Processor time of the node threads, in percent of a core for each node.
+    /// Average processor time of the node threads per node, in percent of a core.
     pub core_percent_per_node: f64,
 }
 
-/// The measurements of a run, with its use of resources.
+/// The measurements of a run, including its use of resources.
 pub struct ScenarioMeasurements {
-    /// What was measured.
+    /// Measurements of lists and requests.
     pub results: ScenarioResults,
-    /// Processor seconds by role of thread, in the run.
+    /// Processor seconds by role of thread, during the run.
     pub cpu_seconds: BTreeMap<String, f64>,
-    /// Bytes and messages by role, in the run.
+    /// Bytes, messages and connections by role, during the run.
     pub traffic: BTreeMap<String, TrafficTotals>,
-    /// Memory at the end, while all nodes ran.
+    /// Memory at the end of the run, while all nodes are still running.
     pub memory: Memory,
 }
 
+/// The processor seconds that were used since an earlier reading, by role.
 pub(super) fn cpu_seconds_since(
     now: &BTreeMap<String, f64>,
     earlier: &BTreeMap<String, f64>,
@@ -93,6 +96,7 @@
     now.iter().map(difference).collect()
 }
 
+/// The difference of the counts to earlier ones.
 pub(super) fn totals_since(now: ResponseTotals, earlier: ResponseTotals) -> ResponseTotals {
     ResponseTotals {
         complete_lists: now.complete_lists - earlier.complete_lists,
@@ -105,7 +109,8 @@
 }
 
 impl RunningFleet {
-    /// The number of nodes that are not on the newest version, and the sum of the times since they were.
+    /// The number of nodes that do not have the newest version, and the sum of the times since their versions
+    /// were superseded. `first` is the version at the start of the run; earlier publications do not count.
     fn nodes_and_time_behind(&self, first: u64) -> (usize, Duration) {
         let now = Instant::now();
         let catalogue = self.world.catalogue();
@@ -119,6 +124,7 @@
         (nodes, behind)
     }
 
+    /// Assembles the results. Rates per node are 0 and filled in by the caller.
     pub(super) fn results(
         &self,
         counters: &NodeCounters,
@@ -160,9 +166,11 @@
         }
     }
 
+    /// The traffic of discovery, servers and nodes since the start of their threads.
     pub(super) fn traffic(&self) -> BTreeMap<String, TrafficTotals> {
         let (discovery, server) = (self.world.discovery.totals(), self.world.servers.totals());
-        // All traffic is between nodes and either discovery or servers: that of the nodes is the sum of both, reversed.
+        // All traffic is between nodes and either discovery or servers. The traffic of the nodes is therefore
+        // the sum of the other two, with sent and received bytes exchanged.
         let node = TrafficTotals {
             received_bytes: discovery.sent_bytes + server.sent_bytes,
             sent_bytes: discovery.received_bytes + server.received_bytes,
--- a/crates/node-emulator/src/scenario_run/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -1,4 +1,4 @@
-//! The threads of a run: starts discovery, the servers and the nodes, and joins them at the end.
+//! The threads of a run: starts the threads of discovery, servers and nodes, and joins them at the end.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -27,21 +27,23 @@
 pub(super) struct RunningFleet {
     pub(super) world: Arc<World>,
     pub(super) known_versions: Arc<KnownVersions>,
-    /// One for each thread of nodes.
+    /// The counters of each thread of nodes.
     pub(super) counters: Vec<SharedCounters>,
+    /// The command channel of each thread of nodes.
     commands: Vec<mpsc::UnboundedSender<NodeCommand>>,
-    /// Becomes true, for good, when the clients begin to send.
+    /// Becomes true when the clients start to send requests, and stays true.
     pub(super) clients_started: watch::Sender<bool>,
-    /// Becomes true when the threads are to end.
+    /// Becomes true when all threads shall end.
     shutdown: watch::Sender<bool>,
     threads: Vec<JoinHandle<io::Result<()>>>,
 }
 
+/// Creates an event loop for the current thread.
 pub(super) fn runtime() -> io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()
 }
 
-/// Listeners at the first addresses of a network.
+/// Creates listeners on the first `count` loopback addresses `127.{network}.x.y`.
 fn bind_listeners(network: u8, count: usize) -> io::Result<Vec<TcpListener>> {
     let listener = |index: usize| {
         let [.., third, fourth] = (index as u32 + 1).to_be_bytes();
@@ -91,6 +93,7 @@
         Ok(fleet)
     }
 
+    /// Starts one thread that runs the discovery agents of all regions.
     fn spawn_discovery(&mut self, agents: Vec<TcpListener>) -> io::Result<()> {
         let world = Arc::clone(&self.world);
         self.spawn("discovery-0", move || async move {
@@ -101,6 +104,7 @@
         })
     }
 
+    /// Starts one thread that runs the servers of all racks.
     fn spawn_servers(&mut self, racks: Vec<TcpListener>, service_time: Duration) -> io::Result<()> {
         let world = Arc::clone(&self.world);
         self.spawn("server-0", move || async move {
@@ -111,6 +115,7 @@
         })
     }
 
+    /// Starts a thread that runs nodes, at first none.
     fn spawn_nodes(&mut self, thread: usize, config: &Arc<NodeConfig>) -> io::Result<()> {
         let counters: SharedCounters = Arc::new(Mutex::new(NodeCounters::default()));
         let (commands, received) = mpsc::unbounded_channel();
@@ -124,7 +129,7 @@
         })
     }
 
-    /// Spawns a thread with an event loop of its own, which runs `work` until the shutdown.
+    /// Starts a thread with a separate event loop, which runs `work` until it ends or the fleet is shut down.
     fn spawn<F: std::future::Future<Output = ()>>(
         &mut self,
         name: &str,
@@ -145,13 +150,13 @@
         Ok(())
     }
 
-    /// Starts a node, and stops it first if it runs.
+    /// Starts a node, and stops it before if it is running.
     pub(super) fn start_node(&self, number: usize) {
-        // It fails where the thread has panicked, which `shut_down` reports.
+        // This fails if the thread has panicked, which `shut_down` reports.
         let _ = self.commands[number % self.commands.len()].send(NodeCommand::Start(number));
     }
 
-    /// Ends and joins all threads.
+    /// Ends and joins all threads. Returns the first error or panic of a thread.
     pub(super) fn shut_down(self) -> Result<(), ScenarioRunError> {
         self.shutdown.send_replace(true);
         drop(self.commands);
@@ -161,12 +166,12 @@
         Ok(())
     }
 
-    /// Nodes that have no list yet.
+    /// Number of nodes that have no list yet.
     pub(super) fn count_without_list(&self) -> usize {
         self.known_versions.versions().filter(|version| *version == 0).count()
     }
 
-    /// Nodes that are not on the newest version.
+    /// Number of nodes that do not have the newest version.
     pub(super) fn count_behind(&self) -> usize {
         let newest = self.world.catalogue().revision();
         self.known_versions.versions().filter(|version| *version < newest).count()
--- a/crates/node-emulator/src/scenario_run/step.rs
+++ b/crates/node-emulator/src/scenario_run/step.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a scenario.
+//! Executes the steps of a scenario.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use crate::steps::Step;
 
 impl RunningFleet {
-    /// Changes the servers that occupy slots now.
+    /// Changes the servers that currently occupy `slots`.
     fn change_servers(&self, slots: &[usize], change: impl Fn(&mut Catalogue, &[usize])) {
         self.world.change(|catalogue| {
             let numbers = catalogue.servers_in(slots);
@@ -15,7 +15,8 @@
         });
     }
 
-    /// Carries out a step. `batches` has the draining servers of each replacement that has begun and not ended.
+    /// Executes a step. `batches` has the draining servers of each batch of a rolling replacement that is in
+    /// progress.
     pub(super) fn execute(&self, step: &Step, batches: &mut HashMap<usize, Vec<usize>>) {
         tracing::debug!(?step, "step");
         let up_since = self.world.now_ms() as u64;
@@ -51,7 +52,7 @@
     }
 }
 
-/// The processes of servers end, and discovery takes them off the list.
+/// Ends the processes of servers and removes them from the list.
 fn remove(catalogue: &mut Catalogue, numbers: &[usize]) {
     catalogue.set_reachability(numbers, Reachability::Terminated);
     catalogue.set_phase(numbers, Phase::Left);
--- a/crates/node-emulator/src/scenario_run/timeline.rs
+++ b/crates/node-emulator/src/scenario_run/timeline.rs
@@ -1,4 +1,5 @@
-//! The phases of a run: the first lists, the steps at their times, and the wait until all nodes have caught up.
+//! The phases of a run: wait until all nodes have their first list, execute the steps at their due times, and
+//! wait until all nodes have the newest version.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -16,12 +17,13 @@
 use crate::usage::{self, Memory};
 use crate::world::ResponseTotals;
 
-/// Progress is logged this often.
+/// Interval at which progress is logged.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// How often it is checked whether all nodes have a list, or the newest one.
+/// Interval of the checks whether all nodes have a list, or the newest version.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Counters at the begin of a run, when all nodes have a list.
+/// Values of the counters at the start of a run, when all nodes have a list. The results are differences to
+/// them.
 struct StartReadings {
     cpu_seconds: BTreeMap<String, f64>,
     traffic: BTreeMap<String, TrafficTotals>,
@@ -34,12 +36,14 @@
     fleet: &'a RunningFleet,
     scenario: &'a Scenario,
     began_at: tokio::time::Instant,
+    /// Ticks when progress is to be logged.
     progress: Interval,
+    /// Number of executed steps, which is the index of the next one.
     steps_done: usize,
 }
 
 impl RunningFleet {
-    /// Runs a scenario to its end.
+    /// Runs all phases of a scenario and returns the measurements.
     pub(super) async fn run(
         &self,
         scenario: &Scenario,
@@ -49,7 +53,7 @@
         self.wait_for_first_lists(scenario, options).await?;
         let start_seconds = started_at.elapsed().as_secs_f64();
         tracing::info!(nodes = scenario.size.nodes, start_seconds, "all nodes have a list");
-        // The start of the nodes is reported by its duration alone; all other measurements begin here.
+        // Of the start of the nodes only the duration is reported. All other measurements begin here.
         self.counters.iter().for_each(|counters| *lock(counters) = NodeCounters::default());
         let readings = StartReadings {
             cpu_seconds: usage::cpu_seconds_by_role(),
@@ -65,6 +69,7 @@
         Ok(self.finish(scenario, &readings, (start_seconds, seconds), &steps))
     }
 
+    /// Waits until all nodes have a list. Fails after the time limit of the options.
     async fn wait_for_first_lists(
         &self,
         scenario: &Scenario,
@@ -91,13 +96,13 @@
             }
             if reported_at.elapsed() > PROGRESS_INTERVAL {
                 reported_at = Instant::now();
-                tracing::info!(without, nodes, "waiting for the first lists");
+                tracing::info!(without, nodes, "waiting until all nodes have their first list");
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Assembles the measurements of the run.
+    /// Assembles the measurements at the end of the run.
     fn finish(
         &self,
         scenario: &Scenario,
@@ -126,7 +131,7 @@
 }
 
 impl<'a> ScenarioRun<'a> {
-    /// Begins the run: clients start to send.
+    /// Starts the clock of the run and the clients.
     fn begin(fleet: &'a RunningFleet, scenario: &'a Scenario) -> Self {
         let began_at = tokio::time::Instant::now();
         fleet.clients_started.send_replace(true);
@@ -134,6 +139,7 @@
         Self { fleet, scenario, began_at, progress, steps_done: 0 }
     }
 
+    /// The end of the scenario, up to which steps are executed.
     fn ends_at(&self) -> tokio::time::Instant {
         self.began_at + Duration::from_secs_f64(self.scenario.duration_s)
     }
@@ -143,7 +149,7 @@
         tracing::info!(at_s, of_s = self.scenario.duration_s, steps = self.steps_done, behind, "playing");
     }
 
-    /// Carries out the steps at their times, until the end of the scenario.
+    /// Executes the steps at their due times, and returns at the end of the scenario.
     async fn execute(&mut self, steps: &[TimedStep]) {
         let mut batches = HashMap::new();
         loop {
@@ -160,7 +166,7 @@
         }
     }
 
-    /// Waits until all nodes have the newest version, at most as long as the scenario allows.
+    /// Waits until all nodes have the newest version, but not longer than `max_catch_up_s` of the scenario.
     async fn wait_for_newest_version(&mut self) {
         let deadline = self.ends_at() + Duration::from_secs_f64(self.scenario.max_catch_up_s);
         while self.fleet.count_behind() > 0 && tokio::time::Instant::now() < deadline {
--- a/crates/node-emulator/src/server.rs
+++ b/crates/node-emulator/src/server.rs
@@ -1,7 +1,8 @@
-//! The emulated servers: one listener for each rack, behind which all servers of that rack answer.
+//! The emulated servers. One listener per rack accepts the requests to all servers of that rack.
 //!
-//! A request names its server in `Host`, and the region that it comes from in `X-From`. A server that has left
-//! answers 410, where a connection to a real one would be refused; an unresponsive one leaves the request open.
+//! A request names its server in the header `Host`, and the region that it is sent from in `X-From`. The
+//! response for a server that has ended is 410; a real one would refuse the connection. A request to an
+//! unresponsive server stays open.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -21,7 +22,8 @@
 use crate::traffic::CountedStream;
 use crate::world::{accept, World};
 
-/// Serves the servers of one rack; runs within a `LocalSet`, for as long as that does.
+/// Runs the servers of one rack, which respond after `service_time`. Must be called within a `LocalSet`; it
+/// ends with that set.
 pub async fn serve(listener: TcpListener, world: Arc<World>, service_time: Duration) {
     accept(listener, |stream| {
         let world = Arc::clone(&world);
@@ -29,14 +31,14 @@
             let _ = stream.set_nodelay(true);
             let stream = TokioIo::new(CountedStream::new(stream, Arc::clone(&world.servers)));
             let service = service_fn(|request| handle_request(&world, request, service_time));
-            // It fails where the client breaks the connection off.
+            // This fails if the client closes the connection.
             let _ = http1::Builder::new().serve_connection(stream, service).await;
         });
     })
     .await;
 }
 
-/// Counts a request as in flight at its server until dropped.
+/// A request that counts as in flight at its server until this value is dropped.
 struct InFlightRequest<'a> {
     world: &'a World,
     number: usize,
@@ -59,6 +61,7 @@
     }
 }
 
+/// Responds to a request as its server would. Requests of the load probe (`/_load`) take no service time.
 async fn handle_request(
     world: &World,
     request: Request<Incoming>,
@@ -78,7 +81,7 @@
         }
         Reachability::Unresponsive => {
             world.counts.sends_to_unresponsive.fetch_add(1, Relaxed);
-            // Until the client gives up: then this future is dropped.
+            // The request stays open. This future is dropped when the client closes the connection.
             std::future::pending::<()>().await;
         }
         Reachability::Up => {}
@@ -96,10 +99,11 @@
     Ok(respond(StatusCode::OK, Some(in_flight)))
 }
 
+/// Creates a response, with the number of requests in flight at the server as its load report.
 fn respond(status: StatusCode, in_flight: Option<u32>) -> Response<Full<Bytes>> {
     let mut response = Response::builder().status(status);
     if let Some(in_flight) = in_flight {
         response = response.header("X-Load", format!("inflight={in_flight}"));
     }
-    response.body(Full::from("ok")).expect("a sound response")
+    response.body(Full::from("ok")).expect("the response is valid")
 }
--- a/crates/node-emulator/src/slopes/bench.rs
+++ b/crates/node-emulator/src/slopes/bench.rs
@@ -1,4 +1,5 @@
-//! Dispatches a quantity to its measurement, and owns what the measurements of one run share.
+//! Dispatches each quantity to the function that measures it, and owns the state that the measurements of a
+//! run share.
 
 use std::rc::Rc;
 
@@ -15,28 +16,30 @@
 use crate::traffic::TrafficTotals;
 use crate::world::World;
 
-/// An object that is retained until all memory is measured: memory that was freed would be reused unnoticed.
+/// An object whose memory was measured. It is retained until all memory is measured. Otherwise its freed
+/// memory would be reused, and the growth of the process would be too low.
 pub(super) enum RetainedState {
     Balancer(#[allow(dead_code, reason = "retained for its memory")] Box<Balancer>),
     Node(#[allow(dead_code, reason = "retained for its memory")] Rc<Node>),
 }
 
-/// The measurements of one run.
+/// State that the measurements of one run share.
 pub(super) struct Bench {
     pub(super) seed: u64,
-    /// Memory that objects are built up to before their size is computed.
+    /// Total memory in bytes of the objects that are built to measure the mean memory of one.
     pub(super) memory_sample_bytes: usize,
-    /// Traffic of discovery since it was last taken.
+    /// Traffic of discovery since the start of the measurements of the current quantity.
     pub(super) traffic: TrafficTotals,
+    /// All objects that memory was measured with.
     pub(super) retained_states: Vec<RetainedState>,
 }
 
-/// Memory of the decisions for each server, in bytes, with a margin for temporary objects. To be called first: what a
-/// process measures after it has freed memory is too low.
+/// Measures the memory of a `Balancer` for each server, in bytes, with a margin for temporary objects. Must
+/// be called before the process has freed memory: that would be reused, and the result would be too low.
 ///
 /// # Errors
 ///
-/// Where the list cannot be decoded or the decisions cannot be created.
+/// Fails if the list cannot be decoded or the `Balancer` cannot be created.
 pub fn bytes_per_server() -> Result<u64, SlopesError> {
     const SERVERS: usize = 2_000;
     const MARGIN: f64 = 1.15;
@@ -50,6 +53,7 @@
         Self { seed, memory_sample_bytes, traffic: TrafficTotals::default(), retained_states: Vec::new() }
     }
 
+    /// Measures a quantity at one size, times `repeats` times.
     pub(super) fn measure_point(
         &mut self,
         quantity: Quantity,
@@ -87,6 +91,7 @@
         Ok(new_point(size, values))
     }
 
+    /// Adds the traffic of a discovery service that is no longer used.
     pub(super) fn add_traffic(&mut self, world: &World) {
         let totals = world.discovery.totals();
         self.traffic.received_bytes += totals.received_bytes;
--- a/crates/node-emulator/src/slopes/decisions.rs
+++ b/crates/node-emulator/src/slopes/decisions.rs
@@ -1,4 +1,5 @@
-//! Measures the times of the decisions, and the number of servers that a node connects to, by size.
+//! Measures by size the time in which a `Balancer` handles lists and requests, and the number of servers that
+//! a node connects to. All times are in microseconds.
 
 use std::collections::HashSet;
 use std::hint::black_box;
@@ -19,12 +20,15 @@
 use super::{to_microseconds, SlopesError};
 use crate::catalogue::Catalogue;
 
-/// Requests at one node in a second: 120,000 over 2,000 nodes.
+/// Rate of requests at one node, per second: 120,000 requests per second over 2,000 nodes.
 pub(super) const REQUESTS_PER_SECOND: f64 = 60.0;
 
-/// Requests of a minute: a connection that is not used for as long is closed.
+/// Number of requests at one node in a minute. A connection that is idle for a minute is closed, so the node
+/// keeps connections to the servers that these requests are sent to.
 pub(super) const REQUESTS_PER_MINUTE: u64 = 3_600;
 
+/// Measures the time in which settings with this number of tenants are decoded and a `Balancer` is created
+/// from them.
 pub(super) fn tenant_start(tenants: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
     let parties: Vec<_> =
         (0..tenants).map(|i| json!({ "name": format!("tenant-{i}"), "quota_per_s": 10.0 })).collect();
@@ -44,6 +48,7 @@
 }
 
 impl Bench {
+    /// Measures the time in which a real node starts with a list that has been decoded before.
     pub(super) fn node_start(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
         let size = fleet_size(servers);
         let body = Catalogue::without_listeners(size).complete_list().body;
@@ -58,11 +63,12 @@
         (0..repeats).map(measure).collect()
     }
 
+    /// Measures the time in which a `Balancer` applies a complete list.
     pub(super) fn snapshot(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
         let entries = server_entries(&mut Catalogue::without_listeners(fleet_size(servers)))?;
         let mut balancer = new_balancer(node_count(servers), self.seed)?;
         let mut actions = Vec::new();
-        // The first list builds the tables that the later ones replace; only those are measured.
+        // The first list builds tables that the later ones replace. Only the later ones are measured.
         balancer.handle(
             0.0,
             BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
@@ -77,6 +83,7 @@
         Ok((0..repeats).map(|_| measure()).collect())
     }
 
+    /// Measures the time in which a `Balancer` applies a change of one server.
     pub(super) fn one_change(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
         let entries = server_entries(&mut Catalogue::without_listeners(fleet_size(servers)))?;
         let mut random = fastrand::Rng::with_seed(self.seed);
@@ -87,7 +94,7 @@
             BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
             &mut actions,
         );
-        // A server begins to drain and becomes active again, alternately.
+        // Each round has two changes of a random server: it begins to drain and becomes active again.
         let mut measure = |_| {
             let mut changed = entries[random.usize(..entries.len())].clone();
             let restored = changed.clone();
@@ -108,6 +115,8 @@
         Ok((0..repeats * 4).map(&mut measure).collect())
     }
 
+    /// Measures the time in which a `Balancer` handles a request and its outcome, as the mean of 500
+    /// requests.
     pub(super) fn request(&self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
         let mut service = Service::new(servers, node_count(servers), self.seed)?;
         let mut next = 0;
@@ -123,7 +132,8 @@
         Ok((0..repeats).map(|_| run(500)).collect())
     }
 
-    /// Servers that a node sends to within a minute, its requests spread over services at random.
+    /// Counts the servers that a node sends to within a minute if its requests are distributed randomly over
+    /// `services` services of `servers` servers each.
     pub(super) fn connections(&self, services: usize, servers: usize) -> Result<f64, SlopesError> {
         let mut random = fastrand::Rng::with_seed(self.seed);
         let nodes = if services == 1 { node_count(servers) } else { MAX_NODES };
@@ -139,7 +149,7 @@
     }
 }
 
-/// The servers of one service and the decisions of a node about them.
+/// A service with the `Balancer` of one node. Its servers are emulated.
 pub(super) struct Service {
     pub(super) balancer: Balancer,
     pub(super) random: fastrand::Rng,
@@ -158,8 +168,9 @@
         Ok(Self { balancer, random: fastrand::Rng::with_seed(!seed), actions: Vec::new() })
     }
 
-    /// Runs a request that arrives at `now` (milliseconds), and returns the number of the server that it was sent to.
-    /// The server reports one to three requests in flight, and responds the slower the more it has.
+    /// Handles a request that arrives at `now`, in milliseconds, and returns the number of the server that it
+    /// was sent to. The server reports one to three requests in flight. Its mean response time is
+    /// proportional to that number.
     pub(super) fn serve(&mut self, id: u64, now: f64) -> Option<usize> {
         let request = RequestId(id);
         self.actions.clear();
--- a/crates/node-emulator/src/slopes/discovery_cost.rs
+++ b/crates/node-emulator/src/slopes/discovery_cost.rs
@@ -1,4 +1,4 @@
-//! Measures the costs of discovery and of its client by size.
+//! Measures the time and the traffic of discovery and of its client by size. All times are in microseconds.
 
 use std::hint::black_box;
 use std::io::{self, BufRead, BufReader, Read, Write as _};
@@ -20,12 +20,12 @@
 use crate::usage::{self, thread_cpu_time};
 use crate::world::{listen, World};
 
-/// Complete lists sent for one measurement.
+/// Number of complete lists that are sent for one measurement. The result is the mean of them.
 pub(super) const LISTS: u32 = 20;
 
 impl Bench {
-    /// Processor time and time, in microseconds, of reads of the complete list by the project's client; none where it
-    /// does not read a list of this size.
+    /// Measures the processor time and the elapsed time in which the discovery client reads the complete
+    /// list. Returns no values if the client does not read a list of this size.
     pub(super) fn read_list(
         &mut self,
         servers: usize,
@@ -39,7 +39,7 @@
         let thread = std::thread::Builder::new().name("discovery-0".into()).spawn(move || {
             block_on_event_loop(async move {
                 tokio::task::spawn_local(discovery::serve(agent, world_of_agent, 0));
-                // The sender is dropped when all lists are read.
+                // This completes when the sender is dropped, after all lists have been read.
                 let _ = ended.await;
             })
         })?;
@@ -56,7 +56,7 @@
                         to_microseconds(started_at.elapsed()),
                     ));
                 } else {
-                    tracing::warn!(servers, "the discovery client did not read the list");
+                    tracing::warn!(servers, "the discovery client could not read the complete list");
                     break;
                 }
                 drop(connection);
@@ -69,6 +69,7 @@
         Ok(values)
     }
 
+    /// Measures the processor time in which discovery sends a complete list that has been encoded before.
     pub(super) fn serve_list(&mut self, servers: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
         let world = Arc::new(World::new(Catalogue::without_listeners(fleet_size(servers))));
         world.catalogue().complete_list();
@@ -97,8 +98,8 @@
         Ok(values)
     }
 
-    /// Processor time of discovery, in microseconds, and the bytes that it sends, to notify all long polls of a
-    /// change.
+    /// Measures the processor time in which discovery responds to all long polls after a change, and the
+    /// bytes that it sends.
     pub(super) fn serve_change(
         &mut self,
         long_polls: usize,
@@ -141,7 +142,7 @@
     }
 }
 
-/// Sends a long poll for changes after a version on each connection.
+/// Sends a long poll for the changes since a version on each connection.
 async fn send_polls(mut clients: Vec<PollClient>, revision: u64) -> io::Result<Vec<PollClient>> {
     let path = format!("/catalog/members?since={revision}&timeout_ms=60000");
     run_in_thread(move || {
@@ -151,6 +152,7 @@
     .await
 }
 
+/// Measures the processor time in which the catalogue encodes a complete list.
 pub(super) fn make_list(servers: usize, repeats: usize) -> Vec<f64> {
     let mut catalogue = Catalogue::without_listeners(fleet_size(servers));
     let mut measure = |round: usize| {
@@ -162,6 +164,7 @@
     (0..repeats).map(&mut measure).collect()
 }
 
+/// The length of a response with a change of one server.
 pub(super) fn change_bytes(servers: usize) -> f64 {
     let mut catalogue = Catalogue::without_listeners(fleet_size(servers));
     let before = catalogue.revision();
@@ -169,7 +172,7 @@
     catalogue.changes_since(before).body.len() as f64
 }
 
-/// A subscriber that only records that a list was read.
+/// A subscriber that only records whether a list was read.
 pub(super) struct ListReader {
     pub(super) address: SocketAddr,
     pub(super) update_requested: Notify,
@@ -194,7 +197,7 @@
     }
 
     fn drain_grace(&self) -> Duration {
-        // A quarter of it is the time limit of the call.
+        // The discovery client limits a call to a quarter of this time.
         Duration::from_secs(8)
     }
 
@@ -206,7 +209,7 @@
     fn unavailable(self: &Rc<Self>) {}
 }
 
-/// A blocking client of discovery, for measurements on discovery's side.
+/// A blocking client of discovery with minimal parsing. It is used to measure the costs of discovery itself.
 pub(super) struct PollClient(BufReader<TcpStream>);
 
 impl PollClient {
@@ -221,6 +224,7 @@
         write!(self.0.get_mut(), "GET {path} HTTP/1.1\r\nHost: discovery\r\n\r\n")
     }
 
+    /// Reads a response and discards its body.
     pub(super) fn read_response(&mut self) -> io::Result<()> {
         let mut length = 0;
         loop {
@@ -240,13 +244,13 @@
     }
 }
 
-/// Runs a task and what it spawns on an event loop in this thread.
+/// Runs a task, and the tasks that it spawns, on an event loop in the current thread.
 pub(super) fn block_on_event_loop<T>(task: impl std::future::Future<Output = T>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(LocalSet::new().block_on(&runtime, task))
 }
 
-/// Runs blocking work in a thread of its own, and waits for it without blocking the event loop.
+/// Runs blocking work in a new thread, and waits for it without blocking the event loop.
 pub(super) async fn run_in_thread<T: Send + 'static>(
     work: impl FnOnce() -> io::Result<T> + Send + 'static,
 ) -> io::Result<T> {
--- a/crates/node-emulator/src/slopes/memory.rs
+++ b/crates/node-emulator/src/slopes/memory.rs
@@ -1,4 +1,4 @@
-//! Measures memory by size: many equal objects are built, and the growth of the resident memory is divided by their
+//! Measures memory by size: builds many equal objects and divides the growth of the resident memory by their
 //! number.
 
 use balancer::net::node::Node;
@@ -13,27 +13,32 @@
 use crate::catalogue::Catalogue;
 use crate::usage::Memory;
 
-/// Memory that objects are built up to before their size is computed, so that the rounding to pages is negligible.
+/// Total memory of the objects that are built for one measurement, in bytes. It is large enough to make the
+/// rounding to pages negligible.
 pub(super) const MEMORY_SAMPLE_BYTES: usize = 64 << 20;
 
-/// The same where a rough value is enough.
+/// Total memory of the objects that are built for one measurement, in bytes, if an approximate result is
+/// sufficient.
 pub(super) const ROUGH_MEMORY_SAMPLE_BYTES: usize = 12 << 20;
 
-/// Most objects that are built for one measurement.
+/// Maximum number of objects that are built for one measurement.
 pub(super) const MAX_STATES: usize = 2_000;
 
-/// Rough memory of an object for each server, in bytes: decides how many are built, and which sizes are too large.
+/// Approximate memory of an object for each server, in bytes. It determines how many objects are built, and
+/// which sizes are too large.
 pub(super) const STATE_BYTES: usize = 600;
 
 impl Bench {
-    /// Memory of one object, the mean of many. `estimated_bytes` is a rough estimate of it.
+    /// Measures the mean memory of one object in bytes. `build` creates an object from a seed, and
+    /// `estimated_bytes` is the approximate memory of one.
     pub(super) fn measure_memory(
         &mut self,
         estimated_bytes: usize,
         mut build: impl FnMut(u64) -> Result<RetainedState, SlopesError>,
     ) -> Result<f64, SlopesError> {
         let count = (self.memory_sample_bytes / estimated_bytes.max(1)).clamp(1, MAX_STATES);
-        // Memory that is needed only while an object is built stays with the allocator from now on.
+        // The allocator keeps the temporary memory of this first object, and later objects reuse it. It is
+        // therefore not measured.
         self.retained_states.push(build(self.seed)?);
         let before = Memory::now().resident;
         for i in 1..=count {
@@ -42,6 +47,7 @@
         Ok((Memory::now().resident.saturating_sub(before)) as f64 / count as f64)
     }
 
+    /// Measures the memory of a `Balancer` with this number of tenants, in bytes.
     pub(super) fn tenant_memory(&mut self, tenants: usize) -> Result<f64, SlopesError> {
         self.measure_memory(tenants * 40, |seed| {
             let mut settings = decision_settings(MAX_NODES);
@@ -52,6 +58,7 @@
         })
     }
 
+    /// Measures the memory of a `Balancer` with this number of servers, in bytes.
     pub(super) fn balancer_memory(&mut self, servers: usize) -> Result<f64, SlopesError> {
         let entries = server_entries(&mut Catalogue::without_listeners(fleet_size(servers)))?;
         self.measure_memory(servers * STATE_BYTES / 2, |seed| {
@@ -65,6 +72,7 @@
         })
     }
 
+    /// Measures the memory of an idle real node with this number of servers, in bytes.
     pub(super) fn node_memory(&mut self, servers: usize) -> Result<f64, SlopesError> {
         let size = fleet_size(servers);
         let body = Catalogue::without_listeners(size).complete_list().body;
--- a/crates/node-emulator/src/slopes/mod.rs
+++ b/crates/node-emulator/src/slopes/mod.rs
@@ -1,4 +1,5 @@
-//! Measures single quantities against size: each at several sizes, and fits a line to the points.
+//! Measures quantities such as the memory of a node at several sizes of the fleet, and fits a line to the
+//! points of each quantity.
 
 mod bench;
 mod decisions;
@@ -26,121 +27,124 @@
 use crate::traffic::TrafficTotals;
 use crate::usage::{self, TooFewDescriptors};
 
-/// The options of a run of measurements.
+/// The options of the command `slopes`.
 #[derive(Clone, Debug, Serialize)]
 pub struct SlopesOptions {
-    /// The quantities; all, if empty.
+    /// The quantities to measure; all if empty.
     pub quantities: Vec<Quantity>,
-    /// The sizes; each quantity's default ones, if empty.
+    /// The sizes to measure at; the default sizes of each quantity if empty.
     pub sizes: Vec<usize>,
-    /// How often each point is measured.
+    /// Number of measurements of each time; the median counts.
     pub repeats: usize,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Limit of the estimated memory, in MiB.
+    /// Limit of the estimated memory, in MiB. Sizes whose estimate is higher are rejected.
     pub memory_mb: u64,
-    /// An earlier build of this program, measured side by side.
+    /// The binary of an earlier build of this program, which is measured side by side with this one.
     pub baseline: Option<PathBuf>,
 }
 
 /// A quantity could not be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum SlopesError {
-    /// The estimated memory for a size is over the limit.
+    /// The estimated memory for a size exceeds the limit.
     #[error("size {size} needs about {need_mb} MiB, and {limit_mb} are allowed (--memory-mb)")]
     TooLarge {
-        /// The size.
+        /// The rejected size.
         size: usize,
-        /// The estimate, in MiB.
+        /// The estimated memory, in MiB.
         need_mb: u64,
-        /// The limit, in MiB.
+        /// The limit of the options, in MiB.
         limit_mb: u64,
     },
-    /// A size is 0.
+    /// One of the sizes is 0.
     #[error("a size must be above 0")]
     ZeroSize,
-    /// More descriptors are required than allowed.
+    /// A measurement requires more file descriptors than the hard limit allows.
     #[error(transparent)]
     Descriptors(#[from] TooFewDescriptors),
-    /// A socket, thread or event loop failed.
+    /// An operation on a socket, thread or event loop failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// What was to be measured failed.
+    /// The operation to be measured failed.
     #[error("{0}")]
     Failed(String),
-    /// A build that is measured side by side failed.
+    /// A measurement of one of two builds failed.
     #[error(transparent)]
     Build(#[from] BuildError),
 }
 
-/// A quantity at one size.
+/// The measurements of a quantity at one size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
-    /// The size.
+    /// The size, in the unit that [`Slope::against`] names.
     pub size: usize,
-    /// The median; `None` where the quantity cannot be measured at this size, such as a list that the client does not
-    /// read.
+    /// The median; `None` if the quantity cannot be measured at this size, for example because the list
+    /// exceeds the limit of the discovery client.
     pub value: Option<f64>,
-    /// The minimum.
+    /// The minimum; 0 without measurements.
     #[serde(rename = "least")]
     pub min: f64,
-    /// The maximum.
+    /// The maximum; 0 without measurements.
     #[serde(rename = "most")]
     pub max: f64,
     /// Number of measurements.
     pub count: usize,
 }
 
-/// A quantity at its sizes, and the line through its points.
+/// The measurements of a quantity at all sizes, and the line that fits them.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// What was measured.
+    /// The measured quantity.
     pub quantity: Quantity,
-    /// Its unit.
+    /// The unit of the values.
     pub unit: &'static str,
-    /// What the size counts.
+    /// What the sizes count, such as servers.
     pub against: &'static str,
-    /// In the order of the sizes.
+    /// The measurements, in the order of the sizes.
     pub points: Vec<Point>,
-    /// `None` for fewer than two points.
+    /// The line that fits the points; `None` for fewer than two points.
     pub fit: Option<Fit>,
-    /// The same quantity of an earlier build.
+    /// The measurements of the same quantity with an earlier build, if one was named.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub baseline: Option<Baseline>,
 }
 
-/// The points of an earlier build.
+/// The measurements of a quantity with an earlier build.
 #[derive(Clone, Debug, Serialize)]
 pub struct Baseline {
-    /// The commit that its report names: the one that is checked out in the folder of the binary.
+    /// The commit in the report of the earlier build, which is the one checked out in the folder of its
+    /// binary.
     pub commit: String,
-    /// Whether files differed from that commit.
+    /// Whether files in that folder differed from the commit.
     pub modified: bool,
-    /// At the same sizes.
+    /// The measurements, at the same sizes as those of this build.
     pub points: Vec<Point>,
-    /// `None` for fewer than two points.
+    /// The line that fits the points; `None` for fewer than two points.
     pub fit: Option<Fit>,
 }
 
-/// The measurements of a run, with its use of resources.
+/// The measurements of a run, including its use of resources.
 #[derive(Default)]
 pub struct Measured {
-    /// By quantity, in a fixed order.
+    /// One entry for each quantity, in the order of [`Quantity`].
     pub slopes: Vec<Slope>,
-    /// Processor seconds by quantity, over all threads.
+    /// Processor seconds of all threads, by quantity. Empty if an earlier build is measured as well.
     pub cpu_seconds: BTreeMap<String, f64>,
-    /// Bytes and messages of the stand-in discovery, by quantity.
+    /// Traffic of the stand-in discovery service, by quantity. Empty if an earlier build is measured as well.
     pub traffic: BTreeMap<String, TrafficTotals>,
 }
 
-/// Measures quantities one after the other.
+/// Measures the quantities one after the other.
 ///
 /// # Errors
 ///
-/// For the first that cannot be measured, and before any for a size that is out of range.
+/// Fails at the first quantity that cannot be measured, and before all measurements if a size is out of
+/// range.
 pub fn measure(options: &SlopesOptions) -> Result<Measured, SlopesError> {
     let quantities = options.quantities();
-    // Objects are retained until all memory is measured: freed memory would be reused unnoticed.
+    // The measured objects are retained until all memory is measured. Otherwise their freed memory would be
+    // reused, and the growth of the process would be too low.
     let of_memory = quantities.iter().filter(|quantity| quantity.is_memory());
     let states =
         of_memory.map(|quantity| options.sizes(*quantity).len()).sum::<usize>() * MEMORY_SAMPLE_BYTES;
@@ -154,7 +158,8 @@
 }
 
 impl SlopesOptions {
-    /// The quantities to measure. Memory comes first, before others have freed any.
+    /// The quantities to measure, without duplicates. Memory comes first, before other measurements have
+    /// freed any.
     fn quantities(&self) -> Vec<Quantity> {
         let mut quantities = match self.quantities.as_slice() {
             [] => Quantity::value_variants().to_vec(),
@@ -165,6 +170,7 @@
         quantities
     }
 
+    /// The sizes at which a quantity is measured.
     fn sizes(&self, quantity: Quantity) -> Vec<usize> {
         match self.sizes.as_slice() {
             [] => quantity.default_sizes().to_vec(),
@@ -173,7 +179,7 @@
     }
 }
 
-/// Measures quantities side by side with an earlier build.
+/// Measures quantities with this build and with an earlier one, side by side.
 fn measure_with_baseline(
     baseline: &Path,
     quantities: &[Quantity],
@@ -187,7 +193,7 @@
     Ok(measured)
 }
 
-/// Measures quantities of this build, in this process.
+/// Measures quantities with this build only, in this process.
 fn measure_this_build(quantities: &[Quantity], options: &SlopesOptions) -> Result<Measured, SlopesError> {
     let mut measured = Measured::default();
     let mut bench = Bench::new(options.seed, MEMORY_SAMPLE_BYTES);
@@ -199,7 +205,12 @@
         let mut points = Vec::new();
         for size in options.sizes(quantity) {
             points.push(bench.measure_point(quantity, size, options.repeats)?);
-            tracing::info!(quantity = quantity.name(), size, value = points.last().and_then(|p| p.value));
+            tracing::info!(
+                quantity = quantity.name(),
+                size,
+                value = points.last().and_then(|p| p.value),
+                "measured a point"
+            );
         }
         measured.slopes.push(new_slope(quantity, points, None));
         let cpu = usage::process_cpu_time().saturating_sub(before).as_secs_f64();
@@ -212,18 +223,20 @@
     Ok(measured)
 }
 
+/// Fits a line to the points of a quantity.
 fn new_slope(quantity: Quantity, points: Vec<Point>, baseline: Option<Baseline>) -> Slope {
     let (unit, against) = (quantity.unit(), quantity.size_unit());
     Slope { quantity, unit, against, fit: fit_points(&points), points, baseline }
 }
 
+/// Fits a line to the points that have a value.
 fn fit_points(points: &[Point]) -> Option<Fit> {
     let measured_points: Vec<_> = points.iter().filter_map(|p| Some((p.size as f64, p.value?))).collect();
     fit(&measured_points)
 }
 
-/// Measures a quantity with this build and an earlier one: one process for each measurement, in turns, so that
-/// other load of the machine affects both alike.
+/// Measures a quantity with this build and an earlier one. Each measurement is a separate process. The builds
+/// are measured alternately, so that other load of the machine affects both equally.
 fn compare_builds(
     builds: &[Build; 2],
     quantity: Quantity,
@@ -236,7 +249,7 @@
     for &size in sizes {
         let mut values = [Vec::new(), Vec::new()];
         for round in 0..repeats {
-            // The builds take turns at being the first.
+            // The builds alternate also in being measured first.
             for side in [round % 2, 1 - round % 2] {
                 let measured_point = builds[side].measure(quantity, size, options.seed, options.memory_mb)?;
                 values[side].extend(measured_point.value);
@@ -250,15 +263,23 @@
         }
         let [this_build, baseline_value] =
             points.each_ref().map(|points| points.last().and_then(|p| p.value));
-        tracing::info!(quantity = quantity.name(), size, value = this_build, baseline = baseline_value);
+        tracing::info!(
+            quantity = quantity.name(),
+            size,
+            value = this_build,
+            baseline = baseline_value,
+            "measured a point with both builds"
+        );
     }
     let [this_build, points] = points;
     let baseline = Baseline { commit, modified, fit: fit_points(&points), points };
     Ok(new_slope(quantity, this_build, Some(baseline)))
 }
 
+/// Checks a size. `states` is the memory in bytes of all objects that are retained to measure memory.
 fn check_size(size: usize, states: usize, limit_mb: u64) -> Result<(), SlopesError> {
-    // A catalogue, its list encoded, decoded and as entries, and the objects that memory is measured with.
+    // The catalogue, its list in encoded form, in decoded form and as entries of the `Balancer`, and the
+    // retained objects.
     let need_mb = (size.saturating_mul(4 * STATE_BYTES).saturating_add(states) >> 20) as u64;
     match size {
         0 => Err(SlopesError::ZeroSize),
@@ -271,6 +292,7 @@
     time.as_secs_f64() * 1e6
 }
 
+/// The median, minimum and maximum of measured values.
 fn new_point(size: usize, mut values: Vec<f64>) -> Point {
     values.sort_by(f64::total_cmp);
     Point {
--- a/crates/node-emulator/src/slopes/model.rs
+++ b/crates/node-emulator/src/slopes/model.rs
@@ -1,4 +1,4 @@
-//! The fleets of a given size that are measured, and the configuration of their nodes.
+//! Creates the fleets that quantities are measured with, and the configuration of their nodes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use crate::catalogue::{zone_names, Catalogue, Size, KIND};
 use crate::node::{endpoint_update, read_list};
 
-/// The nodes of the full-size fleet; smaller fleets have three nodes for two servers, as those of the bench do.
+/// Number of nodes of the full-size fleet. Smaller fleets have three nodes for every two servers.
 pub(super) const MAX_NODES: usize = 2_000;
 
-/// Servers of a service, on average.
+/// Average number of servers of a service.
 pub(super) const SERVERS_PER_SERVICE: usize = 32;
 
-/// A fleet of so many servers of a single service, its other sizes in proportion.
+/// The sizes of a fleet with this number of servers. Racks and services grow in proportion to it.
 pub(super) fn fleet_size(servers: usize) -> Size {
     let zones = 10.min(servers);
     Size {
@@ -30,33 +30,41 @@
     }
 }
 
+/// The number of nodes of a fleet with this number of servers.
 pub(super) fn node_count(servers: usize) -> usize {
     (servers * 3 / 2).clamp(1, MAX_NODES)
 }
 
+/// The settings of a `Balancer` in a fleet of this number of nodes, with a single class of idempotent
+/// requests.
 pub(super) fn decision_settings(nodes: usize) -> DecisionSettings {
     let mut settings = DecisionSettings::new(vec![RequestClass::new(80.0, 400.0, Idempotency::Safe)]);
     settings.nodes = nodes;
     settings
 }
 
+/// Decodes a server list.
 pub(super) fn decode_list(body: &[u8]) -> Result<ServerList, SlopesError> {
-    read_list(body).map_err(|error| SlopesError::Failed(format!("a list: {error}")))
+    read_list(body)
+        .map_err(|error| SlopesError::Failed(format!("the server list cannot be decoded: {error}")))
 }
 
+/// The complete list of a catalogue, as entries of the `Balancer`.
 pub(super) fn server_entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
     let list = decode_list(&catalogue.complete_list().body)?;
     match endpoint_update(&list, &zone_names(catalogue.size())) {
         EndpointUpdate::Snapshot(entries) => Ok(entries),
-        _ => Err(SlopesError::Failed("the whole list is not whole".into())),
+        _ => Err(SlopesError::Failed("the catalogue returned an incomplete list".into())),
     }
 }
 
+/// Creates a `Balancer` without servers.
 pub(super) fn new_balancer(nodes: usize, seed: u64) -> Result<Balancer, SlopesError> {
     Balancer::new(decision_settings(nodes), seed).map_err(|error| SlopesError::Failed(error.to_string()))
 }
 
-/// A real node's configuration, whose addresses have no listeners.
+/// The configuration of a real node. There are no listeners at its addresses, so that it stays without
+/// connections.
 pub(super) fn node_config(size: Size, seed: u64, initial_list: ServerList) -> Config {
     let unused_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let names = SettingNames {
--- a/crates/node-emulator/src/slopes/table.rs
+++ b/crates/node-emulator/src/slopes/table.rs
@@ -1,11 +1,11 @@
-//! The summary that is printed at the end of a run of measurements.
+//! The table that the command `slopes` prints.
 
 use std::fmt::Write as _;
 
 use super::{Point, Slope};
 use crate::fit::Fit;
 
-/// The summary: points and line of each quantity.
+/// Formats the points and the fitted line of each quantity, and those of an earlier build if there is one.
 #[must_use]
 pub fn table(slopes: &[Slope]) -> String {
     let mut text = String::new();
@@ -22,6 +22,7 @@
     text
 }
 
+/// Writes the values at all sizes, and the fitted line below them.
 pub(super) fn write_points(text: &mut String, points: &[Point], fit: Option<Fit>) {
     for point in points {
         let value = point.value.map_or_else(|| "not read".into(), format_value);
@@ -30,13 +31,13 @@
     let _ = match fit {
         Some(fit) => writeln!(
             text,
-            "\n    slope {} for one, intercept {}, r2 {:.3}, exponent {}",
+            "\n    slope {} per unit, intercept {}, r2 {:.3}, exponent {}",
             format_value(fit.slope),
             format_value(fit.intercept),
             fit.r2,
             fit.exponent.map_or_else(|| "-".into(), |exponent| format!("{exponent:.2}")),
         ),
-        None => writeln!(text, "\n    too few points for a line"),
+        None => writeln!(text, "\n    too few points to fit a line"),
     };
 }
 
--- a/crates/node-emulator/src/steps.rs
+++ b/crates/node-emulator/src/steps.rs
@@ -1,70 +1,75 @@
-//! Expands a scenario's events to steps at times, all drawn from its seed before the run begins.
+//! Expands the events of a scenario into steps with due times. All random choices follow from the seed of the
+//! scenario and are made before the run begins.
 
 use std::time::Duration;
 
 use crate::scenario::{EventKind, Scenario};
 
-/// Machine failures on an ordinary day.
+/// Number of machine failures on an ordinary day.
 const FAILURES_PER_DAY: f64 = 130.0;
-/// Restarts and replacements of servers on an ordinary day.
+/// Number of restarts and replacements of servers on an ordinary day.
 const RESTARTS_PER_DAY: f64 = 4_100.0;
-/// Changes of the configuration on an ordinary day.
+/// Number of changes of the configuration on an ordinary day.
 const CHANGES_PER_DAY: f64 = 1_300.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Time in which a restarted server drains, in seconds; a failed machine is taken off the list after the same time.
+/// Drain time of a server that is restarted, in seconds. A failed machine is removed from the list after the
+/// same time.
 const DRAIN_S: f64 = 2.0;
-/// Time after which a restarted server or failed machine is back, in seconds from the begin of the drain or failure.
+/// Time after which a restarted server or a failed machine is listed as active again, in seconds from the
+/// start of the drain or from the failure.
 const RESTART_S: f64 = 5.0;
 
-/// One change of the emulated fleet. Servers are identified by their slots.
+/// One change of the emulated fleet. Servers are identified by the slots that they occupy.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Servers begin to drain.
     Drain(Vec<usize>),
-    /// The processes of servers end, and discovery takes them off the list.
+    /// The processes of servers end, and discovery removes the servers from the list.
     Leave(Vec<usize>),
-    /// Machines stop responding; they stay on the list.
+    /// Machines stop responding. Their servers stay on the list.
     StopResponding(Vec<usize>),
-    /// Discovery takes unresponsive servers off the list.
+    /// Discovery removes unresponsive servers from the list.
     Unlist(Vec<usize>),
-    /// Servers restart under their names and are listed again.
+    /// Servers restart under their old names and are listed as active again. Their new start time makes them
+    /// warm up.
     Return(Vec<usize>),
-    /// New servers are added in slots, and the servers that occupied them begin to drain.
+    /// New servers are added in slots, and the servers that occupied the slots begin to drain.
     Replace {
         /// Identifies the servers that are replaced together.
         batch: usize,
-        /// The slots.
+        /// The slots that get new servers.
         slots: Vec<usize>,
     },
-    /// The servers that a batch replaced end and leave the list.
+    /// The processes of the servers that a batch replaced end, and discovery removes these servers from the
+    /// list.
     Retire {
-        /// The batch.
+        /// The batch of the earlier [`Step::Replace`].
         batch: usize,
     },
-    /// The configuration of a service changes.
+    /// The weight of the servers of a service changes.
     SetServiceWeight {
-        /// The service.
+        /// Index of the service.
         service: usize,
-        /// The new weight of its servers.
+        /// The new weight of all servers of the service.
         weight: f64,
     },
-    /// A region is partitioned from the others, or the partition heals.
+    /// A partition between a region and all others begins or ends.
     Partition {
-        /// The region.
+        /// Index of the region.
         region: usize,
-        /// Whether the partition begins or heals.
+        /// True if the partition begins, false if it ends.
         partitioned: bool,
     },
-    /// The discovery agents of all regions stop responding, or respond again.
+    /// The discovery agents of all regions stop responding (false) or respond again (true).
     DiscoveryAnswering(bool),
-    /// Nodes are restarted.
+    /// Nodes restart without a list.
     RestartNodes(Vec<usize>),
 }
 
-/// A step and when it is due, from the begin of the run.
+/// A step and its due time, measured from the start of the run.
 pub type TimedStep = (Duration, Step);
 
-/// All steps of a scenario in the order in which they are due.
+/// Expands a scenario into its steps, sorted by due time.
 #[must_use]
 pub fn steps(scenario: &Scenario) -> Vec<TimedStep> {
     let mut generator = StepGenerator {
@@ -76,14 +81,16 @@
     for event in &scenario.events {
         generator.add(event.at_s, &event.kind);
     }
-    // A stable sort: steps due at the same time keep the order of the file.
+    // The sort is stable: steps with the same due time keep the order of the events in the scenario file.
     generator.steps.sort_by_key(|(at, _)| *at);
     generator.steps
 }
 
+/// Generates the steps of one event after the other.
 struct StepGenerator<'a> {
     scenario: &'a Scenario,
     random: fastrand::Rng,
+    /// Identifier of the next batch of a rolling replacement.
     next_batch: usize,
     steps: Vec<TimedStep>,
 }
@@ -93,6 +100,7 @@
         self.steps.push((Duration::from_secs_f64(at_s), step));
     }
 
+    /// Adds the steps of an event that begins at `at` seconds.
     fn add(&mut self, at: f64, kind: &EventKind) {
         let size = self.scenario.size;
         match *kind {
@@ -130,6 +138,8 @@
         }
     }
 
+    /// Replaces a random fraction `part` of the servers in batches that start evenly distributed over
+    /// `over_s`.
     fn rolling_replacement(&mut self, at: f64, part: f64, batches: usize, over_s: f64, drain_s: f64) {
         let size = self.scenario.size;
         let mut slots: Vec<usize> = (0..size.servers).collect();
@@ -144,13 +154,16 @@
         }
     }
 
+    /// Sets the weight of a random service to a random value from 0.5 to 1.5.
     fn set_service_weight(&mut self, at: f64) {
         let service = self.random.usize(0..self.scenario.size.services);
         let weight = 0.5 + f64::from(self.random.u8(0..=10)) / 10.0;
         self.push(at, Step::SetServiceWeight { service, weight });
     }
 
-    /// Machines fail, are taken off the list unless they are back before, and come back warming up.
+    /// Machines stop responding at `at`. After `noticed_s` discovery removes their servers from the list,
+    /// unless the machines come back before. After `for_s` the servers are listed again, with a new start
+    /// time: they warm up.
     fn fail_machines(&mut self, at: f64, slots: &[usize], noticed_s: f64, for_s: f64) {
         self.push(at, Step::StopResponding(slots.to_vec()));
         if noticed_s < for_s {
@@ -159,6 +172,7 @@
         self.push(at + for_s, Step::Return(slots.to_vec()));
     }
 
+    /// Generates independent Poisson processes of failures, restarts and configuration changes.
     fn ordinary_day(&mut self, at: f64, for_s: f64, speed: f64) {
         let event_times = |per_day: f64, random: &mut fastrand::Rng| {
             let mut times = Vec::new();
--- a/crates/node-emulator/src/traffic.rs
+++ b/crates/node-emulator/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counters of bytes, messages and connections by role (discovery, servers).
+//! Counters of bytes, messages and connections. Discovery and the servers each have a set of them.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Counters of one role.
+/// Counters of all connections that discovery or the servers have accepted.
 #[derive(Debug, Default)]
 pub struct Traffic {
     received: AtomicU64,
@@ -17,21 +17,21 @@
     connections: AtomicU64,
 }
 
-/// A reading of [`Traffic`].
+/// Values of [`Traffic`] at one point in time, or the difference of two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficTotals {
-    /// Bytes received on its connections, heads included.
+    /// Bytes received on the connections, including the heads of requests.
     pub received_bytes: u64,
-    /// Bytes sent on its connections, heads included.
+    /// Bytes sent on the connections, including the heads of responses.
     pub sent_bytes: u64,
-    /// Requests answered, or to be answered.
+    /// Requests received, whether they have a response yet or not.
     pub messages: u64,
-    /// Connections accepted.
+    /// Connections that were accepted.
     pub connections: u64,
 }
 
 impl TrafficTotals {
-    /// The difference to an earlier reading.
+    /// The difference to earlier values of the same counters.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -44,12 +44,12 @@
 }
 
 impl Traffic {
-    /// Counts a request.
+    /// Counts a received request.
     pub fn count_message(&self) {
         self.messages.fetch_add(1, Relaxed);
     }
 
-    /// The totals so far.
+    /// The current values.
     #[must_use]
     pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
@@ -61,14 +61,14 @@
     }
 }
 
-/// A stream whose bytes are counted.
+/// A connection that counts the bytes that it receives and sends.
 pub struct CountedStream<T> {
     stream: T,
     traffic: Arc<Traffic>,
 }
 
 impl<T> CountedStream<T> {
-    /// Counts a new connection and all that will pass on it.
+    /// Wraps a new connection, which is counted in `traffic` together with all its bytes.
     pub fn new(stream: T, traffic: Arc<Traffic>) -> Self {
         traffic.connections.fetch_add(1, Relaxed);
         Self { stream, traffic }
@@ -89,6 +89,7 @@
 }
 
 impl<T: AsyncWrite + Unpin> CountedStream<T> {
+    /// Counts the bytes of a completed write.
     fn count_written(&self, polled: Poll<std::io::Result<usize>>) -> Poll<std::io::Result<usize>> {
         if let Poll::Ready(Ok(written)) = &polled {
             self.traffic.sent.fetch_add(*written as u64, Relaxed);
--- a/crates/node-emulator/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -1,6 +1,6 @@
 //! State that all threads of a run share: the catalogue, outages of discovery, partitions, and counters.
 //!
-//! The steps of a scenario change it; discovery and the servers answer by it.
+//! The steps of a scenario change this state, and it determines how discovery and the servers respond.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -15,43 +15,44 @@
 use crate::catalogue::{Catalogue, Reachability};
 use crate::traffic::Traffic;
 
-/// Connections that may wait to be accepted: all nodes of a region may connect at once.
+/// Backlog of a listener. It is large because all nodes of a region may connect at the same time.
 const BACKLOG: i32 = 4096;
 
-/// The state of a region.
+/// The faults that affect a region.
 struct Region {
-    /// Whether its discovery agent responds.
+    /// Whether the discovery agent of the region responds.
     responsive: watch::Sender<bool>,
-    /// Whether it is partitioned from the other regions.
+    /// Whether the region is partitioned from all others.
     partitioned: AtomicBool,
 }
 
-/// The emulated fleet's state, shared by all threads of a run.
+/// The state of the emulated fleet, shared by all threads of a run.
 pub struct World {
     catalogue: Mutex<Catalogue>,
-    /// The newest version of the catalogue, for long polls.
+    /// The newest version of the catalogue, which long polls wait on.
     newest: watch::Sender<u64>,
     regions: Vec<Region>,
+    /// Start of the emulation; [`Self::now_ms`] is computed from both of its times.
     started: Instant,
     started_unix_ms: f64,
     /// Traffic of the discovery agents.
     pub discovery: Arc<Traffic>,
     /// Traffic of the servers.
     pub servers: Arc<Traffic>,
-    /// Counts of responses.
+    /// Counts of the responses of discovery and of the requests to servers.
     pub counts: ResponseCounts,
 }
 
 /// Counts of the responses of discovery and of the requests to servers, by kind.
 #[derive(Debug, Default)]
 pub struct ResponseCounts {
-    /// Complete lists sent.
+    /// Complete lists that discovery sent.
     pub complete_lists: AtomicU64,
-    /// Responses of discovery with changes.
+    /// Responses of discovery that contain changes.
     pub change_answers: AtomicU64,
-    /// Responses of discovery without a change.
+    /// Responses of discovery to long polls that ended without a change.
     pub unchanged_answers: AtomicU64,
-    /// Requests to servers that had left.
+    /// Requests to servers whose processes had ended.
     pub sends_to_left: AtomicU64,
     /// Requests to draining servers.
     pub sends_to_draining: AtomicU64,
@@ -59,18 +60,18 @@
     pub sends_to_unresponsive: AtomicU64,
 }
 
-/// A reading of [`ResponseCounts`].
+/// Values of [`ResponseCounts`] at one point in time, or the difference of two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ResponseTotals {
-    /// Complete lists sent.
+    /// Complete lists that discovery sent.
     #[serde(rename = "whole_lists")]
     pub complete_lists: u64,
-    /// Responses of discovery with changes.
+    /// Responses of discovery that contain changes.
     pub change_answers: u64,
-    /// Responses of discovery without a change.
+    /// Responses of discovery to long polls that ended without a change.
     #[serde(rename = "no_news_answers")]
     pub unchanged_answers: u64,
-    /// Requests to servers that had left.
+    /// Requests to servers whose processes had ended.
     pub sends_to_left: u64,
     /// Requests to draining servers.
     pub sends_to_draining: u64,
@@ -80,7 +81,7 @@
 }
 
 impl ResponseCounts {
-    /// The counts so far.
+    /// The current values.
     #[must_use]
     pub fn totals(&self) -> ResponseTotals {
         ResponseTotals {
@@ -95,7 +96,7 @@
 }
 
 impl World {
-    /// A fleet without faults.
+    /// The state at the start of a run, without any faults.
     #[must_use]
     pub fn new(catalogue: Catalogue) -> Self {
         let region = |_| Region { responsive: watch::Sender::new(true), partitioned: AtomicBool::new(false) };
@@ -104,7 +105,7 @@
             regions: (0..catalogue.size().regions).map(region).collect(),
             catalogue: Mutex::new(catalogue),
             started: Instant::now(),
-            // A clock before 1970 only makes servers look as if they had started long ago.
+            // If the clock is before 1970, servers merely appear to have started long ago.
             started_unix_ms: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0.0, |unix| unix.as_secs_f64() * 1000.0),
@@ -114,18 +115,19 @@
         }
     }
 
-    /// Unix time in milliseconds that never runs backwards.
+    /// Unix time in milliseconds. It is monotonic: adjustments of the system clock do not affect it.
     #[must_use]
     pub fn now_ms(&self) -> f64 {
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The catalogue, locked. Long polls learn of its changes only through [`World::change`].
+    /// Locks the catalogue. Changes of the list must be made with [`World::change`], which wakes the long
+    /// polls.
     pub fn catalogue(&self) -> MutexGuard<'_, Catalogue> {
         self.catalogue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the catalogue, and wakes the long polls.
+    /// Changes the catalogue and wakes the long polls.
     pub fn change(&self, change: impl FnOnce(&mut Catalogue)) {
         let mut catalogue = self.catalogue();
         change(&mut catalogue);
@@ -134,7 +136,7 @@
         self.newest.send_replace(revision);
     }
 
-    /// Subscribes to new versions.
+    /// Subscribes to the newest version of the catalogue.
     #[must_use]
     pub fn newest(&self) -> watch::Receiver<u64> {
         self.newest.subscribe()
@@ -147,17 +149,18 @@
 
     /// Waits until the discovery agent of a region responds.
     pub async fn wait_until_responsive(&self, region: usize) {
-        // The sender lives as long as the world.
+        // This cannot fail: the sender exists as long as `self`.
         let _ = self.regions[region].responsive.subscribe().wait_for(|responsive| *responsive).await;
     }
 
-    /// Partitions a region from the others, which makes its discovery agent unresponsive, or heals the partition.
+    /// Begins or ends a partition between a region and all others. During the partition the discovery agent
+    /// of the region is unresponsive.
     pub fn set_partitioned(&self, region: usize, partitioned: bool) {
         self.regions[region].partitioned.store(partitioned, Relaxed);
         self.set_discovery_responsive(region, !partitioned);
     }
 
-    /// What happens to a request from a region to a server.
+    /// What happens to a request that a node in region `from` sends to a server.
     #[must_use]
     pub fn reachability(&self, from: usize, number: usize) -> Reachability {
         let mut catalogue = self.catalogue();
@@ -171,11 +174,11 @@
     }
 }
 
-/// A listener on a loopback address, at a port that the system picks.
+/// Creates a non-blocking listener on a loopback address. The system selects the port.
 ///
 /// # Errors
 ///
-/// Those of the socket calls.
+/// Returns the error of the socket call that failed.
 pub fn listen(address: std::net::Ipv4Addr) -> std::io::Result<std::net::TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.bind(&SocketAddr::from((address, 0)).into())?;
@@ -184,21 +187,22 @@
     Ok(socket.into())
 }
 
-/// Accepts connections for as long as the thread runs, and hands each to `each`.
+/// Accepts connections and passes each to `handle_connection`. Runs until the future is dropped.
 pub async fn accept(
     listener: std::net::TcpListener,
     mut handle_connection: impl FnMut(tokio::net::TcpStream),
 ) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(error) => return tracing::error!(%error, "a listener cannot be used"),
+        Err(error) => return tracing::error!(%error, "cannot accept connections of a listener"),
     };
     loop {
         match listener.accept().await {
             Ok((stream, _)) => handle_connection(stream),
-            // Out of descriptors, or a client that has disconnected already: others may still connect.
+            // Possible causes are a lack of file descriptors, or a client that has disconnected already.
+            // Later connections may succeed.
             Err(error) => {
-                tracing::warn!(%error, "a connection cannot be accepted");
+                tracing::warn!(%error, "failed to accept a connection; retrying in 10 ms");
                 tokio::time::sleep(std::time::Duration::from_millis(10)).await;
             }
         }
--- a/crates/node-emulator/tests/catalogue.rs
+++ b/crates/node-emulator/tests/catalogue.rs
@@ -1,4 +1,5 @@
-//! The stand-in discovery service follows the protocol page: its lists are read by the project's own client and types.
+//! The stand-in discovery service follows the protocol page: its lists are read by the project's own client
+//! and types.
 
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -101,8 +102,8 @@
     assert_eq!(parse("/catalog"), Err(404));
 }
 
-/// Records what the project's client delivers: version, completeness and number of servers of a list, `None` for a
-/// failed call.
+/// Records what the project's client delivers: version, completeness and number of servers of a list, `None`
+/// for a failed call.
 struct RecordingSubscriber {
     address: SocketAddr,
     update_requested: Notify,
--- a/crates/node-emulator/tests/commands.rs
+++ b/crates/node-emulator/tests/commands.rs
@@ -88,8 +88,8 @@
     assert_eq!(report["settings"]["scenario"]["events"][1]["rack"], 1);
     let results = &report["results"];
     let count = |key: &str| results[key].as_u64().unwrap_or_else(|| panic!("{key}: {}", results[key]));
-    // Two batches of two steps, three each for rack and zone, ten changes, six restarts, two each for the partition
-    // and the outage of discovery.
+    // Two batches of two steps, three each for rack and zone, ten changes, six restarts, two each for the
+    // partition and the outage of discovery.
     assert_eq!(count("steps"), 30);
     // A batch joins, drains and leaves; lost racks and zones are taken off the list and come back.
     assert_eq!(count("versions"), 2 * 3 + 2 + 2 + 10);
