--- a/crates/node-emulator/src/counters.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -95,11 +95,11 @@
     pub starts: u64,
     /// Requests that arrived from clients.
     pub requests: u64,
-    /// Requests that were served.
+    /// Requests whose client received the response of a server.
     pub served: u64,
     /// Requests that were rejected. They were not executed, so the client may safely retry them.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Requests that failed and may have been executed.
     pub failed: u64,
     /// Attempts sent to servers.
     pub sends: u64,
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -58,7 +58,7 @@
         matches!(self, Self::TenantMemory | Self::BalancerMemory | Self::NodeMemory)
     }
 
-    /// The unit of the measured values. Only times (`us`, microseconds) need repeated measurements.
+    /// The unit of the measured values. Only times (`us`, microseconds) differ from run to run.
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
--- a/crates/node-emulator/src/scenario_run/results.rs
+++ b/crates/node-emulator/src/scenario_run/results.rs
@@ -56,12 +56,12 @@
     pub node_starts: u64,
     /// Number of requests that arrived at nodes.
     pub requests: u64,
-    /// Number of requests that were served.
+    /// Number of requests whose client received the response of a server.
     pub served: u64,
     /// Number of requests that were rejected without being executed.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Number of requests that failed.
+    /// Number of requests that failed and may have been executed.
     pub failed: u64,
     /// Number of attempts that were sent to servers.
     pub sends: u64,
--- a/crates/node-emulator/src/slopes/decisions.rs
+++ b/crates/node-emulator/src/slopes/decisions.rs
@@ -94,7 +94,8 @@
             BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries.clone())),
             &mut actions,
         );
-        // Each round has two changes of a random server: it begins to drain and becomes active again.
+        // Each round has two changes of a random server: it begins to drain and becomes active again. The
+        // result is the mean time of both.
         let mut measure = |_| {
             let mut changed = entries[random.usize(..entries.len())].clone();
             let restored = changed.clone();
--- a/crates/node-emulator/src/slopes/model.rs
+++ b/crates/node-emulator/src/slopes/model.rs
@@ -63,8 +63,7 @@
     Balancer::new(decision_settings(nodes), seed).map_err(|error| SlopesError::Failed(error.to_string()))
 }
 
-/// The configuration of a real node. There are no listeners at its addresses, so that it stays without
-/// connections.
+/// The configuration of a real node. None of its addresses has a listener.
 pub(super) fn node_config(size: Size, seed: u64, initial_list: ServerList) -> Config {
     let unused_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let names = SettingNames {
--- a/crates/node-emulator/tests/catalogue.rs
+++ b/crates/node-emulator/tests/catalogue.rs
@@ -1,5 +1,4 @@
-//! The stand-in discovery service follows the protocol page: its lists are read by the project's own client
-//! and types.
+//! Checks that the real discovery client can read the lists of the stand-in discovery service.
 
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,11 +22,11 @@
 }
 
 fn decode_list(body: &[u8]) -> ServerList {
-    node_emulator::node::read_list(body).expect("a list of the protocol")
+    node_emulator::node::read_list(body).expect("the body is a valid list")
 }
 
 #[test]
-fn the_complete_list_names_every_server_once_and_is_encoded_once_for_each_version() {
+fn the_complete_list_contains_every_server_once_and_is_encoded_once_per_version() {
     let mut catalogue = catalogue(100);
     let complete = catalogue.complete_list();
     let list = decode_list(&complete.body);
@@ -36,18 +35,14 @@
     let numbers: Vec<_> = list.members.iter().map(|member| server_number(&member.id)).collect();
     assert_eq!(numbers, (0..20).map(Some).collect::<Vec<_>>());
     assert_eq!((list.members[6].locality.as_str(), list.members[6].cell), ("region0-zone2", 2));
-    assert_eq!(list.members[6].host_port, "127.20.0.3:8081".parse().expect("an address"));
-    assert_eq!(
-        catalogue.complete_list().body.as_ptr(),
-        complete.body.as_ptr(),
-        "the same bytes are sent again"
-    );
+    assert_eq!(list.members[6].host_port, "127.20.0.3:8081".parse().expect("the address is valid"));
+    assert_eq!(catalogue.complete_list().body.as_ptr(), complete.body.as_ptr(), "the encoded list is reused");
     catalogue.set_service_weight(0, 2.0);
     assert_eq!(decode_list(&catalogue.complete_list().body).revision, 2);
 }
 
 #[test]
-fn each_changed_server_is_sent_once_in_its_current_state() {
+fn changes_contain_each_changed_server_once_in_its_current_state() {
     let mut catalogue = catalogue(100);
     catalogue.join(&[7], 5_000);
     catalogue.set_phase(&[7], Phase::Leaving);
@@ -58,52 +53,57 @@
     let list = decode_list(&catalogue.changes_since(1).body);
     assert!(!list.complete);
     assert_eq!(list.revision, 4);
-    assert_eq!(updates(&list), [(server_name(7), 2), (server_name(20), 0)], "one left, its successor active");
+    assert_eq!(
+        updates(&list),
+        [(server_name(7), 2), (server_name(20), 0)],
+        "server 7 has left, and its replacement is active"
+    );
     assert_eq!(updates(&decode_list(&catalogue.changes_since(3).body)), [(server_name(7), 2)]);
     assert_eq!(catalogue.changes_since(4).members, 0);
-    // The complete list no longer has the server that left.
+    // The complete list does not contain the server that left.
     let complete = decode_list(&catalogue.complete_list().body);
     assert_eq!(complete.members.len(), 20);
     assert!(complete.members.iter().all(|member| member.id != server_name(7)));
 }
 
 #[test]
-fn the_complete_list_is_sent_where_the_log_was_truncated() {
+fn the_complete_list_is_sent_for_versions_that_the_log_does_not_reach_back_to() {
     let mut catalogue = catalogue(3);
     for number in 0..5 {
         catalogue.restart(&[number], 1_000);
     }
     assert_eq!(catalogue.revision(), 6);
-    // Versions 4 to 6 are in the log.
+    // The log contains the changes of versions 4 to 6.
     assert!(!catalogue.changes_since(3).complete);
     assert_eq!(catalogue.changes_since(3).members, 3);
     assert!(catalogue.changes_since(2).complete);
-    assert!(catalogue.changes_since(7).complete, "a version that never was");
-    // A version of which only some changes are in the log is not answered from it.
+    assert!(catalogue.changes_since(7).complete, "version 7 does not exist");
+    // The log has lost some of the changes of version 7. The changes since version 6 can't be taken from it.
     catalogue.set_service_weight(1, 2.0);
     assert!(catalogue.changes_since(6).complete);
     assert!(!catalogue.changes_since(7).complete);
 }
 
 #[test]
-fn requests_are_parsed_as_the_protocol_specifies() {
-    let parse =
-        |uri: &str| ListRequest::parse(&uri.parse().expect("a path")).map_err(|status| status.as_u16());
+fn list_requests_are_parsed_and_invalid_ones_rejected() {
+    let parse = |uri: &str| {
+        ListRequest::parse(&uri.parse().expect("the URI is valid")).map_err(|status| status.as_u16())
+    };
     assert_eq!(parse("/catalog/members"), Ok(ListRequest::Complete));
     let wait = Duration::from_millis(20_000);
     assert_eq!(
         parse("/catalog/members?since=41&timeout_ms=20000"),
         Ok(ListRequest::ChangesSince { revision: 41, wait })
     );
-    let longest = ListRequest::ChangesSince { revision: 1, wait: Duration::from_secs(60) };
-    assert_eq!(parse("/catalog/members?since=1&timeout_ms=99000"), Ok(longest));
+    let longest_wait = ListRequest::ChangesSince { revision: 1, wait: Duration::from_secs(60) };
+    assert_eq!(parse("/catalog/members?since=1&timeout_ms=99000"), Ok(longest_wait));
     assert_eq!(parse("/catalog/members?since=-1"), Err(400));
     assert_eq!(parse("/catalog/members?until=1"), Err(400));
     assert_eq!(parse("/catalog"), Err(404));
 }
 
-/// Records what the project's client delivers: version, completeness and number of servers of a list, `None`
-/// for a failed call.
+/// Records the results of the discovery client's calls: version, completeness and number of servers of a
+/// list; `None` for a failed call.
 struct RecordingSubscriber {
     address: SocketAddr,
     update_requested: Notify,
@@ -139,23 +139,26 @@
         if before != Some(list.revision) {
             self.updates
                 .send(Some((list.revision, list.complete, list.members.len())))
-                .expect("the test listens");
+                .expect("the test holds the receiver");
         }
     }
 
     fn unavailable(self: &Rc<Self>) {
-        self.updates.send(None).expect("the test listens");
+        self.updates.send(None).expect("the test holds the receiver");
         self.update_requested.notify_one();
     }
 }
 
 #[test]
-fn the_client_follows_discovery_through_an_outage() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("an event loop");
+fn the_client_receives_all_changes_despite_an_outage_of_discovery() {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("the event loop can be created");
     LocalSet::new().block_on(&runtime, async {
         let world = Arc::new(World::new(catalogue(4)));
-        let agent = listen(Ipv4Addr::LOCALHOST).expect("a listener");
-        let address = agent.local_addr().expect("an address");
+        let agent = listen(Ipv4Addr::LOCALHOST).expect("the listener can be created");
+        let address = agent.local_addr().expect("the address is valid");
         tokio::task::spawn_local(serve(agent, Arc::clone(&world), 1));
         let (updates, mut received) = mpsc::unbounded_channel();
         let (update_requested, moved) = (Notify::new(), Notify::new());
@@ -173,18 +176,19 @@
         tokio::task::spawn_local(follow(Rc::clone(&subscriber), connection));
         world.change(|catalogue| catalogue.restart(&[3], 1_000));
         assert_eq!(received.recv().await, Some(Some((2, false, 1))));
-        // An outage in another region does not affect it; its own agent is unresponsive until it is back.
+        // An outage in another region has no effect. The client's agent, in region 1, then becomes
+        // unresponsive.
         world.set_discovery_responsive(0, false);
         world.change(|catalogue| catalogue.restart(&[4], 1_000));
         assert_eq!(received.recv().await, Some(Some((3, false, 1))));
         world.set_discovery_responsive(1, false);
         world.change(|catalogue| catalogue.restart(&[5, 6], 1_000));
-        assert_eq!(received.recv().await, Some(None), "an unanswered call fails");
+        assert_eq!(received.recv().await, Some(None), "a call without a response fails");
         world.set_discovery_responsive(1, true);
         while received.recv().await != Some(Some((4, false, 2))) {}
-        // More changes in one version than the log retains: the complete list.
+        // This version has more changes than the log retains, so the complete list is sent.
         world.change(|catalogue| catalogue.restart(&[0, 1, 2, 3, 4, 5], 2_000));
         assert_eq!(received.recv().await, Some(Some((5, true, 20))));
     });
-    // No other requests were sent than those answered above or left open during the outage.
+    // The client sent no requests other than those answered above and those left open during the outage.
 }
--- a/crates/node-emulator/tests/scenario.rs
+++ b/crates/node-emulator/tests/scenario.rs
@@ -1,4 +1,5 @@
-//! Scenario files: the shipped ones are sound, and an invalid one is reported by key and line.
+//! Checks that the shipped scenario files are valid, that errors name key and line, and that steps are
+//! deterministic.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,7 +7,7 @@
 use node_emulator::scenario::Scenario;
 use node_emulator::steps::{steps, Step};
 
-const SOUND: &str = r#"name = "test"
+const VALID: &str = r#"name = "test"
 seed = 7
 duration_s = 20
 [size]
@@ -31,9 +32,9 @@
 }
 
 #[test]
-fn a_bad_scenario_is_reported_by_key_and_line() {
-    assert!(parse(SOUND).is_ok());
-    // What is replaced by what, and the line and key that the error names.
+fn an_invalid_scenario_is_reported_with_its_key_and_line() {
+    assert!(parse(VALID).is_ok());
+    // A text in the valid scenario, its replacement, and the line and key in the expected error.
     let cases = [
         ("seed = 7", "seed = -7", 2, "seed"),
         ("seed = 7", "seed = \"7\"", 2, "seed"),
@@ -62,19 +63,19 @@
         ("for_s = 6.0\n", "", 13, "for_s"),
         ("for_s = 6.0", "for_s = \"long\"", 18, "for_s"),
     ];
-    for (sound, bad, line, key) in cases {
-        let error = parse(&SOUND.replacen(sound, bad, 1)).expect_err(bad);
+    for (valid, invalid, line, key) in cases {
+        let error = parse(&VALID.replacen(valid, invalid, 1)).expect_err(invalid);
         let expected = format!("test.toml:{line}: `{key}`: ");
-        assert!(error.starts_with(&expected), "`{bad}`: {error}, not {expected}");
+        assert!(error.starts_with(&expected), "`{invalid}`: {error}, not {expected}");
     }
 }
 
 #[test]
-fn the_shipped_scenarios_are_sound_and_contain_every_kind_of_event() {
+fn the_shipped_scenarios_are_valid_and_contain_every_kind_of_event() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut kinds = Vec::new();
-    for file in std::fs::read_dir(folder).expect("the folder") {
-        let path = file.expect("a file").path();
+    for file in std::fs::read_dir(folder).expect("the folder can be read") {
+        let path = file.expect("the entry can be read").path();
         let scenario = Scenario::read(&path).unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(path.file_stem().and_then(|stem| stem.to_str()), Some(scenario.name.as_str()));
         kinds.extend(scenario.events.iter().map(|event| std::mem::discriminant(&event.kind)));
@@ -85,33 +86,33 @@
 }
 
 #[test]
-fn steps_come_in_order_and_from_the_seed_alone() {
-    let text = SOUND.to_owned()
+fn steps_are_sorted_and_depend_only_on_scenario_and_seed() {
+    let text = VALID.to_owned()
         + "[[event]]\nkind = \"ordinary-day\"\nat_s = 0\nfor_s = 10\nspeed = 500\n"
         + "[[event]]\nkind = \"rolling-replacement\"\nat_s = 2\npart = 0.5\nbatches = 4\nover_s = 4\ndrain_s = 3\n";
-    let scenario = parse(&text).expect("sound");
-    let drawn = steps(&scenario);
-    assert_eq!(drawn, steps(&scenario));
-    assert!(drawn.is_sorted_by_key(|(at, _)| *at));
-    let other = parse(&text.replacen("seed = 7", "seed = 8", 1)).expect("sound");
-    assert_ne!(drawn, steps(&other));
+    let scenario = parse(&text).expect("the scenario is valid");
+    let timed_steps = steps(&scenario);
+    assert_eq!(timed_steps, steps(&scenario));
+    assert!(timed_steps.is_sorted_by_key(|(at, _)| *at));
+    let with_other_seed = parse(&text.replacen("seed = 7", "seed = 8", 1)).expect("the scenario is valid");
+    assert_ne!(timed_steps, steps(&with_other_seed));
 
-    let of_rack = drawn.iter().filter(|(_, step)| match step {
+    let steps_of_rack = timed_steps.iter().filter(|(_, step)| match step {
         Step::StopResponding(slots) | Step::Unlist(slots) | Step::Return(slots) => {
             slots == &[5, 13, 21, 29, 37]
         }
         _ => false,
     });
     let seconds = |at: &Duration| at.as_secs_f64();
-    assert_eq!(of_rack.map(|(at, _)| seconds(at)).collect::<Vec<_>>(), [1.0, 3.0, 7.0]);
-    // Each batch has its own servers, which are retired once, at the end of their drain time.
+    assert_eq!(steps_of_rack.map(|(at, _)| seconds(at)).collect::<Vec<_>>(), [1.0, 3.0, 7.0]);
+    // No server belongs to two batches, and each batch is retired once, at the end of its drain time.
     let mut replaced: Vec<usize> = Vec::new();
-    for (at, step) in &drawn {
+    for (at, step) in &timed_steps {
         if let Step::Replace { batch, slots } = step {
             replaced.extend(slots);
-            let retired = drawn.iter().filter(|(_, step)| *step == Step::Retire { batch: *batch });
-            let after: Vec<_> = retired.map(|(retired, _)| seconds(retired) - seconds(at)).collect();
-            assert!(matches!(after[..], [after] if (after - 3.0).abs() < 1e-6));
+            let retired = timed_steps.iter().filter(|(_, step)| *step == Step::Retire { batch: *batch });
+            let drain_times: Vec<_> = retired.map(|(retired, _)| seconds(retired) - seconds(at)).collect();
+            assert!(matches!(drain_times[..], [drain_time] if (drain_time - 3.0).abs() < 1e-6));
         }
     }
     replaced.sort_unstable();
