--- a/crates/node-emulator/src/node/emulated_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -32,18 +32,22 @@
 /// A node with a real `Balancer` and a real discovery client. Its clients are emulated.
 pub struct EmulatedNode {
     pub(super) thread: Rc<NodeThread>,
+    /// Index of the node in the fleet, which determines its zone and its seed.
     pub(super) number: usize,
+    /// Region of the node's zone, whose discovery agent the node calls.
     pub(super) region: usize,
     /// Notified to start the long polls: at the start of the node and whenever the `Balancer` requests it.
     pub(super) update_requested: Notify,
     /// Required by [`Subscriber`], but never notified: the addresses of the agents do not change.
     pub(super) discovery_moved: Notify,
+    /// Start of the node. The time to the first list is measured from here.
     pub(super) started: Instant,
     /// The version of the list that the `Balancer` has; `None` before the first list.
     pub(super) revision: Cell<Option<u64>>,
     /// Set when the node is stopped for a restart. Later events are ignored.
     pub(super) stopped: Cell<bool>,
     pub(super) balancer: RefCell<Balancer>,
+    /// Requests by the identifiers that the `Balancer` uses.
     pub(super) pending_requests: RefCell<HashMap<RequestId, PendingRequest>>,
     /// Identifier of the latest request.
     pub(super) last_request: Cell<u64>,
--- a/crates/node-emulator/src/scenario_run/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -26,6 +26,7 @@
 /// All threads of a run and the state that they share.
 pub(super) struct RunningFleet {
     pub(super) world: Arc<World>,
+    /// The version of the list that each node has.
     pub(super) known_versions: Arc<KnownVersions>,
     /// The counters of each thread of nodes.
     pub(super) counters: Vec<SharedCounters>,
--- a/crates/node-emulator/src/scenario_run/timeline.rs
+++ b/crates/node-emulator/src/scenario_run/timeline.rs
@@ -35,6 +35,7 @@
 struct ScenarioRun<'a> {
     fleet: &'a RunningFleet,
     scenario: &'a Scenario,
+    /// Start of the run, from which due times are measured.
     began_at: tokio::time::Instant,
     /// Ticks when progress is to be logged.
     progress: Interval,
