--- a/crates/node-emulator/src/node/emulated_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -1,4 +1,4 @@
-//! One emulated node: its decisions, its pending requests and its subscription to discovery.
+//! One emulated node: its `Balancer`, its pending requests and its subscription to discovery.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,33 +20,41 @@
 use super::thread::NodeThread;
 use crate::counters::NodeCounters;
 
-/// A request that has arrived at a node and is not finished.
+/// A request that has arrived at a node and either has no response yet or still has attempts in flight.
 #[derive(Default)]
 pub(super) struct PendingRequest {
-    /// Whether the client has its response.
+    /// Whether the client has received a response.
     pub(super) answered: bool,
-    /// By attempt: its cancellation, while it is in flight.
+    /// For each attempt in flight the sender whose drop cancels it; `None` for an attempt that has ended.
     pub(super) attempts: Vec<Option<oneshot::Sender<()>>>,
 }
 
-/// A node of which only the decisions and the discovery client are real.
+/// A node with a real `Balancer` and a real discovery client. Its clients are emulated.
 pub struct EmulatedNode {
     pub(super) thread: Rc<NodeThread>,
+    /// Index of the node in the fleet, which determines its zone and its seed.
     pub(super) number: usize,
+    /// Region of the node's zone, whose discovery agent the node calls.
     pub(super) region: usize,
+    /// Notified to start the long polls: at the start of the node and whenever the `Balancer` requests it.
     pub(super) update_requested: Notify,
+    /// Required by [`Subscriber`], but never notified: the addresses of the agents do not change.
     pub(super) discovery_moved: Notify,
+    /// Start of the node. The time to the first list is measured from here.
     pub(super) started: Instant,
-    /// The version of the list that the decisions have; `None` before the first.
+    /// The version of the list that the `Balancer` has; `None` before the first list.
     pub(super) revision: Cell<Option<u64>>,
-    /// Set when the node is to be restarted: later events are ignored.
+    /// Set when the node is stopped for a restart. Later events are ignored.
     pub(super) stopped: Cell<bool>,
     pub(super) balancer: RefCell<Balancer>,
+    /// Requests by the identifiers that the `Balancer` uses.
     pub(super) pending_requests: RefCell<HashMap<RequestId, PendingRequest>>,
+    /// Identifier of the latest request.
     pub(super) last_request: Cell<u64>,
 }
 
 impl EmulatedNode {
+    /// Creates a node without a list. Its seed differs from those of all other nodes.
     pub(super) fn new(thread: &Rc<NodeThread>, number: usize) -> Result<Rc<Self>, balancer::SettingsError> {
         let size = thread.config.size;
         let zone = size.zone(number);
@@ -68,35 +76,35 @@
             pending_requests: RefCell::default(),
             last_request: Cell::new(0),
         });
-        // As a real node does where lists are pushed.
+        // The settings have `DiscoveryMode::Push`, in which the `Balancer` does not request the first
+        // updates. A real node starts its long polls in the same way.
         node.update_requested.notify_one();
         Ok(node)
     }
 
-    /// Stops the node: outcomes of its attempts in flight are ignored.
-    pub(super) fn end(&self) {
+    /// Stops the node and cancels its attempts in flight. Their outcomes are ignored.
+    pub(super) fn stop(&self) {
         self.stopped.set(true);
         self.pending_requests.borrow_mut().clear();
     }
 
-    /// Reads the first list, then follows discovery for as long as the node runs.
+    /// Reads the first list and then follows discovery until the task is aborted.
     pub(super) async fn follow(self: Rc<Self>) {
-        let known = {
+        let connection = {
             let _permit = self.thread.start_permits.acquire().await;
             discovery::fetch_initial(&self).await
         };
-        discovery::follow(self, known).await;
+        discovery::follow(self, connection).await;
     }
 
-    // ---- Requests
-
-    /// Starts requests at random times (a Poisson process) once the clients send.
+    /// Starts requests at random times (a Poisson process) after the clients have been started. While the
+    /// node has no list, no requests arrive.
     pub(super) async fn generate_requests(self: Rc<Self>) {
         let rate = self.thread.config.requests_per_s;
         if rate <= 0.0 {
             return;
         }
-        // It fails where the run ended before the clients were started.
+        // This fails if the run ends before the clients are started.
         let _ = self.thread.clients_started.clone().wait_for(|clients_started| *clients_started).await;
         let mut random =
             fastrand::Rng::with_seed(self.thread.config.seed.rotate_left(32) ^ self.number as u64);
@@ -110,6 +118,7 @@
         }
     }
 
+    /// Starts a request of a class, and measures the time in which the `Balancer` decides about it.
     pub(super) fn start_request(self: &Rc<Self>, class: usize) {
         let id = RequestId(self.last_request.get() + 1);
         self.last_request.set(id.0);
@@ -125,11 +134,13 @@
         self.remove_if_finished(id);
     }
 
-    pub(super) fn handle(self: &Rc<Self>, event: BalancerEvent) {
+    /// Passes an event to the `Balancer` and executes the resulting actions.
+    pub(super) fn handle_event(self: &Rc<Self>, event: BalancerEvent) {
         let actions = self.decide(event);
         self.execute(actions);
     }
 
+    /// Passes an event to the `Balancer` and returns the resulting actions; none if the node is stopped.
     pub(super) fn decide(&self, event: BalancerEvent) -> Vec<BalancerAction> {
         let mut actions = Vec::new();
         if !self.stopped.get() {
@@ -138,6 +149,7 @@
         actions
     }
 
+    /// Executes actions of the `Balancer`.
     pub(super) fn execute(self: &Rc<Self>, actions: Vec<BalancerAction>) {
         for action in actions {
             match action {
@@ -163,7 +175,7 @@
                     let after = Duration::try_from_secs_f64(after_ms / 1000.0).unwrap_or_default();
                     tokio::task::spawn_local(async move {
                         sleep(after).await;
-                        node.handle(BalancerEvent::TimerFired(timer));
+                        node.handle_event(BalancerEvent::TimerFired(timer));
                     });
                 }
                 BalancerAction::Log(text) => tracing::debug!(node = self.number, "{text}"),
@@ -171,7 +183,7 @@
         }
     }
 
-    /// Records the response to a client; only the first one counts.
+    /// Records the response to a client with `count`. Further responses to the same request are not counted.
     pub(super) fn finish_request(&self, request: RequestId, count: impl FnOnce(&mut NodeCounters)) {
         if let Some(pending) = self.pending_requests.borrow_mut().get_mut(&request) {
             if !std::mem::replace(&mut pending.answered, true) {
@@ -181,7 +193,7 @@
         self.remove_if_finished(request);
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
+    /// Removes a request if it has a response and no attempt in flight.
     pub(super) fn remove_if_finished(&self, request: RequestId) {
         let mut pending_requests = self.pending_requests.borrow_mut();
         if pending_requests
@@ -192,24 +204,27 @@
         }
     }
 
+    /// Starts an attempt of a request at a server.
     pub(super) fn send(self: &Rc<Self>, request: RequestId, server: ServerId) {
         let mut pending_requests = self.pending_requests.borrow_mut();
         let Some(pending) = pending_requests.get_mut(&request) else { return };
-        let (stop, stopped) = oneshot::channel();
+        let (cancel, cancelled) = oneshot::channel();
         let attempt = pending.attempts.len();
-        pending.attempts.push(Some(stop));
+        pending.attempts.push(Some(cancel));
         lock(&self.thread.counters).sends += 1;
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let started_at = Instant::now();
             let (outcome, report) = tokio::select! {
                 reply = node.thread.call(server, node.region, "/api") => reply,
-                _ = stopped => (AttemptOutcome::Cancelled, None),
+                _ = cancelled => (AttemptOutcome::Cancelled, None),
             };
             node.on_attempt_ended(request, attempt, started_at.elapsed(), outcome, report);
         });
     }
 
+    /// Passes the outcome of an attempt to the `Balancer`. The first served attempt is the response to the
+    /// client.
     pub(super) fn on_attempt_ended(
         self: &Rc<Self>,
         request: RequestId,
@@ -226,7 +241,7 @@
         }
         let complete = self.pending_requests.borrow().get(&request).is_none_or(|pending| pending.answered);
         let elapsed_ms = elapsed.as_secs_f64() * 1000.0;
-        self.handle(BalancerEvent::AttemptEnded(AttemptEnd {
+        self.handle_event(BalancerEvent::AttemptEnded(AttemptEnd {
             request,
             attempt,
             elapsed_ms,
@@ -237,12 +252,13 @@
         self.remove_if_finished(request);
     }
 
+    /// Starts a load probe of a server.
     pub(super) fn probe(self: &Rc<Self>, server: ServerId) {
         lock(&self.thread.counters).probes += 1;
         let node = Rc::clone(self);
         tokio::task::spawn_local(async move {
             let (outcome, report) = node.thread.call(server, node.region, "/_load").await;
-            node.handle(BalancerEvent::ProbeEnded { server, outcome, report });
+            node.handle_event(BalancerEvent::ProbeEnded { server, outcome, report });
         });
     }
 }
@@ -272,23 +288,24 @@
         if self.stopped.get() {
             return;
         }
-        let before = self.revision.replace(Some(list.revision));
+        let previous = self.revision.replace(Some(list.revision));
         let endpoint_update = endpoint_update(&list, &self.thread.zones);
         let (revision, complete) = (list.revision, list.complete);
         drop(list);
         let started_at = Instant::now();
         let actions = self.decide(BalancerEvent::EndpointsUpdated(endpoint_update));
-        // The time until here is that of the decisions; the lag of a version ends once they have it.
+        // Both the time to apply the list and the lag of its version end here, when the `Balancer` has the
+        // list.
         let now = Instant::now();
         let mut counters = lock(&self.thread.counters);
         counters.endpoint_update.add(now - started_at);
         counters.list_responses += 1;
         counters.complete_lists += u64::from(complete);
-        match before {
+        match previous {
             None => counters.start.add(now - self.started),
-            Some(before) if before < revision => {
+            Some(previous) if previous < revision => {
                 let catalogue = self.thread.world.catalogue();
-                counters.advanced(now, before, revision, |version| catalogue.published(version));
+                counters.record_advance(now, previous, revision, |version| catalogue.published_at(version));
             }
             Some(_) => {}
         }
@@ -299,6 +316,6 @@
 
     fn unavailable(self: &Rc<Self>) {
         lock(&self.thread.counters).failed_calls += 1;
-        self.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
+        self.handle_event(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
     }
 }
--- a/crates/node-emulator/src/scenario_run/step.rs
+++ b/crates/node-emulator/src/scenario_run/step.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a scenario.
+//! Executes the steps of a scenario.
 
 use std::collections::HashMap;
 
@@ -7,15 +7,16 @@
 use crate::steps::Step;
 
 impl RunningFleet {
-    /// Changes the servers that occupy slots now.
+    /// Changes the servers that currently occupy `slots`.
     fn change_servers(&self, slots: &[usize], change: impl Fn(&mut Catalogue, &[usize])) {
         self.world.change(|catalogue| {
-            let numbers = catalogue.numbers(slots);
+            let numbers = catalogue.servers_in(slots);
             change(catalogue, &numbers);
         });
     }
 
-    /// Carries out a step. `batches` has the draining servers of each replacement that has begun and not ended.
+    /// Executes a step. `batches` has the draining servers of each batch of a rolling replacement that is in
+    /// progress.
     pub(super) fn execute(&self, step: &Step, batches: &mut HashMap<usize, Vec<usize>>) {
         tracing::debug!(?step, "step");
         let up_since = self.world.now_ms() as u64;
@@ -29,7 +30,7 @@
             Step::Unlist(slots) => self.change_servers(slots, |c, numbers| c.set_phase(numbers, Phase::Left)),
             Step::Return(slots) => self.change_servers(slots, |c, numbers| c.restart(numbers, up_since)),
             Step::Replace { batch, slots } => self.world.change(|catalogue| {
-                let old = catalogue.numbers(slots);
+                let old = catalogue.servers_in(slots);
                 catalogue.join(slots, up_since);
                 catalogue.set_phase(&old, Phase::Leaving);
                 batches.insert(*batch, old);
@@ -44,14 +45,14 @@
             Step::Partition { region, partitioned } => self.world.set_partitioned(*region, *partitioned),
             Step::DiscoveryAnswering(answering) => {
                 (0..self.world.catalogue().size().regions)
-                    .for_each(|region| self.world.set_discovery_answering(region, *answering));
+                    .for_each(|region| self.world.set_discovery_responsive(region, *answering));
             }
             Step::RestartNodes(nodes) => nodes.iter().for_each(|node| self.start_node(*node)),
         }
     }
 }
 
-/// The processes of servers end, and discovery takes them off the list.
+/// Ends the processes of servers and removes them from the list.
 fn remove(catalogue: &mut Catalogue, numbers: &[usize]) {
     catalogue.set_reachability(numbers, Reachability::Terminated);
     catalogue.set_phase(numbers, Phase::Left);
