--- a/crates/dispatch/src/model_versions.rs
+++ b/crates/dispatch/src/model_versions.rs
@@ -10,13 +10,13 @@
 const VERSION_REJECTION_TTL: Duration = Duration::from_millis(300);
 
 /// Initial time in which a server that is loading a model gets no requests for it. It doubles with each
-/// further rejection within [`LOADING_BACKOFF_MEMORY`].
+/// further rejection within [`LOADING_BACKOFF_RESET_DELAY`].
 const INITIAL_LOADING_BACKOFF: Duration = Duration::from_millis(100);
 /// Maximum duration of a loading backoff.
 const MAX_LOADING_BACKOFF: Duration = Duration::from_millis(400);
 /// Time after the end of a loading backoff in which a further rejection counts as caused by the same load. A
 /// later one starts again with [`INITIAL_LOADING_BACKOFF`].
-const LOADING_BACKOFF_MEMORY: Duration = Duration::from_millis(1000);
+const LOADING_BACKOFF_RESET_DELAY: Duration = Duration::from_millis(1000);
 
 /// Version with which servers start. Every server of a model has this version or a newer one.
 const INITIAL_VERSION: u64 = 1;
@@ -75,7 +75,7 @@
     /// Records that the server rejected a request for this model despite free capacity, and starts a loading
     /// backoff.
     pub(crate) fn record_loading(&mut self, now: Duration, model: &str) {
-        let last = self.loading.get(model).filter(|last| now < last.until + LOADING_BACKOFF_MEMORY);
+        let last = self.loading.get(model).filter(|last| now < last.until + LOADING_BACKOFF_RESET_DELAY);
         let doubled = last.map(|backoff| backoff.duration * 2);
         let duration = doubled.unwrap_or(INITIAL_LOADING_BACKOFF).min(MAX_LOADING_BACKOFF);
         self.loading.insert(model.into(), LoadingBackoff { until: now + duration, duration });
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -121,7 +121,7 @@
     /// process. This also replaces the mean with which [`QueueLengths::add`] starts.
     fn overwrite_unreported_lengths(&mut self, now: Duration) {
         for server in &self.servers {
-            if !server.has_fresh_report(now) {
+            if !server.has_valid_report(now) {
                 self.queue_lengths.overwrite(server.queue_index, u64::from(server.in_flight));
             }
         }
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -146,7 +146,7 @@
     }
 
     /// Returns whether the last load report is still valid, by [`LOAD_REPORT_TTL`].
-    pub(crate) fn has_fresh_report(&self, now: Duration) -> bool {
+    pub(crate) fn has_valid_report(&self, now: Duration) -> bool {
         self.last_report.is_some_and(|report| now.saturating_sub(report.received_at) < LOAD_REPORT_TTL)
     }
 
@@ -160,8 +160,8 @@
     /// requests in flight from this process and the load that other senders caused according to the last
     /// valid report.
     pub(crate) fn free_capacity(&self, now: Duration) -> u32 {
-        let fresh_report = self.last_report.filter(|_| self.has_fresh_report(now));
-        let load_from_other_senders = fresh_report.map_or(0, |report| report.load_from_other_senders);
+        let valid_report = self.last_report.filter(|_| self.has_valid_report(now));
+        let load_from_other_senders = valid_report.map_or(0, |report| report.load_from_other_senders);
         self.capacity().saturating_sub(self.in_flight.saturating_add(load_from_other_senders))
     }
 }
--- a/crates/lease/tests/grantor.rs
+++ b/crates/lease/tests/grantor.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn given_committed_grantors_when_it_grants_then_the_reply_states_for_how_long_they_have_been_known() {
+fn given_committed_grantors_when_a_request_is_granted_then_the_reply_states_how_long_they_have_been_known() {
     let others = [GrantorId(1), GrantorId(2), GrantorId(4)];
     let same = [GrantorId(3), GrantorId(1), GrantorId(2)];
     let mut grantor = Grantor::new(GRANTORS[0], START, TTL);
--- a/crates/membership/src/placement.rs
+++ b/crates/membership/src/placement.rs
@@ -37,9 +37,9 @@
 /// other members rank before it.
 fn is_monitor<Name: AsRef<str>>(monitor: &str, peer: &str, members: &[Name], count: usize) -> bool {
     let key = monitor_key(peer);
-    let own_rank = rank(key, monitor);
+    let monitor_rank = rank(key, monitor);
     let others = members.iter().map(AsRef::as_ref).filter(|member| *member != peer && *member != monitor);
-    others.filter(|member| rank(key, member) < own_rank).take(count).count() < count
+    others.filter(|member| rank(key, member) < monitor_rank).take(count).count() < count
 }
 
 /// Returns the hashed key by which the monitors of `peer` are ranked.
--- a/crates/register/tests/proposal.rs
+++ b/crates/register/tests/proposal.rs
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn given_a_change_after_a_removal_when_the_removal_is_known_to_be_committed_then_the_removed_is_not_needed() {
+fn given_a_change_after_a_committed_removal_when_read_then_the_removed_acceptor_is_not_needed() {
     let (_, removal) = undecided_removal();
     let change = versioned(7, &[1, 2, 3], members(&[1]));
     let change = Versioned {
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -11,7 +11,7 @@
 
 /// Number of consecutive failed calls after which a server no longer counts as loading, so that other servers
 /// may load.
-const MAX_COUNTED_FAILURES: u32 = 2;
+const LOADING_FAILURE_LIMIT: u32 = 2;
 /// Maximum number of times that the retry delay doubles. It keeps the computed delay from overflowing; the
 /// delay reaches [`Pacing::max_retry_delay`] long before.
 const MAX_RETRY_DOUBLINGS: u32 = 8;
@@ -122,7 +122,7 @@
     /// Returns the time until which the server counts as loading, unless the load is known to complete
     /// earlier. Returns `None` if the server does not count as loading.
     pub(crate) fn loading_until(&self) -> Option<Duration> {
-        if self.server.is_closing || self.consecutive_failures >= MAX_COUNTED_FAILURES {
+        if self.server.is_closing || self.consecutive_failures >= LOADING_FAILURE_LIMIT {
             return None;
         }
         match &self.state {
