--- a/crates/dispatch/src/criteria.rs
+++ b/crates/dispatch/src/criteria.rs
@@ -12,7 +12,7 @@
 pub struct SelectionCriteria<'a> {
     /// Services that the route names, with their weights. A service with weight 0 gets no requests.
     pub targets: &'a [Target],
-    /// Model that the request names; `None` if it names none, and then `version` is ignored.
+    /// Model that the request names; `None` if it names none. `version` is then ignored.
     pub model: Option<&'a str>,
     /// Versions of `model` that may serve the request.
     pub version: VersionRequirement,
@@ -23,7 +23,7 @@
     /// `None` if no such server is known.
     pub prefix_cache_server: Option<&'a ServerId>,
     /// Restricts eligibility to servers with free capacity that list the model. Set for requests that can
-    /// wait until there is one.
+    /// wait for such a server.
     pub requires_free_capacity: bool,
     /// Maximum time since the last use of an idle connection that may be reused. Among servers of the same
     /// tier, those with such a connection are preferred, unless another server's queue is shorter by more
@@ -35,10 +35,10 @@
 /// Versions of a model that may serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionRequirement {
-    /// Accepts any version, also an unknown one.
+    /// Accepts any version, including an unknown one.
     Any,
-    /// Accepts this version and newer ones. Version 1 is the initial version, so `AtLeast(1)` accepts any
-    /// version.
+    /// Accepts this version and newer ones. Version 1 is the initial version, so `AtLeast(1)` is equivalent
+    /// to `Any`.
     AtLeast(u64),
     /// Accepts this version only.
     Exactly(u64),
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: holds one pool of servers per service and draws the service of a request by weight.
+//! The dispatcher: keeps one pool of servers per service and draws the service of a request by weight.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,10 +11,11 @@
 use crate::pool::ServerPool;
 use crate::server::{PooledServer, RequestOutcome, SelectedServer};
 
-/// Selects servers by load, failures and model versions, which it learns from the server list, from the
-/// outcomes of requests and from the load reports of servers.
+/// Selects servers by load, failures and model versions, as known from the server list and from the request
+/// outcomes, responses and load reports that the caller records.
 ///
-/// The state of a server is kept for as long as the server list contains that incarnation.
+/// The state of a server is kept for as long as the server list contains that incarnation in the same
+/// service.
 #[derive(Debug)]
 pub struct Dispatcher {
     /// Zone of this process; servers of the same zone win ties.
@@ -94,7 +95,7 @@
     }
 
     /// Returns the number of requests that the suitable servers can accept at the same time, including those
-    /// in flight. Suitable are servers that accept requests, list the model and satisfy the version
+    /// in flight. A server is suitable if it accepts requests, lists the model and satisfies the version
     /// requirement.
     #[must_use]
     pub fn total_capacity(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> usize {
@@ -110,7 +111,7 @@
     }
 
     /// Records the load that a server reported: the numbers of its running and queued requests and of its
-    /// slots. With 0 slots, the number known before is kept.
+    /// slots. If `slots` is 0, the number known before is kept.
     pub fn record_load(&mut self, now: Duration, id: &str, running: u32, queued: u32, slots: u32) {
         if let Some(pool) = self.services.get(id).and_then(|service| self.pools.get_mut(service)) {
             pool.record_load(now, id, running.saturating_add(queued), slots);
@@ -131,15 +132,15 @@
         }
     }
 
-    /// Records that a server rejected a request for this model despite free capacity, which means that it is
-    /// loading another version.
+    /// Records that a server rejected a request for this model despite free capacity. It is then assumed to
+    /// be loading another version.
     pub fn record_model_loading(&mut self, now: Duration, id: &str, model: &str) {
         if let Some(server) = self.server_mut(id) {
             server.versions.record_loading(now, model);
         }
     }
 
-    /// Records that a server served a request for this model, so that it is not loading another version.
+    /// Records that a server served a request for this model, and so is not loading another version.
     pub fn record_model_serving(&mut self, id: &str, model: &str) {
         if let Some(server) = self.server_mut(id) {
             server.versions.record_serving(model);
--- a/crates/dispatch/src/model_versions.rs
+++ b/crates/dispatch/src/model_versions.rs
@@ -6,10 +6,11 @@
 
 use crate::criteria::VersionRequirement;
 
-/// Time after a version rejection in which the server gets no further request that requires that version.
+/// Time after a version rejection for which the server does not count as serving the rejected version.
+/// Requirements that any version satisfies are not affected.
 const VERSION_REJECTION_TTL: Duration = Duration::from_millis(300);
 
-/// Initial time in which a server that is loading a model gets no requests for it. It doubles with each
+/// Initial time for which a server that is loading a model gets no requests for it. It doubles with each
 /// further rejection within [`LOADING_BACKOFF_RESET_DELAY`].
 const INITIAL_LOADING_BACKOFF: Duration = Duration::from_millis(100);
 /// Maximum duration of a loading backoff.
@@ -50,7 +51,7 @@
 }
 
 impl ModelVersions {
-    /// Records the versions in the server list. Those older than the known versions are ignored: the list may
+    /// Records the versions in the server list. Versions lower than the known ones are ignored: the list may
     /// lag behind the responses.
     pub(crate) fn record_listed(&mut self, models: &BTreeMap<Arc<str>, u64>) {
         for (model, version) in models {
@@ -120,7 +121,8 @@
         is_satisfied && !self.is_rejected(now, model, known)
     }
 
-    /// Returns whether the server rejected this version of the model within [`VERSION_REJECTION_TTL`].
+    /// Returns whether the last rejection is of this version of the model, and less than
+    /// [`VERSION_REJECTION_TTL`] old.
     fn is_rejected(&self, now: Duration, model: &str, version: Option<u64>) -> bool {
         let Some(rejection) = &self.last_rejection else {
             return false;
--- a/crates/dispatch/src/outlier.rs
+++ b/crates/dispatch/src/outlier.rs
@@ -20,13 +20,14 @@
 /// Points that an error response adds to the failure score.
 const ERROR_RESPONSE_WEIGHT: f64 = 0.4;
 
-/// Decides whether one server is ejected. An ejected server is still selected if no other server is eligible.
+/// Decides whether one server is ejected. An ejected server is selected only if each eligible server that
+/// lists the model is ejected too or was already tried by the same request.
 ///
 /// The failure score rises with each failure and decays with each success, so that a server that fails only
 /// some of its requests is ejected as well.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OutlierDetector {
-    /// Between 0 and [`MAX_FAILURE_SCORE`]; rises with failures and decays with successes.
+    /// Score between 0 and [`MAX_FAILURE_SCORE`], which rises with failures and decays with successes.
     failure_score: f64,
     /// End of the ejection; in the past if the server is not ejected.
     ejected_until: Duration,
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -19,11 +19,12 @@
 /// tier that has an eligible server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SuitabilityTier {
-    /// The server may serve the model, was not attempted and is not ejected.
+    /// The server may serve the model, no earlier attempt of the request was sent to it, and it is not
+    /// ejected.
     Healthy,
-    /// The server is ejected as an outlier.
+    /// The server may serve the model and no earlier attempt was sent to it, but it is ejected as an outlier.
     Ejected,
-    /// An earlier attempt of the same request was sent to the server.
+    /// The server may serve the model, but an earlier attempt of the request was sent to it.
     Attempted,
     /// The server lists only other models.
     ModelNotListed,
@@ -117,8 +118,8 @@
         self.positions.get(id).map(|position| &mut self.servers[*position])
     }
 
-    /// Sets the queue length of each server without a fresh report to its requests in flight from this
-    /// process. This also replaces the mean with which [`QueueLengths::add`] starts.
+    /// Sets the queue length of each server without a valid report to its requests in flight from this
+    /// process. This also replaces the mean that [`QueueLengths::add`] sets at first.
     fn overwrite_unreported_lengths(&mut self, now: Duration) {
         for server in &self.servers {
             if !server.has_valid_report(now) {
@@ -127,8 +128,9 @@
         }
     }
 
-    /// Returns the server of the best tier with the shortest queue, or the one with an idle connection if its
-    /// queue is longer by at most [`IDLE_CONNECTION_QUEUE_ALLOWANCE`].
+    /// Returns the server of the best tier with the shortest queue. Prefers the server with the shortest
+    /// queue among those with an idle connection, if that queue is longer by at most
+    /// [`IDLE_CONNECTION_QUEUE_ALLOWANCE`].
     fn best_server(&self, now: Duration, criteria: &SelectionCriteria<'_>) -> Option<ServerIndex> {
         let eligible = || self.servers.iter().filter(|server| is_eligible(server, now, criteria));
         let best_tier = eligible().map(|server| tier(server, now, criteria)).min()?;
@@ -152,7 +154,7 @@
         && (!criteria.requires_free_capacity || has_free_capacity(server, now, criteria))
 }
 
-/// Returns whether the server accepts requests and satisfies the version requirement of this one.
+/// Returns whether the server accepts requests and satisfies the version requirement of this request.
 fn serves(server: &PooledServer, now: Duration, criteria: &SelectionCriteria<'_>) -> bool {
     server.accepts_requests && server.versions.satisfies(now, criteria.model, criteria.version)
 }
@@ -177,7 +179,7 @@
 }
 
 /// Returns the rank by which ties of queue lengths are broken, the lowest first: 0 for the server whose
-/// prefix cache holds the prompt, 1 for servers of the local zone, 2 for all others.
+/// prefix cache contains the beginning of the prompt, 1 for servers of the local zone, 2 for all others.
 fn preference(server: &PooledServer, criteria: &SelectionCriteria<'_>) -> u8 {
     match criteria.prefix_cache_server {
         Some(cached) if *cached == server.id => 0,
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -10,8 +10,8 @@
 use crate::model_versions::ModelVersions;
 use crate::outlier::OutlierDetector;
 
-/// Number of requests beyond its slots that may be sent to a server, so that the next one is already queued
-/// there when a slot becomes free.
+/// Number of requests beyond its slots that count towards the capacity of a server, so that the next request
+/// is already queued there when a slot becomes free.
 const MAX_QUEUED_PER_SERVER: u32 = 1;
 /// Time for which a load report is valid. Without a valid report, the load from other senders counts as 0.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(1000);
@@ -28,7 +28,7 @@
     pub version: Option<u64>,
 }
 
-/// Outcome of a request to a server, as far as it concerns the health of the server.
+/// Outcome of a request to a server, by its effect on outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// The server sent a complete response.
@@ -37,9 +37,11 @@
     ServerError,
     /// The server rejected the request for lack of capacity.
     Overloaded,
-    /// No connection could be established, the request timed out, or the response was truncated or invalid.
+    /// No connection could be established, the request timed out, the response was truncated or invalid, or
+    /// another server replied at the address.
     Failure,
-    /// The request was canceled, which leaves the failure score of the server unchanged.
+    /// The request was cancelled, or rejected for a reason that does not affect the health of the server,
+    /// such as the version of a model. The failure score stays unchanged.
     Cancelled,
 }
 
@@ -145,20 +147,20 @@
         self.idle_connections.last().is_some_and(|used| now.saturating_sub(*used) < max_age)
     }
 
-    /// Returns whether the last load report is still valid, by [`LOAD_REPORT_TTL`].
+    /// Returns whether the last load report is less than [`LOAD_REPORT_TTL`] old.
     pub(crate) fn has_valid_report(&self, now: Duration) -> bool {
         self.last_report.is_some_and(|report| now.saturating_sub(report.received_at) < LOAD_REPORT_TTL)
     }
 
-    /// Returns the number of requests that may be sent to the server at the same time: its slots plus
-    /// [`MAX_QUEUED_PER_SERVER`].
+    /// Returns the number of requests that the server can have at the same time, running or queued: its slots
+    /// plus [`MAX_QUEUED_PER_SERVER`].
     pub(crate) fn capacity(&self) -> u32 {
         self.slots.saturating_add(MAX_QUEUED_PER_SERVER)
     }
 
-    /// Returns the number of further requests that may be sent to the server now: its capacity less the
-    /// requests in flight from this process and the load that other senders caused according to the last
-    /// valid report.
+    /// Returns the number of further requests that the server has capacity for: its capacity less the
+    /// requests in flight from this process and the load from other senders according to the last valid
+    /// report.
     pub(crate) fn free_capacity(&self, now: Duration) -> u32 {
         let valid_report = self.last_report.filter(|_| self.has_valid_report(now));
         let load_from_other_senders = valid_report.map_or(0, |report| report.load_from_other_senders);
--- a/crates/dispatch/tests/selection.rs
+++ b/crates/dispatch/tests/selection.rs
@@ -11,6 +11,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
+/// Returns an open server with four slots in the zone of the dispatcher, which lists no models.
 fn entry(id: &str, service: &str) -> ServerEntry {
     ServerEntry {
         id: id.into(),
@@ -24,6 +25,7 @@
     }
 }
 
+/// Returns a server of the service "s" that lists this version of the model "m".
 fn with_version(id: &str, version: u64) -> ServerEntry {
     ServerEntry { models: BTreeMap::from([(Arc::from("m"), version)]), ..entry(id, "s") }
 }
@@ -54,7 +56,7 @@
     }
 }
 
-/// Returns the ids of the servers selected for `times` consecutive requests, each canceled at once.
+/// Returns the ids of the servers selected for `times` consecutive requests, each cancelled at once.
 fn selected(dispatcher: &mut Dispatcher, criteria: &SelectionCriteria<'_>, times: usize) -> BTreeSet<String> {
     let mut selected = BTreeSet::new();
     for _ in 0..times {
--- a/crates/hsq/src/lib.rs
+++ b/crates/hsq/src/lib.rs
@@ -50,7 +50,7 @@
         self.lengths.len() - 1
     }
 
-    /// Removes a server and frees its index, which a server that is added later reuses.
+    /// Removes a server and frees its index for a server that is added later.
     pub fn remove(&mut self, server: ServerIndex) {
         self.lengths[server] = None;
     }
@@ -84,8 +84,8 @@
     /// Returns the candidate with the shortest queue; of equally long queues, the one with the lowest
     /// preference value.
     ///
-    /// Each candidate is paired with its preference. Candidates that are equal in both are chosen from at
-    /// random. Returns `None` without candidates.
+    /// Each candidate is paired with its preference value. Ties in both are broken at random. Returns `None`
+    /// without candidates.
     pub fn shortest_preferring(
         &self,
         candidates: impl IntoIterator<Item = (ServerIndex, u8)>,
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -137,8 +137,8 @@
         !self.has_clock_stepped_back(now) && now.max(self.latest_now) < self.expires_at
     }
 
-    /// Returns when the lease expires if it is not renewed; zero if none was won since the start,
-    /// the last resignation or the last step back of the clock.
+    /// Returns the time at which the lease expires if it is not renewed; zero if none was won since the
+    /// start, the last resignation or the last step back of the clock.
     pub fn expires_at(&self) -> Duration {
         self.expires_at
     }
@@ -168,7 +168,7 @@
     /// Ends the current round without winning the lease, and schedules the next one.
     ///
     /// Unless the lease from an earlier round is still held, returns a release of this round's grants.
-    /// Without it, candidates that split the votes would block each other for a whole TTL.
+    /// Without the release, candidates that split the votes would block each other for a full TTL.
     pub fn abandon_round(&mut self, now: Duration) -> Option<LeaseRelease> {
         self.advance(now);
         let round = self.round.take()?;
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Draws a random duration below `limit`, in whole microseconds.
+    /// Draws a random duration below `limit`, with a resolution of one microsecond.
     fn random_below(&mut self, limit: Duration) -> Duration {
         let limit = (limit.as_micros() as u64).max(1);
         Duration::from_micros(self.random.u64(..limit))
--- a/crates/lease/src/grantor.rs
+++ b/crates/lease/src/grantor.rs
@@ -86,8 +86,10 @@
 
     /// Handles a request for the lease, and returns the reply to send to the candidate.
     ///
-    /// Rejects requests for longer grants than the TTL of this grantor, with an outdated revision, or for
-    /// other grantors than this one, such as one that ran at the same address on a disk that was lost.
+    /// Rejects all requests until one TTL after the start, and requests of other candidates while a grant is
+    /// valid. Also rejects requests for longer grants than the TTL, requests with an outdated revision, and
+    /// requests that do not name this grantor, for example because they name an earlier one that ran at the
+    /// same address on a disk that was lost.
     pub fn handle(&mut self, now: Duration, request: &LeaseRequest) -> LeaseReply {
         if now < self.earliest_grant_at {
             return rejection("", self.earliest_grant_at - now);
@@ -133,8 +135,8 @@
         self.grant = Some(Grant { holder: request.holder.clone(), term, expires_at });
     }
 
-    /// Returns for how long this grantor has known that these are the committed grantors; zero if it knows
-    /// another set or none.
+    /// Returns for how long this grantor has known that these are the committed grantors; zero if the newest
+    /// committed set that it learned is another one, or if it learned none.
     fn committed_for(&self, now: Duration, grantors: &[GrantorId]) -> Duration {
         let committed = self.committed.as_ref().filter(|committed| committed.grantors == sorted(grantors));
         committed.map_or(Duration::ZERO, |committed| now.saturating_sub(committed.known_since))
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -19,7 +19,7 @@
     pub ttl_ms: u64,
     /// Revision of the register's value from which the candidate took `grantors`.
     pub revision: u64,
-    /// All grantors of the round. A grantor that is not among them rejects the request.
+    /// All grantors of the round. A grantor that is not one of them rejects the request.
     pub grantors: Vec<GrantorId>,
 }
 
@@ -29,7 +29,7 @@
     /// The lease is granted for the requested duration, which starts when the grantor handles the request.
     Granted {
         /// Time for which the grantor has known that the grantors of the request are the committed ones, in
-        /// milliseconds; 0 if it knows another set or none.
+        /// milliseconds; 0 if the newest committed set that it learned is another one, or if it learned none.
         committed_for_ms: u64,
     },
     /// The lease is not granted.
--- a/crates/lease/tests/common/changes.rs
+++ b/crates/lease/tests/common/changes.rs
@@ -8,7 +8,8 @@
 
 /// Time between two changes of the grantors: several changes fit in one TTL.
 pub const CHANGE_INTERVAL: Duration = Duration::from_millis(800);
-/// Time until the next change after a random fourth of the changes, long enough for a lease to be won.
+/// Time until the next change after one in four changes, selected at random; long enough for a lease to be
+/// won.
 const LONG_CHANGE_INTERVAL: Duration = Duration::from_secs(12);
 /// Longest delay, in milliseconds, until candidates and the grantors outside the majorities that accepted a
 /// change learn of it.
--- a/crates/lease/tests/common/faults.rs
+++ b/crates/lease/tests/common/faults.rs
@@ -29,7 +29,7 @@
     SharedName,
 }
 
-/// The faults that are injected into a simulation.
+/// Kinds of faults that are injected into a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     /// Processes restart.
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -16,15 +16,15 @@
 }
 
 impl DetectorTiming {
-    /// Returns the time after the last heartbeat at which a peer is suspected: one interval more than the
-    /// permitted missed heartbeats take.
+    /// Returns the time after the last heartbeat at which a peer is normally suspected: one interval more
+    /// than the permitted missed heartbeats take.
     #[must_use]
     pub fn failure_timeout(&self) -> Duration {
         self.heartbeat_interval * (self.max_missed_heartbeats + 1)
     }
 
-    /// Returns the time after the last heartbeat at which a peer counts as unresponsive, though not as
-    /// suspected yet: one heartbeat interval less than the failure timeout.
+    /// Returns the time after the last heartbeat at which a peer counts as unresponsive, which is before it
+    /// is suspected: one heartbeat interval less than the failure timeout.
     fn unresponsive_timeout(&self) -> Duration {
         self.failure_timeout().saturating_sub(self.heartbeat_interval)
     }
@@ -54,10 +54,12 @@
 /// Missing heartbeats are weak evidence when their cause is probably local, so suspicion is restricted:
 /// - A gap between ticks longer than [`DetectorTiming::max_tick_gap`] means that this process was frozen: all
 ///   timers restart.
-/// - While all peers that are not suspected are unresponsive, and there are several, this machine is assumed
-///   to be partitioned from them: none is suspected.
+/// - While all peers that are not suspected are unresponsive, this machine is assumed to be partitioned from
+///   them: none is suspected.
 /// - While more than half of the peers that are not suspected are unresponsive, the failure timeout doubles,
-///   and each tick suspects at most half of them.
+///   and each tick suspects at most half of the peers that were not suspected before.
+///
+/// The last two rules do not apply if only one peer is not suspected.
 #[derive(Clone, Debug)]
 pub struct Detector {
     timing: DetectorTiming,
@@ -74,8 +76,8 @@
         Self { timing, peers: BTreeMap::new(), last_tick: None }
     }
 
-    /// Replaces the set of watched peers. The timers of new peers start now; peers that were watched before
-    /// keep their state.
+    /// Replaces the set of watched peers. The timers of new peers start at `now`; peers that were watched
+    /// before keep their state.
     pub fn set_peers<Name: AsRef<str>>(&mut self, now: Duration, peers: impl IntoIterator<Item = Name>) {
         let mut earlier = std::mem::take(&mut self.peers);
         for name in peers {
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -10,10 +10,10 @@
 
 /// Returns the score of a member for a key; the member with the highest score ranks first.
 ///
-/// The score is FNV-1a with a finalizer, not [`hash`]. It determines the order of the owners of a
-/// deployment's batch jobs. Owners are not spread evenly yet, so another hash, and with it another order,
-/// would change the value that a single deployment achieves by up to a tenth in either direction. The hash
-/// must not change before owners are spread evenly.
+/// The score is FNV-1a with a finalizer, not [`hash`]. It determines which stores keep a batch job, and which
+/// of them owns it. The owners are not spread evenly over the stores yet, so another hash would assign other
+/// owners, and would change the value that a single deployment achieves by up to a tenth in either direction.
+/// The hash must not change before the owners are spread evenly.
 #[must_use]
 pub fn rendezvous_score(member: &str, key: &str) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
@@ -23,7 +23,7 @@
     finalize(bytes.fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)))
 }
 
-/// Applies the 64-bit finalizer of MurmurHash3, by which each bit of the input affects all bits of the
+/// Applies the 64-bit finalizer of MurmurHash3, after which each bit of the input affects all bits of the
 /// result.
 fn finalize(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,6 +1,7 @@
 //! Placement by rendezvous hashing, and failure detection by heartbeats.
 //!
-//! - [`rendezvous_score`] orders the replicas of batch jobs; the store plane calls it.
+//! - [`rendezvous_score`] assigns batch jobs to replica groups, and orders the stores of each group; the
+//!   store plane calls it.
 //! - [`rendezvous`] ranks members for a key, [`monitors`] and [`monitored_by`] distribute the monitoring of
 //!   peers evenly over the members, and [`Detector`] suspects peers whose heartbeats are missing. No service
 //!   of this workspace calls them at present.
--- a/crates/membership/src/placement.rs
+++ b/crates/membership/src/placement.rs
@@ -7,8 +7,8 @@
 
 use crate::hash::{hash, score_of_hashes};
 
-/// Value by which the key hash of a monitored peer differs from the hash of an equal placement key: a peer
-/// and a placement key of the same name get unrelated rankings.
+/// Value that is XORed with the hash of a monitored peer's name, so that the peer and a placement key of the
+/// same name get unrelated rankings.
 const MONITOR_KEY_SALT: u64 = 0x6d6f_6e69_746f_7231;
 
 /// Returns the first `count` members in the ranking for the key, by descending score.
@@ -33,8 +33,8 @@
     others.filter(|peer| is_monitor(monitor, peer.as_ref(), members, count)).collect()
 }
 
-/// Returns whether `monitor` is one of the `count` monitors of `peer`, without sorting: fewer than `count`
-/// other members rank before it.
+/// Returns whether `monitor` is one of the `count` monitors of `peer`. It is if fewer than `count` other
+/// members rank before it, which can be counted without sorting.
 fn is_monitor<Name: AsRef<str>>(monitor: &str, peer: &str, members: &[Name], count: usize) -> bool {
     let key = monitor_key(peer);
     let monitor_rank = rank(key, monitor);
@@ -62,8 +62,7 @@
     ranked
 }
 
-/// Returns the sort key of a member, by which the highest score sorts first. Names break ties between equal
-/// scores.
+/// Returns the sort key of a member, by which the highest score sorts first. Equal scores sort by name.
 fn rank(key: u64, member: &str) -> (Reverse<u64>, &str) {
     (Reverse(score_of_hashes(key, hash(member.as_bytes()))), member)
 }
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -11,8 +11,8 @@
 pub struct AcceptorState<V> {
     /// Incarnation of the disk that holds this state.
     pub incarnation: Incarnation,
-    /// Highest promised ballot; the default ballot if none was promised. Requests with a lower ballot are
-    /// rejected. Never below the ballot of `accepted`.
+    /// Highest promised ballot; the default ballot if none was promised. Prepare and accept requests with a
+    /// lower ballot are rejected. Never below the ballot of `accepted`.
     pub promised: Ballot,
     /// Value that was accepted with the highest ballot; `None` if nothing was accepted or learned. Never
     /// older than `committed`.
@@ -37,11 +37,11 @@
     pub must_persist: bool,
 }
 
-/// Acceptor of the register: handles the requests of proposers and holds the resulting state in memory.
+/// Acceptor of the register: handles the requests of proposers and keeps the resulting state in memory.
 ///
 /// The caller makes the state durable. If that fails, the reply must not be sent; the state in memory may
-/// then stay ahead of the disk. Each promise and each acceptance requires the whole state to be durable. This
-/// includes the reply to a repeated request, since the write for the first one may still be in flight.
+/// then stay ahead of the disk. Each promise and each acceptance requires the complete state to be durable.
+/// This includes the reply to a repeated request, since the write for the first one may still be in flight.
 #[derive(Clone, Debug)]
 pub struct Acceptor<V> {
     state: AcceptorState<V>,
--- a/crates/register/src/ballot.rs
+++ b/crates/register/src/ballot.rs
@@ -5,7 +5,7 @@
 /// Number of a proposal. Ballots are ordered by round, then by proposer, and no ballot is used twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Round number, which each proposer chooses above the rounds that it has observed. Compared first.
+    /// Round number, higher than all rounds that the proposer had observed. Compared first.
     pub round: u64,
     /// Random number that the proposing process drew at its start. Distinguishes ballots of the same round.
     pub proposer: u64,
@@ -32,7 +32,7 @@
         self.round = self.round.max(seen.round);
     }
 
-    /// Issues a ballot that is higher than all that were issued or observed.
+    /// Issues a ballot that is higher than all that were issued or observed here.
     pub fn next_ballot(&mut self) -> Ballot {
         self.round += 1;
         Ballot { round: self.round, proposer: self.proposer }
--- a/crates/register/src/messages.rs
+++ b/crates/register/src/messages.rs
@@ -9,7 +9,8 @@
 /// Request of a proposer to an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcceptorRequest<V> {
-    /// Asks for a promise to reject all requests below this ballot, and for the accepted value.
+    /// Asks for a promise to reject prepare and accept requests with a lower ballot, and for the accepted
+    /// value.
     Prepare(Ballot),
     /// Asks to accept this value, unless a higher ballot was promised.
     Accept(Versioned<V>),
@@ -49,9 +50,9 @@
     Accepted,
     /// The request is rejected because this higher ballot was promised.
     Rejected(Ballot),
-    /// The committed value is recorded.
+    /// The committed value that was sent, or a newer one, is recorded.
     Learned,
-    /// Values of the acceptor, in reply to `Read` or `ReadNewer`, or to an initialization that was refused.
+    /// Values of the acceptor, in reply to `Read` or `ReadNewer`, or to an initialization that was rejected.
     Current {
         /// Value that was accepted with the highest ballot; `None` if none was accepted.
         accepted: Option<Versioned<V>>,
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -199,8 +199,8 @@
         }
     }
 
-    /// Returns whether a majority has promised in each set of acceptors that may be responsible for the
-    /// current value.
+    /// Returns whether a majority has promised among the base's acceptors, and in each set of acceptors that
+    /// may be responsible for the current value.
     fn has_required_promises(&self) -> bool {
         let has_current = if self.depends_on_previous_acceptors() {
             has_required_majorities(&self.current, &self.promises)
--- a/crates/register/tests/common/simulation/machine.rs
+++ b/crates/register/tests/common/simulation/machine.rs
@@ -110,7 +110,7 @@
     }
 
     /// Returns whether a majority of the newest value's acceptors still has its disks after the disk `lost`
-    /// is lost, too.
+    /// is lost as well.
     fn has_majority_without(&self, lost: Incarnation) -> bool {
         let acceptors = self.oracle.newest_chosen().value.acceptors();
         let has_disk = |member: &&Member| {
--- a/crates/register/tests/common/simulation/network.rs
+++ b/crates/register/tests/common/simulation/network.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Message {
     pub task: TaskId,
-    /// Acceptor that receives the request, or that was asked and replies.
+    /// Acceptor that receives the request or sends the reply.
     pub member: Member,
     pub payload: Payload,
 }
--- a/crates/register/tests/common/simulation/proposer.rs
+++ b/crates/register/tests/common/simulation/proposer.rs
@@ -26,7 +26,7 @@
 /// Process that proposes changes and confirms values.
 pub struct Proposer {
     ballots: BallotSource,
-    /// Newest value that this proposer knows to be committed.
+    /// Newest value that this proposer has learned to be committed.
     known: Versioned<History>,
     task: ProposerTask,
     /// Number of the current task. Replies to earlier tasks are ignored.
@@ -170,7 +170,7 @@
                 with_valid_acceptors(current, change, replaced)
             }
             8 => {
-                // Two steps at once, which a proposal must refuse.
+                // Two steps at once, which a proposal must not propose.
                 let removed = acceptors[self.random.usize(..acceptors.len())].incarnation;
                 let replaced = with_member_replaced(acceptors, removed, self.random_member());
                 let two_changes = with_member(&replaced, self.random_member());
--- a/crates/register/tests/disk_loss.rs
+++ b/crates/register/tests/disk_loss.rs
@@ -110,8 +110,11 @@
 enum Change {
     /// Changes the value and keeps the acceptors.
     Content,
+    /// Adds machine 3.
     Add,
+    /// Removes machine 3.
     Remove,
+    /// Replaces machine 1 by machine 3.
     Replace,
 }
 
--- a/crates/rollout/src/actions.rs
+++ b/crates/rollout/src/actions.rs
@@ -62,7 +62,7 @@
     AlreadyLoaded,
     /// Status 409: the server is carrying out another order.
     Busy,
-    /// Status 412: the server has seen a higher fencing token, so the term of the sender has ended.
+    /// Status 412: the server has received a higher fencing token, so the term of the sender has ended.
     Fenced,
     /// Status 400: the version does not exist on the platform, or the order is malformed.
     Invalid,
@@ -75,7 +75,7 @@
 }
 
 impl OrderReply {
-    /// Returns the outcome that an HTTP status of the response to an order means. Statuses without a defined
+    /// Converts the HTTP status of the response to an order into its outcome. Statuses without a defined
     /// meaning are [`Self::Indeterminate`].
     #[must_use]
     pub fn from_status(status: u16) -> Self {
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -5,9 +5,9 @@
 //! [`Planner::next_actions`] returns. The planner does no I/O and reads no clock: the caller passes in the
 //! time, which is monotonic.
 //!
-//! An order tells a server to load a version of a model. A server normally gets one order per version, since
-//! orders and loads are expensive. The planner learns that a load has completed from the server list, from
-//! responses to requests, and from reports that it requests from the server. [`Pacing`] limits how many
+//! An order instructs a server to load a version of a model. A server normally gets one order per version,
+//! since orders and loads are expensive. The planner learns that a load has completed from the server list,
+//! from responses to requests, and from reports that it requests from the server. [`Pacing`] limits how many
 //! servers load at the same time, so that the others continue to serve requests.
 
 mod actions;
--- a/crates/rollout/src/pacing.rs
+++ b/crates/rollout/src/pacing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Limits and delays by which a [`Planner`](crate::Planner) gives orders, requests reports and retries calls.
+/// Limits and delays by which a [`Planner`](crate::Planner) sends orders, requests reports and retries calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pacing {
     /// Number of servers that may always load at the same time, however few servers there are.
--- a/crates/rollout/src/planner.rs
+++ b/crates/rollout/src/planner.rs
@@ -28,7 +28,7 @@
     in_place_models: BTreeSet<ModelName>,
     /// Servers of the newest server list.
     servers: BTreeMap<ServerId, ServerProgress>,
-    /// Whether a server has seen a higher fencing token. Never reset to `false`.
+    /// Whether a server has rejected an order because of a higher fencing token. Never reset to `false`.
     is_superseded: bool,
 }
 
@@ -57,8 +57,8 @@
         self.in_place_models = models;
     }
 
-    /// Replaces the servers by those of the newest server list. The progress of servers that it lacks is
-    /// dropped.
+    /// Replaces the servers by those of the newest server list. The progress of servers that are not in the
+    /// list is dropped.
     pub fn set_servers(&mut self, servers: impl IntoIterator<Item = RolloutServer>) {
         let mut earlier = std::mem::take(&mut self.servers);
         for server in servers {
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Sets the number of requests that are running at the server, as far as the caller knows. Servers with
-    /// fewer running requests get their orders first.
+    /// Sets the last known number of requests that are running at the server. Servers with fewer running
+    /// requests get their orders first.
     pub fn set_running(&mut self, server: &str, running: u64) {
         if let Some(progress) = self.servers.get_mut(server) {
             progress.running = running;
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Returns whether a server has seen a higher fencing token. The term has then ended, and the planner
-    /// requests no more calls.
+    /// Returns whether a server has rejected an order because of a higher fencing token. The term has then
+    /// ended, and the planner requests no more calls.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.is_superseded
@@ -150,7 +150,7 @@
     }
 
     /// Returns the time at which [`Planner::next_actions`] must be called again unless an outcome or new
-    /// input arrives earlier; `None` if the planner waits for no point in time.
+    /// input arrives earlier; `None` if no action becomes due without one.
     #[must_use]
     pub fn next_wakeup(&self, now: Duration) -> Option<Duration> {
         if self.is_superseded {
@@ -246,8 +246,9 @@
         self.servers.values().filter(|progress| !progress.server.is_closing)
     }
 
-    /// Returns the version that the server has to load next: of the models with a target version above its
-    /// own, the one whose target was set first. Returns `None` if the server lacks no target version.
+    /// Returns the model and version that the server has to load next. Of several models whose target version
+    /// is higher than the version of the server, it is the one whose target was set first. Returns `None` if
+    /// there is no such model.
     fn next_goal(&self, progress: &ServerProgress) -> Option<LoadGoal> {
         let behind = self.targets.iter().filter(|(model, target)| {
             progress.version(model).is_some_and(|version| version < target.version)
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -24,7 +24,7 @@
     pub(crate) method: UpdateMethod,
 }
 
-/// What is known about the orders of one server.
+/// Known state of the orders of one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum OrderState {
     /// Nothing is known yet in this term: an earlier leader may have sent the server an order. A report must
@@ -61,7 +61,7 @@
     report: ReportSchedule,
     /// Number of calls that failed since the last successful one.
     consecutive_failures: u32,
-    /// No order is sent before this time.
+    /// Earliest time of the next order.
     retry_at: Duration,
 }
 
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Handles a report. Of a report that was canceled while in flight, only the versions are recorded.
+    /// Handles a report. Of a report that was cancelled while in flight, only the versions are recorded.
     pub(crate) fn on_report(&mut self, now: Duration, report: &ServerReport) {
         // Read this before recording the versions: a version may complete the order, which cancels the
         // report.
--- a/crates/rollout/tests/common/mod.rs
+++ b/crates/rollout/tests/common/mod.rs
@@ -197,8 +197,9 @@
         self.planner.set_in_place_models(models);
     }
 
-    /// Replaces the planner, as after a change of the leader: the new planner does not know which orders were
-    /// sent, and starts after `pause`. (Leases of two holders are at least `leaseMs` apart.)
+    /// Replaces the planner, as after a change of the leader: the new planner has no record of the orders
+    /// that were sent, and starts after `pause`. In operation, the orders of two leaders are at least
+    /// `leaseMs` (3 s by default) apart if servers do not check fencing tokens.
     pub fn replace_planner(&mut self, pause: Duration) {
         self.now += pause;
         let now = self.now;
@@ -212,7 +213,7 @@
     }
 
     /// Restarts a server after a crash, as a new incarnation with the versions that it had. A load in
-    /// progress is lost.
+    /// progress is discarded.
     pub fn restart(&mut self, index: usize) {
         let versions =
             self.servers[index].history.last().expect("the history is never empty").versions.clone();
--- a/crates/rollout/tests/large_fleet.rs
+++ b/crates/rollout/tests/large_fleet.rs
@@ -6,8 +6,8 @@
 
 const SERVERS: usize = 3_000;
 const MODEL: &str = "m";
-/// Maximum time for planning the rollout. It takes a second in a debug build, and took minutes when the
-/// server of each order was searched for among all servers.
+/// Maximum time for planning the rollout. Planning takes less than a second in a debug build, but took
+/// minutes when the server of each order was searched for among all servers.
 const MAX_PLANNING_TIME: Duration = Duration::from_secs(20);
 
 fn server(index: usize) -> RolloutServer {
