--- a/crates/dispatch/src/criteria.rs
+++ b/crates/dispatch/src/criteria.rs
@@ -19,7 +19,7 @@
     /// Servers that earlier attempts of the request were sent to. One of them is selected only if no other
     /// server that lists the model is eligible.
     pub attempted: &'a [ServerId],
-    /// Server that wins ties of queue lengths, because its prefix cache holds the beginning of the prompt.
+    /// Server that wins ties of queue lengths, because its prefix cache contains the beginning of the prompt.
     /// `None` if no such server is known.
     pub prefix_cache_server: Option<&'a ServerId>,
     /// Restricts eligibility to servers with free capacity that list the model. Set for requests that can
--- a/crates/hsq/src/lib.rs
+++ b/crates/hsq/src/lib.rs
@@ -4,7 +4,7 @@
 //! from stale queue lengths, to which it adds the requests that were sent since those lengths were reported
 //! (the history).
 //!
-//! [`QueueLengths`] holds the last known queue length of each server. A request is sent to the server with
+//! [`QueueLengths`] stores the last known queue length of each server. A request is sent to the server with
 //! the shortest queue; ties are broken at random. Sending a request adds one to the length, and completing it
 //! subtracts nothing: only a fresh report of the server replaces its length and so discards the history.
 //! Callers whose servers send no reports overwrite the lengths themselves, as the crate `dispatch` does.
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -193,7 +193,8 @@
 
     /// Returns the delay between a lost round and the next one. A holder retries soon, and so does a
     /// candidate after a split vote. If a majority has granted the lease to another candidate, the next round
-    /// starts after that lease has expired. The jitter keeps candidates from retrying at the same time.
+    /// starts after that lease has expired, and that of a deferring candidate still later. The jitter keeps
+    /// candidates from retrying at the same time.
     fn retry_delay(&mut self, lost: &Round, is_holder: bool) -> Duration {
         let jitter = self.random_below(self.ttl / MAX_RETRY_JITTER_DIVISOR);
         if is_holder {
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -21,9 +21,10 @@
 //!   incarnation. A machine that lost its disk has lost the sets of grantors that it had observed, and its
 //!   vote must not count as that of the former incarnation.
 //! - A grantor rejects requests with an older set than the newest one that it has observed. It observes a set
-//!   before its acceptor accepts it ([`Grantor::observe`]), and a set is committed only when a majority of
-//!   the previous set has accepted it. So after the commit no candidate can get grants from a majority of the
-//!   older set, and a lease that was won from the older set expires within one TTL.
+//!   before its acceptor replies that it has accepted the set ([`Grantor::observe`]), and a set is committed
+//!   only when a majority of the previous set has accepted it. So after the commit no candidate can get
+//!   grants from a majority of the older set, and a lease that was won from the older set expires within one
+//!   TTL.
 //! - A candidate that holds no lease wins only if one of the grantors has known for one TTL that the set of
 //!   the request is committed ([`Grantor::learn`], [`LeaseReply::Granted`]), or if the set is the first one
 //!   ([`Candidate::set_bootstrap_grantors`]). A holder may renew with a new set at once: as long as its lease
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -34,9 +34,9 @@
     },
     /// The lease is not granted.
     Rejected {
-        /// Name of the candidate that has the grant. Empty if none has: the grantor is new, and waits until
-        /// grants from before a restart must have expired, or it does not accept the request (too long,
-        /// outdated, or addressed to other grantors).
+        /// Name of the candidate that has the grant. Empty if none has: the grantor was started less than one
+        /// TTL ago, so that a grant from before a restart may still be valid, or it does not accept the
+        /// request (too long, outdated, or addressed to other grantors).
         holder: String,
         /// Time until the grant or the wait after a restart ends, in milliseconds; 0 if the request is not
         /// accepted.
--- a/crates/lease/tests/common/mod.rs
+++ b/crates/lease/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Simulation of candidates and grantors, each with its own clock, and of an unreliable network between them.
 //!
-//! [`Simulation`] holds the whole state and advances the time. `process` contains clocks and processes,
+//! [`Simulation`] contains the complete state and advances the time. `process` contains clocks and processes,
 //! `network` the messages in flight, `faults` the injected faults, and `changes` the changes of the set of
 //! grantors.
 
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -9,7 +9,7 @@
 /// The encoding on disk (`bincode`) identifies fields by their position: keep their order and types.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct AcceptorState<V> {
-    /// Incarnation of the disk that holds this state.
+    /// Incarnation of the disk on which this state is stored.
     pub incarnation: Incarnation,
     /// Highest promised ballot; the default ballot if none was promised. Prepare and accept requests with a
     /// lower ballot are rejected. Never below the ballot of `accepted`.
--- a/crates/register/src/lib.rs
+++ b/crates/register/src/lib.rs
@@ -20,7 +20,7 @@
 //! - A value whose acceptors differ from those of its predecessor names the predecessor's acceptors too
 //!   ([`Versioned::previous_acceptors`]). It is committed when a majority of both sets has accepted it.
 //! - A proposer may read a value that is not known to be committed. It then needs promises from majorities of
-//!   both sets, and replaces the value only by a value with the same two sets.
+//!   both sets, and replaces the value only by a value with the same two sets of acceptors.
 //! - Once a proposer has learned that the change is committed, it no longer needs the earlier set
 //!   ([`Versioned::predecessor`]).
 //!
--- a/crates/register/tests/common/simulation/mod.rs
+++ b/crates/register/tests/common/simulation/mod.rs
@@ -1,7 +1,7 @@
 //! Simulation of machines, proposers and an unreliable network, driven by a random number generator.
 //!
-//! [`Simulation`] holds the whole state and draws the next event. `machine` contains the events of machines
-//! and disks, `proposer` those of proposers, and `network` the messages in flight.
+//! [`Simulation`] contains the complete state and draws the next event. `machine` contains the events of
+//! machines and disks, `proposer` those of proposers, and `network` the messages in flight.
 
 mod machine;
 mod network;
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -21,7 +21,7 @@
     assert_eq!(body, golden(name, &body));
 }
 
-/// Reports are only deserialized by this crate, so the golden files of reports hold what a server writes.
+/// Reports are only deserialized by this crate, so the golden files of reports contain what a server writes.
 #[test]
 fn given_the_golden_report_when_deserialized_then_all_values_are_read() {
     let report = ServerReport {
