--- a/crates/dispatch/tests/selection.rs
+++ b/crates/dispatch/tests/selection.rs
@@ -11,6 +11,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
+/// Returns an open server with four slots in the zone of the dispatcher, which lists no models.
 fn entry(id: &str, service: &str) -> ServerEntry {
     ServerEntry {
         id: id.into(),
@@ -24,6 +25,7 @@
     }
 }
 
+/// Returns a server of the service "s" that lists this version of the model "m".
 fn with_version(id: &str, version: u64) -> ServerEntry {
     ServerEntry { models: BTreeMap::from([(Arc::from("m"), version)]), ..entry(id, "s") }
 }
@@ -54,12 +56,12 @@
     }
 }
 
-/// Returns the ids of the servers selected for `times` consecutive requests, each canceled at once.
+/// Returns the ids of the servers selected for `times` consecutive requests, each cancelled at once.
 fn selected(dispatcher: &mut Dispatcher, criteria: &SelectionCriteria<'_>, times: usize) -> BTreeSet<String> {
     let mut selected = BTreeSet::new();
     for _ in 0..times {
         if let Some(server) = dispatcher.select(NOW, criteria) {
-            dispatcher.request_finished(NOW, &server.id, RequestOutcome::Canceled);
+            dispatcher.request_finished(NOW, &server.id, RequestOutcome::Cancelled);
             selected.insert(server.id.to_string());
         }
     }
@@ -208,7 +210,7 @@
         let failed_at = now;
         while (0..20).all(|_| {
             let server = dispatcher.select(now, &criteria(&targets, &[])).expect("an eligible server");
-            dispatcher.request_finished(now, &server.id, RequestOutcome::Canceled);
+            dispatcher.request_finished(now, &server.id, RequestOutcome::Cancelled);
             &*server.id == "b"
         }) {
             now += Duration::from_millis(10);
@@ -238,7 +240,7 @@
     let later = NOW + Duration::from_millis(120);
     let selected = (0..50).map(|_| {
         let server = dispatcher.select(later, &criteria(&targets, &[])).expect("an eligible server");
-        dispatcher.request_finished(later, &server.id, RequestOutcome::Canceled);
+        dispatcher.request_finished(later, &server.id, RequestOutcome::Cancelled);
         server.id
     });
     assert_eq!(selected.filter(|id| &**id == "a").count(), 0);
@@ -333,7 +335,7 @@
     for _ in 0..100 {
         let server = dispatcher.select(later, &criteria).expect("an eligible server");
         seen.insert(server.id.to_string());
-        dispatcher.request_finished(later, &server.id, RequestOutcome::Canceled);
+        dispatcher.request_finished(later, &server.id, RequestOutcome::Cancelled);
     }
     assert_eq!(seen.len(), 3);
 }
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -19,7 +19,7 @@
     pub ttl_ms: u64,
     /// Revision of the register's value from which the candidate took `grantors`.
     pub revision: u64,
-    /// All grantors of the round. A grantor that is not among them rejects the request.
+    /// All grantors of the round. A grantor that is not one of them rejects the request.
     pub grantors: Vec<GrantorId>,
 }
 
@@ -29,14 +29,14 @@
     /// The lease is granted for the requested duration, which starts when the grantor handles the request.
     Granted {
         /// Time for which the grantor has known that the grantors of the request are the committed ones, in
-        /// milliseconds; 0 if it knows another set or none.
+        /// milliseconds; 0 if the newest committed set that it learned is another one, or if it learned none.
         committed_for_ms: u64,
     },
     /// The lease is not granted.
     Rejected {
-        /// Name of the candidate that has the grant. Empty if none has: the grantor is new, and waits until
-        /// grants from before a restart must have expired, or it does not accept the request (too long,
-        /// outdated, or addressed to other grantors).
+        /// Name of the candidate that has the grant. Empty if none has: the grantor was started less than one
+        /// TTL ago, so that a grant from before a restart may still be valid, or it does not accept the
+        /// request (too long, outdated, or addressed to other grantors).
         holder: String,
         /// Time until the grant or the wait after a restart ends, in milliseconds; 0 if the request is not
         /// accepted.
