--- a/crates/control-plane/tests/acceptor_service.rs
+++ b/crates/control-plane/tests/acceptor_service.rs
@@ -10,7 +10,7 @@
 use futures_util::poll;
 use register::{AcceptorReply, AcceptorRequest, Ballot, Incarnation, Member, ReplyOutcome, Versioned};
 use state::ControlState;
-use storage::simulated::{LoseEverything, SimulatedDisk};
+use storage::simulated::{LoseUnsynced, SimulatedDisk};
 use storage::{Journal, RingOptions};
 use support::{initial_value_with, open_acceptor, RING_OPTIONS};
 use tokio::sync::Semaphore;
@@ -38,7 +38,7 @@
     let (service, incarnation) = open_acceptor(&disk);
     let value = initial_value(incarnation);
     assert_eq!(service.initialize(value.clone()).await, Some(value.clone()));
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let (service, reopened_incarnation) = open_acceptor(&disk);
     assert_eq!((reopened_incarnation, service.is_initialized()), (incarnation, true));
     let other = Versioned::new(value.ballot, Arc::clone(&with_round(&value, 9).value));
@@ -58,7 +58,7 @@
         .handle(AcceptorRequest::Prepare(Ballot { round: 8, proposer: 7 }))
         .await
         .expect("the change is durable");
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let (service, _) = open_acceptor(&disk);
     let reply = service.handle(AcceptorRequest::Read).await.expect("the acceptor replies");
     assert_eq!(accepted_value(&reply), Some(newer));
@@ -81,7 +81,7 @@
     );
     let reply = service.handle(AcceptorRequest::Accept(newer.clone())).await.expect("the change is durable");
     assert!(matches!(reply.outcome, ReplyOutcome::Accepted));
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let reply = open_acceptor(&disk).0.handle(AcceptorRequest::Read).await.expect("the acceptor replies");
     assert_eq!(accepted_value(&reply), Some(newer));
 }
@@ -143,7 +143,7 @@
     paced.write_queued().await;
     let promised = promise.await.expect("the change is durable");
     assert_eq!(promised.outcome, ReplyOutcome::Promised(Some(value.clone())));
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let reply = open_acceptor(&disk).0.handle(AcceptorRequest::Read).await.expect("the acceptor replies");
     assert_eq!(accepted_value(&reply), Some(value));
 }
--- a/crates/rushrudder/tests/unreadable_records.rs
+++ b/crates/rushrudder/tests/unreadable_records.rs
@@ -6,7 +6,7 @@
 use control_plane::check_acceptor_record;
 use error_stack::Report;
 use rushrudder::control::open_or_set_aside;
-use storage::simulated::{LoseEverything, SimulatedDisk};
+use storage::simulated::{LoseUnsynced, SimulatedDisk};
 use storage::{Journal, Recovered, RingOptions, StorageError};
 use yare::parameterized;
 
@@ -57,7 +57,7 @@
     drop(journal.append(PROMISE.to_vec()));
     disk.fail_syncs(1);
     drop(journal.append(PROMISE.to_vec()));
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let (_, second) = open(&disk);
     assert_eq!((second.incarnation, second.records.len()), (first.incarnation, 1));
 }
--- a/crates/storage/src/simulated.rs
+++ b/crates/storage/src/simulated.rs
@@ -15,5 +15,5 @@
 pub use disk_state::DiskCounters;
 pub use file_system::SimulatedFileSystem;
 pub use write_faults::{
-    KeepEverything, LoseEverything, PendingWrite, RandomWriteFaults, WriteFaultModel, WriteOutcome,
+    KeepUnsynced, LoseUnsynced, PendingWrite, RandomWriteFaults, WriteFaultModel, WriteOutcome,
 };
--- a/crates/storage/src/simulated/write_faults.rs
+++ b/crates/storage/src/simulated/write_faults.rs
@@ -42,9 +42,9 @@
 
 /// Model in which no unsynced change and no unsynced name survives.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct LoseEverything;
+pub struct LoseUnsynced;
 
-impl WriteFaultModel for LoseEverything {
+impl WriteFaultModel for LoseUnsynced {
     fn write_outcome(&mut self, _write: &PendingWrite<'_>) -> WriteOutcome {
         WriteOutcome::Lost
     }
@@ -56,9 +56,9 @@
 
 /// Model in which all unsynced changes and names survive.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KeepEverything;
+pub struct KeepUnsynced;
 
-impl WriteFaultModel for KeepEverything {
+impl WriteFaultModel for KeepUnsynced {
     fn write_outcome(&mut self, _write: &PendingWrite<'_>) -> WriteOutcome {
         WriteOutcome::Complete
     }
--- a/crates/storage/tests/full_disk.rs
+++ b/crates/storage/tests/full_disk.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{append, append_filled, contents, open, try_open};
-use storage::simulated::{LoseEverything, SimulatedDisk};
+use storage::simulated::{LoseUnsynced, SimulatedDisk};
 use storage::{Ring, StorageError};
 use yare::parameterized;
 
@@ -51,7 +51,7 @@
     disk.set_capacity(None);
     append(&mut ring, b"after").expect("the append succeeds");
     if loses_power {
-        disk.lose_power(&mut LoseEverything);
+        disk.lose_power(&mut LoseUnsynced);
     } else {
         disk.kill();
     }
@@ -81,6 +81,6 @@
     let outcomes = ring.append(&[[1; 150], [2; 150], [3; 150], [4; 150]]);
     let acknowledged = outcomes.iter().filter(|outcome| outcome.is_ok()).count();
     assert_eq!(acknowledged, 2);
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     assert_eq!(contents(&disk), [vec![1; 150], vec![2; 150]]);
 }
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -8,7 +8,7 @@
 use std::task::{Context, Poll, Waker};
 
 use common::{contents, DIRECTORY, OPTIONS};
-use storage::simulated::{LoseEverything, SimulatedDisk};
+use storage::simulated::{LoseUnsynced, SimulatedDisk};
 use storage::{Journal, Position, RingOptions, StorageError};
 use tokio::runtime::{Builder, Runtime};
 
@@ -30,7 +30,7 @@
         let (first, second) = (journal.append(b"one".to_vec()), journal.append(b"two".to_vec()));
         vec![first.await, second.await]
     });
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     assert_eq!(positions, [Ok(Position(1)), Ok(Position(2))]);
     assert_eq!(contents(&disk), [b"one", b"two"]);
 }
--- a/crates/storage/tests/power_loss.rs
+++ b/crates/storage/tests/power_loss.rs
@@ -122,6 +122,6 @@
     append(&mut ring, b"unsynced").expect_err("the sync fails");
     disk.kill();
     assert_eq!(contents(&disk), [b"unsynced"]);
-    disk.lose_power(&mut storage::simulated::LoseEverything);
+    disk.lose_power(&mut storage::simulated::LoseUnsynced);
     assert_eq!(contents(&disk), [b"unsynced"]);
 }
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use common::{append, append_filled, contents, open, try_open, DIRECTORY, OPTIONS};
-use storage::simulated::{LoseEverything, SimulatedDisk};
+use storage::simulated::{LoseUnsynced, SimulatedDisk};
 use storage::{Position, Ring, RingOptions, RingUsage, StorageError};
 use yare::parameterized;
 
@@ -13,7 +13,7 @@
 fn given_an_empty_disk_when_opened_then_the_ring_is_new_and_keeps_its_incarnation() {
     let disk = SimulatedDisk::new(1);
     let (_, records, first) = open(&disk);
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let (_, _, second) = open(&disk);
     assert!(records.is_empty());
     assert!(first.is_new);
@@ -37,7 +37,7 @@
     let (mut ring, _, _) = open(&disk);
     let outcomes = ring.append(&[b"one".as_slice(), b"", b"three"]);
     append(&mut ring, b"four").expect("the record is durable");
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let (_, records, _) = open(&disk);
     let positions: Vec<_> = records.iter().map(|(position, _)| *position).collect();
     assert_eq!(positions[..3], outcomes.into_iter().map(Result::unwrap).collect::<Vec<_>>());
@@ -52,7 +52,7 @@
         let position = append_filled(&mut ring, number, 100);
         ring.release(position);
     }
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let found = contents(&disk);
     let first = 200 - found.len();
     let expected: Vec<_> = (first..200).map(|number| vec![number as u8; 100]).collect();
@@ -78,7 +78,7 @@
     assert!(ring.usage().used_bytes < full.used_bytes / 2);
     let next = append(&mut ring, &[8; 200]).expect("the append succeeds");
     assert_eq!(next, Position(last.0 + 1));
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     assert_eq!(contents(&disk).last(), Some(&vec![8; 200]));
 }
 
@@ -105,7 +105,7 @@
     let outcomes = ring.append(&records);
     assert!(outcomes[0].is_ok() && outcomes[2].is_ok());
     assert_eq!(outcomes[1].is_ok(), fits);
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     assert_eq!(contents(&disk).len(), if fits { 3 } else { 2 });
 }
 
--- a/crates/storage/tests/set_aside.rs
+++ b/crates/storage/tests/set_aside.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use common::{open, DIRECTORY};
-use storage::simulated::{LoseEverything, SimulatedDisk};
+use storage::simulated::{LoseUnsynced, SimulatedDisk};
 use storage::{is_set_aside_interrupted, set_aside};
 
 /// Returns the names of all files in the folder of the ring.
@@ -20,7 +20,7 @@
     assert!(ring.append(&[b"one"]).iter().all(Result::is_ok));
     drop(ring);
     set_aside(&*disk.file_system(), Path::new(DIRECTORY)).expect("the ring is set aside");
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     assert!(file_names(&disk).iter().any(|name| name == "unreadable-ring-000"), "{:?}", file_names(&disk));
     let (_, records, second) = open(&disk);
     assert!(second.is_new && second.incarnation != first.incarnation);
@@ -35,7 +35,7 @@
     assert!(!is_set_aside_interrupted(&*file_system, directory).expect("the folder can be listed"));
     drop(file_system.open(&directory.join("setting-aside")).expect("the marker file can be created"));
     file_system.sync_directory(directory).expect("the folder is synced");
-    disk.lose_power(&mut LoseEverything);
+    disk.lose_power(&mut LoseUnsynced);
     let file_system = disk.file_system();
     assert!(is_set_aside_interrupted(&*file_system, directory).expect("the folder can be listed"));
     set_aside(&*file_system, directory).expect("the ring is set aside");
