--- a/crates/batch/src/replication/ownership.rs
+++ b/crates/batch/src/replication/ownership.rs
@@ -118,7 +118,7 @@
     /// read from the same clock as the `sent_at` of replies.
     #[must_use]
     pub fn holds_lease(&self, now: Duration, lease: Duration) -> bool {
-        self.replicas.present_majority(|store| self.progress[&store].acknowledged_within(lease, now))
+        self.replicas.current_majority(|store| self.progress[&store].acknowledged_within(lease, now))
     }
 
     /// Appends entries to the owner's log; they are committed once a majority has accepted them.
@@ -155,7 +155,7 @@
         match self.phase {
             OwnershipPhase::Superseded(_) => None,
             OwnershipPhase::Preparing => self.prepare_request(store),
-            OwnershipPhase::Leading if self.replicas.is_present(store) => self.append_request(store),
+            OwnershipPhase::Leading if self.replicas.is_current(store) => self.append_request(store),
             OwnershipPhase::Leading => self.delete_request(store),
         }
     }
@@ -178,7 +178,7 @@
     }
 
     /// The request to a store that is a replica only under the previous store set: it may delete the batch
-    /// job once the complete adopted log is committed on the present set.
+    /// job once the complete adopted log is committed on the current set.
     fn delete_request(&self, store: StoreId) -> Option<ReplicaRequest> {
         let may_delete = self.is_established() && self.committed > 0;
         let is_due = may_delete && !self.progress[&store].has_deleted;
--- a/crates/batch/tests/cluster/mod.rs
+++ b/crates/batch/tests/cluster/mod.rs
@@ -61,7 +61,7 @@
 impl Cluster {
     pub fn new(seed: u64, members: usize, spares: usize, fault: Fault) -> Self {
         let machines: Vec<Machine> = (1..=members + spares).map(|id| Machine::new(id as StoreId)).collect();
-        let present = machines.iter().take(members).map(|machine| machine.id).collect();
+        let current = machines.iter().take(members).map(|machine| machine.id).collect();
         let mut random = Rng::with_seed(seed);
         let weights = Weights::random(&mut random);
         let loss_percent = random.u32(1..40);
@@ -74,7 +74,7 @@
             next_id: FIRST_REPLACEMENT_ID,
             machines,
             network: Vec::new(),
-            view: View { epoch: 1, replicas: ReplicaSet { present, previous: Vec::new() } },
+            view: View { epoch: 1, replicas: ReplicaSet { current, previous: Vec::new() } },
             max_lost_disks: (members - 1) / 2,
             lost_disks: HashSet::new(),
             next_entry: 0,
@@ -160,7 +160,7 @@
     fn claim(&mut self, index: usize) -> Result<(), Violation> {
         let nonce = self.random.u64(..);
         let machine = &mut self.machines[index];
-        if !machine.view.replicas.present.contains(&machine.id) {
+        if !machine.view.replicas.current.contains(&machine.id) {
             return Ok(());
         }
         let log = machine.replicas.log(&self.job);
@@ -205,8 +205,8 @@
             return;
         }
         let term = owner.term();
-        let present = owner.replicas().present.iter();
-        self.network.extend(present.map(|&to| Message::Committed { to, term }));
+        let current = owner.replicas().current.iter();
+        self.network.extend(current.map(|&to| Message::Committed { to, term }));
     }
 
     fn deliver_one(&mut self) {
--- a/crates/batch/tests/cluster/store_set.rs
+++ b/crates/batch/tests/cluster/store_set.rs
@@ -16,7 +16,7 @@
             !set.contains(&id) || lost < self.max_lost_disks
         };
         let replicas = &self.view.replicas;
-        if !is_tolerated(&replicas.present) || !is_tolerated(&replicas.previous) {
+        if !is_tolerated(&replicas.current) || !is_tolerated(&replicas.previous) {
             return;
         }
         let view = self.machines[index].view.clone();
@@ -52,19 +52,19 @@
     /// Begins a change that replaces a member by a random other store. Members that lost their disks are
     /// replaced first, otherwise a random one.
     fn begin_change(&mut self) {
-        let present = &self.view.replicas.present;
+        let current = &self.view.replicas.current;
         let has_disk = |id: &StoreId| self.machines.iter().any(|machine| machine.id == *id);
-        let lost = present.iter().position(|id| !has_disk(id));
+        let lost = current.iter().position(|id| !has_disk(id));
         let ids = self.machines.iter().map(|machine| machine.id);
-        let candidates: Vec<StoreId> = ids.filter(|id| !present.contains(id)).collect();
+        let candidates: Vec<StoreId> = ids.filter(|id| !current.contains(id)).collect();
         if candidates.is_empty() {
             return;
         }
-        let replaced = lost.unwrap_or_else(|| self.random.usize(..present.len()));
+        let replaced = lost.unwrap_or_else(|| self.random.usize(..current.len()));
         let replacement = candidates[self.random.usize(..candidates.len())];
         let replicas = &mut self.view.replicas;
-        replicas.previous = replicas.present.clone();
-        replicas.present[replaced] = replacement;
+        replicas.previous = replicas.current.clone();
+        replicas.current[replaced] = replacement;
         self.view.epoch += 1;
     }
 }
--- a/crates/store-plane/src/replication/heartbeat.rs
+++ b/crates/store-plane/src/replication/heartbeat.rs
@@ -86,7 +86,7 @@
             if owned.ownership.phase() != OwnershipPhase::Leading {
                 continue;
             }
-            for store in &owned.ownership.replicas().present {
+            for store in &owned.ownership.replicas().current {
                 let heartbeat = JobHeartbeat {
                     job: Arc::clone(job),
                     term: owned.ownership.term(),
--- a/crates/store-plane/src/replication/maintenance/migration.rs
+++ b/crates/store-plane/src/replication/maintenance/migration.rs
@@ -79,7 +79,7 @@
         let term = {
             let state = self.lock();
             let Some(owned) = state.ownerships.get(job) else { return false };
-            let is_replica = owned.ownership.replicas().present.contains(&from);
+            let is_replica = owned.ownership.replicas().current.contains(&from);
             if is_replica || !owned.ownership.is_established() || owned.ownership.committed().is_empty() {
                 return false;
             }
--- a/crates/store-plane/src/replication/maintenance/retention.rs
+++ b/crates/store-plane/src/replication/maintenance/retention.rs
@@ -47,7 +47,7 @@
         let expired = owned_jobs.filter(|(job, owned)| is_expired(owned, self.jobs.age(job, now), retention));
         let to_delete = expired.map(|(job, owned)| ExpiredJob {
             job: Arc::clone(job),
-            replicas: owned.ownership.replicas().present.clone(),
+            replicas: owned.ownership.replicas().current.clone(),
             delete: ReplicaRequest::Delete { term: owned.ownership.term() },
         });
         to_delete.collect()
--- a/crates/store-plane/src/replication/node.rs
+++ b/crates/store-plane/src/replication/node.rs
@@ -67,6 +67,6 @@
         let present = replica_ids(&view.control.stores, job);
         let previous_stores = view.control.previous_stores.as_ref();
         let previous = previous_stores.map(|set| replica_ids(set, job)).unwrap_or_default();
-        present.contains(&self.id()).then_some(ReplicaSet { present, previous })
+        present.contains(&self.id()).then_some(ReplicaSet { current: present, previous })
     }
 }
