--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if there is no valid reply. [`CallError::may_have_run`] tells whether the peer may have executed
-    /// the call.
+    /// Fails if there is no valid reply. [`CallError::may_have_run`] returns whether the peer may have
+    /// executed the call.
     pub async fn call<Request, Reply>(
         &self,
         address: &str,
--- a/crates/rpc/src/codec.rs
+++ b/crates/rpc/src/codec.rs
@@ -12,7 +12,7 @@
 ///
 /// # Panics
 ///
-/// Panics for types that cannot be serialized at all. No message type of this system is one.
+/// Panics if the type cannot be serialized. All message types of this system can be.
 #[must_use]
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     bincode::serde::encode_to_vec(message, bincode::config::standard()).expect("messages can be serialized")
--- a/crates/rpc/src/http.rs
+++ b/crates/rpc/src/http.rs
@@ -5,7 +5,7 @@
 use reqwest::{redirect, retry, Client, ClientBuilder};
 
 /// Creates an HTTP client that never retries a call, follows no redirects and ignores the proxy settings of
-/// the environment. A hidden retry, redirect or proxy would prevent the caller from telling whether a failed
+/// the environment. With a hidden retry, redirect or proxy, the caller could not determine whether a failed
 /// call may have been executed.
 ///
 /// # Panics
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A caller posts an encoded request to a path at a peer's internal address and decodes the reply. The
 //! control plane and the store plane each define their own paths; [`handler`] creates the endpoint of a path
-//! from an async function. A call is sent at most once. If it fails, [`CallError`] tells whether the peer may
+//! from an async function. A call is sent at most once. If it fails, [`CallError`] shows whether the peer may
 //! have executed it, and the caller decides whether to retry.
 //!
 //! ```no_run
--- a/crates/storage/src/append_queue.rs
+++ b/crates/storage/src/append_queue.rs
@@ -28,7 +28,8 @@
 
 struct QueueState {
     requests: Vec<AppendRequest>,
-    /// Records before this position are no longer needed. The writer passes it on with the next batch.
+    /// Records before this position are no longer needed. The writer passes it to the ring with the next
+    /// batch.
     released: Position,
     /// Usage of the ring after the last batch was written.
     usage: RingUsage,
@@ -95,16 +96,16 @@
         }
     }
 
-    /// Writes the queued records as one batch each time that a future made by `pace` completes. Never
-    /// completes; the caller ends it by dropping the future.
+    /// Writes the queued records as one batch each time that a future made by `sync_delay` completes.
+    /// Never completes; the caller ends it by dropping the future.
     pub async fn run_paced(
         self: Arc<Self>,
         mut ring: Ring,
-        mut pace: impl FnMut() -> BoxFuture<'static, ()>,
+        mut sync_delay: impl FnMut() -> BoxFuture<'static, ()>,
     ) {
         loop {
             self.queued.notified().await;
-            pace().await;
+            sync_delay().await;
             let batch = self.lock().take_batch();
             if !batch.requests.is_empty() {
                 self.write(&mut ring, batch);
--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -5,17 +5,17 @@
 
 /// A file system: [native](crate::NativeFileSystem) or [simulated](crate::simulated).
 pub trait FileSystem: Send + Sync {
-    /// Creates a folder and its parents, unless they exist.
+    /// Creates a directory and its parents, unless they exist.
     ///
     /// # Errors
     ///
     /// Returns the error of the file system, for example for a missing permission.
     fn create_directory(&self, directory: &Path) -> io::Result<()>;
-    /// Returns the names of the files in a folder, without their path and in no particular order.
+    /// Returns the names of the files in a directory, without their path and in no particular order.
     ///
     /// # Errors
     ///
-    /// Returns the error of the file system, for example if the folder does not exist.
+    /// Returns the error of the file system, for example if the directory does not exist.
     fn list(&self, directory: &Path) -> io::Result<Vec<String>>;
     /// Opens a file for reading and writing; creates an empty one if it does not exist.
     ///
@@ -29,7 +29,7 @@
     ///
     /// Returns the error of the file system, for example if `from` does not exist.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
-    /// Makes the names of the files in a folder durable.
+    /// Makes the names of the files in a directory durable.
     ///
     /// # Errors
     ///
--- a/crates/storage/src/format.rs
+++ b/crates/storage/src/format.rs
@@ -10,7 +10,7 @@
 /// Length of the header of a record; the content of the record follows it.
 pub(crate) const RECORD_HEADER_BYTES: usize = 32;
 
-/// The first bytes of each segment; the last one is the version of the format.
+/// The first bytes of each segment. The last of them is the version of the format.
 const MAGIC: u64 = u64::from_le_bytes(*b"ringseg1");
 const CHECKSUM_BYTES: usize = 4;
 const SEGMENT_CHECKSUM_OFFSET: usize = SEGMENT_HEADER_BYTES - CHECKSUM_BYTES;
@@ -27,7 +27,7 @@
 /// Decoded header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SegmentHeader {
-    /// Random number drawn when the ring was created. Segments with another one belong to another ring.
+    /// Random number drawn when the ring was created. Segments with another number belong to another ring.
     pub incarnation: u64,
     /// Number of the segment, counted from the first one ever written.
     pub index: u64,
@@ -90,7 +90,7 @@
 }
 
 impl RecordHeader {
-    /// Decodes a header without a check of its checksum, which also covers the content.
+    /// Decodes a header without verifying its checksum, which also covers the content.
     pub(crate) fn decode(bytes: &[u8; RECORD_HEADER_BYTES]) -> Self {
         Self {
             checksum: read_u32(bytes, 0),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns whether this is the header of the next record of the chain. Does not check the checksum.
+    /// Returns whether this is the header of the next record of the chain. Does not verify the checksum.
     pub(crate) fn continues(&self, chain: ChainEnd) -> bool {
         self.sequence == chain.next_sequence && self.previous_generation == chain.generation
     }
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -24,7 +24,7 @@
     pub records: Vec<(Position, Vec<u8>)>,
     /// Random number drawn when the ring was created. It changes when the disk is replaced or wiped.
     pub incarnation: u64,
-    /// Whether this open created the ring because the folder contained none.
+    /// Whether this open created the ring because the directory contained none.
     pub is_new: bool,
 }
 
@@ -34,8 +34,8 @@
     }
 }
 
-/// Appends records to a ring. Clones share the ring. If the journal has a writer thread, that thread writes
-/// the records still queued when the last clone is dropped, and ends.
+/// Handle that appends records to a ring. Clones share the ring. When the last clone is dropped, the writer
+/// thread, if the journal has one, writes the records still queued and ends.
 #[derive(Clone)]
 pub struct Journal {
     backend: Backend,
@@ -50,8 +50,8 @@
 }
 
 impl Journal {
-    /// Opens or creates the ring in a folder on the native file system and returns the recovered records.
-    /// Blocks on the disk.
+    /// Opens or creates the ring in a directory of the native file system and returns the recovered
+    /// records. Blocks on the disk.
     ///
     /// # Errors
     ///
@@ -90,8 +90,8 @@
     }
 
     /// Opens a journal for simulations, with a future in place of the writer thread. After records are
-    /// queued, the returned future awaits a future made by `pace`, then writes all queued records as one
-    /// batch. Nothing is written after the returned future is dropped.
+    /// queued, the returned future awaits a future made by `sync_delay`, then writes all queued records as
+    /// one batch. Nothing is written after the returned future is dropped.
     ///
     /// # Errors
     ///
@@ -100,11 +100,11 @@
         file_system: Arc<dyn FileSystem>,
         directory: &Path,
         options: RingOptions,
-        pace: impl FnMut() -> BoxFuture<'static, ()> + Send + 'static,
+        sync_delay: impl FnMut() -> BoxFuture<'static, ()> + Send + 'static,
     ) -> Result<(Self, Recovered, BoxFuture<'static, ()>), Report<StorageError>> {
         let (ring, recovered) = open_ring(file_system, directory, options)?;
         let queue = Arc::new(AppendQueue::new(&ring));
-        let writer = Box::pin(Arc::clone(&queue).run_paced(ring, pace));
+        let writer = Box::pin(Arc::clone(&queue).run_paced(ring, sync_delay));
         Ok((Self::queued(queue), recovered, writer))
     }
 
@@ -141,7 +141,7 @@
     /// # Errors
     ///
     /// Fails if the record is too long, the ring is full or the disk fails. In the last two cases, all
-    /// records of the batch that are not written yet fail too. Later appends try again.
+    /// records of the batch that are not written yet fail too. Later appends may succeed.
     pub fn append(&self, record: Vec<u8>) -> impl Future<Output = Result<Position, StorageError>> + Send {
         let (sender, receiver) = oneshot::channel();
         match &self.backend {
@@ -180,7 +180,7 @@
     let mut records = Vec::new();
     let mut visitor = |position, record| records.push((position, record));
     let opened = Ring::open(file_system, directory, options, &mut visitor);
-    let (ring, identity) = opened.attach_with(|| format!("folder {}", directory.display()))?;
+    let (ring, identity) = opened.attach_with(|| format!("directory {}", directory.display()))?;
     Ok((ring, Recovered::new(identity, records)))
 }
 
--- a/crates/storage/src/layout.rs
+++ b/crates/storage/src/layout.rs
@@ -1,8 +1,8 @@
 //! The files of a ring: their number, size and names, and access to their headers.
 //!
-//! A ring is a folder of files of equal size. Its segments are numbered consecutively from 0 and numbers are
-//! never reused. Segment `index` is stored in the file `ring-{index % segments}`, so each file is overwritten
-//! once its records are released.
+//! A ring is a directory of files of equal size. Its segments are numbered consecutively from 0 and numbers
+//! are never reused. Segment `index` is stored in the file `ring-{index % segments}`, so each file is
+//! overwritten once its records are released.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position(pub u64);
 
-/// Folder that contains the files of a ring.
+/// Directory that contains the files of a ring.
 pub(crate) struct RingDirectory {
     file_system: Arc<dyn FileSystem>,
     path: PathBuf,
@@ -47,7 +47,7 @@
 }
 
 impl RingDirectory {
-    /// Validates the options and creates the folder if it does not exist.
+    /// Validates the options and creates the directory if it does not exist.
     pub fn create(
         file_system: Arc<dyn FileSystem>,
         path: &Path,
@@ -67,7 +67,7 @@
         self.file_system.random()
     }
 
-    /// Syncs the folder, so that the names of its files are durable.
+    /// Syncs the directory, so that the names of its files are durable.
     pub fn sync(&self) -> Result<(), StorageError> {
         Ok(self.file_system.sync_directory(&self.path)?)
     }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
 //! Durable state in a ring of preallocated files.
 //!
 //! A [`Journal`] appends records and reports when they are durable. To free space, its owner periodically
-//! appends the state that it still needs again and releases all records before it. A separate thread makes
-//! the calls to the disk, so that a stalled disk blocks nothing else.
+//! appends a copy of the state that it still needs and releases all records before the copy. A separate
+//! thread makes the calls to the disk, so that a stalled disk blocks nothing else.
 //!
 //! # Guarantees
 //!
--- a/crates/storage/src/read_ahead.rs
+++ b/crates/storage/src/read_ahead.rs
@@ -10,7 +10,7 @@
 pub(crate) struct ReadAheadBuffer<'a> {
     file: &'a mut dyn File,
     segment_bytes: u64,
-    /// Offset of the first of `bytes` in the segment.
+    /// Offset of the first byte of `bytes` in the segment.
     start: u64,
     bytes: Vec<u8>,
 }
@@ -20,7 +20,7 @@
         Self { file, segment_bytes, start: 0, bytes: Vec::new() }
     }
 
-    /// Returns the record header at `offset` without a check of its checksum; `None` if the segment ends
+    /// Returns the record header at `offset` without verifying its checksum; `None` if the segment ends
     /// before the end of the header.
     pub fn read_record_header(&mut self, offset: u64) -> Result<Option<RecordHeader>, StorageError> {
         let bytes = self.read(offset, RECORD_HEADER_BYTES)?;
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -8,7 +8,7 @@
 /// Callback that receives each record as it is read, oldest first.
 pub(crate) type RecordVisitor<'a> = &'a mut dyn FnMut(Position, Vec<u8>);
 
-/// A segment that may contain records that are not released, so that its file cannot be reused.
+/// A segment whose file cannot be reused, because it may contain records that were not released.
 #[derive(Clone, Copy)]
 pub(crate) struct LiveSegment {
     /// Number of the segment, counted from the first one ever written.
@@ -33,7 +33,7 @@
     pub file: Box<dyn File>,
 }
 
-/// Reads the ring in a folder and makes all its records durable; `None` if there is no ring.
+/// Reads the ring in a directory and makes all its records durable; returns `None` if there is no ring.
 pub(crate) fn recover(
     directory: &RingDirectory,
     visitor: RecordVisitor<'_>,
@@ -82,8 +82,8 @@
 /// Returns the headers of all segments that may contain records that were not released, oldest first and up
 /// to the newest segment.
 ///
-/// A header may be missing only in the file that is used next, as its overwriting may have been interrupted.
-/// Any other missing header means that durable records are lost.
+/// A header may be missing only in the file that is used next, because a write of the next header may have
+/// been interrupted. Any other missing header means that durable records are lost.
 fn live_segments(
     headers: &[Option<SegmentHeader>],
     newest: &SegmentHeader,
--- a/crates/storage/src/ring.rs
+++ b/crates/storage/src/ring.rs
@@ -9,8 +9,8 @@
 use crate::recovery::{recover, LiveSegment, RecordVisitor, RingState};
 use crate::{File, FileSystem, StorageError};
 
-/// Capacity in bytes to which the buffer of staged records is shrunk after each write, so that one large
-/// batch does not hold its memory until the process ends.
+/// Capacity in bytes to which the buffer of staged records is shrunk after each write, so that the
+/// memory of a large batch is freed.
 const MAX_RETAINED_BUFFER_BYTES: usize = 256 * 1024;
 /// Sequence number of the first record of a new ring. No record has number 0.
 const FIRST_SEQUENCE: u64 = 1;
@@ -18,7 +18,7 @@
 /// Result of an append: the position of the record, which is then durable, or the reason why it is not.
 pub(crate) type AppendOutcome = Result<Position, StorageError>;
 
-/// How full a ring is.
+/// Fill level of a ring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RingUsage {
     /// Bytes of the older segments that cannot be reused yet and of the written part of the newest one.
@@ -27,12 +27,12 @@
     pub capacity_bytes: u64,
 }
 
-/// Identity of an opened ring, which tells a new ring from one that was reopened.
+/// Identity of an opened ring, and whether the ring is new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingIdentity {
     /// Random number drawn when the ring was created. It stays the same until the ring is lost or set aside.
     pub incarnation: u64,
-    /// Whether this open created the ring because the folder contained none.
+    /// Whether this open created the ring because the directory contained none.
     pub is_new: bool,
 }
 
@@ -45,8 +45,9 @@
     tail: Tail,
     /// End of the chain of durable records.
     chain: ChainEnd,
-    /// Random number of the records written from now on. It is drawn anew at each open and after each failed
-    /// write, so that bytes left by a failed write never appear to follow the records that overwrite them.
+    /// Random number of the records written from now on. A new one is drawn at each open and after each
+    /// failed write, so that bytes left by a failed write never appear to follow the records that overwrite
+    /// them.
     generation: u64,
     /// Records before this position are no longer needed.
     released: Position,
@@ -125,7 +126,7 @@
 }
 
 impl Ring {
-    /// Opens or creates the ring in a folder and passes its records to `visitor`, oldest first.
+    /// Opens or creates the ring in a directory and passes its records to `visitor`, oldest first.
     ///
     /// # Errors
     ///
--- a/crates/storage/src/set_aside.rs
+++ b/crates/storage/src/set_aside.rs
@@ -16,18 +16,18 @@
 const PREFIX: &str = "unreadable-";
 
 /// Returns whether an earlier call of [`set_aside`] was interrupted and must be repeated before the ring is
-/// opened. Creates the folder if it does not exist.
+/// opened. Creates the directory if it does not exist.
 ///
 /// # Errors
 ///
-/// Returns the error of the file system, for example if the folder cannot be read.
+/// Returns the error of the file system, for example if the directory cannot be read.
 pub fn is_set_aside_interrupted(file_system: &dyn FileSystem, directory: &Path) -> io::Result<bool> {
     file_system.create_directory(directory)?;
     Ok(file_system.list(directory)?.iter().any(|name| name == IN_PROGRESS))
 }
 
-/// Renames all files of the ring in `directory`, durably, without a change of their contents. They replace
-/// the files of an earlier call. The next open of the ring creates a new one with another incarnation.
+/// Durably renames all files of the ring in `directory` and keeps their contents. They replace the files of
+/// an earlier call. The next open of the ring creates a new one with another incarnation.
 ///
 /// # Errors
 ///
--- a/crates/storage/src/simulated/content.rs
+++ b/crates/storage/src/simulated/content.rs
@@ -19,7 +19,7 @@
         self.length
     }
 
-    /// Returns the allocated space in bytes, rounded up to whole pages.
+    /// Returns the allocated space in bytes, a multiple of [`PAGE_BYTES`].
     pub(super) fn allocated(&self) -> u64 {
         (self.bytes.len() as u64).next_multiple_of(PAGE_BYTES)
     }
--- a/crates/storage/src/simulated/disk.rs
+++ b/crates/storage/src/simulated/disk.rs
@@ -57,13 +57,14 @@
         self.shared.lock().allocated()
     }
 
-    /// Sets whether the disk is stalled. Writes and syncs block until it no longer is; reads do not.
+    /// Sets whether the disk is stalled. While it is, writes and syncs block; reads do not.
     pub fn set_stalled(&self, is_stalled: bool) {
         self.shared.lock().is_stalled = is_stalled;
         self.shared.notify();
     }
 
-    /// Makes the next `count` syncs of files fail and leave all changes unsynced. Syncs of folders succeed.
+    /// Makes the next `count` syncs of files fail and leave all changes unsynced. Syncs of directories
+    /// succeed.
     pub fn fail_syncs(&self, count: usize) {
         self.shared.lock().failing_syncs = count;
     }
@@ -89,8 +90,8 @@
         self.shared.lock().counters
     }
 
-    /// Returns an independent disk with the same files, unsynced changes, random numbers to come and
-    /// capacity. Its counters start at zero; it is not stalled and no sync is set to fail.
+    /// Returns an independent disk with the same files, unsynced changes, future random numbers
+    /// and capacity. Its counters start at zero; it is not stalled and no sync is set to fail.
     pub fn duplicate(&self) -> Self {
         let state = self.shared.lock();
         let duplicate = Self::new(0);
--- a/crates/storage/src/simulated/disk_state.rs
+++ b/crates/storage/src/simulated/disk_state.rs
@@ -14,7 +14,7 @@
     pub read_bytes: u64,
     /// Number of calls that wrote to a file, including those that failed for lack of space.
     pub writes: u64,
-    /// Number of syncs of files and folders, including failed ones.
+    /// Number of syncs of files and directories, including failed ones.
     pub syncs: u64,
 }
 
--- a/crates/storage/src/simulated/file_system.rs
+++ b/crates/storage/src/simulated/file_system.rs
@@ -8,7 +8,7 @@
 use crate::{File, FileSystem};
 
 /// File system of one simulated process. Its calls and those of its open files fail once the process is
-/// killed; only [`random`](FileSystem::random) still works. Folders need not exist.
+/// killed; only [`random`](FileSystem::random) still works. Directories need not exist.
 pub struct SimulatedFileSystem {
     shared: Arc<SharedDisk>,
     process: u64,
--- a/crates/storage/src/simulated/write_faults.rs
+++ b/crates/storage/src/simulated/write_faults.rs
@@ -17,7 +17,7 @@
 /// Part of an unsynced change that survives a loss of power.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The whole change survives.
+    /// The complete change survives.
     Complete,
     /// Nothing survives.
     Lost,
@@ -32,11 +32,11 @@
     }
 }
 
-/// Decides which unsynced changes and new files survive a loss of power.
+/// Model that decides which unsynced changes and new files survive a loss of power.
 pub trait WriteFaultModel {
     /// Decides how much of a change survives. Called for the changes of a file from the oldest to the newest.
     fn write_outcome(&mut self, write: &PendingWrite<'_>) -> WriteOutcome;
-    /// Decides whether a new file survives whose name is not durable yet.
+    /// Decides whether a new file survives if its name is not durable yet.
     fn keeps_name(&mut self, path: &Path) -> bool;
 }
 
--- a/crates/storage/tests/common/mod.rs
+++ b/crates/storage/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use storage::simulated::SimulatedDisk;
 use storage::{FileSystem, Position, Ring, RingIdentity, RingOptions, StorageError};
 
-/// Folder of the ring on the simulated disk.
+/// Directory of the ring on the simulated disk.
 pub const DIRECTORY: &str = "ring";
 /// Options of a ring so small that it wraps around often.
 pub const OPTIONS: RingOptions = RingOptions { segment_bytes: 512, segments: 4 };
--- a/crates/storage/tests/golden/format.rs
+++ b/crates/storage/tests/golden/format.rs
@@ -1,4 +1,5 @@
-//! Golden files of the headers of segments and of records with their headers.
+//! Golden files: the encoding of a segment header and of records. `src/format.rs` includes these tests,
+//! because the items that they test are private.
 
 #[path = "check.rs"]
 mod golden;
@@ -19,15 +20,15 @@
 };
 
 #[test]
-fn given_a_segment_header_when_encoded_then_its_bytes_are_golden() {
+fn given_a_segment_header_when_encoded_then_its_bytes_match_the_golden_file() {
     check_golden("segment-header.hex", &to_hex(&HEADER.encode()));
     let golden = from_hex(&read_golden("segment-header.hex"));
-    let bytes = golden.first_chunk::<SEGMENT_HEADER_BYTES>().expect("a whole header");
+    let bytes = golden.first_chunk::<SEGMENT_HEADER_BYTES>().expect("a complete header");
     assert_eq!(SegmentHeader::decode(bytes), Some(HEADER));
 }
 
 #[test]
-fn given_records_when_framed_then_their_bytes_are_golden() {
+fn given_records_when_encoded_then_their_bytes_match_the_golden_file() {
     let start = ChainEnd { next_sequence: 260, generation: 7 };
     let mut bytes = Vec::new();
     let first = append_record(&mut bytes, start, 8, b"a record");
@@ -40,10 +41,11 @@
     for (record, chain, content) in
         [(first_record, start, b"a record".as_slice()), (second_record, first, b"")]
     {
-        let (header, found) = record.split_first_chunk::<RECORD_HEADER_BYTES>().expect("a whole header");
+        let (header, found_content) =
+            record.split_first_chunk::<RECORD_HEADER_BYTES>().expect("a complete header");
         let header = RecordHeader::decode(header);
-        assert_eq!(found, content);
+        assert_eq!(found_content, content);
         assert_eq!((header.length as usize, header.generation), (content.len(), 8));
-        assert!(header.continues(chain) && header.verifies(found));
+        assert!(header.continues(chain) && header.verifies(found_content));
     }
 }
--- a/crates/storage/tests/journal.rs
+++ b/crates/storage/tests/journal.rs
@@ -1,4 +1,4 @@
-//! [`Journal`] with its writer thread and inline.
+//! [`Journal`] with a writer thread, and without one (inline).
 
 mod common;
 
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn given_released_records_when_appending_many_laps_then_the_ring_never_fills() {
+fn given_released_records_when_the_ring_wraps_around_often_then_it_never_fills() {
     let disk = SimulatedDisk::new(35);
     let journal = open(&disk, OPTIONS);
     runtime().block_on(async {
--- a/crates/storage/tests/set_aside.rs
+++ b/crates/storage/tests/set_aside.rs
@@ -8,9 +8,9 @@
 use storage::simulated::{LoseUnsynced, SimulatedDisk};
 use storage::{is_set_aside_interrupted, set_aside};
 
-/// Returns the names of all files in the folder of the ring.
+/// Returns the names of all files in the directory of the ring.
 fn file_names(disk: &SimulatedDisk) -> Vec<String> {
-    disk.file_system().list(Path::new(DIRECTORY)).expect("the folder can be listed")
+    disk.file_system().list(Path::new(DIRECTORY)).expect("the directory can be listed")
 }
 
 #[test]
@@ -32,12 +32,12 @@
     let disk = SimulatedDisk::new(2);
     drop(open(&disk));
     let (file_system, directory) = (disk.file_system(), Path::new(DIRECTORY));
-    assert!(!is_set_aside_interrupted(&*file_system, directory).expect("the folder can be listed"));
+    assert!(!is_set_aside_interrupted(&*file_system, directory).expect("the directory can be listed"));
     drop(file_system.open(&directory.join("setting-aside")).expect("the marker file can be created"));
-    file_system.sync_directory(directory).expect("the folder is synced");
+    file_system.sync_directory(directory).expect("the directory is synced");
     disk.lose_power(&mut LoseUnsynced);
     let file_system = disk.file_system();
-    assert!(is_set_aside_interrupted(&*file_system, directory).expect("the folder can be listed"));
+    assert!(is_set_aside_interrupted(&*file_system, directory).expect("the directory can be listed"));
     set_aside(&*file_system, directory).expect("the ring is set aside");
-    assert!(!is_set_aside_interrupted(&*file_system, directory).expect("the folder can be listed"));
+    assert!(!is_set_aside_interrupted(&*file_system, directory).expect("the directory can be listed"));
 }
