--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -125,7 +125,7 @@
     pub body: String,
 }
 
-/// How an item ended.
+/// Outcome of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ItemCondition {
@@ -151,7 +151,7 @@
     pub grade: Option<String>,
 }
 
-/// Why a submitted batch job is rejected.
+/// Reason why a submitted batch job is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobError {
     /// The body is not the JSON of a batch job.
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -2,10 +2,10 @@
 //! and the order in which items are started.
 //!
 //! - [`Job`] and [`ItemResult`] are the JSON documents that trainers exchange with the system.
-//! - [`Replicas`] holds one store's replicas of the logs of all jobs. [`Ownership`] replicates the log of one
-//!   job from the store that owns the job. The `store-plane` crate connects both with the journal and with
-//!   other stores.
-//! - [`JobSchedule`] chooses the next item of one job; [`Precedence`] orders the next items of several jobs.
+//! - [`Replicas`] contains one store's replicas of the logs of all jobs. [`Ownership`] replicates the log of
+//!   one job from the store that owns the job. The `store-plane` crate connects both with the journal and
+//!   with other stores.
+//! - [`JobSchedule`] selects the next item of one job; [`Precedence`] orders the next items of several jobs.
 
 mod job;
 mod replication;
--- a/crates/batch/src/replication/log.rs
+++ b/crates/batch/src/replication/log.rs
@@ -26,7 +26,7 @@
 pub enum Entry {
     /// The batch job as it was submitted.
     Job(SubmittedJob),
-    /// The result of an item. Trainers read the results in the order in which the log has them.
+    /// The result of an item. Trainers read the results in the order of the log.
     Result(ItemResult),
     /// Marks that the trainer ended the batch job.
     End,
--- a/crates/batch/src/replication/messages.rs
+++ b/crates/batch/src/replication/messages.rs
@@ -37,7 +37,7 @@
     },
     /// Asks the store for the state of its log. The store promises nothing.
     Query,
-    /// Asks the store to delete the batch job, because other stores replicate it now or because it is over.
+    /// Asks the store to delete the batch job, because other stores replicate it now or because it has ended.
     Delete {
         /// The owner's term.
         term: OwnershipTerm,
--- a/crates/batch/src/replication/mod.rs
+++ b/crates/batch/src/replication/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated log of a batch job: the replicas on stores, the requests of an owner, and the terms that
 //! decide between owners.
 //!
-//! The protocol is Multi-Paxos with one log for each batch job. A store that claims a job chooses an
+//! The protocol is Multi-Paxos with one log for each batch job. A store that claims a job uses an
 //! [`OwnershipTerm`] above all that it has seen, collects promises from a majority of the job's
 //! [`ReplicaSet`], adopts the most advanced log among theirs and appends to it. An entry is committed once a
 //! majority has accepted it under the owner's term.
--- a/crates/batch/src/replication/ownership.rs
+++ b/crates/batch/src/replication/ownership.rs
@@ -77,31 +77,31 @@
         }
     }
 
-    /// The term under which the batch job is claimed or owned.
+    /// Returns the term under which the batch job is claimed or owned.
     #[must_use]
     pub fn term(&self) -> OwnershipTerm {
         self.term
     }
 
-    /// The stores that replicate the batch job.
+    /// Returns the stores that replicate the batch job.
     #[must_use]
     pub fn replicas(&self) -> &ReplicaSet {
         &self.replicas
     }
 
-    /// The phase that the ownership is in.
+    /// Returns the phase of the ownership.
     #[must_use]
     pub fn phase(&self) -> OwnershipPhase {
         self.phase
     }
 
-    /// All entries of the owner's log, whether committed or not.
+    /// Returns all entries of the owner's log, whether committed or not.
     #[must_use]
     pub fn log(&self) -> &[Arc<Entry>] {
         &self.log
     }
 
-    /// The committed entries: a majority has accepted them under this term. They never change.
+    /// Returns the committed entries: a majority has accepted them under this term. They never change.
     #[must_use]
     pub fn committed(&self) -> &[Arc<Entry>] {
         &self.log[..self.committed]
@@ -177,8 +177,8 @@
         Some(ReplicaRequest::Append { term: self.term, adopted: self.adopted.accepted, start, entries })
     }
 
-    /// The request to a store that is a replica only under the previous store set: it may delete the batch
-    /// job once the complete adopted log is committed on the current set.
+    /// Returns the request to a store that is a replica only under the previous store set: it may delete the
+    /// batch job once the complete adopted log is committed on the current set.
     fn delete_request(&self, store: StoreId) -> Option<ReplicaRequest> {
         let may_delete = self.is_established() && self.committed > 0;
         let is_due = may_delete && !self.progress[&store].has_deleted;
@@ -242,8 +242,8 @@
         }
         let is_ahead = promised.end > self.adopted;
         if is_ahead && !promised.completes(self.adopted) {
-            // The claimant's log has changed since the request was sent, so the entries do not follow it any
-            // more. The store gets another request.
+            // The claimant's log has changed since the request was sent, so the entries no longer follow
+            // it. The store gets another request.
             return;
         }
         self.progress_of(from).has_promised = true;
--- a/crates/batch/src/replication/peer_progress.rs
+++ b/crates/batch/src/replication/peer_progress.rs
@@ -14,7 +14,8 @@
     pub has_deleted: bool,
     /// Whether a request to the replica has neither been answered nor failed.
     pub is_request_in_flight: bool,
-    /// The last known end of the replica's log; `None` until the replica has reported one.
+    /// End of the replica's log according to its reports, see [`Self::observe_log_end`]; `None` until the
+    /// replica has reported one.
     log_end: Option<LogEnd>,
     /// Send time, on the caller's clock, of the latest message that the replica acknowledged; `None` if there
     /// is none.
@@ -37,23 +38,23 @@
     /// replaces the last.
     pub fn observe_log_end(&mut self, term: OwnershipTerm, reported: LogEnd) {
         self.log_end = match self.log_end {
-            Some(known) if known.accepted == term => {
+            Some(previous) if previous.accepted == term => {
                 let is_current = reported.accepted == term;
-                let length = if is_current { known.length.max(reported.length) } else { known.length };
+                let length = if is_current { previous.length.max(reported.length) } else { previous.length };
                 Some(LogEnd { accepted: term, length })
             }
             _ => Some(reported),
         };
     }
 
-    /// Number of entries of the replica's log if it was last written under the owner's `term`; otherwise
-    /// `None`.
+    /// Returns the number of entries of the replica's log if it was last written under the owner's `term`;
+    /// otherwise `None`.
     pub fn length_under(&self, term: OwnershipTerm) -> Option<usize> {
         self.log_end.filter(|end| end.accepted == term).map(|end| end.length)
     }
 
-    /// Index of the first entry that the replica may lack. The owner of `term` adopted a log with the end
-    /// `adopted`.
+    /// Returns the index of the first entry that the replica may lack. The owner of `term` adopted a log with
+    /// the end `adopted`.
     pub fn next_index(&self, term: OwnershipTerm, adopted: LogEnd) -> usize {
         match self.log_end {
             Some(end) if end.accepted == term => end.length,
--- a/crates/batch/src/replication/record.rs
+++ b/crates/batch/src/replication/record.rs
@@ -51,7 +51,7 @@
 }
 
 impl Record {
-    /// The batch job that the record changes; `None` if it applies to all batch jobs.
+    /// Returns the batch job that the record changes; `None` if it applies to all batch jobs.
     #[must_use]
     pub fn job(&self) -> Option<&JobId> {
         match self {
--- a/crates/batch/src/replication/replica_log.rs
+++ b/crates/batch/src/replication/replica_log.rs
@@ -29,8 +29,8 @@
         self.promised = self.promised.max(term);
     }
 
-    /// The entries that a log with the end `other` lacks, and the index of the first of them. Empty unless
-    /// this log is more advanced.
+    /// Returns the entries that a log with the end `other` lacks, and the index of the first of them. Empty
+    /// unless this log is more advanced.
     pub(super) fn entries_ahead_of(&self, other: LogEnd) -> (usize, Vec<Arc<Entry>>) {
         if self.end() <= other {
             return (self.entries.len(), Vec::new());
--- a/crates/batch/src/replication/replica_set.rs
+++ b/crates/batch/src/replication/replica_set.rs
@@ -37,8 +37,8 @@
         previous && is_majority(&self.current, &holds)
     }
 
-    /// The greatest length that the logs of a majority of the current set reach. `length_at` returns the
-    /// length of a store's log.
+    /// Returns the greatest length that the logs of a majority of the current set reach. `length_at` returns
+    /// the length of a store's log.
     pub(super) fn majority_length(&self, length_at: impl Fn(StoreId) -> usize) -> usize {
         let mut lengths: Vec<usize> = self.current.iter().map(|&store| length_at(store)).collect();
         lengths.sort_unstable_by_key(|&length| std::cmp::Reverse(length));
--- a/crates/batch/src/replication/replicas.rs
+++ b/crates/batch/src/replication/replicas.rs
@@ -16,7 +16,7 @@
 /// The replicas of all batch jobs that one store keeps.
 #[derive(Clone, Debug, Default)]
 pub struct Replicas {
-    /// Terms of earlier epochs are rejected, for every batch job. Never decreases.
+    /// Lowest epoch whose terms are accepted, for every batch job. Never decreases.
     epoch: u64,
     logs: BTreeMap<JobId, ReplicaLog>,
 }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The epoch below which all terms are rejected.
+    /// Returns the epoch below which all terms are rejected.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
@@ -77,13 +77,13 @@
         Some(Record::Epoch(epoch))
     }
 
-    /// The log of a batch job; `None` if the store has no replica of it.
+    /// Returns the log of a batch job; `None` if the store has no replica of it.
     #[must_use]
     pub fn log(&self, job: &str) -> Option<&ReplicaLog> {
         self.logs.get(job)
     }
 
-    /// The logs of all batch jobs that this store replicates.
+    /// Iterates over the logs of all batch jobs that this store replicates.
     pub fn logs(&self) -> impl Iterator<Item = (&JobId, &ReplicaLog)> {
         self.logs.iter()
     }
@@ -117,8 +117,10 @@
         }
     }
 
-    /// Returns the reply that an empty append at the end of an owner's log of `length` entries would get,
-    /// without any change of the replicas.
+    /// Compares the store's log with the log of the owner of `term`, which has `length` entries, and changes
+    /// nothing. Returns [`ReplicaReply::Appended`] with the number of entries that both logs have if the
+    /// store's log was last written under `term`, otherwise [`ReplicaReply::LogMismatch`]; or
+    /// [`ReplicaReply::Rejected`] if a higher term was promised.
     #[must_use]
     pub fn check_append(&self, job: &str, term: OwnershipTerm, length: usize) -> ReplicaReply {
         if let Some(rejection) = self.rejection(job, term) {
@@ -135,13 +137,14 @@
         }
     }
 
-    /// The highest term that was promised for a batch job; at least the lowest term of the store's epoch.
+    /// Returns the highest term that was promised for a batch job; at least the lowest term of the store's
+    /// epoch.
     fn promised(&self, job: &str) -> OwnershipTerm {
         let promised = self.logs.get(job).map_or(OwnershipTerm::default(), |log| log.promised);
         promised.max(OwnershipTerm::lowest_of(self.epoch))
     }
 
-    /// The rejection of a request under `term` if a higher term was promised; otherwise `None`.
+    /// Returns the rejection of a request under `term` if a higher term was promised; otherwise `None`.
     fn rejection(&self, job: &str, term: OwnershipTerm) -> Option<ReplicaReply> {
         let promised = self.promised(job);
         (term < promised).then_some(ReplicaReply::Rejected { promised })
--- a/crates/batch/src/replication/term.rs
+++ b/crates/batch/src/replication/term.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identity of a store: the incarnation of its disk. A store whose disk is replaced is another store.
+/// Identity of a store: the incarnation of its disk. A store whose disk is replaced gets a new identity.
 pub type StoreId = u64;
 
 /// Proposal number of an ownership of a batch job; the ownership with the greatest term wins. The derived
@@ -24,15 +24,15 @@
 impl OwnershipTerm {
     /// Returns a term of `owner` in `epoch` that is greater than `highest`.
     ///
-    /// Returns `None` if `highest` belongs to a later epoch: the owner's store set is then outdated, so the
-    /// owner does not know which stores replicate the batch job.
+    /// Returns `None` if `highest` belongs to a later epoch: the owner's store set is then outdated and
+    /// may not contain the replicas of the batch job.
     #[must_use]
     pub fn above(highest: Self, epoch: u64, owner: StoreId, nonce: u64) -> Option<Self> {
         let number = if highest.epoch == epoch { highest.number + 1 } else { 1 };
         (highest.epoch <= epoch).then_some(Self { epoch, number, owner, nonce })
     }
 
-    /// The lowest term of an epoch. No claim uses it, since the number of a claim is at least 1.
+    /// Returns the lowest term of an epoch. No claim uses it, since the number of a claim is at least 1.
     #[must_use]
     pub fn lowest_of(epoch: u64) -> Self {
         Self { epoch, ..Self::default() }
--- a/crates/batch/src/schedule/groups.rs
+++ b/crates/batch/src/schedule/groups.rs
@@ -35,7 +35,7 @@
         self.unrecorded_items == 0
     }
 
-    /// Number of items whose text is not complete.
+    /// Returns the number of items whose text is not complete.
     pub fn ungenerated_items(&self) -> usize {
         self.ungenerated_items
     }
@@ -47,12 +47,12 @@
         self.unrecorded_items -= usize::from(after == ItemPhase::Recorded);
     }
 
-    /// Whether at least one item of the group was started and did not return to [`ItemPhase::Pending`].
+    /// Whether at least one item of the group is in another phase than [`ItemPhase::Pending`].
     pub fn is_started(&self, phases: &[ItemPhase]) -> bool {
         self.items.iter().any(|&item| !matches!(phases[item], ItemPhase::Pending(_)))
     }
 
-    /// The pending item with the most tokens among those that may start at `now`.
+    /// Returns the pending item with the most tokens among those that may start at `now`.
     pub fn next_item(&self, phases: &[ItemPhase], now: Duration) -> Option<ItemIndex> {
         let may_start =
             |item: &ItemIndex| matches!(phases[*item], ItemPhase::Pending(not_before) if not_before <= now);
--- a/crates/batch/src/schedule/job_schedule.rs
+++ b/crates/batch/src/schedule/job_schedule.rs
@@ -19,7 +19,7 @@
     pub needed: bool,
 }
 
-/// Tracks the items of one batch job and chooses the next one to start.
+/// Schedule of the items of one batch job: their phases, and the selection of the next item to start.
 #[derive(Debug)]
 pub struct JobSchedule {
     groups: Vec<Group>,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The phase of an item.
+    /// Returns the phase of an item.
     #[must_use]
     pub fn phase(&self, index: ItemIndex) -> ItemPhase {
         self.phases[index]
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Number of items whose text a server is generating.
+    /// Returns the number of items whose text a server is generating.
     #[must_use]
     pub fn streaming(&self) -> usize {
         self.streaming
     }
 
-    /// Number of groups whose results are all recorded.
+    /// Returns the number of groups whose results are all recorded.
     #[must_use]
     pub fn complete_groups(&self) -> usize {
         self.complete_groups
@@ -102,7 +102,7 @@
         self.recorded == self.phases.len()
     }
 
-    /// The item to start next at `now`; `None` if no item may start.
+    /// Returns the item to start next at `now`; `None` if no item may start.
     #[must_use]
     pub fn next_item(&self, now: Duration) -> Option<ItemCandidate> {
         let ranking = self.rank_groups();
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Number of items that the trainer waits for and whose text is not complete.
+    /// Returns the number of items that the trainer waits for and whose text is not complete.
     #[must_use]
     pub fn needed_remaining(&self) -> usize {
         let ranking = self.rank_groups();
@@ -120,8 +120,8 @@
         needed.map(|&group| self.groups[group].ungenerated_items()).sum()
     }
 
-    /// The earliest time after `now` at which a pending item may start; `None` if no item waits for its
-    /// retry.
+    /// Returns the earliest time after `now` at which a pending item may start; `None` if no item waits for
+    /// its retry.
     #[must_use]
     pub fn next_retry(&self, now: Duration) -> Option<Duration> {
         let start_after_now = |phase: &ItemPhase| match *phase {
@@ -144,8 +144,8 @@
         GroupRanking { groups, needed }
     }
 
-    /// Sort key of a group: started groups come first, by ascending number of items whose text is not
-    /// complete; then the other groups in the order of the job.
+    /// Returns the sort key of a group: started groups come first, by ascending number of items whose text is
+    /// not complete; then the other groups in the order of the job.
     fn group_rank(&self, index: GroupIndex) -> (bool, usize, GroupIndex) {
         let group = &self.groups[index];
         let is_started = group.is_started(&self.phases);
--- a/crates/batch/src/schedule/mod.rs
+++ b/crates/batch/src/schedule/mod.rs
@@ -1,8 +1,8 @@
 //! The order in which the items of batch jobs are started.
 //!
-//! [`JobSchedule`] tracks the items of one batch job and chooses the next one to start; [`Precedence`]
+//! [`JobSchedule`] tracks the items of one batch job and selects the next one to start; [`Precedence`]
 //! compares the next items of several batch jobs. Times are durations since an origin that the caller
-//! chooses. This module does no I/O.
+//! defines. This module does no I/O.
 
 mod groups;
 mod job_schedule;
@@ -16,10 +16,11 @@
 /// Index of an item in the list of items of its batch job.
 pub type ItemIndex = usize;
 
-/// The phase of an item between its submission and the record of its result.
+/// Phase of an item, from its submission until its result is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemPhase {
-    /// The item waits to be started, for the first time or again after a failure, but not before this time.
+    /// The item waits to be started, for the first time or after a failure. It may not start before this
+    /// time.
     Pending(Duration),
     /// A server generates the text of the item.
     Streaming,
--- a/crates/batch/tests/cluster/checker.rs
+++ b/crates/batch/tests/cluster/checker.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Records the entries that owners could expose to trainers, and compares them with those of later owners.
+/// The entries that owners could expose to trainers so far, with which those of later owners are compared.
 #[derive(Default)]
 pub struct Checker {
     /// The terms of all claims.
@@ -41,7 +41,7 @@
 }
 
 impl Checker {
-    /// Number of committed entries.
+    /// Returns the number of committed entries.
     pub fn committed(&self) -> usize {
         self.exposed.len()
     }
--- a/crates/batch/tests/cluster/message.rs
+++ b/crates/batch/tests/cluster/message.rs
@@ -17,7 +17,7 @@
         from: StoreId,
         reply: ReplicaReply,
     },
-    /// The request or its reply was lost.
+    /// Informs the owner that a request or its reply was lost.
     NoReply {
         to: usize,
         owner: OwnershipTerm,
@@ -31,8 +31,8 @@
 }
 
 impl Message {
-    /// The message that replaces this one if it is lost: a request or its reply ends in [`Message::NoReply`]
-    /// to the owner, a heartbeat in nothing.
+    /// Returns the message that replaces this one if it is lost: [`Message::NoReply`] to the owner for a
+    /// request or its reply, none for a heartbeat.
     pub fn replacement_if_lost(self) -> Option<Self> {
         match self {
             Self::Request { from, owner, to, .. } => Some(Self::NoReply { to: from, owner, from: to }),
--- a/crates/batch/tests/cluster/mod.rs
+++ b/crates/batch/tests/cluster/mod.rs
@@ -87,12 +87,12 @@
         cluster
     }
 
-    /// Number of committed entries.
+    /// Returns the number of committed entries.
     pub fn committed(&self) -> usize {
         self.checker.committed()
     }
 
-    /// Number of completed changes of the store set.
+    /// Returns the number of completed changes of the store set.
     pub fn completed_changes(&self) -> usize {
         self.completed_changes
     }
--- a/crates/batch/tests/golden.rs
+++ b/crates/batch/tests/golden.rs
@@ -15,7 +15,8 @@
 use serde::Serialize;
 use yare::parameterized;
 
-/// Compares `text` with a golden file byte for byte.
+/// Asserts that `text` equals a golden file byte for byte. With `GOLDEN_WRITE` set, creates the file if it is
+/// missing.
 fn check_golden(name: &str, text: &str) {
     let path: PathBuf = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
     if std::env::var_os("GOLDEN_WRITE").is_some() && !path.exists() {
@@ -119,13 +120,13 @@
     snapshot = { "record-snapshot.hex", record_snapshot() },
     delete = { "record-forget.hex", record_delete() },
 )]
-fn given_a_record_when_encoded_then_its_bytes_are_golden(name: &str, record: Record) {
+fn given_a_record_when_encoded_then_its_bytes_match_the_golden_file(name: &str, record: Record) {
     check_encoding(name, &record);
 }
 
 /// A store writes a list of [`Record`]s as a single record of its journal.
 #[test]
-fn given_a_list_of_records_when_encoded_then_its_bytes_are_golden() {
+fn given_a_list_of_records_when_encoded_then_its_bytes_match_the_golden_file() {
     let records: Vec<Record> =
         vec![record_epoch(), record_promise(), record_append(), record_snapshot(), record_delete()];
     check_encoding("journal-records.hex", &records);
@@ -137,12 +138,12 @@
     result_undeliverable = { "entry-result-undeliverable.hex", Entry::Result(undeliverable_result()) },
     end = { "entry-end.hex", Entry::End },
 )]
-fn given_an_entry_when_encoded_then_its_bytes_are_golden(name: &str, entry: Entry) {
+fn given_an_entry_when_encoded_then_its_bytes_match_the_golden_file(name: &str, entry: Entry) {
     check_encoding(name, &entry);
 }
 
 #[test]
-fn given_a_term_a_submitted_job_and_results_when_encoded_then_their_bytes_are_golden() {
+fn given_a_term_a_submitted_job_and_results_when_encoded_then_their_bytes_match_the_golden_files() {
     check_encoding("ballot.hex", &term(4));
     check_encoding("submitted-job.hex", &submitted_job());
     check_encoding("item-result-delivered.hex", &delivered_result());
@@ -161,7 +162,10 @@
     query = { "request-query.hex", ReplicaRequest::Query },
     delete = { "request-forget.hex", ReplicaRequest::Delete { term: term(6) } },
 )]
-fn given_a_replica_request_when_encoded_then_its_bytes_are_golden(name: &str, request: ReplicaRequest) {
+fn given_a_replica_request_when_encoded_then_its_bytes_match_the_golden_file(
+    name: &str,
+    request: ReplicaRequest,
+) {
     check_encoding(name, &request);
 }
 
@@ -185,7 +189,7 @@
     status = { "reply-holds.hex", ReplicaReply::Status { promised: term(7), length: 18 } },
     deleted = { "reply-forgotten.hex", ReplicaReply::Deleted { term: term(6) } },
 )]
-fn given_a_replica_reply_when_encoded_then_its_bytes_are_golden(name: &str, reply: ReplicaReply) {
+fn given_a_replica_reply_when_encoded_then_its_bytes_match_the_golden_file(name: &str, reply: ReplicaReply) {
     check_encoding(name, &reply);
 }
 
@@ -195,7 +199,7 @@
     duplicate_item = { "job-error-repeated.hex", JobError::DuplicateItem("item-1".into()) },
     invalid_body = { "job-error-bad-body.hex", JobError::InvalidBody("item-2".into()) },
 )]
-fn given_a_job_error_when_encoded_then_its_bytes_are_golden(name: &str, error: JobError) {
+fn given_a_job_error_when_encoded_then_its_bytes_match_the_golden_file(name: &str, error: JobError) {
     check_encoding(name, &error);
 }
 
@@ -240,7 +244,7 @@
     complete = { "job-complete.json", complete_job() },
     minimal = { "job-minimal.json", minimal_job() },
 )]
-fn given_a_job_when_written_as_json_then_it_is_golden_and_parses_back(name: &str, job: Job) {
+fn given_a_job_when_written_as_json_then_it_matches_the_golden_file_and_parses_back(name: &str, job: Job) {
     let json = serde_json::to_string(&job).expect("a job can be written");
     check_golden(name, &json);
     assert_eq!(Job::parse(json.as_bytes()), Ok(job));
@@ -250,7 +254,7 @@
     delivered = { "item-result-delivered.json", delivered_result() },
     undeliverable = { "item-result-undeliverable.json", undeliverable_result() },
 )]
-fn given_an_item_result_when_written_as_json_then_it_is_golden(name: &str, result: ItemResult) {
+fn given_an_item_result_when_written_as_json_then_it_matches_the_golden_file(name: &str, result: ItemResult) {
     let json = serde_json::to_string(&result).expect("a result can be written");
     check_golden(name, &json);
     assert_eq!(serde_json::from_str::<ItemResult>(&json).ok(), Some(result));
--- a/crates/batch/tests/schedule.rs
+++ b/crates/batch/tests/schedule.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// A job of `groups` groups with `items_each` items each; the items of a group are adjacent.
+/// Creates a job of `groups` groups with `items_each` items each; the items of a group are adjacent.
 fn job(groups: usize, items_each: usize, required: Option<u32>) -> Job {
     let items = (0..groups * items_each).map(|id| item(id, Some(id / items_each), 10)).collect();
     Job { step: None, model: None, oldest_version: None, required_groups: required, items }
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -1,7 +1,7 @@
 //! Changes of the configuration document: [`replace`] and [`patch`].
 //!
 //! Both functions work on the JSON text. Items that a change does not name keep their text byte for byte,
-//! including fields that this program does not know.
+//! including unknown fields.
 
 use std::collections::BTreeMap;
 
--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -37,37 +37,37 @@
         Ok(Self { version: document.version, routes, services, limits, routes_by_host })
     }
 
-    /// `edition`: version of the configuration; each change must raise it.
+    /// Returns `edition`: the version of the configuration; each change must raise it.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All routes, in the order of the document.
+    /// Returns all routes, in the order of the document.
     #[must_use]
     pub fn routes(&self) -> &[Arc<Route>] {
         &self.routes
     }
 
-    /// All services, in unspecified order.
+    /// Iterates over all services, in unspecified order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// The service with this name; `None` if there is none.
+    /// Returns the service with this name; `None` if there is none.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// Limits on the size and the duration of the requests of clients.
+    /// Returns the limits on the requests of clients.
     #[must_use]
     pub fn limits(&self) -> &ConfigurationLimits {
         &self.limits
     }
 
-    /// The models of which another weight version may continue a text. A model is not among them if a route
-    /// that requires a single version sends requests to a service with the model.
+    /// Returns the models whose texts may be continued by another weight version than the one that began
+    /// them. A model is excluded if a route that requires a single version has a target with the model.
     #[must_use]
     pub fn models_of_mixed_versions(&self) -> BTreeSet<Arc<str>> {
         let single_version_routes = self.routes.iter().filter(|route| route.single_version);
@@ -78,8 +78,8 @@
         models.filter(|model| !single_version_models.contains(model)).cloned().collect()
     }
 
-    /// The route of a request: among the routes of its host, the route with the longest prefix that its path
-    /// starts with. `None` if no route matches.
+    /// Returns the route of a request: among the routes of its host, the one with the longest prefix that its
+    /// path starts with. `None` if no route matches.
     ///
     /// `host` may contain a port and upper-case letters, `path` may contain a query.
     #[must_use]
@@ -89,7 +89,7 @@
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// The models of the services that a route sends requests to.
+    /// Returns the models of all targets of a route.
     fn models_of<'a>(&'a self, route: &'a Route) -> impl Iterator<Item = &'a Arc<str>> {
         let services = route.targets.iter().filter_map(|target| self.services.get(&target.service));
         services.filter_map(|service| service.engine.as_ref()).flat_map(|engine| &engine.models)
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -7,7 +7,7 @@
 /// The field path of errors that concern the entire document.
 pub(crate) const DOCUMENT_ROOT: &str = ".";
 
-/// Reason why a configuration is rejected. Fields have their names in the operator's JSON.
+/// Reason why a configuration is rejected. Field names are those of the operator's JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationError {
     /// The text is incomplete or is not JSON, lacks a required field, or has a field of the wrong type.
@@ -70,13 +70,13 @@
         Self::Malformed { field: DOCUMENT_ROOT.to_owned(), cause: error.to_string() }
     }
 
-    /// The HTTP status of the response to the operator.
+    /// Returns the HTTP status of the response to the operator.
     #[must_use]
     pub fn status(&self) -> u16 {
         BAD_REQUEST
     }
 
-    /// The path of the field at fault, with names as in the JSON; `.` for the entire document.
+    /// Returns the path of the field at fault, with names as in the JSON; `.` for the entire document.
     #[must_use]
     pub fn field(&self) -> String {
         match self {
--- a/crates/configuration/src/limits.rs
+++ b/crates/configuration/src/limits.rs
@@ -5,13 +5,13 @@
 /// Limits on the size of the requests of clients, and on the time that clients may take to send them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationLimits {
-    /// `labelBytes`: largest head of a request, in bytes; 16 KiB by default.
+    /// `labelBytes`: maximum size of the head of a request in bytes; 16 KiB by default.
     pub head_bytes: u64,
-    /// `parcelBytes`: largest body of a request, in bytes; 32 MiB by default.
+    /// `parcelBytes`: maximum size of the body of a request in bytes; 32 MiB by default.
     pub body_bytes: u64,
-    /// `labelMs`: longest time that a client may take to send the head of a request; 3 s by default.
+    /// `labelMs`: maximum time that a client may take to send the head of a request; 3 s by default.
     pub head_timeout: Duration,
-    /// `idleMs`: longest time that a connection may be idle; 15 s by default.
+    /// `idleMs`: maximum time that a connection may be idle; 15 s by default.
     pub idle_timeout: Duration,
 }
 
--- a/crates/configuration/tests/golden.rs
+++ b/crates/configuration/tests/golden.rs
@@ -103,13 +103,13 @@
 }
 
 #[test]
-fn given_a_patch_when_applied_then_the_new_document_is_golden() {
+fn given_a_patch_when_applied_then_the_new_document_matches_the_golden_file() {
     let patched = patch(&read_golden("configuration-full.json"), read_golden("patch.json").as_bytes())
         .expect("the golden patch is valid");
     assert_golden("patched.json", &patched);
 }
 
-/// One error of each variant, with a name.
+/// Returns one error of each variant, with the name that the golden file gives it.
 fn error_variants() -> Vec<(&'static str, ConfigurationError)> {
     let owned = str::to_owned;
     vec![
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn given_each_error_variant_when_displayed_then_status_field_and_text_are_golden() {
+fn given_each_error_variant_when_displayed_then_status_field_and_text_match_the_golden_file() {
     let mut rendered = String::new();
     for (name, error) in error_variants() {
         let (status, field) = (error.status(), error.field());
@@ -170,7 +170,7 @@
 ];
 
 #[test]
-fn given_an_invalid_document_when_it_replaces_the_current_one_then_status_field_and_text_are_golden() {
+fn given_an_invalid_document_when_it_replaces_the_current_one_then_the_error_matches_the_golden_file() {
     let document = read_golden("configuration-full.json");
     let mut rendered = String::new();
     for (name, good, bad) in DOCUMENT_FAULTS {
@@ -201,7 +201,7 @@
 ];
 
 #[test]
-fn given_a_value_of_the_wrong_type_when_the_document_is_replaced_then_status_field_and_text_are_golden() {
+fn given_a_value_of_the_wrong_type_when_the_document_is_replaced_then_the_error_matches_the_golden_file() {
     let document = read_golden("configuration-full.json");
     let mut rendered = String::new();
     for (name, good, bad) in TYPE_FAULTS {
@@ -231,7 +231,7 @@
 ];
 
 #[test]
-fn given_an_invalid_patch_when_applied_then_status_field_and_text_are_golden() {
+fn given_an_invalid_patch_when_applied_then_the_error_matches_the_golden_file() {
     let document = read_golden("configuration-full.json");
     let mut rendered = String::new();
     for (name, body) in PATCH_FAULTS {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// The number, starting at 1, and the text of the line that contains the byte `offset`.
+/// Returns the number, starting at 1, and the text of the line that contains the byte `offset`.
 fn line_at(text: &str, offset: usize) -> (usize, String) {
     let before = &text.as_bytes()[..offset.min(text.len())];
     let index = before.iter().filter(|byte| **byte == b'\n').count();
@@ -54,8 +54,8 @@
     (index + 1, line.trim().to_owned())
 }
 
-/// The messages of all failed checks, including those of nested sections. They contain the fields' names in
-/// the file.
+/// Returns the messages of all failed checks, including those of nested sections. They contain the fields'
+/// names in the file.
 fn messages_of(errors: &ValidationErrors) -> Vec<String> {
     errors.errors().values().flat_map(messages_of_field).collect()
 }
--- a/crates/settings/src/node_settings.rs
+++ b/crates/settings/src/node_settings.rs
@@ -56,7 +56,7 @@
     #[serde(rename = "innerPorts")]
     #[validate(custom(function = check_port_range))]
     pub internal_ports: (u16, u16),
-    /// `seedStations`: control addresses (`controlPost`) of a few machines, from which a process learns about
+    /// `seedStations`: control addresses (`controlPost`) of a few machines, through which a process finds
     /// the others.
     #[serde(rename = "seedStations", default)]
     pub seeds: Vec<String>,
@@ -128,15 +128,15 @@
     /// # Errors
     ///
     /// Returns [`SettingsError::Malformed`] if the text is not TOML, lacks a required field, or has a field
-    /// of the wrong type, and [`SettingsError::Invalid`] if a value fails a check. Both errors describe
-    /// the place of the fault: the line or the field.
+    /// of the wrong type, and [`SettingsError::Invalid`] if a value fails a check. Both errors
+    /// name the line or the field at fault.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| SettingsError::malformed(text, &error))?;
         settings.validate().map_err(|errors| SettingsError::invalid(&errors))?;
         Ok(settings)
     }
 
-    /// `beatMs`: interval of the platform's heartbeats; 1.2 s by default.
+    /// Returns `beatMs`: the interval of the platform's heartbeats; 1.2 s by default.
     #[must_use]
     pub fn heartbeat_interval(&self) -> Duration {
         duration_from_millis(self.heartbeat_interval_ms, DEFAULT_HEARTBEAT_INTERVAL)
@@ -166,7 +166,7 @@
         self.contracts.iter().any(|name| name == contract)
     }
 
-    /// The address for internal calls as `ip:port`, with the first port of `innerPorts`.
+    /// Returns the address for internal calls as `ip:port`, with the first port of `innerPorts`.
     #[must_use]
     pub fn internal_address(&self) -> String {
         format!("{}:{}", self.ip, self.internal_ports.0)
--- a/crates/settings/src/platform_list.rs
+++ b/crates/settings/src/platform_list.rs
@@ -27,7 +27,7 @@
 }
 
 impl PlatformListSettings {
-    /// `lagMs`: time by which the list lags behind the state of the servers; 1 s by default.
+    /// Returns `lagMs`: the time by which the list lags behind the state of the servers; 1 s by default.
     #[must_use]
     pub fn lag(&self) -> Duration {
         duration_from_millis(self.lag_ms, DEFAULT_LAG)
--- a/crates/settings/src/resource_limits.rs
+++ b/crates/settings/src/resource_limits.rs
@@ -18,7 +18,7 @@
     #[serde(rename = "cpuShare")]
     #[validate(range(exclusive_min = 0.0, message = "limits.cpuShare is not above 0"))]
     pub cpu_share: f64,
-    /// `cores`: factor by which the process runs faster than one core during its share; 1 by default.
+    /// `cores`: speed of the process during its share, as a multiple of the speed of one core; 1 by default.
     #[serde(rename = "cores")]
     pub cpu_speed_factor: f64,
     /// `memoryMb`: memory in megabytes (10^6 bytes); the platform kills a process that exceeds it. Above 0,
@@ -51,13 +51,13 @@
 }
 
 impl ResourceLimits {
-    /// `memoryMb` converted to bytes.
+    /// Returns `memoryMb` converted to bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> u64 {
         (self.memory_mb * BYTES_PER_MB) as u64
     }
 
-    /// `diskMb` converted to bytes.
+    /// Returns `diskMb` converted to bytes.
     #[must_use]
     pub fn disk_bytes(&self) -> u64 {
         (self.disk_mb * BYTES_PER_MB) as u64
--- a/crates/settings/src/timing_rules.rs
+++ b/crates/settings/src/timing_rules.rs
@@ -14,9 +14,9 @@
 
 const DEFAULT_QUOTA_OVERSHOOT: f64 = 0.1;
 
-/// Durations and bounds in the platform's rules. The comment of each accessor begins with the name of its
-/// field in the file and the default of the field; all fields are optional. Rules have their names in the
-/// platform's documents.
+/// Durations and bounds in the platform's rules. All fields are optional; the comment of each accessor names
+/// the field in the file and its default. Names of rules, such as DRAIN, are those of the platform's
+/// documents.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Validate)]
 #[serde(default)]
 pub struct TimingRules {
@@ -87,43 +87,43 @@
 }
 
 impl TimingRules {
-    /// `seedLagS`, 3 s by default. Time by which the operator's list of nodes lags behind the state of the
-    /// nodes.
+    /// Returns `seedLagS` (3 s by default): the time by which the operator's list of nodes lags behind the
+    /// state of the nodes.
     #[must_use]
     pub fn node_list_lag(&self) -> Duration {
         duration_from_secs(self.node_list_lag_s, Duration::from_secs(3))
     }
 
-    /// `reuseAfterS`, 2 s by default. Time from the end of a server until its address may be assigned to a
-    /// server of another service.
+    /// Returns `reuseAfterS` (2 s by default): the time from the end of a server until its address may be
+    /// assigned to a server of another service.
     #[must_use]
     pub fn address_reuse_delay(&self) -> Duration {
         duration_from_secs(self.address_reuse_delay_s, Duration::from_secs(2))
     }
 
-    /// `touchMs`, 3 s by default. Time that a machine and the core must be without faults before rules with
-    /// time bounds apply to the machine (the rules call this "in touch").
+    /// Returns `touchMs` (3 s by default): the time that a machine and the core must be without faults before
+    /// rules with time bounds apply to the machine (the rules call this "in touch").
     #[must_use]
     pub fn stabilization_period(&self) -> Duration {
         duration_from_millis(self.stabilization_period_ms, Duration::from_secs(3))
     }
 
-    /// `receiptMs`, 4 s by default. Time within which an order of the operator must be acknowledged while the
-    /// core is stable.
+    /// Returns `receiptMs` (4 s by default): the time within which an order of the operator must be
+    /// acknowledged while the core is stable.
     #[must_use]
     pub fn acknowledgement_timeout(&self) -> Duration {
         duration_from_millis(self.acknowledgement_timeout_ms, Duration::from_secs(4))
     }
 
-    /// `catchUpS`, 5 s by default. Time that a machine still counts as failed after it returned, or after its
-    /// start if it is new.
+    /// Returns `catchUpS` (5 s by default): the time that a machine still counts as failed after it returned,
+    /// or after its start if it is new.
     #[must_use]
     pub fn rejoin_period(&self) -> Duration {
         duration_from_secs(self.rejoin_period_s, Duration::from_secs(5))
     }
 
-    /// Time without contact after which a member counts as failed and another machine replaces it: two fifths
-    /// of [`Self::rejoin_period`], at least 1 s and at most 4 s.
+    /// Returns the time without contact after which a member counts as failed and another machine replaces
+    /// it: two fifths of [`Self::rejoin_period`], at least 1 s and at most 4 s.
     ///
     /// The next machine may fail one rejoin period after the start of the machine that replaces a failed one.
     /// Within that period the new process must find the others, the failure must be detected, and the change
@@ -135,116 +135,118 @@
         (self.rejoin_period() * 2 / 5).clamp(MIN_MEMBER_FAILURE_TIMEOUT, MAX_MEMBER_FAILURE_TIMEOUT)
     }
 
-    /// `drainMs`, 3 s by default. Time for which requests may still be sent to a server after the platform's
-    /// list shows it as closing (rule DRAIN).
+    /// Returns `drainMs` (3 s by default): the time for which requests may still be sent to a server after
+    /// the platform's list shows it as closing (rule DRAIN).
     #[must_use]
     pub fn drain_timeout(&self) -> Duration {
         duration_from_millis(self.drain_timeout_ms, Duration::from_secs(3))
     }
 
-    /// `graceS`, 8 s by default. Time from SIGTERM to SIGKILL.
+    /// Returns `graceS` (8 s by default): the time from SIGTERM to SIGKILL.
     #[must_use]
     pub fn termination_grace_period(&self) -> Duration {
         duration_from_secs(self.termination_grace_period_s, Duration::from_secs(8))
     }
 
-    /// `lostMs`, 200 ms by default. Time from the last byte of a request until the request counts as
-    /// accepted, so that planned work must not abort it (rule LOST).
+    /// Returns `lostMs` (200 ms by default): the time from the last byte of a request until the request
+    /// counts as accepted, so that planned work must not abort it (rule LOST).
     #[must_use]
     pub fn request_acceptance_delay(&self) -> Duration {
         duration_from_millis(self.request_acceptance_delay_ms, Duration::from_millis(200))
     }
 
-    /// `inForceMs`, 2 s by default. Time after the acknowledgement of a configuration for which a node may
-    /// still act on an older one (rule CONFIG).
+    /// Returns `inForceMs` (2 s by default): the time after the acknowledgement of a configuration for which
+    /// a node may still act on an older one (rule CONFIG).
     #[must_use]
     pub fn configuration_propagation_timeout(&self) -> Duration {
         duration_from_millis(self.configuration_propagation_timeout_ms, Duration::from_secs(2))
     }
 
-    /// `backMs`, 250 ms by default. Time for which a node may still act on an older configuration after it
-    /// acted on a newer one (rule CONFIG).
+    /// Returns `backMs` (250 ms by default): the time for which a node may still act on an older
+    /// configuration after it acted on a newer one (rule CONFIG).
     #[must_use]
     pub fn configuration_regression_tolerance(&self) -> Duration {
         duration_from_millis(self.configuration_regression_tolerance_ms, Duration::from_millis(250))
     }
 
-    /// `stretchMs`, 5 s by default. Time by which an unstable core extends
+    /// Returns `stretchMs` (5 s by default): the time by which an unstable core extends
     /// [`Self::configuration_propagation_timeout`].
     #[must_use]
     pub fn unstable_core_extension(&self) -> Duration {
         duration_from_millis(self.unstable_core_extension_ms, Duration::from_secs(5))
     }
 
-    /// `recoverS`, 12 s by default. Time within which the system must serve again after the machines returned
-    /// from the last fault of a day (rule RECOVER).
+    /// Returns `recoverS` (12 s by default): the time within which the system must serve again after the
+    /// machines returned from the last fault of a day (rule RECOVER).
     #[must_use]
     pub fn recovery_timeout(&self) -> Duration {
         duration_from_secs(self.recovery_timeout_s, Duration::from_secs(12))
     }
 
-    /// `pass_ms`, 120 ms by default. Time within which an event of a stream must get from its server to the
-    /// client.
+    /// Returns `pass_ms` (120 ms by default): the time within which an event of a stream must get from its
+    /// server to the client.
     #[must_use]
     pub fn event_forwarding_timeout(&self) -> Duration {
         duration_from_millis(self.event_forwarding_timeout_ms, Duration::from_millis(120))
     }
 
-    /// `again_s`, 0 s by default. The platform's documents do not explain this duration.
+    /// Returns `again_s` (0 s by default): a duration that the platform's documents do not explain and that
+    /// the system does not use.
     #[must_use]
-    pub fn again(&self) -> Duration {
+    pub fn again_duration(&self) -> Duration {
         duration_from_secs(self.again_s, Duration::ZERO)
     }
 
-    /// `finishS`, 10 s by default. Time that batch jobs may continue to run after the end of client traffic.
+    /// Returns `finishS` (10 s by default): the time that batch jobs may continue to run after the end of
+    /// client traffic.
     #[must_use]
     pub fn batch_completion_extension(&self) -> Duration {
         duration_from_secs(self.batch_completion_extension_s, Duration::from_secs(10))
     }
 
-    /// `statusS`, 120 s by default. Time after the submission of a batch job for which its results must be
-    /// kept.
+    /// Returns `statusS` (120 s by default): the time after the submission of a batch job for which its
+    /// results must be kept.
     #[must_use]
     pub fn result_retention(&self) -> Duration {
         duration_from_secs(self.result_retention_s, Duration::from_secs(120))
     }
 
-    /// `recallMs`, 3 s by default. Time after the acknowledged end of a batch job for which its items may
-    /// still run (rule UNASKED).
+    /// Returns `recallMs` (3 s by default): the time after the acknowledged end of a batch job for which its
+    /// items may still run (rule UNASKED).
     #[must_use]
     pub fn cancellation_timeout(&self) -> Duration {
         duration_from_millis(self.cancellation_timeout_ms, Duration::from_secs(3))
     }
 
-    /// `settleMs`, 1 s by default. Time within which an accepted batch job must be known to a node (rule
-    /// LOST).
+    /// Returns `settleMs` (1 s by default): the time within which an accepted batch job must be visible at a
+    /// node (rule LOST).
     #[must_use]
     pub fn batch_job_propagation_timeout(&self) -> Duration {
         duration_from_millis(self.batch_job_propagation_timeout_ms, Duration::from_secs(1))
     }
 
-    /// `leaseMs`, 3 s by default. Minimum time between orders of successive holders of the leader lease if
-    /// servers do not check fencing tokens (rule ONE).
+    /// Returns `leaseMs` (3 s by default): the minimum time between orders of successive holders of the
+    /// leader lease if servers do not check fencing tokens (rule ONE).
     #[must_use]
     pub fn leader_handover_interval(&self) -> Duration {
         duration_from_millis(self.leader_handover_interval_ms, Duration::from_secs(3))
     }
 
-    /// `thawMs`, 300 ms by default. Time after the sender resumed or a network link was restored during which
-    /// its orders do not count (rule ONE).
+    /// Returns `thawMs` (300 ms by default): the time after the sender resumed or a network link was restored
+    /// during which its orders do not count (rule ONE).
     #[must_use]
     pub fn resume_tolerance(&self) -> Duration {
         duration_from_millis(self.resume_tolerance_ms, Duration::from_millis(300))
     }
 
-    /// `quotaOver`, 0.1 by default. Fraction of a quota by which its use may exceed it.
+    /// Returns `quotaOver` (0.1 by default): the fraction of a quota by which its use may exceed it.
     #[must_use]
     pub fn quota_overshoot(&self) -> f64 {
         self.quota_overshoot.unwrap_or(DEFAULT_QUOTA_OVERSHOOT)
     }
 
-    /// `fenceChecked`, false by default. Whether servers reject orders with a fencing token that is lower
-    /// than the highest they have seen.
+    /// Returns `fenceChecked` (false by default): whether servers reject orders with a fencing token that is
+    /// lower than the highest they have seen.
     #[must_use]
     pub fn servers_check_fencing(&self) -> bool {
         self.servers_check_fencing.unwrap_or(false)
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -96,7 +96,7 @@
         "timetable.stretchMs" => rules.unstable_core_extension(),
         "timetable.recoverS" => rules.recovery_timeout(),
         "timetable.pass_ms" => rules.event_forwarding_timeout(),
-        "timetable.again_s" => rules.again(),
+        "timetable.again_s" => rules.again_duration(),
         "timetable.finishS" => rules.batch_completion_extension(),
         "timetable.statusS" => rules.result_retention(),
         "timetable.recallMs" => rules.cancellation_timeout(),
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -82,7 +82,7 @@
     assert_eq!(settings.fault_tolerance.machines, 1);
     assert_eq!(settings.timing_rules.rejoin_period(), Duration::from_millis(4800));
     assert_eq!(settings.timing_rules.leader_handover_interval(), Duration::from_millis(2500));
-    assert_eq!(settings.timing_rules.again(), Duration::ZERO);
+    assert_eq!(settings.timing_rules.again_duration(), Duration::ZERO);
     assert_eq!(settings.heartbeat_interval(), Duration::from_millis(1200));
     let platform_list = settings.platform_list.expect("the file contains the section");
     assert_eq!(platform_list.lag(), Duration::from_millis(800));
@@ -165,7 +165,7 @@
          timetable.touchMs is below 0"
     },
 )]
-fn given_an_invalid_file_when_parsed_then_the_error_contains_place_and_cause(
+fn given_an_invalid_file_when_parsed_then_the_error_contains_the_line_or_field_and_the_cause(
     good: &str,
     bad: &str,
     expected: &str,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -8,8 +8,8 @@
 //!
 //! - An acknowledged record survives the end of the process and a loss of power until it is released.
 //! - A record whose append failed or was not yet acknowledged may or may not be present after a restart. If
-//!   it is, it is at the position where it was appended, and never after a record that was acknowledged
-//!   later.
+//!   it is present, it is at the position where it was appended, and never after a record that was
+//!   acknowledged later.
 //! - The next open may still return released records.
 //! - All records that an open returns are durable when it completes.
 //!
