--- a/crates/batch/src/replication/messages.rs
+++ b/crates/batch/src/replication/messages.rs
@@ -77,14 +77,15 @@
         /// Number of entries in the store's log.
         length: usize,
     },
-    /// The request was rejected because the store had promised a higher term.
+    /// The request was rejected, because the store had promised a higher term or rejects the epoch of the
+    /// request's term.
     Rejected {
-        /// The highest term that the store has promised.
+        /// The highest term that the store has promised; at least the lowest term of the store's epoch.
         promised: OwnershipTerm,
     },
     /// The reply to [`ReplicaRequest::Query`].
     Status {
-        /// The highest term that the store has promised.
+        /// The highest term that the store has promised; at least the lowest term of the store's epoch.
         promised: OwnershipTerm,
         /// Number of entries in the store's log.
         length: usize,
--- a/crates/configuration/src/route.rs
+++ b/crates/configuration/src/route.rs
@@ -51,15 +51,15 @@
     pub weight: u32,
 }
 
-/// Assigns the requests with a host and a path prefix to services, and defines how they are executed and
-/// answered.
+/// Rule that assigns the requests with a host and a path prefix to services, and defines how they are
+/// executed and answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// `name`: name of the route, unique among the routes; not empty.
     pub name: Arc<str>,
-    /// `depot`: host that requests of the route have, in lower case and without a port.
+    /// `depot`: host of the requests of the route, in lower case and without a port.
     pub host: Arc<str>,
-    /// `lanePrefix`: prefix that the paths of requests of the route have, unique among the routes of a host.
+    /// `lanePrefix`: prefix of the paths of the requests of the route, unique among the routes of a host.
     pub prefix: Arc<str>,
     /// `kind`: how requests of the route are executed and answered.
     pub kind: RouteKind,
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -10,7 +10,7 @@
 use crate::error::CallError;
 use crate::transport::{HttpTransport, Transport};
 
-/// Makes typed calls to other processes. Clones share the transport and its connections.
+/// Client that makes typed calls to other processes. Clones share the transport and its connections.
 #[derive(Clone)]
 pub struct Client {
     transport: Arc<dyn Transport>,
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -15,7 +15,7 @@
 /// Time after which an idle connection is closed.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sends encoded calls to other processes.
+/// Transport that sends encoded calls to other processes.
 pub trait Transport: Send + Sync {
     /// Sends an encoded request to `path` at a peer's `address` (host and port) and waits at most `timeout`
     /// for the encoded reply. Implementations must not retry.
@@ -28,7 +28,7 @@
     ) -> BoxFuture<'a, Result<Bytes, CallError>>;
 }
 
-/// Sends calls as HTTP POST requests over pooled connections.
+/// Transport that sends calls as HTTP POST requests over pooled connections.
 pub struct HttpTransport {
     http: reqwest::Client,
 }
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -188,7 +188,8 @@
     ring.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Closes the queue, and so ends its writer thread, when the last clone of the journal is dropped.
+/// Handle to the queue, shared by the clones of a journal. Dropping it closes the queue, so that the writer
+/// thread ends.
 struct QueueHandle {
     queue: Arc<AppendQueue>,
 }
--- a/crates/storage/src/native.rs
+++ b/crates/storage/src/native.rs
@@ -7,7 +7,7 @@
 
 use crate::{File, FileSystem};
 
-/// Accesses the file system of the operating system. Its calls block.
+/// The file system of the operating system. Its calls block.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeFileSystem;
 
