--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -10,7 +10,7 @@
 use crate::error::CallError;
 use crate::transport::{HttpTransport, Transport};
 
-/// Makes typed calls to other processes. Clones share the transport and its connections.
+/// Client that makes typed calls to other processes. Clones share the transport and its connections.
 #[derive(Clone)]
 pub struct Client {
     transport: Arc<dyn Transport>,
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if there is no valid reply. [`CallError::may_have_run`] tells whether the peer may have executed
-    /// the call.
+    /// Fails if there is no valid reply. [`CallError::may_have_run`] returns whether the peer may have
+    /// executed the call.
     pub async fn call<Request, Reply>(
         &self,
         address: &str,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,15 +1,15 @@
 //! Durable state in a ring of preallocated files.
 //!
 //! A [`Journal`] appends records and reports when they are durable. To free space, its owner periodically
-//! appends the state that it still needs again and releases all records before it. A separate thread makes
-//! the calls to the disk, so that a stalled disk blocks nothing else.
+//! appends a copy of the state that it still needs and releases all records before the copy. A separate
+//! thread makes the calls to the disk, so that a stalled disk blocks nothing else.
 //!
 //! # Guarantees
 //!
 //! - An acknowledged record survives the end of the process and a loss of power until it is released.
 //! - A record whose append failed or was not yet acknowledged may or may not be present after a restart. If
-//!   it is, it is at the position where it was appended, and never after a record that was acknowledged
-//!   later.
+//!   it is present, it is at the position where it was appended, and never after a record that was
+//!   acknowledged later.
 //! - The next open may still return released records.
 //! - All records that an open returns are durable when it completes.
 //!
