--- a/crates/data-plane/src/batch/item.rs
+++ b/crates/data-plane/src/batch/item.rs
@@ -70,7 +70,7 @@
     /// empty, it starts from the beginning.
     Interrupted(ItemProgress),
     /// No server has run the item: none was eligible, or the attempt is known not to have been executed.
-    NotRun {
+    NotExecuted {
         /// The delay before the item may be sent again.
         retry_after: Duration,
     },
@@ -84,7 +84,7 @@
             return ItemOutcome::Unprocessable;
         };
         let Some(in_flight) = self.select_for_item(&item) else {
-            return ItemOutcome::NotRun { retry_after: DEFAULT_RETRY_AFTER };
+            return ItemOutcome::NotExecuted { retry_after: DEFAULT_RETRY_AFTER };
         };
         let known_version = in_flight.server().version;
         let options = AttemptOptions {
@@ -144,7 +144,7 @@
 fn error_outcome(item: ItemRequest, error: AttemptError) -> ItemOutcome {
     match error.execution_status() {
         ExecutionStatus::NotExecuted => {
-            ItemOutcome::NotRun { retry_after: error.retry_after().unwrap_or(DEFAULT_RETRY_AFTER) }
+            ItemOutcome::NotExecuted { retry_after: error.retry_after().unwrap_or(DEFAULT_RETRY_AFTER) }
         }
         ExecutionStatus::MayHaveBeenExecuted => ItemOutcome::Interrupted(item.progress),
     }
--- a/crates/data-plane/src/ingress/mod.rs
+++ b/crates/data-plane/src/ingress/mod.rs
@@ -11,4 +11,4 @@
 mod settings;
 
 pub use lifecycle::Ingress;
-pub use settings::{IngressSettings, JobEndpoint, ReadinessCheck};
+pub use settings::{ConditionCheck, IngressSettings, JobEndpoint};
--- a/crates/data-plane/src/ingress/settings.rs
+++ b/crates/data-plane/src/ingress/settings.rs
@@ -14,17 +14,17 @@
 
 /// A condition of the process. It is evaluated for each readiness probe or for each request without a route,
 /// so it must be cheap.
-pub type ReadinessCheck = Box<dyn Fn() -> bool + Send + Sync>;
+pub type ConditionCheck = Box<dyn Fn() -> bool + Send + Sync>;
 
 /// Settings of an ingress, and the parts of the process that it calls.
 pub struct IngressSettings {
     /// The handler of requests that concern batch jobs.
     pub jobs: Arc<dyn JobEndpoint>,
     /// Whether the process is ready for requests of clients. A draining ingress is not ready in any case.
-    pub is_ready: ReadinessCheck,
+    pub is_ready: ConditionCheck,
     /// Whether the configuration was recently confirmed to be the newest. Only then does a request without a
     /// route receive 404; otherwise it receives 503, as a newer configuration may have a route for it.
-    pub is_configuration_confirmed: ReadinessCheck,
+    pub is_configuration_confirmed: ConditionCheck,
     /// The time for which new connections are accepted after [`Ingress::drain`](super::Ingress::drain).
     /// Clients still open connections until two readiness probes of the platform have failed: 2.5 s if it
     /// probes once per second.
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -31,5 +31,5 @@
 
 pub use batch::{ItemOutcome, ItemProgress, ItemRequest, RewardOutcome};
 pub use forwarding::Forwarder;
-pub use ingress::{Ingress, IngressSettings, JobEndpoint, ReadinessCheck};
+pub use ingress::{ConditionCheck, Ingress, IngressSettings, JobEndpoint};
 pub use streaming::{EventParser, StreamEvent};
--- a/crates/data-plane/tests/at_most_once.rs
+++ b/crates/data-plane/tests/at_most_once.rs
@@ -169,7 +169,7 @@
     bytes_after_the_response = { Reaction::Write(format!("{}surplus", response_text(200, "Postmark: p\r\n", "ab"))), 200 },
     response_to_another_request = { Reaction::Write(response_text(200, "Postmark: p\r\n", "ab").replace("{id}", "other")), 502 },
     error_of_the_server = { Reaction::Write(response_text(500, "Postmark: p\r\n", "ab")), 500 },
-    unavailable_that_may_have_run = { Reaction::Write(response_text(503, "Postmark: p\r\n", "ab")), 503 },
+    unavailable_that_may_have_been_executed = { Reaction::Write(response_text(503, "Postmark: p\r\n", "ab")), 503 },
 )]
 #[test_macro(tokio::test)]
 async fn given_idle_connections_when_the_response_is_unusual_then_exactly_one_server_receives_the_request(
--- a/crates/data-plane/tests/ingress.rs
+++ b/crates/data-plane/tests/ingress.rs
@@ -280,7 +280,7 @@
 }
 
 #[tokio::test]
-async fn given_a_client_that_disconnects_when_its_request_is_in_flight_then_the_attempt_is_canceled() {
+async fn given_a_client_that_disconnects_when_its_request_is_in_flight_then_the_attempt_is_cancelled() {
     let servers = fake_servers(vec![Reaction::Hang]).await;
     let node = node_with(&servers).await;
     let pending_request = tokio::spawn({
--- a/crates/data-plane/tests/items.rs
+++ b/crates/data-plane/tests/items.rs
@@ -147,8 +147,8 @@
 #[parameterized(
     server_error = { response(500, "Postmark: stamp\r\n", "bad"), ItemOutcome::Failed },
     unprocessable = { response(422, "Postmark: stamp\r\n", "no"), ItemOutcome::Unprocessable },
-    rejected = { rejection(), ItemOutcome::NotRun { retry_after: std::time::Duration::from_millis(250) } },
-    misdirected = { response(421, "", ""), ItemOutcome::NotRun { retry_after: std::time::Duration::from_millis(50) } },
+    rejected = { rejection(), ItemOutcome::NotExecuted { retry_after: std::time::Duration::from_millis(250) } },
+    misdirected = { response(421, "", ""), ItemOutcome::NotExecuted { retry_after: std::time::Duration::from_millis(50) } },
     connection_closed = { Reaction::WriteAndClose(String::new()), ItemOutcome::Interrupted(ItemProgress::default()) },
     response_to_another_request = { Reaction::Write(stream_text(VERSION_3, &["id: 1\ndata: e1\n\n"], true).replace("{id}", "other")),
         ItemOutcome::Interrupted(ItemProgress::default()) },
@@ -163,22 +163,22 @@
 }
 
 #[tokio::test]
-async fn given_no_server_with_the_version_when_an_item_runs_then_the_outcome_is_not_run() {
+async fn given_no_server_with_the_version_when_an_item_runs_then_the_outcome_is_not_executed() {
     let server = FakeServer::start("a", |_, _| success("")).await;
     let (forwarder, _view_sender) = forwarder(&[&server]);
     let newer = ItemRequest { oldest_version: 4, ..item(&forwarder, "/rollout/x", ItemProgress::default()) };
     assert_eq!(forwarder.free_capacity(&newer.route.targets, Some("m"), 4), 0);
     assert!(forwarder.free_capacity(&newer.route.targets, Some("m"), 3) > 0);
-    assert!(matches!(forwarder.run_item(newer).await, ItemOutcome::NotRun { .. }));
+    assert!(matches!(forwarder.run_item(newer).await, ItemOutcome::NotExecuted { .. }));
     assert!(server.received().is_empty());
 }
 
 #[tokio::test]
-async fn given_an_unreachable_server_when_an_item_runs_then_the_outcome_is_not_run() {
+async fn given_an_unreachable_server_when_an_item_runs_then_the_outcome_is_not_executed() {
     let (forwarder, _view_sender) =
         forwarder_with_entries(vec![support::server_entry("a", unused_address().await, "s")]);
     let outcome = forwarder.run_item(item(&forwarder, "/rollout/x", ItemProgress::default())).await;
-    assert!(matches!(outcome, ItemOutcome::NotRun { .. }), "{outcome:?}");
+    assert!(matches!(outcome, ItemOutcome::NotExecuted { .. }), "{outcome:?}");
 }
 
 #[tokio::test]
@@ -281,7 +281,7 @@
     let (forwarder, _view_sender) = forwarder(&[&server]);
     for _ in 0..2 {
         let outcome = forwarder.run_item(item(&forwarder, "/single/x", ItemProgress::default())).await;
-        assert!(matches!(outcome, ItemOutcome::NotRun { .. }));
+        assert!(matches!(outcome, ItemOutcome::NotExecuted { .. }));
     }
     assert_eq!(server.received().len(), 1);
 }
--- a/crates/store-plane/src/replication/handover.rs
+++ b/crates/store-plane/src/replication/handover.rs
@@ -7,14 +7,14 @@
 use batch::{JobId, StoreId};
 use futures_util::future::join_all;
 
-use super::messages::{AddressedRequest, ReleaseNotice, TakeoverRequest, RELEASED_PATH, TAKE_OVER_PATH};
+use super::messages::{AddressedRequest, ReleaseNotice, TakeoverRequest, RELEASED_PATH, TAKEOVER_PATH};
 use super::node::StoreNode;
 use super::placement::replica_ids;
 
 /// Timeout of the notice to one replica that an ownership has ended.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Timeout of the request to one store to take a batch job over.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(400);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl StoreNode {
     /// Releases all batch jobs that this store owns, stops claiming batch jobs, and asks the next replica
@@ -40,7 +40,7 @@
             let request = TakeoverRequest { from: self.id(), is_from_owner: true };
             let request = AddressedRequest { to: store, job: Arc::clone(job), request };
             let acknowledged: Result<(), _> =
-                self.rpc.call(&address, TAKE_OVER_PATH, &request, HAND_OVER_TIMEOUT).await;
+                self.rpc.call(&address, TAKEOVER_PATH, &request, HANDOVER_TIMEOUT).await;
             if acknowledged.is_ok() {
                 return;
             }
--- a/crates/store-plane/src/replication/maintenance/migration.rs
+++ b/crates/store-plane/src/replication/maintenance/migration.rs
@@ -7,14 +7,14 @@
 use batch::{JobId, Record, ReplicaRequest, StoreId};
 use state::View;
 
-use super::super::messages::{AddressedRequest, MigrationStatus, TakeoverRequest, TAKE_OVER_PATH};
+use super::super::messages::{AddressedRequest, MigrationStatus, TakeoverRequest, TAKEOVER_PATH};
 use super::super::node::StoreNode;
 use super::super::placement::replica_ids;
 use super::super::state::ReplicationState;
 use super::MAX_CLAIMS_PER_ROUND;
 
 /// Timeout of a request to another store to take a batch job over.
-const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(500);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl StoreNode {
     /// Rejects owners of older epochs from now on, and claims the batch jobs that this store owns again under
@@ -53,7 +53,7 @@
                 let address = node.address_of(store)?;
                 let request = TakeoverRequest { from: node.id(), is_from_owner: false };
                 let request = AddressedRequest { to: store, job, request };
-                node.rpc.call::<_, ()>(&address, TAKE_OVER_PATH, &request, TAKE_OVER_TIMEOUT).await.ok()
+                node.rpc.call::<_, ()>(&address, TAKEOVER_PATH, &request, TAKEOVER_TIMEOUT).await.ok()
             });
         }
     }
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -16,7 +16,7 @@
 /// Path of heartbeats between stores.
 pub(super) const HEARTBEAT_PATH: &str = "/batch/heartbeat";
 /// Path of requests to own a batch job; see [`TakeoverRequest`].
-pub(super) const TAKE_OVER_PATH: &str = "/batch/take-over";
+pub(super) const TAKEOVER_PATH: &str = "/batch/take-over";
 /// Path of notices that an owner has given a batch job up; see [`ReleaseNotice`].
 pub(super) const RELEASED_PATH: &str = "/batch/released";
 /// Path of submissions by traffic nodes.
--- a/crates/store-plane/src/replication/server/mod.rs
+++ b/crates/store-plane/src/replication/server/mod.rs
@@ -13,7 +13,7 @@
 
 use super::messages::{
     AddressedRequest, Heartbeat, ReleaseNotice, TakeoverRequest, BODY_PATH, END_PATH, HEARTBEAT_PATH,
-    MIGRATION_STATUS_PATH, READ_PATH, RELEASED_PATH, REPLICATE_PATH, SUBMIT_PATH, TAKE_OVER_PATH,
+    MIGRATION_STATUS_PATH, READ_PATH, RELEASED_PATH, REPLICATE_PATH, SUBMIT_PATH, TAKEOVER_PATH,
 };
 use super::node::StoreNode;
 
@@ -30,7 +30,7 @@
     let heartbeat = handler(node, |node, heartbeat: Heartbeat| async move {
         (heartbeat.to == node.id()).then(|| node.answer_heartbeat(&heartbeat))
     });
-    let take_over = addressed_handler(node, |node, job, request: TakeoverRequest| async move {
+    let takeover = addressed_handler(node, |node, job, request: TakeoverRequest| async move {
         node.on_takeover_request(&job, request);
         Some(())
     });
@@ -55,7 +55,7 @@
     Route::new()
         .at(REPLICATE_PATH, post(replicate))
         .at(HEARTBEAT_PATH, post(heartbeat))
-        .at(TAKE_OVER_PATH, post(take_over))
+        .at(TAKEOVER_PATH, post(takeover))
         .at(RELEASED_PATH, post(released))
         .at(SUBMIT_PATH, post(submit))
         .at(READ_PATH, post(read))
--- a/crates/store-plane/src/runner/completion.rs
+++ b/crates/store-plane/src/runner/completion.rs
@@ -31,11 +31,11 @@
             return;
         }
         job.work[index].task = None;
-        if !matches!(outcome, ItemOutcome::NotRun { .. }) {
+        if !matches!(outcome, ItemOutcome::NotExecuted { .. }) {
             job.work[index].consecutive_rejections = 0;
         }
         let pause = match outcome {
-            ItemOutcome::NotRun { retry_after } => job.work[index].on_rejection(retry_after),
+            ItemOutcome::NotExecuted { retry_after } => job.work[index].on_rejection(retry_after),
             ItemOutcome::Complete(progress) if job.accepts(&progress) => {
                 job.work[index].progress = progress;
                 self.update_average_run(duration);
--- a/crates/store-plane/src/runner/forwarder_executor.rs
+++ b/crates/store-plane/src/runner/forwarder_executor.rs
@@ -14,7 +14,7 @@
 /// Time from the submission until results are due, if the route does not set it.
 const DEFAULT_DELIVERY_DUE: Duration = Duration::from_secs(10);
 /// Time from the submission until items are given up, if the route does not set it.
-const DEFAULT_SHELF_LIFE: Duration = Duration::from_secs(3600);
+const DEFAULT_EXPIRY: Duration = Duration::from_secs(3600);
 /// Pause before the next attempt of an item that no route matches.
 const NO_ROUTE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
@@ -43,7 +43,7 @@
             max_attempts: route.max_attempts,
             single_version: route.single_version,
             delivery_due: route.delivery_due.unwrap_or(DEFAULT_DELIVERY_DUE),
-            shelf_life: route.shelf_life.unwrap_or(DEFAULT_SHELF_LIFE),
+            shelf_life: route.shelf_life.unwrap_or(DEFAULT_EXPIRY),
         })
     }
 
@@ -58,14 +58,14 @@
     }
 
     /// Always `true`: the forwarder selects a server with a suitable version by itself, and returns
-    /// [`ItemOutcome::NotRun`] if there is none.
+    /// [`ItemOutcome::NotExecuted`] if there is none.
     fn can_continue(&self, _address: &JobAddress, _versions: &BTreeSet<u64>) -> bool {
         true
     }
 
     async fn run_item(&self, attempt: ItemAttempt) -> ItemOutcome {
         let Some(route) = self.route(&attempt.address.host, &attempt.address.path) else {
-            return ItemOutcome::NotRun { retry_after: NO_ROUTE_RETRY_AFTER };
+            return ItemOutcome::NotExecuted { retry_after: NO_ROUTE_RETRY_AFTER };
         };
         self.forwarder.run_item(item_request(route, attempt)).await
     }
--- a/crates/store-plane/tests/golden/messages.rs
+++ b/crates/store-plane/tests/golden/messages.rs
@@ -213,7 +213,7 @@
     let listed = [
         paths::REPLICATE_PATH,
         paths::HEARTBEAT_PATH,
-        paths::TAKE_OVER_PATH,
+        paths::TAKEOVER_PATH,
         paths::SUBMIT_PATH,
         paths::READ_PATH,
         paths::BODY_PATH,
--- a/crates/store-plane/tests/placement.rs
+++ b/crates/store-plane/tests/placement.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn given_several_zones_when_replicas_are_chosen_then_each_is_in_a_different_zone() {
+fn given_several_zones_when_replicas_are_selected_then_each_is_in_a_different_zone() {
     let set = store_set(9, 3);
 
     for number in 0..200 {
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn given_fewer_stores_than_replicas_when_replicas_are_chosen_then_all_stores_are_replicas() {
+fn given_fewer_stores_than_replicas_when_replicas_are_selected_then_all_stores_are_replicas() {
     assert_eq!(replica_names(&store_set(2, 1), "job").len(), 2);
 }
 
 #[test]
-fn given_replaced_disks_and_addresses_when_replicas_are_chosen_then_they_are_unchanged() {
+fn given_replaced_disks_and_addresses_when_replicas_are_selected_then_they_are_unchanged() {
     let set = store_set(9, 3);
     let mut replaced = set.clone();
     for store in &mut replaced.members {
--- a/crates/store-plane/tests/replication/store_process.rs
+++ b/crates/store-plane/tests/replication/store_process.rs
@@ -25,7 +25,7 @@
     thread: JoinHandle<()>,
     kill: oneshot::Sender<()>,
     freeze: mpsc::UnboundedSender<std::sync::mpsc::Receiver<()>>,
-    hand_over: mpsc::UnboundedSender<oneshot::Sender<()>>,
+    handover: mpsc::UnboundedSender<oneshot::Sender<()>>,
 }
 
 /// Keeps the thread of a store blocked until dropped. The store's sockets stay open.
@@ -38,12 +38,12 @@
     pub fn start(options: StoreOptions) -> Self {
         let (kill, killed) = oneshot::channel();
         let (freeze, freezes) = mpsc::unbounded_channel();
-        let (hand_over, hand_overs) = mpsc::unbounded_channel();
+        let (handover, handovers) = mpsc::unbounded_channel();
         let (ready, is_ready) = std::sync::mpsc::channel();
-        let signals = Signals { killed, freezes, hand_overs };
+        let signals = Signals { killed, freezes, handovers };
         let thread = std::thread::spawn(move || run_store(options, signals, &ready));
         is_ready.recv().expect("the store starts");
-        Self { thread, kill, freeze, hand_over }
+        Self { thread, kill, freeze, handover }
     }
 
     /// Ends the store without a hand-over, and waits for its thread.
@@ -62,7 +62,7 @@
     /// Makes the store hand its batch jobs over; the receiver is notified when that is complete.
     pub fn hand_over_jobs(&self) -> oneshot::Receiver<()> {
         let (done, is_done) = oneshot::channel();
-        self.hand_over.send(done).expect("the store runs");
+        self.handover.send(done).expect("the store runs");
         is_done
     }
 }
@@ -73,7 +73,7 @@
     /// Each message blocks the thread until the other end of the receiver in it is dropped.
     freezes: mpsc::UnboundedReceiver<std::sync::mpsc::Receiver<()>>,
     /// Each message starts a hand-over; the sender in it is notified when the hand-over is complete.
-    hand_overs: mpsc::UnboundedReceiver<oneshot::Sender<()>>,
+    handovers: mpsc::UnboundedReceiver<oneshot::Sender<()>>,
 }
 
 fn run_store(options: StoreOptions, mut signals: Signals, ready: &std::sync::mpsc::Sender<()>) {
@@ -99,7 +99,7 @@
         };
         let draining_store = store.clone();
         let handed_over = async {
-            while let Some(done) = signals.hand_overs.recv().await {
+            while let Some(done) = signals.handovers.recv().await {
                 draining_store.hand_over_jobs().await;
                 let _ = done.send(());
             }
--- a/crates/store-plane/tests/runner/retries.rs
+++ b/crates/store-plane/tests/runner/retries.rs
@@ -105,7 +105,7 @@
 async fn given_an_interrupted_run_when_rejected_often_then_the_next_run_starts_over() {
     let script = |_: &_, nth| match nth {
         0 => ItemOutcome::Interrupted(progress(&["a"], &[7])),
-        1..=4 => ItemOutcome::NotRun { retry_after: Duration::from_millis(10) },
+        1..=4 => ItemOutcome::NotExecuted { retry_after: Duration::from_millis(10) },
         _ => complete_outcome(),
     };
     let harness = RunnerHarness::start(FakeExecutor::new(script, graded_outcome));
@@ -164,7 +164,7 @@
 ) {
     with_paused_time(async move {
         let script = move |_: &_, nth| match nth {
-            0 => ItemOutcome::NotRun { retry_after: Duration::from_millis(retry_after_ms) },
+            0 => ItemOutcome::NotExecuted { retry_after: Duration::from_millis(retry_after_ms) },
             _ => complete_outcome(),
         };
         let harness = RunnerHarness::start(FakeExecutor::new(script, graded_outcome));
@@ -181,7 +181,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn given_constant_rejections_when_time_passes_then_runs_are_frequent_but_bounded() {
-    let script = |_: &_, _| ItemOutcome::NotRun { retry_after: Duration::ZERO };
+    let script = |_: &_, _| ItemOutcome::NotExecuted { retry_after: Duration::ZERO };
     let harness =
         RunnerHarness::start(FakeExecutor::new(script, graded_outcome).with_run_time(Duration::ZERO));
 
@@ -237,7 +237,7 @@
 async fn given_items_without_results_when_the_shelf_life_has_passed_then_they_are_given_up_and_no_longer_run()
 {
     let executor = FakeExecutor::new(
-        |_, _| ItemOutcome::NotRun { retry_after: Duration::from_millis(10) },
+        |_, _| ItemOutcome::NotExecuted { retry_after: Duration::from_millis(10) },
         graded_outcome,
     );
     let harness = RunnerHarness::start(executor);
