--- a/crates/data-plane/src/batch/capacity.rs
+++ b/crates/data-plane/src/batch/capacity.rs
@@ -7,15 +7,15 @@
 
 impl Forwarder {
     /// Returns how many more items the servers of `targets` can accept now. Only servers that run
-    /// `oldest_version` of `model` or a newer version count.
+    /// `oldest_version` of `model` or a newer version count, and no ejected servers.
     #[must_use]
     pub fn free_capacity(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
         let version = VersionRequirement::AtLeast(oldest_version);
         self.selector.free_capacity(&item_criteria(targets, model, version))
     }
 
-    /// Returns how many items the servers that [`Self::free_capacity`] considers can run concurrently,
-    /// including the requests that they run now.
+    /// Returns how many items the servers of `targets` can accept at the same time, including the requests in
+    /// flight. The same versions count as in [`Self::free_capacity`]; ejected servers count as well.
     #[must_use]
     pub fn total_capacity(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
         let version = VersionRequirement::AtLeast(oldest_version);
--- a/crates/data-plane/src/batch/collector.rs
+++ b/crates/data-plane/src/batch/collector.rs
@@ -21,7 +21,7 @@
 /// The versions of the weights from which the collector accepts events.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CollectorRules {
-    /// The oldest version that may generate an event; 0 for a text that is generated without a model.
+    /// The oldest version that may generate an event; 0 allows all versions and events of unknown version.
     pub(super) oldest_version: u64,
     /// Whether a single version must generate the entire text.
     pub(super) single_version: bool,
@@ -36,7 +36,7 @@
     MixedVersions,
 }
 
-/// Collects the events of one run of an item.
+/// Collector of the events of one run of an item.
 pub(super) struct EventCollector {
     pub(super) progress: ItemProgress,
     rules: CollectorRules,
@@ -45,7 +45,8 @@
 }
 
 impl EventCollector {
-    /// Creates a collector that continues after `progress`. `version` is what the server runs, if known.
+    /// Creates a collector that continues after `progress`. `version` is the version that the server runs, if
+    /// known.
     pub(super) fn new(progress: ItemProgress, rules: CollectorRules, version: Option<u64>) -> Self {
         Self { progress, rules, version }
     }
--- a/crates/data-plane/src/batch/item.rs
+++ b/crates/data-plane/src/batch/item.rs
@@ -23,9 +23,9 @@
 /// The delay before an item may be sent again if the server's rejection has no `Retry-After`, or no server
 /// was eligible.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// The maximum time between two chunks of the response body; the run is interrupted when it is exceeded. The
-/// head of the response may take twice as long, as the request may wait in the server's queue
-/// (`HEAD_TIMEOUT_FACTOR` in `upstream/attempt.rs`).
+/// The maximum time between two chunks of the response body; after that, the run is interrupted. The head of
+/// the response may take twice as long, as the request may wait in the server's queue (`HEAD_TIMEOUT_FACTOR`
+/// in `upstream/attempt.rs`).
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// One run of an item: the request, and the progress of earlier runs after which it continues.
@@ -43,9 +43,9 @@
     pub id: Arc<str>,
     /// The body of the request.
     pub body: Bytes,
-    /// The model that generates the text; `None` if the text is generated without a model.
+    /// The model that generates the text; `None` if the batch job names none.
     pub model: Option<Arc<str>>,
-    /// The oldest version of the weights that may generate an event of the text.
+    /// The oldest version of the weights that may generate an event of the text; 0 allows all versions.
     pub oldest_version: u64,
     /// The group of the item, if any. Items of a group share their prompt, so they prefer the same server,
     /// whose prefix cache holds it.
@@ -69,7 +69,7 @@
     /// The run ended before the text was complete. The item can continue after this progress; if that is
     /// empty, it starts from the beginning.
     Interrupted(ItemProgress),
-    /// No server has run the item: none was eligible, or the attempt is known not to have been executed.
+    /// No server has executed the request: none was eligible, or the attempt was certainly not executed.
     NotExecuted {
         /// The delay before the item may be sent again.
         retry_after: Duration,
--- a/crates/data-plane/src/forwarding/buffered.rs
+++ b/crates/data-plane/src/forwarding/buffered.rs
@@ -1,5 +1,5 @@
 //! Forwarding of requests whose response is buffered until it is complete: retries, hedged requests, and the
-//! choice of the response that the client receives.
+//! selection of the response that the client receives.
 
 use std::sync::Arc;
 
@@ -16,7 +16,8 @@
 use crate::response::ClientResponse;
 use crate::upstream::{AttemptError, AttemptOptions, UpstreamAttempt};
 
-/// The fraction of the route's latency target after which a hedged request is sent if no response arrived.
+/// The fraction of the route's latency target after which a hedged request is sent if there is no final
+/// response yet.
 const HEDGE_DELAY_FACTOR: f64 = 0.6;
 
 type AttemptFuture = BoxFuture<'static, Result<ClientResponse, AttemptError>>;
@@ -133,7 +134,7 @@
     }
 
     /// Ends forwarding with a server's response. Attempts that are still in flight are completed in the
-    /// background, as canceling work at a server costs more than completing it.
+    /// background, as cancelling work at a server costs more than completing it.
     fn finish_with_response(self, response: ClientResponse) -> ForwardedResponse {
         if !self.attempts.is_empty() {
             tokio::spawn(self.attempts.for_each(|_| async {}));
--- a/crates/data-plane/src/forwarding/forwarder.rs
+++ b/crates/data-plane/src/forwarding/forwarder.rs
@@ -8,8 +8,8 @@
 
 use crate::selection::ServerSelector;
 
-/// Forwards requests to servers. Clones share the connections, the load and health of the servers, and the
-/// hedge budget.
+/// Forwarder of requests to servers. Clones share the connections, the load and health of the servers, and
+/// the hedge budget.
 #[derive(Clone)]
 pub struct Forwarder {
     pub(crate) selector: ServerSelector,
--- a/crates/data-plane/src/forwarding/retry.rs
+++ b/crates/data-plane/src/forwarding/retry.rs
@@ -131,7 +131,7 @@
             && Instant::now() < self.deadline
     }
 
-    /// The maximum number of attempts that may have been executed.
+    /// Returns the maximum number of attempts that may have been executed.
     fn max_executions(&self) -> usize {
         match self.is_idempotent {
             true => self.route.max_attempts.max(1) as usize,
@@ -139,12 +139,12 @@
         }
     }
 
-    /// The number of attempts that may have been executed, including those in flight.
+    /// Returns the number of attempts that may have been executed, including those in flight.
     fn executions(&self) -> usize {
         self.attempted.len() - self.rejections()
     }
 
-    /// The number of attempts that are known not to have been executed.
+    /// Returns the number of attempts that are known not to have been executed.
     fn rejections(&self) -> usize {
         self.errors.iter().filter(|error| error.execution_status() == ExecutionStatus::NotExecuted).count()
     }
--- a/crates/data-plane/src/headers.rs
+++ b/crates/data-plane/src/headers.rs
@@ -5,7 +5,7 @@
 
 use http::header::{HeaderMap, HeaderName, CONNECTION, HOST, RETRY_AFTER};
 
-/// The id of a request, chosen by the client. A response repeats the id of its request.
+/// The id of a request, set by the client. A response repeats the id of its request.
 pub(crate) const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
 /// The time that the sender will still wait for the response, in milliseconds.
 pub(crate) const TIME_LEFT: HeaderName = HeaderName::from_static("time-left-ms");
@@ -21,7 +21,7 @@
 /// A value that every successful response of a server must contain. In the response to a reward call it is
 /// the grade.
 pub(crate) const STAMP: HeaderName = HeaderName::from_static("postmark");
-/// Present in a rejection if the server did not execute the request.
+/// Marks a response with status 400, 429 or 503 as a rejection: the server did not execute the request.
 pub(crate) const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
 /// The version of the weights with which the server processes the request.
 pub(crate) const VERSION: HeaderName = HeaderName::from_static("weight-editions");
--- a/crates/data-plane/src/ingress/http_server.rs
+++ b/crates/data-plane/src/ingress/http_server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server for clients. It accepts connections and passes their requests to a poem endpoint.
 //!
-//! hyper serves the connections instead of poem's own server, which continues to use a failed connection: a
-//! truncated body then ended like a complete one, and work for a disconnected client was not canceled.
+//! hyper serves the connections instead of poem's own server, which continues to use a failed connection:
+//! with it, a truncated body ends like a complete one, and work for a disconnected client is not cancelled.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -27,7 +27,7 @@
 /// descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts connections of clients and serves their requests.
+/// HTTP server that accepts connections of clients and serves their requests.
 pub(super) struct HttpServer<E, I> {
     /// The endpoint that responds to all requests.
     pub(super) endpoint: Arc<E>,
@@ -101,7 +101,7 @@
 
 impl ClientConnection {
     /// Serves the connection until it is closed. Once `stopping` is true, the connection is closed after the
-    /// request in flight. If the client disconnects, the work for its request is canceled.
+    /// request in flight. If the client disconnects, the work for its request is cancelled.
     async fn serve<E>(self, endpoint: Arc<E>, mut stopping: watch::Receiver<bool>)
     where
         E: Endpoint<Output = Response> + 'static,
--- a/crates/data-plane/src/ingress/lifecycle.rs
+++ b/crates/data-plane/src/ingress/lifecycle.rs
@@ -25,7 +25,8 @@
 /// idle connection up to that limit, so the node must keep it open for longer.
 const IDLE_TIMEOUT_FACTOR: f64 = 1.25;
 
-/// Serves requests of clients. Clones share the forwarder, the settings and the draining state.
+/// Ingress of a node, which serves requests of clients. Clones share the forwarder, the settings and the
+/// draining state.
 #[derive(Clone)]
 pub struct Ingress {
     shared: Arc<IngressShared>,
@@ -86,7 +87,7 @@
     }
 
     /// Whether the node is ready for requests of clients: it is not draining, and
-    /// [`IngressSettings::is_ready`] holds.
+    /// [`IngressSettings::is_ready`] is true.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && (self.shared.settings.is_ready)()
--- a/crates/data-plane/src/ingress/readiness.rs
+++ b/crates/data-plane/src/ingress/readiness.rs
@@ -8,7 +8,7 @@
 /// The path of the platform's readiness probes. All other paths of the endpoint respond with 404.
 const READINESS_PATH: &str = "/api/ready";
 
-/// Responds to readiness probes: 200 if the node is ready, 503 if it isn't.
+/// Endpoint that responds to readiness probes: 200 if the node is ready, 503 if it isn't.
 pub(super) struct ReadinessEndpoint(pub(super) Ingress);
 
 impl Endpoint for ReadinessEndpoint {
--- a/crates/data-plane/src/ingress/request_reader.rs
+++ b/crates/data-plane/src/ingress/request_reader.rs
@@ -35,7 +35,7 @@
 }
 
 impl RequestError {
-    /// The status with which the node responds to the request.
+    /// Returns the status with which the node responds to the request.
     pub(super) fn status(self) -> StatusCode {
         match self {
             Self::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
--- a/crates/data-plane/src/ingress/settings.rs
+++ b/crates/data-plane/src/ingress/settings.rs
@@ -6,7 +6,7 @@
 use futures_util::future::BoxFuture;
 use poem::{Request, Response};
 
-/// Handles requests that concern batch jobs: submitting, reading and ending a job, and reading an item.
+/// Handler of requests that concern batch jobs: submitting, reading and ending a job, and reading an item.
 pub trait JobEndpoint: Send + Sync {
     /// Responds to a request. Failures are responses with an error status.
     fn handle(&self, request: Request) -> BoxFuture<'_, Response>;
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -5,7 +5,7 @@
 //! | `ingress` | connections of clients, routing, limits, readiness, graceful shutdown |
 //! | `forwarding` | the attempts of a request: retries, hedged requests, buffering of responses |
 //! | `streaming` | event streams: parsing, relaying event by event, resumption at another server |
-//! | `batch` | the requests that batch jobs cause: items, whose text is collected, and reward calls |
+//! | `batch` | the requests for batch jobs: items, whose text is collected, and reward calls |
 //! | `upstream` | one attempt at one server: request headers, validation of the response head, body |
 //! | `selection` | shared state: dispatcher, connections to servers, prefix-cache affinity, hedge budget |
 //! | `headers`, `request`, `response` | protocol headers, and the types that the modules exchange |
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -31,8 +31,8 @@
         Self { status, headers: HeaderMap::new(), body: ResponseBody::Complete(Bytes::new()) }
     }
 
-    /// Creates a 503 response with `Retry-After`. It tells the client that the request was not executed and
-    /// never will be, so that the client may retry it after that time.
+    /// Creates a 503 response with `Retry-After`. It means that the request was not executed and never will
+    /// be, so that the client may retry it after that time.
     pub(crate) fn not_executed(retry_after: Duration) -> Self {
         let mut response = Self::from_node(StatusCode::SERVICE_UNAVAILABLE);
         let seconds = format!("{:.3}", retry_after.as_secs_f64());
--- a/crates/data-plane/src/selection/affinity.rs
+++ b/crates/data-plane/src/selection/affinity.rs
@@ -1,15 +1,15 @@
-//! Affinity between groups of items and servers. All items of a group have the same prompt, which the prefix
-//! cache of a server holds after the first of them.
+//! Affinity between groups of items and servers. All items of a group have the same prompt, which is in the
+//! prefix cache of a server after the first of them.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use state::ServerId;
 
-/// The maximum number of groups whose server is remembered.
+/// The maximum number of groups that are recorded.
 const MAX_GROUPS: usize = 512;
 
-/// Maps each group of items to the server to which its most recent item was sent.
+/// Map from each group of items to the server to which its most recent item was sent.
 ///
 /// Beyond [`MAX_GROUPS`], the group that was recorded first is evicted.
 #[derive(Debug, Default)]
--- a/crates/data-plane/src/selection/clients.rs
+++ b/crates/data-plane/src/selection/clients.rs
@@ -1,4 +1,4 @@
-//! HTTP clients, which hold the connections to servers.
+//! HTTP clients, which own the connections to servers.
 //!
 //! Each incarnation of a server has a separate client, so that all connections to it can be dropped together:
 //! when the server is removed from the server list, or after a response without the id of its request.
--- a/crates/data-plane/src/selection/in_flight.rs
+++ b/crates/data-plane/src/selection/in_flight.rs
@@ -10,7 +10,7 @@
 use crate::selection::selector::ServerSelector;
 
 /// A request in flight at the server that was selected for it. Dropping this guard reports the request to the
-/// dispatcher as finished, with the outcome that was set last, or as canceled if none was set.
+/// dispatcher as finished, with the outcome that was set last, or as cancelled if none was set.
 pub(crate) struct InFlightRequest {
     selector: ServerSelector,
     server: SelectedServer,
@@ -41,7 +41,7 @@
         self.outcome = outcome;
     }
 
-    /// Returns the HTTP client that holds the connections to the server.
+    /// Returns the HTTP client that owns the connections to the server.
     pub(crate) fn client(&self) -> reqwest::Result<Client> {
         self.selector.state().clients.get(&self.server.id)
     }
--- a/crates/data-plane/src/selection/selector.rs
+++ b/crates/data-plane/src/selection/selector.rs
@@ -13,7 +13,7 @@
 use crate::selection::clients::ServerClients;
 use crate::selection::hedging::HedgeBudget;
 
-/// Selects servers for attempts. Clones share the same state.
+/// Selector of servers for attempts. Clones share the same state.
 #[derive(Clone)]
 pub(crate) struct ServerSelector {
     shared: Arc<SelectorShared>,
@@ -56,13 +56,14 @@
         self.shared.view.borrow().configuration.clone()
     }
 
-    /// Returns how many more requests the eligible servers have capacity for.
+    /// Returns how many more requests the eligible servers can accept now. Ejected servers count as 0.
     pub(crate) fn free_capacity(&self, criteria: &SelectionCriteria<'_>) -> usize {
         let now = self.now();
         self.state().dispatcher.free_capacity(now, criteria)
     }
 
-    /// Returns how many requests the eligible servers can run concurrently, including those in flight.
+    /// Returns how many requests the suitable servers can accept at the same time, including those in flight.
+    /// Unlike in [`Self::free_capacity`], ejected servers count.
     pub(crate) fn total_capacity(&self, criteria: &SelectionCriteria<'_>) -> usize {
         let now = self.now();
         self.state().dispatcher.total_capacity(now, criteria)
--- a/crates/data-plane/src/streaming/event_parser.rs
+++ b/crates/data-plane/src/streaming/event_parser.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Splits a stream into events. The bytes of the stream may be pushed in chunks of any size.
+/// Parser that splits a stream into events. The bytes of the stream may be pushed in chunks of any size.
 ///
 /// ```
 /// use data_plane::EventParser;
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct EventParser {
     buffer: BytesMut,
-    /// The offset of the first line in the buffer that has not been search_start for the end of an event.
+    /// The offset of the first line in the buffer that has not been searched for the end of an event.
     search_start: usize,
 }
 
--- a/crates/data-plane/tests/support/fake_server.rs
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -15,7 +15,7 @@
     pub head: String,
     /// The request line.
     pub line: String,
-    /// The values of the headers, by lower-case name. Of repeated headers, it holds the last one.
+    /// The values of the headers, by lower-case name. Of repeated headers, only the last one is kept.
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
     /// The number of the connection on which the request was received; the first connection of a server has
@@ -48,8 +48,8 @@
     WriteWhenNotified(Arc<Notify>, String),
 }
 
-/// Determines the reaction to a request. The second argument is the number of requests that the server has
-/// received before, on all connections.
+/// Function that determines the reaction to a request. The second argument is the number of requests that the
+/// server has received before, on all connections.
 pub type Script = dyn Fn(&ReceivedRequest, usize) -> Reaction + Send + Sync;
 
 /// A running server, which records the requests that it receives.
@@ -149,7 +149,7 @@
     }
 }
 
-/// Configures the connection so that dropping it resets it instead of closed_sender it.
+/// Configures the connection so that dropping it resets it instead of closing it.
 pub fn reset(stream: &TcpStream) {
     stream.set_zero_linger().expect("SO_LINGER can be set");
 }
--- a/crates/data-plane/tests/support/mod.rs
+++ b/crates/data-plane/tests/support/mod.rs
@@ -70,8 +70,8 @@
     Arc::new(ServerList::new(ServerListVersion::default(), entries))
 }
 
-/// Creates a forwarder whose server list holds these servers, all of service `s`. Also returns the sender of
-/// its view.
+/// Creates a forwarder whose server list contains these servers, all of service `s`. Also returns the sender
+/// of its view.
 pub fn forwarder(servers: &[&FakeServer]) -> (Forwarder, watch::Sender<Arc<View>>) {
     let entries = servers.iter().map(|server| server_entry(&server.id, server.address, "s")).collect();
     forwarder_with_entries(entries)
--- a/crates/data-plane/tests/support/node.rs
+++ b/crates/data-plane/tests/support/node.rs
@@ -12,7 +12,7 @@
 
 use super::{forwarder, FakeServer, Reaction, LONG_TIMEOUT};
 
-/// Responds to every request with status 202 and the path of the request as body.
+/// Job endpoint that responds to every request with status 202 and the path of the request as body.
 struct EchoJobEndpoint;
 
 impl JobEndpoint for EchoJobEndpoint {
--- a/crates/store-plane/src/replication/client/mod.rs
+++ b/crates/store-plane/src/replication/client/mod.rs
@@ -34,7 +34,7 @@
 /// and from there to the replicas, and written twice.
 const SUBMIT_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Makes calls about batch jobs to the stores that keep them. Clones share the cached knowledge about stores.
+/// Client for calls about batch jobs to the stores that keep them. Clones share the routing cache.
 #[derive(Clone)]
 pub struct JobClient {
     rpc: rpc::Client,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Reads results from position `after` on. If there is none yet, waits for one at most `long_poll`.
+    /// Reads results from position `after` on. If there is none yet, waits at most `long_poll` for one.
     pub async fn read(&self, job: JobId, after: u64, long_poll: Duration) -> ReadOutcome {
         let long_poll_ms = u64::try_from(long_poll.as_millis()).unwrap_or(0);
         let request = ReadRequest { after, long_poll_ms };
--- a/crates/store-plane/src/replication/client/replica_selector.rs
+++ b/crates/store-plane/src/replication/client/replica_selector.rs
@@ -6,12 +6,14 @@
 use state::StoreMember;
 use tokio::time::Instant;
 
-/// Pause before the next round, after all replicas were called without a definite answer. A round calls each
-/// replica once.
+/// Pause before the next round of attempts, after all replicas were called without a definite answer. A round
+/// calls each replica once, and further stores after redirects. Calls other than submissions also pause after
+/// each attempt without a definite answer.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Minimum time until the deadline of the call that is needed to start another attempt.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(300);
-/// Number of calls to a store in one round after which further redirects to it are ignored.
+/// Number of calls to a store in one round after which further redirects to it are ignored. A store that is
+/// not a replica counts as called once at the start of the round.
 const MAX_CALLS_PER_STORE: usize = 2;
 
 /// The stores to which the attempts of one call may be sent.
@@ -51,8 +53,8 @@
     }
 
     /// Returns the store to call next: the target of a redirect, or else a replica that was not called in
-    /// this round. If there is none, starts a new round after a pause. Returns `None` once less than
-    /// [`MIN_ATTEMPT_TIME`] is left.
+    /// this round. If there is none, starts a new round after a pause. Returns `None` once no more than
+    /// [`MIN_ATTEMPT_TIME`] is left, or if there are no replicas.
     pub async fn next_store(&mut self) -> Option<StoreMember> {
         let store = match self.select() {
             Some(store) => store,
--- a/crates/store-plane/src/replication/client/routing_cache.rs
+++ b/crates/store-plane/src/replication/client/routing_cache.rs
@@ -1,4 +1,5 @@
-//! Caches what a traffic node learned about stores from its earlier calls.
+//! Caches what the earlier calls of a traffic node showed: the owners of batch jobs, and the stores that
+//! failed to answer.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -35,7 +36,7 @@
         self.owners.insert(Arc::clone(job), owner);
     }
 
-    /// Returns whether a store has failed to answer within [`SUSPECT_TTL`] and not answered since.
+    /// Returns whether a store failed to answer less than [`SUSPECT_TTL`] ago and has not answered since.
     pub fn is_suspect(&self, store: StoreId) -> bool {
         self.suspects.get(&store).is_some_and(|since| since.elapsed() < SUSPECT_TTL)
     }
@@ -45,8 +46,8 @@
         self.suspects.remove(&store);
     }
 
-    /// Called when a call to a store about a batch job has failed. The owner of the batch job is no longer
-    /// known then.
+    /// Called when a call to a store about a batch job has failed. Also removes the cached owner of the batch
+    /// job.
     pub fn on_failure(&mut self, store: StoreId, job: &str) {
         self.suspects.insert(store, Instant::now());
         self.owners.remove(job);
--- a/crates/store-plane/src/replication/handover.rs
+++ b/crates/store-plane/src/replication/handover.rs
@@ -1,4 +1,4 @@
-//! Hand-over: a store that is about to exit passes its ownerships on to other stores, which otherwise would
+//! Handover: a store that is about to exit passes its ownerships on to other stores, which otherwise would
 //! take the batch jobs over only after a timeout.
 
 use std::sync::Arc;
@@ -58,7 +58,7 @@
         drop(notified);
     }
 
-    /// Handles the notice that the owner `from` has given a batch job up. Ignored if `from` is not the owner.
+    /// Handles the notice that `from` has released a batch job. Ignores it if `from` is not the owner.
     pub fn on_released(&self, job: &JobId, from: StoreId) {
         let mut state = self.lock();
         let owner = state.replica.log(job).map(|log| log.promised.owner);
--- a/crates/store-plane/src/replication/journal.rs
+++ b/crates/store-plane/src/replication/journal.rs
@@ -1,10 +1,10 @@
-//! The interface of the replication to the disk: an append-only ring of records.
+//! The interface between the replication and the disk: an append-only ring of records.
 
 use std::fmt;
 use std::future::Future;
 use std::pin::Pin;
 
-/// A record could not be made durable.
+/// Error of an append: the record could not be made durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JournalFailed;
 
--- a/crates/store-plane/src/replication/maintenance/migration.rs
+++ b/crates/store-plane/src/replication/maintenance/migration.rs
@@ -17,8 +17,8 @@
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl StoreNode {
-    /// Rejects owners of older epochs from now on, and claims the batch jobs that this store owns again under
-    /// the present store set.
+    /// Rejects owners of older epochs from now on. Renews the claims of the batch jobs that this store owns
+    /// under an older store set.
     pub fn adopt_store_set(self: &Arc<Self>, view: &View) {
         let epoch = view.control.stores.epoch;
         let mut state = self.lock();
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Claims a batch job that this store owns under the present store set; releases it if this store is no
-    /// longer one of its replicas.
+    /// Claims a batch job that this store owns once more, under the present store set; releases it if this
+    /// store is no longer one of its replicas.
     fn claim_again(&self, state: &mut ReplicationState, view: &View, job: &JobId) {
         let replicas = self.replica_set(view, job);
         let claim = replicas.and_then(|replicas| self.new_claim(state, view, job, replicas));
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Asks present replicas to take over the batch jobs of older store sets which this store holds
-    /// although it is no longer a replica of them.
+    /// Asks present replicas to take over the batch jobs of older store sets whose logs this store still
+    /// keeps although it is no longer one of their replicas.
     pub fn notify_new_replicas(self: &Arc<Self>, view: &View) {
         let requests = self.takeover_requests(&self.lock(), view);
         for (job, store) in requests {
@@ -73,8 +73,8 @@
     }
 
     /// Asks the store `from`, if it is no longer a replica, to delete its log of a batch job which this
-    /// store owns and has committed. Returns whether it did so. Otherwise a store that missed the
-    /// migration would keep the log and never report its own migration as complete.
+    /// store owns and has committed. Returns whether the request was sent. Without it, a store that missed
+    /// the migration would keep the log and never report its own migration as complete.
     pub fn delete_at_former_replica(self: &Arc<Self>, job: &JobId, from: StoreId) -> bool {
         let term = {
             let state = self.lock();
@@ -100,7 +100,7 @@
 }
 
 impl ReplicationState {
-    /// Returns whether all logs that this store holds are committed under `epoch` or a later one.
+    /// Returns whether all logs that this store keeps are committed under `epoch` or a later one.
     fn is_migrated(&self, epoch: u64) -> bool {
         let is_committed = |job: &JobId| {
             let is_owned = self.ownerships.get(job).is_some_and(|owned| owned.ownership.is_established());
--- a/crates/store-plane/src/replication/maintenance/mod.rs
+++ b/crates/store-plane/src/replication/maintenance/mod.rs
@@ -15,8 +15,8 @@
 
 /// Time between two maintenance rounds, and thus between two heartbeats of an owner.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(300);
-/// Maximum number of batch jobs that are claimed, or passed on to other stores, in one round. More would only
-/// slow each other down.
+/// Maximum number of batch jobs that are claimed, or passed on to other stores, in one round. More claims at
+/// the same time would only slow each other down.
 const MAX_CLAIMS_PER_ROUND: usize = 16;
 
 impl StoreNode {
--- a/crates/store-plane/src/replication/maintenance/takeover.rs
+++ b/crates/store-plane/src/replication/maintenance/takeover.rs
@@ -1,4 +1,4 @@
-//! Take-over: claims batch jobs whose owner failed or handed them over, and releases ownerships whose lease
+//! Takeover: claims batch jobs whose owner failed or handed them over, and releases ownerships whose lease
 //! has expired.
 
 use std::sync::Arc;
@@ -34,10 +34,12 @@
         }
     }
 
-    /// Returns whether to release an ownership. An ownership that is `Superseded` at this point was
-    /// superseded by [`NO_OWNER`](super::super::state::NO_OWNER), that is, by a newer store set, which this
-    /// store has not received yet. Ownerships superseded by another store were released when the rejection
-    /// arrived.
+    /// Returns whether to release an ownership. A leading ownership is also released if its log is still
+    /// empty, since then the batch job doesn't exist or its submission was not completed.
+    ///
+    /// An ownership that is `Superseded` at this point was superseded by
+    /// [`NO_OWNER`](super::super::state::NO_OWNER), that is, by a newer store set, which this store has not
+    /// received yet. Ownerships superseded by another store were released when the rejection arrived.
     fn is_stale(&self, owned: &OwnedEntry, now: Instant) -> bool {
         let since_claim = now - owned.claimed_at;
         let is_lease_expired = !owned.ownership.holds_lease(self.lease_time(now), LEASE_TIMEOUT);
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -1,8 +1,8 @@
 //! Messages between stores, and from traffic nodes to stores.
 //!
 //! The messages are encoded by `bincode`, which encodes by position: the order and the types of fields and
-//! variants are part of the protocol between releases, while their names are not. `tests/golden/` holds the
-//! encoded forms.
+//! variants are part of the protocol between releases, while their names are not. `tests/golden/` contains
+//! the encoded forms.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 pub(super) const REPLICATE_PATH: &str = "/batch/replicate";
 /// Path of heartbeats between stores.
 pub(super) const HEARTBEAT_PATH: &str = "/batch/heartbeat";
-/// Path of requests to own a batch job; see [`TakeoverRequest`].
+/// Path of requests to take a batch job over; see [`TakeoverRequest`].
 pub(super) const TAKEOVER_PATH: &str = "/batch/take-over";
-/// Path of notices that an owner has given a batch job up; see [`ReleaseNotice`].
+/// Path of notices that an owner has released a batch job; see [`ReleaseNotice`].
 pub(super) const RELEASED_PATH: &str = "/batch/released";
 /// Path of submissions by traffic nodes.
 pub(super) const SUBMIT_PATH: &str = "/batch/submit";
@@ -55,24 +55,24 @@
     }
 }
 
-/// Notifies a replica that the owner of a batch job has given it up and no longer answers reads.
+/// Notice to a replica that the owner has released a batch job and no longer answers reads of it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct ReleaseNotice {
     /// The former owner.
     pub from: StoreId,
 }
 
-/// Asks a store to own a batch job.
+/// Request to a store to take a batch job over.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct TakeoverRequest {
     /// The store that sends the request.
     pub from: StoreId,
-    /// `true` if the sender owned the batch job and gave it up. `false` if the sender holds its log but is no
-    /// longer a replica of it.
+    /// `true` if the sender owned the batch job and has released it. `false` if the sender has its log but is
+    /// no longer one of its replicas.
     pub is_from_owner: bool,
 }
 
-/// Reports to a store which of the batch jobs that it keeps are owned by the sender.
+/// Report to a store which of the batch jobs that it keeps are owned by the sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Heartbeat {
     /// The incarnation of the store that may answer.
@@ -165,7 +165,7 @@
     NoSuchJob,
     /// The answer could not be determined; the request may be sent again.
     Unknown,
-    /// The store with this id owns the batch job, or holds its log and can redirect further.
+    /// The store with this id owns the batch job, or has its log and can redirect further.
     Redirect(StoreId),
 }
 
@@ -177,6 +177,6 @@
     /// The epoch of the newest store set that the store has recorded durably; it rejects all owners of older
     /// epochs.
     pub epoch: u64,
-    /// Whether all logs that the store holds are committed under the present store set.
+    /// Whether all logs that the store keeps are committed under the present store set.
     pub is_complete: bool,
 }
--- a/crates/store-plane/src/replication/node.rs
+++ b/crates/store-plane/src/replication/node.rs
@@ -1,5 +1,5 @@
 //! [`StoreNode`]: the state of a store, its journal and its connections. The other modules of the replication
-//! add methods to it.
+//! implement further methods of it.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -27,7 +27,7 @@
     /// When this store was opened; [`Self::lease_time`] is counted from it.
     pub started: Instant,
     pub journal: Arc<dyn RecordJournal>,
-    /// Passes the batch jobs that this store owns to the runner.
+    /// Channel to the runner for the batch jobs that this store owns.
     pub owned_jobs: mpsc::UnboundedSender<OwnedJob>,
     pub state: Mutex<ReplicationState>,
 }
@@ -43,8 +43,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Converts an instant to the time since this store was opened, which is passed to [`batch::Ownership`]
-    /// instead of a clock.
+    /// Converts an instant to the time since this store was opened. [`batch::Ownership`] has no clock and
+    /// takes times in this form.
     pub fn lease_time(&self, at: Instant) -> Duration {
         at.saturating_duration_since(self.started)
     }
--- a/crates/store-plane/src/replication/owned_job.rs
+++ b/crates/store-plane/src/replication/owned_job.rs
@@ -82,7 +82,7 @@
 /// The replicated log of a batch job, for as long as this store owns it.
 pub struct ReplicatedLog {
     pub(super) job: JobId,
-    /// Identifies the ownership; see [`super::state::OwnedEntry::token`].
+    /// Identity of the ownership; see [`super::state::OwnedEntry::token`].
     pub(super) token: u64,
     pub(super) state: watch::Receiver<JobState>,
     /// The store that owns the batch job.
--- a/crates/store-plane/src/replication/placement.rs
+++ b/crates/store-plane/src/replication/placement.rs
@@ -7,13 +7,13 @@
 use membership::rendezvous_score;
 use state::{ControlState, StoreMember, StoreSet};
 
-/// Number of stores for each replica group. A replica group is a choice of replicas that many batch jobs
-/// share. Its first store runs the items of all of these batch jobs, so their load must not become too large
-/// for one machine.
+/// Number of stores of the target size for each replica group. A replica group is a list of replicas that
+/// many batch jobs share. Its first store runs the items of all of these batch jobs, so their load must not
+/// become too large for one machine.
 const STORES_PER_GROUP: usize = 16;
 
-/// Returns the stores that keep a batch job: the members of its replica group, which are chosen by rendezvous
-/// hashing and spread over zones.
+/// Returns the stores that keep a batch job: the members of its replica group, which are selected by
+/// rendezvous hashing and spread over zones.
 ///
 /// The stores are in the order in which they are called and take the batch job over. All batch jobs of a
 /// group have the same order and thus the same owner. An owner of many batch jobs sees the load of their
--- a/crates/store-plane/src/replication/replicate.rs
+++ b/crates/store-plane/src/replication/replicate.rs
@@ -10,7 +10,7 @@
 use super::node::StoreNode;
 use super::state::{ReplicationState, NO_OWNER};
 
-/// Timeout of a request to another store.
+/// Timeout of a request to another store, if the request contains no entries.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum time that a claim waits for the end of another owner's lease. It is well below
 /// [`REPLICATE_TIMEOUT`], so that the reply still arrives in time.
--- a/crates/store-plane/src/replication/server/ownership_status.rs
+++ b/crates/store-plane/src/replication/server/ownership_status.rs
@@ -14,17 +14,17 @@
 use super::super::state::{OwnedEntry, NO_OWNER, READ_LEASE};
 use super::OWNERSHIP_TIMEOUT;
 
-/// Timeout of the query whether other stores hold a batch job.
+/// Timeout of the query whether other stores have a batch job.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Why a store does not answer a request about a batch job itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotOwner {
-    /// No store holds the batch job.
+    /// No store has the batch job.
     NoSuchJob,
     /// It could not be determined whether the batch job exists, or which store owns it.
     Unknown,
-    /// The store with this id owns the batch job, or holds its log and can redirect further.
+    /// The store with this id owns the batch job, or has its log and can redirect further.
     Redirect(StoreId),
 }
 
@@ -95,8 +95,8 @@
         (state.jobs.has_live_owner(id) && is_other).then_some(highest.owner)
     }
 
-    /// Queries the replicas of a batch job that this store doesn't hold. Returns `NoSuchJob` only if a
-    /// majority of the replicas under each store set reports that it doesn't hold the batch job.
+    /// Queries the replicas of a batch job that this store doesn't have. Returns `NoSuchJob` only if, under
+    /// each store set, a majority of the replicas reports an empty log.
     async fn query_replicas(&self, id: &JobId) -> NotOwner {
         let view = self.current_view();
         let replica_sets: Vec<Vec<StoreId>> =
--- a/crates/store-plane/src/replication/state/durability.rs
+++ b/crates/store-plane/src/replication/state/durability.rs
@@ -10,7 +10,8 @@
 /// Records that are written to the journal as one record, so that either all of them are durable or none.
 pub(crate) struct WriteRequest {
     pub records: Vec<Record>,
-    /// Notified when these records and all records queued before them are durable. Dropped if a write failed.
+    /// Sender that is notified when these records and all records queued before them are durable. Dropped if
+    /// a write failed.
     pub done: oneshot::Sender<()>,
 }
 
--- a/crates/store-plane/src/replication/state/job_status.rs
+++ b/crates/store-plane/src/replication/state/job_status.rs
@@ -20,9 +20,9 @@
 /// The status of one batch job at this store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct JobStatus {
-    /// When a store, which may be this one, last contacted this store as the owner. Also set when this store
-    /// releases a stale claim or ownership or its claim is rejected, to delay its next claim. `None` after a
-    /// hand-over to this store, and until the first contact after the start of this process.
+    /// When a store, which may be this one, last contacted this store as owner or claimant. Also set when
+    /// this store releases a stale claim or ownership or its claim is rejected, to delay its next claim.
+    /// `None` after a handover to this store, and until the first contact after the start of this process.
     pub owner_last_contact: Option<Instant>,
     /// The earliest time at which the batch job is known to have existed, from this process and the replies
     /// of other stores; its age is counted from then.
@@ -53,7 +53,7 @@
         self.jobs.entry(Arc::clone(job)).or_default()
     }
 
-    /// Records that a store has made contact as the owner.
+    /// Records that a store has made contact as owner or claimant.
     pub fn record_owner_contact(&mut self, job: &JobId, now: Instant) {
         let status = self.entry(job);
         status.owner_last_contact = Some(now);
--- a/crates/store-plane/src/replication/state/mod.rs
+++ b/crates/store-plane/src/replication/state/mod.rs
@@ -27,7 +27,7 @@
 
 /// Mutable state of a store, guarded by the mutex of [`super::node::StoreNode`].
 pub(super) struct ReplicationState {
-    /// The replicated logs that this store holds. They are ahead of the disk while writes are pending; a
+    /// The replicated logs that this store keeps. They are ahead of the disk while writes are pending; a
     /// reply is sent only after the records that it depends on are durable.
     pub replica: Replicas,
     pub ownerships: OwnershipTable,
@@ -95,7 +95,7 @@
         (reply, durable)
     }
 
-    /// Returns whether this store holds entries of a batch job, or owns or claims it.
+    /// Returns whether this store has entries of a batch job, or owns or claims it.
     pub fn is_known(&self, job: &JobId) -> bool {
         let has_entries = self.replica.log(job).is_some_and(|log| !log.entries.is_empty());
         has_entries || self.ownerships.contains(job)
--- a/crates/store-plane/src/replication/state/ownership_table.rs
+++ b/crates/store-plane/src/replication/state/ownership_table.rs
@@ -12,7 +12,7 @@
 
 /// A batch job that this store owns or claims.
 pub(crate) struct OwnedEntry {
-    /// Identifies this ownership among all ownerships of this process; unchanged when the batch job is
+    /// Identity of this ownership among all ownerships of this process; unchanged when the batch job is
     /// claimed again under a new store set.
     pub token: u64,
     /// The protocol state machine of the ownership.
@@ -21,9 +21,9 @@
     pub claimed_at: Instant,
     /// The parsed batch job; `None` until the ownership is established, and after the batch job has ended.
     pub job: Option<Arc<Job>>,
-    /// Shows the runner whether to run items of the batch job.
+    /// State that determines whether the runner runs items of the batch job.
     pub state: watch::Sender<JobState>,
-    /// Notified of each change of the ownership; tasks that wait for commits subscribe to it.
+    /// Sender that is notified of each change of the ownership; tasks that wait for commits subscribe to it.
     pub progress: watch::Sender<()>,
 }
 
--- a/crates/store-plane/src/replication/store.rs
+++ b/crates/store-plane/src/replication/store.rs
@@ -62,8 +62,8 @@
         server::endpoint(&self.node)
     }
 
-    /// Hands all owned batch jobs over to other stores, before the process ends. This store still answers
-    /// requests to its replicas, but claims no batch job any more.
+    /// Hands all owned batch jobs over to other stores, before the process ends. From then on, this store
+    /// claims no batch job, but still answers requests to its replicas.
     pub async fn hand_over_jobs(&self) {
         self.node.hand_over_jobs().await;
     }
--- a/crates/store-plane/src/replication/writer.rs
+++ b/crates/store-plane/src/replication/writer.rs
@@ -22,8 +22,8 @@
         Self { node, queue }
     }
 
-    /// Writes until the store is dropped. After a failed append, the following requests of the batch and all
-    /// queued requests fail as well.
+    /// Writes until dropped. After a failed append, the following requests of the batch and all queued
+    /// requests fail as well.
     pub async fn run(mut self) {
         let mut requests = Vec::with_capacity(MAX_BATCH_LENGTH);
         while self.queue.recv_many(&mut requests, MAX_BATCH_LENGTH).await > 0 {
@@ -67,7 +67,8 @@
     /// Drops the failed requests and all requests queued behind them, without acknowledging any, since later
     /// records may depend on the lost ones. The next write of each affected batch job is a snapshot.
     fn drop_failed(&mut self, mut failed: Vec<WriteRequest>) {
-        // Records are only queued under this lock, so the queue stays empty after it was drained here.
+        // Records are queued only under this lock, so no request can follow the failed ones before it is
+        // released.
         let mut state = self.node.lock();
         while let Ok(request) = self.queue.try_recv() {
             failed.push(request);
--- a/crates/store-plane/src/runner/active_job.rs
+++ b/crates/store-plane/src/runner/active_job.rs
@@ -49,7 +49,7 @@
     /// The rules of the route when they were last looked up; `None` while no route matches.
     pub rules: Option<RouteRules>,
     submission: SubmissionTime,
-    /// Passes results to the task that appends them to the log.
+    /// Channel to the task that appends results to the log.
     results: mpsc::UnboundedSender<ItemResult>,
     /// The task that closes the batch job when its log is no longer open.
     _watcher: TaskGuard,
@@ -106,7 +106,8 @@
     }
 
     /// Returns the next item to start and its precedence among the items of all batch jobs, estimated for
-    /// runs that take `average_run` and `concurrency` of which run concurrently.
+    /// runs that take `average_run` and `concurrency` of which run concurrently. Returns `None` if no item
+    /// may start now or no route matches.
     pub fn next_item(
         &self,
         now: Duration,
@@ -152,7 +153,7 @@
         self.record(index, result);
     }
 
-    /// Records as the result of an item that it can't be delivered.
+    /// Records [`ItemCondition::Undeliverable`] as the result of an item.
     pub fn give_up(&mut self, index: ItemIndex) {
         let result = ItemResult {
             id: self.item(index).id.clone(),
@@ -176,7 +177,7 @@
     fn record(&mut self, index: ItemIndex, result: ItemResult) {
         self.work[index] = ItemWork::default();
         self.schedule.set_phase(index, ItemPhase::Recorded);
-        // Sending fails only after this store has lost the ownership; then no result may be recorded.
+        // Sending fails only once the batch job is no longer open; then no result may be recorded.
         let _ = self.results.send(result);
     }
 }
--- a/crates/store-plane/src/runner/completion.rs
+++ b/crates/store-plane/src/runner/completion.rs
@@ -12,7 +12,7 @@
 use super::task_guard::TaskGuard;
 use super::{JobKey, Runner, RunnerEvent};
 
-/// The newest run has a weight of one divided by this in the exponentially weighted moving average.
+/// Divisor of the weight of the newest run in the moving average of run durations: a weight of 1/8.
 const AVERAGE_RUN_WEIGHT_DIVISOR: u32 = 8;
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
--- a/crates/store-plane/src/runner/forwarder_executor.rs
+++ b/crates/store-plane/src/runner/forwarder_executor.rs
@@ -13,12 +13,12 @@
 
 /// Time from the submission until results are due, if the route does not set it.
 const DEFAULT_DELIVERY_DUE: Duration = Duration::from_secs(10);
-/// Time from the submission until items are given up, if the route does not set it.
+/// Time from the submission until items without a result are given up, if the route does not set it.
 const DEFAULT_EXPIRY: Duration = Duration::from_secs(3600);
 /// Pause before the next attempt of an item that no route matches.
 const NO_ROUTE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Sends items and reward calls through a [`Forwarder`]. Clones share it.
+/// Executor that sends items and reward calls through a [`Forwarder`]. Clones share the forwarder.
 #[derive(Clone)]
 pub struct ForwarderExecutor {
     forwarder: Forwarder,
--- a/crates/store-plane/src/runner/item_work.rs
+++ b/crates/store-plane/src/runner/item_work.rs
@@ -14,10 +14,10 @@
 /// Consecutive rejections up to which the next run continues the output. After more, the item starts over,
 /// since probably no server can continue the output.
 const MAX_REJECTIONS_BEFORE_RESTART: u32 = 3;
-/// Longest pause after a rejection, even if the server asked for more: other servers may accept the item
-/// earlier.
+/// Longest pause after a rejection, even if the server specified a longer one: other servers may accept the
+/// item earlier.
 const MAX_REJECTION_PAUSE: Duration = Duration::from_millis(500);
-/// Longest backoff after rejections; the pause is only longer if the server asked for that.
+/// Longest backoff after rejections; the pause is only longer if the server specified a longer one.
 const MAX_REJECTION_BACKOFF: Duration = Duration::from_millis(120);
 
 /// The state of an item that has no result yet; reset to the default once it has one.
@@ -62,7 +62,7 @@
     }
 
     /// Handles a run that no server accepted. Returns the pause before the next run; `retry_after` is the
-    /// pause that the servers asked for.
+    /// pause that the executor reported.
     pub fn on_rejection(&mut self, retry_after: Duration) -> Duration {
         self.consecutive_rejections += 1;
         if self.consecutive_rejections > MAX_REJECTIONS_BEFORE_RESTART {
--- a/crates/store-plane/src/runner/mod.rs
+++ b/crates/store-plane/src/runner/mod.rs
@@ -39,7 +39,7 @@
 /// Interval of the checks for free capacity while items wait for it.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Identifies one acquisition of a batch job by the runner. A batch job that is acquired again gets a new
+/// Identity of one acquisition of a batch job by the runner. A batch job that is acquired again gets a new
 /// key.
 type JobKey = u64;
 
@@ -51,7 +51,7 @@
     JobClosed { key: JobKey },
 }
 
-/// Passes batch jobs to a [`Runner`]. Clones pass them to the same one.
+/// Handle that passes batch jobs to a [`Runner`]. Clones pass them to the same runner.
 #[derive(Debug)]
 pub struct RunnerHandle<Log> {
     events: mpsc::UnboundedSender<RunnerEvent<Log>>,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Runs the items of all batch jobs that this store owns.
+/// Runner of the items of all batch jobs that this store owns.
 pub struct Runner<Executor, Log> {
     executor: Arc<Executor>,
     settings: RunnerSettings,
--- a/crates/store-plane/src/runner/output_cache.rs
+++ b/crates/store-plane/src/runner/output_cache.rs
@@ -36,15 +36,15 @@
 }
 
 impl CachedOutput {
-    /// Estimated memory of the output, in bytes.
+    /// Returns the estimated memory of the output, in bytes.
     fn bytes(&self) -> usize {
         let events: usize = self.progress.events.iter().map(|event| event.len() + EVENT_OVERHEAD_BYTES).sum();
         ENTRY_OVERHEAD_BYTES + events + self.grade.as_ref().map_or(0, String::len)
     }
 }
 
-/// Hashes everything in a request that determines its output and grade, to tell requests with the same id
-/// apart.
+/// Hashes everything in a request that determines its output and grade, to distinguish requests with the same
+/// id.
 fn fingerprint(address: &JobAddress, item: &Item) -> u64 {
     let mut hasher = DefaultHasher::new();
     (&address.host, &address.model, &item.path, &item.headers, &item.body).hash(&mut hasher);
@@ -77,7 +77,7 @@
 }
 
 impl OutputCache {
-    /// Creates an empty cache that holds about `max_bytes` at most.
+    /// Creates an empty cache whose outputs take about `max_bytes` of memory at most.
     #[must_use]
     pub fn new(max_bytes: usize) -> Self {
         Self { entries: HashMap::new(), eviction_order: VecDeque::new(), insertions: 0, bytes: 0, max_bytes }
--- a/crates/store-plane/src/runner/ports.rs
+++ b/crates/store-plane/src/runner/ports.rs
@@ -27,7 +27,7 @@
     pub shelf_life: Duration,
 }
 
-/// Determines where the items of a batch job are sent: their route, and the servers that may run them.
+/// Destination of the items of a batch job: their route, and the requirements on the servers that run them.
 #[derive(Clone, Debug)]
 pub struct JobAddress {
     /// The `Host` header of the submission; selects the route.
@@ -36,7 +36,8 @@
     pub path: Arc<str>,
     /// The model that generates the outputs; `None` if the batch job names none.
     pub model: Option<Arc<str>>,
-    /// The oldest version of the weights that may generate an event; 0 if the batch job sets no limit.
+    /// The oldest version of the weights that may generate an event of an output; 0 if the batch job sets no
+    /// limit.
     pub oldest_version: u64,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// Sends items and reward calls to servers.
+/// Executor that sends items and reward calls to servers.
 pub trait ItemExecutor: Send + Sync + 'static {
     /// Returns the rules of the matching route of the configuration in force; `None` if no route matches.
     fn route_rules(&self, host: &str, path: &str) -> Option<RouteRules>;
--- a/crates/store-plane/src/runner/scheduling.rs
+++ b/crates/store-plane/src/runner/scheduling.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// Counts the runs that were spawned but have not called the executor yet, which therefore can't have
-/// subtracted them from its free capacity.
+/// Counter of the runs that were spawned but have not called the executor yet, so that the executor can't
+/// have subtracted them from its free capacity.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingStarts(Arc<()>);
 
--- a/crates/store-plane/src/runner/task_guard.rs
+++ b/crates/store-plane/src/runner/task_guard.rs
@@ -1,8 +1,8 @@
-//! A guard that ties a spawned task to the value that holds it.
+//! A guard that ends a spawned task together with the value that contains the guard.
 
 use tokio::task::AbortHandle;
 
-/// Aborts a spawned task when dropped.
+/// Guard of a spawned task, which is aborted when the guard is dropped.
 #[derive(Debug)]
 pub(super) struct TaskGuard(pub AbortHandle);
 
--- a/crates/store-plane/tests/golden/messages.rs
+++ b/crates/store-plane/tests/golden/messages.rs
@@ -1,7 +1,7 @@
 //! Golden tests of the encoded forms of the messages between stores, and from traffic nodes to stores.
 //!
 //! The messages are private to the replication module, which therefore includes this file as a module. Each
-//! encoded form is stored in a file of this folder as lines of hexadecimal digits. A run with
+//! encoded form is stored in a file of this directory as lines of hexadecimal digits. A run with
 //! `GOLDEN_WRITE=1` writes missing files.
 
 use std::fmt::Debug;
--- a/crates/store-plane/tests/placement.rs
+++ b/crates/store-plane/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The placement of batch jobs on stores.
+//! Tests of the placement of batch jobs on stores.
 
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
@@ -110,8 +110,8 @@
     }
 }
 
-/// All processes must place a batch job on the same stores, even if they run different releases of the
-/// software.
+/// Guards against a changed placement: all processes must place a batch job on the same stores, even if they
+/// run different releases of the software.
 #[test]
 fn given_a_store_set_when_batch_jobs_are_placed_then_the_placement_matches_the_golden_file() {
     let set = StoreSet { target_size: 45, ..store_set(45, 4) };
--- a/crates/store-plane/tests/replication/cluster.rs
+++ b/crates/store-plane/tests/replication/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of stores. The test takes the place of the control plane and publishes its view.
+//! A cluster of stores for tests. The test publishes the views that the control plane would publish.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU16, Ordering};
@@ -36,12 +36,12 @@
     pub stores: Vec<Store>,
     view: watch::Sender<Arc<View>>,
     owned_sender: mpsc::UnboundedSender<OwnedJob>,
-    /// Receives the batch jobs that stores have come to own, in that order.
+    /// Receiver of the batch jobs that stores have come to own, in that order.
     pub owned: mpsc::UnboundedReceiver<OwnedJob>,
     pub client: JobClient,
     rpc: rpc::Client,
-    /// Source of incarnations of stores whose disk was replaced.
-    next_incarnation: u64,
+    /// The incarnation of the store whose disk was replaced last; 100 before the first replacement.
+    last_incarnation: u64,
     limits: StoreLimits,
 }
 
@@ -70,7 +70,7 @@
             owned,
             client,
             rpc,
-            next_incarnation: 100,
+            last_incarnation: 100,
             limits: StoreLimits { result_retention },
         };
         (0..cluster.stores.len()).for_each(|index| cluster.restart(index));
@@ -112,7 +112,7 @@
         let done = self.process(index).hand_over_jobs();
         tokio::time::timeout(TEST_TIMEOUT, done)
             .await
-            .expect("the hand-over completes in time")
+            .expect("the handover completes in time")
             .expect("the store runs");
     }
 
@@ -120,7 +120,7 @@
         self.stores[index].process.as_ref().expect("the store runs")
     }
 
-    /// Ends a store immediately, without a hand-over.
+    /// Ends a store immediately, without a handover.
     pub fn kill(&mut self, index: usize) {
         if let Some(process) = self.stores[index].process.take() {
             process.kill();
@@ -146,10 +146,10 @@
     /// member.
     pub fn replace(&mut self, index: usize) {
         self.kill(index);
-        self.next_incarnation += 1;
+        self.last_incarnation += 1;
         let store = &mut self.stores[index];
         store.disk = MemoryDisk::default();
-        store.member.incarnation = Incarnation(self.next_incarnation);
+        store.member.incarnation = Incarnation(self.last_incarnation);
         store.member.address = free_address().to_string();
         self.restart(index);
         let members = self.stores.iter().map(Store::as_member).collect();
@@ -263,7 +263,7 @@
         .unwrap_or_else(|_| panic!("timed out waiting until {what}"))
 }
 
-/// A batch job with the items `item-0` to `item-9`.
+/// Returns the JSON of a batch job with the items `item-0` to `item-9`.
 pub fn job_body() -> Bytes {
     let items: Vec<String> = (0..10)
         .map(|number| format!(r#"{{"id":"item-{number}","lane":"/jobs/x","payload":"aGVsbG8="}}"#))
@@ -271,7 +271,7 @@
     Bytes::from(format!(r#"{{"parcels":[{}]}}"#, items.join(",")))
 }
 
-/// A result of the item `item-NUMBER`.
+/// Returns a result of the item `item-NUMBER`.
 pub fn result(number: usize) -> ItemResult {
     ItemResult {
         id: format!("item-{number}").into(),
--- a/crates/store-plane/tests/replication/failover.rs
+++ b/crates/store-plane/tests/replication/failover.rs
@@ -33,7 +33,7 @@
 
     assert!(
         began.elapsed() < Duration::from_millis(500),
-        "the hand-over takes less time than the timeout of an owner"
+        "the handover takes less time than the timeout of an owner"
     );
     assert_ne!(cluster.index_of_owner(&second), draining);
     assert_eq!(second.committed_results, [result(0), result(1)]);
--- a/crates/store-plane/tests/replication/retention.rs
+++ b/crates/store-plane/tests/replication/retention.rs
@@ -25,7 +25,7 @@
     wait_until_deleted(&cluster, "ended").await;
 }
 
-/// Waits until a majority of the replicas reports that it doesn't hold a batch job.
+/// Waits until a majority of the replicas reports that it doesn't have a batch job.
 async fn wait_until_deleted(cluster: &Cluster, id: &str) {
     eventually("the batch job is deleted", || async {
         let read = cluster.client.read(id.into(), 0, Duration::ZERO).await;
--- a/crates/store-plane/tests/replication/store_process.rs
+++ b/crates/store-plane/tests/replication/store_process.rs
@@ -16,7 +16,7 @@
     pub disk: MemoryDisk,
     pub limits: StoreLimits,
     pub view: watch::Receiver<Arc<View>>,
-    /// Gets the batch jobs that the store owns.
+    /// Channel for the batch jobs that the store owns.
     pub owned_jobs: mpsc::UnboundedSender<OwnedJob>,
 }
 
@@ -28,7 +28,7 @@
     handover: mpsc::UnboundedSender<oneshot::Sender<()>>,
 }
 
-/// Keeps the thread of a store blocked until dropped. The store's sockets stay open.
+/// Guard that keeps the thread of a store blocked until dropped. The store's sockets stay open.
 pub struct FrozenStore {
     _resume: std::sync::mpsc::Sender<()>,
 }
@@ -46,7 +46,7 @@
         Self { thread, kill, freeze, handover }
     }
 
-    /// Ends the store without a hand-over, and waits for its thread.
+    /// Ends the store without a handover, and waits for its thread.
     pub fn kill(self) {
         let _ = self.kill.send(());
         self.thread.join().expect("the store ends");
@@ -72,7 +72,7 @@
     killed: oneshot::Receiver<()>,
     /// Each message blocks the thread until the other end of the receiver in it is dropped.
     freezes: mpsc::UnboundedReceiver<std::sync::mpsc::Receiver<()>>,
-    /// Each message starts a hand-over; the sender in it is notified when the hand-over is complete.
+    /// Each message starts a handover; the sender in it is notified when the handover is complete.
     handovers: mpsc::UnboundedReceiver<oneshot::Sender<()>>,
 }
 
--- a/crates/store-plane/tests/runner/ownership.rs
+++ b/crates/store-plane/tests/runner/ownership.rs
@@ -1,4 +1,4 @@
-//! Batch jobs that are acquired, ended or lost to another owner, and the appends to their logs.
+//! Batch jobs that are acquired, ended or taken over by another owner, and the appends to their logs.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
--- a/crates/store-plane/tests/runner/shared_servers.rs
+++ b/crates/store-plane/tests/runner/shared_servers.rs
@@ -12,7 +12,7 @@
 /// Number of items of a group.
 const GROUP_SIZE: usize = 8;
 
-/// A batch job with `groups` groups, of which the trainer requires `required`.
+/// Returns a batch job with `groups` groups, of which the trainer requires `required`.
 fn job_requiring_groups(name: &str, groups: usize, required: u32) -> Job {
     let items =
         (0..groups * GROUP_SIZE).map(|n| item(&format!("{name}-{n}"), &format!("{}", n / GROUP_SIZE)));
