--- a/crates/data-plane/src/batch/capacity.rs
+++ b/crates/data-plane/src/batch/capacity.rs
@@ -7,7 +7,7 @@
 
 impl Forwarder {
     /// Returns how many more items the servers of `targets` can accept now. Only servers that run
-    /// `oldest_version` of `model` or a newer version count, and no ejected servers.
+    /// `oldest_version` of `model` or a newer version count. Ejected servers count as 0.
     #[must_use]
     pub fn free_capacity(&self, targets: &[Target], model: Option<&str>, oldest_version: u64) -> usize {
         let version = VersionRequirement::AtLeast(oldest_version);
--- a/crates/store-plane/src/replication/client/replica_selector.rs
+++ b/crates/store-plane/src/replication/client/replica_selector.rs
@@ -24,7 +24,7 @@
     /// The stores that were called in this round, one entry for each call, and the stores of
     /// `only_by_redirect`.
     attempted: Vec<StoreId>,
-    /// Stores that are not replicas of the batch job; they are only called after a redirect.
+    /// Stores that are not present replicas of the batch job; they are only called after a redirect.
     only_by_redirect: Vec<StoreId>,
     deadline: Instant,
 }
--- a/crates/store-plane/src/replication/maintenance/retention.rs
+++ b/crates/store-plane/src/replication/maintenance/retention.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns whether a batch job of this age may be deleted. A batch job that lacks results and was not ended
-/// is never deleted by its age.
+/// is never deleted because of its age.
 fn is_expired(owned: &OwnedEntry, age: Duration, retention: Duration) -> bool {
     let is_ended_and_old = owned.is_ended() && age > retention;
     is_ended_and_old || (owned.has_all_results() && age > retention * UNENDED_RETENTION_FACTOR)
--- a/crates/store-plane/src/runner/completion.rs
+++ b/crates/store-plane/src/runner/completion.rs
@@ -12,7 +12,8 @@
 use super::task_guard::TaskGuard;
 use super::{JobKey, Runner, RunnerEvent};
 
-/// Divisor of the weight of the newest run in the moving average of run durations: a weight of 1/8.
+/// Divisor that gives the weight of the newest run in the exponentially weighted moving average of run
+/// durations.
 const AVERAGE_RUN_WEIGHT_DIVISOR: u32 = 8;
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
