--- a/crates/data-plane/src/selection/in_flight.rs
+++ b/crates/data-plane/src/selection/in_flight.rs
@@ -28,7 +28,7 @@
         let server = state.dispatcher.select(now, criteria)?;
         state.hedge_budget.deposit();
         drop(state);
-        Some(InFlightRequest { selector: self.clone(), server, outcome: RequestOutcome::Canceled })
+        Some(InFlightRequest { selector: self.clone(), server, outcome: RequestOutcome::Cancelled })
     }
 }
 
--- a/crates/data-plane/src/upstream/attempt.rs
+++ b/crates/data-plane/src/upstream/attempt.rs
@@ -144,11 +144,11 @@
         match (response.status(), self.request.model(), self.options.expected_version) {
             (StatusCode::SERVICE_UNAVAILABLE, Some(model), _) if !is_full => {
                 self.in_flight.record_model_loading(&model);
-                RequestOutcome::Canceled
+                RequestOutcome::Cancelled
             }
             (StatusCode::MISDIRECTED_REQUEST, Some(model), Some(version)) => {
                 self.in_flight.record_version_rejected(&model, version);
-                RequestOutcome::Canceled
+                RequestOutcome::Cancelled
             }
             // A different server responds at this address, so the selected one no longer exists there.
             (StatusCode::MISDIRECTED_REQUEST, ..) => RequestOutcome::Failure,
--- a/crates/dispatch/src/server.rs
+++ b/crates/dispatch/src/server.rs
@@ -40,7 +40,7 @@
     /// No connection could be established, the request timed out, or the response was truncated or invalid.
     Failure,
     /// The request was canceled, which leaves the failure score of the server unchanged.
-    Canceled,
+    Cancelled,
 }
 
 impl RequestOutcome {
@@ -136,7 +136,7 @@
             RequestOutcome::ServerError => self.outlier.record_error_response(now),
             RequestOutcome::Overloaded => self.outlier.record_overload(now),
             RequestOutcome::Failure => self.outlier.record_failure(now),
-            RequestOutcome::Canceled => {}
+            RequestOutcome::Cancelled => {}
         }
     }
 
--- a/crates/dispatch/tests/selection.rs
+++ b/crates/dispatch/tests/selection.rs
@@ -59,7 +59,7 @@
     let mut selected = BTreeSet::new();
     for _ in 0..times {
         if let Some(server) = dispatcher.select(NOW, criteria) {
-            dispatcher.request_finished(NOW, &server.id, RequestOutcome::Canceled);
+            dispatcher.request_finished(NOW, &server.id, RequestOutcome::Cancelled);
             selected.insert(server.id.to_string());
         }
     }
@@ -208,7 +208,7 @@
         let failed_at = now;
         while (0..20).all(|_| {
             let server = dispatcher.select(now, &criteria(&targets, &[])).expect("an eligible server");
-            dispatcher.request_finished(now, &server.id, RequestOutcome::Canceled);
+            dispatcher.request_finished(now, &server.id, RequestOutcome::Cancelled);
             &*server.id == "b"
         }) {
             now += Duration::from_millis(10);
@@ -238,7 +238,7 @@
     let later = NOW + Duration::from_millis(120);
     let selected = (0..50).map(|_| {
         let server = dispatcher.select(later, &criteria(&targets, &[])).expect("an eligible server");
-        dispatcher.request_finished(later, &server.id, RequestOutcome::Canceled);
+        dispatcher.request_finished(later, &server.id, RequestOutcome::Cancelled);
         server.id
     });
     assert_eq!(selected.filter(|id| &**id == "a").count(), 0);
@@ -333,7 +333,7 @@
     for _ in 0..100 {
         let server = dispatcher.select(later, &criteria).expect("an eligible server");
         seen.insert(server.id.to_string());
-        dispatcher.request_finished(later, &server.id, RequestOutcome::Canceled);
+        dispatcher.request_finished(later, &server.id, RequestOutcome::Cancelled);
     }
     assert_eq!(seen.len(), 3);
 }
