--- a/crates/store-plane/src/replication/handover.rs
+++ b/crates/store-plane/src/replication/handover.rs
@@ -61,9 +61,9 @@
     /// Handles the notice that `from` has released a batch job. Ignores it if `from` is not the owner.
     pub fn on_released(&self, job: &JobId, from: StoreId) {
         let mut state = self.lock();
-        let owner = state.replica.log(job).map(|log| log.promised.owner);
+        let owner = state.replicas.log(job).map(|log| log.promised.owner);
         if owner == Some(from) {
-            state.jobs.record_released(job);
+            state.job_status.record_released(job);
         }
     }
 }
--- a/crates/store-plane/src/replication/heartbeat.rs
+++ b/crates/store-plane/src/replication/heartbeat.rs
@@ -103,12 +103,12 @@
     /// Answers the part of a heartbeat about one batch job; `None` while records of the batch job are not
     /// durable here.
     fn answer_job_heartbeat(&mut self, heartbeat: &JobHeartbeat, now: Instant) -> Option<JobHeartbeatReply> {
-        let reply = self.replica.check_append(&heartbeat.job, heartbeat.term, heartbeat.length);
+        let reply = self.replicas.check_append(&heartbeat.job, heartbeat.term, heartbeat.length);
         if !matches!(reply, ReplicaReply::Rejected { .. }) {
-            self.jobs.record_owner_contact(&heartbeat.job, now);
+            self.job_status.record_owner_contact(&heartbeat.job, now);
         }
         if heartbeat.is_established {
-            self.jobs.record_committed_epoch(&heartbeat.job, heartbeat.term.epoch);
+            self.job_status.record_committed_epoch(&heartbeat.job, heartbeat.term.epoch);
         }
         if !self.durability.is_durable(&heartbeat.job) {
             return None;
--- a/crates/store-plane/src/replication/maintenance/compaction.rs
+++ b/crates/store-plane/src/replication/maintenance/compaction.rs
@@ -33,11 +33,11 @@
     fn write_snapshots(&mut self) {
         for job in self.durability.jobs_with_oldest_records(MAX_SNAPSHOTS_PER_ROUND) {
             if !self.durability.has_pending_writes(&job) {
-                let snapshot = self.replica.snapshot(&job);
+                let snapshot = self.replicas.snapshot(&job);
                 drop(self.durability.persist(vec![snapshot]));
             }
         }
-        let epoch = Record::Epoch(self.replica.epoch());
+        let epoch = Record::Epoch(self.replicas.epoch());
         drop(self.durability.persist(vec![epoch]));
     }
 }
--- a/crates/store-plane/src/replication/maintenance/migration.rs
+++ b/crates/store-plane/src/replication/maintenance/migration.rs
@@ -22,9 +22,9 @@
     pub fn adopt_store_set(self: &Arc<Self>, view: &View) {
         let epoch = view.control.stores.epoch;
         let mut state = self.lock();
-        state.replica.raise_epoch(epoch);
-        if state.replica.epoch() > state.durability.epoch() {
-            let record = Record::Epoch(state.replica.epoch());
+        state.replicas.raise_epoch(epoch);
+        if state.replicas.epoch() > state.durability.epoch() {
+            let record = Record::Epoch(state.replicas.epoch());
             drop(state.durability.persist(vec![record]));
         }
         for job in state.ownerships.jobs_where(|owned| owned.ownership.term().epoch < epoch) {
@@ -61,7 +61,7 @@
     /// Returns the batch jobs to pass on, each with a present replica drawn at random.
     fn takeover_requests(&self, state: &ReplicationState, view: &View) -> Vec<(JobId, StoreId)> {
         let epoch = view.control.stores.epoch;
-        let to_pass_on = state.replica.logs().filter(|(job, log)| {
+        let to_pass_on = state.replicas.logs().filter(|(job, log)| {
             !log.entries.is_empty() && log.accepted.epoch < epoch && self.rank(view, job).is_none()
         });
         let requests = to_pass_on.take(MAX_CLAIMS_PER_ROUND).filter_map(|(job, _)| {
@@ -104,9 +104,9 @@
     fn is_migrated(&self, epoch: u64) -> bool {
         let is_committed = |job: &JobId| {
             let is_owned = self.ownerships.get(job).is_some_and(|owned| owned.ownership.is_established());
-            is_owned || self.jobs.get(job).committed_epoch.is_some_and(|committed| committed >= epoch)
+            is_owned || self.job_status.get(job).committed_epoch.is_some_and(|committed| committed >= epoch)
         };
-        let mut logs = self.replica.logs();
+        let mut logs = self.replicas.logs();
         logs.all(|(job, log)| log.entries.is_empty() || (log.accepted.epoch >= epoch && is_committed(job)))
     }
 }
--- a/crates/store-plane/src/replication/maintenance/mod.rs
+++ b/crates/store-plane/src/replication/maintenance/mod.rs
@@ -32,7 +32,7 @@
                 _ = ticks.tick() => {}
                 changed = view.changed(), if is_view_open => {
                     is_view_open = changed.is_ok();
-                    if self.lock().replica.epoch() >= self.current_view().control.stores.epoch {
+                    if self.lock().replicas.epoch() >= self.current_view().control.stores.epoch {
                         continue;
                     }
                 }
--- a/crates/store-plane/src/replication/maintenance/retention.rs
+++ b/crates/store-plane/src/replication/maintenance/retention.rs
@@ -44,7 +44,8 @@
     fn expired_jobs(&self, retention: Duration) -> Vec<ExpiredJob> {
         let now = Instant::now();
         let owned_jobs = self.ownerships.iter();
-        let expired = owned_jobs.filter(|(job, owned)| is_expired(owned, self.jobs.age(job, now), retention));
+        let expired =
+            owned_jobs.filter(|(job, owned)| is_expired(owned, self.job_status.age(job, now), retention));
         let to_delete = expired.map(|(job, owned)| ExpiredJob {
             job: Arc::clone(job),
             replicas: owned.ownership.replicas().present.clone(),
--- a/crates/store-plane/src/replication/maintenance/takeover.rs
+++ b/crates/store-plane/src/replication/maintenance/takeover.rs
@@ -29,7 +29,7 @@
         let mut state = self.lock();
         for job in state.ownerships.jobs_where(|owned| self.is_stale(owned, now)) {
             // Delays the next claim of this store, so that the claim of another store can succeed.
-            state.jobs.record_owner_contact(&job, now);
+            state.job_status.record_owner_contact(&job, now);
             state.ownerships.release(&job);
         }
     }
@@ -64,15 +64,15 @@
     /// store owned before it was restarted.
     fn jobs_with_expired_owner(&self, state: &ReplicationState, view: &View) -> Vec<JobId> {
         let now = Instant::now();
-        let logs = state.replica.logs().filter(|(_, log)| !log.entries.is_empty());
+        let logs = state.replicas.logs().filter(|(_, log)| !log.entries.is_empty());
         let unowned = logs.filter(|(job, _)| !state.ownerships.contains(job));
         let expired = unowned.filter(|(job, log)| {
             let was_owned_before_restart =
-                log.promised.owner == self.id() && state.jobs.get(job).owner_last_contact.is_none();
+                log.promised.owner == self.id() && state.job_status.get(job).owner_last_contact.is_none();
             was_owned_before_restart
                 || self.rank(view, job).is_some_and(|rank| {
                     let timeout = OWNER_TIMEOUT + TAKEOVER_STAGGER * rank;
-                    state.jobs.time_since_owner_contact(job, self.started, now) > timeout
+                    state.job_status.time_since_owner_contact(job, self.started, now) > timeout
                 })
         });
         expired.map(|(job, _)| Arc::clone(job)).take(MAX_CLAIMS_PER_ROUND).collect()
@@ -94,11 +94,11 @@
         }
         let has_live_owner = {
             let mut state = self.lock();
-            let owner = state.replica.log(job).map(|log| log.promised.owner);
+            let owner = state.replicas.log(job).map(|log| log.promised.owner);
             if request.is_from_owner && owner == Some(request.from) {
-                state.jobs.clear_owner_contact(job);
+                state.job_status.clear_owner_contact(job);
             }
-            state.jobs.has_live_owner(job)
+            state.job_status.has_live_owner(job)
         };
         if !has_live_owner {
             self.acquire(job);
--- a/crates/store-plane/src/replication/ownership.rs
+++ b/crates/store-plane/src/replication/ownership.rs
@@ -33,7 +33,7 @@
         }
         let Some(claim) = self.new_claim(&state, &view, job, replicas) else { return false };
         state.ownerships.insert(job, claim);
-        state.jobs.record_known(job, Instant::now());
+        state.job_status.record_known(job, Instant::now());
         drop(state);
         self.send_due_requests(job);
         true
@@ -48,10 +48,10 @@
         job: &JobId,
         replicas: ReplicaSet,
     ) -> Option<Ownership> {
-        let log = state.replica.log(job);
+        let log = state.replicas.log(job);
         let promised = log.map_or(OwnershipTerm::default(), |log| log.promised);
-        let rejection = state.jobs.get(job).highest_rejection.unwrap_or_default();
-        let highest = promised.max(rejection).max(OwnershipTerm::lowest_of(state.replica.epoch()));
+        let rejection = state.job_status.get(job).highest_rejection.unwrap_or_default();
+        let highest = promised.max(rejection).max(OwnershipTerm::lowest_of(state.replicas.epoch()));
         let epoch = view.control.stores.epoch;
         let term = OwnershipTerm::above(highest, epoch, self.id(), fastrand::u64(..))?;
         Some(Ownership::claim(term, replicas, log))
@@ -103,7 +103,7 @@
             // never be overestimated.
             let now = Instant::now();
             let known_since = now.checked_sub(Duration::from_millis(reply.age_ms)).unwrap_or(now);
-            state.jobs.record_known_since(job, known_since);
+            state.job_status.record_known_since(job, known_since);
             if let Some(owned) = state.ownerships.get_mut(job) {
                 owned.ownership.handle_reply(store, reply.reply, node.lease_time(sent));
             }
@@ -179,7 +179,7 @@
             job,
             host: Arc::clone(&submitted.host),
             path: Arc::clone(&submitted.path),
-            age: state.jobs.age(id, Instant::now()),
+            age: state.job_status.age(id, Instant::now()),
             committed_results,
             log,
         };
@@ -237,8 +237,8 @@
         // store set.
         return;
     }
-    state.jobs.record_rejection(job, promised);
-    state.jobs.record_owner_contact(job, Instant::now());
+    state.job_status.record_rejection(job, promised);
+    state.job_status.record_owner_contact(job, Instant::now());
     state.ownerships.release(job);
 }
 
--- a/crates/store-plane/src/replication/replicate.rs
+++ b/crates/store-plane/src/replication/replicate.rs
@@ -59,12 +59,12 @@
                 matches!(request, ReplicaRequest::Prepare { .. } | ReplicaRequest::Append { .. });
             let (reply, durable) = state.handle(job, request, now);
             if is_from_owner && !matches!(reply, ReplicaReply::Rejected { .. }) {
-                state.jobs.record_owner_contact(job, now);
+                state.job_status.record_owner_contact(job, now);
             }
             if matches!(reply, ReplicaReply::Deleted { .. }) {
-                state.jobs.remove(job);
+                state.job_status.remove(job);
             }
-            (reply, durable, state.jobs.age(job, now))
+            (reply, durable, state.job_status.age(job, now))
         };
         if let Some(durable) = durable {
             durable.await.ok()?;
@@ -99,12 +99,12 @@
         own_id: StoreId,
         started: Instant,
     ) -> Option<Instant> {
-        let owner = self.replica.log(job)?.promised.owner;
+        let owner = self.replicas.log(job)?.promised.owner;
         if owner == NO_OWNER || owner == claimant || (owner == own_id && !self.ownerships.contains(job)) {
             return None;
         }
         let now = Instant::now();
-        Some(now + self.jobs.owner_lease_remaining(job, started, now)?)
+        Some(now + self.job_status.owner_lease_remaining(job, started, now)?)
     }
 }
 
--- a/crates/store-plane/src/replication/server/ownership_status.rs
+++ b/crates/store-plane/src/replication/server/ownership_status.rs
@@ -89,10 +89,10 @@
     /// Returns the owner of a batch job, if it is another store that has not timed out.
     pub(super) fn live_owner_elsewhere(&self, id: &JobId) -> Option<StoreId> {
         let state = self.lock();
-        let promised = state.replica.log(id).map(|log| log.promised);
-        let highest = promised.max(state.jobs.get(id).highest_rejection)?;
+        let promised = state.replicas.log(id).map(|log| log.promised);
+        let highest = promised.max(state.job_status.get(id).highest_rejection)?;
         let is_other = highest.owner != self.id() && highest.owner != NO_OWNER;
-        (state.jobs.has_live_owner(id) && is_other).then_some(highest.owner)
+        (state.job_status.has_live_owner(id) && is_other).then_some(highest.owner)
     }
 
     /// Queries the replicas of a batch job that this store doesn't have. Returns `NoSuchJob` only if, under
--- a/crates/store-plane/src/replication/state/description.rs
+++ b/crates/store-plane/src/replication/state/description.rs
@@ -10,7 +10,7 @@
     /// Describes each batch job in one line: its log, and the ownership or claim of this store if there is
     /// one.
     pub fn describe(&self) -> String {
-        let lines: Vec<String> = self.replica.logs().map(|(job, log)| self.describe_job(job, log)).collect();
+        let lines: Vec<String> = self.replicas.logs().map(|(job, log)| self.describe_job(job, log)).collect();
         lines.join("\n")
     }
 
@@ -19,7 +19,7 @@
         let mut line =
             format!("{job}: {} entries, promised {promised}, accepted {accepted}", log.entries.len());
         // Writing to a string cannot fail.
-        if let Some(epoch) = self.jobs.get(job).committed_epoch {
+        if let Some(epoch) = self.job_status.get(job).committed_epoch {
             let _ = write!(line, ", committed in epoch {epoch}");
         }
         if let Some(owned) = self.ownerships.get(job) {
--- a/crates/store-plane/src/replication/state/mod.rs
+++ b/crates/store-plane/src/replication/state/mod.rs
@@ -29,9 +29,9 @@
 pub(super) struct ReplicationState {
     /// The replicated logs that this store keeps. They are ahead of the disk while writes are pending; a
     /// reply is sent only after the records that it depends on are durable.
-    pub replica: Replicas,
+    pub replicas: Replicas,
     pub ownerships: OwnershipTable,
-    pub jobs: JobStatusTable,
+    pub job_status: JobStatusTable,
     pub durability: Durability,
     pub peers: PeerLiveness,
 }
@@ -65,9 +65,9 @@
             all_records.extend(records);
         }
         Self {
-            replica: Replicas::recover(all_records),
+            replicas: Replicas::recover(all_records),
             ownerships: OwnershipTable::default(),
-            jobs: JobStatusTable::default(),
+            job_status: JobStatusTable::default(),
             durability,
             peers: PeerLiveness::default(),
         }
@@ -82,13 +82,13 @@
         now: Instant,
     ) -> (ReplicaReply, Option<oneshot::Receiver<()>>) {
         if request != ReplicaRequest::Query {
-            self.jobs.record_known(job, now);
+            self.job_status.record_known(job, now);
         }
-        let (reply, mut records) = self.replica.handle(job, request);
+        let (reply, mut records) = self.replicas.handle(job, request);
         if self.durability.take_records_lost(job) {
             // The reply may depend on the lost record, so the complete state of the batch job is written
             // again.
-            records = vec![Record::Epoch(self.replica.epoch()), self.replica.snapshot(job)];
+            records = vec![Record::Epoch(self.replicas.epoch()), self.replicas.snapshot(job)];
         }
         let must_wait = !records.is_empty() || self.durability.has_pending_writes(job);
         let durable = must_wait.then(|| self.durability.persist(records));
@@ -97,7 +97,7 @@
 
     /// Returns whether this store has entries of a batch job, or owns or claims it.
     pub fn is_known(&self, job: &JobId) -> bool {
-        let has_entries = self.replica.log(job).is_some_and(|log| !log.entries.is_empty());
+        let has_entries = self.replicas.log(job).is_some_and(|log| !log.entries.is_empty());
         has_entries || self.ownerships.contains(job)
     }
 }
