--- a/crates/store-plane/src/replication/handover.rs
+++ b/crates/store-plane/src/replication/handover.rs
@@ -1,4 +1,4 @@
-//! Hand-over: a store that is about to exit passes its ownerships on to other stores, which otherwise would
+//! Handover: a store that is about to exit passes its ownerships on to other stores, which otherwise would
 //! take the batch jobs over only after a timeout.
 
 use std::sync::Arc;
@@ -7,14 +7,14 @@
 use batch::{JobId, StoreId};
 use futures_util::future::join_all;
 
-use super::messages::{AddressedRequest, ReleaseNotice, TakeoverRequest, RELEASED_PATH, TAKE_OVER_PATH};
+use super::messages::{AddressedRequest, ReleaseNotice, TakeoverRequest, RELEASED_PATH, TAKEOVER_PATH};
 use super::node::StoreNode;
 use super::placement::replica_ids;
 
 /// Timeout of the notice to one replica that an ownership has ended.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Timeout of the request to one store to take a batch job over.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(400);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl StoreNode {
     /// Releases all batch jobs that this store owns, stops claiming batch jobs, and asks the next replica
@@ -40,7 +40,7 @@
             let request = TakeoverRequest { from: self.id(), is_from_owner: true };
             let request = AddressedRequest { to: store, job: Arc::clone(job), request };
             let acknowledged: Result<(), _> =
-                self.rpc.call(&address, TAKE_OVER_PATH, &request, HAND_OVER_TIMEOUT).await;
+                self.rpc.call(&address, TAKEOVER_PATH, &request, HANDOVER_TIMEOUT).await;
             if acknowledged.is_ok() {
                 return;
             }
@@ -58,12 +58,12 @@
         drop(notified);
     }
 
-    /// Handles the notice that the owner `from` has given a batch job up. Ignored if `from` is not the owner.
+    /// Handles the notice that `from` has released a batch job. Ignores it if `from` is not the owner.
     pub fn on_released(&self, job: &JobId, from: StoreId) {
         let mut state = self.lock();
-        let owner = state.replica.log(job).map(|log| log.promised.owner);
+        let owner = state.replicas.log(job).map(|log| log.promised.owner);
         if owner == Some(from) {
-            state.jobs.record_released(job);
+            state.job_status.record_released(job);
         }
     }
 }
--- a/crates/store-plane/src/replication/maintenance/takeover.rs
+++ b/crates/store-plane/src/replication/maintenance/takeover.rs
@@ -1,4 +1,4 @@
-//! Take-over: claims batch jobs whose owner failed or handed them over, and releases ownerships whose lease
+//! Takeover: claims batch jobs whose owner failed or handed them over, and releases ownerships whose lease
 //! has expired.
 
 use std::sync::Arc;
@@ -29,15 +29,17 @@
         let mut state = self.lock();
         for job in state.ownerships.jobs_where(|owned| self.is_stale(owned, now)) {
             // Delays the next claim of this store, so that the claim of another store can succeed.
-            state.jobs.record_owner_contact(&job, now);
+            state.job_status.record_owner_contact(&job, now);
             state.ownerships.release(&job);
         }
     }
 
-    /// Returns whether to release an ownership. An ownership that is `Superseded` at this point was
-    /// superseded by [`NO_OWNER`](super::super::state::NO_OWNER), that is, by a newer store set, which this
-    /// store has not received yet. Ownerships superseded by another store were released when the rejection
-    /// arrived.
+    /// Returns whether to release an ownership. A leading ownership is also released if its log is still
+    /// empty, since then the batch job doesn't exist or its submission was not completed.
+    ///
+    /// An ownership that is `Superseded` at this point was superseded by
+    /// [`NO_OWNER`](super::super::state::NO_OWNER), that is, by a newer store set, which this store has not
+    /// received yet. Ownerships superseded by another store were released when the rejection arrived.
     fn is_stale(&self, owned: &OwnedEntry, now: Instant) -> bool {
         let since_claim = now - owned.claimed_at;
         let is_lease_expired = !owned.ownership.holds_lease(self.lease_time(now), LEASE_TIMEOUT);
@@ -62,15 +64,15 @@
     /// store owned before it was restarted.
     fn jobs_with_expired_owner(&self, state: &ReplicationState, view: &View) -> Vec<JobId> {
         let now = Instant::now();
-        let logs = state.replica.logs().filter(|(_, log)| !log.entries.is_empty());
+        let logs = state.replicas.logs().filter(|(_, log)| !log.entries.is_empty());
         let unowned = logs.filter(|(job, _)| !state.ownerships.contains(job));
         let expired = unowned.filter(|(job, log)| {
             let was_owned_before_restart =
-                log.promised.owner == self.id() && state.jobs.get(job).owner_last_contact.is_none();
+                log.promised.owner == self.id() && state.job_status.get(job).owner_last_contact.is_none();
             was_owned_before_restart
                 || self.rank(view, job).is_some_and(|rank| {
                     let timeout = OWNER_TIMEOUT + TAKEOVER_STAGGER * rank;
-                    state.jobs.time_since_owner_contact(job, self.started, now) > timeout
+                    state.job_status.time_since_owner_contact(job, self.started, now) > timeout
                 })
         });
         expired.map(|(job, _)| Arc::clone(job)).take(MAX_CLAIMS_PER_ROUND).collect()
@@ -92,11 +94,11 @@
         }
         let has_live_owner = {
             let mut state = self.lock();
-            let owner = state.replica.log(job).map(|log| log.promised.owner);
+            let owner = state.replicas.log(job).map(|log| log.promised.owner);
             if request.is_from_owner && owner == Some(request.from) {
-                state.jobs.clear_owner_contact(job);
+                state.job_status.clear_owner_contact(job);
             }
-            state.jobs.has_live_owner(job)
+            state.job_status.has_live_owner(job)
         };
         if !has_live_owner {
             self.acquire(job);
--- a/crates/store-plane/src/replication/replicate.rs
+++ b/crates/store-plane/src/replication/replicate.rs
@@ -10,7 +10,7 @@
 use super::node::StoreNode;
 use super::state::{ReplicationState, NO_OWNER};
 
-/// Timeout of a request to another store.
+/// Timeout of a request to another store, if the request contains no entries.
 const REPLICATE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum time that a claim waits for the end of another owner's lease. It is well below
 /// [`REPLICATE_TIMEOUT`], so that the reply still arrives in time.
@@ -59,12 +59,12 @@
                 matches!(request, ReplicaRequest::Prepare { .. } | ReplicaRequest::Append { .. });
             let (reply, durable) = state.handle(job, request, now);
             if is_from_owner && !matches!(reply, ReplicaReply::Rejected { .. }) {
-                state.jobs.record_owner_contact(job, now);
+                state.job_status.record_owner_contact(job, now);
             }
             if matches!(reply, ReplicaReply::Deleted { .. }) {
-                state.jobs.remove(job);
+                state.job_status.remove(job);
             }
-            (reply, durable, state.jobs.age(job, now))
+            (reply, durable, state.job_status.age(job, now))
         };
         if let Some(durable) = durable {
             durable.await.ok()?;
@@ -99,12 +99,12 @@
         own_id: StoreId,
         started: Instant,
     ) -> Option<Instant> {
-        let owner = self.replica.log(job)?.promised.owner;
+        let owner = self.replicas.log(job)?.promised.owner;
         if owner == NO_OWNER || owner == claimant || (owner == own_id && !self.ownerships.contains(job)) {
             return None;
         }
         let now = Instant::now();
-        Some(now + self.jobs.owner_lease_remaining(job, started, now)?)
+        Some(now + self.job_status.owner_lease_remaining(job, started, now)?)
     }
 }
 
--- a/crates/store-plane/tests/golden/messages.rs
+++ b/crates/store-plane/tests/golden/messages.rs
@@ -1,7 +1,7 @@
 //! Golden tests of the encoded forms of the messages between stores, and from traffic nodes to stores.
 //!
 //! The messages are private to the replication module, which therefore includes this file as a module. Each
-//! encoded form is stored in a file of this folder as lines of hexadecimal digits. A run with
+//! encoded form is stored in a file of this directory as lines of hexadecimal digits. A run with
 //! `GOLDEN_WRITE=1` writes missing files.
 
 use std::fmt::Debug;
@@ -213,7 +213,7 @@
     let listed = [
         paths::REPLICATE_PATH,
         paths::HEARTBEAT_PATH,
-        paths::TAKE_OVER_PATH,
+        paths::TAKEOVER_PATH,
         paths::SUBMIT_PATH,
         paths::READ_PATH,
         paths::BODY_PATH,
