--- a/crates/control-plane/src/discovery/acceptor_gossip.rs
+++ b/crates/control-plane/src/discovery/acceptor_gossip.rs
@@ -74,7 +74,7 @@
 
 /// Sends a message to the process at an address. Returns whether it was acknowledged.
 pub(crate) async fn send_gossip(client: &rpc::Client, address: &str, message: &GossipMessage) -> bool {
-    let reply: Result<(), _> = client.call(address, paths::INTRODUCE, message, CALL_TIMEOUT).await;
+    let reply: Result<(), _> = client.call(address, paths::ACCEPTOR_GOSSIP, message, CALL_TIMEOUT).await;
     reply.is_ok()
 }
 
--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -177,7 +177,8 @@
         member: &Member,
         initial: &Versioned<ControlState>,
     ) -> Option<Versioned<ControlState>> {
-        let reply = self.client.call(&member.address, paths::FIRST, initial, CALL_TIMEOUT).await;
+        let reply =
+            self.client.call(&member.address, paths::OFFER_INITIAL_VALUE, initial, CALL_TIMEOUT).await;
         reply
             .inspect_err(|error| log::info!("{} has not accepted the initial value: {error}", member.name))
             .ok()
--- a/crates/control-plane/src/paths.rs
+++ b/crates/control-plane/src/paths.rs
@@ -11,8 +11,8 @@
 /// Announces a machine with a disk to a seed during the bootstrap of a system.
 pub const ANNOUNCE: &str = "/control/announce";
 /// Offers the initial value of the register to an acceptor during the bootstrap.
-pub const FIRST: &str = "/control/first";
+pub const OFFER_INITIAL_VALUE: &str = "/control/first";
 /// Sends the internal addresses of the acceptors to a process that may not have them (acceptor gossip).
-pub const INTRODUCE: &str = "/control/introduce";
+pub const ACCEPTOR_GOSSIP: &str = "/control/introduce";
 /// Pings a process, which replies with its state.
 pub const PING: &str = "/control/ping";
--- a/crates/control-plane/tests/golden/messages.rs
+++ b/crates/control-plane/tests/golden/messages.rs
@@ -49,8 +49,8 @@
         paths::RELEASE,
         paths::POLL,
         paths::ANNOUNCE,
-        paths::FIRST,
-        paths::INTRODUCE,
+        paths::OFFER_INITIAL_VALUE,
+        paths::ACCEPTOR_GOSSIP,
         paths::PING,
     ];
     check_text("paths.txt", &(all.join("\n") + "\n"));
--- a/crates/rushrudder/src/control/routes.rs
+++ b/crates/rushrudder/src/control/routes.rs
@@ -16,7 +16,7 @@
         let routes = Route::new()
             .at(paths::POLL, self.poll_endpoint())
             .at(paths::PING, self.ping_endpoint())
-            .at(paths::INTRODUCE, self.gossip_endpoint())
+            .at(paths::ACCEPTOR_GOSSIP, self.gossip_endpoint())
             .at(paths::ANNOUNCE, self.announce_endpoint());
         match &self.quorum_service {
             Some(service) => with_quorum_routes(routes, service),
@@ -61,7 +61,7 @@
 fn with_quorum_routes(routes: Route, service: &Arc<QuorumService>) -> Route {
     routes
         .at(paths::REGISTER, acceptor_endpoint(service))
-        .at(paths::FIRST, initialize_endpoint(service))
+        .at(paths::OFFER_INITIAL_VALUE, initialize_endpoint(service))
         .at(paths::LEASE, grant_endpoint(service))
         .at(paths::RELEASE, release_endpoint(service))
 }
