--- a/crates/control-plane/src/discovery/list_reader.rs
+++ b/crates/control-plane/src/discovery/list_reader.rs
@@ -31,7 +31,7 @@
     /// View that adopts the list.
     pub view: Arc<ViewCell>,
     /// Age of the list, before jitter, at which a process that is not the leader reads the list itself.
-    pub own_read_after: Duration,
+    pub stale_after: Duration,
 }
 
 impl ListReader {
@@ -39,16 +39,16 @@
     /// has become too old. Runs until the process ends.
     pub async fn run(self) {
         let mut renewed_at = Instant::now();
-        let mut own_max_age = with_jitter(self.own_read_after);
+        let mut stale_age = with_jitter(self.stale_after);
         loop {
             tokio::time::sleep(CHECK_INTERVAL).await;
-            if !self.is_due(own_max_age) {
+            if !self.is_due(stale_age) {
                 continue;
             }
             let started_at = Instant::now();
             match self.platform.read(ServerListVersion::default()).await {
                 Ok(list) => {
-                    own_max_age = with_jitter(self.own_read_after);
+                    stale_age = with_jitter(self.stale_after);
                     let renew = renewed_at.elapsed() > RENEW_INTERVAL;
                     if self.view.adopt_reading(list, started_at, self.leadership.fence(), renew) {
                         renewed_at = started_at;
@@ -64,10 +64,9 @@
 
     /// Returns whether the list is old enough to be read again. A leader reads at the check that is closest
     /// to the end of its interval.
-    fn is_due(&self, own_max_age: Duration) -> bool {
+    fn is_due(&self, stale_age: Duration) -> bool {
         let is_leader = self.leadership.fence().is_some();
-        let max_age =
-            if is_leader { LEADER_INTERVAL.saturating_sub(CHECK_INTERVAL / 2) } else { own_max_age };
+        let max_age = if is_leader { LEADER_INTERVAL.saturating_sub(CHECK_INTERVAL / 2) } else { stale_age };
         self.view.servers_age().is_none_or(|age| age >= max_age)
     }
 }
--- a/crates/rushrudder/src/control/tasks.rs
+++ b/crates/rushrudder/src/control/tasks.rs
@@ -76,7 +76,7 @@
             platform: Arc::clone(server_list),
             leadership: Arc::clone(&self.leadership),
             view: Arc::clone(&self.view),
-            own_read_after: if has_acceptor { LIST_STALE_AFTER_ON_ACCEPTOR } else { LIST_STALE_AFTER },
+            stale_after: if has_acceptor { LIST_STALE_AFTER_ON_ACCEPTOR } else { LIST_STALE_AFTER },
         };
         tokio::spawn(reader.run());
     }
