--- a/crates/control-plane/src/discovery/list_reader.rs
+++ b/crates/control-plane/src/discovery/list_reader.rs
@@ -50,7 +50,7 @@
                 Ok(list) => {
                     stale_age = with_jitter(self.stale_after);
                     let renew = renewed_at.elapsed() > RENEW_INTERVAL;
-                    if self.view.adopt_reading(list, started_at, self.leadership.fence(), renew) {
+                    if self.view.adopt_platform_list(list, started_at, self.leadership.fence(), renew) {
                         renewed_at = started_at;
                     }
                 }
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -142,7 +142,7 @@
     ///
     /// The list gets a new version if its content differs. For a leader it also gets one if `renew` is set or
     /// another leader distributed the present list. Returns whether it got a new version.
-    pub fn adopt_reading(
+    pub fn adopt_platform_list(
         &self,
         mut read: ServerList,
         read_at: Instant,
--- a/crates/control-plane/tests/view.rs
+++ b/crates/control-plane/tests/view.rs
@@ -74,13 +74,13 @@
 fn given_the_leader_when_it_reads_then_only_a_changed_or_renewed_list_gets_a_new_version() {
     let view = ViewCell::new();
     let now = Instant::now();
-    assert!(view.adopt_reading(list_read_from_platform(ServerCondition::Open), now, Some(3), false));
-    assert!(!view.adopt_reading(list_read_from_platform(ServerCondition::Open), now, Some(3), false));
-    assert!(view.adopt_reading(list_read_from_platform(ServerCondition::Closing), now, Some(3), false));
+    assert!(view.adopt_platform_list(list_read_from_platform(ServerCondition::Open), now, Some(3), false));
+    assert!(!view.adopt_platform_list(list_read_from_platform(ServerCondition::Open), now, Some(3), false));
+    assert!(view.adopt_platform_list(list_read_from_platform(ServerCondition::Closing), now, Some(3), false));
     assert_eq!(view.view().servers.version, list_version(3, 2));
-    assert!(view.adopt_reading(list_read_from_platform(ServerCondition::Closing), now, Some(3), true));
+    assert!(view.adopt_platform_list(list_read_from_platform(ServerCondition::Closing), now, Some(3), true));
     assert!(
-        view.adopt_reading(list_read_from_platform(ServerCondition::Closing), now, Some(4), false),
+        view.adopt_platform_list(list_read_from_platform(ServerCondition::Closing), now, Some(4), false),
         "a new leader gives the list a new version"
     );
     assert_eq!(view.view().servers.version, list_version(4, 1));
@@ -90,8 +90,8 @@
 fn given_a_process_that_is_not_the_leader_when_it_reads_for_itself_then_the_next_list_of_the_leader_replaces_its_list(
 ) {
     let view = ViewCell::new();
-    view.adopt_reading(list_read_from_platform(ServerCondition::Open), Instant::now(), Some(3), false);
-    assert!(view.adopt_reading(
+    view.adopt_platform_list(list_read_from_platform(ServerCondition::Open), Instant::now(), Some(3), false);
+    assert!(view.adopt_platform_list(
         list_read_from_platform(ServerCondition::Closing),
         Instant::now(),
         None,
@@ -99,7 +99,12 @@
     ));
     assert_eq!(view.view().servers.servers[0].condition, ServerCondition::Closing);
     assert!(
-        !view.adopt_reading(list_read_from_platform(ServerCondition::Closing), Instant::now(), Some(2), true),
+        !view.adopt_platform_list(
+            list_read_from_platform(ServerCondition::Closing),
+            Instant::now(),
+            Some(2),
+            true
+        ),
         "the fencing token is lower than that of the list"
     );
     view.adopt_servers(empty_list(3, 2));
