--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use register::{AcceptorReply, AcceptorRequest, Ballot, Member, ReplyOutcome, Versioned};
 use serde::{Deserialize, Serialize};
-use state::change::{choose_initial_value, initial_state};
+use state::change::{initial_state, select_initial_value};
 use state::{ControlState, StoreMember};
 use tokio::time::Instant;
 
@@ -143,7 +143,7 @@
     async fn commit_initial(&self, proposed: Versioned<ControlState>) {
         let reads = proposed.value.acceptors.iter().map(|member| self.read_accepted(member));
         let accepted: Vec<_> = join_all(reads).await.into_iter().flatten().collect();
-        let Some(initial) = choose_initial_value(proposed, accepted) else {
+        let Some(initial) = select_initial_value(proposed, accepted) else {
             log::info!("initial value not committed: too few acceptors reply");
             return;
         };
--- a/crates/state/src/change/bootstrap.rs
+++ b/crates/state/src/change/bootstrap.rs
@@ -37,7 +37,7 @@
 /// if any. Returns `None` unless a majority has replied, so that a value that a majority has accepted is
 /// always found.
 #[must_use]
-pub fn choose_initial_value(
+pub fn select_initial_value(
     own: Versioned<ControlState>,
     accepted: Vec<Option<Versioned<ControlState>>>,
 ) -> Option<Versioned<ControlState>> {
--- a/crates/state/src/change/mod.rs
+++ b/crates/state/src/change/mod.rs
@@ -14,7 +14,7 @@
 mod stores;
 
 pub use acceptors::{with_acceptor, with_standby, without_acceptor, NoVacancy};
-pub use bootstrap::{choose_initial_value, initial_state};
+pub use bootstrap::{initial_state, select_initial_value};
 pub use leader_lease::{
     may_issue_orders_immediately, with_order_issuer, with_raised_fence, LeaderLease, Superseded,
 };
--- a/crates/state/tests/bootstrap.rs
+++ b/crates/state/tests/bootstrap.rs
@@ -6,7 +6,7 @@
 
 use common::{store, system};
 use register::{Ballot, Versioned};
-use state::change::{choose_initial_value, initial_state};
+use state::change::{initial_state, select_initial_value};
 use state::ControlState;
 use yare::parameterized;
 
@@ -22,7 +22,7 @@
 
 #[test]
 fn given_an_interrupted_coordinator_when_another_one_takes_over_then_it_chooses_the_value_of_the_first() {
-    let chosen = choose_initial_value(initial_value(3), vec![None, Some(initial_value(2))]);
+    let chosen = select_initial_value(initial_value(3), vec![None, Some(initial_value(2))]);
     assert_eq!(chosen, Some(initial_value(2)));
 }
 
@@ -37,7 +37,7 @@
     is_own_value_chosen: bool,
 ) {
     assert_eq!(
-        choose_initial_value(initial_value(3), vec![None; reply_count]),
+        select_initial_value(initial_value(3), vec![None; reply_count]),
         is_own_value_chosen.then(|| initial_value(3))
     );
 }
