--- a/crates/control-plane/tests/golden.rs
+++ b/crates/control-plane/tests/golden.rs
@@ -48,7 +48,7 @@
 }
 
 /// Checks that a message is encoded to the bytes of its golden file and decoded from them.
-fn check<T: Serialize + DeserializeOwned + std::fmt::Debug>(name: &str, message: &T) {
+fn check_message<T: Serialize + DeserializeOwned + std::fmt::Debug>(name: &str, message: &T) {
     let golden = check_bytes(name, &rpc::encode(message));
     let decoded: T = rpc::decode(&golden).expect("the golden message can be decoded");
     assert_eq!(format!("{decoded:?}"), format!("{message:?}"), "{name}");
