--- a/crates/control-plane/src/consensus/acceptor_calls.rs
+++ b/crates/control-plane/src/consensus/acceptor_calls.rs
@@ -10,9 +10,9 @@
 
 use crate::paths;
 
-/// The acceptor that was called, with its reply or the error of the call.
+/// Acceptor that was called, and its reply or the error of the call.
 pub(super) type CallResult = (Member, Result<AcceptorReply<ControlState>, CallError>);
-/// Calls in flight; yields their results in the order in which they finish.
+/// Calls in flight, whose results arrive in the order in which the calls finish.
 pub(super) type PendingCalls = FuturesUnordered<BoxFuture<'static, CallResult>>;
 
 /// Sends a request to the acceptor that it is addressed to and waits at most `timeout` for the reply.
--- a/crates/control-plane/src/consensus/acceptor_journal.rs
+++ b/crates/control-plane/src/consensus/acceptor_journal.rs
@@ -10,9 +10,9 @@
 /// types.
 #[derive(Serialize, Deserialize)]
 enum JournalRecord {
-    /// A new promise; the accepted and committed values have not changed since the previous records.
+    /// New promise. The accepted and the committed value are unchanged since the previous records.
     Promise(Ballot),
-    /// The complete state; all earlier records are obsolete.
+    /// Complete state, which makes all earlier records obsolete.
     State(AcceptorState<ControlState>),
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl PersistedState {
-    /// Creates the state from what was recovered from the journal.
+    /// Creates the tracker from the state that was recovered from the journal.
     pub(super) fn recovered(state: AcceptorState<ControlState>) -> Self {
         let initial_write = WriteNumber::default();
         Self { durable: state, durable_write: initial_write, last_write: initial_write }
--- a/crates/control-plane/src/consensus/acceptor_membership.rs
+++ b/crates/control-plane/src/consensus/acceptor_membership.rs
@@ -1,11 +1,11 @@
 //! Membership of a machine with a disk in the set of acceptors: how it joins, and how it leaves.
 //!
-//! The set of acceptors keeps its size. A machine that joins later is a *standby*: it has no vote until it
-//! replaces a failed acceptor, in one step of the register. If it were added beside the failed acceptor
-//! instead, that acceptor would still count for the majority, and the next failure could leave no majority.
-//! The standby itself detects that an acceptor has failed, so that a failed leader is replaced too. It asks
-//! all acceptors, and a majority of them must report the acceptor as unresponsive, because a network
-//! partition may separate the acceptor from the standby alone.
+//! The set of acceptors grows only up to its intended size. A machine that joins later is a *standby*: it has
+//! no vote until it replaces a failed acceptor, in one change of the register. If it were added beside
+//! the failed acceptor instead, that acceptor would still count for the majority, and the next failure could
+//! leave no majority. The standby itself, not the leader, detects that an acceptor has failed, so that a
+//! failed leader is replaced too. The standby pings all acceptors, and a majority of them must report the
+//! acceptor as unresponsive, because a network partition may separate the acceptor from the standby alone.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 
 /// Pause between two checks whether this machine can become an acceptor or a standby.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum time from the start of a ping to the reply of the acceptor or standby.
+/// Maximum time from the start of a ping to its reply.
 const PING_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum time for which one proposal to join is retried. A later attempt starts a new proposal.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Maximum time for which the proposal to leave is retried before the process shuts down.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Maintains the membership of this machine in the set of acceptors.
+/// Task that maintains the membership of this machine in the set of acceptors.
 pub struct AcceptorMembership {
     /// Name, incarnation and internal address of this machine.
     pub member: Member,
@@ -42,8 +42,8 @@
 }
 
 impl AcceptorMembership {
-    /// Makes this machine an acceptor whenever it is not one and a place is vacant, and otherwise registers
-    /// it as a standby. Runs until the process ends.
+    /// Makes this machine an acceptor whenever it is not one and the set has too few acceptors or a failed
+    /// one, and otherwise registers it as a standby. Runs until the process ends.
     pub async fn run(&self) {
         let mut views = self.view.subscribe();
         loop {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Hands the place of this machine over to the first standby that replies, before the process shuts down
+    /// Replaces this machine as an acceptor by the first standby that replies, before the process shuts down
     /// gracefully. Does nothing if this machine is not an acceptor or no standby replies.
     pub async fn leave(&self) {
         let control = self.view.view().control.clone();
--- a/crates/control-plane/src/consensus/acceptor_service.rs
+++ b/crates/control-plane/src/consensus/acceptor_service.rs
@@ -1,4 +1,4 @@
-//! Service for the acceptor of the register on a machine with a disk.
+//! Service of the acceptor of the register on a machine with a disk.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -11,14 +11,15 @@
 
 use super::acceptor_journal::{recover, EncodedRecord, PersistedState, RecoveredState};
 
-/// Handles requests to the acceptor. Each reply is sent only after the changes that it reports are durable.
+/// Service that handles requests to the acceptor. Each reply is sent only after the changes that it reports
+/// are durable.
 pub struct AcceptorService {
     inner: Mutex<Inner>,
     journal: Journal,
     incarnation: Incarnation,
 }
 
-/// State that requests change, protected by one lock.
+/// State that requests change, under the lock of the service.
 struct Inner {
     /// State machine of the acceptor in memory. Its state may be ahead of the durable one.
     acceptor: Acceptor<ControlState>,
@@ -41,8 +42,8 @@
             RecoveredState { state: AcceptorState::empty(incarnation), complete_position: None }
         });
         if let Some(position) = complete_position {
-            // The ring may be full of obsolete records, if the previous process ended before it had written
-            // their release.
+            // The ring may be full of obsolete records if the previous process ended before it had released
+            // them.
             journal.release(position);
         }
         let persisted = PersistedState::recovered(state.clone());
@@ -87,7 +88,7 @@
         self.apply(|acceptor| acceptor.handle(request)).await
     }
 
-    /// Returns the reply to a read, which contains only durable values, since a crash could undo others.
+    /// Returns the reply to a read. It contains only durable values, because a crash could undo others.
     fn durable_reply(&self) -> Option<AcceptorReply<ControlState>> {
         let inner = self.lock();
         let AcceptorState { accepted, committed, .. } = inner.persisted.durable().clone();
--- a/crates/control-plane/src/consensus/confirmation.rs
+++ b/crates/control-plane/src/consensus/confirmation.rs
@@ -24,9 +24,9 @@
     Undecided,
 }
 
-/// Asks all acceptors once whether `known` is the newest value, until the replies of a majority have decided
-/// it. The view adopts the result as of `started_at`. Replies that arrive later are still recorded in
-/// `contacts`.
+/// Asks all acceptors once whether `known` is the newest value. Returns as soon as the replies decide it, and
+/// makes the view adopt a confirmation as of `started_at` or a newer committed value. Replies that arrive
+/// later are still recorded in `contacts`.
 pub(super) async fn confirm_once(
     view: &ViewCell,
     client: &rpc::Client,
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -3,7 +3,7 @@
 //! This module owns the journal of the acceptor, which only [`AcceptorService`] writes, and the ballots of
 //! this process, which only [`Proposer`] issues. Other modules change the control state only through
 //! [`Proposer::change`], with one of the pure functions of [`state::change`]. The crate `register` implements
-//! the protocol itself; this module adds its I/O, time-outs and retries.
+//! the protocol itself; this module adds its I/O, timeouts and retries.
 
 mod acceptor_calls;
 mod acceptor_journal;
--- a/crates/control-plane/src/consensus/proposal_attempt.rs
+++ b/crates/control-plane/src/consensus/proposal_attempt.rs
@@ -42,10 +42,10 @@
     base_ballot: Ballot,
     calls: PendingCalls,
     started_at: Instant,
-    /// Value that `decide` derived from the value that was read; `None` before that or if it was rejected.
+    /// Value that `decide` derived from the value that was read; `None` before, or if `decide` rejected it.
     desired: Option<ControlState>,
-    /// Reason why `decide` rejected the value that was read, if it did and the value was not known to be
-    /// committed.
+    /// Reason why `decide` rejected the value that was read; `None` unless it rejected a value that was not
+    /// known to be committed.
     rejection: Option<E>,
 }
 
@@ -53,8 +53,8 @@
 where
     D: Fn(&ControlState) -> Result<ControlState, E>,
 {
-    /// Starts a proposal based on `base`, which must be committed, under a ballot that was never used, and
-    /// sends the requests of its first phase.
+    /// Starts a proposal based on `base`, which must be committed, and sends the requests of its first phase.
+    /// `ballot` must never have been used before.
     pub(super) fn start(
         view: &'a ViewCell,
         client: &'a rpc::Client,
@@ -185,8 +185,8 @@
 /// Waits until a majority of the acceptors has learned a change of the set of acceptors, or all calls have
 /// ended.
 ///
-/// Only after that is the failure of one more machine tolerated. Before, this process alone may have the
-/// information that the change is committed, and all others would still ask the previous acceptors.
+/// Only after that is the failure of one more machine tolerated. Before, this process may be the only one
+/// that has received the commit, and all others would still ask the previous acceptors.
 async fn wait_for_majority(mut learners: mpsc::UnboundedReceiver<Member>, acceptors: &[Member]) {
     let mut learned = 0;
     while let Some(member) = learners.recv().await {
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -13,7 +13,7 @@
 use crate::{AcceptorContacts, ViewCell};
 
 /// Upper bound of the random pause before the first retry of a change, in milliseconds. The bound grows by
-/// the same amount with each further attempt, up to [`MAX_RETRY_PAUSE_STEPS`] times this value.
+/// this value with each further attempt, up to [`MAX_RETRY_PAUSE_STEPS`] times the value.
 const RETRY_PAUSE_STEP_MS: u64 = 25;
 /// Largest multiple of [`RETRY_PAUSE_STEP_MS`] to which the bound of the pause grows.
 const MAX_RETRY_PAUSE_STEPS: u64 = 8;
@@ -32,7 +32,7 @@
     OutcomeUnknown,
 }
 
-/// Proposes changes of the control state.
+/// Proposer of changes of the control state.
 pub struct Proposer {
     view: Arc<ViewCell>,
     client: rpc::Client,
@@ -116,8 +116,9 @@
         self.read(deadline).await
     }
 
-    /// Asks all acceptors once whether `known` is the newest value, and commits a newer value that is
-    /// undecided. Returns whether the view now has the newest value as of `started_at`.
+    /// Asks all acceptors once whether `known` is the newest value. Adopts a newer committed value, and
+    /// commits a newer value that is undecided. Returns whether the view now has the newest value as of
+    /// `started_at`.
     pub(super) async fn confirm(&self, known: Versioned<ControlState>, started_at: Instant) -> bool {
         match confirm_once(&self.view, &self.client, &self.contacts, known, started_at).await {
             ConfirmationResult::Confirmed => true,
--- a/crates/control-plane/src/consensus/read_repair.rs
+++ b/crates/control-plane/src/consensus/read_repair.rs
@@ -1,4 +1,4 @@
-//! Read repair: confirms periodically that the known committed value is the newest.
+//! Read repair: periodic confirmation that the committed value of this process is the newest.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,8 +13,9 @@
 /// Minimum pause after a confirmation, even if it took longer than the interval.
 const MIN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Confirms the committed value with a majority at regular intervals until the process ends. Adopts a newer
-/// committed value. A newer value that is accepted but not provably committed is committed by a proposal.
+/// Confirms the committed value with a majority at regular intervals. Adopts a newer committed value, and
+/// commits by a proposal a newer value that is accepted but not provably committed. Runs until the process
+/// ends.
 pub async fn run_read_repair(view: Arc<ViewCell>, proposer: Arc<Proposer>) {
     loop {
         let started_at = Instant::now();
--- a/crates/control-plane/src/discovery/acceptor_gossip.rs
+++ b/crates/control-plane/src/discovery/acceptor_gossip.rs
@@ -3,7 +3,7 @@
 //!
 //! A process polls its seeds until it receives the acceptors. Seeds may be nodes without a disk. After a
 //! power loss of all machines these have no state, and a process that is configured with only such seeds
-//! would poll without success for ever. Therefore addresses of the acceptors are also sent in the opposite
+//! would poll without success forever. Therefore addresses of the acceptors are also sent in the opposite
 //! direction: a process that has them sends them to its own seeds. It does so as soon as it receives them or
 //! is configured with other seeds, and repeats it periodically, because a seed may have restarted. Together,
 //! polls and gossip spread the addresses to all processes that are connected by seeds in either direction.
@@ -46,7 +46,7 @@
     }
 }
 
-/// Stores the newest acceptors that this process has received by gossip.
+/// Newest acceptors that this process has received by gossip.
 #[derive(Default)]
 pub struct AcceptorGossip {
     newest: Mutex<GossipMessage>,
@@ -78,7 +78,7 @@
     reply.is_ok()
 }
 
-/// Sends the addresses of the acceptors to the seeds of this process.
+/// Task that sends the addresses of the acceptors to the seeds of this process.
 pub struct GossipSender {
     /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Performs the part of this process in the bootstrap of a system.
+/// Part of this process in the bootstrap of a system.
 pub struct Bootstrap {
     /// Announcement of this machine; `None` if it has no disk.
     pub announcement: Option<Announcement>,
@@ -84,9 +84,9 @@
     pub seeds: Vec<String>,
     /// Internal address of this process, by which it finds its own position among the seeds.
     pub own_address: String,
-    /// Number of machines whose loss the system must survive.
+    /// Number of failed machines that the system must tolerate.
     pub tolerated_failures: usize,
-    /// Announcements that this process has received; used only if it is a seed.
+    /// Announcements that this process has received. Used only if the process is a seed.
     pub announcements: Arc<BootstrapAnnouncements>,
     /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
@@ -95,8 +95,8 @@
 }
 
 impl Bootstrap {
-    /// Announces this machine to the seeds. If this process is a seed, it also forms the initial value once
-    /// its waiting time has passed. Returns once a committed value is known.
+    /// Announces this machine to the seeds. If this process is a seed, it also becomes the coordinator after
+    /// its delay and offers an initial value. Returns once the view has a committed value.
     pub async fn run(self) {
         let started_at = Instant::now();
         let coordinator_delay = self.coordinator_delay();
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Offers an initial value to its acceptors: the value that an earlier coordinator has offered, if any,
-    /// otherwise `proposed`.
+    /// Offers an initial value to its acceptors: the value that an acceptor has accepted from an earlier
+    /// coordinator, if any, otherwise `proposed`. Adopts the value if a majority has accepted it.
     ///
     /// A majority of the acceptors must reply to a read first, so that an initial value that a majority has
     /// accepted is always found.
--- a/crates/control-plane/src/discovery/gossip_schedule.rs
+++ b/crates/control-plane/src/discovery/gossip_schedule.rs
@@ -11,12 +11,12 @@
 /// Longest pause before a message that a seed did not acknowledge is sent again.
 const MAX_RETRY_PAUSE: Duration = Duration::from_secs(5);
 
-/// Schedules messages to seeds: retries with backoff to those that have not acknowledged, and repetitions in
-/// round-robin order to those that have.
+/// Schedule of the messages to seeds: retries with backoff to seeds that have not acknowledged the addresses,
+/// and repetitions in round-robin order to seeds that have.
 pub(super) struct GossipSchedule {
     /// Seeds that have not acknowledged the latest message.
     pending: BTreeMap<String, PendingRetry>,
-    /// Seeds that have acknowledged the latest message, in round-robin order: the next one is first.
+    /// Seeds that have acknowledged the latest message, in round-robin order; the next one is first.
     acknowledged: Vec<String>,
     repeat_interval: Duration,
     /// Time at which the next acknowledged seed is sent the addresses again; `None` before the first check.
@@ -29,8 +29,8 @@
 }
 
 impl GossipSchedule {
-    /// Creates a schedule in which messages to all of these seeds are due now. This process itself is left
-    /// out if it is a seed.
+    /// Creates a schedule in which messages to all of these seeds are due now, except to this process itself
+    /// if it is a seed.
     pub(super) fn new(seeds: &[String], own_address: &str, repeat_interval: Duration) -> Self {
         let now = Instant::now();
         let others = seeds.iter().filter(|seed| *seed != own_address);
--- a/crates/control-plane/src/discovery/list_reader.rs
+++ b/crates/control-plane/src/discovery/list_reader.rs
@@ -1,4 +1,4 @@
-//! Reading of the platform's list: which process reads it, and how often.
+//! Reading of the platform's server list: which process reads it, and how often.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 /// Maximum of the random addition to a pause, as a fraction of it.
 const JITTER: f64 = 0.5;
 
-/// Reads the platform's list for this process.
+/// Task that reads the platform's server list.
 pub struct ListReader {
     /// Source of the complete server list.
     pub platform: Arc<dyn ListSource>,
@@ -30,7 +30,8 @@
     pub leadership: Arc<Leadership>,
     /// View that adopts the list.
     pub view: Arc<ViewCell>,
-    /// Age of the list, before jitter, at which a process that is not the leader reads the list itself.
+    /// Age, before jitter, from which a list counts as stale. A process that is not the leader then reads the
+    /// platform's list itself.
     pub stale_after: Duration,
 }
 
--- a/crates/control-plane/src/discovery/mod.rs
+++ b/crates/control-plane/src/discovery/mod.rs
@@ -1,9 +1,9 @@
 //! Discovery: how a process finds the acceptors of the register and the servers that the platform lists.
 //!
-//! This module owns [`BootstrapAnnouncements`] and [`AcceptorGossip`], which internal calls of other
-//! processes write, and the reading of the platform's list, which only [`ListReader`] adopts into the view.
-//! [`Bootstrap`] runs only at the first start of a system. After that, [`StoreMembership`] keeps a store
-//! machine registered.
+//! This module owns [`BootstrapAnnouncements`] and [`AcceptorGossip`], which contain what other processes
+//! have sent by internal calls, and [`ListReader`], the only reader of the platform's list. [`Bootstrap`]
+//! runs only at the first start of a system. After that, [`StoreMembership`] keeps a store machine
+//! registered.
 
 mod acceptor_gossip;
 mod bootstrap;
--- a/crates/control-plane/src/discovery/platform.rs
+++ b/crates/control-plane/src/discovery/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers, read page by page over HTTP.
+//! Client for the platform's list of servers, which is read page by page over HTTP.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -31,7 +31,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::TooManyCalls => f.write_str("the platform takes no more calls now"),
-            Self::Unreadable(why) => write!(f, "the platform's list cannot be read: {why}"),
+            Self::Unreadable(cause) => write!(f, "the platform's list cannot be read: {cause}"),
         }
     }
 }
@@ -43,7 +43,7 @@
 struct Page {
     #[serde(rename = "carriers")]
     servers: Vec<PageEntry>,
-    /// Key of the next page; `None` on the last page.
+    /// Key that requests the next page; `None` on the last page.
     #[serde(default)]
     next: Option<String>,
 }
@@ -98,11 +98,11 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if any page is refused or cannot be read. A partial list is never returned.
+    /// Returns an error if any page is rejected or cannot be read. A partial list is never returned.
     fn read(&self, version: ServerListVersion) -> BoxFuture<'_, Result<ServerList, PlatformError>>;
 }
 
-/// Reads the platform's list over HTTP.
+/// Client that reads the platform's list over HTTP.
 #[derive(Clone)]
 pub struct Platform {
     http: reqwest::Client,
@@ -116,7 +116,7 @@
 }
 
 impl Platform {
-    /// Creates a reader of the platform at `address`, given as host and port.
+    /// Creates a client for the platform at `address`, given as host and port.
     ///
     /// # Panics
     ///
--- a/crates/control-plane/src/discovery/store_membership.rs
+++ b/crates/control-plane/src/discovery/store_membership.rs
@@ -16,7 +16,7 @@
 /// Maximum time for which the proposal to leave is retried before the process shuts down.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Maintains the membership of this machine in the store set.
+/// Task that maintains the membership of this machine in the store set.
 pub struct StoreMembership {
     /// Name, incarnation, internal address and zone of this machine.
     pub member: StoreMember,
@@ -60,8 +60,8 @@
     }
 
     /// Leaves the store set before the process shuts down gracefully, if the set has more stores than
-    /// intended. In that case another store has replaced this machine, and its batch jobs become completely
-    /// replicated without it as soon as it has stopped.
+    /// intended. Another store has then replaced this machine, and the other stores complete the replicas of
+    /// its batch jobs once it has stopped.
     pub async fn leave(&self) {
         let member = &self.member.member;
         if without_store(&self.view.view().control, member).is_err() {
--- a/crates/control-plane/src/distribution/control_update.rs
+++ b/crates/control-plane/src/distribution/control_update.rs
@@ -7,23 +7,24 @@
 use serde::{Deserialize, Serialize};
 use state::{AppliedChange, ControlState, Document, MAX_APPLIED_CHANGES};
 
-/// A newer committed value, without the parts that its receiver has already.
+/// Update to a newer committed value, without the parts of the value that the receiver has already.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlUpdate {
-    /// The committed value, with the fields in [`ConfigurationPart`] empty.
+    /// Newer committed value, with the fields in [`ConfigurationPart`] empty.
     without_configuration: Versioned<ControlState>,
-    /// Fields that the receiver lacks; `None` if it has this version of the configuration.
+    /// Fields that `without_configuration` lacks; `None` if the receiver has this version of the
+    /// configuration.
     configuration: Option<ConfigurationPart>,
 }
 
-/// The fields of the control state that change only with the version of the configuration.
+/// Fields of the control state that change only with the version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ConfigurationPart {
     configuration: Document,
     applied_changes: AppliedChangesPart,
 }
 
-/// The applied changes: all of them, or only those after the version that the receiver has.
+/// Applied changes of the configuration: all of them, or only those after the version that the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum AppliedChangesPart {
     Complete(VecDeque<AppliedChange>),
@@ -74,8 +75,8 @@
         Self { without_configuration, configuration: (!has_configuration).then_some(part) }
     }
 
-    /// Applies the update to the `present` state and returns the newer value, or `None` if the update is
-    /// based on another version of the configuration than that of `present`.
+    /// Applies the update to the state `present` and returns the newer value, or `None` if the update is
+    /// based on another version of the configuration than `present` has.
     #[must_use]
     pub fn apply(self, present: &ControlState) -> Option<Versioned<ControlState>> {
         let mut state = Arc::unwrap_or_clone(self.without_configuration.value);
--- a/crates/control-plane/src/distribution/messages.rs
+++ b/crates/control-plane/src/distribution/messages.rs
@@ -17,23 +17,24 @@
 /// Ballot in the poll of a process that has no control state; lower than any other.
 pub(super) const NO_BALLOT: Ballot = Ballot { round: 0, proposer: 0 };
 
-/// Long poll for anything newer than the sender has.
+/// Long poll for a newer control state or server list than the sender has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PollRequest {
     /// Ballot of the committed value that the sender has; its round is 0 if the sender has none.
     pub ballot: Ballot,
-    /// Version of the configuration in that value.
+    /// Version of the configuration in the value with this ballot.
     pub configuration_version: u64,
     /// Version of the server list that the sender has.
     pub servers: ServerListVersion,
-    /// Version of the newest list of a leader that the sender has, to which changes may apply. It is older
+    /// Version of the newest list of a leader that the sender has, to which changes may apply. It is lower
     /// than `servers` if the sender has read a list from the platform itself since.
     pub servers_base: ServerListVersion,
     /// Maximum time in milliseconds for which the reply may be delayed if nothing is newer.
     pub max_wait_ms: u32,
 }
 
-/// Reply to a long poll: everything that is newer than the sender has, and the age of the peer's state.
+/// Reply to a long poll: the updates to what is newer than the sender of the poll has, and the ages of the
+/// replying peer's state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PollReply {
     /// Update to a newer committed value; `None` if the peer has none.
@@ -44,13 +45,13 @@
     pub confirmed_age_ms: Option<u32>,
     /// Version of the peer's server list. `servers_age_ms` applies only to the list with this version.
     pub servers_version: ServerListVersion,
-    /// Milliseconds since that list was read from the platform; `None` if it never was.
+    /// Milliseconds since the platform last listed the servers as in the peer's list; `None` if it never has.
     pub servers_age_ms: Option<u32>,
 }
 
 impl PollReply {
-    /// Returns whether a majority has confirmed the peer's value recently and its server list is recent. If
-    /// not, the poller continues with another peer.
+    /// Returns whether the peer is fresh: a majority has confirmed its value recently, and its server list is
+    /// recent. The poller continues with another peer if it is not.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         let is_within =
@@ -65,7 +66,7 @@
     /// the same version.
     pub fn apply_to(&self, view: &ViewCell, now: Instant) {
         if let Some(update) = self.control.clone() {
-            // An update that does not apply to the present state is dropped together with the ages, which
+            // An update that does not apply to the present state is dropped, together with the ages, which
             // belong to a value that the view does not have.
             let Some(newer) = update.apply(&view.view().control) else { return };
             view.adopt_control(&newer);
--- a/crates/control-plane/src/distribution/mod.rs
+++ b/crates/control-plane/src/distribution/mod.rs
@@ -1,5 +1,5 @@
-//! Distribution of the newest control state and server list: every process receives them by a long poll of a
-//! process that has them.
+//! Distribution of the newest control state and server list: every process receives them by long polls of
+//! another process.
 //!
 //! This module owns the messages of the poll and the updates in them. [`Poller`] is one of the writers of the
 //! view; [`PollService`] only reads it. Updates contain only what the receiver lacks: the configuration if
--- a/crates/control-plane/src/distribution/poll_service.rs
+++ b/crates/control-plane/src/distribution/poll_service.rs
@@ -1,4 +1,4 @@
-//! The replying side of the long poll.
+//! Replying side of the long poll.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// Maximum time for which a reply is delayed, whatever the request allows.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
 
-/// Replies to long polls with the newest view of this process.
+/// Service that replies to long polls with the newest view of this process.
 pub struct PollService {
     view: Arc<ViewCell>,
     recent_lists: Mutex<RecentLists>,
--- a/crates/control-plane/src/distribution/poller.rs
+++ b/crates/control-plane/src/distribution/poller.rs
@@ -1,4 +1,4 @@
-//! The polling side of the long poll, and the selection of the peer to poll.
+//! Polling side of the long poll, and the selection of the peer to poll.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,13 +24,14 @@
 /// Duration of a search for a fresh peer after which a warning is logged. The warning is repeated at this
 /// interval.
 const WARN_INTERVAL: Duration = Duration::from_secs(3);
-/// Duration of a search for a fresh peer after which all other members are polled too.
+/// Duration of a search for a fresh peer after which a process that is out of contact polls all other members
+/// too.
 const ALL_MEMBERS_AFTER: Duration = Duration::from_millis(3600);
-/// Number of start positions, one of which a process that cannot become the leader selects at random, so that
-/// such processes are spread over the peers.
-const MAX_START_INDEX: usize = 1024;
+/// Number of start positions in the list of peers. A process that cannot become the leader draws one at
+/// random, so that such processes are spread over the peers.
+const START_POSITION_COUNT: usize = 1024;
 
-/// Polls one peer after the other, and continues with the same peer as long as it is fresh.
+/// Task that polls one peer after the other, and stays with a peer as long as it is fresh.
 pub struct Poller {
     /// View that adopts the newer parts of replies.
     pub view: Arc<ViewCell>,
@@ -51,7 +52,7 @@
 impl Poller {
     /// Polls peers until the process ends.
     pub async fn run(self) {
-        let mut next_peer: usize = if self.may_lead() { 0 } else { fastrand::usize(..MAX_START_INDEX) };
+        let mut next_peer: usize = if self.may_lead() { 0 } else { fastrand::usize(..START_POSITION_COUNT) };
         let mut known_leader = None;
         let mut search = PeerSearch::start();
         loop {
@@ -91,7 +92,7 @@
     /// Returns the internal addresses of the peers to poll: the acceptors, with the leader first if this
     /// process can become the leader. If no acceptor is known or this process is out of contact, gossiped
     /// acceptors and seeds follow. In a long search all other members in the control state follow too,
-    /// because they are not replaced together with the acceptors.
+    /// because they may still be members after all acceptors were replaced.
     fn peers(&self, search: &PeerSearch) -> Vec<String> {
         let control = &self.view.view().control;
         let mut acceptors: Vec<_> = control.acceptors.iter().collect();
@@ -153,7 +154,7 @@
     }
 
     /// Logs a warning at intervals of [`WARN_INTERVAL`] during a search, so that operators can detect a
-    /// process without contact to the others.
+    /// process that is not in contact with the others.
     fn warn_if_long(&mut self, view: &ViewCell, peers: &[String]) {
         if self.warned_at.elapsed() < WARN_INTERVAL {
             return;
--- a/crates/control-plane/src/distribution/server_update.rs
+++ b/crates/control-plane/src/distribution/server_update.rs
@@ -10,16 +10,16 @@
 use serde::{Deserialize, Serialize};
 use state::{ServerEntry, ServerId, ServerList, ServerListVersion};
 
-/// Number of recent lists that are kept to compute changes from: those of the last 6 s during a rollout.
-/// Lists share the entries in which they do not differ, so that each list takes only 8 bytes per server.
+/// Number of recent lists that are kept to compute changes from: the lists of the last 6 s during a rollout.
+/// Lists share the entries in which they do not differ, so each list takes only 8 bytes per server.
 const MAX_RECENT_LISTS: usize = 40;
 
 /// Update from the server list that a process has to the newest one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerUpdate {
-    /// The complete newest list.
+    /// Complete newest list.
     Complete(Arc<ServerList>),
-    /// The changes since an earlier list of a leader.
+    /// Changes since an earlier list of a leader.
     Changes(Arc<ServerChanges>),
 }
 
@@ -120,7 +120,7 @@
     }
 
     /// Merges the changed servers into `servers` and omits the removed ones. All three lists are in the order
-    /// of their ids.
+    /// of the servers' ids.
     fn merge_changed(&self, servers: Vec<Arc<ServerEntry>>) -> Vec<Arc<ServerEntry>> {
         let mut merged = Vec::with_capacity(servers.len() + self.changed.len());
         let mut changed = self.changed.iter().cloned().peekable();
@@ -141,7 +141,7 @@
     }
 }
 
-/// A list that was distributed, and the changes from it to the newest list. The changes are computed when a
+/// List that was distributed, and the changes from it to the newest list. The changes are computed when a
 /// receiver first needs them.
 #[derive(Debug)]
 struct RecentList {
@@ -162,15 +162,16 @@
     }
 }
 
-/// The latest server lists that a process has distributed, to compute changes from.
+/// Latest server lists that a process has distributed, from which changes are computed.
 #[derive(Debug, Default)]
 pub struct RecentLists {
     lists: VecDeque<RecentList>,
 }
 
 impl RecentLists {
-    /// Returns the update to `newest` for a process that has a list of the version `receiver_version` and, to
-    /// apply changes to, one of the version `receiver_base`. Returns `None` if `newest` is not newer.
+    /// Returns the update to `newest` for a process that has a list with the version `receiver_version`, and
+    /// a list of a leader with the version `receiver_base`, to which changes may apply. Returns `None` if
+    /// `newest` is not newer.
     pub fn update(
         &mut self,
         receiver_version: ServerListVersion,
@@ -181,8 +182,8 @@
         if newest.version <= receiver_version {
             return None;
         }
-        // Lists that processes have read for themselves can, in rare cases, differ although they have the
-        // same version, so changes are computed only from lists of a leader.
+        // Lists that processes have read themselves can, in rare cases, differ although they have the same
+        // version, so changes are computed only from lists of a leader.
         let is_base =
             |recent: &&mut RecentList| recent.list.version == receiver_base && receiver_base.local == 0;
         Some(match self.lists.iter_mut().find(is_base) {
--- a/crates/control-plane/src/election/campaign.rs
+++ b/crates/control-plane/src/election/campaign.rs
@@ -20,13 +20,13 @@
 /// Pause of a process that is not an acceptor and therefore cannot become the leader, before it checks again.
 const INELIGIBLE_PAUSE: Duration = Duration::from_millis(375);
 
-/// Makes this process take part in the leader election.
+/// Participation of this process in the leader election.
 pub struct LeaderElection {
     /// Name of this member, as it appears in the control state.
     pub member_name: String,
     /// Delay that is required between the orders of the previous leader and those of this one.
     pub order_gap: OrderGap,
-    /// Shares the lease with the other parts of the process.
+    /// Leadership of this process, through which its other parts read the lease.
     pub leadership: Arc<Leadership>,
     /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
@@ -117,16 +117,16 @@
         tokio::spawn(async move { broadcast_release(&client, release, &view.control.acceptors).await });
     }
 
-    /// Requests or renews the lease in one round, if this member is an acceptor. On success, updates the
-    /// fencing token and the issuer of orders.
+    /// Requests or renews the lease in one round, if this member is an acceptor. On success, raises the
+    /// fencing token and records the issuer of orders where necessary.
     async fn acquire_or_renew_lease(&mut self) {
         let control = Arc::clone(&self.view.view().control);
         if !control.acceptors.iter().any(|member| member.name == self.member_name) {
             tokio::time::sleep(INELIGIBLE_PAUSE).await;
             return;
         }
-        // If this member may not send orders immediately, its candidate defers to others: a member that may
-        // spares the servers the delay between two leaders.
+        // If this member may not send orders immediately, its candidate defers to the others. A leader that
+        // may send them immediately avoids the delay between the orders of two leaders.
         self.candidate.set_deferring(!may_issue_orders_immediately(&control, &self.member_name));
         self.candidate.set_bootstrap_grantors(control.has_initial_acceptors());
         self.run_round(&control).await;
--- a/crates/control-plane/src/election/fencing.rs
+++ b/crates/control-plane/src/election/fencing.rs
@@ -14,8 +14,8 @@
 use crate::liveness::ping_address;
 use crate::{ChangeFailure, Proposer};
 
-/// Maximum time for an order to a server. No order of a leader arrives later than this after its last one was
-/// sent, so a new leader waits for this time.
+/// Maximum time from the start of an order to the reply of the server. No order arrives later than this after
+/// it was sent, so a new leader waits for this time.
 pub(crate) const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Maximum time for the reply of the previous issuer of orders to a ping.
 const PREVIOUS_ISSUER_TIMEOUT: Duration = Duration::from_millis(250);
@@ -32,7 +32,8 @@
     pub is_fence_checked: bool,
 }
 
-/// Raises the fencing token for this process, and decides when it may send orders.
+/// Steps after a lease was granted: raising the fencing token, and deciding when this process may send
+/// orders.
 pub(super) struct Fencing {
     pub(super) member_name: String,
     pub(super) order_gap: OrderGap,
@@ -42,8 +43,8 @@
 }
 
 impl Fencing {
-    /// Handles a lease that was acquired or renewed until `expires_at`. Raises the fencing token if it was
-    /// acquired.
+    /// Handles a lease that was acquired or renewed until `expires_at`. Raises the fencing token if the lease
+    /// was acquired.
     pub(super) async fn on_lease_granted(&self, expires_at: Duration) {
         let previous_lease = self.leadership.lease();
         if let Some(renewed) =
@@ -64,8 +65,8 @@
         self.leadership.notify_if_orders_allowed();
     }
 
-    /// Records this member in the register as the issuer of orders, once that is due. It sends no orders
-    /// before, so that a later leader can determine whether it must wait for this one.
+    /// Records this member in the register as the issuer of orders, once that is due. The member sends no
+    /// orders before, so that a later leader can determine whether it must wait for this one.
     pub(super) async fn record_order_issuer(&self) {
         let due = self.leadership.lease().and_then(|lease| lease.order_issuer_due(self.leadership.now()));
         let Some(fence) = due else { return };
@@ -95,10 +96,10 @@
         }
     }
 
-    /// Returns the time that this leader must wait before it sends orders.
+    /// Returns the time for which this leader must wait before it sends orders.
     async fn delay_before_orders(&self, state: &ControlState) -> Duration {
         let is_immediate = may_issue_orders_immediately(state, &self.member_name)
-            || self.order_gap.is_fence_checked && self.is_previous_issuer_unreachable(state).await;
+            || self.order_gap.is_fence_checked && self.is_previous_issuer_inactive(state).await;
         if is_immediate {
             Duration::ZERO
         } else {
@@ -108,7 +109,7 @@
 
     /// Returns whether the member that may have sent orders last is not recorded, is no longer an acceptor or
     /// a standby, does not reply or does not report itself as stable.
-    async fn is_previous_issuer_unreachable(&self, state: &ControlState) -> bool {
+    async fn is_previous_issuer_inactive(&self, state: &ControlState) -> bool {
         let Some(previous) = &state.order_issuer else { return true };
         let mut members = state.acceptors.iter().chain(&state.standbys);
         let Some(member) = members.find(|member| member.name == *previous) else { return true };
--- a/crates/control-plane/src/election/leadership.rs
+++ b/crates/control-plane/src/election/leadership.rs
@@ -1,4 +1,4 @@
-//! Leadership of this process, shared by all its parts.
+//! Leadership of this process, which all its parts share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// Maximum time for which [`Leadership::resign`] waits until the grantors were notified.
 const RESIGN_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Holds the leader lease of this process while it has one.
+/// Leader lease of this process while it has one, and the stage of its participation in the election.
 pub struct Leadership {
     /// Origin of the monotonic clock on which the lease is measured.
     started_at: Instant,
@@ -61,7 +61,7 @@
     }
 
     /// Releases the lease before the process shuts down, so that the next leader need not wait until it
-    /// expires. No further orders are sent. Returns once the grantors were notified, or after a time-out of
+    /// expires. No further orders are sent. Returns once the grantors were notified, or after a timeout of
     /// 0.8 s.
     pub async fn resign(&self) {
         self.set_lease(None);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Returns whether the lease is valid, but a higher fencing token than its own has been issued.
+    /// Returns whether the lease is valid, but a higher fencing token than that of the lease has been issued.
     pub(super) fn is_superseded(&self) -> bool {
         let fence = self.lease().and_then(|lease| lease.fence_at(self.now()));
         fence.is_some_and(|fence| self.is_outdated(fence))
--- a/crates/control-plane/src/election/lease_calls.rs
+++ b/crates/control-plane/src/election/lease_calls.rs
@@ -8,10 +8,11 @@
 
 use crate::paths;
 
-/// Maximum time for the reply of a grantor.
+/// Maximum time from the start of a call to the reply of the grantor.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Requests the lease from one grantor. The reply is `None` if none arrives in time.
+/// Requests the lease from one grantor. Returns the grantor with its reply, which is `None` if none arrives
+/// in time.
 pub(super) async fn request_lease(
     client: &rpc::Client,
     member: Member,
--- a/crates/control-plane/src/election/mod.rs
+++ b/crates/control-plane/src/election/mod.rs
@@ -1,8 +1,8 @@
 //! The leader lease of this process and its fencing token.
 //!
 //! This module owns [`Leadership`], which only [`LeaderElection`] and [`Leadership::resign`] write. The tasks
-//! that only the leader performs (reading the platform's list, reconciliation, orders to servers) request the
-//! fencing token from it before each step. The crate `lease` implements the lease protocol; [`QuorumService`]
+//! of the leader (reading the platform's list, reconciliation, orders to servers) request the fencing token
+//! from it before each step. The crate `lease` implements the lease protocol; [`QuorumService`]
 //! runs its grantor together with the acceptor of the same disk.
 
 mod campaign;
--- a/crates/control-plane/src/election/quorum_service.rs
+++ b/crates/control-plane/src/election/quorum_service.rs
@@ -15,7 +15,7 @@
 use super::{grantors_of, LEASE_TTL};
 use crate::{AcceptorService, ViewCell};
 
-/// Handles the requests to the acceptor and the grantor of one disk.
+/// Service that handles the requests to the acceptor and the grantor of one disk.
 pub struct QuorumService {
     acceptor: Arc<AcceptorService>,
     grantor: Mutex<Grantor>,
@@ -24,8 +24,8 @@
 }
 
 impl QuorumService {
-    /// Creates the service with a new grantor. `view` adopts the value that the acceptor has learned to be
-    /// committed.
+    /// Creates the service with a new grantor. `view` adopts the committed value of the acceptor, if it has
+    /// one.
     #[must_use]
     pub fn new(acceptor: Arc<AcceptorService>, incarnation: Incarnation, view: Arc<ViewCell>) -> Arc<Self> {
         let grantor = Grantor::new(GrantorId(incarnation.0), Duration::ZERO, LEASE_TTL);
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,7 +1,7 @@
 //! The control plane of a process: the replicated control state, the leader lease, the server list and their
 //! distribution to all processes.
 //!
-//! The modules, in an order in which each one uses only earlier ones:
+//! The modules, ordered so that each one uses only earlier ones:
 //!
 //! - `paths` and `view`: the paths of internal calls, and the snapshot that the process acts on;
 //! - `liveness`: pings, and the time at which each acceptor replied last;
--- a/crates/control-plane/src/liveness/contacts.rs
+++ b/crates/control-plane/src/liveness/contacts.rs
@@ -8,10 +8,10 @@
 use tokio::time::Instant;
 
 /// Maximum pause between two rounds. After a longer pause this process was suspended or starved, so missing
-/// replies are no evidence against the acceptors, and all their time-outs start again.
+/// replies are no evidence against the acceptors, and all their timeouts start again.
 const MAX_ROUND_GAP: Duration = Duration::from_millis(1200);
 
-/// Time of the last reply of each acceptor, as recorded by the rounds of read repair.
+/// Times of the last replies of the acceptors, as read repair records them in its rounds.
 #[derive(Default)]
 pub struct AcceptorContacts {
     rounds: Mutex<Rounds>,
--- a/crates/control-plane/src/liveness/ping.rs
+++ b/crates/control-plane/src/liveness/ping.rs
@@ -23,7 +23,7 @@
     /// Whether the process has run for long enough to be in contact with the others and is not shutting down.
     pub is_stable: bool,
     /// Acceptors from which the process, if it is an acceptor itself, has not received a reply for longer
-    /// than its time-out.
+    /// than its timeout.
     pub unresponsive: Vec<Incarnation>,
 }
 
--- a/crates/control-plane/src/liveness/ping_service.rs
+++ b/crates/control-plane/src/liveness/ping_service.rs
@@ -1,4 +1,4 @@
-//! The replying side of pings.
+//! Replying side of pings.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -10,8 +10,8 @@
 use super::{AcceptorContacts, PingReply};
 use crate::ViewCell;
 
-/// Replies to pings with the state of this process. The process sets the parts of that state that depend on
-/// its role.
+/// Service that replies to pings with the state of this process. The process sets the parts of that state
+/// that depend on its role.
 pub struct PingService {
     view: Arc<ViewCell>,
     contacts: Arc<AcceptorContacts>,
--- a/crates/control-plane/src/operator_api.rs
+++ b/crates/control-plane/src/operator_api.rs
@@ -20,19 +20,19 @@
 use crate::{ChangeFailure, Proposer, ViewCell};
 
 /// Maximum time for a change or read before its outcome is reported as unknown. Callers retry at another node
-/// after a second.
+/// after 1 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum size of the body of a request.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Data that all handlers share.
+/// Data that all request handlers share.
 #[derive(Clone)]
 struct Context {
     view: Arc<ViewCell>,
     proposer: Arc<Proposer>,
 }
 
-/// The body of a request to roll out a version.
+/// Body of a request to roll out a version of a model.
 #[derive(Deserialize)]
 struct VersionBody {
     model: String,
@@ -40,13 +40,13 @@
     version: u64,
 }
 
-/// The progress of draining a machine, as JSON.
+/// Body of the response with the progress of draining a machine.
 #[derive(Serialize)]
 struct DrainReply {
     condition: &'static str,
 }
 
-/// An error, as JSON.
+/// Body of an error response.
 #[derive(Serialize)]
 struct ErrorReply {
     error: String,
@@ -95,8 +95,8 @@
     }
 }
 
-/// Returns the version of the configuration that a change is based on, or `None` if the header is absent or
-/// is not a number.
+/// Returns the version of the configuration on which a change is based, or `None` if the header `If-Match` is
+/// absent or not a number.
 fn expected_version(request: &Request) -> Option<u64> {
     request.header("if-match")?.trim().trim_matches('"').parse().ok()
 }
--- a/crates/control-plane/src/reconcile/migration_watch.rs
+++ b/crates/control-plane/src/reconcile/migration_watch.rs
@@ -37,16 +37,17 @@
     }
 }
 
-/// Tracks how long the current migration has lasted.
+/// Duration of the current migration, and the log lines about the stores that delay it.
 #[derive(Default)]
 pub(super) struct MigrationWatch {
-    /// Target epoch of the current migration, and the time at which it was first observed or last logged.
+    /// Target epoch of the current migration, and the time at which the migration was first observed or last
+    /// logged. `None` if no migration is in progress.
     current: Option<(u64, Instant)>,
 }
 
 impl MigrationWatch {
     /// Logs the stores that delay the current migration if it has lasted longer than [`WARN_INTERVAL`].
-    /// Called in each round of pings.
+    /// The reconciler calls this function in each round of pings.
     pub(super) fn observe(&mut self, control: &ControlState, observed: &Observation) {
         if control.previous_stores.is_none() {
             self.current = None;
--- a/crates/control-plane/src/reconcile/reconciler.rs
+++ b/crates/control-plane/src/reconcile/reconciler.rs
@@ -14,8 +14,8 @@
 use crate::liveness::ping_address;
 use crate::{GossipMessage, Leadership, PingReply, Proposer, ViewCell};
 
-/// Interval at which members are pinged. It is longer than [`PING_TIMEOUT`], so that a member that has failed
-/// does not make a round longer than others.
+/// Interval at which members are pinged. It is longer than [`PING_TIMEOUT`], so that a failed member does not
+/// delay the next round.
 const RECONCILE_INTERVAL: Duration = Duration::from_millis(600);
 /// Maximum time from the start of a ping to its reply.
 const PING_TIMEOUT: Duration = Duration::from_millis(500);
@@ -25,7 +25,7 @@
 /// interrupted: this process was suspended or starved.
 const MAX_ROUND_ELAPSED: Duration = RECONCILE_INTERVAL.saturating_mul(4);
 
-/// Reconciles the members while this process is the leader.
+/// Task that reconciles the members while this process is the leader.
 pub struct Reconciler {
     /// Leadership of this process, which yields the fencing token while this process is the leader.
     pub leadership: Arc<Leadership>,
@@ -108,14 +108,14 @@
 
     /// Pings a member, and sends it the addresses of the acceptors if its process is out of contact. A
     /// process is out of contact if it has restarted without a control state, or if all acceptors in its
-    /// state were replaced while it was absent.
+    /// state were replaced while it was unreachable.
     async fn ping_with_gossip(&self, member: &Member, gossip: &GossipMessage) -> Option<PingReply> {
         let reply = ping_address(&self.client, member, PING_TIMEOUT).await?;
         if !reply.is_in_contact {
             send_gossip(&self.client, &member.address, gossip).await;
         }
-        // Another incarnation of the machine has another disk, and has not migrated the batch jobs that this
-        // member stored.
+        // Another incarnation of the machine has another disk and has not migrated the batch jobs of this
+        // member, so its reply does not count.
         reply.is_from(member).then_some(reply)
     }
 
@@ -135,8 +135,8 @@
 }
 
 impl TermState {
-    /// Logs how many further failures of acceptors are tolerated, whenever that number or the quorum has
-    /// changed.
+    /// Logs how many further failures of acceptors are tolerated, whenever that number, the number of
+    /// acceptors or the number of acceptors that reply has changed.
     fn log_changed_margin(&mut self, control: &ControlState) {
         let margin = self.observed.reachability.quorum_margin(control);
         if self.logged_margin.replace(margin) == Some(margin) {
--- a/crates/control-plane/src/rollout/order_dispatcher.rs
+++ b/crates/control-plane/src/rollout/order_dispatcher.rs
@@ -24,7 +24,7 @@
 /// takes time that grows with the number of servers.
 const MIN_STEP_INTERVAL_PER_SERVER: Duration = Duration::from_micros(5);
 
-/// Orders servers to load the target versions of their models while this process is the leader.
+/// Task that orders servers to load the target versions of their models while this process is the leader.
 pub struct OrderDispatcher {
     /// Name of this member, as it appears in the control state.
     pub member_name: String,
--- a/crates/control-plane/src/rollout/order_tracker.rs
+++ b/crates/control-plane/src/rollout/order_tracker.rs
@@ -1,5 +1,5 @@
-//! Tracks the calls to servers in each term of the lease: which may be sent, and which term receives their
-//! outcomes. Does no I/O and reads no clock.
+//! Tracking of the calls to servers in each term of the lease: which calls may be sent, and which term
+//! receives their outcomes. This module performs no I/O and reads no clock.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 /// Outcome of a call to a server.
 #[derive(Clone, Debug)]
 pub enum CallOutcome {
-    /// A server has replied to an order, or it is unknown whether the order has arrived.
+    /// An order has finished: the server has replied or was not reached, or it is unknown whether the order
+    /// has arrived.
     Answered(ServerId, OrderReply),
     /// A server has sent its report.
     Reported(ServerId, Box<ServerReport>),
@@ -16,7 +17,7 @@
     NotReported(ServerId),
 }
 
-/// Identifies a call that is in flight: the term that started it, and whether it is an order.
+/// Tag of a call in flight: the term that started the call, and whether it is an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallTag {
     fence: u64,
@@ -29,7 +30,7 @@
     planner: Planner,
 }
 
-/// Separates the terms in which one process is the leader.
+/// Tracker that separates the terms in which one process is the leader.
 ///
 /// Calls may outlive the term that started them. The outcome of a call is passed only to the planner of its
 /// own term. While an order of an earlier term may still arrive at its server, the present term sends no
--- a/crates/control-plane/src/rollout/planner_input.rs
+++ b/crates/control-plane/src/rollout/planner_input.rs
@@ -7,7 +7,7 @@
 use rollout::{ModelName, Planner, RolloutServer};
 use state::{ServerCondition, ServerEntry, View};
 
-/// Passes views to the planner of one term. With thousands of servers this takes milliseconds, and the
+/// Input of the planner of one term. Passing a list of thousands of servers takes milliseconds, and the
 /// planner is called after each reply of a server, so each list is passed only once.
 #[derive(Default)]
 pub(super) struct PlannerInput {
@@ -21,7 +21,8 @@
         self.passed_view = None;
     }
 
-    /// Passes the target versions and the servers that have models of the newest view to the planner.
+    /// Passes the target versions of `view`, and its servers that have models, to the planner if they have
+    /// changed since the previous call.
     pub(super) fn update(&mut self, planner: &mut Planner, now: Duration, view: &Arc<View>) {
         let previous = self.passed_view.replace(Arc::clone(view));
         if previous.as_ref().is_some_and(|previous| Arc::ptr_eq(previous, view)) {
--- a/crates/control-plane/src/rollout/server_calls.rs
+++ b/crates/control-plane/src/rollout/server_calls.rs
@@ -7,9 +7,9 @@
 
 use crate::election::ORDER_TIMEOUT;
 
-/// HTTP path for orders.
+/// HTTP path of the server to which orders are posted.
 const ORDER_PATH: &str = "/api/order";
-/// HTTP path for reports.
+/// HTTP path of the server from which reports are read.
 const REPORT_PATH: &str = "/api/report";
 /// HTTP header with the id of the addressed server, so that another server at the same address rejects the
 /// call.
@@ -19,7 +19,7 @@
 /// Maximum time to establish a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends orders and requests for reports to servers. No call is ever retried.
+/// Sender of orders and requests for reports to servers. No call is ever retried.
 pub trait ServerCalls: Send + Sync {
     /// Sends an order to its server; `body` is the JSON encoding of the order.
     fn send_order<'a>(&'a self, order: &'a VersionOrder, body: String) -> BoxFuture<'a, OrderReply>;
@@ -27,7 +27,7 @@
     fn request_report<'a>(&'a self, request: &'a ReportRequest) -> BoxFuture<'a, Option<ServerReport>>;
 }
 
-/// Sends calls to servers over HTTP.
+/// Sender of calls to servers over HTTP.
 pub struct HttpServerCalls {
     http: reqwest::Client,
 }
--- a/crates/control-plane/src/rollout/version_report_batcher.rs
+++ b/crates/control-plane/src/rollout/version_report_batcher.rs
@@ -1,5 +1,5 @@
-//! Batches of model versions that servers have reported to the leader and that the platform's list, which
-//! lags behind, does not contain yet.
+//! Batches of model versions that servers have reported to the leader. The platform's list lags behind the
+//! servers and may not contain these versions yet.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 /// Minimum time for which reports are collected before they are distributed together.
 const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(150);
 /// Time for which reports are collected, for each listed server. In a large fleet reports arrive continuously
-/// and each list costs every process more, so that lists are distributed less often.
+/// and each list costs every process more, so lists are distributed less often.
 const BATCH_INTERVAL_PER_SERVER: Duration = Duration::from_micros(120);
 /// Maximum time for which reports are collected before they are distributed together.
 const MAX_BATCH_INTERVAL: Duration = Duration::from_millis(450);
 
-/// Collects reported versions for the next server list.
+/// Batch of reported versions for the next server list.
 #[derive(Default)]
 pub(super) struct VersionReportBatcher {
     reported: BTreeMap<ServerId, BTreeMap<ModelName, u64>>,
--- a/crates/control-plane/src/view.rs
+++ b/crates/control-plane/src/view.rs
@@ -19,8 +19,8 @@
 /// does not put a process out of contact.
 const OUT_OF_CONTACT_AFTER: Duration = Duration::from_millis(3600);
 
-/// Holds the newest known [`View`]. Neither its control state nor its server list is ever replaced by an
-/// older one.
+/// Cell with the newest [`View`] of this process. Neither its control state nor its server list is ever
+/// replaced by an older one.
 pub struct ViewCell {
     sender: watch::Sender<Arc<View>>,
     /// Locked while a control state is adopted, so that concurrent adoptions cannot replace a newer state by
@@ -28,11 +28,10 @@
     sources: Mutex<ViewSources>,
 }
 
-/// Sources and ages of the parts of the view.
+/// Sources and ages of the control state and the server list in the view.
 #[derive(Default)]
 struct ViewSources {
-    /// Committed value of the register that contains the control state of the view; `None` before the first
-    /// one.
+    /// Committed value of the register whose control state is in the view; `None` before the first one.
     committed: Option<Versioned<ControlState>>,
     /// Time at which a majority last confirmed `committed` as the newest value.
     confirmed_at: Option<Instant>,
@@ -68,7 +67,7 @@
         Arc::clone(&self.sender.borrow())
     }
 
-    /// Returns the newest known committed value, or `None` before the first one.
+    /// Returns the newest committed value that this process has, or `None` before the first one.
     #[must_use]
     pub fn committed(&self) -> Option<Versioned<ControlState>> {
         self.lock().committed.clone()
@@ -108,7 +107,7 @@
         });
     }
 
-    /// Records that at the time `at` a majority confirmed the committed value as the newest.
+    /// Records that, at the time `at`, a majority confirmed the committed value as the newest.
     pub fn confirm(&self, at: Instant) {
         let mut sources = self.lock();
         sources.confirmed_at = sources.confirmed_at.max(Some(at));
@@ -140,8 +139,9 @@
     /// Adopts a server list that this process has read from the platform itself, starting at `read_at`.
     /// `fence` is its fencing token if it is the leader.
     ///
-    /// The list gets a new version if its content differs. For a leader it also gets one if `renew` is set or
-    /// another leader distributed the present list. Returns whether it got a new version.
+    /// The list gets a new version if its servers differ from those in the view. A list of the leader also
+    /// gets one if `renew` is set or another leader distributed the present list. Returns whether the list
+    /// got a new version.
     pub fn adopt_platform_list(
         &self,
         mut read: ServerList,
@@ -162,7 +162,7 @@
         is_new
     }
 
-    /// Records that at the time `at` the platform listed the servers as they are in the view.
+    /// Records that, at the time `at`, the platform listed the servers as they are in the view.
     pub fn record_servers_read(&self, at: Instant) {
         let mut sources = self.lock();
         sources.servers_read_at = sources.servers_read_at.max(Some(at));
@@ -189,8 +189,8 @@
     }
 }
 
-/// Returns the compiled configuration of a control state, or `None` if the state has none. Reuses the one of
-/// `view` if the configuration is unchanged, and keeps it if the new one cannot be compiled.
+/// Returns the compiled configuration of a control state, or `None` if the state has no configuration.
+/// Returns the configuration of `view` if it is unchanged or the new one cannot be compiled.
 fn compiled_configuration(view: &View, control: &ControlState) -> Option<Arc<Configuration>> {
     let version = control.configuration_version;
     if version == 0 {
--- a/crates/state/src/change/acceptors.rs
+++ b/crates/state/src/change/acceptors.rs
@@ -5,8 +5,8 @@
 use super::{successor, AlreadyMember, StillRequired};
 use crate::ControlState;
 
-/// The machine does not become an acceptor: it is one already, or the set is complete and none of its members
-/// has failed.
+/// Reason why a machine does not become an acceptor: it is one already, or the set is complete and none of
+/// its members has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoVacancy;
 
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// [`NoVacancy`] if the machine is an acceptor already, or can only become a standby.
+/// [`NoVacancy`] if the machine is an acceptor already, or can become only a standby.
 pub fn with_acceptor(
     state: &ControlState,
     member: &Member,
@@ -34,11 +34,11 @@
     Ok(next)
 }
 
-/// How a machine can become an acceptor.
+/// Way in which a machine can become an acceptor.
 enum Vacancy {
-    /// It replaces the acceptor with this incarnation.
+    /// The machine replaces the acceptor with this incarnation.
     Replace(Incarnation),
-    /// It is added to the acceptors.
+    /// The machine is added to the acceptors.
     Add,
 }
 
@@ -70,7 +70,7 @@
     Ok(next)
 }
 
-/// Replaces the acceptor `member`, whose process shuts down gracefully, by a standby.
+/// Replaces the acceptor `member`, whose process shuts down gracefully, by the standby `standby`.
 ///
 /// # Errors
 ///
--- a/crates/state/src/change/bootstrap.rs
+++ b/crates/state/src/change/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The initial state of a system, and how its acceptors agree on one.
+//! Initial state of a system, and the selection of the initial value that its acceptors accept.
 
 use register::{Member, Versioned};
 
@@ -6,9 +6,9 @@
 
 /// Returns the state of a system that starts for the first time; `None` if there are no acceptors.
 ///
-/// `tolerated_failures` is the number n of machines whose loss the system must survive. The intended number
-/// of acceptors, and of replicas of each batch job, is 2n + 1. The intended numbers of acceptors and of
-/// stores are larger if more machines are given. While there are fewer machines, all of them are used.
+/// `tolerated_failures` is the number n of failed machines that the system must tolerate. The intended number
+/// of replicas of each batch job is 2n + 1. The intended numbers of acceptors and of stores are 2n + 1 too,
+/// or larger if more machines are given. While there are fewer machines, all of them are used.
 #[must_use]
 pub fn initial_state(
     acceptors: Vec<Member>,
@@ -30,20 +30,20 @@
     })
 }
 
-/// Chooses the initial value that a coordinator sends to the acceptors: the value with the highest ballot
-/// that an acceptor has accepted from an earlier coordinator, or `own` if there is none.
+/// Selects the initial value that a coordinator offers to the acceptors: the value with the highest ballot
+/// that an acceptor has accepted from an earlier coordinator, or `proposed` if there is none.
 ///
-/// `accepted` contains one element for each acceptor of `own` that replied: the value that it has accepted,
-/// if any. Returns `None` unless a majority has replied, so that a value that a majority has accepted is
-/// always found.
+/// `accepted` contains one element for each acceptor of `proposed` that replied: the value that it has
+/// accepted, if any. Returns `None` unless a majority has replied, so that a value that a majority has
+/// accepted is always found.
 #[must_use]
 pub fn select_initial_value(
-    own: Versioned<ControlState>,
+    proposed: Versioned<ControlState>,
     accepted: Vec<Option<Versioned<ControlState>>>,
 ) -> Option<Versioned<ControlState>> {
-    if accepted.len() * 2 <= own.value.acceptors.len() {
+    if accepted.len() * 2 <= proposed.value.acceptors.len() {
         return None;
     }
     let earlier = accepted.into_iter().flatten().max_by_key(|value| value.ballot);
-    Some(earlier.unwrap_or(own))
+    Some(earlier.unwrap_or(proposed))
 }
--- a/crates/state/src/change/leader_lease.rs
+++ b/crates/state/src/change/leader_lease.rs
@@ -1,20 +1,21 @@
-//! The leader lease, its fencing token, and the time from which its holder may send orders to servers.
+//! Leader lease, its fencing token, and the time from which its holder may send orders to servers.
 
 use std::time::Duration;
 
 use super::successor;
 use crate::ControlState;
 
-/// The state that the holder of the leader lease keeps about it.
+/// State that the holder of the leader lease keeps about the lease.
 ///
 /// All times are durations since the start of the holder's process, measured by its monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderLease {
-    /// The fencing token that was issued for this lease.
+    /// Fencing token that was issued for this lease.
     fence: u64,
-    /// Time at which the lease expires. The lease is valid before it.
+    /// Time from which the lease is no longer valid.
     expires_at: Duration,
-    /// Earliest time for orders. Before it, orders that another leader sent may still arrive at the servers.
+    /// Earliest time for orders. Earlier, orders of another leader or of a previous process of the holder may
+    /// still arrive at the servers.
     orders_allowed_from: Duration,
     /// Whether the control state names the holder as the issuer of orders.
     is_order_issuer: bool,
@@ -25,8 +26,8 @@
     /// state.
     ///
     /// If another member may have sent orders, the holder waits for the duration `order_gap` from `now`
-    /// before it sends any. In any case it sends none before `not_before`: orders that an earlier process of
-    /// the same member sent can no longer arrive from then on.
+    /// before it sends any. In any case it sends none before `not_before`, the time from which orders of an
+    /// earlier process of the same member can no longer arrive.
     #[must_use]
     pub fn acquired(
         state: &ControlState,
@@ -45,9 +46,9 @@
         }
     }
 
-    /// Returns this lease with the delay before its first order shortened, if it follows directly on the
-    /// lease `earlier` of the same holder. If no other member raised the fencing token between the two, no
-    /// other member sent orders, and the delay counts from the earlier lease.
+    /// Returns this lease with the earlier of the two times from which orders are allowed, if this lease
+    /// directly follows the lease `earlier` of the same holder. No other member has then raised the fencing
+    /// token or sent orders since, so the delay that began with the earlier lease continues.
     #[must_use]
     pub fn continuing(self, earlier: Self) -> Self {
         if self.fence != earlier.fence + 1 {
@@ -57,7 +58,7 @@
     }
 
     /// Returns the lease with the expiry `expires_at`, unless its present expiry is later; `None` if the
-    /// lease expired before `now`.
+    /// lease has expired at `now`.
     #[must_use]
     pub fn renewed(self, now: Duration, expires_at: Duration) -> Option<Self> {
         self.fence_at(now).map(|_| Self { expires_at: expires_at.max(self.expires_at), ..self })
@@ -106,7 +107,7 @@
     }
 }
 
-/// The change was not made, because a newer fencing token was issued.
+/// Reason why a change is not made: another fencing token is the latest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Superseded;
 
@@ -127,7 +128,8 @@
     Ok(next)
 }
 
-/// Whether a leader may send orders to servers without a delay, because no other member can have sent any.
+/// Whether the leader `holder` may send orders to servers without a delay, because the control state names no
+/// other member as the latest issuer of orders.
 #[must_use]
 pub fn may_issue_orders_immediately(state: &ControlState, holder: &str) -> bool {
     state.order_issuer.as_deref().is_none_or(|issuer| issuer == holder)
--- a/crates/state/src/change/mod.rs
+++ b/crates/state/src/change/mod.rs
@@ -1,9 +1,8 @@
-//! Changes of the control state, as pure functions. Each returns the next state, or the reason why the change
-//! is not made.
+//! Changes of the control state, as pure functions. Each function returns the next state, or the reason why
+//! the change is not made.
 //!
-//! A proposer passes one of these functions to the register, which may call it several times. Each function
-//! must therefore return the same result for the same state, and must recognize a state that already contains
-//! its change.
+//! The proposer may call a function several times for one change. Each function must therefore return the
+//! same result for the same state, and must recognize a state that already contains its change.
 
 mod acceptors;
 mod bootstrap;
@@ -27,11 +26,12 @@
 
 use crate::ControlState;
 
-/// The machine is not added: it is a member already, waits to become one, or is being drained.
+/// Reason why a machine is not added: it is a member already, waits to become one, is being drained or is
+/// drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AlreadyMember;
 
-/// The machine is not removed: it is not a member, or no other machine can replace it at present.
+/// Reason why a machine is not removed: it is not a member, or no other machine can replace it at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StillRequired;
 
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -7,10 +7,10 @@
 use super::successor;
 use crate::{AppliedChange, ControlState, Document, DrainState, MAX_APPLIED_CHANGES};
 
-/// The weight version to roll out of a model for which no trainer has named one.
+/// Weight version to roll out for a model for which no trainer has requested one.
 const INITIAL_MODEL_VERSION: u64 = 1;
 
-/// How the body of a change is applied to the configuration.
+/// Way in which the body of a change is applied to the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     /// The body is a complete document, which replaces the current one.
@@ -19,21 +19,22 @@
     Patch,
 }
 
-/// Reason for which the committed control state rejects a change.
+/// Reason why the control state rejects a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeRejected {
     /// The same change was applied before.
     AlreadyApplied,
-    /// The change is based on another version of the configuration than the current one, which is given here.
+    /// The change is based on another version of the configuration than the current one; contains the current
+    /// version.
     VersionMismatch(u64),
     /// The change is based on a version so old that the control state no longer records whether it was
     /// applied.
     TooOld,
-    /// The current configuration, to which the change has to be applied, is corrupt.
+    /// The current configuration, to which the change must be applied, is corrupt.
     Unreadable,
     /// The resulting configuration is invalid.
     Invalid(ConfigurationError),
-    /// The state already contains the change, or a later one of the same kind.
+    /// The state already contains the change, or a later one that includes it.
     Unchanged,
     /// No machine with this name is a store.
     UnknownMember,
@@ -86,7 +87,7 @@
     Ok(next)
 }
 
-/// Returns the reason for which a change based on the version `expected`, which is not the current one, is
+/// Returns the reason why a change based on the version `expected`, which is not the current one, is
 /// rejected.
 fn version_mismatch(state: &ControlState, expected: u64) -> ChangeRejected {
     if state.may_have_dropped_changes_on(expected) {
@@ -108,7 +109,7 @@
     changed.map_err(ChangeRejected::Invalid)
 }
 
-/// Sets the weight version of a model to roll out.
+/// Sets the weight version to roll out for a model.
 ///
 /// # Errors
 ///
--- a/crates/state/src/change/reachability.rs
+++ b/crates/state/src/change/reachability.rs
@@ -13,10 +13,10 @@
 /// unless [`Reachability::with_replacement_timeout`] sets another.
 const DEFAULT_REPLACE_AFTER_ROUNDS: u32 = 3;
 
-/// Counts for each member the consecutive rounds of pings to which it has not replied.
+/// Number of consecutive rounds of pings to which each member has not replied.
 ///
-/// Rounds are counted instead of elapsed time, because a leader whose process was suspended missed the
-/// replies itself.
+/// Rounds are counted instead of elapsed time, because replies that the leader missed while its process was
+/// suspended are no evidence against the members.
 #[derive(Clone, Debug)]
 pub struct Reachability {
     /// Rounds since the latest reply of a member: 0 if it replied in the latest round. A member that was not
@@ -33,9 +33,9 @@
 }
 
 impl Reachability {
-    /// Returns an instance without any recorded rounds. A round takes the duration `round`. A store may be
-    /// replaced after it has not replied for `replace_after`, rounded up to whole rounds, but at the latest
-    /// once it may be removed.
+    /// Creates an instance without recorded rounds. A round takes the duration `round`. A store may be
+    /// replaced after it has not replied for `replace_after`, rounded up to full rounds and limited to the
+    /// number of rounds after which it may be removed.
     #[must_use]
     pub fn with_replacement_timeout(round: Duration, replace_after: Duration) -> Self {
         let rounds = replace_after.as_millis().div_ceil(round.as_millis().max(1));
--- a/crates/state/src/change/reconcile.rs
+++ b/crates/state/src/change/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciliation by the leader: computes the next step from the current members to the intended ones.
+//! Reconciliation by the leader: computation of the next step from the current members to the intended ones.
 //!
 //! Failed stores are replaced, new ones are added, draining ones are removed. At most one migration of batch
 //! jobs between store sets is in progress at a time: a step that changes the stores waits until the previous
@@ -15,7 +15,7 @@
 /// Results of the pings that the leader has sent to the members.
 #[derive(Clone, Debug, Default)]
 pub struct Observation {
-    /// Which members reply, and for how many rounds the others have not.
+    /// Number of rounds for which each member has not replied.
     pub reachability: Reachability,
     /// For each store, the latest epoch of the store set to which it has migrated all its batch jobs.
     pub committed_epochs: BTreeMap<Incarnation, u64>,
@@ -36,8 +36,8 @@
     }
 }
 
-/// Returns the state after the next reconciliation step of the leader with the fencing token `fence`. `None`
-/// if there is nothing to do, or if a newer token was issued.
+/// Returns the state after the next reconciliation step of the leader with the fencing token `fence`, or
+/// `None` if there is nothing to do or another token is the latest one.
 #[must_use]
 pub fn next_reconciliation(state: &ControlState, fence: u64, observed: &Observation) -> Option<ControlState> {
     if state.fence != fence {
@@ -56,7 +56,7 @@
 }
 
 /// Finishes a migration once enough stores of the previous set have migrated all their batch jobs: these
-/// stores must hold a majority of the replicas of each job. Draining machines outside the current set then
+/// stores must have a majority of the replicas of each job. Draining machines outside the current set then
 /// become drained.
 fn finish_migration(next: &mut ControlState, observed: &Observation) -> Option<()> {
     let previous = next.previous_stores.as_ref()?;
@@ -78,13 +78,13 @@
     Some(())
 }
 
-/// Number of stores of a set that may be missing while the others hold a majority of the replicas of each
-/// batch job.
+/// Returns the number of stores of a set that may be missing while the others have a majority of the replicas
+/// of each batch job.
 fn tolerated_failures(set: &StoreSet) -> usize {
     set.replication_factor.min(set.members.len()).saturating_sub(1) / 2
 }
 
-/// Replaces failed stores by waiting machines, as many as possible in one step.
+/// Replaces as many failed stores by waiting machines as possible in one step.
 fn replace_failed_stores(next: &mut ControlState, observed: &Observation) -> Option<()> {
     if next.previous_stores.is_some() {
         return None;
@@ -118,8 +118,8 @@
     Some(())
 }
 
-/// Adds waiting machines to the store set if all its members reply. A member that does not reply may have
-/// failed; the waiting machines are then needed to replace it.
+/// Adds all waiting machines that reply to the store set, if all members of the set reply. A member that does
+/// not reply may have failed; a waiting machine is then needed to replace it.
 fn add_stores(next: &mut ControlState, observed: &Observation) -> Option<()> {
     let is_responding = |store: &StoreMember| observed.reachability.is_responding(&store.member);
     let joining = responding_joining_stores(next, observed);
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -1,8 +1,8 @@
-//! The text of the operator's configuration: compressed, shared between clones, and compared by its digest.
+//! Text of the operator's configuration: compressed, shared between clones, and compared by its digest.
 //!
-//! Each round of the register sends a complete control state, and the configuration is its largest part. It
-//! must therefore be small on the wire and cheap to clone and compare. The text is decompressed only when it
-//! is read.
+//! Each round of the register sends a complete control state, and the configuration is its largest part. The
+//! configuration must therefore be small on the wire and cheap to clone and compare. Its text is decompressed
+//! only when it is read.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -19,25 +19,25 @@
 /// its digest differs.
 const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A text that is stored and sent in compressed form. Clones share the text. Two documents are equal if their
+/// Text that is stored and sent in compressed form. Clones share the text. Two documents are equal if their
 /// digests are equal.
 #[derive(Clone, Default)]
 pub struct Document {
     content: Arc<Content>,
 }
 
-/// The data that all clones of a document share.
+/// Data that all clones of a document share.
 #[derive(Default)]
 struct Content {
     /// 128-bit XXH3 digest of the text; 0 for the empty text.
     digest: u128,
-    /// The text in deflate format; empty for the empty text.
+    /// Text in deflate format; empty for the empty text.
     compressed: Bytes,
-    /// The decompressed text; set by [`Document::new`] or by the first call of [`Document::text`].
+    /// Decompressed text; set by [`Document::new`] or by the first call of [`Document::text`].
     text: OnceLock<String>,
 }
 
-/// The compressed bytes of a document are corrupt: they do not decompress to a text with the stored digest.
+/// Error of a corrupt document, whose compressed bytes do not decompress to a text with its digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DocumentError;
 
@@ -74,7 +74,7 @@
         Ok(self.content.text.get_or_init(|| text))
     }
 
-    /// The size of the compressed text, in bytes.
+    /// Returns the size of the compressed text, in bytes.
     #[must_use]
     pub fn compressed_bytes(&self) -> usize {
         self.content.compressed.len()
--- a/crates/state/src/server_list.rs
+++ b/crates/state/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The model servers as the platform lists them, and the versions that order these lists.
+//! Model servers as the platform lists them, and the versions that order these lists.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies one incarnation of a server: a server that restarts has a new id.
+/// Id of one incarnation of a server: a server that restarts has a new id.
 pub type ServerId = Arc<str>;
 
 /// Whether a server accepts new requests.
@@ -19,7 +19,7 @@
     Closing,
 }
 
-/// A model server as the platform lists it.
+/// Model server as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
     /// Id of this incarnation of the server.
@@ -41,7 +41,7 @@
 }
 
 impl ServerEntry {
-    /// Whether `reached` contains a higher version of a model than this entry lists.
+    /// Whether `reached` contains a higher version of a model than this entry.
     fn is_behind(&self, reached: &BTreeMap<Arc<str>, u64>) -> bool {
         self.models.iter().any(|(model, version)| reached.get(model).is_some_and(|reached| reached > version))
     }
@@ -57,19 +57,19 @@
         }
     }
 
-    /// Whether two entries of one server are equal except for the versions of the same models.
+    /// Whether two entries of one server have the same models and differ at most in the versions of these.
     #[must_use]
     pub fn differs_in_versions_only(&self, earlier: &Self) -> bool {
         let has_same_models = self.models.keys().eq(earlier.models.keys());
         has_same_models && self.warm_up_ms == earlier.warm_up_ms && self.is_same_process(earlier)
     }
 
-    /// Whether two entries are equal except for the remaining warm-up, which differs at each read.
+    /// Whether two entries are equal except for the remaining warm-up time, which differs at each read.
     fn is_same_server(&self, other: &Self) -> bool {
         self.models == other.models && self.is_same_process(other)
     }
 
-    /// Whether two entries are equal except for models and remaining warm-up.
+    /// Whether two entries are equal except for the models and the remaining warm-up time.
     fn is_same_process(&self, other: &Self) -> bool {
         let Self { id, service, address, zone, slots, condition, warm_up_ms: _, models: _ } = self;
         (id, service, address) == (&other.id, &other.service, &other.address)
@@ -81,13 +81,14 @@
 /// `local`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerListVersion {
-    /// Fencing token of the leader that read the list.
+    /// Fencing token of the leader that issued the list; 0 before the first list of a leader.
     pub fence: u64,
-    /// Number of the list among those that this leader has read, starting at 1.
+    /// Number of the list among the lists that this leader has issued, starting at 1; 0 before the first list
+    /// of a leader.
     pub sequence: u64,
     /// 0 in lists of the leader. A process that receives no list from the leader reads the platform's list
-    /// itself, and gives it a higher value than that of the list it had. The high bits count such reads, the
-    /// low bits are random.
+    /// itself, and gives it the version of the list that it had with a higher value in this field. The high
+    /// bits count such reads, the low 24 bits are random.
     pub local: u64,
 }
 
@@ -96,15 +97,15 @@
 const RANDOM_BITS: u32 = 24;
 
 impl ServerListVersion {
-    /// Returns the version of the next list that the leader with the fencing token `fence` reads; `None` if
-    /// this version was issued by a later leader.
+    /// Returns the version of the next list that the leader with the fencing token `fence` issues; `None` if
+    /// a later leader issued this version.
     #[must_use]
     pub fn next_of_leader(self, fence: u64) -> Option<Self> {
         let sequence = if self.fence == fence { self.sequence + 1 } else { 1 };
         (self.fence <= fence).then_some(Self { fence, sequence, local: 0 })
     }
 
-    /// Returns the version of the next list that a process other than the leader reads. `random`
+    /// Returns the version of the next list that a process other than the leader reads itself. `random`
     /// distinguishes readers.
     #[must_use]
     pub fn next_local(self, random: u64) -> Self {
@@ -113,12 +114,12 @@
     }
 }
 
-/// The model servers of all services, as read from the platform at one time.
+/// Model servers of all services, as read from the platform at one time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerList {
-    /// Orders this list among all lists that processes have read.
+    /// Version that orders this list among all lists.
     pub version: ServerListVersion,
-    /// The servers, in ascending order of their ids. Successive lists share equal entries.
+    /// Servers in ascending order of their ids. Successive lists share equal entries.
     pub servers: Vec<Arc<ServerEntry>>,
 }
 
@@ -132,7 +133,7 @@
         Self { version, servers }
     }
 
-    /// Raises model versions to those in `reached`, which servers reported after the list was read. This is
+    /// Raises model versions to at least the versions in `reached`, which servers have reported. This is
     /// correct because the versions of one incarnation never decrease.
     pub fn raise_versions(&mut self, reached: &BTreeMap<ServerId, BTreeMap<Arc<str>, u64>>) {
         for server in &mut self.servers {
@@ -142,9 +143,9 @@
         }
     }
 
-    /// Raises model versions to those of an earlier list. The platform's list lags behind the servers, so a
-    /// list that was read later may contain an older version of a model. Equal entries are shared between the
-    /// lists afterwards.
+    /// Raises model versions to at least the versions in an earlier list. The platform's list lags behind the
+    /// servers, so a list that was read later may contain an older version of a model. Equal entries are
+    /// shared between the lists afterwards.
     pub fn retain_versions(&mut self, earlier: &Self) {
         for server in &mut self.servers {
             let position = earlier.servers.binary_search_by(|other| other.id.cmp(&server.id));
@@ -159,7 +160,7 @@
     }
 
     /// Whether two lists contain the same servers in the same state. Ignores the versions of the lists, and
-    /// the remaining warm-up, which differs at each read.
+    /// the remaining warm-up time, which differs at each read.
     #[must_use]
     pub fn has_same_servers(&self, other: &Self) -> bool {
         let mut pairs = self.servers.iter().zip(&other.servers);
