--- a/crates/control-plane/tests/acceptor_service.rs
+++ b/crates/control-plane/tests/acceptor_service.rs
@@ -19,7 +19,7 @@
     initial_value_with(vec![Member { name: "a".into(), incarnation, address: "a:1".into() }], Vec::new())
 }
 
-/// Returns a value that follows `value`, with this round in its ballot.
+/// Returns a successor of `value` with this round in its ballot.
 fn with_round(value: &Versioned<ControlState>, round: u64) -> Versioned<ControlState> {
     let state = ControlState { configuration_version: round, ..ControlState::clone(&value.value) };
     Versioned::new(Ballot { round, proposer: 7 }, Arc::new(state))
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn given_an_initial_value_when_another_is_offered_then_the_first_stays_also_after_a_power_loss() {
+async fn given_an_initial_value_when_another_is_offered_after_a_power_loss_then_the_first_stays() {
     let disk = SimulatedDisk::new(1);
     let (service, incarnation) = open_acceptor(&disk);
     let value = initial_value(incarnation);
@@ -86,7 +86,7 @@
     assert_eq!(accepted_value(&reply), Some(newer));
 }
 
-/// A journal whose writer waits for a permit before each write of the queued records.
+/// Journal whose writer waits for a permit before each write of the queued records.
 struct PacedJournal {
     journal: Journal,
     incarnation: Incarnation,
@@ -116,7 +116,7 @@
         AcceptorService::new(self.journal.clone(), self.incarnation, &[])
     }
 
-    /// Permits the writer to write all queued records, and lets it run.
+    /// Permits the writer to write all queued records once, and yields so that it runs.
     async fn write_queued(&self) {
         self.permits.add_permits(1);
         for _ in 0..8 {
--- a/crates/control-plane/tests/contacts.rs
+++ b/crates/control-plane/tests/contacts.rs
@@ -35,10 +35,7 @@
 async fn given_an_acceptor_without_reply_when_the_timeout_has_passed_then_it_is_unresponsive() {
     let contacts = AcceptorContacts::default();
     run_rounds(&contacts, &[1, 2, 3], &[3], 4).await;
-    assert!(
-        contacts.unresponsive_for(TIMEOUT).is_empty(),
-        "1.6 s without a reply are less than the time-out"
-    );
+    assert!(contacts.unresponsive_for(TIMEOUT).is_empty(), "1.6 s without a reply are less than the timeout");
     run_rounds(&contacts, &[1, 2, 3], &[3], 1).await;
     assert_eq!(contacts.unresponsive_for(TIMEOUT), [Incarnation(3)]);
 }
@@ -66,7 +63,7 @@
     advance(Duration::from_secs(20)).await;
     assert!(contacts.unresponsive_for(TIMEOUT).is_empty(), "no round has started since the process resumed");
     run_rounds(&contacts, &[1, 2, 3], &[1, 2, 3], 1).await;
-    assert!(contacts.unresponsive_for(TIMEOUT).is_empty(), "the time-outs of all acceptors start again");
+    assert!(contacts.unresponsive_for(TIMEOUT).is_empty(), "the timeouts of all acceptors start again");
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/control-plane/tests/golden/operator.rs
+++ b/crates/control-plane/tests/golden/operator.rs
@@ -9,7 +9,7 @@
 use state::{AppliedChange, ControlState, Document, DrainState, MAX_APPLIED_CHANGES};
 
 use super::check_text;
-use super::support::{document, nodes, nodes_with, Node, OperatorReply};
+use super::support::{document, start_nodes, start_nodes_with, Node, OperatorReply};
 
 const CONFIGURATION_PATH: &str = "/api/timetable";
 const DRAIN_PATH: &str = "/api/retire";
@@ -41,7 +41,7 @@
 
 #[tokio::test]
 async fn given_changes_of_the_configuration_when_sent_then_the_responses_match_the_golden_files() {
-    let nodes = nodes(1, 3).await;
+    let nodes = start_nodes(1, 3).await;
     let node = &nodes[0];
     check_get(node, "operator_timetable_absent.txt", CONFIGURATION_PATH).await;
     check_put(node, "operator_put_taken.txt", Some("0"), &document(4, "r")).await;
@@ -66,7 +66,7 @@
 
 #[tokio::test]
 async fn given_target_versions_when_sent_then_the_responses_match_the_golden_files() {
-    let nodes = nodes(1, 3).await;
+    let nodes = start_nodes(1, 3).await;
     check_post(&nodes[0], "operator_version_named.txt", TARGET_VERSION_PATH, r#"{"model":"m","edition":2}"#)
         .await;
     check_post(
@@ -85,7 +85,7 @@
         draining: [("gone".to_owned(), DrainState::Drained)].into(),
         ..state
     };
-    let nodes = nodes_with(1, 4, with_drained_machine).await;
+    let nodes = start_nodes_with(1, 4, with_drained_machine).await;
     let node = &nodes[0];
     check_get(node, "operator_retire_absent.txt", &format!("{DRAIN_PATH}/store0")).await;
     check_post(node, "operator_retire_taken.txt", &format!("{DRAIN_PATH}/store0"), r#"{"overS":10}"#).await;
@@ -110,7 +110,7 @@
         applied_changes: changes.clone().collect(),
         ..state
     };
-    let nodes = nodes_with(1, 3, adapt).await;
+    let nodes = start_nodes_with(1, 3, adapt).await;
     check_put(&nodes[0], "operator_put_too_old.txt", Some("50"), &document(5000, "r")).await;
     check_get(&nodes[0], "operator_timetable_unreadable.txt", CONFIGURATION_PATH).await;
     let response =
--- a/crates/control-plane/tests/leader_election.rs
+++ b/crates/control-plane/tests/leader_election.rs
@@ -8,7 +8,7 @@
 use control_plane::{LeaderElection, Leadership, OrderGap, LEASE_TTL};
 use state::change::with_raised_fence;
 use state::ControlState;
-use support::{nodes, Node};
+use support::{start_nodes, Node};
 use tokio::time::Instant;
 use yare::parameterized;
 
@@ -20,7 +20,8 @@
 /// Maximum time of each wait in these tests.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts the election of a node, with a gap that is required in any case.
+/// Starts the election of a node whose servers do not check fencing tokens, so that the gap is always
+/// required.
 fn start_election(node: &Node) -> Arc<Leadership> {
     start_election_with(node, GAP_WITHOUT_FENCE_CHECK)
 }
@@ -54,7 +55,7 @@
 
 #[tokio::test]
 async fn given_a_leader_when_it_resigns_then_another_acquires_the_lease_before_it_would_have_expired() {
-    let nodes = nodes(3, 0).await;
+    let nodes = start_nodes(3, 0).await;
     let first = start_election(&nodes[0]);
     let fence = wait_for_fence(|| first.fence_for_orders()).await;
 
@@ -71,7 +72,7 @@
 
 #[tokio::test]
 async fn given_a_leader_when_a_higher_token_is_issued_then_it_loses_its_token_and_the_next_has_the_newest() {
-    let nodes = nodes(3, 0).await;
+    let nodes = start_nodes(3, 0).await;
     let first = start_election(&nodes[0]);
     let fence = wait_for_fence(|| first.fence_for_orders()).await;
 
@@ -133,7 +134,7 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime is built");
     runtime.block_on(async {
-        let nodes = nodes(3, 0).await;
+        let nodes = start_nodes(3, 0).await;
         let first = start_election_with(&nodes[0], gap);
         wait_for_fence(|| first.fence_for_orders()).await;
         if previous == PreviousLeader::ShutsDown {
--- a/crates/control-plane/tests/operator_api.rs
+++ b/crates/control-plane/tests/operator_api.rs
@@ -9,14 +9,14 @@
 use futures_util::stream;
 use poem::http::{Method, StatusCode};
 use poem::Body;
-use support::{document, nodes};
+use support::{document, start_nodes};
 use yare::parameterized;
 
 const CONFIGURATION_PATH: &str = "/api/timetable";
 
 #[tokio::test]
 async fn given_an_acknowledged_configuration_when_read_at_another_node_then_it_is_returned_verbatim() {
-    let nodes = nodes(3, 3).await;
+    let nodes = start_nodes(3, 3).await;
     assert_eq!(nodes[0].get(CONFIGURATION_PATH).await.status, StatusCode::NOT_FOUND);
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
     for node in &nodes {
@@ -29,7 +29,7 @@
 
 #[tokio::test]
 async fn given_an_applied_change_when_it_is_repeated_at_any_node_then_it_is_acknowledged_again() {
-    let nodes = nodes(3, 3).await;
+    let nodes = start_nodes(3, 3).await;
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
     assert_eq!(nodes[1].put(4, &document(6, "r")).await, StatusCode::OK);
     for node in &nodes {
@@ -41,7 +41,7 @@
 
 #[tokio::test]
 async fn given_two_changes_of_the_same_version_when_sent_concurrently_then_one_is_applied_and_one_rejected() {
-    let nodes = nodes(3, 3).await;
+    let nodes = start_nodes(3, 3).await;
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
     let (one, other) = (document(7, "one"), document(7, "other"));
     let (first, second) = tokio::join!(nodes[0].put(4, &one), nodes[1].put(4, &other));
@@ -55,7 +55,7 @@
 
 #[tokio::test]
 async fn given_one_change_when_sent_to_all_nodes_concurrently_then_all_acknowledge_it() {
-    let nodes = nodes(3, 3).await;
+    let nodes = start_nodes(3, 3).await;
     let body = document(4, "r");
     let statuses = join_all(nodes.iter().map(|node| node.put(0, &body))).await;
     assert_eq!(statuses, [StatusCode::OK; 3]);
@@ -63,7 +63,7 @@
 
 #[tokio::test]
 async fn given_a_configuration_when_patched_then_routes_are_added_and_removed() {
-    let nodes = nodes(1, 3).await;
+    let nodes = start_nodes(1, 3).await;
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
     let patch = r#"{"edition":9,"loadIn":{"routes":[{"name":"q","depot":"h","lanePrefix":"/q/","kind":"safe","postalLine":"s"}]},"strike":{"routes":["r"]}}"#;
     for _ in 0..2 {
@@ -84,15 +84,15 @@
     version_not_higher = { Some("4"), &document(4, "q"), 400 },
     truncated = { Some("4"), &document(9, "q")[..60], 400 },
     unknown_service = { Some("4"), &document(9, "q").replace("postalLine\":\"s", "postalLine\":\"none"), 400 },
-    zero_time_out = { Some("4"), &document(9, "q").replace("1500", "0"), 400 },
+    zero_timeout = { Some("4"), &document(9, "q").replace("1500", "0"), 400 },
 )]
 #[test_macro(tokio::test)]
-async fn given_a_configuration_when_another_is_put_then_the_status_reports_the_outcome(
+async fn given_a_configuration_when_another_is_put_then_the_status_is_ok_only_if_it_is_in_force(
     expected: Option<&str>,
     body: &str,
     status: u16,
 ) {
-    let nodes = nodes(1, 3).await;
+    let nodes = start_nodes(1, 3).await;
     assert_eq!(nodes[0].put(0, &document(4, "r")).await, StatusCode::OK);
     let response = nodes[0].request(Method::PUT, CONFIGURATION_PATH, expected, body.to_owned()).await;
     assert_eq!(response.status.as_u16(), status, "{}", response.body);
@@ -102,7 +102,7 @@
 
 #[tokio::test]
 async fn given_a_truncated_body_when_put_then_nothing_is_applied() {
-    let nodes = nodes(1, 3).await;
+    let nodes = start_nodes(1, 3).await;
     let parts = [Ok(Bytes::from(document(4, "r"))), Err(io::Error::other("reset"))];
     let body = Body::from_bytes_stream(stream::iter(parts));
     let response = nodes[0].request(Method::PUT, CONFIGURATION_PATH, Some("0"), body).await;
@@ -111,8 +111,9 @@
 }
 
 #[tokio::test]
-async fn given_a_target_version_when_repeated_or_lower_then_it_is_acknowledged_and_kept() {
-    let nodes = nodes(3, 3).await;
+async fn given_a_target_version_when_it_or_a_lower_one_is_put_again_then_the_put_is_acknowledged_and_the_version_kept(
+) {
+    let nodes = start_nodes(3, 3).await;
     for (node, version) in nodes.iter().zip([2, 3, 3]) {
         let body = format!(r#"{{"model":"m","edition":{version}}}"#);
         assert_eq!(node.post("/api/version-put", &body).await, StatusCode::OK);
@@ -124,12 +125,12 @@
 #[parameterized(empty = { "" }, no_version = { r#"{"model":"m"}"# }, negative = { r#"{"model":"m","edition":-1}"# })]
 #[test_macro(tokio::test)]
 async fn given_a_malformed_target_version_when_put_then_it_is_rejected(body: &str) {
-    assert_eq!(nodes(1, 3).await[0].post("/api/version-put", body).await, StatusCode::BAD_REQUEST);
+    assert_eq!(start_nodes(1, 3).await[0].post("/api/version-put", body).await, StatusCode::BAD_REQUEST);
 }
 
 #[tokio::test]
 async fn given_eight_target_versions_when_put_concurrently_then_all_are_acknowledged() {
-    let nodes = nodes(3, 3).await;
+    let nodes = start_nodes(3, 3).await;
     let bodies: Vec<String> = (0..8).map(|model| format!(r#"{{"model":"m{model}","edition":2}}"#)).collect();
     let requests =
         bodies.iter().enumerate().map(|(index, body)| nodes[index % 3].post("/api/version-put", body));
@@ -140,7 +141,7 @@
 
 #[tokio::test]
 async fn given_enough_stores_when_one_is_drained_then_any_node_reports_its_progress() {
-    let nodes = nodes(3, 4).await;
+    let nodes = start_nodes(3, 4).await;
     assert_eq!(nodes[1].get("/api/retire/store0").await.status, StatusCode::NOT_FOUND);
     for node in &nodes[..2] {
         assert_eq!(node.post("/api/retire/store0", r#"{"overS":10}"#).await, StatusCode::OK);
--- a/crates/control-plane/tests/poll.rs
+++ b/crates/control-plane/tests/poll.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn given_a_peer_with_an_older_list_when_it_reports_the_age_of_its_list_then_the_age_of_the_own_list_is_unchanged(
+fn given_a_peer_with_an_older_list_when_it_reports_the_age_of_its_list_then_the_age_of_the_local_list_is_unchanged(
 ) {
     let view = ViewCell::new();
     view.adopt_servers(empty_list(3, 2));
--- a/crates/control-plane/tests/quorum_service.rs
+++ b/crates/control-plane/tests/quorum_service.rs
@@ -17,7 +17,7 @@
     Member { name: format!("node-{}", incarnation.0), incarnation, address: "127.0.0.1:1".into() }
 }
 
-/// Returns a value after `value`, with other acceptors.
+/// Returns a successor of `value` with other acceptors.
 fn with_other_acceptors(value: &Versioned<ControlState>, round: u64) -> Versioned<ControlState> {
     let acceptors = vec![value.value.acceptors[0].clone(), member(Incarnation(3))];
     let revision = value.value.revision + 1;
@@ -29,7 +29,7 @@
     rejected = { 5, false },
     accepted = { 9, true },
 )]
-fn given_a_proposal_of_other_acceptors_when_a_candidate_names_the_former_then_it_is_rejected_only_if_the_proposal_was_accepted(
+fn given_a_proposal_of_other_acceptors_when_a_candidate_names_the_previous_ones_then_it_is_rejected_only_if_the_proposal_was_accepted(
     round: u64,
     is_candidate_rejected: bool,
 ) {
@@ -37,14 +37,14 @@
     runtime.expect("the runtime is built").block_on(async {
         let (acceptor_service, incarnation) = open_acceptor(&SimulatedDisk::new(1));
         let service = QuorumService::new(acceptor_service, incarnation, Arc::new(ViewCell::new()));
-        let known = initial_value_with(vec![member(incarnation), member(Incarnation(2))], Vec::new());
-        service.initialize(known.clone()).await.expect("the initial value is accepted");
+        let initial = initial_value_with(vec![member(incarnation), member(Incarnation(2))], Vec::new());
+        service.initialize(initial.clone()).await.expect("the initial value is accepted");
         service
             .handle(AcceptorRequest::Prepare(Ballot { round: 8, proposer: 7 }))
             .await
             .expect("the promise is durable");
         let reply = service
-            .handle(AcceptorRequest::Accept(with_other_acceptors(&known, round)))
+            .handle(AcceptorRequest::Accept(with_other_acceptors(&initial, round)))
             .await
             .expect("the acceptor replies");
         assert_eq!(matches!(reply.outcome, ReplyOutcome::Accepted), is_candidate_rejected, "{reply:?}");
@@ -53,7 +53,7 @@
             holder: "candidate".into(),
             term: 1,
             ttl_ms: 1500,
-            revision: known.value.revision,
+            revision: initial.value.revision,
             grantors: vec![GrantorId(incarnation.0), GrantorId(2)],
         };
         assert_eq!(matches!(service.grant(&request), LeaseReply::Rejected { .. }), is_candidate_rejected);
--- a/crates/control-plane/tests/server_update.rs
+++ b/crates/control-plane/tests/server_update.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn given_two_receivers_with_one_list_when_a_newer_is_polled_then_the_changes_are_computed_once() {
+fn given_two_receivers_with_the_same_list_when_a_newer_is_polled_then_the_changes_are_computed_once() {
     let (before, after) = (list(1, &[("a", 1)]), list(2, &[("a", 2)]));
     let mut recent = RecentLists::default();
     let _ = recent.update(version(1, 0), version(1, 0), &before);
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -19,14 +19,14 @@
 use storage::{Journal, RingOptions};
 use tokio::net::TcpListener;
 
-/// Size of the journal's ring of an acceptor.
+/// Size of the ring of an acceptor's journal.
 pub const RING_OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
 /// Ballot of the initial value of the register.
 pub const INITIAL_BALLOT: Ballot = Ballot { round: 1, proposer: 0 };
 
 /// Time without a reply after which nodes report an acceptor as unresponsive.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
-/// Nodes report themselves as stable from their start.
+/// Time after which nodes report themselves as stable: from their start.
 const STABLE_AFTER: Duration = Duration::ZERO;
 
 /// Traffic node with an acceptor.
@@ -52,20 +52,20 @@
     Versioned::new(INITIAL_BALLOT, Arc::new(state))
 }
 
-/// Returns a store for the initial value. No process runs at its address.
+/// Returns a store for the initial value, at whose address no process listens.
 pub fn store_member(index: u64) -> StoreMember {
     let incarnation = Incarnation(1000 + index);
     let member = Member { name: format!("store{index}"), incarnation, address: "127.0.0.1:1".into() };
     StoreMember { member, zone: "z".into() }
 }
 
-/// Starts `count` nodes whose register has its initial value, with this many stores.
-pub async fn nodes(count: usize, stores: u64) -> Vec<Node> {
-    nodes_with(count, stores, |state| state).await
+/// Starts `count` nodes, all of them acceptors, whose register has an initial value with `stores` stores.
+pub async fn start_nodes(count: usize, stores: u64) -> Vec<Node> {
+    start_nodes_with(count, stores, |state| state).await
 }
 
-/// Starts nodes as [`nodes`] does, with an initial value that `adapt` has changed.
-pub async fn nodes_with(
+/// Starts nodes as [`start_nodes`] does, with an initial value that `adapt` has changed.
+pub async fn start_nodes_with(
     count: usize,
     stores: u64,
     adapt: impl Fn(ControlState) -> ControlState,
@@ -126,8 +126,8 @@
         .at(paths::POLL, poem::post(rpc::handler(poll)))
 }
 
-/// Adds the routes of a grantor that has known the grantors of `view` for the validity time of a lease, so
-/// that it may grant the lease immediately.
+/// Adds the routes of a grantor that learns the grantors of `view` as of the time 0 and handles requests as
+/// of [`LEASE_TTL`] or later, so that it may grant the lease immediately.
 fn with_lease_routes(routes: Route, incarnation: Incarnation, view: &Arc<ViewCell>) -> Route {
     let grantor = Arc::new(Mutex::new(Grantor::new(GrantorId(incarnation.0), Duration::ZERO, LEASE_TTL)));
     let started_at = Instant::now();
@@ -196,7 +196,7 @@
     pub body: String,
 }
 
-/// Returns the JSON text of a configuration of this version, with one route of this name.
+/// Returns the JSON text of a configuration with this version and one route with this name.
 pub fn document(version: u64, route: &str) -> String {
     format!(
         r#"{{"edition":{version},"routes":[{{"name":"{route}","depot":"h","lanePrefix":"/{route}/","kind":"safe",
@@ -204,17 +204,17 @@
     )
 }
 
-/// Returns the version of a list of the leader with this fencing token.
+/// Returns the version of a list that the leader with this fencing token has issued.
 pub fn list_version(fence: u64, sequence: u64) -> ServerListVersion {
     ServerListVersion { fence, sequence, local: 0 }
 }
 
-/// Returns an empty list of that version.
+/// Returns an empty list with the version `list_version(fence, sequence)`.
 pub fn empty_list(fence: u64, sequence: u64) -> Arc<ServerList> {
     Arc::new(ServerList::new(list_version(fence, sequence), []))
 }
 
-/// Returns a committed value of this round, with a configuration of this version.
+/// Returns a committed value with this round in its ballot and a configuration with this version.
 pub fn committed_value(round: u64, configuration_version: u64) -> Versioned<ControlState> {
     let state = ControlState {
         configuration_version,
--- a/crates/control-plane/tests/view.rs
+++ b/crates/control-plane/tests/view.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn given_the_leader_when_it_reads_then_only_a_changed_or_renewed_list_gets_a_new_version() {
+fn given_a_leader_when_it_reads_the_list_then_only_a_changed_or_renewed_list_gets_a_new_version() {
     let view = ViewCell::new();
     let now = Instant::now();
     assert!(view.adopt_platform_list(list_read_from_platform(ServerCondition::Open), now, Some(3), false));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn given_a_process_that_is_not_the_leader_when_it_reads_for_itself_then_the_next_list_of_the_leader_replaces_its_list(
+fn given_a_process_that_is_not_the_leader_when_it_reads_the_list_itself_then_the_next_list_of_the_leader_replaces_it(
 ) {
     let view = ViewCell::new();
     view.adopt_platform_list(list_read_from_platform(ServerCondition::Open), Instant::now(), Some(3), false);
--- a/crates/state/tests/acceptors.rs
+++ b/crates/state/tests/acceptors.rs
@@ -8,7 +8,7 @@
     initial_state, with_acceptor, with_standby, without_acceptor, AlreadyMember, NoVacancy, StillRequired,
 };
 
-fn names(members: &[Member]) -> Vec<&str> {
+fn member_names(members: &[Member]) -> Vec<&str> {
     members.iter().map(|member| &*member.name).collect()
 }
 
@@ -45,7 +45,7 @@
 fn given_a_failed_acceptor_when_a_standby_joins_then_it_replaces_the_acceptor_in_one_step() {
     let joined = with_acceptor(&with_waiting_standby(), &member("d", 4), &incarnations(&[3]))
         .expect("the machine joins");
-    assert_eq!(names(&joined.acceptors), ["a", "b", "d"]);
+    assert_eq!(member_names(&joined.acceptors), ["a", "b", "d"]);
     assert!(joined.standbys.is_empty());
     let second_replacement = with_acceptor(&joined, &member("e", 5), &incarnations(&[3]));
     assert_eq!(second_replacement, Err(NoVacancy), "the failed acceptor was replaced by another machine");
@@ -56,7 +56,7 @@
     let failed = incarnations(&[2, 3]);
     let first = with_acceptor(&system(3), &member("d", 4), &failed).expect("the machine joins");
     let second = with_acceptor(&first, &member("e", 5), &failed).expect("the machine joins");
-    assert_eq!(names(&second.acceptors), ["a", "d", "e"]);
+    assert_eq!(member_names(&second.acceptors), ["a", "d", "e"]);
 }
 
 #[test]
@@ -76,7 +76,7 @@
         initial_state(vec![member("a", 1), member("b", 2)], Vec::new(), 1).expect("there are acceptors");
     let joined =
         with_acceptor(&first, &member("c", 3), &[]).expect("one tolerated failure requires three acceptors");
-    assert_eq!(names(&joined.acceptors), ["a", "b", "c"]);
+    assert_eq!(member_names(&joined.acceptors), ["a", "b", "c"]);
     assert_eq!(with_acceptor(&joined, &member("d", 4), &[]), Err(NoVacancy));
 }
 
@@ -85,7 +85,7 @@
     assert_eq!(without_acceptor(&system(3), &member("c", 3), &member("d", 4)), Err(StillRequired));
     let next = without_acceptor(&with_waiting_standby(), &member("c", 3), &member("d", 4))
         .expect("the acceptor is replaced");
-    assert_eq!(names(&next.acceptors), ["a", "b", "d"]);
+    assert_eq!(member_names(&next.acceptors), ["a", "b", "d"]);
     assert!(next.standbys.is_empty());
     assert_eq!(
         without_acceptor(&with_waiting_standby(), &member("e", 9), &member("d", 4)),
--- a/crates/state/tests/bootstrap.rs
+++ b/crates/state/tests/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The initial state, and the choice of the value that a coordinator sends to the acceptors.
+//! The initial state, and the selection of the initial value that a coordinator offers to the acceptors.
 
 mod common;
 
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn given_an_interrupted_coordinator_when_another_one_takes_over_then_it_chooses_the_value_of_the_first() {
-    let chosen = select_initial_value(initial_value(3), vec![None, Some(initial_value(2))]);
-    assert_eq!(chosen, Some(initial_value(2)));
+fn given_an_interrupted_coordinator_when_another_one_takes_over_then_it_selects_the_value_of_the_first() {
+    let selected = select_initial_value(initial_value(3), vec![None, Some(initial_value(2))]);
+    assert_eq!(selected, Some(initial_value(2)));
 }
 
 #[parameterized(
@@ -32,12 +32,12 @@
     minority = { 1, false },
     none = { 0, false },
 )]
-fn given_acceptors_without_a_value_when_some_reply_then_the_own_value_is_chosen_if_they_are_a_majority(
+fn given_acceptors_without_a_value_when_some_reply_then_the_proposed_value_is_selected_if_they_are_a_majority(
     reply_count: usize,
-    is_own_value_chosen: bool,
+    is_proposed_value_selected: bool,
 ) {
     assert_eq!(
         select_initial_value(initial_value(3), vec![None; reply_count]),
-        is_own_value_chosen.then(|| initial_value(3))
+        is_proposed_value_selected.then(|| initial_value(3))
     );
 }
--- a/crates/state/tests/document.rs
+++ b/crates/state/tests/document.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn given_a_document_with_a_changed_byte_when_read_then_it_fails_or_returns_the_original_text() {
+fn given_an_encoded_document_when_a_byte_is_changed_or_the_end_is_missing_then_no_other_text_is_read() {
     let text = routes_json(20);
     let bytes = encode(&Document::new(text.clone()));
     for changed in 0..bytes.len() {
--- a/crates/state/tests/leader_lease.rs
+++ b/crates/state/tests/leader_lease.rs
@@ -106,10 +106,10 @@
     let first = raise_fence(&ordered, "b");
     let earlier = LeaderLease::acquired(&first, "b", at(0), at(1350), ORDER_GAP, at(0));
     let second = raise_fence(&first, "b");
-    let again =
+    let reacquired =
         LeaderLease::acquired(&second, "b", at(2000), at(60_000), ORDER_GAP, at(0)).continuing(earlier);
-    assert_eq!(again.order_issuer_due(at(3999)), None);
-    assert_eq!(again.order_issuer_due(at(4000)), Some(3));
+    assert_eq!(reacquired.order_issuer_due(at(3999)), None);
+    assert_eq!(reacquired.order_issuer_due(at(4000)), Some(3));
 }
 
 #[test]
@@ -119,10 +119,10 @@
     let first = raise_fence(&ordered, "b");
     let earlier = LeaderLease::acquired(&first, "b", at(0), at(1350), ORDER_GAP, at(0));
     let third = raise_fence(&raise_fence(&first, "c"), "b");
-    let again =
+    let reacquired =
         LeaderLease::acquired(&third, "b", at(2000), at(60_000), ORDER_GAP, at(0)).continuing(earlier);
-    assert_eq!(again.order_issuer_due(at(5999)), None);
-    assert_eq!(again.order_issuer_due(at(6000)), Some(4));
+    assert_eq!(reacquired.order_issuer_due(at(5999)), None);
+    assert_eq!(reacquired.order_issuer_due(at(6000)), Some(4));
 }
 
 #[test]
--- a/crates/state/tests/reachability.rs
+++ b/crates/state/tests/reachability.rs
@@ -13,7 +13,7 @@
     medium_timeout = { 1800, 3 },
     limited_to_the_maximum = { 9000, 5 },
 )]
-fn given_a_replacement_timeout_when_counted_in_rounds_then_a_store_may_be_replaced_after_that_many(
+fn given_a_replacement_timeout_when_a_store_misses_rounds_then_it_may_be_replaced_after_the_timeout_in_full_rounds(
     timeout_ms: u64,
     rounds: u32,
 ) {
--- a/crates/state/tests/reconcile.rs
+++ b/crates/state/tests/reconcile.rs
@@ -99,7 +99,7 @@
     old_epoch = { &[10, 11, 12], 1, false },
     all_pending = { &[], 2, false },
 )]
-fn given_a_migration_when_stores_have_migrated_then_it_finishes_if_they_hold_a_majority_of_each_job(
+fn given_a_migration_when_stores_have_migrated_then_it_finishes_if_they_have_a_majority_of_the_replicas_of_each_job(
     migrated: &[u64],
     epoch: u64,
     is_finished: bool,
--- a/crates/state/tests/server_list.rs
+++ b/crates/state/tests/server_list.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn given_a_leader_when_it_reads_repeatedly_then_versions_increase() {
+fn given_a_leader_when_it_issues_lists_then_their_versions_increase() {
     let first = ServerListVersion::default().next_of_leader(3).expect("no later leader is known");
     let second = first.next_of_leader(3).expect("no later leader is known");
     let next_leader = second.next_of_leader(4).expect("no later leader is known");
