--- a/crates/control-plane/src/consensus/acceptor_service.rs
+++ b/crates/control-plane/src/consensus/acceptor_service.rs
@@ -19,7 +19,7 @@
     incarnation: Incarnation,
 }
 
-/// State that requests change, under the lock of the service.
+/// State that requests change, protected by the lock of the service.
 struct Inner {
     /// State machine of the acceptor in memory. Its state may be ahead of the durable one.
     acceptor: Acceptor<ControlState>,
--- a/crates/control-plane/src/consensus/confirmation.rs
+++ b/crates/control-plane/src/consensus/confirmation.rs
@@ -20,13 +20,14 @@
     Confirmed,
     /// A newer value is committed and was adopted, or no majority has replied.
     NotConfirmed,
-    /// At least one acceptor has accepted a newer value, which may or may not be committed.
+    /// A majority has replied, and at least one acceptor has accepted a newer value, which may or may not be
+    /// committed.
     Undecided,
 }
 
-/// Asks all acceptors once whether `known` is the newest value. Returns as soon as the replies decide it, and
-/// makes the view adopt a confirmation as of `started_at` or a newer committed value. Replies that arrive
-/// later are still recorded in `contacts`.
+/// Asks all acceptors once whether `known` is the newest value. Returns as soon as the replies decide the
+/// result, and makes the view adopt a confirmation as of `started_at` or a newer committed value. Replies
+/// that arrive later are still recorded in `contacts`.
 pub(super) async fn confirm_once(
     view: &ViewCell,
     client: &rpc::Client,
--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -18,14 +18,14 @@
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Additional time for which each further seed waits before it takes over as the coordinator.
 const TAKEOVER_STAGGER: Duration = Duration::from_millis(4000);
-/// Pause between two attempts.
+/// Pause between two announcements or offers of the initial value.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Maximum time from the start of an internal call to its reply.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Ballot of the initial value. The ballot of every proposal is higher.
 const INITIAL_BALLOT: Ballot = Ballot { round: 1, proposer: 0 };
 
-/// Function that a machine with a disk can perform.
+/// Role that a machine with a disk can perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Capability {
     /// The machine can be an acceptor of the register.
@@ -41,7 +41,7 @@
     pub member: Member,
     /// Zone of the announced machine; a store keeps it in its entry in the store set.
     pub zone: String,
-    /// Function that the announced machine can perform.
+    /// Role that the announced machine can perform.
     pub capability: Capability,
 }
 
--- a/crates/control-plane/src/discovery/store_membership.rs
+++ b/crates/control-plane/src/discovery/store_membership.rs
@@ -9,7 +9,7 @@
 
 use crate::{Proposer, ViewCell};
 
-/// Pause between two attempts.
+/// Pause between two attempts to join, or between two checks for a committed control state.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Maximum time for which one proposal to join is retried. A later attempt starts a new proposal.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(2000);
--- a/crates/control-plane/src/distribution/poller.rs
+++ b/crates/control-plane/src/distribution/poller.rs
@@ -9,7 +9,8 @@
 use super::messages::{PollReply, PollRequest, NO_BALLOT};
 use crate::{paths, AcceptorGossip, Leadership, ViewCell};
 
-/// Time for which a peer may delay its reply.
+/// Maximum time for which a peer may delay its reply. Also the pause while this process is the leader or has
+/// no peer to poll.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(450);
 /// Additional time after which a poll without a reply fails.
 const REPLY_GRACE: Duration = Duration::from_millis(300);
@@ -53,7 +54,7 @@
     /// Polls peers until the process ends.
     pub async fn run(self) {
         let mut next_peer: usize = if self.may_lead() { 0 } else { fastrand::usize(..START_POSITION_COUNT) };
-        let mut known_leader = None;
+        let mut previous_leader = None;
         let mut search = PeerSearch::start();
         loop {
             if self.is_leader() {
@@ -63,8 +64,8 @@
                 continue;
             }
             let leader = self.view.view().control.fence_owner.clone();
-            if self.may_lead() && leader != known_leader {
-                (next_peer, known_leader) = (0, leader);
+            if self.may_lead() && leader != previous_leader {
+                (next_peer, previous_leader) = (0, leader);
             }
             let peers = self.peers(&search);
             let Some(peer) = peers.get(next_peer % peers.len().max(1)) else {
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! This module owns the calls to servers that are in flight and the reports that wait to be distributed,
 //! which only [`OrderDispatcher`] writes. The planner of the crate `rollout` decides what to order. Before
-//! each order the leader's fencing token is checked again; servers may check it too.
+//! each call the leader's fencing token is checked again; servers may check the token of an order too.
 
 mod order_dispatcher;
 mod order_tracker;
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -141,8 +141,8 @@
         return Err(ChangeRejected::Unchanged);
     }
     let previous = state.previous_stores.iter().flat_map(|set| &set.members);
-    let mut known = state.stores.members.iter().chain(previous);
-    if !known.any(|store| store.member.name == name) {
+    let mut all_stores = state.stores.members.iter().chain(previous);
+    if !all_stores.any(|store| store.member.name == name) {
         return Err(ChangeRejected::UnknownMember);
     }
     let will_remain = |other: &str| other != name && !state.draining.contains_key(other);
--- a/crates/state/src/change/stores.rs
+++ b/crates/state/src/change/stores.rs
@@ -6,8 +6,8 @@
 use super::{successor, AlreadyMember, StillRequired};
 use crate::{ControlState, StoreMember};
 
-/// Adds a machine to the store set. A machine that lost its disk replaces its own former incarnation at once.
-/// Any other machine is registered as a joining store, which waits until the leader adds it.
+/// Adds a machine to the store set. A machine that lost its disk replaces its own former incarnation
+/// immediately. Any other machine is registered as a joining store, which waits until the leader adds it.
 ///
 /// While a migration is in progress, the replacement of a former incarnation keeps the previous set. This is
 /// safe for the following reasons. Replicas are placed by member name, so the replicas of a batch job change
