--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use register::{AcceptorReply, AcceptorRequest, Ballot, Member, ReplyOutcome, Versioned};
 use serde::{Deserialize, Serialize};
-use state::change::{choose_initial_value, initial_state};
+use state::change::{initial_state, select_initial_value};
 use state::{ControlState, StoreMember};
 use tokio::time::Instant;
 
@@ -18,14 +18,14 @@
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Additional time for which each further seed waits before it takes over as the coordinator.
 const TAKEOVER_STAGGER: Duration = Duration::from_millis(4000);
-/// Pause between two attempts.
+/// Pause between two announcements or offers of the initial value.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Maximum time from the start of an internal call to its reply.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Ballot of the initial value. The ballot of every proposal is higher.
 const INITIAL_BALLOT: Ballot = Ballot { round: 1, proposer: 0 };
 
-/// Function that a machine with a disk can perform.
+/// Role that a machine with a disk can perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Capability {
     /// The machine can be an acceptor of the register.
@@ -41,7 +41,7 @@
     pub member: Member,
     /// Zone of the announced machine; a store keeps it in its entry in the store set.
     pub zone: String,
-    /// Function that the announced machine can perform.
+    /// Role that the announced machine can perform.
     pub capability: Capability,
 }
 
@@ -76,7 +76,7 @@
     }
 }
 
-/// Performs the part of this process in the bootstrap of a system.
+/// Part of this process in the bootstrap of a system.
 pub struct Bootstrap {
     /// Announcement of this machine; `None` if it has no disk.
     pub announcement: Option<Announcement>,
@@ -84,9 +84,9 @@
     pub seeds: Vec<String>,
     /// Internal address of this process, by which it finds its own position among the seeds.
     pub own_address: String,
-    /// Number of machines whose loss the system must survive.
+    /// Number of failed machines that the system must tolerate.
     pub tolerated_failures: usize,
-    /// Announcements that this process has received; used only if it is a seed.
+    /// Announcements that this process has received. Used only if the process is a seed.
     pub announcements: Arc<BootstrapAnnouncements>,
     /// The newest control state and server list that this process has adopted.
     pub view: Arc<ViewCell>,
@@ -95,8 +95,8 @@
 }
 
 impl Bootstrap {
-    /// Announces this machine to the seeds. If this process is a seed, it also forms the initial value once
-    /// its waiting time has passed. Returns once a committed value is known.
+    /// Announces this machine to the seeds. If this process is a seed, it also becomes the coordinator after
+    /// its delay and offers an initial value. Returns once the view has a committed value.
     pub async fn run(self) {
         let started_at = Instant::now();
         let coordinator_delay = self.coordinator_delay();
@@ -135,15 +135,15 @@
         }
     }
 
-    /// Offers an initial value to its acceptors: the value that an earlier coordinator has offered, if any,
-    /// otherwise `proposed`.
+    /// Offers an initial value to its acceptors: the value that an acceptor has accepted from an earlier
+    /// coordinator, if any, otherwise `proposed`. Adopts the value if a majority has accepted it.
     ///
     /// A majority of the acceptors must reply to a read first, so that an initial value that a majority has
     /// accepted is always found.
     async fn commit_initial(&self, proposed: Versioned<ControlState>) {
         let reads = proposed.value.acceptors.iter().map(|member| self.read_accepted(member));
         let accepted: Vec<_> = join_all(reads).await.into_iter().flatten().collect();
-        let Some(initial) = choose_initial_value(proposed, accepted) else {
+        let Some(initial) = select_initial_value(proposed, accepted) else {
             log::info!("initial value not committed: too few acceptors reply");
             return;
         };
@@ -177,7 +177,8 @@
         member: &Member,
         initial: &Versioned<ControlState>,
     ) -> Option<Versioned<ControlState>> {
-        let reply = self.client.call(&member.address, paths::FIRST, initial, CALL_TIMEOUT).await;
+        let reply =
+            self.client.call(&member.address, paths::OFFER_INITIAL_VALUE, initial, CALL_TIMEOUT).await;
         reply
             .inspect_err(|error| log::info!("{} has not accepted the initial value: {error}", member.name))
             .ok()
