--- a/crates/node-emulator/src/build.rs
+++ b/crates/node-emulator/src/build.rs
@@ -66,7 +66,7 @@
 }
 
 impl Build {
-    /// The build of the running process.
+    /// Returns the build of the running process.
     ///
     /// # Errors
     ///
@@ -75,7 +75,7 @@
         Self::at(&env::current_exe()?)
     }
 
-    /// The build whose binary is at `path`.
+    /// Returns the build whose binary is at `path`.
     ///
     /// # Errors
     ///
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -30,32 +30,32 @@
 }
 
 impl Size {
-    /// The rack of a slot. Consecutive slots are in different racks, so that the servers of a service are
-    /// distributed over all zones.
+    /// Returns the rack of a slot. Consecutive slots are in different racks, so that the servers of a service
+    /// are distributed over all zones.
     #[must_use]
     pub fn rack(&self, slot: usize) -> usize {
         slot % self.racks
     }
 
-    /// The service that a slot belongs to.
+    /// Returns the service that a slot belongs to.
     #[must_use]
     pub fn service(&self, slot: usize) -> usize {
         slot * self.services / self.servers
     }
 
-    /// The zone of a rack. Called with the number of a node, it returns the zone of that node.
+    /// Returns the zone of a rack. Called with the number of a node, it returns the zone of that node.
     #[must_use]
     pub fn zone(&self, rack: usize) -> usize {
         rack % self.zones
     }
 
-    /// The region that a zone belongs to.
+    /// Returns the region that a zone belongs to.
     #[must_use]
     pub fn region(&self, zone: usize) -> usize {
         zone % self.regions
     }
 
-    /// The slots in the racks for which `of_rack` returns true.
+    /// Returns the slots in the racks for which `of_rack` returns true.
     pub fn slots(&self, of_rack: impl Fn(usize) -> bool) -> Vec<usize> {
         (0..self.servers).filter(|slot| of_rack(self.rack(*slot))).collect()
     }
@@ -159,7 +159,7 @@
 }
 
 impl Catalogue {
-    /// A catalogue at version 1, in which every slot is occupied by a server that started before the
+    /// Creates a catalogue at version 1, in which every slot is occupied by a server that started before the
     /// emulation. The log retains at most `max_log_entries` changes.
     #[must_use]
     pub fn new(size: Size, addresses: Vec<SocketAddr>, max_log_entries: usize) -> Self {
@@ -186,7 +186,8 @@
         }
     }
 
-    /// A catalogue whose addresses have no listeners. It is used to measure lists, to which nobody connects.
+    /// Creates a catalogue whose addresses have no listeners. It is used to measure lists, to which nobody
+    /// connects.
     #[must_use]
     pub fn without_listeners(size: Size) -> Self {
         let address = |rack: usize| {
@@ -196,19 +197,19 @@
         Self::new(size, (0..size.racks).map(address).collect(), 1 << 16)
     }
 
-    /// The sizes of the fleet that the catalogue was created for.
+    /// Returns the sizes of the fleet that the catalogue was created for.
     #[must_use]
     pub fn size(&self) -> Size {
         self.size
     }
 
-    /// The newest version; the first one is 1.
+    /// Returns the newest version; the first one is 1.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.published.len() as u64
     }
 
-    /// The time of publication of a version; `None` if it has not been published.
+    /// Returns the time of publication of a version; `None` if it has not been published.
     #[must_use]
     pub fn published_at(&self, revision: u64) -> Option<Instant> {
         let index = usize::try_from(revision.checked_sub(1)?).ok()?;
@@ -220,20 +221,20 @@
         self.servers.get_mut(number)
     }
 
-    /// The address of a server by number, which is the address of its rack.
+    /// Returns the address of a server by number, which is the address of its rack.
     #[must_use]
     pub fn address(&self, number: usize) -> Option<SocketAddr> {
         self.servers.get(number).map(|server| self.addresses[self.size.rack(server.slot)])
     }
 
-    /// The region of a server by number.
+    /// Returns the region of a server by number.
     #[must_use]
     pub fn region(&self, number: usize) -> Option<usize> {
         let rack = self.size.rack(self.servers.get(number)?.slot);
         Some(self.size.region(self.size.zone(rack)))
     }
 
-    /// The numbers of the servers that currently occupy `slots`.
+    /// Returns the numbers of the servers that currently occupy `slots`.
     #[must_use]
     pub fn servers_in(&self, slots: &[usize]) -> Vec<usize> {
         slots.iter().map(|slot| self.slots[*slot]).collect()
@@ -304,7 +305,7 @@
         self.changes.clear();
     }
 
-    /// The complete list of the newest version. It is encoded once for each version.
+    /// Returns the complete list of the newest version. It is encoded once for each version.
     pub fn complete_list(&mut self) -> ListResponse {
         if let Some(complete) = &self.complete {
             return complete.clone();
@@ -320,8 +321,8 @@
         complete
     }
 
-    /// The servers that changed since a version, each in its current state. Returns the complete list if the
-    /// version is unknown or the log no longer has all later changes.
+    /// Returns the servers that changed since a version, each in its current state. Returns the complete list
+    /// if the version is unknown or the log no longer has all later changes.
     pub fn changes_since(&mut self, revision: u64) -> ListResponse {
         if revision > self.revision() || revision < self.last_truncated_revision {
             return self.complete_list();
@@ -345,7 +346,7 @@
         ListResponse { body, complete, members: count }
     }
 
-    /// The entry of a server in the list.
+    /// Returns the entry of a server in the list.
     fn member(&self, number: usize) -> MemberBody<'_> {
         let server = &self.servers[number];
         let rack = self.size.rack(server.slot);
@@ -362,19 +363,19 @@
     }
 }
 
-/// The names of all zones, by index.
+/// Returns the names of all zones, by index.
 #[must_use]
 pub fn zone_names(size: Size) -> Vec<String> {
     (0..size.zones).map(|zone| format!("region{}-zone{zone}", size.region(zone))).collect()
 }
 
-/// The name of the server with this number.
+/// Returns the name of the server with this number.
 #[must_use]
 pub fn server_name(number: usize) -> String {
     format!("s-{number:08x}")
 }
 
-/// The number of the server with this name; `None` if the name was not made by [`server_name`].
+/// Returns the number of the server with this name; `None` if the name was not made by [`server_name`].
 #[must_use]
 pub fn server_number(name: &str) -> Option<usize> {
     usize::from_str_radix(name.strip_prefix("s-")?, 16).ok()
--- a/crates/node-emulator/src/counters.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -34,7 +34,7 @@
         self.0.add(&other.0).expect("both histograms have the same bounds");
     }
 
-    /// The count, median, 99th percentile and maximum of the recorded durations.
+    /// Returns the count, median, 99th percentile and maximum of the recorded durations.
     #[must_use]
     pub fn summary(&self) -> Summary {
         let ms = |us: u64| us as f64 / 1000.0;
--- a/crates/node-emulator/src/fit.rs
+++ b/crates/node-emulator/src/fit.rs
@@ -28,8 +28,8 @@
     Some(Fit { slope, intercept, r2, exponent })
 }
 
-/// The slope, intercept and coefficient of determination of the least-squares line; `None` if there are fewer
-/// than two different `x`.
+/// Returns the slope, intercept and coefficient of determination of the least-squares line; `None` if there
+/// are fewer than two different `x`.
 fn least_squares(points: &[(f64, f64)]) -> Option<(f64, f64, f64)> {
     let n = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -71,7 +71,7 @@
         Self((0..nodes).map(|_| 0.into()).collect())
     }
 
-    /// The versions in the order of the nodes.
+    /// Returns the versions in the order of the nodes.
     pub fn versions(&self) -> impl Iterator<Item = u64> + '_ {
         self.0.iter().map(|version| version.load(std::sync::atomic::Ordering::Relaxed))
     }
--- a/crates/node-emulator/src/node/thread.rs
+++ b/crates/node-emulator/src/node/thread.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The timeout of an attempt: the longest deadline of all request classes.
+    /// Returns the timeout of an attempt: the longest deadline of all request classes.
     pub(super) fn attempt_timeout(&self) -> Duration {
         let deadline_ms =
             self.config.settings.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -58,7 +58,7 @@
         matches!(self, Self::TenantMemory | Self::BalancerMemory | Self::NodeMemory)
     }
 
-    /// The unit of the measured values. Only times (`us`, microseconds) differ from run to run.
+    /// Returns the unit of the measured values. Only times (`us`, microseconds) differ from run to run.
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The sizes to measure at if the command line names none.
+    /// Returns the sizes to measure at if the command line names none.
     pub(crate) fn default_sizes(self) -> &'static [usize] {
         match self.size_unit() {
             "tenants" => &[100, 1_000, 10_000, 53_000],
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The name in options of the command line and in reports.
+    /// Returns the name in options of the command line and in reports.
     #[must_use]
     pub fn name(self) -> String {
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
--- a/crates/node-emulator/src/report.rs
+++ b/crates/node-emulator/src/report.rs
@@ -68,7 +68,8 @@
     Ok(())
 }
 
-/// The commit that is checked out in the working folder, or `unknown`, and whether files differ from it.
+/// Returns the commit that is checked out in the working folder, or `unknown`, and whether files differ from
+/// it.
 #[must_use]
 pub fn checked_out_commit() -> (String, bool) {
     let git = |arguments: &[&str]| {
--- a/crates/node-emulator/src/scenario/check.rs
+++ b/crates/node-emulator/src/scenario/check.rs
@@ -33,7 +33,7 @@
     Err(InvalidKey { span, key: key.into(), reason: reason.into() })
 }
 
-/// The number of the line, counted from 1, that contains the byte at `offset`.
+/// Returns the number of the line, counted from 1, that contains the byte at `offset`.
 pub(super) fn line_number(text: &str, offset: usize) -> usize {
     1 + text.bytes().take(offset).filter(|byte| *byte == b'\n').count()
 }
--- a/crates/node-emulator/src/scenario_run/mod.rs
+++ b/crates/node-emulator/src/scenario_run/mod.rs
@@ -129,7 +129,7 @@
     BASE_DESCRIPTORS + size.regions as u64 + racks + 2 * (nodes + idle + busy)
 }
 
-/// The settings of the `Balancer` of all emulated nodes, with a single class of idempotent requests.
+/// Returns the settings of the `Balancer` of all emulated nodes, with a single class of idempotent requests.
 #[must_use]
 pub fn settings(load: &Load) -> DecisionSettings {
     let mut settings = DecisionSettings::new(vec![RequestClass::new(
--- a/crates/node-emulator/src/scenario_run/results.rs
+++ b/crates/node-emulator/src/scenario_run/results.rs
@@ -85,7 +85,7 @@
     pub memory: Memory,
 }
 
-/// The processor seconds that were used since an earlier reading, by role.
+/// Returns the processor seconds that were used since an earlier reading, by role.
 pub(super) fn cpu_seconds_since(
     now: &BTreeMap<String, f64>,
     earlier: &BTreeMap<String, f64>,
@@ -96,7 +96,7 @@
     now.iter().map(difference).collect()
 }
 
-/// The difference of the counts to earlier ones.
+/// Returns the difference of the counts to earlier ones.
 pub(super) fn totals_since(now: ResponseTotals, earlier: ResponseTotals) -> ResponseTotals {
     ResponseTotals {
         complete_lists: now.complete_lists - earlier.complete_lists,
@@ -109,8 +109,9 @@
 }
 
 impl RunningFleet {
-    /// The number of nodes that do not have the newest version, and the sum of the times since their versions
-    /// were superseded. `first` is the version at the start of the run; earlier publications do not count.
+    /// Returns the number of nodes that do not have the newest version, and the sum of the times since their
+    /// versions were superseded. `first` is the version at the start of the run; earlier publications do not
+    /// count.
     fn nodes_and_time_behind(&self, first: u64) -> (usize, Duration) {
         let now = Instant::now();
         let catalogue = self.world.catalogue();
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The traffic of discovery, servers and nodes since the start of their threads.
+    /// Returns the traffic of discovery, servers and nodes since the start of their threads.
     pub(super) fn traffic(&self) -> BTreeMap<String, TrafficTotals> {
         let (discovery, server) = (self.world.discovery.totals(), self.world.servers.totals());
         // All traffic is between nodes and either discovery or servers. The traffic of the nodes is therefore
--- a/crates/node-emulator/src/scenario_run/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -167,12 +167,12 @@
         Ok(())
     }
 
-    /// Number of nodes that have no list yet.
+    /// Returns the number of nodes that have no list yet.
     pub(super) fn count_without_list(&self) -> usize {
         self.known_versions.versions().filter(|version| *version == 0).count()
     }
 
-    /// Number of nodes that do not have the newest version.
+    /// Returns the number of nodes that do not have the newest version.
     pub(super) fn count_behind(&self) -> usize {
         let newest = self.world.catalogue().revision();
         self.known_versions.versions().filter(|version| *version < newest).count()
--- a/crates/node-emulator/src/scenario_run/timeline.rs
+++ b/crates/node-emulator/src/scenario_run/timeline.rs
@@ -140,7 +140,7 @@
         Self { fleet, scenario, began_at, progress, steps_done: 0 }
     }
 
-    /// The end of the scenario, up to which steps are executed.
+    /// Returns the end of the scenario, up to which steps are executed.
     fn ends_at(&self) -> tokio::time::Instant {
         self.began_at + Duration::from_secs_f64(self.scenario.duration_s)
     }
--- a/crates/node-emulator/src/slopes/discovery_cost.rs
+++ b/crates/node-emulator/src/slopes/discovery_cost.rs
@@ -164,7 +164,7 @@
     (0..repeats).map(&mut measure).collect()
 }
 
-/// The length of a response with a change of one server.
+/// Returns the length of a response with a change of one server.
 pub(super) fn change_bytes(servers: usize) -> f64 {
     let mut catalogue = Catalogue::without_listeners(fleet_size(servers));
     let before = catalogue.revision();
--- a/crates/node-emulator/src/slopes/mod.rs
+++ b/crates/node-emulator/src/slopes/mod.rs
@@ -158,8 +158,8 @@
 }
 
 impl SlopesOptions {
-    /// The quantities to measure, without duplicates. Memory comes first, before other measurements have
-    /// freed any.
+    /// Returns the quantities to measure, without duplicates. Memory comes first, before other measurements
+    /// have freed any.
     fn quantities(&self) -> Vec<Quantity> {
         let mut quantities = match self.quantities.as_slice() {
             [] => Quantity::value_variants().to_vec(),
@@ -170,7 +170,7 @@
         quantities
     }
 
-    /// The sizes at which a quantity is measured.
+    /// Returns the sizes at which a quantity is measured.
     fn sizes(&self, quantity: Quantity) -> Vec<usize> {
         match self.sizes.as_slice() {
             [] => quantity.default_sizes().to_vec(),
@@ -292,7 +292,7 @@
     time.as_secs_f64() * 1e6
 }
 
-/// The median, minimum and maximum of measured values.
+/// Returns the median, minimum and maximum of measured values.
 fn new_point(size: usize, mut values: Vec<f64>) -> Point {
     values.sort_by(f64::total_cmp);
     Point {
--- a/crates/node-emulator/src/slopes/model.rs
+++ b/crates/node-emulator/src/slopes/model.rs
@@ -17,7 +17,7 @@
 /// Average number of servers of a service.
 pub(super) const SERVERS_PER_SERVICE: usize = 32;
 
-/// The sizes of a fleet with this number of servers. Racks and services grow in proportion to it.
+/// Returns the sizes of a fleet with this number of servers. Racks and services grow in proportion to it.
 pub(super) fn fleet_size(servers: usize) -> Size {
     let zones = 10.min(servers);
     Size {
@@ -30,12 +30,12 @@
     }
 }
 
-/// The number of nodes of a fleet with this number of servers.
+/// Returns the number of nodes of a fleet with this number of servers.
 pub(super) fn node_count(servers: usize) -> usize {
     (servers * 3 / 2).clamp(1, MAX_NODES)
 }
 
-/// The settings of a `Balancer` in a fleet of this number of nodes, with a single class of idempotent
+/// Returns the settings of a `Balancer` in a fleet of this number of nodes, with a single class of idempotent
 /// requests.
 pub(super) fn decision_settings(nodes: usize) -> DecisionSettings {
     let mut settings = DecisionSettings::new(vec![RequestClass::new(80.0, 400.0, Idempotency::Safe)]);
@@ -49,7 +49,7 @@
         .map_err(|error| SlopesError::Failed(format!("the server list cannot be decoded: {error}")))
 }
 
-/// The complete list of a catalogue, as entries of the `Balancer`.
+/// Returns the complete list of a catalogue, as entries of the `Balancer`.
 pub(super) fn server_entries(catalogue: &mut Catalogue) -> Result<Vec<ServerEntry>, SlopesError> {
     let list = decode_list(&catalogue.complete_list().body)?;
     match endpoint_update(&list, &zone_names(catalogue.size())) {
@@ -63,7 +63,7 @@
     Balancer::new(decision_settings(nodes), seed).map_err(|error| SlopesError::Failed(error.to_string()))
 }
 
-/// The configuration of a real node. None of its addresses has a listener.
+/// Returns the configuration of a real node. None of its addresses has a listener.
 pub(super) fn node_config(size: Size, seed: u64, initial_list: ServerList) -> Config {
     let unused_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let names = SettingNames {
--- a/crates/node-emulator/src/traffic.rs
+++ b/crates/node-emulator/src/traffic.rs
@@ -31,7 +31,7 @@
 }
 
 impl TrafficTotals {
-    /// The difference to earlier values of the same counters.
+    /// Returns the difference to earlier values of the same counters.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -49,7 +49,7 @@
         self.messages.fetch_add(1, Relaxed);
     }
 
-    /// The current values.
+    /// Returns the current values.
     #[must_use]
     pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
--- a/crates/node-emulator/src/usage.rs
+++ b/crates/node-emulator/src/usage.rs
@@ -36,25 +36,26 @@
     Ok(())
 }
 
-/// Processor time that the calling thread has used.
+/// Returns the processor time that the calling thread has used.
 #[must_use]
 pub fn thread_cpu_time() -> Duration {
     read_clock(ClockId::ThreadCPUTime)
 }
 
-/// Processor time that all threads of the process have used.
+/// Returns the processor time that all threads of the process have used.
 #[must_use]
 pub fn process_cpu_time() -> Duration {
     read_clock(ClockId::ProcessCPUTime)
 }
 
-/// The value of a processor clock, which starts at 0.
+/// Returns the value of a processor clock, which starts at 0.
 fn read_clock(clock: ClockId) -> Duration {
     let time = clock_gettime(clock);
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-/// Processor seconds of the running threads by role. The role is the name of the thread up to the first `-`.
+/// Returns the processor seconds of the running threads by role. The role is the name of the thread up to the
+/// first `-`.
 #[must_use]
 pub fn cpu_seconds_by_role() -> BTreeMap<String, f64> {
     let mut roles = BTreeMap::new();
@@ -68,7 +69,8 @@
     roles
 }
 
-/// The sum of user and system time in a line of `/proc/.../stat`, in seconds. The line has ticks of 10 ms.
+/// Returns the sum of user and system time in a line of `/proc/.../stat`, in seconds. The line has ticks of
+/// 10 ms.
 fn stat_seconds(stat: &str) -> Option<f64> {
     // The thread's name is in parentheses and may contain spaces. The times are the 12th and 13th field after
     // it.
--- a/crates/node-emulator/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -81,7 +81,7 @@
 }
 
 impl ResponseCounts {
-    /// The current values.
+    /// Returns the current values.
     #[must_use]
     pub fn totals(&self) -> ResponseTotals {
         ResponseTotals {
@@ -96,7 +96,7 @@
 }
 
 impl World {
-    /// The state at the start of a run, without any faults.
+    /// Returns the state at the start of a run, without any faults.
     #[must_use]
     pub fn new(catalogue: Catalogue) -> Self {
         let region = |_| Region { responsive: watch::Sender::new(true), partitioned: AtomicBool::new(false) };
--- a/crates/node-emulator/tests/report.rs
+++ b/crates/node-emulator/tests/report.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The names of the files in a folder.
+/// Returns the names of the files in a folder.
 fn file_names(folder: &Path) -> Vec<String> {
     let names = std::fs::read_dir(folder).expect("the folder can be read");
     names
--- a/crates/simulator/src/bin/simulate.rs
+++ b/crates/simulator/src/bin/simulate.rs
@@ -51,7 +51,7 @@
 }
 
 impl SimulateOptions {
-    /// The setup with the name that was given; `None` if the name is unknown.
+    /// Returns the setup with the name that was given; `None` if the name is unknown.
     fn setup(&self) -> Option<Setup> {
         match &*self.setup {
             "small" => Some(Setup::small()),
@@ -70,7 +70,7 @@
         setup.plan_faults(self.faults_of.unwrap_or(seed))
     }
 
-    /// Number of threads that run fleets.
+    /// Returns the number of threads that run fleets.
     fn thread_count(&self) -> usize {
         match self.jobs {
             0 => std::thread::available_parallelism().map_or(1, usize::from),
--- a/crates/simulator/src/fleet/failure_budget.rs
+++ b/crates/simulator/src/fleet/failure_budget.rs
@@ -17,7 +17,7 @@
         *failed_until = until.max(*failed_until);
     }
 
-    /// Number of machines that count as failed at `now`.
+    /// Returns the number of machines that count as failed at `now`.
     pub(super) fn failed_at(&self, now: Duration) -> usize {
         self.failed_until.values().filter(|until| **until > now).count()
     }
--- a/crates/simulator/src/fleet/fault_injection.rs
+++ b/crates/simulator/src/fleet/fault_injection.rs
@@ -73,7 +73,7 @@
         self.failures.record(machine, until);
     }
 
-    /// Number of machines with a disk that count as failed now.
+    /// Returns the number of machines with a disk that count as failed now.
     #[must_use]
     pub fn failed_machine_count(&self) -> usize {
         self.failures.failed_at(self.now)
--- a/crates/simulator/src/fleet/machine.rs
+++ b/crates/simulator/src/fleet/machine.rs
@@ -28,7 +28,7 @@
 }
 
 impl MachineClock {
-    /// The time since the start of the process by this clock.
+    /// Returns the time since the start of the process by this clock.
     fn elapsed(&self, now: Duration) -> Duration {
         let elapsed = now - self.process_started;
         let drift = elapsed / CLOCK_DRIFT_DIVISOR;
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -111,7 +111,8 @@
         self.links.set_speed(bytes_per_second);
     }
 
-    /// Digest of all messages so far with their times. Two runs with the same seed have the same digest.
+    /// Returns the digest of all messages so far with their times. Two runs with the same seed have the same
+    /// digest.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.transcript.digest()
--- a/crates/simulator/src/fleet/observe.rs
+++ b/crates/simulator/src/fleet/observe.rs
@@ -14,38 +14,38 @@
 use crate::process::Process;
 
 impl Fleet {
-    /// Indices of the traffic nodes with a disk that the fleet had at its start.
+    /// Returns the indices of the traffic nodes with a disk that the fleet had at its start.
     #[must_use]
     pub fn nodes(&self) -> Range<usize> {
         0..self.shape.nodes
     }
 
-    /// Indices of the traffic nodes without a disk that the fleet had at its start.
+    /// Returns the indices of the traffic nodes without a disk that the fleet had at its start.
     #[must_use]
     pub fn diskless_nodes(&self) -> Range<usize> {
         let first = self.shape.nodes + self.shape.stores;
         first..first + self.shape.diskless_nodes
     }
 
-    /// Indices of all machines, including removed ones.
+    /// Returns the indices of all machines, including removed ones.
     #[must_use]
     pub fn machines(&self) -> Range<usize> {
         0..self.machines.len()
     }
 
-    /// The shape of the fleet at its start.
+    /// Returns the shape of the fleet at its start.
     #[must_use]
     pub fn shape(&self) -> FleetShape {
         self.shape
     }
 
-    /// The name of a machine in its settings, for example `node-0`.
+    /// Returns the name of a machine in its settings, for example `node-0`.
     #[must_use]
     pub fn name(&self, machine: usize) -> &str {
         &self.machines[machine].name
     }
 
-    /// The role of a machine.
+    /// Returns the role of a machine.
     #[must_use]
     pub fn kind(&self, machine: usize) -> MachineKind {
         self.machines[machine].kind
@@ -57,8 +57,8 @@
         self.machines[machine].kind == MachineKind::Store
     }
 
-    /// Indices of the traffic nodes that operators and trainers send requests to: all that are neither
-    /// removed nor leaving.
+    /// Returns the indices of the traffic nodes that operators and trainers send requests to: all that are
+    /// neither removed nor leaving.
     #[must_use]
     pub fn present_nodes(&self) -> Vec<usize> {
         self.machines().filter(|machine| !self.is_store(*machine) && !self.is_leaving(*machine)).collect()
@@ -82,59 +82,62 @@
         self.machines[machine].is_running()
     }
 
-    /// Number of processes of a machine that have ended.
+    /// Returns the number of processes of a machine that have ended.
     #[must_use]
     pub fn process_exits(&self, machine: usize) -> u64 {
         self.machines[machine].process_exits()
     }
 
-    /// The incarnation of a machine's disk; `None` without a disk or a process.
+    /// Returns the incarnation of a machine's disk; `None` without a disk or a process.
     #[must_use]
     pub fn incarnation(&self, machine: usize) -> Option<Incarnation> {
         self.machines[machine].process().and_then(Process::incarnation)
     }
 
-    /// The newest committed value that a machine's process has learned; `None` without a process or a value.
+    /// Returns the newest committed value that a machine's process has learned; `None` without a process or a
+    /// value.
     #[must_use]
     pub fn committed(&self, machine: usize) -> Option<Versioned<ControlState>> {
         self.machines[machine].process()?.committed()
     }
 
-    /// The newest committed state that a machine's process has learned; `None` without a process or a state.
+    /// Returns the newest committed state that a machine's process has learned; `None` without a process or a
+    /// state.
     #[must_use]
     pub fn state(&self, machine: usize) -> Option<Arc<ControlState>> {
         self.committed(machine).map(|committed| committed.value)
     }
 
-    /// The newest committed state that the acceptor of a machine has recorded durably; `None` without one.
+    /// Returns the newest committed state that the acceptor of a machine has recorded durably; `None` without
+    /// one.
     #[must_use]
     pub fn recorded_state(&self, machine: usize) -> Option<Arc<ControlState>> {
         let acceptor = self.machines[machine].process()?.acceptor()?;
         acceptor.committed().map(|committed| committed.value)
     }
 
-    /// The newest committed state that any process has learned.
+    /// Returns the newest committed state that any process has learned.
     #[must_use]
     pub fn newest_state(&self) -> Option<Arc<ControlState>> {
         self.machines().filter_map(|machine| self.state(machine)).max_by_key(|state| state.revision)
     }
 
-    /// The fencing token of a machine's process while it holds the leader lease and is not frozen; `None`
-    /// otherwise.
+    /// Returns the fencing token of a machine's process while it holds the leader lease and is not frozen;
+    /// `None` otherwise.
     #[must_use]
     pub fn fence(&self, machine: usize) -> Option<u64> {
         let machine = &self.machines[machine];
         machine.process().filter(|_| !machine.is_frozen())?.fence()
     }
 
-    /// The time since a majority of the acceptors last confirmed the state of a machine's process; `None`
-    /// without a process or a confirmation.
+    /// Returns the time since a majority of the acceptors last confirmed the state of a machine's process;
+    /// `None` without a process or a confirmation.
     #[must_use]
     pub fn confirmed_age(&self, machine: usize) -> Option<Duration> {
         self.machines[machine].process()?.confirmed_age()
     }
 
-    /// The node that raised the fencing token last, according to the newest state of any process.
+    /// Returns the node that raised the fencing token last, according to the newest state of any process.
     #[must_use]
     pub fn leader(&self) -> Option<usize> {
         let owner = self.newest_state()?.fence_owner.clone()?;
--- a/crates/simulator/src/fleet/settings.rs
+++ b/crates/simulator/src/fleet/settings.rs
@@ -38,8 +38,8 @@
         NodeSettings::parse(&text).expect("the generated settings are valid")
     }
 
-    /// The quoted addresses of the seeds of a machine: the configured ones, or the first nodes that are not
-    /// removed.
+    /// Returns the quoted addresses of the seeds of a machine: the configured ones, or the first nodes that
+    /// are not removed.
     fn seed_addresses(&self, index: usize) -> Vec<String> {
         let is_present = |node: &usize| !self.is_store(*node) && !self.machines[*node].is_removed();
         let present = self.machines().filter(is_present).take(SEEDS_PER_MACHINE);
--- a/crates/simulator/src/fleet/shape.rs
+++ b/crates/simulator/src/fleet/shape.rs
@@ -24,8 +24,8 @@
 }
 
 impl FleetShape {
-    /// Time for which a machine still counts as failed after its start (setting `catchUpS`): the value that
-    /// deployments of this size use.
+    /// Returns the time for which a machine still counts as failed after its start (setting `catchUpS`): the
+    /// value that deployments of this size use.
     #[must_use]
     pub fn catch_up_time(&self) -> Duration {
         Duration::from_millis(if self.tolerated_failures > 1 { 6000 } else { 4500 })
--- a/crates/simulator/src/fleet/transcript.rs
+++ b/crates/simulator/src/fleet/transcript.rs
@@ -27,7 +27,7 @@
         (now, call, status, body).hash(&mut self.hasher);
     }
 
-    /// The digest of all messages so far.
+    /// Returns the digest of all messages so far.
     pub(super) fn digest(&self) -> u64 {
         self.hasher.digest()
     }
--- a/crates/simulator/src/model_server.rs
+++ b/crates/simulator/src/model_server.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The version that the server has of a model.
+    /// Returns the version that the server has of a model.
     ///
     /// # Panics
     ///
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The entry of the server in the platform's list.
+    /// Returns the entry of the server in the platform's list.
     pub(crate) fn list_entry(&self) -> ServerEntry {
         ServerEntry {
             id: Arc::clone(&self.id),
@@ -153,17 +153,17 @@
     }
 }
 
-/// The address of a server; its port is the index of the server plus one.
+/// Returns the address of a server; its port is the index of the server plus one.
 fn address_of_server(index: usize) -> SocketAddr {
     ([10, 0, 1, 0], u16::try_from(index + 1).unwrap_or(u16::MAX)).into()
 }
 
-/// The index of the server that has this address.
+/// Returns the index of the server that has this address.
 pub(crate) fn index_of_address(address: SocketAddr) -> usize {
     usize::from(address.port()) - 1
 }
 
-/// The text that every server generates for an item.
+/// Returns the text that every server generates for an item.
 pub(crate) fn generated_text(item: &str) -> String {
     format!("the text of {item}")
 }
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -57,7 +57,7 @@
 }
 
 impl Role {
-    /// The control plane of the process, which both roles have.
+    /// Returns the control plane of the process, which both roles have.
     fn control(&self) -> &ControlPlane {
         match self {
             Self::Node { node, .. } => &node.control,
@@ -124,7 +124,7 @@
         self.runtime.block_on(tokio::time::advance(jump));
     }
 
-    /// The time since the start by the clock of this process.
+    /// Returns the time since the start by the clock of this process.
     pub(crate) fn clock(&self) -> Duration {
         self.clock
     }
@@ -171,7 +171,7 @@
         self.has_shut_down.load(Ordering::Relaxed)
     }
 
-    /// The batch jobs of a store; `None` for a traffic node.
+    /// Returns the batch jobs of a store; `None` for a traffic node.
     pub(crate) fn jobs(&self) -> Option<&JobStore> {
         match &self.role {
             Role::Store(store) => Some(&store.jobs),
@@ -179,29 +179,29 @@
         }
     }
 
-    /// The acceptor of the process; `None` if it has none.
+    /// Returns the acceptor of the process; `None` if it has none.
     pub(crate) fn acceptor(&self) -> Option<&Arc<AcceptorService>> {
         self.role.control().acceptor()
     }
 
-    /// The incarnation of the disk; `None` if the process has no disk.
+    /// Returns the incarnation of the disk; `None` if the process has no disk.
     pub(crate) fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// The newest committed value that this process has learned; `None` before the first one.
+    /// Returns the newest committed value that this process has learned; `None` before the first one.
     pub(crate) fn committed(&self) -> Option<Versioned<ControlState>> {
         self.role.control().view.committed()
     }
 
-    /// The fencing token while this process holds the leader lease; `None` otherwise.
+    /// Returns the fencing token while this process holds the leader lease; `None` otherwise.
     pub(crate) fn fence(&self) -> Option<u64> {
         let _context = self.runtime.enter();
         self.role.control().leadership.fence()
     }
 
-    /// The time since a majority of the acceptors last confirmed the value of this process; `None` before the
-    /// first confirmation.
+    /// Returns the time since a majority of the acceptors last confirmed the value of this process; `None`
+    /// before the first confirmation.
     pub(crate) fn confirmed_age(&self) -> Option<Duration> {
         let _context = self.runtime.enter();
         self.role.control().view.confirmed_age()
@@ -251,7 +251,7 @@
     StartedRole { internal, role: Role::Store(Arc::new(store)), incarnation }
 }
 
-/// The size of the journal of a store or of a traffic node.
+/// Returns the size of the journal of a store or of a traffic node.
 fn journal_options(is_store: bool) -> RingOptions {
     if is_store {
         STORE_JOURNAL_OPTIONS
--- a/crates/simulator/src/simulation/checker.rs
+++ b/crates/simulator/src/simulation/checker.rs
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Number of different committed values that were observed.
+    /// Returns the number of different committed values that were observed.
     pub(super) fn value_count(&self) -> usize {
         self.committed.len()
     }
 
-    /// The committed state with this version of the configuration; `None` if none was observed.
+    /// Returns the committed state with this version of the configuration; `None` if none was observed.
     pub(super) fn state_with_configuration(&self, version: u64) -> Option<&ControlState> {
         self.by_revision.values().find(|state| state.configuration_version == version).map(|state| &**state)
     }
--- a/crates/simulator/src/simulation/faults/injection.rs
+++ b/crates/simulator/src/simulation/faults/injection.rs
@@ -138,7 +138,7 @@
     newest.is_some_and(|state| state.acceptors.iter().any(|member| member.name == fleet.name(machine)))
 }
 
-/// Indices of the machines with a process that is not frozen.
+/// Returns the indices of the machines with a process that is not frozen.
 fn running_machines(fleet: &Fleet) -> impl Iterator<Item = usize> + '_ {
     fleet.machines().filter(|machine| fleet.is_running(*machine))
 }
--- a/crates/simulator/src/simulation/operators/mod.rs
+++ b/crates/simulator/src/simulation/operators/mod.rs
@@ -103,17 +103,17 @@
         self.take_replies(fleet)
     }
 
-    /// Number of acknowledged changes.
+    /// Returns the number of acknowledged changes.
     pub(super) fn acknowledged_changes(&self) -> usize {
         self.acknowledged.len()
     }
 
-    /// The longest time from an order to its conclusive reply.
+    /// Returns the longest time from an order to its conclusive reply.
     pub(super) fn longest_order(&self) -> Duration {
         self.longest_order
     }
 
-    /// The first order without a conclusive reply; `None` if there is none.
+    /// Returns the first order without a conclusive reply; `None` if there is none.
     pub(super) fn pending_order(&self) -> Option<Unconverged> {
         let order = self.pending.first()?;
         Some(Unconverged::PendingOrder { order: order.intent.to_string(), since: order.started })
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -174,7 +174,7 @@
         Ok(self.operators.check_acknowledged(&self.checker)?)
     }
 
-    /// The first condition of recovery that does not hold yet; `None` after the recovery.
+    /// Returns the first condition of recovery that does not hold yet; `None` after the recovery.
     fn first_unconverged(&self) -> Option<Unconverged> {
         self.operators
             .pending_order()
@@ -182,7 +182,7 @@
             .or_else(|| convergence::check_fleet(&self.fleet))
     }
 
-    /// The summary of the run so far, without the number of faults.
+    /// Returns the summary of the run so far, without the number of faults.
     fn summary(&self) -> RunSummary {
         RunSummary {
             faults: 0,
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -82,7 +82,7 @@
         Self { random, jobs: Vec::new(), next_job: Duration::ZERO, accepted_jobs: 0 }
     }
 
-    /// Number of accepted batch jobs.
+    /// Returns the number of accepted batch jobs.
     pub(super) fn accepted_jobs(&self) -> usize {
         self.accepted_jobs
     }
@@ -174,7 +174,7 @@
         self.pending = Some(PendingCall { call, sent: fleet.now, deadline: fleet.now + REPLY_TIMEOUT });
     }
 
-    /// The next call in the present stage.
+    /// Returns the next call in the present stage.
     fn call(&self) -> JobCall {
         match self.stage {
             JobStage::Submitting => JobCall::Submit(self.body.clone()),
--- a/crates/simulator/src/transport.rs
+++ b/crates/simulator/src/transport.rs
@@ -102,14 +102,14 @@
     }
 }
 
-/// The index of the machine that has this internal address: the last number of its IP address.
+/// Returns the index of the machine that has this internal address: the last number of its IP address.
 fn machine_of_address(address: &str) -> usize {
     let ip = address.split(':').next().unwrap_or_default();
     let index = ip.rsplit('.').next().and_then(|octet| octet.parse().ok());
     index.expect("internal addresses end with the index of the machine")
 }
 
-/// The IP address of a machine.
+/// Returns the IP address of a machine.
 pub(crate) fn ip_of(machine: usize) -> String {
     format!("10.0.0.{machine}")
 }
--- a/crates/simulator/tests/scenarios/scenario.rs
+++ b/crates/simulator/tests/scenarios/scenario.rs
@@ -180,13 +180,13 @@
     );
 }
 
-/// A configuration with one route.
+/// Returns a configuration with one route.
 pub fn document(version: u64) -> String {
     document_with_routes(version, 0)
 }
 
-/// A configuration with `more` additional routes. Their names are random words, like names that operators
-/// choose.
+/// Returns a configuration with `more` additional routes. Their names are random words, like names that
+/// operators choose.
 fn document_with_routes(version: u64, more: usize) -> String {
     let mut random = fastrand::Rng::with_seed(version);
     let mut word = || (0..8).map(|_| random.lowercase()).collect::<String>();
@@ -204,7 +204,7 @@
     )
 }
 
-/// The body of a batch job whose results may come from version `oldest` or newer ones.
+/// Returns the body of a batch job whose results may come from version `oldest` or newer ones.
 fn job_body(job: &str, oldest: u64) -> String {
     let item = |index| format!(r#"{{"id":"{job}-{index}","lane":"/r/{index}"}}"#);
     let items: Vec<String> = (0..ITEMS).map(item).collect();
