--- a/crates/simulator/src/bin/simulate.rs
+++ b/crates/simulator/src/bin/simulate.rs
@@ -10,7 +10,7 @@
 
 /// Time between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
-/// Time between two checks of the progress thread whether all runs have ended.
+/// Time between two checks by the progress thread whether all runs have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Exit status for invalid options or an unsuitable build.
 const USAGE_ERROR: u8 = 2;
@@ -107,7 +107,7 @@
     }
     let Some(setup) = options.setup() else {
         eprintln!(
-            "simulate: there is no setup {}; small, large, changes, turnover, large-turnover, absences and disks can be played",
+            "simulate: unknown setup `{}`; the setups are small, large, changes, turnover, large-turnover, absences and disks",
             options.setup
         );
         return ExitCode::from(USAGE_ERROR);
--- a/crates/simulator/src/external_requests.rs
+++ b/crates/simulator/src/external_requests.rs
@@ -66,7 +66,7 @@
 /// The reply of a node to an operator or trainer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExternalReply {
-    /// The HTTP status of a reply whose body is not evaluated.
+    /// The HTTP status of a reply whose body is ignored.
     Status(u16),
     /// The version and the text of the configuration.
     Configuration(u64, String),
@@ -85,7 +85,7 @@
     }
 }
 
-/// The part of a configuration document that is evaluated.
+/// The part of a configuration document that the simulator decodes.
 #[derive(Deserialize)]
 struct ConfigurationBody {
     #[serde(rename = "edition")]
--- a/crates/simulator/src/fleet/calls.rs
+++ b/crates/simulator/src/fleet/calls.rs
@@ -12,8 +12,8 @@
 pub(super) struct PendingCall {
     /// The index of the machine that made the call.
     pub(super) caller: usize,
-    /// Number of processes that had ended at the caller when the call was made. The reply is dropped if it
-    /// has changed, as a later process must not get it.
+    /// Number of processes that had ended on the calling machine when the call was made. If more have ended
+    /// when the reply arrives, the reply is dropped, because a later process must not receive it.
     pub(super) caller_process_exits: u64,
     pub(super) to: Endpoint,
     pub(super) path: String,
@@ -29,10 +29,10 @@
     }
 }
 
-/// The calls without a reply and the replies to external requests, both by number.
+/// The calls without a reply, and the replies to external requests.
 #[derive(Default)]
 pub(super) struct CallTable {
-    /// Calls that have no reply yet.
+    /// Calls that have no reply yet, by the number of the call.
     pub(super) pending: BTreeMap<u64, PendingCall>,
     /// Replies that operators and trainers have not read yet, by the number of the request.
     pub(super) external_replies: BTreeMap<u64, ExternalReply>,
--- a/crates/simulator/src/fleet/delivery.rs
+++ b/crates/simulator/src/fleet/delivery.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Passes a call to the process of a machine, or keeps it while the machine is frozen.
+    /// Passes a call to the process of a machine, or defers it if the machine is frozen.
     fn deliver_to_machine(&mut self, index: usize, call: u64) {
         let Some(pending) = self.calls.pending.get(&call) else { return };
         match self.machines.get_mut(index) {
--- a/crates/simulator/src/fleet/events.rs
+++ b/crates/simulator/src/fleet/events.rs
@@ -8,8 +8,8 @@
 
 /// An event that is scheduled for a point in simulated time.
 pub(super) enum FleetEvent {
-    /// A machine starts its process. The event is ignored if a process of the machine has ended since the
-    /// start was scheduled: its number of exits then differs from `process_exits`.
+    /// A machine starts its process. `process_exits` is the number of processes that had ended on the machine
+    /// when the start was scheduled. If more have ended since then, the event is ignored.
     Start { machine: usize, process_exits: u64 },
     /// A call arrives at its receiver, after `resends` earlier arrivals that a partition prevented.
     CallArrives { call: u64, resends: u32 },
--- a/crates/simulator/src/fleet/external_clients.rs
+++ b/crates/simulator/src/fleet/external_clients.rs
@@ -9,9 +9,9 @@
 use crate::model_server::ReceivedOrder;
 use crate::transport::Endpoint;
 
-/// Time for which an operator or trainer waits for a reply.
+/// Time for which [`Fleet::request_and_wait`] waits for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Pause between two attempts of an operator or trainer.
+/// Pause after an attempt without a conclusive reply.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Fleet {
--- a/crates/simulator/src/fleet/failure_budget.rs
+++ b/crates/simulator/src/fleet/failure_budget.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The machines that count as failed. A machine counts until it has had time to return and to catch up.
+/// The machines that count as failed. A machine counts until the time for its return and its catch-up is
+/// over.
 #[derive(Default)]
 pub(super) struct FailureBudget {
     /// The end of the latest failure of each machine, by index.
--- a/crates/simulator/src/fleet/links.rs
+++ b/crates/simulator/src/fleet/links.rs
@@ -26,8 +26,9 @@
         self.bytes_per_second = Some(bytes_per_second);
     }
 
-    /// Reserves the links of the sender and the receiver for a message. Returns the time until the message
-    /// has passed both, including the wait for earlier messages. Only machines have links.
+    /// Reserves the links of the sender and the receiver for a message, one after the other. Returns the time
+    /// until the message has passed both links, including the wait for earlier messages. Only machines have
+    /// links.
     pub(super) fn transmit(&mut self, now: Duration, from: Endpoint, to: Endpoint, bytes: usize) -> Duration {
         let Some(speed) = self.bytes_per_second.filter(|_| from != to) else { return Duration::ZERO };
         let transmission = Duration::from_secs_f64(bytes as f64 / speed);
--- a/crates/simulator/src/fleet/machine.rs
+++ b/crates/simulator/src/fleet/machine.rs
@@ -62,8 +62,8 @@
     /// The name in the settings, for example `node-0`.
     pub(super) name: String,
     pub(super) kind: MachineKind,
-    /// The value of the setting `firstStart`: whether the process may start a new system. It is false after
-    /// the first exit of a process.
+    /// The value of the setting `firstStart`: whether the process may start a new system. It becomes false
+    /// when a process of the machine ends.
     pub(super) is_first_start: bool,
     /// The machines that the settings list as seeds; `None` for the default seeds.
     pub(super) configured_seeds: Option<Vec<usize>>,
@@ -74,7 +74,7 @@
     clock: MachineClock,
     execution: Execution,
     lifecycle: Lifecycle,
-    /// Number of processes that have ended on this machine. It distinguishes the successive processes.
+    /// Number of processes that have ended on this machine, which identifies the current process.
     process_exits: u64,
 }
 
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -118,7 +118,7 @@
         self.transcript.digest()
     }
 
-    /// Advances the simulation by at least `time`, in whole steps.
+    /// Advances the simulation by `time`, rounded up to complete steps.
     pub fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
--- a/crates/simulator/src/fleet/settings.rs
+++ b/crates/simulator/src/fleet/settings.rs
@@ -16,8 +16,7 @@
 const ZONES: usize = 3;
 
 impl Fleet {
-    /// The settings that the platform would write for a machine now: the default seeds are the first present
-    /// nodes.
+    /// Returns the settings that the platform would write for a machine now.
     pub(super) fn settings_of(&self, index: usize) -> NodeSettings {
         let machine = &self.machines[index];
         let serves = if self.is_store(index) { r#""vault""# } else { r#""counter", "dispatch""# };
--- a/crates/simulator/src/model_server.rs
+++ b/crates/simulator/src/model_server.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Responds to an order or to the request of a report; returns the status and the body.
+    /// Responds to an order or to the request for a report; returns the status and the body.
     pub(crate) fn respond(&mut self, now: Duration, path: &str, body: &[u8]) -> (u16, Bytes) {
         if path != ORDER_PATH {
             return (200, self.report());
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -289,7 +289,7 @@
     Some(RecoveredDisk::new(journal, recovered))
 }
 
-/// Lets the internal endpoint of a process respond to a call.
+/// Passes a call to the internal endpoint of a process and returns the response.
 async fn respond(internal: &BoxEndpoint<'static, Response>, path: &str, body: Bytes) -> CallOutcome {
     let request = poem::Request::builder()
         .method(Method::POST)
--- a/crates/simulator/src/simulation/convergence.rs
+++ b/crates/simulator/src/simulation/convergence.rs
@@ -107,8 +107,8 @@
         return Some(Unconverged::Migration { epoch: newest.stores.epoch, waits_for });
     }
     let present = fleet.machines().filter(|machine| fleet.has_process(*machine));
-    let mut missing = present.filter_map(|machine| check_machine(fleet, machine, &newest));
-    missing.next()
+    let mut unconverged = present.filter_map(|machine| check_machine(fleet, machine, &newest));
+    unconverged.next()
 }
 
 /// Describes the stores of the previous set that have not migrated all their batch jobs.
--- a/crates/simulator/src/simulation/faults/injection.rs
+++ b/crates/simulator/src/simulation/faults/injection.rs
@@ -28,7 +28,8 @@
         self.ends_at <= now
     }
 
-    /// Ends the fault. At the end of [`FaultKind::ReplacePlanned`] the machine is removed if it may be.
+    /// Ends the fault. At the end of [`FaultKind::ReplacePlanned`] the machine is removed if its disk may be
+    /// lost.
     pub(in crate::simulation) fn end(&self, mix: FaultMix, fleet: &mut Fleet) {
         match self.kind {
             FaultKind::Freeze | FaultKind::FreezeLeader => fleet.thaw(self.machine),
@@ -143,10 +144,9 @@
     fleet.machines().filter(|machine| fleet.is_running(*machine))
 }
 
-/// Cuts the power of a machine, half of the time during a write.
+/// Cuts the power of a machine, in half of the cases after a failed sync, which leaves written data unsynced.
 fn lose_power(fleet: &mut Fleet, machine: usize) {
     if fleet.random.bool() {
-        // The failed sync leaves written data unsynced when the power fails.
         fleet.fail_sync(machine);
         fleet.step();
     }
--- a/crates/simulator/src/simulation/faults/mod.rs
+++ b/crates/simulator/src/simulation/faults/mod.rs
@@ -16,7 +16,8 @@
     Kill,
     /// Kills the process of the lease holder.
     KillLeader,
-    /// Cuts the power of a machine, half of the time in the middle of a write.
+    /// Cuts the power of a machine, in half of the cases after a failed sync, which leaves written data
+    /// unsynced.
     LosePower,
     /// Cuts the power of all nodes or of all machines.
     LosePowerOfMany,
--- a/crates/simulator/src/simulation/operators/mod.rs
+++ b/crates/simulator/src/simulation/operators/mod.rs
@@ -17,7 +17,7 @@
 
 /// XORed with the seed, so that the operators' random numbers are independent of the others of a run.
 const SEED_SALT: u64 = 0x6f70_6572_6174_6f72;
-/// Number of pending orders from which on no further changes and reads are started.
+/// Number of pending orders at which no further changes and reads are started.
 const MAX_PENDING_ORDERS: usize = 8;
 /// One in this number of acknowledged changes is sent again.
 const REPEATED_ONE_IN: usize = 4;
@@ -42,7 +42,7 @@
     /// Number of routes that changes add, acknowledged or not.
     route_count: u64,
     /// The newest version of the configuration that was acknowledged to an operator or read by one.
-    known_version: u64,
+    newest_version: u64,
     /// Acknowledged changes, by the version of the configuration that they change.
     acknowledged: BTreeMap<u64, AcknowledgedChange>,
     /// Names of the routes of rejected changes.
@@ -62,7 +62,7 @@
             next_change: Duration::ZERO,
             next_version: Duration::ZERO,
             route_count: 0,
-            known_version: 0,
+            newest_version: 0,
             acknowledged: BTreeMap::new(),
             rejected_routes: Vec::new(),
             target_version: 1,
@@ -172,13 +172,14 @@
 
     /// Adds a read of the configuration.
     fn push_read(&mut self, now: Duration) {
-        let intent = Intent::Read { at_least: self.known_version };
+        let intent = Intent::Read { at_least: self.newest_version };
         self.pending.push(Order::new(now, intent, OperatorOrder::Read));
     }
 
-    /// Adds a change of the newest known version of the configuration, as a patch or as a complete document.
+    /// Adds a change of the newest version of the configuration that an operator has seen, as a patch or as a
+    /// complete document.
     fn push_change(&mut self, now: Duration, is_patch: bool) {
-        let expected = self.known_version;
+        let expected = self.newest_version;
         let version = expected + self.random.u64(1..4);
         self.route_count += 1;
         let route = format!("r-{}", self.route_count);
@@ -237,7 +238,7 @@
                 if version < at_least {
                     return Err(ConfigurationViolation::StaleRead { version, at_least }.into());
                 }
-                self.known_version = self.known_version.max(version);
+                self.newest_version = self.newest_version.max(version);
             }
             (Intent::SetTargetVersion { version }, ExternalReply::Status(200)) => {
                 self.target_version = *version
@@ -265,7 +266,7 @@
             let changes = Box::new([first.clone(), change]);
             return Err(ConfigurationViolation::BothAcknowledged { expected, changes });
         }
-        self.known_version = self.known_version.max(change.version);
+        self.newest_version = self.newest_version.max(change.version);
         Ok(())
     }
 
@@ -281,16 +282,16 @@
         if is_repetition {
             return Err(ConfigurationViolation::RejectedAfterAcknowledgement { route: route.to_owned() });
         }
-        if expected >= self.known_version {
-            // The operators do not know the version that caused the rejection, and read it.
+        if expected >= self.newest_version {
+            // The version that caused the rejection is newer than any that the operators have seen.
             self.push_read(now);
         }
         self.rejected_routes.push(route.to_owned());
         Ok(())
     }
 
-    /// Returns a random part of the acknowledged changes, to be sent again after a random delay. The
-    /// repetition must be acknowledged too.
+    /// Returns an acknowledged change to be sent again after a random delay, in one of [`REPEATED_ONE_IN`]
+    /// cases. The repetition must be acknowledged too.
     fn maybe_repeat(&mut self, now: Duration, order: Order) -> Option<Order> {
         if order.is_repetition || self.random.usize(..REPEATED_ONE_IN) > 0 {
             return None;
--- a/crates/simulator/src/simulation/operators/order.rs
+++ b/crates/simulator/src/simulation/operators/order.rs
@@ -10,7 +10,7 @@
 
 /// Time after which an attempt without a reply counts as failed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Increase of the upper bound of the backoff with each attempt, up to [`MAX_BACKOFF`].
+/// Increase of the upper bound of the backoff with each attempt, in milliseconds, up to [`MAX_BACKOFF`].
 const BACKOFF_STEP_MS: u64 = 50;
 /// Maximum backoff before a retry.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -24,7 +24,7 @@
 /// The summary of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunSummary {
-    /// Number of planned faults. A fault has no effect if its target may not fail at its time.
+    /// Number of planned faults, including those without effect because too many machines had failed.
     pub faults: usize,
     /// Number of acknowledged changes of the configuration.
     pub changes: usize,
--- a/crates/simulator/src/simulation/setup.rs
+++ b/crates/simulator/src/simulation/setup.rs
@@ -12,7 +12,7 @@
     pub shape: FleetShape,
     /// Time span in which faults are injected.
     pub length: Duration,
-    /// Mean time between two faults.
+    /// Mean time between two faults before a third of the intervals is shortened.
     pub fault_interval: Duration,
     /// Rate at which the operators together start new requests for the configuration, per second.
     pub changes_per_second: f64,
@@ -30,7 +30,8 @@
         faults::plan_faults(seed, self.mix, self.length, self.fault_interval)
     }
 
-    /// Three nodes and three stores, of which one may fail, with the faults of [`FaultMix::All`].
+    /// Returns a setup of three nodes and three stores, of which one may fail, with the faults of
+    /// [`FaultMix::All`].
     #[must_use]
     pub fn small() -> Self {
         Self {
@@ -43,44 +44,46 @@
         }
     }
 
-    /// Like [`Setup::small`], with five nodes and five stores, of which two may fail.
+    /// Returns [`Setup::small`] with five nodes and five stores, of which two may fail.
     #[must_use]
     pub fn large() -> Self {
         let shape = FleetShape { nodes: 5, diskless_nodes: 0, stores: 5, servers: 6, tolerated_failures: 2 };
         Self { shape, ..Self::small() }
     }
 
-    /// Machines are replaced one after another, each as soon as the previous one no longer counts as failed.
-    /// Seeds may be nodes without a disk. At the end all machines lose power.
+    /// Returns a setup in which machines are replaced one after another, each as soon as the previous one no
+    /// longer counts as failed. Seeds may be nodes without a disk. At the end all machines lose power.
     #[must_use]
     pub fn turnover() -> Self {
         let shape = FleetShape { diskless_nodes: 3, ..FleetShape::default() };
         Self { shape, mix: FaultMix::Turnover, ends_with_power_loss: true, ..Self::small() }
     }
 
-    /// Like [`Setup::turnover`], with five nodes and five stores, of which two may fail.
+    /// Returns [`Setup::turnover`] with five nodes and five stores, of which two may fail.
     #[must_use]
     pub fn large_turnover() -> Self {
         let shape = FleetShape { diskless_nodes: 3, ..Self::large().shape };
         Self { shape, ..Self::turnover() }
     }
 
-    /// Machines are suspended or partitioned for a long time, while acceptors are replaced one after another.
+    /// Returns a setup in which machines are suspended or partitioned for a long time, while acceptors are
+    /// replaced one after another.
     #[must_use]
     pub fn absences() -> Self {
         let shape = FleetShape { diskless_nodes: 2, ..FleetShape::default() };
         Self { shape, mix: FaultMix::Absences, ..Self::small() }
     }
 
-    /// Disk faults in quick succession: single failed syncs, stalls, losses of power and records that cannot
-    /// be decoded.
+    /// Returns a setup with disk faults in quick succession: single failed syncs, stalls, losses of power and
+    /// records that cannot be decoded.
     #[must_use]
     pub fn disks() -> Self {
         let fault_interval = Duration::from_millis(500);
         Self { mix: FaultMix::Disks, fault_interval, changes_per_second: 6.0, ..Self::small() }
     }
 
-    /// Like [`Setup::small`], but longer and with ten times as many changes of the configuration.
+    /// Returns [`Setup::small`] with a longer run and ten times as many changes of the configuration per
+    /// second.
     #[must_use]
     pub fn many_changes() -> Self {
         Self { length: Duration::from_secs(120), changes_per_second: 20.0, ..Self::small() }
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -107,8 +107,8 @@
         Ok(())
     }
 
-    /// The first unfinished batch job or, if there is none, the servers that do not have the target version.
-    /// `None` if there are neither.
+    /// Returns the first unfinished batch job or, if there is none, the number of servers that do not have
+    /// the target version. Returns `None` if there are neither.
     pub(super) fn unconverged(&self, fleet: &Fleet) -> Option<Unconverged> {
         if let Some(job) = self.jobs.iter().find(|job| !job.is_finished()) {
             return Some(Unconverged::OpenJob { job: job.id.clone(), results: job.results.len() });
--- a/crates/simulator/src/simulation/violation.rs
+++ b/crates/simulator/src/simulation/violation.rs
@@ -161,12 +161,12 @@
                 write!(f, "committed version {version} does not contain the acknowledged change of version {expected}")
             }
             Self::ChangeLost { version } => {
-                write!(f, "version {version} was acknowledged, but no process committed it")
+                write!(f, "version {version} was acknowledged, but was never observed as committed")
             }
             Self::StaleRead { version, at_least } => {
                 write!(
                     f,
-                    "a read returned version {version} although version {at_least} was acknowledged before"
+                    "a read returned version {version} although version {at_least} was acknowledged or read before"
                 )
             }
         }
--- a/crates/simulator/tests/scenarios/configuration.rs
+++ b/crates/simulator/tests/scenarios/configuration.rs
@@ -40,7 +40,7 @@
             _ => {}
         }
         if [400, 800, 900, 950, 1000, 1100].contains(&change) {
-            let healed_at = scenario.fleet.now;
+            let fault_ended_at = scenario.fleet.now;
             let all_have_newest = |fleet: &Fleet| {
                 let all_run = fleet.machines().all(|machine| fleet.is_running(machine));
                 all_run
@@ -50,11 +50,11 @@
             };
             assert!(
                 scenario.fleet.run_until(seconds(4), all_have_newest),
-                "after change {change}: some process does not learn the newest state in time"
+                "after change {change}: some process did not learn the newest state in time"
             );
             println!(
                 "after change {change}: all processes have the newest state {:?} later",
-                scenario.fleet.now - healed_at
+                scenario.fleet.now - fault_ended_at
             );
         }
         scenario.change_configuration();
@@ -67,14 +67,14 @@
 /// No messages are lost in these tests: operators wait 1.5 s for a lost reply, which would hide the delay of
 /// the links.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// 60 Mbit/s, the lowest bandwidth of the links of operators' machines, in bytes per second.
+/// Lowest bandwidth of the links of machines in deployments: 60 Mbit/s, in bytes per second.
 const NARROW_LINK_BYTES_PER_SECOND: f64 = 60e6 / 8.0;
 
 #[parameterized(
     one_may_fail = { FleetShape { nodes: 3, diskless_nodes: 20, stores: 3, servers: 4, tolerated_failures: 1 } },
     two_may_fail = { FleetShape { nodes: 8, diskless_nodes: 40, stores: 8, servers: 4, tolerated_failures: 2 } },
 )]
-fn given_narrow_links_when_a_configuration_of_many_routes_comes_then_the_next_changes_are_acknowledged_in_time(
+fn given_narrow_links_when_configurations_of_many_routes_are_put_then_the_next_changes_are_acknowledged_in_time(
     shape: FleetShape,
 ) {
     for seed in 0..8 {
@@ -89,7 +89,7 @@
         };
         assert!(
             scenario.fleet.run_until(PROPAGATION_TIMEOUT, is_propagated),
-            "seed {seed}: the configuration does not reach all processes in time"
+            "seed {seed}: the configuration did not reach all processes in time"
         );
         for _ in 0..4 {
             scenario.fleet.run_for(Duration::from_millis(300));
--- a/crates/simulator/tests/scenarios/faults.rs
+++ b/crates/simulator/tests/scenarios/faults.rs
@@ -4,11 +4,11 @@
 
 use crate::support::seconds;
 
-/// Injects a fault. Faults that remove or disconnect a machine return after the fleet has had time to
-/// recover; after the others the machines still have to restart.
+/// Injects a fault. Functions that replace, freeze or disconnect a machine return after 8 to 15 s, in which
+/// the fleet can recover. After all other faults, the machines still have to restart.
 pub type InjectFault = fn(&mut Fleet);
 
-/// Leaves the fleet without a fault, for comparison.
+/// Injects no fault, for comparison.
 pub fn no_fault(_: &mut Fleet) {}
 
 pub fn replace_node(fleet: &mut Fleet) {
--- a/crates/simulator/tests/scenarios/first_start.rs
+++ b/crates/simulator/tests/scenarios/first_start.rs
@@ -1,4 +1,5 @@
-//! First start of a system in which the first collector of announcements fails.
+//! First start of a system in which the first coordinator fails. The coordinator is the seed that forms the
+//! initial value of the register from the announcements of the machines.
 
 use std::time::Duration;
 
@@ -8,10 +9,10 @@
 use crate::support::{seconds, SEEDS};
 
 #[test]
-fn given_a_collector_that_fails_during_the_first_start_when_another_takes_over_then_the_system_starts() {
+fn given_a_coordinator_that_fails_during_the_first_start_when_another_takes_over_then_the_system_starts() {
     for seed in 0..40 {
         let mut fleet = Fleet::start(seed, FleetShape::default());
-        // Removes node 0, the first collector, at a different moment of the first start with each seed.
+        // Removes node 0, the first coordinator, at a different moment of the first start with each seed.
         fleet.run_for(Duration::from_millis(2400 + 60 * seed));
         fleet.remove_machine(0);
         let order = OperatorOrder::Put { expected: 0, body: document(1) };
@@ -26,10 +27,10 @@
 }
 
 #[test]
-fn given_a_collector_that_reached_only_some_when_another_takes_over_then_the_machines_agree_on_one_value() {
+fn given_a_coordinator_that_reached_some_machines_when_another_takes_over_then_all_agree_on_one_value() {
     for seed in SEEDS {
         let mut fleet = Fleet::start(seed, FleetShape::default());
-        // Node 0, the first collector, receives no messages from the stores, and node 2 receives none from
+        // Node 0, the first coordinator, receives no messages from the stores, and node 2 receives none from
         // node 0.
         for store in 3..6 {
             fleet.network.partition_one_way(store, 0);
--- a/crates/simulator/tests/scenarios/partitions.rs
+++ b/crates/simulator/tests/scenarios/partitions.rs
@@ -74,7 +74,7 @@
             scenario.fleet.run_until(seconds(5), has_confirmed),
             "seed {seed}: the state of node {node} was not confirmed in time"
         );
-        let known = scenario.fleet.state(node).map(|state| state.revision);
+        let revision_before = scenario.fleet.state(node).map(|state| state.revision);
         disconnect(&mut scenario.fleet, node);
         let deadline = scenario.fleet.now + seconds(20);
         // The other nodes elect a leader and acknowledge orders.
@@ -117,7 +117,7 @@
         };
         assert!(
             scenario.fleet.run_until(seconds(3), has_caught_up),
-            "seed {seed}: the node did not catch up from revision {known:?}"
+            "seed {seed}: the node did not catch up from revision {revision_before:?}"
         );
         scenario.assert_normal_operation();
     }
--- a/crates/simulator/tests/scenarios/scenario.rs
+++ b/crates/simulator/tests/scenarios/scenario.rs
@@ -6,8 +6,8 @@
 
 /// Time limit of an operator's order after the first start, while a majority of the acceptors is present.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time limit of the first order. It is longer, because the first start collects the announcements of the
-/// machines before.
+/// Time limit of the first order. It is longer, because the first start must collect the announcements of the
+/// machines before the order can be executed.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Minimum time between the orders of two lease holders.
 const MIN_GAP_BETWEEN_HOLDERS: Duration = Duration::from_secs(3);
@@ -127,21 +127,21 @@
     /// Reads the results of a batch job and returns their number. Results of earlier reads must have kept
     /// their positions, and each item must occur once with the text that servers generate for it.
     fn read_results(&mut self, index: usize) -> usize {
-        let (job, known) = &mut self.jobs[index];
+        let (job, previous_results) = &mut self.jobs[index];
         let ExternalReply::Results(results) =
             self.fleet.execute_job_call(ORDER_TIMEOUT, job, JobCall::Read(0))
         else {
             panic!("the results of batch job {job} cannot be read")
         };
         assert!(
-            results.starts_with(known),
-            "the results of batch job {job} changed from {known:?} to {results:?}"
+            results.starts_with(previous_results),
+            "the results of batch job {job} changed from {previous_results:?} to {results:?}"
         );
         for result in &results {
             assert_eq!(result.text, format!("the text of {}", result.id));
             assert_eq!(results.iter().filter(|other| other.id == result.id).count(), 1);
         }
-        known.clone_from(&results);
+        previous_results.clone_from(&results);
         results.len()
     }
 
@@ -185,8 +185,7 @@
     document_with_routes(version, 0)
 }
 
-/// Returns a configuration with `more` additional routes. Their names are random words, like names that
-/// operators choose.
+/// Returns a configuration with `more` additional routes, whose names are random words as in deployments.
 fn document_with_routes(version: u64, more: usize) -> String {
     let mut random = fastrand::Rng::with_seed(version);
     let mut word = || (0..8).map(|_| random.lowercase()).collect::<String>();
--- a/crates/simulator/tests/scenarios/seeds.rs
+++ b/crates/simulator/tests/scenarios/seeds.rs
@@ -81,13 +81,13 @@
             set_seeds(&mut scenario.fleet);
             scenario.read_all_results();
             fail_all(&mut scenario.fleet);
-            let is_back = |fleet: &Fleet| fleet.machines().all(|machine| fleet.is_running(machine));
+            let all_run = |fleet: &Fleet| fleet.machines().all(|machine| fleet.is_running(machine));
             assert!(
-                scenario.fleet.run_until(seconds(2), is_back),
+                scenario.fleet.run_until(seconds(2), all_run),
                 "seed {seed}: not all machines have restarted in time"
             );
             let have_recovered = scenario.fleet.run_until(RECOVERY_TIMEOUT, all_have_newest_state);
-            assert!(have_recovered, "seed {seed}: some process does not find the acceptors in time");
+            assert!(have_recovered, "seed {seed}: some process did not find the acceptors in time");
             scenario.assert_normal_operation();
         }
     }
--- a/crates/simulator/tests/scenarios/support.rs
+++ b/crates/simulator/tests/scenarios/support.rs
@@ -11,10 +11,10 @@
 pub const FIVE_NODES: FleetShape =
     FleetShape { nodes: 5, diskless_nodes: 0, stores: 5, servers: 6, tolerated_failures: 2 };
 
-/// Time for which a machine still counts as failed after its return (setting `catchUpS`, where two may fail).
+/// Time for which a machine still counts as failed after its return (setting `catchUpS` if two may fail).
 pub const CATCH_UP_TIME: Duration = Duration::from_secs(6);
 
-/// Shorthand for [`Duration::from_secs`].
+/// Returns a duration of this number of seconds.
 pub const fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
--- a/crates/simulator/tests/scenarios/suspended.rs
+++ b/crates/simulator/tests/scenarios/suspended.rs
@@ -1,5 +1,5 @@
-//! A process is suspended or isolated while all acceptors that it knows are replaced. After its return it
-//! must find the current acceptors.
+//! A process is suspended or isolated while all acceptors in its state are replaced. After its return it must
+//! find the current acceptors.
 
 use simulator::{Fleet, FleetShape, MachineKind};
 use yare::parameterized;
@@ -43,7 +43,10 @@
                     let newest = fleet.newest_state();
                     newest.is_some_and(|state| state.standbys.iter().any(|member| member.name == name))
                 };
-                assert!(fleet.run_until(seconds(20), is_standby), "the added node becomes a standby");
+                assert!(
+                    fleet.run_until(seconds(20), is_standby),
+                    "the added node did not become a standby in time"
+                );
                 standby
             }
         }
@@ -102,7 +105,7 @@
     let is_replaced = |fleet: &Fleet| !is_acceptor(fleet, machine);
     assert!(
         fleet.run_until(seconds(20), is_replaced),
-        "another machine becomes an acceptor in place of the removed one"
+        "no other machine replaced the removed acceptor in time"
     );
     fleet.run_for(fleet.shape().catch_up_time());
 }
@@ -113,7 +116,7 @@
     if is_acceptor(fleet, absent) {
         add_without_contact_to(fleet, MachineKind::Node, absent);
         let is_replaced = |fleet: &Fleet| !is_acceptor(fleet, absent);
-        assert!(fleet.run_until(seconds(20), is_replaced), "a standby replaces the absent acceptor");
+        assert!(fleet.run_until(seconds(20), is_replaced), "no standby replaced the absent acceptor in time");
         fleet.run_for(fleet.shape().catch_up_time());
     }
     for node in fleet.nodes().filter(|node| *node != absent) {
@@ -141,7 +144,7 @@
     replaced_store_suspended = { AbsentProcess::ReplacedStore, Absence::Suspended },
     replaced_store_isolated = { AbsentProcess::ReplacedStore, Absence::Isolated },
 )]
-fn given_an_absent_process_when_all_acceptors_known_to_it_are_replaced_then_it_finds_the_current_ones(
+fn given_an_absent_process_when_all_acceptors_in_its_state_are_replaced_then_it_finds_the_current_ones(
     absent: AbsentProcess,
     absence: Absence,
 ) {
@@ -164,11 +167,7 @@
         let fleet = &mut scenario.fleet;
         absence.end(fleet, machine);
         let has_found = fleet.run_until(CATCH_UP_TIMEOUT, |fleet| has_newest_state(fleet, machine));
-        assert!(
-            has_found,
-            "seed {seed}: {} does not find the current acceptors in time",
-            fleet.name(machine)
-        );
+        assert!(has_found, "seed {seed}: {} did not find the current acceptors in time", fleet.name(machine));
         scenario.assert_normal_operation();
     }
 }
@@ -183,14 +182,14 @@
         let absent = fleet.nodes().end;
         fleet.freeze(absent);
         replace_all_acceptors(fleet, absent);
-        // All nodes that the store knew are replaced, and it cannot reach the other stores. Only the leader
-        // has its address.
+        // All acceptors in the state of the store are replaced, and it cannot reach the other stores. Only
+        // the leader has its address.
         for store in [absent + 1, absent + 2] {
             fleet.network.partition_one_way(absent, store);
             fleet.network.partition_one_way(store, absent);
         }
         fleet.thaw(absent);
         let has_found = fleet.run_until(CATCH_UP_TIMEOUT, |fleet| has_newest_state(fleet, absent));
-        assert!(has_found, "seed {seed}: the store does not find the current acceptors in time");
+        assert!(has_found, "seed {seed}: the store did not find the current acceptors in time");
     }
 }
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -41,8 +41,8 @@
     assert!(changes > 100, "only {changes} changes of the configuration were acknowledged in all runs");
 }
 
-/// The order in which woken tasks run is seeded only with `--cfg tokio_unstable`. The compared results
-/// contain the digest of all messages.
+/// Requires `--cfg tokio_unstable`, without which the order in which tasks run is not seeded. The compared
+/// results contain the digest of all messages.
 #[cfg(tokio_unstable)]
 #[parameterized(
     small = { Setup::small() },
