--- a/crates/node-emulator/src/build.rs
+++ b/crates/node-emulator/src/build.rs
@@ -16,7 +16,7 @@
 /// Maximum duration of one measurement, after which its process is killed.
 const MEASURE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A measurement with one of the builds failed.
+/// Error of a measurement that failed with one of the builds.
 #[derive(Debug, thiserror::Error)]
 #[error("the build {} cannot measure {quantity} at {size}: {source}", binary.display())]
 pub struct BuildError {
@@ -29,8 +29,8 @@
 /// The reason for which a measurement failed.
 #[derive(Debug, thiserror::Error)]
 enum MeasureError {
-    #[error("the temporary folder or its log file cannot be created: {0}")]
-    Folder(io::Error),
+    #[error("the temporary directory or its log file cannot be created: {0}")]
+    Directory(io::Error),
     #[error("the process cannot be started: {0}")]
     Start(io::Error),
     #[error("the exit status of the process cannot be read: {0}")]
@@ -53,16 +53,16 @@
     /// The measured value; `None` if the build cannot measure the quantity at this size, see
     /// [`Point::value`](crate::slopes::Point::value).
     pub value: Option<f64>,
-    /// The commit that is checked out in the folder of the binary, or `unknown`.
+    /// The commit that is checked out in the directory of the binary, or `unknown`.
     pub commit: String,
-    /// Whether files in that folder differed from the commit.
+    /// Whether files in that directory differed from the commit.
     pub modified: bool,
 }
 
 /// A binary of this program, which measurements are run with.
 pub struct Build {
     binary: PathBuf,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Build {
@@ -84,8 +84,8 @@
         let binary = path.canonicalize().map_err(|error| {
             io::Error::new(error.kind(), format!("cannot run the build {}: {error}", path.display()))
         })?;
-        let folder = binary.parent().unwrap_or(Path::new("/")).to_owned();
-        Ok(Self { binary, folder })
+        let directory = binary.parent().unwrap_or(Path::new("/")).to_owned();
+        Ok(Self { binary, directory })
     }
 
     /// Measures a quantity at one size with one repeat.
@@ -116,19 +116,19 @@
         seed: u64,
         memory_mb: u64,
     ) -> Result<BuildMeasurement, MeasureError> {
-        let folder = tempfile::tempdir().map_err(MeasureError::Folder)?;
-        let log = File::create(folder.path().join("log")).map_err(MeasureError::Folder)?;
-        let report = folder.path().join("report.json");
+        let directory = tempfile::tempdir().map_err(MeasureError::Directory)?;
+        let log = File::create(directory.path().join("log")).map_err(MeasureError::Directory)?;
+        let report = directory.path().join("report.json");
         let mut command = Command::new(&self.binary);
         command.args(["--log-level", "warn", "--memory-mb", &memory_mb.to_string(), "slopes"]);
         command.args(["--quantity", &quantity.name(), "--sizes", &size.to_string(), "--repeats", "1"]);
         command.args(["--seed", &seed.to_string(), "--report"]).arg(&report);
-        // The report names the commit that is checked out in the working folder. The process runs in the
-        // folder of its binary, so that this is the commit of the build.
-        command.current_dir(&self.folder).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        // The report names the commit that is checked out in the working directory. The process runs in the
+        // directory of its binary, so that this is the commit of the build.
+        command.current_dir(&self.directory).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let status = wait_with_timeout(&mut command.spawn().map_err(MeasureError::Start)?)?;
         if !status.success() {
-            let log = fs::read_to_string(folder.path().join("log")).unwrap_or_default();
+            let log = fs::read_to_string(directory.path().join("log")).unwrap_or_default();
             let last_line = log.lines().next_back().unwrap_or_default().to_owned();
             return Err(MeasureError::Failed { status, last_line });
         }
@@ -138,7 +138,7 @@
     }
 }
 
-/// Waits until a process has ended. Kills it after [`MEASURE_TIMEOUT`].
+/// Waits until a process has ended, and kills it if it has not ended after [`MEASURE_TIMEOUT`].
 fn wait_with_timeout(child: &mut Child) -> Result<ExitStatus, MeasureError> {
     let started = Instant::now();
     loop {
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -3,7 +3,7 @@
 //!
 //! A server occupies a *slot*: a position in a rack that belongs to a service. A replacement occupies the
 //! same slot under a new name and number. The number of a server is its index in the catalogue. Names encode
-//! the numbers, so that emulated nodes don't have to store names.
+//! the numbers, so that emulated nodes do not have to store names.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -73,7 +73,7 @@
     Left,
 }
 
-/// What happens to a request to a server. This is independent of the state that discovery lists.
+/// Whether and how a server responds to requests. This is independent of the state that discovery lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
     /// The server responds.
@@ -87,7 +87,7 @@
 /// A server that is or was in the fleet.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// The slot that it occupies.
+    /// The slot that the server occupies, or occupied before its replacement.
     pub slot: usize,
     /// The listed state.
     pub phase: Phase,
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Creates a catalogue whose addresses have no listeners. It is used to measure lists, to which nobody
-    /// connects.
+    /// Creates a catalogue whose addresses have no listeners, for measurements of lists whose servers are
+    /// never called.
     #[must_use]
     pub fn without_listeners(size: Size) -> Self {
         let address = |rack: usize| {
--- a/crates/node-emulator/src/counters.rs
+++ b/crates/node-emulator/src/counters.rs
@@ -56,7 +56,7 @@
     pub max_ms: f64,
 }
 
-/// How a version of the server list propagated to the nodes.
+/// Propagation of a version of the server list to the nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VersionPropagation {
     /// Number of nodes that went from an older version to this one or a newer one.
@@ -85,25 +85,25 @@
     /// Time during which nodes had a version that was not the newest, summed over nodes. It is added when a
     /// node applies a newer version.
     pub behind: Duration,
-    /// Lists from discovery that were applied, complete or not.
+    /// Number of lists from discovery that were applied, complete or not.
     pub list_responses: u64,
-    /// Complete lists from discovery that were applied.
+    /// Number of complete lists from discovery that were applied.
     pub complete_lists: u64,
-    /// Calls to discovery that failed or were not answered.
+    /// Number of calls to discovery that failed or received no response.
     pub failed_calls: u64,
-    /// Starts of nodes, restarts included.
+    /// Number of starts of nodes, including restarts.
     pub starts: u64,
-    /// Requests that arrived from clients.
+    /// Number of requests that arrived from clients.
     pub requests: u64,
-    /// Requests whose client received the response of a server.
+    /// Number of requests whose client received the response of a server.
     pub served: u64,
-    /// Requests that were rejected. They were not executed, so the client may safely retry them.
+    /// Number of requests that were rejected. They were not executed, so a client may safely retry them.
     pub rejected: u64,
-    /// Requests that failed and may have been executed.
+    /// Number of requests that failed and may have been executed.
     pub failed: u64,
-    /// Attempts sent to servers.
+    /// Number of attempts that were sent to servers.
     pub sends: u64,
-    /// Probes sent to servers.
+    /// Number of load probes that were sent to servers.
     pub probes: u64,
 }
 
--- a/crates/node-emulator/src/node/emulated_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -88,7 +88,7 @@
         self.pending_requests.borrow_mut().clear();
     }
 
-    /// Reads the first list and then follows discovery until the task is aborted.
+    /// Reads the first list and then polls discovery for changes until the task is aborted.
     pub(super) async fn follow(self: Rc<Self>) {
         let connection = {
             let _permit = self.thread.start_permits.acquire().await;
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -52,8 +52,8 @@
 }
 
 impl Quantity {
-    /// Whether the quantity is an amount of memory. Those are measured before all others: memory that other
-    /// measurements have freed would be reused, and the growth of the process would be too low.
+    /// Whether the quantity is an amount of memory. Memory is measured before all other quantities: otherwise
+    /// the process would reuse memory that they have freed, and its growth would be too low.
     pub(crate) fn is_memory(self) -> bool {
         matches!(self, Self::TenantMemory | Self::BalancerMemory | Self::NodeMemory)
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// What the size counts, such as servers or tenants.
+    /// Returns the name of the objects that the size counts, such as servers or tenants.
     #[must_use]
     pub fn size_unit(self) -> &'static str {
         match self {
--- a/crates/node-emulator/src/report.rs
+++ b/crates/node-emulator/src/report.rs
@@ -12,7 +12,7 @@
 use crate::traffic::TrafficTotals;
 use crate::usage::Memory;
 
-/// The report could not be written. A previous report at the same path is unchanged.
+/// Error of a report that cannot be written. A previous report at the same path is unchanged.
 #[derive(Debug, thiserror::Error)]
 #[error("cannot write the report {path}: {source}")]
 pub struct ReportError {
@@ -28,9 +28,9 @@
     pub command: &'static str,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// The commit that was checked out in the working folder at the start of the run, or `unknown`.
+    /// The commit that was checked out in the working directory at the start of the run, or `unknown`.
     pub commit: String,
-    /// Whether files in the working folder differed from that commit.
+    /// Whether files in the working directory differed from that commit.
     pub modified: bool,
     /// The options of the run, and the scenario of `play`.
     pub settings: S,
@@ -45,20 +45,20 @@
 }
 
 impl<S: Serialize, R: Serialize> Report<S, R> {
-    /// Writes the report to a temporary file in the folder of `path`, and renames that to `path`.
+    /// Writes the report to a temporary file in the directory of `path`, and renames the file to `path`.
     ///
     /// # Errors
     ///
-    /// Fails if the folder cannot be created or written to, or if a value cannot be serialized.
+    /// Fails if the directory cannot be created or written to, or if a value cannot be serialized.
     pub fn write(&self, path: &Path) -> Result<(), ReportError> {
         write_atomically(path, self).map_err(|source| ReportError { path: path.to_owned(), source })
     }
 }
 
 fn write_atomically(path: &Path, report: &impl Serialize) -> io::Result<()> {
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    fs::create_dir_all(folder)?;
-    let mut file = BufWriter::new(NamedTempFile::new_in(folder)?);
+    let directory = path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    fs::create_dir_all(directory)?;
+    let mut file = BufWriter::new(NamedTempFile::new_in(directory)?);
     serde_json::to_writer_pretty(&mut file, report)?;
     file.write_all(b"\n")?;
     // On an error, here or above, the temporary file is dropped and thereby deleted.
@@ -68,8 +68,8 @@
     Ok(())
 }
 
-/// Returns the commit that is checked out in the working folder, or `unknown`, and whether files differ from
-/// it.
+/// Returns the commit that is checked out in the working directory, or `unknown`, and whether files differ
+/// from it.
 #[must_use]
 pub fn checked_out_commit() -> (String, bool) {
     let git = |arguments: &[&str]| {
--- a/crates/node-emulator/src/scenario/file.rs
+++ b/crates/node-emulator/src/scenario/file.rs
@@ -43,7 +43,7 @@
     pub(super) log_entries: Option<Spanned<usize>>,
 }
 
-/// An event with the keys of all kinds of events. `event.rs` checks that only those of its kind are present.
+/// An event with the keys of all kinds of events. `event.rs` checks that only keys of its kind are present.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawEvent {
--- a/crates/node-emulator/src/scenario/mod.rs
+++ b/crates/node-emulator/src/scenario/mod.rs
@@ -13,7 +13,7 @@
 use self::check::{check_scenario, from_toml_error, line_number};
 use crate::catalogue::Size;
 
-/// A scenario file cannot be read or is invalid.
+/// Error of a scenario file that cannot be read or is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
@@ -33,7 +33,7 @@
         line: usize,
         /// Name of the invalid key.
         key: String,
-        /// Why the key or its value is invalid.
+        /// Reason for which the key or its value is invalid.
         reason: String,
     },
 }
@@ -86,7 +86,7 @@
 pub struct Event {
     /// Time at which the event begins, in seconds from the start of the run.
     pub at_s: f64,
-    /// What happens, and the parameters of that.
+    /// Kind of the event with its parameters.
     #[serde(flatten)]
     pub kind: EventKind,
 }
@@ -148,7 +148,7 @@
         /// Time over which the restarts are evenly distributed.
         over_s: f64,
     },
-    /// The configuration of randomly chosen services changes.
+    /// The configuration of randomly selected services changes.
     ConfigurationStorm {
         /// Number of changes.
         changes: usize,
--- a/crates/node-emulator/src/scenario_run/mod.rs
+++ b/crates/node-emulator/src/scenario_run/mod.rs
@@ -48,7 +48,7 @@
     pub start_timeout_s: u64,
 }
 
-/// A scenario could not be run completely.
+/// Error of a scenario that could not be run completely.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioRunError {
     /// The estimated memory is over the limit.
@@ -117,7 +117,8 @@
     Err(ScenarioRunError::TooLarge { nodes, servers, need_mb, limit_mb: options.memory_mb })
 }
 
-/// Number of file descriptors that a run requires. Both ends of every connection belong to this process.
+/// Returns the number of file descriptors that a run requires. Both ends of every connection belong to this
+/// process.
 fn required_descriptors(scenario: &Scenario, options: RunOptions) -> u64 {
     let size = scenario.size;
     let load = scenario.load;
--- a/crates/node-emulator/src/scenario_run/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -34,7 +34,7 @@
     commands: Vec<mpsc::UnboundedSender<NodeCommand>>,
     /// Becomes true when the clients start to send requests, and stays true.
     pub(super) clients_started: watch::Sender<bool>,
-    /// Becomes true when all threads shall end.
+    /// Becomes true when all threads must end.
     shutdown: watch::Sender<bool>,
     threads: Vec<JoinHandle<io::Result<()>>>,
 }
--- a/crates/node-emulator/src/scenario_run/step.rs
+++ b/crates/node-emulator/src/scenario_run/step.rs
@@ -15,10 +15,10 @@
         });
     }
 
-    /// Executes a step. `batches` has the draining servers of each batch of a rolling replacement that is in
-    /// progress.
+    /// Executes a step. `batches` contains the draining servers of each batch of a rolling replacement that
+    /// has not been retired yet.
     pub(super) fn execute(&self, step: &Step, batches: &mut HashMap<usize, Vec<usize>>) {
-        tracing::debug!(?step, "step");
+        tracing::debug!(?step, "executing a step of the scenario");
         let up_since = self.world.now_ms() as u64;
         match step {
             Step::Drain(slots) => {
--- a/crates/node-emulator/src/slopes/decisions.rs
+++ b/crates/node-emulator/src/slopes/decisions.rs
@@ -30,10 +30,10 @@
 /// Measures the time in which settings with this number of tenants are decoded and a `Balancer` is created
 /// from them.
 pub(super) fn tenant_start(tenants: usize, repeats: usize) -> Result<Vec<f64>, SlopesError> {
-    let parties: Vec<_> =
+    let tenant_entries: Vec<_> =
         (0..tenants).map(|i| json!({ "name": format!("tenant-{i}"), "quota_per_s": 10.0 })).collect();
     let classes = json!([{ "name": "all", "aim_ms": 80.0, "deadline_ms": 400.0, "effect": "safe" }]);
-    let text = json!({ "classes": classes, "parties": parties }).to_string();
+    let text = json!({ "classes": classes, "parties": tenant_entries }).to_string();
     let measure = |_| {
         let started_at = Instant::now();
         let facts = serde_json::Value::deserialize(&mut serde_json::Deserializer::from_str(&text));
--- a/crates/node-emulator/src/slopes/discovery_cost.rs
+++ b/crates/node-emulator/src/slopes/discovery_cost.rs
@@ -197,7 +197,7 @@
     }
 
     fn drain_grace(&self) -> Duration {
-        // The discovery client limits a call to a quarter of this time.
+        // The discovery client limits a call to a quarter of this time, at most 1.5 s.
         Duration::from_secs(8)
     }
 
--- a/crates/node-emulator/src/slopes/mod.rs
+++ b/crates/node-emulator/src/slopes/mod.rs
@@ -44,7 +44,7 @@
     pub baseline: Option<PathBuf>,
 }
 
-/// A quantity could not be measured.
+/// Error of a quantity that could not be measured.
 #[derive(Debug, thiserror::Error)]
 pub enum SlopesError {
     /// The estimated memory for a size exceeds the limit.
@@ -99,7 +99,7 @@
     pub quantity: Quantity,
     /// The unit of the values.
     pub unit: &'static str,
-    /// What the sizes count, such as servers.
+    /// Name of the objects that the sizes count, such as servers.
     pub against: &'static str,
     /// The measurements, in the order of the sizes.
     pub points: Vec<Point>,
@@ -113,10 +113,10 @@
 /// The measurements of a quantity with an earlier build.
 #[derive(Clone, Debug, Serialize)]
 pub struct Baseline {
-    /// The commit in the report of the earlier build, which is the one checked out in the folder of its
-    /// binary.
+    /// The commit in the report of the earlier build, which is the one checked out in the directory of
+    /// its binary.
     pub commit: String,
-    /// Whether files in that folder differed from the commit.
+    /// Whether files in that directory differed from the commit.
     pub modified: bool,
     /// The measurements, at the same sizes as those of this build.
     pub points: Vec<Point>,
@@ -249,7 +249,7 @@
     for &size in sizes {
         let mut values = [Vec::new(), Vec::new()];
         for round in 0..repeats {
-            // The builds alternate also in being measured first.
+            // Each build is measured first in every second round.
             for side in [round % 2, 1 - round % 2] {
                 let measured_point = builds[side].measure(quantity, size, options.seed, options.memory_mb)?;
                 values[side].extend(measured_point.value);
@@ -278,8 +278,8 @@
 
 /// Checks a size. `states` is the memory in bytes of all objects that are retained to measure memory.
 fn check_size(size: usize, states: usize, limit_mb: u64) -> Result<(), SlopesError> {
-    // The catalogue, its list in encoded form, in decoded form and as entries of the `Balancer`, and the
-    // retained objects.
+    // The estimate includes the catalogue, its list in encoded form, in decoded form and as entries of the
+    // `Balancer`, and the retained objects.
     let need_mb = (size.saturating_mul(4 * STATE_BYTES).saturating_add(states) >> 20) as u64;
     match size {
         0 => Err(SlopesError::ZeroSize),
@@ -292,7 +292,7 @@
     time.as_secs_f64() * 1e6
 }
 
-/// Returns the median, minimum and maximum of measured values.
+/// Computes the median, minimum and maximum of measured values.
 fn new_point(size: usize, mut values: Vec<f64>) -> Point {
     values.sort_by(f64::total_cmp);
     Point {
--- a/crates/node-emulator/src/steps.rs
+++ b/crates/node-emulator/src/steps.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Replaces a random fraction `part` of the servers in batches that start evenly distributed over
-    /// `over_s`.
+    /// Adds steps that replace a random fraction `part` of the servers, in batches whose starts are evenly
+    /// distributed over `over_s`.
     fn rolling_replacement(&mut self, at: f64, part: f64, batches: usize, over_s: f64, drain_s: f64) {
         let size = self.scenario.size;
         let mut slots: Vec<usize> = (0..size.servers).collect();
@@ -154,16 +154,16 @@
         }
     }
 
-    /// Sets the weight of a random service to a random value from 0.5 to 1.5.
+    /// Adds a step that sets the weight of a random service to a random value from 0.5 to 1.5.
     fn set_service_weight(&mut self, at: f64) {
         let service = self.random.usize(0..self.scenario.size.services);
         let weight = 0.5 + f64::from(self.random.u8(0..=10)) / 10.0;
         self.push(at, Step::SetServiceWeight { service, weight });
     }
 
-    /// Machines stop responding at `at`. After `noticed_s` discovery removes their servers from the list,
-    /// unless the machines come back before. After `for_s` the servers are listed again, with a new start
-    /// time: they warm up.
+    /// Adds the steps of a failure of machines. The machines stop responding at `at`. After `noticed_s`
+    /// discovery removes their servers from the list, unless the machines have returned before. After `for_s`
+    /// the servers are listed with a new start time, which makes them warm up.
     fn fail_machines(&mut self, at: f64, slots: &[usize], noticed_s: f64, for_s: f64) {
         self.push(at, Step::StopResponding(slots.to_vec()));
         if noticed_s < for_s {
@@ -172,7 +172,8 @@
         self.push(at + for_s, Step::Return(slots.to_vec()));
     }
 
-    /// Generates independent Poisson processes of failures, restarts and configuration changes.
+    /// Adds the steps of failures, restarts and configuration changes, whose times are independent Poisson
+    /// processes.
     fn ordinary_day(&mut self, at: f64, for_s: f64, speed: f64) {
         let event_times = |per_day: f64, random: &mut fastrand::Rng| {
             let mut times = Vec::new();
--- a/crates/node-emulator/src/traffic.rs
+++ b/crates/node-emulator/src/traffic.rs
@@ -20,13 +20,13 @@
 /// Values of [`Traffic`] at one point in time, or the difference of two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficTotals {
-    /// Bytes received on the connections, including the heads of requests.
+    /// Number of bytes received on the connections, including the heads of requests.
     pub received_bytes: u64,
-    /// Bytes sent on the connections, including the heads of responses.
+    /// Number of bytes sent on the connections, including the heads of responses.
     pub sent_bytes: u64,
-    /// Requests received, whether they have a response yet or not.
+    /// Number of requests received, whether or not they have a response yet.
     pub messages: u64,
-    /// Connections that were accepted.
+    /// Number of connections that were accepted.
     pub connections: u64,
 }
 
--- a/crates/node-emulator/src/usage.rs
+++ b/crates/node-emulator/src/usage.rs
@@ -8,7 +8,8 @@
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 
-/// The number of required file descriptors exceeds the hard limit, or the limit cannot be raised.
+/// Error when the number of required file descriptors exceeds the hard limit, or the soft limit cannot be
+/// raised.
 #[derive(Debug, thiserror::Error)]
 #[error("{required} file descriptors are required and {limit} are allowed: raise the hard limit (`ulimit -Hn`) or use fewer nodes")]
 pub struct TooFewDescriptors {
@@ -60,7 +61,7 @@
 pub fn cpu_seconds_by_role() -> BTreeMap<String, f64> {
     let mut roles = BTreeMap::new();
     for task in fs::read_dir("/proc/self/task").into_iter().flatten().flatten() {
-        // The files are missing if the thread has ended since the folder was listed.
+        // The files are missing if the thread has ended since the directory was listed.
         let Ok(name) = fs::read_to_string(task.path().join("comm")) else { continue };
         let Ok(stat) = fs::read_to_string(task.path().join("stat")) else { continue };
         let role = name.trim().split('-').next().unwrap_or_default().to_owned();
--- a/crates/node-emulator/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -46,36 +46,36 @@
 /// Counts of the responses of discovery and of the requests to servers, by kind.
 #[derive(Debug, Default)]
 pub struct ResponseCounts {
-    /// Complete lists that discovery sent.
+    /// Number of complete lists that discovery sent.
     pub complete_lists: AtomicU64,
-    /// Responses of discovery that contain changes.
+    /// Number of responses of discovery that contain changes.
     pub change_answers: AtomicU64,
-    /// Responses of discovery to long polls that ended without a change.
+    /// Number of responses of discovery to long polls that ended without a change.
     pub unchanged_answers: AtomicU64,
-    /// Requests to servers whose processes had ended.
+    /// Number of requests to servers whose processes had ended.
     pub sends_to_left: AtomicU64,
-    /// Requests to draining servers.
+    /// Number of requests to draining servers.
     pub sends_to_draining: AtomicU64,
-    /// Requests to unresponsive or partitioned servers.
+    /// Number of requests to unresponsive or partitioned servers.
     pub sends_to_unresponsive: AtomicU64,
 }
 
 /// Values of [`ResponseCounts`] at one point in time, or the difference of two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ResponseTotals {
-    /// Complete lists that discovery sent.
+    /// Number of complete lists that discovery sent.
     #[serde(rename = "whole_lists")]
     pub complete_lists: u64,
-    /// Responses of discovery that contain changes.
+    /// Number of responses of discovery that contain changes.
     pub change_answers: u64,
-    /// Responses of discovery to long polls that ended without a change.
+    /// Number of responses of discovery to long polls that ended without a change.
     #[serde(rename = "no_news_answers")]
     pub unchanged_answers: u64,
-    /// Requests to servers whose processes had ended.
+    /// Number of requests to servers whose processes had ended.
     pub sends_to_left: u64,
-    /// Requests to draining servers.
+    /// Number of requests to draining servers.
     pub sends_to_draining: u64,
-    /// Requests to unresponsive or partitioned servers.
+    /// Number of requests to unresponsive or partitioned servers.
     #[serde(rename = "sends_to_silent")]
     pub sends_to_unresponsive: u64,
 }
@@ -96,7 +96,7 @@
 }
 
 impl World {
-    /// Returns the state at the start of a run, without any faults.
+    /// Creates the state at the start of a run, without any faults.
     #[must_use]
     pub fn new(catalogue: Catalogue) -> Self {
         let region = |_| Region { responsive: watch::Sender::new(true), partitioned: AtomicBool::new(false) };
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Unix time in milliseconds. It is monotonic: adjustments of the system clock do not affect it.
+    /// Returns the Unix time in milliseconds. It is monotonic: adjustments of the system clock do not affect
+    /// it.
     #[must_use]
     pub fn now_ms(&self) -> f64 {
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
@@ -160,7 +161,7 @@
         self.set_discovery_responsive(region, !partitioned);
     }
 
-    /// What happens to a request that a node in region `from` sends to a server.
+    /// Returns whether and how a server responds to a request of a node in region `from`.
     #[must_use]
     pub fn reachability(&self, from: usize, number: usize) -> Reachability {
         let mut catalogue = self.catalogue();
@@ -194,7 +195,9 @@
 ) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(error) => return tracing::error!(%error, "cannot accept connections of a listener"),
+        Err(error) => {
+            return tracing::error!(%error, "cannot accept connections: the listener cannot be registered")
+        }
     };
     loop {
         match listener.accept().await {
--- a/crates/node-emulator/tests/catalogue.rs
+++ b/crates/node-emulator/tests/catalogue.rs
@@ -78,7 +78,7 @@
     assert_eq!(catalogue.changes_since(3).members, 3);
     assert!(catalogue.changes_since(2).complete);
     assert!(catalogue.changes_since(7).complete, "version 7 does not exist");
-    // The log has lost some of the changes of version 7. The changes since version 6 can't be taken from it.
+    // The log no longer contains all changes of version 7, so the changes since version 6 are not available.
     catalogue.set_service_weight(1, 2.0);
     assert!(catalogue.changes_since(6).complete);
     assert!(!catalogue.changes_since(7).complete);
@@ -139,12 +139,12 @@
         if before != Some(list.revision) {
             self.updates
                 .send(Some((list.revision, list.complete, list.members.len())))
-                .expect("the test holds the receiver");
+                .expect("the receiver still exists");
         }
     }
 
     fn unavailable(self: &Rc<Self>) {
-        self.updates.send(None).expect("the test holds the receiver");
+        self.updates.send(None).expect("the receiver still exists");
         self.update_requested.notify_one();
     }
 }
@@ -190,5 +190,5 @@
         world.change(|catalogue| catalogue.restart(&[0, 1, 2, 3, 4, 5], 2_000));
         assert_eq!(received.recv().await, Some(Some((5, true, 20))));
     });
-    // The client sent no requests other than those answered above and those left open during the outage.
+    // Apart from the calls above, the client has only sent calls that stayed open during the outage.
 }
--- a/crates/node-emulator/tests/commands.rs
+++ b/crates/node-emulator/tests/commands.rs
@@ -59,14 +59,14 @@
 for_s = 0.5
 "#;
 
-/// Runs the emulator in a folder and waits until it has ended.
-fn run_emulator(folder: &Path, arguments: &[&str]) -> Output {
+/// Runs the emulator in a directory and waits until it has ended.
+fn run_emulator(directory: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_node-emulator"));
-    // Git must not find a repository in a parent of the folder.
+    // Git must not find a repository in a parent of the directory.
     command
-        .env("GIT_CEILING_DIRECTORIES", folder.parent().expect("the folder has a parent"))
+        .env("GIT_CEILING_DIRECTORIES", directory.parent().expect("the directory has a parent"))
         .env_remove("GIT_DIR");
-    command.current_dir(folder).args(arguments).output().expect("the emulator can be started")
+    command.current_dir(directory).args(arguments).output().expect("the emulator can be started")
 }
 
 fn text(bytes: &[u8]) -> &str {
@@ -81,16 +81,16 @@
 
 #[test]
 fn a_run_of_all_events_ends_with_all_nodes_on_the_newest_version() {
-    let folder = tempfile::tempdir().expect("a temporary folder can be created");
-    std::fs::write(folder.path().join("all.toml"), SCENARIO_WITH_ALL_EVENTS)
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
+    std::fs::write(directory.path().join("all.toml"), SCENARIO_WITH_ALL_EVENTS)
         .expect("the file can be written");
     let run =
-        run_emulator(folder.path(), &["--log-format", "json", "play", "all.toml", "--node-threads", "2"]);
+        run_emulator(directory.path(), &["--log-format", "json", "play", "all.toml", "--node-threads", "2"]);
     assert!(run.status.success(), "{}", text(&run.stderr));
     for line in text(&run.stderr).lines() {
         assert!(serde_json::from_str::<Value>(line).is_ok_and(|line| line["level"].is_string()), "{line}");
     }
-    let report = read_report(&folder.path().join("logs/play-all.json"));
+    let report = read_report(&directory.path().join("logs/play-all.json"));
     assert_eq!((&report["seed"], &report["commit"]), (&5.into(), &"unknown".into()));
     assert_eq!(report["settings"]["scenario"]["events"][1]["rack"], 1);
     let results = &report["results"];
@@ -133,11 +133,11 @@
 
 #[test]
 fn slopes_have_all_points_in_order_and_a_fitted_line() {
-    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let arguments = ["slopes", "--sizes", "20,40,80,160", "--repeats", "2", "--report", "out/slopes.json"];
-    let run = run_emulator(folder.path(), &arguments);
+    let run = run_emulator(directory.path(), &arguments);
     assert!(run.status.success(), "{}", text(&run.stderr));
-    let report = read_report(&folder.path().join("out/slopes.json"));
+    let report = read_report(&directory.path().join("out/slopes.json"));
     let slopes = report["results"].as_array().expect("the results are a list of slopes");
     let slope_of = |name: &str| {
         let slope = slopes.iter().find(|slope| slope["quantity"] == name);
@@ -170,12 +170,12 @@
 
 #[test]
 fn a_baseline_is_measured_at_the_same_sizes_and_as_often_as_this_build() {
-    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let arguments = ["slopes", "--quantity", "request", "--quantity", "list-bytes", "--sizes", "40,80"];
     let baseline = |binary| [&arguments[..], &["--repeats", "3", "--baseline", binary]].concat();
-    let run = run_emulator(folder.path(), &baseline(env!("CARGO_BIN_EXE_node-emulator")));
+    let run = run_emulator(directory.path(), &baseline(env!("CARGO_BIN_EXE_node-emulator")));
     assert!(run.status.success(), "{}", text(&run.stderr));
-    let report = read_report(&folder.path().join("logs/slopes.json"));
+    let report = read_report(&directory.path().join("logs/slopes.json"));
     let slopes = report["results"].as_array().expect("the results are a list of slopes");
     assert_eq!(slopes.iter().map(|slope| &slope["quantity"]).collect::<Vec<_>>(), ["request", "list-bytes"]);
     for (slope, count) in slopes.iter().zip([3, 1]) {
@@ -194,27 +194,27 @@
     let lines: Vec<_> = text(&run.stdout).lines().collect();
     assert!(lines[0].starts_with("request (us by servers):") && lines[2].starts_with("  baseline "));
     // If a build cannot be run, fails or writes no report, the error says so and the previous report is kept.
-    let previous = std::fs::read(folder.path().join("logs/slopes.json")).expect("the report can be read");
+    let previous = std::fs::read(directory.path().join("logs/slopes.json")).expect("the report can be read");
     for (binary, message) in
         [("none", "cannot run the build none"), ("/bin/false", "request at 40: exit status: 1")]
     {
-        let run = run_emulator(folder.path(), &baseline(binary));
+        let run = run_emulator(directory.path(), &baseline(binary));
         assert_eq!(run.status.code(), Some(1));
         assert!(text(&run.stderr).contains(message), "{}", text(&run.stderr));
     }
-    let run = run_emulator(folder.path(), &baseline("/bin/true"));
+    let run = run_emulator(directory.path(), &baseline("/bin/true"));
     assert!(text(&run.stderr).contains("request at 40: no report"), "{}", text(&run.stderr));
     assert_eq!(
-        std::fs::read(folder.path().join("logs/slopes.json")).expect("the report can be read"),
+        std::fs::read(directory.path().join("logs/slopes.json")).expect("the report can be read"),
         previous
     );
 }
 
 #[test]
 fn invalid_runs_print_an_error_and_write_no_report() {
-    let folder = tempfile::tempdir().expect("a temporary folder can be created");
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let write = |name: &str, from: &str, to: &str| {
-        std::fs::write(folder.path().join(name), SCENARIO_WITH_ALL_EVENTS.replacen(from, to, 1))
+        std::fs::write(directory.path().join(name), SCENARIO_WITH_ALL_EVENTS.replacen(from, to, 1))
             .expect("the file can be written");
     };
     write("bad.toml", "rack = 1", "rack = 4");
@@ -233,10 +233,10 @@
         (&["slopes", "--quantity", "list-bytes", "--sizes", "4,1000000000"], "and 12288 are allowed"),
     ];
     for (arguments, message) in cases {
-        let run = run_emulator(folder.path(), arguments);
+        let run = run_emulator(directory.path(), arguments);
         assert_eq!(run.status.code(), Some(1), "{arguments:?}");
         assert!(text(&run.stderr).contains(message), "{arguments:?}: {}", text(&run.stderr));
         assert!(run.stdout.is_empty());
     }
-    assert!(!folder.path().join("logs").exists());
+    assert!(!directory.path().join("logs").exists());
 }
--- a/crates/node-emulator/tests/report.rs
+++ b/crates/node-emulator/tests/report.rs
@@ -34,9 +34,9 @@
     }
 }
 
-/// Returns the names of the files in a folder.
-fn file_names(folder: &Path) -> Vec<String> {
-    let names = std::fs::read_dir(folder).expect("the folder can be read");
+/// Returns the names of the files in a directory.
+fn file_names(directory: &Path) -> Vec<String> {
+    let names = std::fs::read_dir(directory).expect("the directory can be read");
     names
         .map(|file| {
             file.expect("the entry can be read").file_name().into_string().expect("the name is UTF-8")
@@ -46,8 +46,8 @@
 
 #[test]
 fn a_report_that_cannot_be_serialized_keeps_the_previous_report_and_leaves_no_other_file() {
-    let folder = tempfile::tempdir().expect("the folder can be created");
-    let path = folder.path().join("deep/report.json");
+    let directory = tempfile::tempdir().expect("the directory can be created");
+    let path = directory.path().join("deep/report.json");
     new_report(41).write(&path).expect("the report can be written");
     let previous = std::fs::read_to_string(&path).expect("the report can be read");
     let read: serde_json::Value = serde_json::from_str(&previous).expect("the report is JSON");
@@ -64,12 +64,12 @@
 
 #[test]
 fn a_report_that_cannot_be_renamed_leaves_no_temporary_file() {
-    let folder = tempfile::tempdir().expect("the folder can be created");
-    let path = folder.path().join("report.json");
-    // A folder that is not empty occupies the path, so that the rename fails.
-    std::fs::create_dir_all(path.join("taken")).expect("the folder can be created");
+    let directory = tempfile::tempdir().expect("the directory can be created");
+    let path = directory.path().join("report.json");
+    // A directory that is not empty occupies the path, so that the rename fails.
+    std::fs::create_dir_all(path.join("taken")).expect("the directory can be created");
     assert!(new_report(1).write(&path).is_err());
-    assert_eq!(file_names(folder.path()), ["report.json"]);
+    assert_eq!(file_names(directory.path()), ["report.json"]);
 }
 
 #[test]
--- a/crates/node-emulator/tests/scenario.rs
+++ b/crates/node-emulator/tests/scenario.rs
@@ -72,9 +72,9 @@
 
 #[test]
 fn the_shipped_scenarios_are_valid_and_contain_every_kind_of_event() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut kinds = Vec::new();
-    for file in std::fs::read_dir(folder).expect("the folder can be read") {
+    for file in std::fs::read_dir(directory).expect("the directory can be read") {
         let path = file.expect("the entry can be read").path();
         let scenario = Scenario::read(&path).unwrap_or_else(|error| panic!("{error}"));
         assert_eq!(path.file_stem().and_then(|stem| stem.to_str()), Some(scenario.name.as_str()));
