--- a/crates/node-emulator/src/node/emulated_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -61,7 +61,7 @@
         let mut settings = thread.config.settings.clone();
         (settings.nodes, settings.node_index, settings.zone) = (size.nodes, number, zone);
         let balancer = Balancer::new(settings, thread.config.seed ^ number as u64)?;
-        thread.known_versions.set(number, 0);
+        thread.node_versions.set(number, 0);
         lock(&thread.counters).starts += 1;
         let node = Rc::new(Self {
             thread: Rc::clone(thread),
@@ -310,7 +310,7 @@
             Some(_) => {}
         }
         drop(counters);
-        self.thread.known_versions.set(self.number, revision);
+        self.thread.node_versions.set(self.number, revision);
         self.execute(actions);
     }
 
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -62,9 +62,9 @@
 
 /// The version of the server list that each node has, by node; 0 for a node without a list.
 #[derive(Debug)]
-pub struct KnownVersions(Vec<std::sync::atomic::AtomicU64>);
+pub struct NodeVersions(Vec<std::sync::atomic::AtomicU64>);
 
-impl KnownVersions {
+impl NodeVersions {
     /// Creates the versions of nodes that have no list yet.
     #[must_use]
     pub fn new(nodes: usize) -> Self {
@@ -87,7 +87,7 @@
     config: Arc<NodeConfig>,
     world: Arc<World>,
     counters: SharedCounters,
-    known_versions: Arc<KnownVersions>,
+    node_versions: Arc<NodeVersions>,
     clients_started: watch::Receiver<bool>,
     mut commands: mpsc::UnboundedReceiver<NodeCommand>,
 ) {
@@ -98,7 +98,7 @@
         counters,
         idle: RefCell::default(),
         clients_started,
-        known_versions,
+        node_versions,
         start_permits: Semaphore::new(MAX_CONCURRENT_STARTS),
     });
     tokio::task::spawn_local(Rc::clone(&thread).measure_wake_up_delay());
--- a/crates/node-emulator/src/node/thread.rs
+++ b/crates/node-emulator/src/node/thread.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::timeout;
 
-use super::{lock, KnownVersions, NodeConfig, SharedCounters};
+use super::{lock, NodeConfig, NodeVersions, SharedCounters};
 use crate::catalogue;
 use crate::world::World;
 
@@ -44,7 +44,7 @@
     pub(super) clients_started: watch::Receiver<bool>,
     /// The versions that the nodes have. The run reads them to determine whether all nodes have the newest
     /// one.
-    pub(super) known_versions: Arc<KnownVersions>,
+    pub(super) node_versions: Arc<NodeVersions>,
     /// Limits concurrent reads of first lists to [`MAX_CONCURRENT_STARTS`](super::MAX_CONCURRENT_STARTS).
     pub(super) start_permits: Semaphore,
 }
--- a/crates/node-emulator/src/scenario_run/results.rs
+++ b/crates/node-emulator/src/scenario_run/results.rs
@@ -116,7 +116,7 @@
         let now = Instant::now();
         let catalogue = self.world.catalogue();
         let (mut nodes, mut behind) = (0, Duration::ZERO);
-        for version in self.known_versions.versions().filter(|version| *version < catalogue.revision()) {
+        for version in self.node_versions.versions().filter(|version| *version < catalogue.revision()) {
             nodes += 1;
             let superseded_at = catalogue.published_at(version.max(first) + 1);
             behind += superseded_at
--- a/crates/node-emulator/src/scenario_run/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -13,7 +13,7 @@
 use super::{RunOptions, ScenarioRunError};
 use crate::catalogue::Catalogue;
 use crate::counters::NodeCounters;
-use crate::node::{self, KnownVersions, NodeCommand, NodeConfig, SharedCounters};
+use crate::node::{self, NodeCommand, NodeConfig, NodeVersions, SharedCounters};
 use crate::scenario::Scenario;
 use crate::world::{self, World};
 use crate::{discovery, server};
@@ -27,7 +27,7 @@
 pub(super) struct RunningFleet {
     pub(super) world: Arc<World>,
     /// The version of the list that each node has.
-    pub(super) known_versions: Arc<KnownVersions>,
+    pub(super) node_versions: Arc<NodeVersions>,
     /// The counters of each thread of nodes.
     pub(super) counters: Vec<SharedCounters>,
     /// The command channel of each thread of nodes.
@@ -77,7 +77,7 @@
         };
         let mut fleet = Self {
             world: Arc::new(World::new(catalogue)),
-            known_versions: Arc::new(KnownVersions::new(size.nodes)),
+            node_versions: Arc::new(NodeVersions::new(size.nodes)),
             counters: Vec::new(),
             commands: Vec::new(),
             clients_started: watch::Sender::new(false),
@@ -121,12 +121,12 @@
         let counters: SharedCounters = Arc::new(Mutex::new(NodeCounters::default()));
         let (commands, received) = mpsc::unbounded_channel();
         let (config, world) = (Arc::clone(config), Arc::clone(&self.world));
-        let (known_versions, clients_started) =
-            (Arc::clone(&self.known_versions), self.clients_started.subscribe());
+        let (node_versions, clients_started) =
+            (Arc::clone(&self.node_versions), self.clients_started.subscribe());
         self.counters.push(Arc::clone(&counters));
         self.commands.push(commands);
         self.spawn(&format!("node-{thread}"), move || {
-            node::run(config, world, counters, known_versions, clients_started, received)
+            node::run(config, world, counters, node_versions, clients_started, received)
         })
     }
 
@@ -169,12 +169,12 @@
 
     /// Returns the number of nodes that have no list yet.
     pub(super) fn count_without_list(&self) -> usize {
-        self.known_versions.versions().filter(|version| *version == 0).count()
+        self.node_versions.versions().filter(|version| *version == 0).count()
     }
 
     /// Returns the number of nodes that do not have the newest version.
     pub(super) fn count_behind(&self) -> usize {
         let newest = self.world.catalogue().revision();
-        self.known_versions.versions().filter(|version| *version < newest).count()
+        self.node_versions.versions().filter(|version| *version < newest).count()
     }
 }
--- a/crates/node-emulator/src/scenario_run/step.rs
+++ b/crates/node-emulator/src/scenario_run/step.rs
@@ -43,9 +43,9 @@
                 self.world.change(|c| c.set_service_weight(*service, *weight))
             }
             Step::Partition { region, partitioned } => self.world.set_partitioned(*region, *partitioned),
-            Step::DiscoveryAnswering(answering) => {
+            Step::SetDiscoveryResponsive(responsive) => {
                 (0..self.world.catalogue().size().regions)
-                    .for_each(|region| self.world.set_discovery_responsive(region, *answering));
+                    .for_each(|region| self.world.set_discovery_responsive(region, *responsive));
             }
             Step::RestartNodes(nodes) => nodes.iter().for_each(|node| self.start_node(*node)),
         }
--- a/crates/node-emulator/src/steps.rs
+++ b/crates/node-emulator/src/steps.rs
@@ -61,7 +61,7 @@
         partitioned: bool,
     },
     /// The discovery agents of all regions stop responding (false) or respond again (true).
-    DiscoveryAnswering(bool),
+    SetDiscoveryResponsive(bool),
     /// Nodes restart without a list.
     RestartNodes(Vec<usize>),
 }
@@ -132,8 +132,8 @@
                 }
             }
             EventKind::DiscoveryUnresponsive { for_s } => {
-                self.push(at, Step::DiscoveryAnswering(false));
-                self.push(at + for_s, Step::DiscoveryAnswering(true));
+                self.push(at, Step::SetDiscoveryResponsive(false));
+                self.push(at + for_s, Step::SetDiscoveryResponsive(true));
             }
         }
     }
