--- a/crates/local-fleet/src/deployment/fault.rs
+++ b/crates/local-fleet/src/deployment/fault.rs
@@ -15,13 +15,13 @@
 /// Kinds of faults; each ends one or all processes, which are restarted afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessFaultKind {
-    /// The process is killed.
+    /// Kills the process.
     Kill,
-    /// The process is killed and its data is deleted.
+    /// Kills the process and deletes its data.
     Wipe,
-    /// The process is shut down gracefully, by SIGTERM.
+    /// Shuts the process down gracefully, by SIGTERM.
     Stop,
-    /// All processes are killed; the process name of the fault is ignored.
+    /// Kills all processes; the process name of the fault is ignored.
     KillAll,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Error for a text that does not describe a fault; contains the text.
+/// Error for this text, which does not describe a fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseProcessFaultError(String);
 
@@ -89,8 +89,8 @@
 }
 
 impl ProcessFault {
-    /// Injects the fault and restarts the ended processes. Returns `false` if a graceful shutdown took longer
-    /// than `grace`, so that the process was killed, else `true`.
+    /// Injects the fault and restarts the ended processes. Returns whether the processes ended as intended:
+    /// `false` if a graceful shutdown took longer than `grace`, so that the process was killed.
     ///
     /// # Errors
     ///
--- a/crates/local-fleet/src/deployment/layout.rs
+++ b/crates/local-fleet/src/deployment/layout.rs
@@ -117,8 +117,8 @@
         self.nodes.min(MAX_NODES_WITH_DISK)
     }
 
-    /// Returns the number of nodes with a disk that may fail at the same time while a majority of them
-    /// remains. As many stores may fail at the same time.
+    /// Returns the number of nodes with a disk that may fail at the same time, and also of stores, so that a
+    /// majority of the machines of each kind remains.
     #[must_use]
     pub fn tolerated_failures(&self) -> u8 {
         (self.nodes_with_disk().min(self.stores).max(1) - 1) / 2
--- a/crates/local-fleet/src/run/local_run.rs
+++ b/crates/local-fleet/src/run/local_run.rs
@@ -176,7 +176,8 @@
         Ok(())
     }
 
-    /// Runs one step while the faults of this step are injected. The inner result is that of the trainer.
+    /// Runs one step while the faults of this step are injected. The inner result is the one of the trainer;
+    /// the outer one reports faults that cannot be injected.
     async fn run_step(
         &mut self,
         step: u64,
--- a/crates/local-fleet/src/servers/engine.rs
+++ b/crates/local-fleet/src/servers/engine.rs
@@ -49,7 +49,8 @@
     pub load_time: Duration,
     /// Capacity of the KV cache, in tokens.
     pub cache_tokens: u64,
-    /// Truncates every stream whose number is a multiple of this after half of its events; 0 truncates none.
+    /// Interval of truncated streams: the streams whose number is a multiple of it are truncated after half
+    /// of their events. 0 for no truncation.
     pub truncate_every: u64,
 }
 
--- a/crates/local-fleet/src/servers/weights.rs
+++ b/crates/local-fleet/src/servers/weights.rs
@@ -1,6 +1,6 @@
-//! The state of an engine's weights: the version in use, and whether another version is being loaded.
+//! The state of an engine's weights.
 
-/// The state of an engine's weights.
+/// The version of an engine's weights, and whether another version is being loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct WeightState {
     /// Version in use; while another version is loaded, the previous version.
--- a/crates/local-fleet/src/trainer/result_history.rs
+++ b/crates/local-fleet/src/trainer/result_history.rs
@@ -1,4 +1,4 @@
-//! The results of a batch job that a reader has received; their positions must not change.
+//! Checks that the results of a batch job keep their positions and contents over several reads.
 
 use std::collections::HashSet;
 
--- a/crates/local-fleet/src/verification/violation.rs
+++ b/crates/local-fleet/src/verification/violation.rs
@@ -7,9 +7,10 @@
 pub enum Rule {
     /// A response or result is complete and belongs to its request.
     Mismatch,
-    /// A server runs only requests that were sent, unchanged and in time.
+    /// A server runs only requests that were sent, with the path and body that were sent, and none after the
+    /// cancellation timeout of an ended batch job.
     UnexpectedRequest,
-    /// Nothing that must run once runs twice; no item appears twice in the results.
+    /// A result keeps its position and content, and no item has results at two positions.
     Duplicate,
     /// A request is run only by servers of the services that its route allows.
     Route,
@@ -51,7 +52,7 @@
     }
 }
 
-/// One observation that a rule is broken.
+/// A single observation of a broken rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The broken rule.
