--- a/crates/local-fleet/src/deployment/fault.rs
+++ b/crates/local-fleet/src/deployment/fault.rs
@@ -7,7 +7,7 @@
 use super::error::FleetError;
 use super::fleet::Fleet;
 
-/// Time from the start of a step until its fault is injected.
+/// Delay before a fault is injected, counted from the start of its step or the end of the previous fault.
 const FAULT_DELAY: Duration = Duration::from_millis(400);
 /// Time from the end of a process to its restart.
 const RESTART_DELAY: Duration = Duration::from_millis(800);
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -16,7 +16,7 @@
 const JOB_INTERVAL: Duration = Duration::from_secs(4);
 /// Time after which a call without a reply counts as failed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Pause between the reply to a call about a batch job and the next call.
+/// Pause between the reply to a call about a batch job, or the timeout of the call, and the next call.
 const CALL_INTERVAL: Duration = Duration::from_millis(400);
 /// Time after the acceptance of a batch job in which a read may still report that the job does not exist
 /// (setting `settleMs`).
