--- a/crates/simulator/tests/scenarios/membership.rs
+++ b/crates/simulator/tests/scenarios/membership.rs
@@ -7,7 +7,7 @@
 use crate::support::{seconds, FIVE_NODES, SEEDS};
 
 #[test]
-fn given_replaced_machines_when_their_successors_have_caught_up_then_only_the_successors_are_members() {
+fn given_replaced_machines_when_their_successors_have_caught_up_then_the_successors_are_members_instead() {
     for seed in SEEDS {
         let mut scenario = Scenario::start(seed, FleetShape::default());
         scenario.fleet.replace(1);
