--- a/crates/local-fleet/src/lib.rs
+++ b/crates/local-fleet/src/lib.rs
@@ -1,11 +1,11 @@
 //! A small fleet on loopback for end-to-end tests: real processes of the system, and emulators of all parties
 //! that exchange messages with them.
 //!
-//! [`run()`] starts traffic nodes and stores as child processes. In its own process it emulates the platform
-//! ([`Platform`]), plain servers and engines, the [`Operator`], a [`Trainer`] and a [`Client`]. It then runs
-//! training steps and injects faults into the child processes. A [`RequestLog`] records what the servers
-//! executed and generated; every response and result is compared with it, so that the report names each rule
-//! that was broken.
+//! [`run()`] starts traffic nodes and stores as child processes. In the calling process it emulates the
+//! platform ([`Platform`]), plain servers and engines, the [`Operator`], a [`Trainer`] and a [`Client`]. It
+//! then runs training steps and injects faults into the child processes. A [`RequestLog`] records what the
+//! servers executed and generated; every response and result is compared with it, so that the report names
+//! each rule that was broken.
 //!
 //! - [`deployment`] contains the system under test: processes, addresses, settings, configuration, faults.
 //! - [`platform`], [`servers`], [`clients`], [`operator`] and [`trainer`] are the emulators.
--- a/crates/local-fleet/src/protocol.rs
+++ b/crates/local-fleet/src/protocol.rs
@@ -1,6 +1,6 @@
 //! Messages and headers that nodes exchange with the emulated platform, servers, operator and trainer.
 //!
-//! The names on the wire are those of the system's interfaces; `serde(rename)` maps them to the terms of this
+//! The system's interfaces define the names on the wire; `serde(rename)` maps them to the terms of this
 //! crate.
 
 use std::net::SocketAddr;
--- a/crates/local-fleet/src/run/options.rs
+++ b/crates/local-fleet/src/run/options.rs
@@ -69,7 +69,7 @@
     pub size: FleetSize,
     /// Requests and batch jobs for the fleet.
     pub workload: Workload,
-    /// Faults to inject; those of one step are injected one after the other.
+    /// Faults to inject; several faults of one step are injected one after the other.
     pub faults: Vec<ProcessFault>,
     /// Path of the program under test, which all nodes and stores run.
     pub executable: PathBuf,
--- a/crates/local-fleet/src/servers/engine.rs
+++ b/crates/local-fleet/src/servers/engine.rs
@@ -292,7 +292,7 @@
     }
 }
 
-/// Returns the number of events in the complete text: one for each token that the request asks to generate.
+/// Returns the number of events in the complete text: one for each requested token.
 /// `None` for a missing or invalid header.
 fn requested_events(request: &Request) -> Option<u64> {
     request.header(header::TOKENS)?.split_once(',')?.1.trim().parse().ok()
--- a/crates/local-fleet/src/verification/request_log.rs
+++ b/crates/local-fleet/src/verification/request_log.rs
@@ -108,7 +108,7 @@
     newest_named_version: u64,
     /// The first violations, at most [`MAX_RETAINED_VIOLATIONS`].
     violations: Vec<Violation>,
-    /// Number of all violations, including those that were not retained.
+    /// Number of all violations, including the ones not in `violations`.
     violation_count: usize,
 }
 
@@ -237,7 +237,7 @@
         self.state().violations.clone()
     }
 
-    /// Returns the number of all violations, including those that were not kept.
+    /// Returns the number of all violations, including the ones that [`Self::violations`] omits.
     #[must_use]
     pub fn violation_count(&self) -> usize {
         self.state().violation_count
--- a/crates/node-emulator/src/node/emulated_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -54,7 +54,7 @@
 }
 
 impl EmulatedNode {
-    /// Creates a node without a list. Its seed differs from those of all other nodes.
+    /// Creates a node without a list. Its seed differs from the seeds of all other nodes.
     pub(super) fn new(thread: &Rc<NodeThread>, number: usize) -> Result<Rc<Self>, balancer::SettingsError> {
         let size = thread.config.size;
         let zone = size.zone(number);
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -39,7 +39,7 @@
     pub seed: u64,
     /// The address of the discovery agent of each region, by region.
     pub agents: Vec<SocketAddr>,
-    /// The settings of the `Balancer`. Each node replaces `nodes`, `node_index` and `zone` by its own values.
+    /// The settings of the `Balancer`. Each node sets `nodes`, `node_index` and `zone`.
     pub settings: DecisionSettings,
     /// Average rate of the requests that arrive at one node, per second.
     pub requests_per_s: f64,
--- a/crates/node-emulator/src/scenario_run/mod.rs
+++ b/crates/node-emulator/src/scenario_run/mod.rs
@@ -33,7 +33,8 @@
 /// Maximum number of complete lists that the starting nodes of one thread are assumed to read concurrently.
 const MAX_CONCURRENT_LIST_READS: u64 = 4;
 
-/// File descriptors besides those of connections and listeners: event loops, files and the standard streams.
+/// Number of file descriptors for event loops, files and the standard streams. Connections and listeners are
+/// counted separately.
 const BASE_DESCRIPTORS: u64 = 200;
 
 /// Options of a run that do not belong to the scenario.
--- a/crates/node-emulator/src/slopes/mod.rs
+++ b/crates/node-emulator/src/slopes/mod.rs
@@ -118,7 +118,7 @@
     pub commit: String,
     /// Whether files in that directory differed from the commit.
     pub modified: bool,
-    /// The measurements, at the same sizes as those of this build.
+    /// The measurements, at the same sizes as [`Slope::points`].
     pub points: Vec<Point>,
     /// The line that fits the points; `None` for fewer than two points.
     pub fit: Option<Fit>,
--- a/crates/node-emulator/src/slopes/table.rs
+++ b/crates/node-emulator/src/slopes/table.rs
@@ -5,7 +5,7 @@
 use super::{Point, Slope};
 use crate::fit::Fit;
 
-/// Formats the points and the fitted line of each quantity, and those of an earlier build if there is one.
+/// Formats the points and the fitted line of each quantity, also for an earlier build if there is one.
 #[must_use]
 pub fn table(slopes: &[Slope]) -> String {
     let mut text = String::new();
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -43,8 +43,8 @@
 /// Upper bound of the random delay from the exit of a process to the start of the next one.
 const MAX_RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// A fleet in simulated time. All random choices, also those of the code that its processes run, follow from
-/// its seed. Only one fleet may run on a thread at a time, because the processes use the random generator of
+/// A fleet in simulated time. All random choices, also in the code that its processes run, follow from its
+/// seed. Only one fleet may run on a thread at a time, because the processes use the random generator of
 /// the thread.
 pub struct Fleet {
     /// The simulated time since the start of the fleet.
--- a/crates/simulator/src/model_server.rs
+++ b/crates/simulator/src/model_server.rs
@@ -65,7 +65,7 @@
     loading: Option<Load>,
     /// Number of accepted orders, which reports contain.
     accepted_orders: u64,
-    /// All orders in the order of their receipt, also those that were not accepted.
+    /// All received orders, accepted or not, in the order of their receipt.
     pub(crate) received_orders: Vec<ReceivedOrder>,
 }
 
--- a/crates/simulator/src/process.rs
+++ b/crates/simulator/src/process.rs
@@ -28,8 +28,8 @@
 use crate::item_runner::run_jobs;
 use crate::transport::{CallOutcome, Outbox, SimulatedTransport};
 
-/// Size of the journal of a traffic node, which holds its acceptor's records. It is small, so that the ring
-/// wraps around often.
+/// Size of the journal of a traffic node, which contains the records of its acceptor. It is small, so that
+/// the ring wraps around often.
 const NODE_JOURNAL_OPTIONS: RingOptions = RingOptions { segment_bytes: 128 * 1024, segments: 4 };
 /// Size of the journal of a store.
 const STORE_JOURNAL_OPTIONS: RingOptions = RingOptions { segment_bytes: 256 * 1024, segments: 8 };
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -217,8 +217,8 @@
         Ok(())
     }
 
-    /// Checks that the results start with the ones of the last read, and that each item occurs once with the
-    /// text that servers generate for it.
+    /// Checks that the results start with the results of the last read, and that each item occurs once with
+    /// the text that servers generate for it.
     fn check_results(&mut self, results: &[ItemResult]) -> Result<(), JobViolation> {
         if !results.starts_with(&self.results) {
             let (before, now) = (self.results.clone(), results.to_vec());
--- a/crates/simulator/src/simulation/violation.rs
+++ b/crates/simulator/src/simulation/violation.rs
@@ -176,7 +176,7 @@
 /// A violation of the results of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum JobViolation {
-    /// The results do not start with the ones of an earlier read.
+    /// The results do not start with the results of an earlier read.
     ResultsChanged {
         /// The id of the batch job.
         job: String,
--- a/crates/simulator/tests/scenarios/main.rs
+++ b/crates/simulator/tests/scenarios/main.rs
@@ -1,5 +1,5 @@
 //! Scenarios with specific faults, from the first start of a fleet to the results of its batch jobs. The
-//! faults are the ones that the documentation for operators names.
+//! documentation for operators names the same faults.
 
 mod configuration;
 mod faults;
