--- a/crates/local-fleet/src/servers/engine.rs
+++ b/crates/local-fleet/src/servers/engine.rs
@@ -49,7 +49,8 @@
     pub load_time: Duration,
     /// Capacity of the KV cache, in tokens.
     pub cache_tokens: u64,
-    /// Truncates every stream whose number is a multiple of this after half of its events; 0 truncates none.
+    /// Interval of truncated streams: the streams whose number is a multiple of it are truncated after half
+    /// of their events. 0 for no truncation.
     pub truncate_every: u64,
 }
 
@@ -291,7 +292,7 @@
     }
 }
 
-/// Returns the number of events in the complete text: one for each token that the request asks to generate.
+/// Returns the number of events in the complete text: one for each requested token.
 /// `None` for a missing or invalid header.
 fn requested_events(request: &Request) -> Option<u64> {
     request.header(header::TOKENS)?.split_once(',')?.1.trim().parse().ok()
--- a/crates/node-emulator/src/node/emulated_node.rs
+++ b/crates/node-emulator/src/node/emulated_node.rs
@@ -54,14 +54,14 @@
 }
 
 impl EmulatedNode {
-    /// Creates a node without a list. Its seed differs from those of all other nodes.
+    /// Creates a node without a list. Its seed differs from the seeds of all other nodes.
     pub(super) fn new(thread: &Rc<NodeThread>, number: usize) -> Result<Rc<Self>, balancer::SettingsError> {
         let size = thread.config.size;
         let zone = size.zone(number);
         let mut settings = thread.config.settings.clone();
         (settings.nodes, settings.node_index, settings.zone) = (size.nodes, number, zone);
         let balancer = Balancer::new(settings, thread.config.seed ^ number as u64)?;
-        thread.known_versions.set(number, 0);
+        thread.node_versions.set(number, 0);
         lock(&thread.counters).starts += 1;
         let node = Rc::new(Self {
             thread: Rc::clone(thread),
@@ -88,7 +88,7 @@
         self.pending_requests.borrow_mut().clear();
     }
 
-    /// Reads the first list and then follows discovery until the task is aborted.
+    /// Reads the first list and then polls discovery for changes until the task is aborted.
     pub(super) async fn follow(self: Rc<Self>) {
         let connection = {
             let _permit = self.thread.start_permits.acquire().await;
@@ -310,7 +310,7 @@
             Some(_) => {}
         }
         drop(counters);
-        self.thread.known_versions.set(self.number, revision);
+        self.thread.node_versions.set(self.number, revision);
         self.execute(actions);
     }
 
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -39,7 +39,7 @@
     pub seed: u64,
     /// The address of the discovery agent of each region, by region.
     pub agents: Vec<SocketAddr>,
-    /// The settings of the `Balancer`. Each node replaces `nodes`, `node_index` and `zone` by its own values.
+    /// The settings of the `Balancer`. Each node sets `nodes`, `node_index` and `zone`.
     pub settings: DecisionSettings,
     /// Average rate of the requests that arrive at one node, per second.
     pub requests_per_s: f64,
@@ -62,16 +62,16 @@
 
 /// The version of the server list that each node has, by node; 0 for a node without a list.
 #[derive(Debug)]
-pub struct KnownVersions(Vec<std::sync::atomic::AtomicU64>);
+pub struct NodeVersions(Vec<std::sync::atomic::AtomicU64>);
 
-impl KnownVersions {
+impl NodeVersions {
     /// Creates the versions of nodes that have no list yet.
     #[must_use]
     pub fn new(nodes: usize) -> Self {
         Self((0..nodes).map(|_| 0.into()).collect())
     }
 
-    /// The versions in the order of the nodes.
+    /// Returns the versions in the order of the nodes.
     pub fn versions(&self) -> impl Iterator<Item = u64> + '_ {
         self.0.iter().map(|version| version.load(std::sync::atomic::Ordering::Relaxed))
     }
@@ -87,7 +87,7 @@
     config: Arc<NodeConfig>,
     world: Arc<World>,
     counters: SharedCounters,
-    known_versions: Arc<KnownVersions>,
+    node_versions: Arc<NodeVersions>,
     clients_started: watch::Receiver<bool>,
     mut commands: mpsc::UnboundedReceiver<NodeCommand>,
 ) {
@@ -98,7 +98,7 @@
         counters,
         idle: RefCell::default(),
         clients_started,
-        known_versions,
+        node_versions,
         start_permits: Semaphore::new(MAX_CONCURRENT_STARTS),
     });
     tokio::task::spawn_local(Rc::clone(&thread).measure_wake_up_delay());
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -52,13 +52,13 @@
 }
 
 impl Quantity {
-    /// Whether the quantity is an amount of memory. Those are measured before all others: memory that other
-    /// measurements have freed would be reused, and the growth of the process would be too low.
+    /// Whether the quantity is an amount of memory. Memory is measured before all other quantities: otherwise
+    /// the process would reuse memory that they have freed, and its growth would be too low.
     pub(crate) fn is_memory(self) -> bool {
         matches!(self, Self::TenantMemory | Self::BalancerMemory | Self::NodeMemory)
     }
 
-    /// The unit of the measured values. Only times (`us`, microseconds) differ from run to run.
+    /// Returns the unit of the measured values. Only times (`us`, microseconds) differ from run to run.
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// What the size counts, such as servers or tenants.
+    /// Returns the name of the objects that the size counts, such as servers or tenants.
     #[must_use]
     pub fn size_unit(self) -> &'static str {
         match self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The sizes to measure at if the command line names none.
+    /// Returns the sizes to measure at if the command line names none.
     pub(crate) fn default_sizes(self) -> &'static [usize] {
         match self.size_unit() {
             "tenants" => &[100, 1_000, 10_000, 53_000],
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The name in options of the command line and in reports.
+    /// Returns the name in options of the command line and in reports.
     #[must_use]
     pub fn name(self) -> String {
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
--- a/crates/node-emulator/src/scenario_run/mod.rs
+++ b/crates/node-emulator/src/scenario_run/mod.rs
@@ -33,7 +33,8 @@
 /// Maximum number of complete lists that the starting nodes of one thread are assumed to read concurrently.
 const MAX_CONCURRENT_LIST_READS: u64 = 4;
 
-/// File descriptors besides those of connections and listeners: event loops, files and the standard streams.
+/// Number of file descriptors for event loops, files and the standard streams. Connections and listeners are
+/// counted separately.
 const BASE_DESCRIPTORS: u64 = 200;
 
 /// Options of a run that do not belong to the scenario.
@@ -48,7 +49,7 @@
     pub start_timeout_s: u64,
 }
 
-/// A scenario could not be run completely.
+/// Error of a scenario that could not be run completely.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioRunError {
     /// The estimated memory is over the limit.
@@ -117,7 +118,8 @@
     Err(ScenarioRunError::TooLarge { nodes, servers, need_mb, limit_mb: options.memory_mb })
 }
 
-/// Number of file descriptors that a run requires. Both ends of every connection belong to this process.
+/// Returns the number of file descriptors that a run requires. Both ends of every connection belong to this
+/// process.
 fn required_descriptors(scenario: &Scenario, options: RunOptions) -> u64 {
     let size = scenario.size;
     let load = scenario.load;
@@ -129,7 +131,7 @@
     BASE_DESCRIPTORS + size.regions as u64 + racks + 2 * (nodes + idle + busy)
 }
 
-/// The settings of the `Balancer` of all emulated nodes, with a single class of idempotent requests.
+/// Returns the settings of the `Balancer` of all emulated nodes, with a single class of idempotent requests.
 #[must_use]
 pub fn settings(load: &Load) -> DecisionSettings {
     let mut settings = DecisionSettings::new(vec![RequestClass::new(
--- a/crates/node-emulator/src/scenario_run/step.rs
+++ b/crates/node-emulator/src/scenario_run/step.rs
@@ -15,10 +15,10 @@
         });
     }
 
-    /// Executes a step. `batches` has the draining servers of each batch of a rolling replacement that is in
-    /// progress.
+    /// Executes a step. `batches` contains the draining servers of each batch of a rolling replacement that
+    /// has not been retired yet.
     pub(super) fn execute(&self, step: &Step, batches: &mut HashMap<usize, Vec<usize>>) {
-        tracing::debug!(?step, "step");
+        tracing::debug!(?step, "executing a step of the scenario");
         let up_since = self.world.now_ms() as u64;
         match step {
             Step::Drain(slots) => {
@@ -43,9 +43,9 @@
                 self.world.change(|c| c.set_service_weight(*service, *weight))
             }
             Step::Partition { region, partitioned } => self.world.set_partitioned(*region, *partitioned),
-            Step::DiscoveryAnswering(answering) => {
+            Step::SetDiscoveryResponsive(responsive) => {
                 (0..self.world.catalogue().size().regions)
-                    .for_each(|region| self.world.set_discovery_responsive(region, *answering));
+                    .for_each(|region| self.world.set_discovery_responsive(region, *responsive));
             }
             Step::RestartNodes(nodes) => nodes.iter().for_each(|node| self.start_node(*node)),
         }
--- a/crates/node-emulator/src/traffic.rs
+++ b/crates/node-emulator/src/traffic.rs
@@ -20,18 +20,18 @@
 /// Values of [`Traffic`] at one point in time, or the difference of two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficTotals {
-    /// Bytes received on the connections, including the heads of requests.
+    /// Number of bytes received on the connections, including the heads of requests.
     pub received_bytes: u64,
-    /// Bytes sent on the connections, including the heads of responses.
+    /// Number of bytes sent on the connections, including the heads of responses.
     pub sent_bytes: u64,
-    /// Requests received, whether they have a response yet or not.
+    /// Number of requests received, whether or not they have a response yet.
     pub messages: u64,
-    /// Connections that were accepted.
+    /// Number of connections that were accepted.
     pub connections: u64,
 }
 
 impl TrafficTotals {
-    /// The difference to earlier values of the same counters.
+    /// Returns the difference to earlier values of the same counters.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -49,7 +49,7 @@
         self.messages.fetch_add(1, Relaxed);
     }
 
-    /// The current values.
+    /// Returns the current values.
     #[must_use]
     pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
--- a/crates/simulator/src/fleet/failure_budget.rs
+++ b/crates/simulator/src/fleet/failure_budget.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The machines that count as failed. A machine counts until it has had time to return and to catch up.
+/// The machines that count as failed. A machine counts until the time for its return and its catch-up is
+/// over.
 #[derive(Default)]
 pub(super) struct FailureBudget {
     /// The end of the latest failure of each machine, by index.
@@ -17,7 +18,7 @@
         *failed_until = until.max(*failed_until);
     }
 
-    /// Number of machines that count as failed at `now`.
+    /// Returns the number of machines that count as failed at `now`.
     pub(super) fn failed_at(&self, now: Duration) -> usize {
         self.failed_until.values().filter(|until| **until > now).count()
     }
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -43,8 +43,8 @@
 /// Upper bound of the random delay from the exit of a process to the start of the next one.
 const MAX_RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// A fleet in simulated time. All random choices, also those of the code that its processes run, follow from
-/// its seed. Only one fleet may run on a thread at a time, because the processes use the random generator of
+/// A fleet in simulated time. All random choices, also in the code that its processes run, follow from its
+/// seed. Only one fleet may run on a thread at a time, because the processes use the random generator of
 /// the thread.
 pub struct Fleet {
     /// The simulated time since the start of the fleet.
@@ -111,13 +111,14 @@
         self.links.set_speed(bytes_per_second);
     }
 
-    /// Digest of all messages so far with their times. Two runs with the same seed have the same digest.
+    /// Returns the digest of all messages so far with their times. Two runs with the same seed have the same
+    /// digest.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.transcript.digest()
     }
 
-    /// Advances the simulation by at least `time`, in whole steps.
+    /// Advances the simulation by `time`, rounded up to complete steps.
     pub fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
--- a/crates/simulator/src/fleet/settings.rs
+++ b/crates/simulator/src/fleet/settings.rs
@@ -16,8 +16,7 @@
 const ZONES: usize = 3;
 
 impl Fleet {
-    /// The settings that the platform would write for a machine now: the default seeds are the first present
-    /// nodes.
+    /// Returns the settings that the platform would write for a machine now.
     pub(super) fn settings_of(&self, index: usize) -> NodeSettings {
         let machine = &self.machines[index];
         let serves = if self.is_store(index) { r#""vault""# } else { r#""counter", "dispatch""# };
@@ -38,8 +37,8 @@
         NodeSettings::parse(&text).expect("the generated settings are valid")
     }
 
-    /// The quoted addresses of the seeds of a machine: the configured ones, or the first nodes that are not
-    /// removed.
+    /// Returns the quoted addresses of the seeds of a machine: the configured ones, or the first nodes that
+    /// are not removed.
     fn seed_addresses(&self, index: usize) -> Vec<String> {
         let is_present = |node: &usize| !self.is_store(*node) && !self.machines[*node].is_removed();
         let present = self.machines().filter(is_present).take(SEEDS_PER_MACHINE);
--- a/crates/simulator/src/model_server.rs
+++ b/crates/simulator/src/model_server.rs
@@ -65,7 +65,7 @@
     loading: Option<Load>,
     /// Number of accepted orders, which reports contain.
     accepted_orders: u64,
-    /// All orders in the order of their receipt, also those that were not accepted.
+    /// All received orders, accepted or not, in the order of their receipt.
     pub(crate) received_orders: Vec<ReceivedOrder>,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The version that the server has of a model.
+    /// Returns the version that the server has of a model.
     ///
     /// # Panics
     ///
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The entry of the server in the platform's list.
+    /// Returns the entry of the server in the platform's list.
     pub(crate) fn list_entry(&self) -> ServerEntry {
         ServerEntry {
             id: Arc::clone(&self.id),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Responds to an order or to the request of a report; returns the status and the body.
+    /// Responds to an order or to the request for a report; returns the status and the body.
     pub(crate) fn respond(&mut self, now: Duration, path: &str, body: &[u8]) -> (u16, Bytes) {
         if path != ORDER_PATH {
             return (200, self.report());
@@ -153,17 +153,17 @@
     }
 }
 
-/// The address of a server; its port is the index of the server plus one.
+/// Returns the address of a server; its port is the index of the server plus one.
 fn address_of_server(index: usize) -> SocketAddr {
     ([10, 0, 1, 0], u16::try_from(index + 1).unwrap_or(u16::MAX)).into()
 }
 
-/// The index of the server that has this address.
+/// Returns the index of the server that has this address.
 pub(crate) fn index_of_address(address: SocketAddr) -> usize {
     usize::from(address.port()) - 1
 }
 
-/// The text that every server generates for an item.
+/// Returns the text that every server generates for an item.
 pub(crate) fn generated_text(item: &str) -> String {
     format!("the text of {item}")
 }
--- a/crates/simulator/src/simulation/trainers.rs
+++ b/crates/simulator/src/simulation/trainers.rs
@@ -16,7 +16,7 @@
 const JOB_INTERVAL: Duration = Duration::from_secs(4);
 /// Time after which a call without a reply counts as failed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Pause between the reply to a call about a batch job and the next call.
+/// Pause between the reply to a call about a batch job, or the timeout of the call, and the next call.
 const CALL_INTERVAL: Duration = Duration::from_millis(400);
 /// Time after the acceptance of a batch job in which a read may still report that the job does not exist
 /// (setting `settleMs`).
@@ -82,7 +82,7 @@
         Self { random, jobs: Vec::new(), next_job: Duration::ZERO, accepted_jobs: 0 }
     }
 
-    /// Number of accepted batch jobs.
+    /// Returns the number of accepted batch jobs.
     pub(super) fn accepted_jobs(&self) -> usize {
         self.accepted_jobs
     }
@@ -107,8 +107,8 @@
         Ok(())
     }
 
-    /// The first unfinished batch job or, if there is none, the servers that do not have the target version.
-    /// `None` if there are neither.
+    /// Returns the first unfinished batch job or, if there is none, the number of servers that do not have
+    /// the target version. Returns `None` if there are neither.
     pub(super) fn unconverged(&self, fleet: &Fleet) -> Option<Unconverged> {
         if let Some(job) = self.jobs.iter().find(|job| !job.is_finished()) {
             return Some(Unconverged::OpenJob { job: job.id.clone(), results: job.results.len() });
@@ -174,7 +174,7 @@
         self.pending = Some(PendingCall { call, sent: fleet.now, deadline: fleet.now + REPLY_TIMEOUT });
     }
 
-    /// The next call in the present stage.
+    /// Returns the next call in the present stage.
     fn call(&self) -> JobCall {
         match self.stage {
             JobStage::Submitting => JobCall::Submit(self.body.clone()),
@@ -217,8 +217,8 @@
         Ok(())
     }
 
-    /// Checks that the results start with the ones of the last read, and that each item occurs once with the
-    /// text that servers generate for it.
+    /// Checks that the results start with the results of the last read, and that each item occurs once with
+    /// the text that servers generate for it.
     fn check_results(&mut self, results: &[ItemResult]) -> Result<(), JobViolation> {
         if !results.starts_with(&self.results) {
             let (before, now) = (self.results.clone(), results.to_vec());
