--- a/crates/control-plane/src/discovery/list_reader.rs
+++ b/crates/control-plane/src/discovery/list_reader.rs
@@ -1,4 +1,4 @@
-//! Reading of the platform's list: which process reads it, and how often.
+//! Reading of the platform's server list: which process reads it, and how often.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 /// Maximum of the random addition to a pause, as a fraction of it.
 const JITTER: f64 = 0.5;
 
-/// Reads the platform's list for this process.
+/// Task that reads the platform's server list.
 pub struct ListReader {
     /// Source of the complete server list.
     pub platform: Arc<dyn ListSource>,
@@ -30,8 +30,9 @@
     pub leadership: Arc<Leadership>,
     /// View that adopts the list.
     pub view: Arc<ViewCell>,
-    /// Age of the list, before jitter, at which a process that is not the leader reads the list itself.
-    pub own_read_after: Duration,
+    /// Age, before jitter, from which a list counts as stale. A process that is not the leader then reads the
+    /// platform's list itself.
+    pub stale_after: Duration,
 }
 
 impl ListReader {
@@ -39,18 +40,18 @@
     /// has become too old. Runs until the process ends.
     pub async fn run(self) {
         let mut renewed_at = Instant::now();
-        let mut own_max_age = with_jitter(self.own_read_after);
+        let mut stale_age = with_jitter(self.stale_after);
         loop {
             tokio::time::sleep(CHECK_INTERVAL).await;
-            if !self.is_due(own_max_age) {
+            if !self.is_due(stale_age) {
                 continue;
             }
             let started_at = Instant::now();
             match self.platform.read(ServerListVersion::default()).await {
                 Ok(list) => {
-                    own_max_age = with_jitter(self.own_read_after);
+                    stale_age = with_jitter(self.stale_after);
                     let renew = renewed_at.elapsed() > RENEW_INTERVAL;
-                    if self.view.adopt_reading(list, started_at, self.leadership.fence(), renew) {
+                    if self.view.adopt_platform_list(list, started_at, self.leadership.fence(), renew) {
                         renewed_at = started_at;
                     }
                 }
@@ -64,10 +65,9 @@
 
     /// Returns whether the list is old enough to be read again. A leader reads at the check that is closest
     /// to the end of its interval.
-    fn is_due(&self, own_max_age: Duration) -> bool {
+    fn is_due(&self, stale_age: Duration) -> bool {
         let is_leader = self.leadership.fence().is_some();
-        let max_age =
-            if is_leader { LEADER_INTERVAL.saturating_sub(CHECK_INTERVAL / 2) } else { own_max_age };
+        let max_age = if is_leader { LEADER_INTERVAL.saturating_sub(CHECK_INTERVAL / 2) } else { stale_age };
         self.view.servers_age().is_none_or(|age| age >= max_age)
     }
 }
--- a/crates/dispatch/src/model_versions.rs
+++ b/crates/dispatch/src/model_versions.rs
@@ -6,17 +6,18 @@
 
 use crate::criteria::VersionRequirement;
 
-/// Time after a version rejection in which the server gets no further request that requires that version.
+/// Time after a version rejection for which the server does not count as serving the rejected version.
+/// Requirements that any version satisfies are not affected.
 const VERSION_REJECTION_TTL: Duration = Duration::from_millis(300);
 
-/// Initial time in which a server that is loading a model gets no requests for it. It doubles with each
-/// further rejection within [`LOADING_BACKOFF_MEMORY`].
+/// Initial time for which a server that is loading a model gets no requests for it. It doubles with each
+/// further rejection within [`LOADING_BACKOFF_RESET_DELAY`].
 const INITIAL_LOADING_BACKOFF: Duration = Duration::from_millis(100);
 /// Maximum duration of a loading backoff.
 const MAX_LOADING_BACKOFF: Duration = Duration::from_millis(400);
 /// Time after the end of a loading backoff in which a further rejection counts as caused by the same load. A
 /// later one starts again with [`INITIAL_LOADING_BACKOFF`].
-const LOADING_BACKOFF_MEMORY: Duration = Duration::from_millis(1000);
+const LOADING_BACKOFF_RESET_DELAY: Duration = Duration::from_millis(1000);
 
 /// Version with which servers start. Every server of a model has this version or a newer one.
 const INITIAL_VERSION: u64 = 1;
@@ -50,7 +51,7 @@
 }
 
 impl ModelVersions {
-    /// Records the versions in the server list. Those older than the known versions are ignored: the list may
+    /// Records the versions in the server list. Versions lower than the known ones are ignored: the list may
     /// lag behind the responses.
     pub(crate) fn record_listed(&mut self, models: &BTreeMap<Arc<str>, u64>) {
         for (model, version) in models {
@@ -75,7 +76,7 @@
     /// Records that the server rejected a request for this model despite free capacity, and starts a loading
     /// backoff.
     pub(crate) fn record_loading(&mut self, now: Duration, model: &str) {
-        let last = self.loading.get(model).filter(|last| now < last.until + LOADING_BACKOFF_MEMORY);
+        let last = self.loading.get(model).filter(|last| now < last.until + LOADING_BACKOFF_RESET_DELAY);
         let doubled = last.map(|backoff| backoff.duration * 2);
         let duration = doubled.unwrap_or(INITIAL_LOADING_BACKOFF).min(MAX_LOADING_BACKOFF);
         self.loading.insert(model.into(), LoadingBackoff { until: now + duration, duration });
@@ -120,7 +121,8 @@
         is_satisfied && !self.is_rejected(now, model, known)
     }
 
-    /// Returns whether the server rejected this version of the model within [`VERSION_REJECTION_TTL`].
+    /// Returns whether the last rejection is of this version of the model, and less than
+    /// [`VERSION_REJECTION_TTL`] old.
     fn is_rejected(&self, now: Duration, model: &str, version: Option<u64>) -> bool {
         let Some(rejection) = &self.last_rejection else {
             return false;
--- a/crates/local-fleet/src/clients/load_balancer.rs
+++ b/crates/local-fleet/src/clients/load_balancer.rs
@@ -1,4 +1,5 @@
-//! Stand-in of the platform's load balancer: it directs new connections to nodes that pass their readiness checks.
+//! The emulated load balancer of the platform: it directs new connections to nodes that pass their readiness
+//! checks.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,20 +10,20 @@
 use crate::deployment::Layout;
 use crate::http::{HttpCall, HttpCaller};
 
-/// The path of a node's readiness check.
-const READY_PATH: &str = "/api/ready";
-/// Time from one readiness check of a node to the next.
+/// Path of the readiness check at a node.
+const READINESS_PATH: &str = "/api/ready";
+/// Time between the end of a round of readiness checks and the next round.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A node that has failed this many checks in a row gets no new connections.
+/// Number of consecutive failed checks after which a node gets no new connections.
 const MAX_FAILED_CHECKS: u32 = 2;
 
 #[derive(Debug)]
 struct BalancedNode {
-    /// Where it serves clients.
-    front: SocketAddr,
-    /// Where it answers readiness checks.
-    ready: SocketAddr,
-    /// Failed checks in a row.
+    /// Address at which the node serves clients.
+    client_address: SocketAddr,
+    /// Address at which the node answers readiness checks.
+    readiness_address: SocketAddr,
+    /// Number of consecutive failed checks.
     failed_checks: u32,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// The load balancer. Clones share its state.
+/// The load balancer of a fleet. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct LoadBalancer {
     nodes: Arc<Mutex<Vec<BalancedNode>>>,
@@ -40,15 +41,15 @@
 }
 
 impl LoadBalancer {
-    /// A load balancer for all nodes of a layout; none is healthy before its first check.
+    /// Returns a load balancer for all nodes of a layout; each node is unhealthy until it passes a check.
     ///
     /// # Errors
     ///
     /// When the HTTP client cannot be set up.
     pub fn new(layout: &Layout) -> reqwest::Result<Self> {
         let node = |node| BalancedNode {
-            front: layout.front(node),
-            ready: layout.ready(node),
+            client_address: layout.client_address(node),
+            readiness_address: layout.readiness_address(node),
             failed_checks: MAX_FAILED_CHECKS,
         };
         let nodes = (0..layout.nodes).map(node).collect();
@@ -59,10 +60,10 @@
         self.nodes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Checks every node once; returns how many are healthy.
+    /// Checks every node once, concurrently; returns the number of healthy nodes.
     pub async fn check_all(&self) -> usize {
-        let addresses: Vec<SocketAddr> = self.nodes().iter().map(|node| node.ready).collect();
-        let call = HttpCall::new(Method::GET, READY_PATH);
+        let addresses: Vec<SocketAddr> = self.nodes().iter().map(|node| node.readiness_address).collect();
+        let call = HttpCall::new(Method::GET, READINESS_PATH);
         let checks = addresses.iter().map(|address| self.caller.call_once(*address, &call));
         let replies = futures_util::future::join_all(checks).await;
         let mut nodes = self.nodes();
@@ -81,19 +82,20 @@
         }
     }
 
-    /// The node for a new connection: a healthy one, or any if fewer than half are healthy.
+    /// Returns the address of a random node for a new connection: a healthy node, or any node if fewer than
+    /// half of the nodes are healthy.
     ///
     /// # Panics
     ///
     /// When the fleet has no nodes.
     #[must_use]
-    pub fn pick(&self) -> SocketAddr {
+    pub fn select_node(&self) -> SocketAddr {
         let nodes = self.nodes();
-        let mut fronts: Vec<SocketAddr> =
-            nodes.iter().filter(|node| node.is_healthy()).map(|node| node.front).collect();
-        if fronts.len() * 2 < nodes.len() {
-            fronts = nodes.iter().map(|node| node.front).collect();
+        let mut addresses: Vec<SocketAddr> =
+            nodes.iter().filter(|node| node.is_healthy()).map(|node| node.client_address).collect();
+        if addresses.len() * 2 < nodes.len() {
+            addresses = nodes.iter().map(|node| node.client_address).collect();
         }
-        fronts[fastrand::usize(..fronts.len())]
+        addresses[fastrand::usize(..addresses.len())]
     }
 }
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -3,7 +3,11 @@
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// What can be measured.
+/// A quantity that `slopes` measures.
+///
+/// The comments of the variants are help texts of the command line, and the variants' names are its values.
+/// The order of the variants is the order of the measurements: memory comes first, so that no other
+/// measurement has freed any before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Quantity {
@@ -48,11 +52,13 @@
 }
 
 impl Quantity {
+    /// Whether the quantity is an amount of memory. Memory is measured before all other quantities: otherwise
+    /// the process would reuse memory that they have freed, and its growth would be too low.
     pub(crate) fn is_memory(self) -> bool {
         matches!(self, Self::TenantMemory | Self::BalancerMemory | Self::NodeMemory)
     }
 
-    /// Its unit; only times (`us`) differ from run to run.
+    /// Returns the unit of the measured values. Only times (`us`, microseconds) differ from run to run.
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
@@ -63,9 +69,9 @@
         }
     }
 
-    /// What the size of the fleet is counted in.
+    /// Returns the name of the objects that the size counts, such as servers or tenants.
     #[must_use]
-    pub fn against(self) -> &'static str {
+    pub fn size_unit(self) -> &'static str {
         match self {
             Self::TenantMemory | Self::TenantStart => "tenants",
             Self::ServeChange | Self::ServeChangeBytes => "watches",
@@ -74,8 +80,9 @@
         }
     }
 
+    /// Returns the sizes to measure at if the command line names none.
     pub(crate) fn default_sizes(self) -> &'static [usize] {
-        match self.against() {
+        match self.size_unit() {
             "tenants" => &[100, 1_000, 10_000, 53_000],
             "watches" => &[100, 500, 1_000, 2_000],
             "services" => &[1, 10, 100, 660],
@@ -83,7 +90,7 @@
         }
     }
 
-    /// As the command line names it.
+    /// Returns the name in options of the command line and in reports.
     #[must_use]
     pub fn name(self) -> String {
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_owned())
--- a/crates/node-emulator/src/scenario_run/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -1,4 +1,4 @@
-//! The threads of a run: starts discovery, the servers and the nodes, and joins them at the end.
+//! The threads of a run: starts the threads of discovery, servers and nodes, and joins them at the end.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -13,7 +13,7 @@
 use super::{RunOptions, ScenarioRunError};
 use crate::catalogue::Catalogue;
 use crate::counters::NodeCounters;
-use crate::node::{self, KnownVersions, NodeCommand, NodeConfig, SharedCounters};
+use crate::node::{self, NodeCommand, NodeConfig, NodeVersions, SharedCounters};
 use crate::scenario::Scenario;
 use crate::world::{self, World};
 use crate::{discovery, server};
@@ -26,23 +26,26 @@
 /// All threads of a run and the state that they share.
 pub(super) struct RunningFleet {
     pub(super) world: Arc<World>,
-    pub(super) known_versions: Arc<KnownVersions>,
-    /// One for each thread of nodes.
+    /// The version of the list that each node has.
+    pub(super) node_versions: Arc<NodeVersions>,
+    /// The counters of each thread of nodes.
     pub(super) counters: Vec<SharedCounters>,
+    /// The command channel of each thread of nodes.
     commands: Vec<mpsc::UnboundedSender<NodeCommand>>,
-    /// Becomes true, for good, when the clients begin to send.
+    /// Becomes true when the clients start to send requests, and stays true.
     pub(super) clients_started: watch::Sender<bool>,
-    /// Becomes true when the threads are to end.
+    /// Becomes true when all threads must end.
     shutdown: watch::Sender<bool>,
     threads: Vec<JoinHandle<io::Result<()>>>,
 }
 
+/// Creates an event loop for the current thread.
 pub(super) fn runtime() -> io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()
 }
 
-/// Listeners at the first addresses of a network.
-fn listeners(network: u8, count: usize) -> io::Result<Vec<TcpListener>> {
+/// Creates listeners on the first `count` loopback addresses `127.{network}.x.y`.
+fn bind_listeners(network: u8, count: usize) -> io::Result<Vec<TcpListener>> {
     let listener = |index: usize| {
         let [.., third, fourth] = (index as u32 + 1).to_be_bytes();
         world::listen(Ipv4Addr::new(127, network, third, fourth))
@@ -62,8 +65,8 @@
         options: RunOptions,
     ) -> Result<Self, ScenarioRunError> {
         let size = scenario.size;
-        let agents = listeners(AGENT_NETWORK, size.regions)?;
-        let racks = listeners(RACK_NETWORK, size.racks)?;
+        let agents = bind_listeners(AGENT_NETWORK, size.regions)?;
+        let racks = bind_listeners(RACK_NETWORK, size.racks)?;
         let catalogue = Catalogue::new(size, addresses(&racks)?, scenario.load.log_entries);
         let config = NodeConfig {
             size,
@@ -74,7 +77,7 @@
         };
         let mut fleet = Self {
             world: Arc::new(World::new(catalogue)),
-            known_versions: Arc::new(KnownVersions::new(size.nodes)),
+            node_versions: Arc::new(NodeVersions::new(size.nodes)),
             counters: Vec::new(),
             commands: Vec::new(),
             clients_started: watch::Sender::new(false),
@@ -91,6 +94,7 @@
         Ok(fleet)
     }
 
+    /// Starts one thread that runs the discovery agents of all regions.
     fn spawn_discovery(&mut self, agents: Vec<TcpListener>) -> io::Result<()> {
         let world = Arc::clone(&self.world);
         self.spawn("discovery-0", move || async move {
@@ -101,6 +105,7 @@
         })
     }
 
+    /// Starts one thread that runs the servers of all racks.
     fn spawn_servers(&mut self, racks: Vec<TcpListener>, service_time: Duration) -> io::Result<()> {
         let world = Arc::clone(&self.world);
         self.spawn("server-0", move || async move {
@@ -111,20 +116,21 @@
         })
     }
 
+    /// Starts a thread that runs nodes, at first none.
     fn spawn_nodes(&mut self, thread: usize, config: &Arc<NodeConfig>) -> io::Result<()> {
         let counters: SharedCounters = Arc::new(Mutex::new(NodeCounters::default()));
         let (commands, received) = mpsc::unbounded_channel();
         let (config, world) = (Arc::clone(config), Arc::clone(&self.world));
-        let (known_versions, clients_started) =
-            (Arc::clone(&self.known_versions), self.clients_started.subscribe());
+        let (node_versions, clients_started) =
+            (Arc::clone(&self.node_versions), self.clients_started.subscribe());
         self.counters.push(Arc::clone(&counters));
         self.commands.push(commands);
         self.spawn(&format!("node-{thread}"), move || {
-            node::run(config, world, counters, known_versions, clients_started, received)
+            node::run(config, world, counters, node_versions, clients_started, received)
         })
     }
 
-    /// Spawns a thread with an event loop of its own, which runs `work` until the shutdown.
+    /// Starts a thread with a separate event loop, which runs `work` until it ends or the fleet is shut down.
     fn spawn<F: std::future::Future<Output = ()>>(
         &mut self,
         name: &str,
@@ -145,14 +151,14 @@
         Ok(())
     }
 
-    /// Starts a node, and stops it first if it runs.
+    /// Starts a node, and stops it before if it is running.
     pub(super) fn start_node(&self, number: usize) {
-        // It fails where the thread has panicked, which `end` reports.
+        // This fails if the thread has panicked, which `shut_down` reports.
         let _ = self.commands[number % self.commands.len()].send(NodeCommand::Start(number));
     }
 
-    /// Ends and joins all threads.
-    pub(super) fn end(self) -> Result<(), ScenarioRunError> {
+    /// Ends and joins all threads. Returns the first error or panic of a thread.
+    pub(super) fn shut_down(self) -> Result<(), ScenarioRunError> {
         self.shutdown.send_replace(true);
         drop(self.commands);
         for thread in self.threads {
@@ -161,14 +167,14 @@
         Ok(())
     }
 
-    /// Nodes that have no list yet.
-    pub(super) fn without_list(&self) -> usize {
-        self.known_versions.versions().filter(|version| *version == 0).count()
+    /// Returns the number of nodes that have no list yet.
+    pub(super) fn count_without_list(&self) -> usize {
+        self.node_versions.versions().filter(|version| *version == 0).count()
     }
 
-    /// Nodes that are not on the newest version.
-    pub(super) fn behind(&self) -> usize {
+    /// Returns the number of nodes that do not have the newest version.
+    pub(super) fn count_behind(&self) -> usize {
         let newest = self.world.catalogue().revision();
-        self.known_versions.versions().filter(|version| *version < newest).count()
+        self.node_versions.versions().filter(|version| *version < newest).count()
     }
 }
--- a/crates/node-emulator/src/traffic.rs
+++ b/crates/node-emulator/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counters of bytes, messages and connections by role (discovery, servers).
+//! Counters of bytes, messages and connections. Discovery and the servers each have a set of them.
 
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Counters of one role.
+/// Counters of all connections that discovery or the servers have accepted.
 #[derive(Debug, Default)]
 pub struct Traffic {
     received: AtomicU64,
@@ -17,21 +17,21 @@
     connections: AtomicU64,
 }
 
-/// A reading of [`Traffic`].
+/// Values of [`Traffic`] at one point in time, or the difference of two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficTotals {
-    /// Bytes received on its connections, heads included.
+    /// Number of bytes received on the connections, including the heads of requests.
     pub received_bytes: u64,
-    /// Bytes sent on its connections, heads included.
+    /// Number of bytes sent on the connections, including the heads of responses.
     pub sent_bytes: u64,
-    /// Requests answered, or to be answered.
+    /// Number of requests received, whether or not they have a response yet.
     pub messages: u64,
-    /// Connections accepted.
+    /// Number of connections that were accepted.
     pub connections: u64,
 }
 
 impl TrafficTotals {
-    /// The difference to an earlier reading.
+    /// Returns the difference to earlier values of the same counters.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -44,14 +44,14 @@
 }
 
 impl Traffic {
-    /// Counts a request.
-    pub fn message(&self) {
+    /// Counts a received request.
+    pub fn count_message(&self) {
         self.messages.fetch_add(1, Relaxed);
     }
 
-    /// The totals so far.
+    /// Returns the current values.
     #[must_use]
-    pub fn sums(&self) -> TrafficTotals {
+    pub fn totals(&self) -> TrafficTotals {
         TrafficTotals {
             received_bytes: self.received.load(Relaxed),
             sent_bytes: self.sent.load(Relaxed),
@@ -61,21 +61,21 @@
     }
 }
 
-/// A stream whose bytes are counted.
-pub struct Counted<T> {
+/// A connection that counts the bytes that it receives and sends.
+pub struct CountedStream<T> {
     stream: T,
     traffic: Arc<Traffic>,
 }
 
-impl<T> Counted<T> {
-    /// Counts a new connection and all that will pass on it.
+impl<T> CountedStream<T> {
+    /// Wraps a new connection, which is counted in `traffic` together with all its bytes.
     pub fn new(stream: T, traffic: Arc<Traffic>) -> Self {
         traffic.connections.fetch_add(1, Relaxed);
         Self { stream, traffic }
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Counted<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for CountedStream<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -88,8 +88,9 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> Counted<T> {
-    fn count(&self, polled: Poll<std::io::Result<usize>>) -> Poll<std::io::Result<usize>> {
+impl<T: AsyncWrite + Unpin> CountedStream<T> {
+    /// Counts the bytes of a completed write.
+    fn count_written(&self, polled: Poll<std::io::Result<usize>>) -> Poll<std::io::Result<usize>> {
         if let Poll::Ready(Ok(written)) = &polled {
             self.traffic.sent.fetch_add(*written as u64, Relaxed);
         }
@@ -97,14 +98,14 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Counted<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for CountedStream<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.count(polled)
+        self.count_written(polled)
     }
 
     fn poll_write_vectored(
@@ -113,7 +114,7 @@
         slices: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.count(polled)
+        self.count_written(polled)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -11,7 +11,7 @@
 
 /// Number of consecutive failed calls after which a server no longer counts as loading, so that other servers
 /// may load.
-const MAX_COUNTED_FAILURES: u32 = 2;
+const LOADING_FAILURE_LIMIT: u32 = 2;
 /// Maximum number of times that the retry delay doubles. It keeps the computed delay from overflowing; the
 /// delay reaches [`Pacing::max_retry_delay`] long before.
 const MAX_RETRY_DOUBLINGS: u32 = 8;
@@ -24,7 +24,7 @@
     pub(crate) method: UpdateMethod,
 }
 
-/// What is known about the orders of one server.
+/// Known state of the orders of one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum OrderState {
     /// Nothing is known yet in this term: an earlier leader may have sent the server an order. A report must
@@ -61,7 +61,7 @@
     report: ReportSchedule,
     /// Number of calls that failed since the last successful one.
     consecutive_failures: u32,
-    /// No order is sent before this time.
+    /// Earliest time of the next order.
     retry_at: Duration,
 }
 
@@ -122,7 +122,7 @@
     /// Returns the time until which the server counts as loading, unless the load is known to complete
     /// earlier. Returns `None` if the server does not count as loading.
     pub(crate) fn loading_until(&self) -> Option<Duration> {
-        if self.server.is_closing || self.consecutive_failures >= MAX_COUNTED_FAILURES {
+        if self.server.is_closing || self.consecutive_failures >= LOADING_FAILURE_LIMIT {
             return None;
         }
         match &self.state {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Handles a report. Of a report that was canceled while in flight, only the versions are recorded.
+    /// Handles a report. Of a report that was cancelled while in flight, only the versions are recorded.
     pub(crate) fn on_report(&mut self, now: Duration, report: &ServerReport) {
         // Read this before recording the versions: a version may complete the order, which cancels the
         // report.
--- a/crates/rushrudder/src/control/routes.rs
+++ b/crates/rushrudder/src/control/routes.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the control plane for other processes.
+//! The endpoints of the control plane that other processes call.
 
 use std::sync::Arc;
 
@@ -11,12 +11,12 @@
 use super::ControlPlane;
 
 impl ControlPlane {
-    /// The endpoints for other processes; a role may add its own.
+    /// Returns the endpoints that other processes call. A role may add further ones.
     pub fn internal_routes(&self) -> Route {
         let routes = Route::new()
             .at(paths::POLL, self.poll_endpoint())
             .at(paths::PING, self.ping_endpoint())
-            .at(paths::INTRODUCE, self.gossip_endpoint())
+            .at(paths::ACCEPTOR_GOSSIP, self.gossip_endpoint())
             .at(paths::ANNOUNCE, self.announce_endpoint());
         match &self.quorum_service {
             Some(service) => with_quorum_routes(routes, service),
@@ -57,11 +57,11 @@
     }
 }
 
-/// Adds the endpoints of the acceptor and the lease grantor.
+/// Adds the endpoints of the acceptor and the lease grantor to `routes`.
 fn with_quorum_routes(routes: Route, service: &Arc<QuorumService>) -> Route {
     routes
         .at(paths::REGISTER, acceptor_endpoint(service))
-        .at(paths::FIRST, initialize_endpoint(service))
+        .at(paths::OFFER_INITIAL_VALUE, initialize_endpoint(service))
         .at(paths::LEASE, grant_endpoint(service))
         .at(paths::RELEASE, release_endpoint(service))
 }
--- a/crates/state/src/change/bootstrap.rs
+++ b/crates/state/src/change/bootstrap.rs
@@ -1,13 +1,14 @@
-//! The initial state of a system, and how its acceptors agree on one.
+//! Initial state of a system, and the selection of the initial value that its acceptors accept.
 
 use register::{Member, Versioned};
 
 use crate::{ControlState, StoreMember, StoreSet, INITIAL_REVISION};
 
-/// The state of a system that starts for the first time; `None` without any acceptor.
+/// Returns the state of a system that starts for the first time; `None` if there are no acceptors.
 ///
-/// `tolerated_failures` is the number of machines whose loss the system must survive: 2n + 1 acceptors and replicas
-/// are aimed for, or all machines where there are fewer.
+/// `tolerated_failures` is the number n of failed machines that the system must tolerate. The intended number
+/// of replicas of each batch job is 2n + 1. The intended numbers of acceptors and of stores are 2n + 1 too,
+/// or larger if more machines are given. While there are fewer machines, all of them are used.
 #[must_use]
 pub fn initial_state(
     acceptors: Vec<Member>,
@@ -29,19 +30,20 @@
     })
 }
 
-/// The initial value that a coordinator offers to the acceptors: one that an earlier coordinator has offered, otherwise
-/// its `own`.
+/// Selects the initial value that a coordinator offers to the acceptors: the value with the highest ballot
+/// that an acceptor has accepted from an earlier coordinator, or `proposed` if there is none.
 ///
-/// `accepted` are the replies of the acceptors of `own`, each with the value that it has accepted, if any. Returns
-/// `None` unless a majority has replied, so that a value that a majority has accepted is always found.
+/// `accepted` contains one element for each acceptor of `proposed` that replied: the value that it has
+/// accepted, if any. Returns `None` unless a majority has replied, so that a value that a majority has
+/// accepted is always found.
 #[must_use]
-pub fn choose_initial_value(
-    own: Versioned<ControlState>,
+pub fn select_initial_value(
+    proposed: Versioned<ControlState>,
     accepted: Vec<Option<Versioned<ControlState>>>,
 ) -> Option<Versioned<ControlState>> {
-    if accepted.len() * 2 <= own.value.acceptors.len() {
+    if accepted.len() * 2 <= proposed.value.acceptors.len() {
         return None;
     }
     let earlier = accepted.into_iter().flatten().max_by_key(|value| value.ballot);
-    Some(earlier.unwrap_or(own))
+    Some(earlier.unwrap_or(proposed))
 }
--- a/crates/store-plane/src/replication/maintenance/retention.rs
+++ b/crates/store-plane/src/replication/maintenance/retention.rs
@@ -44,18 +44,19 @@
     fn expired_jobs(&self, retention: Duration) -> Vec<ExpiredJob> {
         let now = Instant::now();
         let owned_jobs = self.ownerships.iter();
-        let expired = owned_jobs.filter(|(job, owned)| is_expired(owned, self.jobs.age(job, now), retention));
+        let expired =
+            owned_jobs.filter(|(job, owned)| is_expired(owned, self.job_status.age(job, now), retention));
         let to_delete = expired.map(|(job, owned)| ExpiredJob {
             job: Arc::clone(job),
-            replicas: owned.ownership.replicas().present.clone(),
+            replicas: owned.ownership.replicas().current.clone(),
             delete: ReplicaRequest::Delete { term: owned.ownership.term() },
         });
         to_delete.collect()
     }
 }
 
-/// Returns whether a batch job of this age may be deleted. One that lacks results and was not ended never
-/// expires here.
+/// Returns whether a batch job of this age may be deleted. A batch job that lacks results and was not ended
+/// is never deleted because of its age.
 fn is_expired(owned: &OwnedEntry, age: Duration, retention: Duration) -> bool {
     let is_ended_and_old = owned.is_ended() && age > retention;
     is_ended_and_old || (owned.has_all_results() && age > retention * UNENDED_RETENTION_FACTOR)
--- a/crates/store-plane/src/runner/completion.rs
+++ b/crates/store-plane/src/runner/completion.rs
@@ -12,7 +12,8 @@
 use super::task_guard::TaskGuard;
 use super::{JobKey, Runner, RunnerEvent};
 
-/// The newest run has a weight of one divided by this in the exponentially weighted moving average.
+/// Divisor that gives the weight of the newest run in the exponentially weighted moving average of run
+/// durations.
 const AVERAGE_RUN_WEIGHT_DIVISOR: u32 = 8;
 
 impl<Executor: ItemExecutor, Log: JobLog> Runner<Executor, Log> {
@@ -31,11 +32,11 @@
             return;
         }
         job.work[index].task = None;
-        if !matches!(outcome, ItemOutcome::NotRun { .. }) {
+        if !matches!(outcome, ItemOutcome::NotExecuted { .. }) {
             job.work[index].consecutive_rejections = 0;
         }
         let pause = match outcome {
-            ItemOutcome::NotRun { retry_after } => job.work[index].on_rejection(retry_after),
+            ItemOutcome::NotExecuted { retry_after } => job.work[index].on_rejection(retry_after),
             ItemOutcome::Complete(progress) if job.accepts(&progress) => {
                 job.work[index].progress = progress;
                 self.update_average_run(duration);
