--- a/crates/balancer-node/src/main.rs
+++ b/crates/balancer-node/src/main.rs
@@ -1,5 +1,5 @@
-//! The node on sockets: starts, serves until SIGTERM, answers the requests that it has admitted, and exits. SIGHUP
-//! reloads its configuration.
+//! The balancer node: serves clients until SIGTERM, then answers the requests that it has admitted and exits. SIGHUP
+//! makes it read the address of discovery again.
 
 use std::fmt;
 use std::io;
@@ -16,7 +16,7 @@
 use balancer::net::node::{Node, NodeError};
 use balancer::net::{discovery, frontend};
 
-/// Why the node cannot start.
+/// A reason why the node cannot start.
 enum StartError {
     Runtime(io::Error),
     Signal { name: &'static str, source: io::Error },
@@ -29,7 +29,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Runtime(source) => write!(f, "cannot start the event loop: {source}"),
-            Self::Signal { name, source } => write!(f, "cannot hear {name}: {source}"),
+            Self::Signal { name, source } => write!(f, "cannot install the handler for {name}: {source}"),
             Self::Config(error) => error.fmt(f),
             Self::Node(error) => error.fmt(f),
             Self::Listen { address, source } => {
@@ -55,22 +55,22 @@
 }
 
 async fn serve() -> Result<(), StartError> {
-    // First of all: from here on neither signal ends the program by itself.
+    // Must come first: once the handlers are installed, neither signal kills the process.
     let mut terminate = on_signal(SignalKind::terminate(), "SIGTERM")?;
     let mut hangup = on_signal(SignalKind::hangup(), "SIGHUP")?;
     let config = Config::from_env().map_err(StartError::Config)?;
     let address = config.listen;
     let node = Node::start(config).map_err(StartError::Node)?;
-    // Before the first client connects: nothing may be sent to a server that has begun to drain.
+    // The first list must be applied before the first client connects: no request may be sent to a draining server.
     let connection = discovery::fetch_initial(&node).await;
     let listener = TcpListener::bind(address).await;
     let listener = listener.map_err(|source| StartError::Listen { address, source })?;
     tokio::task::spawn_local(discovery::follow(Rc::clone(&node), connection));
     tokio::task::spawn_local(Rc::clone(&node).close_idle_connections());
-    let reloaded = Rc::clone(&node);
+    let reloading_node = Rc::clone(&node);
     tokio::task::spawn_local(async move {
         while hangup.recv().await.is_some() {
-            reloaded.reload().await;
+            reloading_node.reload().await;
         }
     });
     frontend::run(node, listener, async move {
--- a/crates/balancer-node/src/net/config.rs
+++ b/crates/balancer-node/src/net/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of a node: the `GW_*` variables, and the JSON file that one of them names.
+//! Reads the configuration of a node from the `GW_*` environment variables and from the JSON file that `GW_CONFIG`
+//! names.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,54 +12,55 @@
 use super::list::{ListDecoder, ServerList};
 use crate::{wire, DecisionSettings, Idempotency};
 
-/// Stands for the absence of a time limit.
+/// Used in place of a time limit that is not configured.
 const UNLIMITED: Duration = Duration::from_secs(24 * 3600);
-/// Part of the memory limit that the list of servers may take.
+/// Fraction of the memory limit that the server list may take.
 const LIST_MEMORY_FRACTION: f64 = 0.5;
-/// The memory limit where none is configured, in MiB: what the platform gives on scored days.
+/// Memory limit in MiB if none is configured: the limit that the platform sets on scored days.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 
-/// Everything that a node is configured with at its start.
+/// The configuration of a node, checked and converted. A node reads it once at its start.
 pub struct Config {
-    /// Its name, for its log.
+    /// Name of the node; starts every line of its log.
     pub name: String,
-    /// The address on which clients connect.
+    /// Address at which the node listens for clients.
     pub listen: SocketAddr,
-    /// The address of discovery. The file takes precedence over the variable: the file can be replaced.
+    /// Address of discovery. The file takes precedence over `GW_DISCOVERY`, because the file can be replaced while the
+    /// node runs.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers.
+    /// Seed of the random numbers that the decisions draw.
     pub seed: u64,
-    /// The limit of open sockets.
+    /// Maximum number of open sockets, to clients and to servers together.
     pub max_sockets: usize,
-    /// Bytes of memory that the list of servers may take.
+    /// Maximum memory of the decoded server list, in bytes.
     pub max_list_bytes: usize,
-    /// The last known list of servers.
+    /// The server list to use until discovery has sent one.
     pub initial_list: ServerList,
-    /// Settings of the decisions.
+    /// Validated settings of the decisions.
     pub settings: DecisionSettings,
-    /// The names that requests, lists and load reports use.
+    /// Maps the names in request headers and server lists to the indices that the decisions use.
     pub names: SettingNames,
-    /// A server closes a connection that is idle for this long; with zero, none is kept.
+    /// Time after which servers close an idle connection. If it is zero, no connection is kept.
     pub idle_timeout: Duration,
-    /// A connection that is not established by then has failed.
+    /// Time within which a connection to a server must be established.
     pub dial_timeout: Duration,
-    /// Requests that may be pending at once.
+    /// Maximum number of pending requests; `usize::MAX` if there is no limit.
     pub max_pending: usize,
 }
 
-/// Names in the order of the settings, whose indices the decisions use.
+/// Names in the order of the settings. The decisions refer to each name by its index.
 pub struct SettingNames {
-    /// Classes of requests.
+    /// Names of the request classes, as in the `X-Class` header.
     pub classes: Vec<String>,
-    /// Tenants; there may be none.
+    /// Names of the tenants, as in the `X-Tenant` header. If there are none, the header is ignored.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones, as in the `locality` of a server list entry.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// Names of the machine kinds, as in the `flavor` of a server list entry.
     pub kinds: Vec<String>,
 }
 
-/// The file that `GW_CONFIG` names. A value that is missing or malformed is reported where it is used.
+/// The JSON file that `GW_CONFIG` names. A missing or malformed value is reported by the code that uses it.
 #[derive(Deserialize)]
 struct ConfigFile<'a> {
     #[serde(default)]
@@ -67,7 +69,7 @@
     seed: Value,
     #[serde(default)]
     limits: Value,
-    /// Decoded as a list of discovery is, since it may be as long.
+    /// Decoded by [`ListDecoder`], like the lists that discovery sends, since it may be as long.
     #[serde(borrow, rename = "known")]
     initial_list: Option<&'a RawValue>,
     #[serde(default)]
@@ -75,11 +77,11 @@
 }
 
 impl Config {
-    /// Reads the environment and the file that it names.
+    /// Reads the `GW_*` environment variables and the file that `GW_CONFIG` names.
     ///
     /// # Errors
     ///
-    /// Names the first variable or key that is missing or malformed.
+    /// Fails if a variable or key is missing or malformed. The error names the first one.
     pub fn from_env() -> Result<Self, ConfigError> {
         let name = variable("GW_NAME")?;
         let listen = address("GW_LISTEN")?;
@@ -88,7 +90,7 @@
             Ok(text) => text,
             Err(source) => return Err(ConfigError::Unreadable { path, source }),
         };
-        let file = serde_json::from_str(&text).map_err(|source| ConfigError::NoJson { path, source })?;
+        let file = serde_json::from_str(&text).map_err(|source| ConfigError::InvalidJson { path, source })?;
         Self::from_file(name, listen, &file)
     }
 
@@ -107,13 +109,13 @@
             name,
             listen,
             discovery,
-            seed: seed.ok_or(ConfigError::NoSeed)?,
+            seed: seed.ok_or(ConfigError::InvalidSeed)?,
             max_sockets: positive("sockets", &file.limits)?,
             max_list_bytes,
             initial_list,
             names,
             idle_timeout: time("conn_idle_ms", allowed)?.unwrap_or(UNLIMITED),
-            // A probe without a shorter limit waits as long as a request would.
+            // Without a configured limit, a probe waits as long as a request may.
             dial_timeout: time("dial_timeout_ms", allowed)?
                 .filter(|limit| !limit.is_zero())
                 .or_else(|| Duration::try_from_secs_f64(settings.longest_deadline_ms() / 1000.0).ok())
@@ -123,7 +125,7 @@
         })
     }
 
-    /// What running a request of a class twice does.
+    /// Returns whether a request of this class may run twice. `class` is an index into [`SettingNames::classes`].
     pub fn idempotency(&self, class: usize) -> Idempotency {
         self.settings.classes[class].idempotency
     }
@@ -131,20 +133,21 @@
 
 fn initial_list(file: &ConfigFile<'_>, max_bytes: usize) -> Result<ServerList, ConfigError> {
     let mut decoder = ListDecoder::new(max_bytes);
-    decoder.feed(file.initial_list.map_or("", RawValue::get).as_bytes()).map_err(ConfigError::List)?;
-    decoder.finish().map_err(ConfigError::List)
+    decoder.feed(file.initial_list.map_or("", RawValue::get).as_bytes()).map_err(ConfigError::InitialList)?;
+    decoder.finish().map_err(ConfigError::InitialList)
 }
 
 fn settings(json: &Value) -> Result<DecisionSettings, ConfigError> {
     if !json.is_object() {
-        return Err(ConfigError::NoSettings);
+        return Err(ConfigError::SettingsNotAnObject);
     }
-    let mut settings = wire::read_settings(json).map_err(ConfigError::SettingsForm)?;
-    // `allowed.retry_after` is about simulated clients. On sockets each rejection has its header, so that a client
-    // that is rejected at once knows when to retry; the longest wait is the settings', or the longest deadline.
+    let mut settings = wire::read_settings(json).map_err(ConfigError::MalformedSettings)?;
+    // `allowed.retry_after` applies to simulated clients only. On sockets every rejection has a `Retry-After` header,
+    // so that a client that is rejected at once can tell when to retry. The longest pause is the one in the settings,
+    // or else the longest deadline.
     let longest = settings.longest_deadline_ms();
     settings.max_retry_after_ms = Some(json["allowed"]["max_retry_after_ms"].as_f64().unwrap_or(longest));
-    settings.validate().map_err(ConfigError::SettingsRange)?;
+    settings.validate().map_err(ConfigError::InvalidSettings)?;
     Ok(settings)
 }
 
@@ -160,7 +163,7 @@
 }
 
 fn variable(key: &'static str) -> Result<String, ConfigError> {
-    std::env::var(key).map_err(|_| ConfigError::NoVariable { key })
+    std::env::var(key).map_err(|_| ConfigError::MissingVariable { key })
 }
 
 fn address(key: &'static str) -> Result<SocketAddr, ConfigError> {
@@ -168,21 +171,22 @@
 }
 
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| ConfigError::NoAddress { key, text: text.to_owned() })
+    text.parse().map_err(|_| ConfigError::InvalidAddress { key, text: text.to_owned() })
 }
 
 fn positive(key: &'static str, from: &Value) -> Result<usize, ConfigError> {
     let value = from[key].as_u64().and_then(|n| usize::try_from(n).ok()).filter(|n| *n > 0);
-    value.ok_or(ConfigError::NoCount { key })
+    value.ok_or(ConfigError::InvalidCount { key })
 }
 
-/// Bytes of memory that a list may take, by the memory limit of the node.
+/// Returns how many bytes of memory a server list may take under the memory limit of the node.
 fn max_list_bytes(limits: &Value) -> usize {
     let memory_mb = limits["memory_mb"].as_f64().filter(|mb| *mb > 0.0).unwrap_or(DEFAULT_MEMORY_MB);
     (memory_mb * LIST_MEMORY_FRACTION * f64::from(1 << 20)) as usize
 }
 
-/// The limit of pending requests. It may be absent; zero would leave nothing to do, and limits nothing either.
+/// Returns the maximum number of pending requests. An absent limit and zero both mean no limit: with a limit of zero
+/// the node could not serve any request.
 fn max_pending(allowed: &Value) -> Result<usize, ConfigError> {
     const KEY: &str = "most_held";
     match &allowed[KEY] {
@@ -192,22 +196,22 @@
     }
 }
 
-/// A time in milliseconds that may be absent.
+/// Returns the time under a key, which is in milliseconds; `None` if the key is absent.
 fn time(key: &'static str, from: &Value) -> Result<Option<Duration>, ConfigError> {
     if from[key].is_null() {
         return Ok(None);
     }
     let value = from[key].as_f64().and_then(|ms| Duration::try_from_secs_f64(ms / 1000.0).ok());
-    value.map(|time| Some(time.min(UNLIMITED))).ok_or(ConfigError::NoTime { key })
+    value.map(|time| Some(time.min(UNLIMITED))).ok_or(ConfigError::InvalidTime { key })
 }
 
-/// The names under a key: a list of strings, or of objects with a `name`. Without a list there are none.
+/// Returns the names under a key: a list of strings, or of objects with a `name`. An absent key means an empty list.
 fn names(key: &'static str, settings: &Value) -> Result<Vec<String>, ConfigError> {
     let entries = match &settings[key] {
         Value::Null => return Ok(Vec::new()),
-        value => value.as_array().ok_or(ConfigError::NoList { key })?,
+        value => value.as_array().ok_or(ConfigError::NotAList { key })?,
     };
     let name = |entry: &Value| entry.as_str().or(entry["name"].as_str()).map(str::to_owned);
     let names: Option<Vec<String>> = entries.iter().map(name).collect();
-    names.ok_or(ConfigError::NamelessEntry { key })
+    names.ok_or(ConfigError::UnnamedEntry { key })
 }
--- a/crates/balancer-node/src/net/config_error.rs
+++ b/crates/balancer-node/src/net/config_error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a node's configuration.
+//! The errors of reading a node's configuration.
 
 use std::fmt;
 use std::io;
@@ -7,63 +7,63 @@
 use crate::wire::WireError;
 use crate::SettingsError;
 
-/// A configuration that cannot be used. The message names the variable or key at fault.
+/// A reason why a configuration cannot be used. The message names the invalid variable or key.
 #[derive(Debug)]
 pub enum ConfigError {
-    /// A variable of the environment is missing or no text.
-    NoVariable {
-        /// Its name.
+    /// An environment variable is not set, or is not valid UTF-8.
+    MissingVariable {
+        /// Name of the environment variable.
         key: &'static str,
     },
-    /// An address is malformed.
-    NoAddress {
-        /// The variable or key.
+    /// The value of an environment variable or of a key of the file is not an IP address with a port.
+    InvalidAddress {
+        /// Name of the environment variable or of the key.
         key: &'static str,
-        /// Its value.
+        /// The value as it was found.
         text: String,
     },
-    /// The file cannot be read.
+    /// The file that `GW_CONFIG` names cannot be read.
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file is no JSON.
-    NoJson {
-        /// The file.
+    /// The file that `GW_CONFIG` names is not valid JSON, or its top level is not an object.
+    InvalidJson {
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the JSON parser, with line and column.
         source: serde_json::Error,
     },
-    /// The list of servers is malformed.
-    List(ListError),
-    /// The settings are missing or no object.
-    NoSettings,
-    /// A setting is of a wrong type.
-    SettingsForm(WireError),
-    /// A setting is out of range.
-    SettingsRange(SettingsError),
-    /// The seed is missing or malformed.
-    NoSeed,
-    /// A count is missing or malformed.
-    NoCount {
-        /// The key.
+    /// The server list under `known` is missing, malformed or too large.
+    InitialList(ListError),
+    /// `settings` is missing or not an object.
+    SettingsNotAnObject,
+    /// A value in `settings` has the wrong type or is missing.
+    MalformedSettings(WireError),
+    /// A value in `settings` is out of range.
+    InvalidSettings(SettingsError),
+    /// `seed` is missing or not a hexadecimal number in a string.
+    InvalidSeed,
+    /// A count is missing, zero, or not a whole number.
+    InvalidCount {
+        /// Name of the key whose value is invalid.
         key: &'static str,
     },
-    /// A time is malformed.
-    NoTime {
-        /// The key.
+    /// A time is negative, too large or not a number.
+    InvalidTime {
+        /// Name of the key whose value is invalid.
         key: &'static str,
     },
-    /// A list of names is no list.
-    NoList {
-        /// The key.
+    /// A value that must be a list of names is not a list.
+    NotAList {
+        /// Name of the key whose value is invalid.
         key: &'static str,
     },
-    /// An entry of a list of names has none.
-    NamelessEntry {
-        /// The key.
+    /// An entry of a list of names is neither a string nor an object with a `name`.
+    UnnamedEntry {
+        /// Name of the key that holds the list.
         key: &'static str,
     },
 }
@@ -71,19 +71,25 @@
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoVariable { key } => write!(f, "`{key}` is missing or no text"),
-            Self::NoAddress { key, text } => write!(f, "`{key}={text}` is no address with a port"),
+            Self::MissingVariable { key } => {
+                write!(f, "the environment variable `{key}` is not set or not valid UTF-8")
+            }
+            Self::InvalidAddress { key, text } => {
+                write!(f, "`{key}={text}` is not an IP address with a port")
+            }
             Self::Unreadable { path, source } => write!(f, "`GW_CONFIG`: cannot read {path}: {source}"),
-            Self::NoJson { path, source } => write!(f, "`GW_CONFIG`: {path} is no JSON: {source}"),
-            Self::List(error) => write!(f, "`known`: {error}"),
-            Self::NoSettings => f.write_str("`settings` is missing or no object"),
-            Self::SettingsForm(error) => write!(f, "`settings`: {error}"),
-            Self::SettingsRange(error) => write!(f, "`settings`: {error}"),
-            Self::NoSeed => f.write_str("`seed` is missing or no hexadecimal number"),
-            Self::NoCount { key } => write!(f, "`{key}` is missing or no whole number above 0"),
-            Self::NoTime { key } => write!(f, "`{key}` is no time"),
-            Self::NoList { key } => write!(f, "`{key}` is no list"),
-            Self::NamelessEntry { key } => write!(f, "`{key}` has an entry with no name"),
+            Self::InvalidJson { path, source } => {
+                write!(f, "`GW_CONFIG`: {path} is not a valid JSON object: {source}")
+            }
+            Self::InitialList(error) => write!(f, "`known`: {error}"),
+            Self::SettingsNotAnObject => f.write_str("`settings` is missing or not an object"),
+            Self::MalformedSettings(error) => write!(f, "`settings`: {error}"),
+            Self::InvalidSettings(error) => write!(f, "`settings`: {error}"),
+            Self::InvalidSeed => f.write_str("`seed` is missing or not a string with a hexadecimal number"),
+            Self::InvalidCount { key } => write!(f, "`{key}` is missing or not a whole number above 0"),
+            Self::InvalidTime { key } => write!(f, "`{key}` is not a time in milliseconds of at least 0"),
+            Self::NotAList { key } => write!(f, "`{key}` is not a list of names"),
+            Self::UnnamedEntry { key } => write!(f, "`{key}` has an entry without a name"),
         }
     }
 }
--- a/crates/balancer-node/src/net/discovery.rs
+++ b/crates/balancer-node/src/net/discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the list of servers: long polls on discovery, one after the other.
+//! Keeps the server list up to date with consecutive long polls on discovery.
 
 use std::fmt;
 use std::future::Future;
@@ -19,102 +19,106 @@
 
 use super::list::{ListDecoder, ListError, ListedMember, ServerList};
 
-/// How long discovery may keep a long poll waiting before it answers that nothing has changed. Changes missed by a
-/// poll that is not answered count as announced 6 s after it began, or 2 s after this time; the sooner that is found, the less
-/// is sent to removed servers.
+/// Time for which discovery may hold a long poll before it responds that nothing has changed. If a poll gets no
+/// response, the changes that it missed count as announced 6 s after it began, or 2 s after this time. The sooner the
+/// missing response is detected, the fewer requests are sent to removed servers.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A call has failed when its answer has not begun within this part of the drain grace, past its long poll. Two such
-/// times, with the pause between, are less than the grace: an update that counts at once is received in it.
+/// Fraction of the drain grace within which the response to a call must begin, after the time of its long poll.
+/// Otherwise the call has failed. Two such times and the pause between them are shorter than the grace, so an update
+/// that counts as announced at once is received within the grace.
 const RESPONSE_TIMEOUT_FRACTION: f64 = 0.25;
-/// The bound for a very short drain grace ...
+/// Lower bound of the response timeout, for a very short drain grace.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// ... and for a very long one: two such times, with the longest pause between, are less than the 6 s after which a
-/// change counts as announced, as is one past the long poll.
+/// Upper bound of the response timeout, for a very long drain grace. Two such times and the longest pause between them
+/// are shorter than the 6 s after which a change counts as announced, and so are one such time and a long poll.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A list that has begun to come must be complete within so many of these times. One that comes slowly is given up
-/// then, and with the next call's time and the pause between the grace is not over.
+/// A list that has begun to arrive must be complete within this multiple of the response timeout. A slower one is
+/// abandoned; this time, the pause and the timeout of the next call together are within the drain grace.
 const LIST_TIMEOUT_FACTOR: u32 = 2;
-/// Pause between calls at the start, where discovery is not up.
+/// Pause between calls at the start of the node while discovery is not reachable.
 const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// What a new discovery has counts as announced 4 s after its address was. Nodes that learn of it together spread
-/// their calls for its complete list over this time at the most.
+/// Longest time over which nodes spread their calls for the complete list of a new discovery, whose address reaches
+/// all of them at once. The list of a new discovery counts as announced 4 s after its address was announced.
 const MAX_MOVE_SPREAD: Duration = Duration::from_secs(1);
-/// So much of a list is decoded at once: everything else waits for a fraction of a millisecond meanwhile.
+/// Number of bytes of a list that are decoded without yielding. All other tasks wait for a fraction of a millisecond
+/// while a chunk is decoded.
 const CHUNK_BYTES: usize = 32 << 10;
-/// Memory that a list may take where the subscriber sets no limit.
+/// Maximum memory of a list, in bytes, if the subscriber sets no limit.
 const DEFAULT_MAX_LIST_BYTES: usize = 48 << 20;
 
-/// A subscriber of the server list: a node, or a stand-in for one.
+/// A subscriber of the server list: a [`Node`](super::node::Node), or a substitute for one in a test or emulator.
 pub trait Subscriber: 'static {
-    /// Notified when the changes of the list are requested.
+    /// Returns the notification that makes [`follow`] poll again after a failed call.
     fn update_requested(&self) -> &Notify;
-    /// Notified when the address of discovery has changed.
+    /// Returns the notification that the address of discovery has changed.
     fn discovery_moved(&self) -> &Notify;
-    /// The address of discovery.
+    /// Returns the present address of discovery.
     fn discovery_address(&self) -> SocketAddr;
-    /// The version of the list that is known, where the present discovery gave it.
+    /// Returns the version of the list in use. It is `None` if the list did not come from the present discovery; the
+    /// next call then fetches the complete list.
     fn revision(&self) -> Option<u64>;
-    /// How long requests may still be sent to a server once its draining is announced.
+    /// Returns how long requests may still be sent to a server after its draining was announced.
     fn drain_grace(&self) -> Duration;
-    /// Applies the list in the answer to a call.
+    /// Applies the list in the response to a call.
     fn apply(self: &Rc<Self>, list: ServerList);
-    /// The same, for subscribers that do it in chunks and end with [`apply`](Self::apply). No other call is made
-    /// meanwhile.
+    /// Applies a list in chunks, with other tasks running in between, and calls [`apply`](Self::apply) last. No other
+    /// call is made until this completes. The default applies the list at once.
     fn apply_in_chunks(self: &Rc<Self>, list: ServerList) -> impl Future<Output = ()> {
         async { self.apply(list) }
     }
-    /// A call failed or was not answered; the known list stays in force.
+    /// Called after a call has failed or got no response. The list in use stays in force.
     fn unavailable(self: &Rc<Self>);
-    /// Bytes of memory that a list may take; a longer one is not read to its end, and its call fails.
+    /// Returns the maximum memory of a list, in bytes. A larger list is not read to its end, and its call fails.
     fn max_list_bytes(&self) -> usize {
         DEFAULT_MAX_LIST_BYTES
     }
-    /// A list begins to arrive; it may be cut short.
+    /// Called when a list begins to arrive. It may never be complete.
     fn list_started(&self) {}
-    /// Whether this entry of the arriving list is known already and may be left out.
+    /// Returns whether an entry of the arriving list is the same as in the list in use and may be dropped.
     fn is_unchanged(&self, _member: &ListedMember) -> bool {
         false
     }
-    /// When this node calls for a complete list after a move of discovery, as a fraction (0 to 1) of the time over
-    /// which nodes spread their calls.
+    /// Returns the delay of the first call after discovery has moved, as a fraction (0 to 1) of the time over which
+    /// nodes spread these calls.
     fn spread_position(&self) -> f64 {
         0.0
     }
-    /// The cause of the next [`unavailable`](Self::unavailable).
+    /// Called with the cause of a failure just before [`unavailable`](Self::unavailable).
     fn call_failed(&self, _error: &CallError) {}
 }
 
-/// Why a call has brought no list.
+/// A reason why a call to discovery has failed.
 #[derive(Debug)]
 pub enum CallError {
-    /// No connection came up, or it broke.
+    /// The connection was not established, or it broke.
     Connection,
-    /// The answer did not come in time, or not completely.
+    /// The response did not begin in time, or was not complete in time.
     TimedOut,
-    /// Another answer than a list.
+    /// The response has a status other than 200.
     Status(StatusCode),
-    /// The answer is no list.
+    /// The body of the response is not a valid list.
     List(ListError),
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Connection => f.write_str("no connection came up, or it broke"),
-            Self::TimedOut => f.write_str("it did not come, or not whole, in its time"),
-            Self::Status(status) => write!(f, "the answer was {status}"),
-            Self::List(error) => error.fmt(f),
+            Self::Connection => f.write_str("the connection was not established, or it broke"),
+            Self::TimedOut => f.write_str("the response did not arrive completely in time"),
+            Self::Status(status) => write!(f, "the response has status {status}"),
+            Self::List(error) => write!(f, "the response is not a valid server list: {error}"),
         }
     }
 }
 
 impl std::error::Error for CallError {}
 
-/// A connection to discovery.
+/// An idle HTTP connection to discovery that the next call may reuse.
 pub type DiscoveryConnection = SendRequest<Empty<Bytes>>;
 
-/// Fetches the complete list before the first client is accepted: what discovery has counts as announced from the
-/// first moment on. Where it does not answer at once it is down, and the list last known has to do.
+/// Fetches the complete list before the node accepts its first client: the list of discovery counts as announced from
+/// the start of the node. If discovery does not respond within the response timeout, it is considered down, and the
+/// node starts with the list of its configuration. Returns the connection for further calls.
 pub async fn fetch_initial<S: Subscriber>(node: &Rc<S>) -> Option<DiscoveryConnection> {
     let until = Instant::now() + response_timeout(&**node);
     let mut connection = None;
@@ -125,7 +129,7 @@
                 node.apply_in_chunks(list).await;
                 return connection;
             }
-            // It is up, and would send the same again.
+            // Discovery is up, and would send the same invalid list again.
             Err(CallError::List(_)) => return None,
             Err(_) if until <= Instant::now() + INITIAL_RETRY_INTERVAL => return None,
             Err(_) => sleep(INITIAL_RETRY_INTERVAL).await,
@@ -133,8 +137,8 @@
     }
 }
 
-/// Follows the list whenever the decisions ask for it, until a call fails; then they are notified. Where discovery
-/// moves, polling continues there soon, whatever the decisions are waiting for.
+/// Polls discovery whenever the subscriber requests it, until a call fails, and reports the failure to the subscriber.
+/// If the address of discovery changes, polling continues at the new address without a request.
 pub async fn follow<S: Subscriber>(node: Rc<S>, connection: Option<DiscoveryConnection>) {
     let mut poller = Poller::new(connection);
     loop {
@@ -149,10 +153,10 @@
     }
 }
 
-/// The state between two long polls.
+/// The state of polling discovery, kept from one call to the next.
 struct Poller {
     connection: Option<DiscoveryConnection>,
-    /// How long discovery may keep the next poll waiting: not before it has answered once.
+    /// Time for which discovery may hold the next call; zero until it has responded once.
     poll_timeout: Duration,
 }
 
@@ -162,13 +166,14 @@
         Self { connection, poll_timeout }
     }
 
-    /// A new discovery is asked for its complete list. All nodes learn of it together: each has its own moment.
+    /// Drops the connection to the former discovery, so that the next call goes to the new one. All nodes learn of the
+    /// new address at once, so each node first waits for its part of the time over which the calls are spread.
     async fn move_to_new_discovery(&mut self, node: &impl Subscriber) {
         sleep(response_timeout(node).min(MAX_MOVE_SPREAD).mul_f64(node.spread_position())).await;
         *self = Self::new(None);
     }
 
-    /// Polls without a pause, since discovery does not report what changes between two polls.
+    /// Makes one call after another without a pause, since discovery does not announce changes between two polls.
     async fn poll_until_failure<S: Subscriber>(&mut self, node: &Rc<S>) -> CallError {
         loop {
             let begins_within = self.poll_timeout + response_timeout(&**node);
@@ -194,14 +199,14 @@
     }
 }
 
-/// How long an answer may take that has nothing to wait for.
+/// Returns the timeout for the beginning of a response, excluding the time for which discovery holds a long poll.
 fn response_timeout(node: &impl Subscriber) -> Duration {
     let timeout = node.drain_grace().mul_f64(RESPONSE_TIMEOUT_FRACTION);
     timeout.clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
 }
 
-/// One call: what has changed since the known version; without one the complete list, and that at once. The answer
-/// has to begin within the time that is given. A call that fails leaves no connection.
+/// Makes one call: fetches the changes since the version of the list in use, or the complete list at once if there is
+/// no version. The response must begin within `begins_within`. After a failed call, `connection` is `None`.
 async fn call(
     node: &impl Subscriber,
     connection: &mut Option<DiscoveryConnection>,
@@ -224,16 +229,17 @@
 fn call_request(node: &impl Subscriber, poll_timeout: Duration) -> Request<Empty<Bytes>> {
     let path = node.revision().map_or_else(
         || "/catalog/members".to_owned(),
-        // At least 1 ms: zero might mean that no time was given.
+        // At least 1 ms: discovery might take zero for a missing value.
         |revision| {
             format!("/catalog/members?since={revision}&timeout_ms={}", poll_timeout.as_millis().max(1))
         },
     );
     let request = Request::get(path).header("Host", node.discovery_address().to_string());
-    request.body(Empty::new()).expect("a sound request")
+    request.body(Empty::new()).expect("a valid request")
 }
 
-/// The head of the answer to a call, on the connection that is kept or on a new one.
+/// Sends a call on the kept connection or on a new one, and returns the response once its head has arrived. Its
+/// connection is left in `connection`.
 async fn send_call(
     node: &impl Subscriber,
     connection: &mut Option<DiscoveryConnection>,
@@ -245,7 +251,7 @@
             Some(sender) => (sender, true),
             None => (connect(node).await.ok_or(CallError::Connection)?, false),
         };
-        let unsent = match sender.ready().await {
+        let unsent_request = match sender.ready().await {
             Err(_) => request,
             Ok(()) => match sender.try_send_request(request).await {
                 Ok(response) => {
@@ -258,12 +264,12 @@
         if !reused {
             return Err(CallError::Connection);
         }
-        // The kept connection had been closed before the call was written: it is sent again on a new one.
-        request = unsent;
+        // The kept connection was closed before the call was written: the call is sent again on a new one.
+        request = unsent_request;
     }
 }
 
-/// Reads the list in a body, chunk by chunk so that the node can do other work in between.
+/// Reads the list in a response body. It yields after each chunk, so that other tasks can run.
 async fn read_list(node: &impl Subscriber, mut body: Incoming) -> Result<ServerList, CallError> {
     let mut decoder = ListDecoder::new(node.max_list_bytes());
     node.list_started();
--- a/crates/balancer-node/src/net/list/decoder.rs
+++ b/crates/balancer-node/src/net/list/decoder.rs
@@ -1,4 +1,4 @@
-//! Decodes a list from text that arrives in chunks: no more than the text of one entry is buffered.
+//! Decodes a server list from JSON text that arrives in chunks. At most the text of one entry is buffered.
 
 use serde::de::IgnoredAny;
 use serde::Deserialize;
@@ -6,13 +6,14 @@
 use super::value_scanner::ValueScanner;
 use super::{ListError, ListedMember, ServerList, UnreadableEntries};
 
-/// Memory that a listed server takes beyond the text of its entry, in bytes: some 0.8 KiB in all tables together, and
-/// 1.1 KiB more while a list replaces one that names other servers. Measured.
+/// Memory of a listed server beyond the text of its entry, in bytes: about 0.8 KiB in all tables together, and 1.1 KiB
+/// more while the list replaces one that names other servers.
 const SERVER_MEMORY_BYTES: usize = 2000;
 
-const NO_JSON: ListError = ListError::Malformed("it is no JSON");
+const INVALID_JSON: ListError = ListError::Malformed("the text is not valid JSON");
 
-/// Where in the text a [`ListDecoder`] is; each `bool` says that nothing has come yet in these brackets.
+/// The part of the text that a [`ListDecoder`] expects next. The `bool` is true directly after an opening bracket,
+/// where the closing bracket may follow.
 #[derive(Clone, Copy)]
 enum ParserState {
     Start,
@@ -25,41 +26,43 @@
     End,
 }
 
-/// What remains of an entry that describes no server.
+/// Reads just the id of an entry that does not describe a server.
 #[derive(Deserialize)]
 struct NamedEntry {
     id: String,
 }
 
-/// Decodes a list chunk by chunk. An entry that is valid JSON but no server is left out; a text that is no JSON is no
-/// list.
+/// Decodes a server list chunk by chunk. An entry that is valid JSON but does not describe a server is skipped and
+/// counted in [`ServerList::unreadable`]. Invalid JSON anywhere in the text makes the whole list an error.
 pub struct ListDecoder {
-    /// Bytes of memory that the list may take, and that it takes so far.
+    /// Maximum memory of the decoded list, in bytes.
     max_bytes: usize,
+    /// Memory of the entries decoded so far, in bytes.
     used_bytes: usize,
     state: ParserState,
-    /// The value that has begun, and its text so far.
-    value: Option<ValueScanner>,
+    /// Scanner of the key or value that is being read; `None` between two of them.
+    scanner: Option<ValueScanner>,
+    /// The text received so far of the key or value that is being read.
     text: Vec<u8>,
     key: String,
     revision: Option<u64>,
     complete: Option<bool>,
     entries: usize,
     members: Option<Vec<ListedMember>>,
-    /// So many of them have passed [`drop_unchanged`](Self::drop_unchanged).
+    /// Number of leading `members` that [`drop_unchanged`](Self::drop_unchanged) has checked already.
     filtered: usize,
     unreadable: UnreadableEntries,
 }
 
 impl ListDecoder {
-    /// A decoder of a list that may take so many bytes of memory once it is decoded.
+    /// Creates a decoder that fails if the decoded list exceeds `max_bytes` bytes of memory.
     #[must_use]
     pub fn new(max_bytes: usize) -> Self {
         Self {
             max_bytes,
             used_bytes: 0,
             state: ParserState::Start,
-            value: None,
+            scanner: None,
             text: Vec::new(),
             key: String::new(),
             revision: None,
@@ -71,28 +74,28 @@
         }
     }
 
-    /// Decodes the next chunk.
+    /// Decodes the next chunk of the text.
     ///
     /// # Errors
     ///
-    /// The text is no list, whatever follows.
+    /// Fails if the text so far cannot be the beginning of a valid list, or exceeds the memory limit.
     pub fn feed(&mut self, mut bytes: &[u8]) -> Result<(), ListError> {
         while let Some(byte) = bytes.first() {
-            if let Some(value) = &mut self.value {
-                let (length, ended) = value.extent(bytes);
+            if let Some(scanner) = &mut self.scanner {
+                let (length, ended) = scanner.scan(bytes);
                 if self.used_bytes + self.text.len() + length > self.max_bytes {
                     return Err(ListError::TooLarge);
                 }
                 self.text.extend_from_slice(&bytes[..length]);
                 bytes = &bytes[length..];
                 if ended {
-                    self.value = None;
-                    self.take_value()?;
+                    self.scanner = None;
+                    self.process_value()?;
                     self.text.clear();
                 }
             } else {
                 if !byte.is_ascii_whitespace() {
-                    self.punctuation(*byte)?;
+                    self.process_punctuation(*byte)?;
                 }
                 bytes = &bytes[1..];
             }
@@ -100,8 +103,8 @@
         Ok(())
     }
 
-    /// Drops the unchanged ones of the entries that have come since the last call: a complete list with few changes
-    /// then takes little memory and little work at once.
+    /// Drops the unchanged entries among those decoded since the last call. A complete list with few changes then takes
+    /// little memory, and little work when it is applied.
     pub fn drop_unchanged(&mut self, mut is_unchanged: impl FnMut(&ListedMember) -> bool) {
         if let Some(members) = &mut self.members {
             let new = members.split_off(self.filtered);
@@ -110,26 +113,26 @@
         }
     }
 
-    /// The list, once all of its text has come.
+    /// Returns the list after the whole text has been fed.
     ///
     /// # Errors
     ///
-    /// The text has ended too soon, lacks a key, or is a complete list of which not one entry names a server: that is
-    /// another form, and by it all servers would be removed.
+    /// Fails if the text is incomplete or lacks a key. Also fails if no entry of a non-empty complete list has an id:
+    /// the entries must then have another form, and applying the list would remove all servers.
     pub fn finish(self) -> Result<ServerList, ListError> {
-        let ParserState::End = self.state else { return Err(ListError::Malformed("it ends too soon")) };
+        let ParserState::End = self.state else { return Err(ListError::Malformed("the text is incomplete")) };
         let revision =
-            self.revision.ok_or(ListError::Malformed("`revision` is missing or no whole number"))?;
-        let complete = self.complete.ok_or(ListError::Malformed("`complete` is missing or not yes or no"))?;
-        let members = self.members.ok_or(ListError::Malformed("`members` is missing or no list"))?;
+            self.revision.ok_or(ListError::Malformed("`revision` is missing or not a whole number"))?;
+        let complete = self.complete.ok_or(ListError::Malformed("`complete` is missing or not a boolean"))?;
+        let members = self.members.ok_or(ListError::Malformed("`members` is missing or not a list"))?;
         if complete && self.entries > 0 && self.unreadable.nameless == self.entries {
-            return Err(ListError::Malformed("none of its entries names a server"));
+            return Err(ListError::Malformed("no entry has an id"));
         }
         Ok(ServerList { revision, complete, entries: self.entries, members, unreadable: self.unreadable })
     }
 
-    /// Takes a byte between two values, or the first byte of one.
-    fn punctuation(&mut self, byte: u8) -> Result<(), ListError> {
+    /// Processes a byte between two values, or the first byte of a value.
+    fn process_punctuation(&mut self, byte: u8) -> Result<(), ListError> {
         self.state = match (self.state, byte) {
             (ParserState::Start, b'{') => ParserState::Key(true),
             (ParserState::Key(true) | ParserState::AfterValue, b'}') => ParserState::End,
@@ -142,51 +145,52 @@
             (ParserState::Entry(true) | ParserState::AfterEntry, b']') => ParserState::AfterValue,
             (ParserState::AfterEntry, b',') => ParserState::Entry(false),
             (ParserState::Key(_), b'"') | (ParserState::Value | ParserState::Entry(_), _) => {
-                let value = ValueScanner::starting(byte).ok_or(NO_JSON)?;
-                // A string's first quote must not be taken for its last: it is read here.
-                self.value = Some(value);
+                let scanner = ValueScanner::from_first_byte(byte).ok_or(INVALID_JSON)?;
+                // The first byte is consumed here, so that the opening quote of a string is not taken for the closing
+                // one.
+                self.scanner = Some(scanner);
                 self.text.push(byte);
                 self.state
             }
-            _ => return Err(NO_JSON),
+            _ => return Err(INVALID_JSON),
         };
         Ok(())
     }
 
-    /// Takes the text of a value, which is complete.
-    fn take_value(&mut self) -> Result<(), ListError> {
+    /// Processes a key or value, whose complete text is in `text`.
+    fn process_value(&mut self) -> Result<(), ListError> {
         self.state = match self.state {
             ParserState::Key(_) => {
-                self.key = serde_json::from_slice(&self.text).map_err(|_| NO_JSON)?;
+                self.key = serde_json::from_slice(&self.text).map_err(|_| INVALID_JSON)?;
                 ParserState::Colon
             }
             ParserState::Entry(_) => {
                 self.used_bytes += SERVER_MEMORY_BYTES + self.text.len();
                 self.entries += 1;
-                self.take_entry()?;
+                self.process_entry()?;
                 ParserState::AfterEntry
             }
             _ => {
-                self.take_field()?;
+                self.process_field()?;
                 ParserState::AfterValue
             }
         };
         Ok(())
     }
 
-    /// Takes the value of a key of the list.
-    fn take_field(&mut self) -> Result<(), ListError> {
+    /// Processes the value of a top-level key of the list.
+    fn process_field(&mut self) -> Result<(), ListError> {
         match self.key.as_str() {
             "revision" => self.revision = serde_json::from_slice(&self.text).ok(),
             "complete" => self.complete = serde_json::from_slice(&self.text).ok(),
-            "members" => return Err(ListError::Malformed("`members` is no list, or there twice")),
-            _ => drop(serde_json::from_slice::<IgnoredAny>(&self.text).map_err(|_| NO_JSON)?),
+            "members" => return Err(ListError::Malformed("`members` is not a list, or occurs twice")),
+            _ => drop(serde_json::from_slice::<IgnoredAny>(&self.text).map_err(|_| INVALID_JSON)?),
         }
         Ok(())
     }
 
-    /// Takes the text of an entry of the list.
-    fn take_entry(&mut self) -> Result<(), ListError> {
+    /// Processes an entry of the list, whose complete text is in `text`.
+    fn process_entry(&mut self) -> Result<(), ListError> {
         let error = match serde_json::from_slice::<ListedMember>(&self.text) {
             Ok(member) => {
                 self.members.get_or_insert_default().push(member);
@@ -194,9 +198,9 @@
             }
             Err(error) => error,
         };
-        // What is no JSON was corrupted on its way, and where the next entry begins cannot be known.
+        // Invalid JSON was corrupted in transit, so the beginning of the next entry cannot be determined.
         if serde_json::from_slice::<IgnoredAny>(&self.text).is_err() {
-            return Err(NO_JSON);
+            return Err(INVALID_JSON);
         }
         let named = serde_json::from_slice::<NamedEntry>(&self.text).ok();
         self.unreadable.first.get_or_insert_with(|| match &named {
--- a/crates/balancer-node/src/net/list/mod.rs
+++ b/crates/balancer-node/src/net/list/mod.rs
@@ -1,4 +1,4 @@
-//! The list of servers as discovery sends it, decoded as it arrives.
+//! The server list that discovery sends, which is decoded while it arrives.
 
 mod decoder;
 mod value_scanner;
@@ -12,43 +12,44 @@
 
 pub use self::decoder::ListDecoder;
 
-/// A list of servers, or of changes to one, as discovery sends it.
+/// A complete server list, or the changes since an earlier version.
 pub struct ServerList {
-    /// Its version.
+    /// Version of the list after these changes. The next call asks for the changes since it.
     pub revision: u64,
-    /// Whether it names every server.
+    /// Whether the list names every server. If not, it holds only the changes since the version that was asked for.
     pub complete: bool,
-    /// How many entries came.
+    /// Number of entries that were received, including unchanged and unreadable ones.
     pub entries: usize,
-    /// Its entries, without those that the reader dropped as unchanged.
+    /// The readable entries, except those that were dropped as unchanged.
     pub members: Vec<ListedMember>,
-    /// Its entries that could not be read.
+    /// The entries that are valid JSON but do not describe a server.
     pub unreadable: UnreadableEntries,
 }
 
-/// A server as discovery describes it.
+/// An entry of the server list, in the form that discovery sends.
 #[derive(Deserialize)]
 pub struct ListedMember {
-    /// The same at every node.
+    /// Unique name of the server, the same at every node.
     pub id: String,
-    /// Where it listens, as seen from this node.
+    /// Address at which this node reaches the server.
     pub host_port: SocketAddr,
-    /// The name of its zone.
+    /// Name of the zone in which the server runs.
     pub locality: String,
-    /// The name of its machine kind.
+    /// Name of the machine kind on which the server runs.
     pub flavor: String,
-    /// Its cell.
+    /// Number of the cell to which the server belongs.
     pub cell: usize,
-    /// What it is ready for.
+    /// Whether the server accepts requests, drains or has been removed.
     pub phase: MemberPhase,
-    /// Its weight.
+    /// Weight of the server in the decisions, relative to other servers.
     pub size: f64,
-    /// When it last started, as Unix time; 0 for long ago.
+    /// Unix time in milliseconds at which the server last started; 0 if it started long ago.
     pub up_since_ms: f64,
 }
 
 impl ListedMember {
-    /// The entry for the decisions, of a server with this number, zone, machine kind and key.
+    /// Converts the entry for the decisions, which identify the server by `server`, and its zone and machine kind by
+    /// their indices in the settings. `key` is the hash of the server's id.
     #[must_use]
     pub fn to_entry(&self, server: ServerId, zone: usize, kind: usize, key: u64) -> ServerEntry {
         ServerEntry {
@@ -68,31 +69,31 @@
     }
 }
 
-/// What a server is ready for.
+/// Phase in the life of a listed server.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberPhase {
-    /// It takes requests.
+    /// The server accepts new requests.
     Active,
-    /// It finishes what it has.
+    /// The server drains: it completes the requests that it has and must not get new ones.
     Leaving,
-    /// It is no longer there.
+    /// The server has been removed.
     Left,
 }
 
-/// Entries that are valid JSON and describe no server.
+/// Entries of a list that are valid JSON but do not describe a server.
 #[derive(Default)]
 pub struct UnreadableEntries {
-    /// The servers that they name.
+    /// Ids of the servers that these entries name.
     pub ids: Vec<String>,
-    /// How many name none.
+    /// Number of these entries without an id.
     pub nameless: usize,
-    /// What is wrong with the first of them.
+    /// Error in the first of these entries, with its id if it has one; `None` if all entries are readable.
     pub first: Option<String>,
 }
 
 impl ServerList {
-    /// A complete list without servers.
+    /// Returns a complete list without servers.
     #[must_use]
     pub fn empty() -> Self {
         let unreadable = UnreadableEntries::default();
@@ -101,27 +102,27 @@
 }
 
 impl UnreadableEntries {
-    /// How many there are.
+    /// Returns the number of unreadable entries, with and without an id.
     #[must_use]
     pub fn count(&self) -> usize {
         self.ids.len() + self.nameless
     }
 }
 
-/// Why a text is no list.
+/// A reason why a text is not a valid server list.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ListError {
-    /// It would take more memory than a list may.
+    /// The decoded list would exceed the memory limit of the [`ListDecoder`].
     TooLarge,
-    /// It is no JSON, it lacks a key, or it has ended too soon. Nothing of it can be relied on.
+    /// The text is not valid JSON, lacks a key or is incomplete. No part of it may be used.
     Malformed(&'static str),
 }
 
 impl fmt::Display for ListError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::TooLarge => f.write_str("it takes more memory than a list may"),
-            Self::Malformed(what) => f.write_str(what),
+            Self::TooLarge => f.write_str("the list exceeds the memory limit for server lists"),
+            Self::Malformed(problem) => f.write_str(problem),
         }
     }
 }
--- a/crates/balancer-node/src/net/node/endpoints.rs
+++ b/crates/balancer-node/src/net/node/endpoints.rs
@@ -1,4 +1,4 @@
-//! The directory of listed servers: assigns their numbers, and finds what a new list changes.
+//! The directory of listed servers: assigns their ids in the decisions, and finds what a new list changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,26 +9,29 @@
 use crate::net::upstream::Upstream;
 use crate::{wire, Availability, ServerEntry, ServerId};
 
-/// A server as the last list that named it described it.
+/// A server as described by the last list that named it.
 struct ListedServer {
     entry: ServerEntry,
     address: SocketAddr,
-    /// The number of that list, counted by [`ServerDirectory::list_started`].
+    /// Number of that list, as counted by [`ServerDirectory::list_started`].
     named_in: u64,
 }
 
-/// The servers that are listed, by their ids in the list. Its methods return entries for the decisions.
+/// The listed servers. Methods that apply parts of a list return the changed entries for the decisions, and update the
+/// connections in [`Upstream`] accordingly.
 #[derive(Default)]
 pub(super) struct ServerDirectory {
+    /// Keyed by the id in the list.
     servers: RefCell<HashMap<String, ListedServer>>,
-    /// Numbers are never reused: an attempt at a removed server may end late.
+    /// The last [`ServerId`] that was assigned. Ids are never reused, since an attempt at a removed server may end
+    /// late.
     last_server: Cell<usize>,
-    /// The number of lists that have begun to arrive.
+    /// Number of lists that have begun to arrive, including the present one.
     lists: Cell<u64>,
 }
 
 impl ServerDirectory {
-    /// A list begins to arrive.
+    /// Must be called when a list begins to arrive, before its entries are applied.
     pub(super) fn list_started(&self) {
         self.lists.set(self.lists.get() + 1);
     }
@@ -42,7 +45,7 @@
             && known.entry == entry(member, known.entry.server, known.entry.key, names)
     }
 
-    /// Applies members of a list, and assigns numbers to new servers.
+    /// Applies entries of a list, and assigns ids to new servers.
     pub(super) fn update(
         &self,
         members: Vec<ListedMember>,
@@ -70,7 +73,7 @@
         changes
     }
 
-    /// Applies entries that cannot be read. Whether such a server is ready is unknown: it is treated as draining.
+    /// Applies unreadable entries. Whether such a server is ready is unknown, so it is treated as draining.
     pub(super) fn drain_unreadable(
         &self,
         unreadable: &UnreadableEntries,
@@ -90,21 +93,22 @@
         changes
     }
 
-    /// Removes servers that a complete list has not named, `max` of them at most.
+    /// Removes at most `max` of the servers that a complete list has not named.
     pub(super) fn remove_unlisted(&self, max: usize, upstream: &Upstream) -> Vec<ServerEntry> {
         let mut changes = Vec::new();
         self.servers.borrow_mut().retain(|_, server| {
-            let stays = server.named_in == self.lists.get() || changes.len() >= max;
-            if !stays {
+            let is_kept = server.named_in == self.lists.get() || changes.len() >= max;
+            if !is_kept {
                 changes.push(remove(&server.entry, upstream));
             }
-            stays
+            is_kept
         });
         changes
     }
 }
 
-/// The entry of a listed server. A zone or kind that the settings do not name gets the index after the last.
+/// Returns the decisions' entry for a listed server. A zone or machine kind that the settings do not name gets the
+/// index after the last one.
 fn entry(member: &ListedMember, server: ServerId, key: u64, names: &SettingNames) -> ServerEntry {
     let index = |names: &[String], name: &String| names.iter().position(|n| n == name).unwrap_or(names.len());
     let zone = index(&names.zones, &member.locality);
--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -1,4 +1,4 @@
-//! The node itself: it passes events to the decisions, and executes their actions.
+//! The node: passes events to the decisions and executes the actions that they return.
 
 mod endpoints;
 mod requests;
@@ -26,17 +26,17 @@
 
 pub use self::requests::{AdmissionError, FinalAnswer};
 
-/// Idle connections are checked no more often than this.
+/// Shortest interval between two checks for idle connections.
 const MIN_IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Idle connections are checked so many times within their time-out.
+/// Number of checks for idle connections within their idle timeout.
 const IDLE_CHECKS_PER_TIMEOUT: u32 = 20;
 
-/// Why a node cannot start.
+/// A reason why a node cannot start.
 #[derive(Debug)]
 pub enum NodeError {
     /// The settings of the decisions are out of range.
     Settings(SettingsError),
-    /// The clock of the machine is before 1970.
+    /// The clock of the machine shows a time before 1970.
     Clock(SystemTimeError),
 }
 
@@ -44,14 +44,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Settings(error) => write!(f, "`settings`: {error}"),
-            Self::Clock(error) => write!(f, "the clock: {error}"),
+            Self::Clock(error) => write!(f, "the system clock is before 1970: {error}"),
         }
     }
 }
 
 impl std::error::Error for NodeError {}
 
-/// Unix time that never runs backwards: starts of servers are listed in it.
+/// A clock of Unix time that never runs backwards. The list gives the starts of servers in Unix time, so the decisions
+/// use it too.
 struct Clock {
     started: Instant,
     started_unix_ms: f64,
@@ -63,26 +64,27 @@
         Ok(Self { started: Instant::now(), started_unix_ms: unix.as_secs_f64() * 1000.0 })
     }
 
-    /// Unix time in milliseconds.
+    /// Returns the Unix time in milliseconds.
     fn now_ms(&self) -> f64 {
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
     }
 }
 
-/// One node, shared by all of its tasks.
+/// The state of a node, which all of its tasks share.
 pub struct Node {
-    /// What it was configured with at its start.
+    /// Configuration that was read at the start, without the initial server list. [`Node::reload`] does not change it.
     pub config: Config,
     upstream: Upstream,
     balancer: RefCell<Balancer>,
     requests: RequestTable,
     servers: ServerDirectory,
-    /// The version of the list that is known, where the present discovery gave it.
+    /// See [`Subscriber::revision`](super::discovery::Subscriber::revision).
     revision: Cell<Option<u64>>,
-    /// Whether the present failure of discovery has been logged.
+    /// Whether a failure has been logged since the last list was applied: repeated failures are logged once.
     failure_logged: Cell<bool>,
-    /// Notified when the decisions request the changes of the list.
+    /// Notified when the decisions request an update of the list.
     update_requested: Notify,
+    /// Present address of discovery; [`Node::reload`] may change it.
     discovery: Cell<SocketAddr>,
     /// Notified when the address of discovery has changed.
     discovery_moved: Notify,
@@ -92,11 +94,11 @@
 }
 
 impl Node {
-    /// Starts a node with the list of its configuration.
+    /// Creates a node that uses the server list of its configuration.
     ///
     /// # Errors
     ///
-    /// The settings are out of range, or the machine's clock is before 1970.
+    /// Fails if the settings are out of range, or if the machine's clock is before 1970.
     pub fn start(mut config: Config) -> Result<Rc<Self>, NodeError> {
         let balancer = Balancer::new(config.settings.clone(), config.seed).map_err(NodeError::Settings)?;
         let initial_list = std::mem::replace(&mut config.initial_list, ServerList::empty());
@@ -105,7 +107,7 @@
             balancer: RefCell::new(balancer),
             requests: RequestTable::default(),
             servers: ServerDirectory::default(),
-            // The version of a list from before the start means nothing to a discovery that has moved meanwhile.
+            // The configured list may come from a former discovery, whose versions the present one does not share.
             revision: Cell::new(None),
             failure_logged: Cell::new(false),
             update_requested: Notify::new(),
@@ -118,7 +120,8 @@
         let entries = node.changes(initial_list);
         node.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
         if node.config.settings.discovery == DiscoveryMode::Push {
-            // The decisions expect such lists without a subscription; on sockets they need a long poll as well.
+            // In this mode the decisions expect lists without subscribing, but on sockets lists arrive by long polls
+            // only.
             node.update_requested.notify_one();
         }
         Ok(node)
@@ -177,32 +180,36 @@
     }
 
     fn log(&self, line: &str) {
-        // A log that cannot be written must not end the node, as `eprintln` would.
+        // `eprintln` would panic if the log cannot be written, which must not stop the node.
         let _ = writeln!(io::stderr(), "{}: {}", self.config.name, wire::one_line(line));
     }
 
-    /// Reads the configuration again for the address of discovery; all else takes effect at the next start. One that
-    /// cannot be read is logged and changes nothing.
+    /// Reads the configuration again and applies the address of discovery. All other changes take effect at the next
+    /// start. A configuration that cannot be read or is invalid is logged and changes nothing.
     pub async fn reload(&self) {
         match tokio::task::spawn_blocking(Config::from_env).await {
             Ok(Ok(config)) if config.discovery != self.discovery.get() => {
                 self.discovery.set(config.discovery);
-                // Its versions need not be those of the old one.
+                // The new discovery does not share the versions of the former one.
                 self.revision.set(None);
                 self.discovery_moved.notify_one();
-                self.log(&format!("discovery is now at {}", config.discovery));
+                self.log(&format!("the address of discovery has changed to {}", config.discovery));
             }
             Ok(Ok(_)) => {}
-            Ok(Err(error)) => self.log(&format!("the configuration stays as it was: {error}")),
-            Err(_) => self.log("the configuration stays as it was: reading it failed"),
+            Ok(Err(error)) => {
+                self.log(&format!(
+                    "the new configuration cannot be used, the present one stays in force: {error}"
+                ));
+            }
+            Err(_) => self.log("the present configuration stays in force: the task that reads it has failed"),
         }
     }
 
-    /// Admits a request. Its final answer comes through `answer`.
+    /// Admits a client's request and passes it to the decisions. Its final answer is sent through `answer`.
     ///
     /// # Errors
     ///
-    /// Too many are pending, or one of the same id.
+    /// Fails if too many requests are pending, or if one with the same client id is pending.
     pub fn admit(
         self: &Rc<Self>,
         forward: ForwardedRequest,
@@ -214,8 +221,9 @@
         Ok(id)
     }
 
-    /// The client has disconnected, or its time is up: no answer is needed any more. An attempt that has not been sent
-    /// yet never is, also where the settings forbid to cancel attempts: that rule is about attempts that were sent.
+    /// Must be called when the client has disconnected or its deadline has passed, and no answer is needed any more. An
+    /// attempt that has not been sent yet is cancelled even if the settings forbid to cancel attempts: that rule
+    /// applies to attempts that have been sent.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         if self.requests.abandon(id) {
             self.handle(BalancerEvent::ClientDisconnected(id));
@@ -223,7 +231,7 @@
         }
     }
 
-    /// Fails all pending requests, since the node ends before they could.
+    /// Fails all requests that have no final answer yet. Called shortly before the node exits.
     pub fn fail_all(self: &Rc<Self>) {
         for id in self.requests.unanswered() {
             self.requests.answer(id, FinalAnswer::Failed);
@@ -231,7 +239,7 @@
         }
     }
 
-    /// Requests that still wait for an answer or for the end of an attempt.
+    /// Returns the number of requests that wait for their final answer or for the end of an attempt.
     pub fn pending(&self) -> usize {
         self.requests.len()
     }
@@ -252,7 +260,7 @@
         self.requests.remove_if_finished(id);
     }
 
-    /// Closes idle connections before the servers do, for as long as the node runs.
+    /// Closes idle connections before the servers close them. Never completes.
     pub async fn close_idle_connections(self: Rc<Self>) {
         let interval = (self.config.idle_timeout / IDLE_CHECKS_PER_TIMEOUT).max(MIN_IDLE_CHECK_INTERVAL);
         loop {
@@ -262,7 +270,7 @@
     }
 }
 
-/// A time in milliseconds; one that is negative or out of range is zero.
+/// Converts a time in milliseconds. A negative or too large time becomes zero.
 fn duration(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms / 1000.0).unwrap_or_default()
 }
--- a/crates/balancer-node/src/net/node/requests.rs
+++ b/crates/balancer-node/src/net/node/requests.rs
@@ -1,4 +1,5 @@
-//! The pending requests of a node: from their admission until they are answered and their attempts have ended.
+//! The pending requests of a node. A request is pending from its admission until it has its final answer and all of its
+//! attempts have ended.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -11,30 +12,31 @@
 use crate::net::upstream::{ForwardedRequest, SendState};
 use crate::RequestId;
 
-/// The one final answer to a request.
+/// The final answer to a request. Each request gets exactly one, unless its client disconnects before.
 pub enum FinalAnswer {
-    /// A server's body.
+    /// A server has served the request; holds the body of its response.
     Served(Bytes),
-    /// Rejected: a retry is safe, and best made after this many milliseconds.
+    /// The request is rejected and has not run, so the client may safely retry. Holds the recommended pause before the
+    /// retry in milliseconds, if there is one.
     Rejected(Option<f64>),
-    /// Failed, perhaps after taking effect.
+    /// The request has failed and may have taken effect.
     Failed,
 }
 
-/// Why a request is not admitted.
+/// A reason why a request is not admitted.
 pub enum AdmissionError {
-    /// As many are pending as may be.
+    /// The maximum number of requests is pending.
     Full,
-    /// One with the same id of the client is pending.
+    /// A request with the same `X-Request-Id` is pending.
     DuplicateId,
 }
 
-/// A request that is pending.
+/// A request without a final answer, or with attempts in flight.
 struct PendingRequest {
     forward: Rc<ForwardedRequest>,
-    /// Taken by the final answer, or when the client disconnects.
+    /// Channel of the final answer; `None` after that was sent or the client has disconnected.
     answer: Option<oneshot::Sender<FinalAnswer>>,
-    /// Each attempt, while it is in flight.
+    /// All attempts in the order of their start; `None` for those that have ended or were cancelled.
     attempts: Vec<Option<AttemptHandle>>,
 }
 
@@ -44,7 +46,7 @@
     }
 }
 
-/// An attempt that is in flight.
+/// The means to cancel an attempt in flight.
 struct AttemptHandle {
     cancel: oneshot::Sender<()>,
     state: Rc<Cell<SendState>>,
@@ -52,36 +54,37 @@
 
 impl AttemptHandle {
     fn cancel(self) {
-        // It fails where the attempt has just ended by itself.
+        // Sending fails if the attempt has just ended.
         let _ = self.cancel.send(());
     }
 }
 
-/// An attempt that has just been started.
+/// What the task of a new attempt needs.
 pub(super) struct StartedAttempt {
-    /// Its number among the attempts of its request.
+    /// Index of the attempt among the attempts of its request.
     pub(super) index: usize,
     pub(super) forward: Rc<ForwardedRequest>,
     pub(super) state: Rc<Cell<SendState>>,
     pub(super) cancelled: oneshot::Receiver<()>,
 }
 
-/// All pending requests.
+/// All pending requests of a node.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: RefCell<HashMap<RequestId, PendingRequest>>,
-    /// The ids that clients gave them: servers would take two requests with one id for one.
+    /// The `X-Request-Id` of each pending request. They must be unique, since servers take two requests with one id for
+    /// the same request.
     client_ids: RefCell<HashSet<HeaderValue>>,
     last_id: Cell<u64>,
 }
 
 impl RequestTable {
-    /// Requests that are pending.
+    /// Returns the number of pending requests.
     pub(super) fn len(&self) -> usize {
         self.requests.borrow().len()
     }
 
-    /// Adds a request, unless `max` are pending. Its final answer goes to `answer`.
+    /// Adds a request, unless `max` requests are pending. Its final answer is sent through `answer`.
     pub(super) fn admit(
         &self,
         forward: ForwardedRequest,
@@ -102,7 +105,7 @@
         Ok(id)
     }
 
-    /// Adds an attempt; `None` where the request is no longer pending.
+    /// Adds an attempt of a request; returns `None` if the request is no longer pending.
     pub(super) fn start_attempt(&self, id: RequestId) -> Option<StartedAttempt> {
         let mut requests = self.requests.borrow_mut();
         let request = requests.get_mut(&id)?;
@@ -122,19 +125,19 @@
         }
     }
 
-    /// An attempt has ended.
+    /// Records that an attempt has ended.
     pub(super) fn attempt_ended(&self, id: RequestId, attempt: usize) {
         if let Some(request) = self.requests.borrow_mut().get_mut(&id) {
             request.attempts[attempt] = None;
         }
     }
 
-    /// Whether a request has its final answer or is no longer pending.
+    /// Returns whether a request needs no final answer any more.
     pub(super) fn is_answered(&self, id: RequestId) -> bool {
         self.requests.borrow().get(&id).is_none_or(|request| request.answer.is_none())
     }
 
-    /// Requests that still need an answer, by id.
+    /// Returns the requests that still need a final answer, in the order of their ids.
     pub(super) fn unanswered(&self) -> Vec<RequestId> {
         let requests = self.requests.borrow();
         let unanswered = requests.iter().filter(|(_, request)| request.answer.is_some());
@@ -143,18 +146,18 @@
         ids
     }
 
-    /// Gives a request its final answer, unless it has one.
+    /// Sends the final answer of a request, unless it needs none any more.
     pub(super) fn answer(&self, id: RequestId, answer: FinalAnswer) {
         let sender = self.requests.borrow_mut().get_mut(&id).and_then(|request| request.answer.take());
         if let Some(sender) = sender {
-            // It fails where the client has just disconnected.
+            // Sending fails if the client has just disconnected.
             let _ = sender.send(answer);
         }
         self.remove_if_finished(id);
     }
 
-    /// The client has disconnected: no answer is needed any more, and attempts that have not been sent are cancelled.
-    /// Returns whether an answer was still needed.
+    /// Records that a client has disconnected, so that its request needs no answer any more, and cancels the attempts
+    /// that have not been sent. Returns whether an answer was still needed.
     pub(super) fn abandon(&self, id: RequestId) -> bool {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(&id).filter(|request| request.answer.is_some()) else {
@@ -163,7 +166,7 @@
         request.answer = None;
         for attempt in &mut request.attempts {
             if let Some(handle) = attempt.take_if(|handle| handle.state.get() == SendState::NotSent) {
-                // Its dial may come up in this very moment.
+                // Its connection may be established at this moment; the state prevents that the request is sent on it.
                 handle.state.set(SendState::Abandoned);
                 handle.cancel();
             }
@@ -171,6 +174,7 @@
         true
     }
 
+    /// Removes a request that has its final answer and no attempts in flight.
     pub(super) fn remove_if_finished(&self, id: RequestId) {
         let mut requests = self.requests.borrow_mut();
         if requests.get(&id).is_some_and(PendingRequest::is_finished) {
--- a/crates/balancer-node/src/net/node/subscriber.rs
+++ b/crates/balancer-node/src/net/node/subscriber.rs
@@ -1,4 +1,4 @@
-//! The node as a subscriber of discovery: lists become events of the decisions.
+//! Implements [`Subscriber`] for the node: turns server lists into events for the decisions.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,11 +12,13 @@
 use crate::net::list::{ListedMember, ServerList};
 use crate::{BalancerEvent, EndpointUpdate, ServerEntry};
 
-/// Changes of a list that are applied at once: all other tasks wait for some milliseconds meanwhile.
+/// Maximum number of changes that are applied without yielding. All other tasks wait for some milliseconds while they
+/// are applied.
 const MAX_CHANGES_AT_ONCE: usize = 2000;
 
 impl Node {
-    /// The entries that a list changes: further work is proportional to the changes, also where the list is complete.
+    /// Applies a list to the server directory, and returns the entries that it changes. The work of the decisions is
+    /// then proportional to the changes even if the list is complete.
     pub(super) fn changes(&self, list: ServerList) -> Vec<ServerEntry> {
         let mut changes = self.update(list.members);
         changes.extend(self.servers.drain_unreadable(&list.unreadable, &self.upstream));
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Removes the servers that a complete list has not named, some at once.
+    /// Removes the servers that a complete list has not named, and yields after each chunk.
     async fn remove_unlisted(self: &Rc<Self>) {
         loop {
             let removed = self.servers.remove_unlisted(MAX_CHANGES_AT_ONCE, &self.upstream);
@@ -89,13 +91,14 @@
 
     fn apply(self: &Rc<Self>, list: ServerList) {
         self.failure_logged.set(false);
-        // A changed entry that names no server may be any server's: only a complete list shows which servers remain.
+        // An entry without an id may be a change of any server. Without a version the next call fetches a complete list,
+        // which shows the servers that remain.
         let known = list.complete || list.unreadable.nameless == 0;
         self.revision.set(known.then_some(list.revision));
         if let Some(reason) = &list.unreadable.first {
             let (count, all) = (list.unreadable.count(), list.entries);
             self.log(&format!(
-                "{count} of {all} entries of the list are left out, the first for this: {reason}"
+                "skipped {count} of {all} entries of the server list, since they are invalid; the first error: {reason}"
             ));
         }
         let changes = self.changes(list);
@@ -124,7 +127,7 @@
 
     fn call_failed(&self, error: &CallError) {
         if !self.failure_logged.replace(true) {
-            self.log(&format!("a call for the list failed: {error}"));
+            self.log(&format!("a call to discovery at {} has failed: {error}", self.discovery.get()));
         }
     }
 }
--- a/crates/balancer-node/src/net/socket.rs
+++ b/crates/balancer-node/src/net/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets that hyper reads and writes while their owners inspect them.
+//! Sockets that hyper reads and writes and that other code can inspect at the same time.
 
 use std::io;
 use std::net::Shutdown;
@@ -12,25 +12,25 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The owner of a socket.
+/// A socket that [`Io`] reads and writes on behalf of hyper.
 pub trait Socket {
-    /// The socket itself.
+    /// Returns the underlying TCP stream.
     fn stream(&self) -> &TcpStream;
 
-    /// These bytes were received and go to hyper next.
+    /// Called with the received bytes before hyper gets them.
     fn received(&self, _bytes: &[u8]) {}
 }
 
-/// Whether there is unread input: bytes, the end of the stream or an error. Asks the socket itself, since the event
-/// loop may not have been notified yet.
+/// Returns whether there is unread input: bytes, the end of the stream or an error. It peeks at the socket, since the
+/// event loop may not have been notified yet.
 pub fn has_input(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     let peeked = SockRef::from(stream).peek(&mut byte);
     !peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether the peer has disconnected: it closed its sending side, or the connection broke. If unread input precedes
-/// that end, the readiness that the event loop reports decides.
+/// Returns whether the peer has disconnected: it closed its sending side, or the connection broke. If unread input
+/// precedes the end of the stream, the result depends on the readiness that the event loop has reported.
 pub async fn has_disconnected(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match SockRef::from(stream).peek(&mut byte) {
@@ -40,16 +40,17 @@
     }
 }
 
-/// Completes once the event loop reports that the peer has disconnected, also behind unread input. tokio's priority
-/// interest waits for that and for urgent data, which no socket here is registered for. The readable interest would
-/// complete for as long as there is input, which only hyper may read. This one wakes its task once, and does not
-/// change the readiness that hyper relies on.
+/// Completes once the event loop reports that the peer has disconnected, even if unread input precedes the end.
+///
+/// tokio's priority interest completes on a disconnect and on urgent data, and no socket here is registered for urgent
+/// data. The readable interest would complete whenever there is input, which only hyper may read. The priority
+/// interest wakes its task once and does not change the readiness that hyper relies on.
 pub async fn disconnected(stream: &TcpStream) {
-    // It fails only where the event loop has ended.
+    // This fails only if the event loop has ended.
     let _ = stream.ready(Interest::PRIORITY).await;
 }
 
-/// hyper's side of a socket.
+/// Gives hyper access to a [`Socket`].
 pub struct Io<S>(pub Rc<S>);
 
 impl<S: Socket> AsyncRead for Io<S> {
--- a/crates/balancer-node/src/net/upstream/attempt.rs
+++ b/crates/balancer-node/src/net/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes: one exchange with a server each.
+//! Attempts and probes. Each is one HTTP exchange with a server.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,30 +19,33 @@
 use crate::net::load_report::parse_load_report;
 use crate::{AttemptOutcome, LoadReport, ServerId};
 
-/// Part of a request's remaining time that it waits until a kept connection may be reused, rather than dial. The wait
-/// counts as latency: with a 16th, nodes of few rejected most requests of the lowest value.
+/// Fraction of a request's remaining time for which it waits until a kept connection may be reused, instead of dialing
+/// a new one. The wait counts as latency: with 1/16, the nodes of small deployments rejected most requests of the
+/// lowest value.
 const MAX_REUSE_WAIT_FRACTION: f64 = 1.0 / 64.0;
-/// Part of a request's remaining time that a connection may take to come up: another may be had after it.
+/// Fraction of a request's remaining time within which a connection must be established. The rest leaves time for
+/// another attempt.
 const MAX_DIAL_FRACTION: f64 = 0.25;
-/// Dials of one attempt: a late one gets others beside it. Connections that come up later are kept.
+/// Maximum number of dials of one attempt. Further dials run in parallel with a late one; connections that are
+/// established later are kept for other requests.
 const MAX_DIALS: usize = 3;
 
-/// A client's request as it is forwarded to servers.
+/// A client's request in the form that is forwarded to servers. Only its deadline is rewritten for each attempt.
 pub struct ForwardedRequest {
-    /// Unchanged.
+    /// Method of the client's request.
     pub method: Method,
-    /// Path and query, unchanged.
+    /// Path and query of the client's request, without scheme and authority.
     pub uri: Uri,
-    /// The fields that are forwarded unchanged.
+    /// Those header fields of the client's request that are forwarded.
     pub headers: HeaderMap,
-    /// Unchanged.
+    /// Body of the client's request.
     pub body: Bytes,
-    /// When the node stops waiting for an answer.
+    /// Time at which the node stops waiting for a server's response.
     pub expires_at: Instant,
 }
 
 impl ForwardedRequest {
-    /// The id that the client gave the request.
+    /// Returns the `X-Request-Id` that the client has set.
     pub fn client_id(&self) -> &HeaderValue {
         &self.headers["x-request-id"]
     }
@@ -62,36 +65,37 @@
     }
 }
 
-/// How far an attempt has come.
+/// Whether a server may have received an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum SendState {
-    /// No byte of it was sent.
+    /// No byte of the request has been sent.
     NotSent,
-    /// Some of it may have been sent.
+    /// Some bytes of the request may have been sent.
     MaybeSent,
-    /// Nothing was sent, and nothing may be any more: the client has disconnected.
+    /// No byte has been sent and none may be sent any more, since the client has disconnected.
     Abandoned,
 }
 
-/// How an attempt or a probe ended.
+/// The result of an attempt or a probe.
 pub struct ServerReply {
-    /// The outcome.
+    /// Outcome for the decisions.
     pub outcome: AttemptOutcome,
-    /// The load report in the answer.
+    /// Load report in the response; `None` if it has none or a malformed one.
     pub report: Option<LoadReport>,
-    /// The complete body, where the request was served.
+    /// Complete body of the response if the outcome is [`AttemptOutcome::Served`], else `None`.
     pub body: Option<Bytes>,
 }
 
 impl ServerReply {
-    /// The end of an attempt without an answer.
+    /// Creates the result of an attempt without a response.
     pub fn without_answer(outcome: AttemptOutcome) -> Self {
         Self { outcome, report: None, body: None }
     }
 }
 
-/// One attempt of a request, from choosing a connection to the complete answer. `state` reports how far it has come.
-/// Where it has not been sent by `send_by`, it is not sent at all. When this returns, nothing of it is in progress.
+/// Makes one attempt of a request, from choosing a connection to the complete response. `state` shows whether the
+/// request may have been sent. A request that cannot be sent by `send_by` is not sent at all. When this returns, the
+/// attempt is no longer in progress: its connection is idle or closed.
 pub async fn attempt(
     upstream: &Upstream,
     server: ServerId,
@@ -100,23 +104,23 @@
     state: &Cell<SendState>,
     cancelled: oneshot::Receiver<()>,
 ) -> ServerReply {
-    let unless_sent = |outcome| {
+    let interrupted = |outcome| {
         ServerReply::without_answer(match state.get() {
             SendState::MaybeSent => outcome,
             SendState::NotSent | SendState::Abandoned => AttemptOutcome::NotSent,
         })
     };
     let message = Message::Request { request, send_by };
-    // The exchange owns the connection; it is dropped, and that closed, before this returns.
+    // The exchange owns the connection: dropping the exchange before this returns closes the connection.
     tokio::select! {
         biased;
         reply = exchange(upstream, server, &message, state) => reply,
-        Ok(()) = cancelled => unless_sent(AttemptOutcome::Cancelled),
-        () = sleep_until(request.expires_at) => unless_sent(AttemptOutcome::TimedOut),
+        Ok(()) = cancelled => interrupted(AttemptOutcome::Cancelled),
+        () = sleep_until(request.expires_at) => interrupted(AttemptOutcome::TimedOut),
     }
 }
 
-/// Asks a server for its load report.
+/// Probes a server: requests its load report.
 pub async fn probe(upstream: &Upstream, server: ServerId) -> ServerReply {
     let state = Cell::new(SendState::NotSent);
     let exchange = exchange(upstream, server, &Message::Probe, &state);
@@ -128,14 +132,14 @@
     reply
 }
 
-/// What is sent to a server.
+/// A message to a server.
 enum Message<'a> {
     Request { request: &'a ForwardedRequest, send_by: Option<Instant> },
     Probe,
 }
 
 impl Message<'_> {
-    /// How long to wait until a kept connection may be reused, rather than dial.
+    /// Returns how long to wait until a kept connection may be reused, before a new connection is dialed instead.
     fn max_reuse_wait(&self) -> Duration {
         match self {
             Self::Request { request, .. } => request.time_left().mul_f64(MAX_REUSE_WAIT_FRACTION),
@@ -156,8 +160,8 @@
         send_by.map_or(share, |send_by| share.min(send_by.saturating_duration_since(Instant::now())))
     }
 
-    /// Whether it may still be sent: time has passed since the decision, and a server that drains by now gets nothing
-    /// new.
+    /// Returns whether the message may still be sent. Since the decision, the time limit may have passed, and the
+    /// server may have begun to drain: it must not get new requests then.
     fn may_be_sent(&self, server: &Server, state: SendState) -> bool {
         state != SendState::Abandoned
             && match self {
@@ -173,20 +177,21 @@
             Self::Request { request, .. } => request.to_request(),
             Self::Probe => {
                 let request = Request::get("/_load").header("host", address.to_string());
-                request.body(Full::default()).expect("a sound request")
+                request.body(Full::default()).expect("a valid request")
             }
         }
     }
 }
 
-/// Sends a message and reads the answer. On a kept connection that the server has closed it is sent again on another.
+/// Sends a message and reads the response. If a kept connection turns out to be closed by the server before anything
+/// was written, the message is sent on another connection.
 async fn exchange(
     upstream: &Upstream,
     server: ServerId,
     message: &Message<'_>,
     state: &Cell<SendState>,
 ) -> ServerReply {
-    // It may have been removed since the decision.
+    // The server may have been removed since the decision.
     let Some(server) = upstream.server(server) else {
         return ServerReply::without_answer(AttemptOutcome::NotSent);
     };
@@ -203,7 +208,7 @@
     }
 }
 
-/// A kept connection, or a new one; and whether it is a kept one.
+/// Returns a kept connection or a new one, and whether it is a kept one.
 async fn obtain_connection(
     upstream: &Upstream,
     server: &Rc<Server>,
@@ -221,10 +226,10 @@
     }
 }
 
-/// The outcome of sending a message on one connection.
+/// The result of sending a message on one connection.
 enum SendOutcome {
     Reply(ServerReply),
-    /// Nothing was written: the connection had been closed.
+    /// The connection was closed, and nothing was written.
     Unusable,
 }
 
@@ -250,7 +255,7 @@
             }
             SendOutcome::Reply(reply)
         }
-        // A request that hyper gives back was never written; any other may have been.
+        // A request that hyper returns was never written; any other request may have been.
         Err(mut error) => match error.take_message() {
             Some(_) => {
                 state.set(SendState::NotSent);
@@ -261,20 +266,20 @@
     }
 }
 
-/// Reads an answer; returns whether it was complete: only then is its outcome known and may the connection be kept.
-/// Where the server wants it closed, hyper closes it.
+/// Reads a response and returns whether it is complete. Only a complete response proves an outcome and allows to keep
+/// the connection. If the server requests it, hyper closes the connection.
 async fn read_response(response: Response<Incoming>) -> (ServerReply, bool) {
     let (head, body) = response.into_parts();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let report = text("x-load").and_then(parse_load_report);
     let not_run = text("x-not-run") == Some("1");
-    let body = match has_end(&head, &body) {
+    let body = match is_delimited(&head, &body) {
         true => Limited::new(body, MAX_BODY_BYTES).collect().await.ok().map(|body| body.to_bytes()),
         false => None,
     };
     let complete = body.is_some();
     let outcome = match head.status {
-        // An incomplete answer proves nothing, whatever its head says.
+        // An incomplete response proves nothing, whatever its head says.
         _ if !complete => AttemptOutcome::Reset,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => AttemptOutcome::Rejected,
         StatusCode::OK => AttemptOutcome::Served,
@@ -284,8 +289,9 @@
     (ServerReply { outcome, report, body }, complete)
 }
 
-/// Whether the end of a body is distinguishable from a broken connection, and its length within the limit.
-fn has_end(head: &response::Parts, body: &Incoming) -> bool {
+/// Returns whether the length of the response body is known to be within the limit, or the body is chunked: only then
+/// can its end be distinguished from a broken connection.
+fn is_delimited(head: &response::Parts, body: &Incoming) -> bool {
     let chunked = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"chunked");
     match (body.size_hint().exact(), head.headers.get(TRANSFER_ENCODING)) {
         _ if head.status == StatusCode::SWITCHING_PROTOCOLS => false,
--- a/crates/balancer-node/src/net/upstream/connection.rs
+++ b/crates/balancer-node/src/net/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One server's connections: the idle ones that are kept, and how one is established.
+//! The connections to one server: establishes them and keeps the idle ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,17 +18,18 @@
 use crate::net::socket::{self, has_input, Io};
 use crate::AttemptOutcome;
 
-/// A connection is reused this long after an answer at the earliest. Bytes that a server sends after an answer,
-/// such as a duplicate some milliseconds late, have arrived by then; the next request must not get them.
+/// Minimum time between a response and the next request on the same connection. Bytes that a server sends after a
+/// response, such as a duplicate some milliseconds later, arrive within this time; they must not be taken for the
+/// response to the next request.
 pub(super) const MIN_REUSE_DELAY: Duration = Duration::from_millis(20);
-/// The longest head of an answer.
+/// Maximum length of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// The right to one open socket; returned when it is dropped.
+/// Counts one socket as open for as long as the permit exists.
 pub(super) struct SocketPermit(Rc<Cell<usize>>);
 
 impl SocketPermit {
-    /// Counts one more open socket. The caller has checked the limit.
+    /// Adds one to the number of open sockets. The caller must have checked the limit.
     pub(super) fn acquire(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
         Self(Rc::clone(open))
@@ -41,7 +42,7 @@
     }
 }
 
-/// A socket to a server, which its connection and hyper's task share.
+/// A socket to a server, shared by a [`Connection`] and hyper's connection task.
 struct ServerSocket {
     stream: TcpStream,
     _permit: SocketPermit,
@@ -53,7 +54,7 @@
     }
 }
 
-/// A connection to a server.
+/// An HTTP connection to a server, idle or used by one exchange.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     socket: Rc<ServerSocket>,
@@ -62,7 +63,7 @@
 }
 
 impl Connection {
-    /// Establishes a connection.
+    /// Connects to a server. On failure the outcome is [`AttemptOutcome::Unreachable`].
     pub(super) async fn dial(address: SocketAddr, permit: SocketPermit) -> Result<Self, AttemptOutcome> {
         let stream = TcpStream::connect(address).await.map_err(|_| AttemptOutcome::Unreachable)?;
         stream.set_nodelay(true).map_err(|_| AttemptOutcome::Unreachable)?;
@@ -77,34 +78,34 @@
         Ok(Self { sender, socket, address, idle_since: Instant::now() })
     }
 
-    /// Whether the server has neither closed it nor sent unexpected bytes.
+    /// Returns whether the server has neither closed the connection nor sent unexpected bytes on it.
     pub(super) fn is_usable(&self) -> bool {
         !self.sender.is_closed() && !has_input(&self.socket.stream)
     }
 
-    /// From when on it may be reused.
+    /// Returns the earliest time at which the connection may be reused.
     pub(super) fn reusable_at(&self) -> Instant {
         self.idle_since + MIN_REUSE_DELAY
     }
 }
 
 impl Drop for Connection {
-    /// Ends it for the server now: hyper's task drops the socket only when it next runs, and an attempt that was
-    /// cancelled must be over before the next begins.
+    /// Shuts the socket down at once. hyper's task drops the socket only when it runs next, but the server must see the
+    /// end of a cancelled attempt before the next attempt begins.
     fn drop(&mut self) {
-        // It fails where the connection is closed already.
+        // This fails if the connection is closed already.
         let _ = SockRef::from(&self.socket.stream).shutdown(Shutdown::Both);
     }
 }
 
-/// A server of the list. Attempts and probes in progress share it, also after it has been removed.
+/// A listed server. Attempts and probes in progress keep a reference to it after it has been removed.
 pub(super) struct Server {
     pub(super) address: SocketAddr,
-    /// When this process of it started, as Unix time in milliseconds.
+    /// Unix time in milliseconds at which the server process started; `None` if the list does not give it.
     pub(super) started_at: Option<f64>,
-    /// Whether the list allows new requests to it.
+    /// Whether the server may get new requests according to the list.
     ready: Cell<bool>,
-    /// Idle connections; the one used last is at the back.
+    /// Idle connections, ordered by the time of their last use; the last used one is at the back.
     idle: RefCell<VecDeque<Connection>>,
 }
 
@@ -117,7 +118,7 @@
         self.ready.get()
     }
 
-    /// Sets whether it may get new requests; if not, its idle connections are closed.
+    /// Sets whether the server may get new requests. If not, its idle connections are closed.
     pub(super) fn set_ready(&self, ready: bool) {
         self.ready.set(ready);
         if !ready {
@@ -125,25 +126,25 @@
         }
     }
 
-    /// Takes an idle connection that the server will not close soon: the last used of those that may be reused, else
-    /// the first that may be reused within `max_wait`.
+    /// Takes an idle connection that has been idle for less than `keep`: the last used one that may be reused now, or
+    /// else the first one that may be reused within `max_wait`.
     pub(super) fn take_idle(&self, keep: Duration, max_wait: Duration) -> Option<Connection> {
         self.close_idle(keep);
         let mut idle = self.idle.borrow_mut();
         let reusable = idle.iter().rposition(|c| c.idle_since.elapsed() >= MIN_REUSE_DELAY);
-        let soon = idle.front().filter(|c| c.idle_since.elapsed() + max_wait >= MIN_REUSE_DELAY).map(|_| 0);
-        let index = reusable.or(soon)?;
+        let first = idle.front().filter(|c| c.idle_since.elapsed() + max_wait >= MIN_REUSE_DELAY).map(|_| 0);
+        let index = reusable.or(first)?;
         idle.remove(index)
     }
 
     /// Closes connections that have been idle for longer than `keep`.
     pub(super) fn close_idle(&self, keep: Duration) {
         let mut idle = self.idle.borrow_mut();
-        let young = idle.iter().position(|c| c.idle_since.elapsed() < keep).unwrap_or(idle.len());
-        idle.drain(..young);
+        let expired = idle.iter().position(|c| c.idle_since.elapsed() < keep).unwrap_or(idle.len());
+        idle.drain(..expired);
     }
 
-    /// Keeps a connection for the next request.
+    /// Keeps a connection for a later request, if the server may get new requests.
     pub(super) fn keep(&self, mut connection: Connection) {
         if self.ready.get() {
             connection.idle_since = Instant::now();
@@ -151,12 +152,12 @@
         }
     }
 
-    /// Since when its longest idle connection has been idle.
+    /// Returns since when the longest idle connection has been idle; `None` if no connection is idle.
     pub(super) fn idle_since(&self) -> Option<Instant> {
         self.idle.borrow().front().map(|connection| connection.idle_since)
     }
 
-    /// Closes its longest idle connection.
+    /// Closes the longest idle connection, if there is one.
     pub(super) fn close_oldest(&self) {
         drop(self.idle.borrow_mut().pop_front());
     }
--- a/crates/balancer-node/src/net/upstream/mod.rs
+++ b/crates/balancer-node/src/net/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The servers and the connections to them, on which attempts and probes are made.
+//! The listed servers and the connections to them, on which attempts and probes are made.
 
 mod attempt;
 mod connection;
@@ -20,17 +20,20 @@
 
 pub use self::attempt::{attempt, probe, ForwardedRequest, SendState, ServerReply};
 
-/// The longest body of a request or an answer.
+/// Maximum length of the body of a request or a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Part of the servers' idle time-out for which a connection is kept: a request on one that the server closes is reset.
+/// Fraction of the servers' idle timeout for which a connection is kept. A request that is sent while the server closes
+/// the connection would be reset.
 const IDLE_FRACTION: f64 = 0.9;
-/// A dial that takes so many times the median is late, and another is made beside it.
+/// A dial is late after this multiple of the median dial time. Another dial is then made in parallel.
 const LATE_DIAL_FACTOR: f64 = 4.0;
-/// The estimated median of dial times, in seconds: at the start, its bounds, and the factor by which one dial
-/// moves it.
+/// Initial estimate of the median dial time, in seconds.
 const INITIAL_MEDIAN_DIAL: f64 = 0.005;
+/// Lower bound of the estimated median dial time, in seconds.
 const MIN_MEDIAN_DIAL: f64 = 0.000_5;
+/// Upper bound of the estimated median dial time, in seconds.
 const MAX_MEDIAN_DIAL: f64 = 0.25;
+/// Factor by which a slower dial raises the estimated median, and by which a faster one lowers it.
 const MEDIAN_DIAL_STEP: f64 = 1.1;
 
 /// The listed servers and the sockets to them.
@@ -38,16 +41,16 @@
     servers: RefCell<HashMap<ServerId, Rc<Server>>>,
     open_sockets: Rc<Cell<usize>>,
     max_sockets: usize,
-    /// How long an idle connection is kept.
+    /// Time for which an idle connection is kept.
     keep_idle: Duration,
-    /// Time-out of a dial, also where no request waits for it any more.
+    /// Timeout of a dial. It also applies if no request waits for the connection any more.
     dial_timeout: Duration,
-    /// Estimated median of dial times, in seconds.
+    /// Estimated median dial time, in seconds.
     median_dial: Rc<Cell<f64>>,
 }
 
 impl Upstream {
-    /// Creates it without servers.
+    /// Creates an instance without servers. Servers use at most 2/5 of the sockets that the configuration allows.
     pub fn new(config: &Config) -> Self {
         Self {
             servers: RefCell::default(),
@@ -59,8 +62,9 @@
         }
     }
 
-    /// Adds or updates a server of the list. Idle connections to one that may get no new requests are closed, and so
-    /// are all to a former process or address of the server: dials in progress there are of no use.
+    /// Adds or updates a listed server. If the server may get no new requests, its idle connections are closed. If its
+    /// address or start time has changed, the idle connections to the former process are closed, and connections that
+    /// are still being established to it are not used.
     pub fn update(&self, server: ServerId, address: SocketAddr, started_at: Option<f64>, ready: bool) {
         let same = |known: &Rc<Server>| known.address == address && known.started_at == started_at;
         if !self.servers.borrow().get(&server).is_some_and(same) {
@@ -71,14 +75,14 @@
         servers.entry(server).or_insert_with(added).set_ready(ready);
     }
 
-    /// Removes a server: attempts in progress may end, and no new ones begin.
+    /// Removes a server. Attempts in progress may complete, but no new ones begin.
     pub fn remove(&self, server: ServerId) {
         if let Some(removed) = self.servers.borrow_mut().remove(&server) {
             removed.set_ready(false);
         }
     }
 
-    /// Closes connections that have been idle for so long that the server may soon close them.
+    /// Closes the connections that have been idle for so long that their server may close them soon.
     pub fn close_idle(&self) {
         self.servers.borrow().values().for_each(|server| server.close_idle(self.keep_idle));
     }
@@ -95,7 +99,8 @@
         server.take_idle(self.keep_idle, max_wait)
     }
 
-    /// A permit for one more socket, for which the longest idle one is closed if need be.
+    /// Returns a permit for one more socket. At the limit, the connection that has been idle longest is closed first;
+    /// returns `None` if no connection is idle.
     fn socket_permit(&self) -> Option<SocketPermit> {
         if self.open_sockets.get() >= self.max_sockets {
             let servers = self.servers.borrow();
@@ -105,8 +110,9 @@
         Some(SocketPermit::acquire(&self.open_sockets))
     }
 
-    /// A new connection to a server, where one comes up within this time. Some dials take many times the median, for
-    /// a packet that was lost or a backlog that was full: a late one gets another beside it, up to `max_dials`.
+    /// Establishes a new connection to a server within a time limit. Some dials take many times the median, because a
+    /// packet was lost or a backlog was full. While the dials so far are late, further ones are made in parallel, up to
+    /// `max_dials` in all.
     async fn connect(
         &self,
         server: &Rc<Server>,
@@ -115,7 +121,7 @@
     ) -> Result<Connection, AttemptOutcome> {
         let until = Instant::now() + within;
         let (established, mut connections) = mpsc::unbounded_channel();
-        // Dropped with this future where the client has disconnected: then all dials are cancelled.
+        // Dropped with this future if the client disconnects, which cancels all dials.
         let mut dials = JoinSet::new();
         let mut result = Err(AttemptOutcome::Unreachable);
         for dial in 1..=max_dials {
@@ -125,7 +131,7 @@
                 Some(permit) => {
                     dials.spawn_local(self.dial(Rc::clone(server), permit, established.clone()));
                 }
-                // Without a socket the attempt is not sent, which is no failure of the server.
+                // Without a free socket the attempt is not sent. This does not count as a failure of the server.
                 None if dial == 1 => return Err(AttemptOutcome::NotSent),
                 None => {}
             }
@@ -136,12 +142,13 @@
                 break;
             }
         }
-        // Connections that come up later are kept.
+        // Connections that are established later are kept for other requests.
         dials.detach_all();
         result
     }
 
-    /// Dials a server, and keeps the connection for other requests where this one waits for it no longer.
+    /// Dials a server and sends the connection through `established`. If the receiver has been dropped, the connection
+    /// is kept for other requests.
     fn dial(
         &self,
         server: Rc<Server>,
