--- a/crates/balancer-node/src/main.rs
+++ b/crates/balancer-node/src/main.rs
@@ -1,5 +1,5 @@
-//! The balancer node: serves clients until SIGTERM, then answers the requests that it has admitted and exits. SIGHUP
-//! makes it read the address of discovery again.
+//! The balancer node: serves clients until SIGTERM, then answers the requests that it has admitted and exits.
+//! SIGHUP makes it read the address of discovery again.
 
 use std::fmt;
 use std::io;
@@ -61,7 +61,8 @@
     let config = Config::from_env().map_err(StartError::Config)?;
     let address = config.listen;
     let node = Node::start(config).map_err(StartError::Node)?;
-    // The first list must be applied before the first client connects: no request may be sent to a draining server.
+    // The first list must be applied before the first client connects: no request may be sent to a draining
+    // server.
     let connection = discovery::fetch_initial(&node).await;
     let listener = TcpListener::bind(address).await;
     let listener = listener.map_err(|source| StartError::Listen { address, source })?;
--- a/crates/balancer-node/src/net/config.rs
+++ b/crates/balancer-node/src/net/config.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration of a node from the `GW_*` environment variables and from the JSON file that `GW_CONFIG`
-//! names.
+//! Reads the configuration of a node from the `GW_*` environment variables and from the JSON file that
+//! `GW_CONFIG` names.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,8 +25,8 @@
     pub name: String,
     /// Address at which the node listens for clients.
     pub listen: SocketAddr,
-    /// Address of discovery. The file takes precedence over `GW_DISCOVERY`, because the file can be replaced while the
-    /// node runs.
+    /// Address of discovery. The file takes precedence over `GW_DISCOVERY`, because the file can be replaced
+    /// while the node runs.
     pub discovery: SocketAddr,
     /// Seed of the random numbers that the decisions draw.
     pub seed: u64,
@@ -125,7 +125,8 @@
         })
     }
 
-    /// Returns whether a request of this class may run twice. `class` is an index into [`SettingNames::classes`].
+    /// Returns whether a request of this class may run twice. `class` is an index into
+    /// [`SettingNames::classes`].
     pub fn idempotency(&self, class: usize) -> Idempotency {
         self.settings.classes[class].idempotency
     }
@@ -142,9 +143,9 @@
         return Err(ConfigError::SettingsNotAnObject);
     }
     let mut settings = wire::read_settings(json).map_err(ConfigError::MalformedSettings)?;
-    // `allowed.retry_after` applies to simulated clients only. On sockets every rejection has a `Retry-After` header,
-    // so that a client that is rejected at once can tell when to retry. The longest pause is the one in the settings,
-    // or else the longest deadline.
+    // `allowed.retry_after` applies to simulated clients only. On sockets every rejection has a `Retry-After`
+    // header, so that a client that is rejected at once can tell when to retry. The longest pause is the one
+    // in the settings, or else the longest deadline.
     let longest = settings.longest_deadline_ms();
     settings.max_retry_after_ms = Some(json["allowed"]["max_retry_after_ms"].as_f64().unwrap_or(longest));
     settings.validate().map_err(ConfigError::InvalidSettings)?;
@@ -185,8 +186,8 @@
     (memory_mb * LIST_MEMORY_FRACTION * f64::from(1 << 20)) as usize
 }
 
-/// Returns the maximum number of pending requests. An absent limit and zero both mean no limit: with a limit of zero
-/// the node could not serve any request.
+/// Returns the maximum number of pending requests. An absent limit and zero both mean no limit: with a limit
+/// of zero the node could not serve any request.
 fn max_pending(allowed: &Value) -> Result<usize, ConfigError> {
     const KEY: &str = "most_held";
     match &allowed[KEY] {
@@ -205,7 +206,8 @@
     value.map(|time| Some(time.min(UNLIMITED))).ok_or(ConfigError::InvalidTime { key })
 }
 
-/// Returns the names under a key: a list of strings, or of objects with a `name`. An absent key means an empty list.
+/// Returns the names under a key: a list of strings, or of objects with a `name`. An absent key means an
+/// empty list.
 fn names(key: &'static str, settings: &Value) -> Result<Vec<String>, ConfigError> {
     let entries = match &settings[key] {
         Value::Null => return Ok(Vec::new()),
--- a/crates/balancer-node/src/net/discovery.rs
+++ b/crates/balancer-node/src/net/discovery.rs
@@ -19,34 +19,38 @@
 
 use super::list::{ListDecoder, ListError, ListedMember, ServerList};
 
-/// Time for which discovery may hold a long poll before it responds that nothing has changed. If a poll gets no
-/// response, the changes that it missed count as announced 6 s after it began, or 2 s after this time. The sooner the
-/// missing response is detected, the fewer requests are sent to removed servers.
+/// Time for which discovery may hold a long poll before it responds that nothing has changed. If a poll gets
+/// no response, the changes that it missed count as announced 6 s after it began, or 2 s after this time. The
+/// sooner the missing response is detected, the fewer requests are sent to removed servers.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Fraction of the drain grace within which the response to a call must begin, after the time of its long poll.
-/// Otherwise the call has failed. Two such times and the pause between them are shorter than the grace, so an update
-/// that counts as announced at once is received within the grace.
+/// Fraction of the drain grace within which the response to a call must begin, after the time of its long
+/// poll. Otherwise the call has failed. Two such times and the pause between them are shorter than the grace,
+/// so an update that counts as announced at once is received within the grace.
 const RESPONSE_TIMEOUT_FRACTION: f64 = 0.25;
 /// Lower bound of the response timeout, for a very short drain grace.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Upper bound of the response timeout, for a very long drain grace. Two such times and the longest pause between them
-/// are shorter than the 6 s after which a change counts as announced, and so are one such time and a long poll.
+/// Upper bound of the response timeout, for a very long drain grace. Two such times and the longest pause
+/// between them are shorter than the 6 s after which a change counts as announced, and so are one such time
+/// and a long poll.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A list that has begun to arrive must be complete within this multiple of the response timeout. A slower one is
-/// abandoned; this time, the pause and the timeout of the next call together are within the drain grace.
+/// A list that has begun to arrive must be complete within this multiple of the response timeout. A slower
+/// one is abandoned; this time, the pause and the timeout of the next call together are within the drain
+/// grace.
 const LIST_TIMEOUT_FACTOR: u32 = 2;
 /// Pause between calls at the start of the node while discovery is not reachable.
 const INITIAL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest time over which nodes spread their calls for the complete list of a new discovery, whose address reaches
-/// all of them at once. The list of a new discovery counts as announced 4 s after its address was announced.
+/// Longest time over which nodes spread their calls for the complete list of a new discovery, whose address
+/// reaches all of them at once. The list of a new discovery counts as announced 4 s after its address was
+/// announced.
 const MAX_MOVE_SPREAD: Duration = Duration::from_secs(1);
-/// Number of bytes of a list that are decoded without yielding. All other tasks wait for a fraction of a millisecond
-/// while a chunk is decoded.
+/// Number of bytes of a list that are decoded without yielding. All other tasks wait for a fraction of a
+/// millisecond while a chunk is decoded.
 const CHUNK_BYTES: usize = 32 << 10;
 /// Maximum memory of a list, in bytes, if the subscriber sets no limit.
 const DEFAULT_MAX_LIST_BYTES: usize = 48 << 20;
 
-/// A subscriber of the server list: a [`Node`](super::node::Node), or a substitute for one in a test or emulator.
+/// A subscriber of the server list: a [`Node`](super::node::Node), or a substitute for one in a test or
+/// emulator.
 pub trait Subscriber: 'static {
     /// Returns the notification that makes [`follow`] poll again after a failed call.
     fn update_requested(&self) -> &Notify;
@@ -54,21 +58,22 @@
     fn discovery_moved(&self) -> &Notify;
     /// Returns the present address of discovery.
     fn discovery_address(&self) -> SocketAddr;
-    /// Returns the version of the list in use. It is `None` if the list did not come from the present discovery; the
-    /// next call then fetches the complete list.
+    /// Returns the version of the list in use. It is `None` if the list did not come from the present
+    /// discovery; the next call then fetches the complete list.
     fn revision(&self) -> Option<u64>;
     /// Returns how long requests may still be sent to a server after its draining was announced.
     fn drain_grace(&self) -> Duration;
     /// Applies the list in the response to a call.
     fn apply(self: &Rc<Self>, list: ServerList);
-    /// Applies a list in chunks, with other tasks running in between, and calls [`apply`](Self::apply) last. No other
-    /// call is made until this completes. The default applies the list at once.
+    /// Applies a list in chunks, with other tasks running in between, and calls [`apply`](Self::apply) last.
+    /// No other call is made until this completes. The default applies the list at once.
     fn apply_in_chunks(self: &Rc<Self>, list: ServerList) -> impl Future<Output = ()> {
         async { self.apply(list) }
     }
     /// Called after a call has failed or got no response. The list in use stays in force.
     fn unavailable(self: &Rc<Self>);
-    /// Returns the maximum memory of a list, in bytes. A larger list is not read to its end, and its call fails.
+    /// Returns the maximum memory of a list, in bytes. A larger list is not read to its end, and its call
+    /// fails.
     fn max_list_bytes(&self) -> usize {
         DEFAULT_MAX_LIST_BYTES
     }
@@ -78,8 +83,8 @@
     fn is_unchanged(&self, _member: &ListedMember) -> bool {
         false
     }
-    /// Returns the delay of the first call after discovery has moved, as a fraction (0 to 1) of the time over which
-    /// nodes spread these calls.
+    /// Returns the delay of the first call after discovery has moved, as a fraction (0 to 1) of the time over
+    /// which nodes spread these calls.
     fn spread_position(&self) -> f64 {
         0.0
     }
@@ -116,9 +121,10 @@
 /// An idle HTTP connection to discovery that the next call may reuse.
 pub type DiscoveryConnection = SendRequest<Empty<Bytes>>;
 
-/// Fetches the complete list before the node accepts its first client: the list of discovery counts as announced from
-/// the start of the node. If discovery does not respond within the response timeout, it is considered down, and the
-/// node starts with the list of its configuration. Returns the connection for further calls.
+/// Fetches the complete list before the node accepts its first client: the list of discovery counts as
+/// announced from the start of the node. If discovery does not respond within the response timeout, it is
+/// considered down, and the node starts with the list of its configuration. Returns the connection for
+/// further calls.
 pub async fn fetch_initial<S: Subscriber>(node: &Rc<S>) -> Option<DiscoveryConnection> {
     let until = Instant::now() + response_timeout(&**node);
     let mut connection = None;
@@ -137,8 +143,8 @@
     }
 }
 
-/// Polls discovery whenever the subscriber requests it, until a call fails, and reports the failure to the subscriber.
-/// If the address of discovery changes, polling continues at the new address without a request.
+/// Polls discovery whenever the subscriber requests it, until a call fails, and reports the failure to the
+/// subscriber. If the address of discovery changes, polling continues at the new address without a request.
 pub async fn follow<S: Subscriber>(node: Rc<S>, connection: Option<DiscoveryConnection>) {
     let mut poller = Poller::new(connection);
     loop {
@@ -166,14 +172,16 @@
         Self { connection, poll_timeout }
     }
 
-    /// Drops the connection to the former discovery, so that the next call goes to the new one. All nodes learn of the
-    /// new address at once, so each node first waits for its part of the time over which the calls are spread.
+    /// Drops the connection to the former discovery, so that the next call goes to the new one. All nodes
+    /// learn of the new address at once, so each node first waits for its part of the time over which the
+    /// calls are spread.
     async fn move_to_new_discovery(&mut self, node: &impl Subscriber) {
         sleep(response_timeout(node).min(MAX_MOVE_SPREAD).mul_f64(node.spread_position())).await;
         *self = Self::new(None);
     }
 
-    /// Makes one call after another without a pause, since discovery does not announce changes between two polls.
+    /// Makes one call after another without a pause, since discovery does not announce changes between two
+    /// polls.
     async fn poll_until_failure<S: Subscriber>(&mut self, node: &Rc<S>) -> CallError {
         loop {
             let begins_within = self.poll_timeout + response_timeout(&**node);
@@ -199,14 +207,16 @@
     }
 }
 
-/// Returns the timeout for the beginning of a response, excluding the time for which discovery holds a long poll.
+/// Returns the timeout for the beginning of a response, excluding the time for which discovery holds a long
+/// poll.
 fn response_timeout(node: &impl Subscriber) -> Duration {
     let timeout = node.drain_grace().mul_f64(RESPONSE_TIMEOUT_FRACTION);
     timeout.clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
 }
 
-/// Makes one call: fetches the changes since the version of the list in use, or the complete list at once if there is
-/// no version. The response must begin within `begins_within`. After a failed call, `connection` is `None`.
+/// Makes one call: fetches the changes since the version of the list in use, or the complete list at once if
+/// there is no version. The response must begin within `begins_within`. After a failed call, `connection` is
+/// `None`.
 async fn call(
     node: &impl Subscriber,
     connection: &mut Option<DiscoveryConnection>,
@@ -238,8 +248,8 @@
     request.body(Empty::new()).expect("a valid request")
 }
 
-/// Sends a call on the kept connection or on a new one, and returns the response once its head has arrived. Its
-/// connection is left in `connection`.
+/// Sends a call on the kept connection or on a new one, and returns the response once its head has arrived.
+/// Its connection is left in `connection`.
 async fn send_call(
     node: &impl Subscriber,
     connection: &mut Option<DiscoveryConnection>,
--- a/crates/balancer-node/src/net/frontend/api.rs
+++ b/crates/balancer-node/src/net/frontend/api.rs
@@ -1,4 +1,4 @@
-//! The answer to one request of a client.
+//! Answers one request of a client: a health check or a request to forward.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,16 +21,18 @@
 use crate::net::upstream::ForwardedRequest;
 use crate::RequestId;
 
-/// Subtracted from a client's deadline for the transit of its request and of the answer.
+/// Part of a client's deadline that is reserved for the transit of its request and of the response.
 const TRANSIT_MARGIN: Duration = Duration::from_millis(10);
-/// How often a client that waits for its answer is checked beside what readiness reports: half of the 0.1 s in which
-/// an attempt may still begin once it has disconnected. Not every event loop reports an end behind unread input.
+/// Interval at which the node checks whether a waiting client has disconnected. The check is needed beside
+/// the event loop's readiness, since not every event loop reports the end of a stream that unread input
+/// precedes. An attempt may begin up to 0.1 s after the client has disconnected; the interval is half of
+/// that.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An answer to a client.
+/// A response to a client, with its whole body.
 pub(super) type ClientResponse = Response<Full<Bytes>>;
 
-/// Answers a request, whose body must have come by `body_by`.
+/// Answers a request. Its body must have arrived by `body_by`.
 pub(super) async fn answer(
     node: &Rc<Node>,
     slot: &ConnectionSlot,
@@ -50,7 +52,7 @@
     }
 }
 
-/// An answer of one line.
+/// Creates a response with one line of text.
 pub(super) fn text(status: StatusCode, line: &'static str) -> ClientResponse {
     let mut response = Response::new(Full::from(line));
     *response.status_mut() = status;
@@ -66,8 +68,8 @@
     response
 }
 
-/// Reports on drop that the client needs no answer any more; without effect after the answer. hyper drops the service's
-/// future where the client disconnects.
+/// Reports on drop that the client needs no answer any more, which has no effect after the final answer.
+/// hyper drops the future that holds this value if the client disconnects.
 struct PendingAnswer {
     node: Rc<Node>,
     id: RequestId,
@@ -79,14 +81,15 @@
     }
 }
 
-/// Completes once the client has disconnected: hyper sees that only while there is no unread input.
+/// Completes once the client has disconnected. hyper detects that only while there is no unread input.
 async fn client_disconnected(stream: &TcpStream) {
     while timeout(DISCONNECT_POLL_INTERVAL, disconnected(stream)).await.is_err()
         && !has_disconnected(stream).await
     {}
 }
 
-/// Forwards a request and waits for its final answer. `Err` is an answer that is given without forwarding.
+/// Forwards a request and waits for its final answer. `Err` is the response to a request that is not
+/// forwarded, or whose client has disconnected.
 async fn forward(
     node: &Rc<Node>,
     socket: &ClientSocket,
@@ -94,7 +97,8 @@
     body_by: Instant,
     rejecting: impl Fn() -> bool,
 ) -> Result<ClientResponse, ClientResponse> {
-    // The deadline counts from when the request came, not from when the one before it on its connection was answered.
+    // The deadline counts from the arrival of the request, even if it had to wait for the response to an
+    // earlier request on the same connection.
     let arrived_at = socket.last_read_at();
     let (head, body) = request.into_parts();
     let (RequestHead { deadline, mut request }, body) =
@@ -121,7 +125,8 @@
     wait_for_answer(answered, socket, expires_at + TRANSIT_MARGIN / 2).await
 }
 
-/// Waits for the final answer of an admitted request; the time-out covers requests that the decisions leave unanswered.
+/// Waits for the final answer of an admitted request. The timeout covers requests that the decisions never
+/// answer.
 async fn wait_for_answer(
     answered: oneshot::Receiver<FinalAnswer>,
     socket: &ClientSocket,
@@ -139,7 +144,8 @@
 
 fn admission_error_response(error: &AdmissionError, max_retry_after_ms: Option<f64>) -> ClientResponse {
     match error {
-        // A bound of the settings, not a decision: how long it lasts is unknown.
+        // The limit of pending requests is reached. How long that lasts is unknown, so the longest pause is
+        // recommended.
         AdmissionError::Full => rejection(max_retry_after_ms),
         AdmissionError::DuplicateId => text(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
     }
@@ -153,7 +159,8 @@
     }
 }
 
-/// Reads a request: its body to the end, so that the client sees the answer also where its head is invalid.
+/// Reads and checks a request. Its body is read to the end even if its head is invalid, so that the client
+/// receives the response.
 async fn read_request(
     node: &Node,
     arrived_at: Instant,
--- a/crates/balancer-node/src/net/frontend/client_socket.rs
+++ b/crates/balancer-node/src/net/frontend/client_socket.rs
@@ -1,7 +1,8 @@
-//! A client's socket, with the bytes of the request head that is arriving.
+//! A client's socket, which records the bytes of the arriving request head.
 //!
-//! hyper drops fields that contradict others before a request is seen, so the head is checked as it came: a second
-//! request could be hidden in what other servers would take for the body of the first (request smuggling).
+//! If length fields of a request contradict each other, hyper drops some of them before the service gets the
+//! request. A server that trusts a dropped field would find a second request in the body of the first
+//! (request smuggling). The head is therefore checked in the form in which it was received.
 
 use std::cell::{Cell, RefCell};
 
@@ -10,16 +11,17 @@
 
 use crate::net::socket::Socket;
 
-/// Header fields of a request, as hyper limits them.
+/// Maximum number of header fields of a request; hyper has the same limit.
 const MAX_HEADER_FIELDS: usize = 100;
 
-/// A client's socket.
+/// A client's socket that separates the received bytes into request heads and bodies.
 pub(super) struct ClientSocket {
     stream: TcpStream,
-    /// Bytes of the last body that have not come yet.
+    /// Number of bytes of the last request's body that have not been received yet.
     body_left: Cell<u64>,
-    /// What has come after the last body.
+    /// The bytes received after the last request's body.
     head: RefCell<Vec<u8>>,
+    /// Time at which the first byte in `head` was received; `None` if `head` is empty.
     head_started_at: Cell<Option<Instant>>,
     last_read_at: Cell<Instant>,
 }
@@ -27,11 +29,11 @@
 /// How a request head delimits its body.
 #[derive(Clone, Copy)]
 pub(super) enum Framing {
-    /// So many bytes.
+    /// The body has this length in bytes.
     Length(u64),
-    /// Chunks: where they end is known to hyper alone.
+    /// The body is chunked; only hyper can determine where it ends.
     Chunked,
-    /// It contradicts itself.
+    /// The head is malformed, or its fields contradict each other.
     Invalid,
 }
 
@@ -57,17 +59,17 @@
         }
     }
 
-    /// When the head that is arriving began to.
+    /// Returns the time at which the arriving head began to arrive; `None` if there is none.
     pub(super) fn head_started_at(&self) -> Option<Instant> {
         self.head_started_at.get()
     }
 
-    /// When bytes came last.
+    /// Returns the time at which bytes were last received, or of the creation if there were none.
     pub(super) fn last_read_at(&self) -> Instant {
         self.last_read_at.get()
     }
 
-    /// Separates the rest of the last body from the head that follows it.
+    /// Separates received bytes into the rest of the last body and the head that follows it.
     fn split(&self, bytes: &[u8]) {
         let body = (bytes.len() as u64).min(self.body_left.get());
         self.body_left.set(self.body_left.get() - body);
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Takes the head of the request that hyper has just read off the bytes that came, and says how it delimits
-    /// its body.
+    /// Removes the head of the request that hyper has just parsed from the recorded bytes, and returns how it
+    /// delimits its body.
     pub(super) fn take_head(&self) -> Framing {
         let mut head = std::mem::take(&mut *self.head.borrow_mut());
         self.head_started_at.set(None);
@@ -90,14 +92,14 @@
                 self.body_left.set(body);
                 self.split(&head);
             }
-            // The connection ends with the answer: a body of any length must not be buffered.
+            // The connection is closed after the response, so further bytes need not be recorded.
             Framing::Chunked | Framing::Invalid => self.body_left.set(u64::MAX),
         }
         framing
     }
 }
 
-/// How a request head delimits its body, and the length of the head.
+/// Returns how a request head delimits its body, and the length of the head in bytes.
 fn framing(bytes: &[u8]) -> (Framing, usize) {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
--- a/crates/balancer-node/src/net/frontend/connections.rs
+++ b/crates/balancer-node/src/net/frontend/connections.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of the clients' connections: how many are open, and which idle one is closed for a new one.
+//! Tracks the client connections: how many are open, and which idle one is closed for a new one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,40 +10,44 @@
 
 use super::client_socket::ClientSocket;
 
-/// Time that a client has for its first request's head, for any head that it has begun, and for a body: one that
-/// sends nothing or sends slowly must be disconnected within 3 s.
+/// Time within which a client must send the head of its first request, any head that it has begun, and a
+/// body. A client that sends nothing or sends slowly must be disconnected within 3 s.
 pub(super) const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Idle time-out of a connection that had an answer; the rules allow to close it after 2 s.
+/// Idle timeout of a connection after a response. The rules allow to close it after 2 s.
 pub(super) const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The first request follows its connection within this time, or the connection is among the first to be closed.
+/// Time that a new client has for its first request before its connection is the first choice for closing.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
 
-/// Orders idle connections for closing: whether one had an answer, then the order in which they became idle.
+/// Sort key of an idle connection: whether it has had a response, and then a number that counts up as
+/// connections become idle.
 type IdleKey = (bool, u64);
 
-/// A connection without a request.
+/// A connection without a request in progress.
 struct IdleConnection {
     since: Instant,
+    /// Notified to close the connection.
     close: Rc<Notify>,
 }
 
-/// All connections of clients.
+/// All client connections of a node.
 pub(super) struct ClientConnections {
     open: Cell<usize>,
-    /// Connections that may be open.
+    /// Number of open connections from which on an idle one is closed for each new one.
     max_open: usize,
-    /// Further connections that may be open where none can be closed.
+    /// Number of connections that may be open beyond `max_open` if no idle one can be closed.
     overflow: usize,
     idle: RefCell<BTreeMap<IdleKey, IdleConnection>>,
+    /// The number in the last [`IdleKey`].
     last_idle: Cell<u64>,
-    /// Set while the node shuts down: each answer is the last one on its connection.
+    /// Whether the node shuts down. Each response is then the last one on its connection.
     pub(super) draining: Cell<bool>,
-    /// Set shortly before the node exits: new requests are rejected at once.
+    /// Whether the node is about to exit. New requests are then rejected at once.
     pub(super) rejecting: Cell<bool>,
 }
 
 impl ClientConnections {
-    /// Connections of a node that may have `max_sockets` sockets in all.
+    /// Creates the table of a node that may open `max_sockets` sockets. Clients get at most half of them, so
+    /// that enough are left for servers and discovery.
     pub(super) fn new(max_sockets: usize) -> Self {
         Self {
             open: Cell::new(0),
@@ -56,26 +60,27 @@
         }
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub(super) fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Whether one should be closed before another is accepted.
+    /// Returns whether an idle connection should be closed before another one is accepted.
     pub(super) fn is_full(&self) -> bool {
         self.open.get() >= self.max_open
     }
 
-    /// Whether another one may be opened although none could be closed.
+    /// Returns whether another connection may be opened although no idle one could be closed.
     pub(super) fn has_room(&self) -> bool {
         self.open.get() < self.max_open + self.overflow
     }
 
-    /// Closes an idle connection: one without a first request, else the one whose answer is longest ago, else a new
-    /// one. Returns whether there was one.
+    /// Closes an idle connection and returns whether there was one. The first choice is a connection that has
+    /// passed [`FIRST_REQUEST_GRACE`] without a request, the second one the connection with the oldest last
+    /// response, and the third one a new connection.
     pub(super) fn close_one(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        // A new client keeps its connection until its request can have come.
+        // A new client keeps its connection until its first request can have arrived.
         let idle_without_request =
             idle.first_key_value().filter(|(_, first)| first.since.elapsed() >= FIRST_REQUEST_GRACE);
         let answered = || idle.range((true, 0)..).next();
@@ -85,33 +90,34 @@
         closed.inspect(|connection| connection.close.notify_one()).is_some()
     }
 
-    /// Closes the idle connections of a draining node, except new ones whose first request may be in transit: a client
-    /// that is disconnected before its first answer has lost a request.
+    /// Closes the idle connections of a draining node, except new ones whose first request may be in transit:
+    /// closing those would lose the request.
     pub(super) fn close_idle(&self) {
         self.idle.borrow_mut().retain(|(answered, _), connection| {
-            let stays = !*answered && connection.since.elapsed() < FIRST_REQUEST_GRACE;
-            if !stays {
+            let is_kept = !*answered && connection.since.elapsed() < FIRST_REQUEST_GRACE;
+            if !is_kept {
                 connection.close.notify_one();
             }
-            stays
+            is_kept
         });
     }
 }
 
-/// One connection's entry among all; dropped with the connection.
+/// The entry of one connection in [`ClientConnections`]. It must be dropped with the connection.
 pub(super) struct ConnectionSlot {
     pub(super) connections: Rc<ClientConnections>,
-    /// Notified when the connection is to be closed.
+    /// Notified when the connection must be closed.
     pub(super) close: Rc<Notify>,
-    /// Its key among the idle ones, while it is idle.
+    /// Key of the connection in [`ClientConnections::idle`]; `None` while a request is in progress.
     idle: Cell<Option<IdleKey>>,
-    /// When it was made, or its last answer was given.
+    /// Time at which the connection was accepted or its last response was ready.
     since: Cell<Instant>,
+    /// Whether the connection has had a response.
     answered: Cell<bool>,
 }
 
 impl ConnectionSlot {
-    /// The entry of a connection that has just been accepted.
+    /// Adds the entry of a connection that has just been accepted.
     pub(super) fn new(connections: Rc<ClientConnections>) -> Self {
         connections.open.set(connections.open.get() + 1);
         let slot = Self {
@@ -125,7 +131,7 @@
         slot
     }
 
-    /// A request was answered.
+    /// Records that the request in progress has its response.
     pub(super) fn set_answered(&self) {
         self.answered.set(true);
         self.set_idle();
@@ -140,18 +146,20 @@
         self.since.set(Instant::now());
     }
 
-    /// A request has come.
+    /// Records that a request has arrived.
     pub(super) fn set_busy(&self) {
         if let Some(key) = self.idle.take() {
             self.connections.idle.borrow_mut().remove(&key);
         }
     }
 
+    /// Returns whether no request is in progress on the connection.
     pub(super) fn is_idle(&self) -> bool {
         self.idle.get().is_some()
     }
 
-    /// When it is to be closed, unless a request has come by then.
+    /// Returns the time at which the connection must be closed unless a complete request head has arrived by
+    /// then.
     pub(super) fn expires_at(&self, socket: &ClientSocket) -> Instant {
         let since = self.since.get();
         match socket.head_started_at() {
--- a/crates/balancer-node/src/net/frontend/mod.rs
+++ b/crates/balancer-node/src/net/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The node's front towards clients: accepts their connections, serves them, and drains them at shutdown.
+//! Serves clients: accepts their connections, answers their requests, and drains the connections at shutdown.
 
 mod api;
 mod client_socket;
@@ -28,28 +28,32 @@
 use super::socket::{has_input, Io, Socket};
 use super::upstream::MAX_BODY_BYTES;
 
-/// After SIGTERM connections go on coming for up to 0.4 s.
+/// Time after SIGTERM for which the node still accepts connections: clients open new ones for up to 0.4 s.
 const ACCEPT_GRACE: Duration = Duration::from_millis(450);
-/// They are accepted for up to this much longer, until none has come for a [`DRAIN_POLL_INTERVAL`].
+/// Longest time beyond [`ACCEPT_GRACE`] for which connections are accepted, until none has arrived for a
+/// [`DRAIN_POLL_INTERVAL`].
 const ACCEPT_GRACE_EXTENSION: Duration = Duration::from_millis(200);
-/// Past the longest deadline, the node has this long to end.
+/// Time beyond the longest deadline that a draining node has until it exits.
 const EXIT_GRACE: Duration = Duration::from_millis(600);
-/// A longer deadline does not put off the SIGKILL that follows SIGTERM.
+/// Upper bound of the deadline for which a draining node waits. A longer deadline does not delay the SIGKILL
+/// that follows SIGTERM.
 const MAX_DRAIN: Duration = Duration::from_secs(3);
-/// So long before its exit a node fails all pending requests, so that the answers can still be sent.
+/// Time before its exit at which a node fails all pending requests, so that the responses can still be sent.
 const FINAL_ANSWER_LEAD: Duration = Duration::from_millis(100);
-/// How often a draining node checks whether it can end.
+/// Interval at which a draining node checks whether it can exit.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Pause after a connection could not be accepted.
+/// Pause after accepting a connection has failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// A draining node waits so long for the rest of a head that has begun to come.
+/// Time for which a connection that is due to be closed waits for the rest of a request that has begun to
+/// arrive.
 const PARTIAL_HEAD_GRACE: Duration = Duration::from_millis(500);
-/// Time in which hyper reads input that has arrived on a socket.
+/// Time that hyper gets to read input that has arrived on a socket.
 const INPUT_HANDOVER: Duration = Duration::from_millis(5);
-/// The longest request head; many may be partly received at once.
+/// Maximum length of a request head, in bytes. It is small because many heads may be partly received at once.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Serves clients until `stop` completes and every admitted request is answered.
+/// Serves clients until `stop` completes, and then drains the node: every admitted request still gets its
+/// answer.
 pub async fn run(node: Rc<Node>, listener: TcpListener, stop: impl Future<Output = ()>) {
     let connections = Rc::new(ClientConnections::new(node.config.max_sockets));
     let mut stop = pin!(stop);
@@ -63,7 +67,8 @@
     drain(&node, &connections, listener).await;
 }
 
-/// Graceful shutdown: takes late connections for a moment, closes idle ones, and waits for the answers still to give.
+/// Shuts down gracefully: accepts late connections for a short time, closes idle ones, and waits until every
+/// pending request is answered or its time has run out.
 async fn drain(node: &Rc<Node>, connections: &Rc<ClientConnections>, listener: TcpListener) {
     connections.draining.set(true);
     let stopped_at = Instant::now();
@@ -88,27 +93,27 @@
     Duration::try_from_secs_f64(longest_ms / 1000.0).map_or(MAX_DRAIN, |longest| longest.min(MAX_DRAIN))
 }
 
-/// Accepts connections that clients opened before they learned that the node shuts down.
+/// Accepts the connections that clients open before they have noticed that the node shuts down.
 async fn accept_late(
     node: &Rc<Node>,
     connections: &Rc<ClientConnections>,
     listener: &TcpListener,
     stopped_at: Instant,
 ) {
-    let mut last = stopped_at;
+    let mut last_accepted_at = stopped_at;
     while stopped_at.elapsed() < ACCEPT_GRACE
-        || last.elapsed() < DRAIN_POLL_INTERVAL
+        || last_accepted_at.elapsed() < DRAIN_POLL_INTERVAL
             && stopped_at.elapsed() < ACCEPT_GRACE + ACCEPT_GRACE_EXTENSION
     {
         tokio::select! {
             biased;
-            () = accept(node, connections, listener) => last = Instant::now(),
+            () = accept(node, connections, listener) => last_accepted_at = Instant::now(),
             () = sleep(DRAIN_POLL_INTERVAL) => {}
         }
     }
 }
 
-/// Accepts the next connection. Where as many are open as may be, an idle one is closed for it first.
+/// Accepts the next connection. If the maximum number is open, an idle one is closed first.
 async fn accept(node: &Rc<Node>, connections: &Rc<ClientConnections>, listener: &TcpListener) {
     if connections.is_full() && connections.close_one() {
         yield_now().await;
@@ -118,9 +123,10 @@
             let slot = ConnectionSlot::new(Rc::clone(connections));
             tokio::task::spawn_local(serve(Rc::clone(node), slot, stream));
         }
-        // All slots are busy: a client that is disconnected at once can try another node.
+        // All connection slots are busy: a client that is disconnected at once can try another node.
         Ok(_) => {}
-        // Out of descriptors, or the client has disconnected already: neither ends the node.
+        // The process is out of descriptors, or the client has disconnected already. Neither must stop the
+        // node.
         Err(_) => {
             connections.close_one();
             sleep(ACCEPT_RETRY_DELAY).await;
@@ -149,15 +155,15 @@
     loop {
         tokio::select! {
             biased;
-            // An error is the client's: it has disconnected, or does not speak HTTP.
+            // Errors are caused by the client: it has disconnected, or its input is not HTTP.
             _ = served.as_mut() => return,
             () = slot.close.notified() => timer.close(&slot, &socket),
             () = sleep_until(timer.wake_at) => {}
         }
         match timer.next(&slot, &socket) {
-            Next::Wait => {}
-            Next::CloseAfterAnswer => served.as_mut().graceful_shutdown(),
-            Next::Close => return,
+            TimerDecision::Wait => {}
+            TimerDecision::CloseAfterResponse => served.as_mut().graceful_shutdown(),
+            TimerDecision::Close => return,
         }
     }
 }
@@ -175,7 +181,7 @@
         Framing::Invalid => api::text(StatusCode::BAD_REQUEST, "the length is unclear\n"),
         Framing::Length(_) | Framing::Chunked => api::answer(node, slot, socket, request, body_by).await,
     };
-    // Where the next head begins is known only where the length is.
+    // Without a known length, the beginning of the next request head cannot be determined.
     if slot.connections.draining.get() || !matches!(framing, Framing::Length(_)) {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -183,42 +189,53 @@
     Ok(response)
 }
 
-/// When a connection is checked next, and by when it must be closed, if it must.
+/// The timer of one client connection.
 struct ConnectionTimer {
+    /// Time of the next check.
     wake_at: Instant,
+    /// Time by which the connection must be closed; `None` if it has not been told to close.
     close_by: Option<Instant>,
 }
 
-/// What a [`ConnectionTimer`] decides about its connection.
-enum Next {
+/// The decision of a [`ConnectionTimer`] about its connection.
+enum TimerDecision {
+    /// Keep the connection until the next check.
     Wait,
-    /// A request is in progress; its answer will say that it is the last one.
-    CloseAfterAnswer,
+    /// Close the connection after the response to the request in progress, which announces the closing.
+    CloseAfterResponse,
+    /// Close the connection now.
     Close,
 }
 
 impl ConnectionTimer {
-    /// The connection is to be closed, after the head that has begun to come on a draining node.
+    /// Sets the time by which the connection must be closed. On a draining node, a request head that has
+    /// begun to arrive gets [`PARTIAL_HEAD_GRACE`] to arrive completely; otherwise the connection is closed
+    /// at once.
     fn close(&mut self, slot: &ConnectionSlot, socket: &ClientSocket) {
         let partial_head = slot.connections.draining.get() && socket.head_started_at().is_some();
         let grace = if partial_head { PARTIAL_HEAD_GRACE } else { Duration::ZERO };
         self.close_by = Some(Instant::now() + grace);
     }
 
-    fn next(&mut self, slot: &ConnectionSlot, socket: &ClientSocket) -> Next {
+    /// Decides about the connection, and sets the time of the next check.
+    fn next(&mut self, slot: &ConnectionSlot, socket: &ClientSocket) -> TimerDecision {
         let now = Instant::now();
         if !slot.is_idle() {
             self.wake_at = now + SLOW_CLIENT_TIMEOUT;
-            return if self.close_by.is_some() { Next::CloseAfterAnswer } else { Next::Wait };
+            return if self.close_by.is_some() {
+                TimerDecision::CloseAfterResponse
+            } else {
+                TimerDecision::Wait
+            };
         }
         let close_by = self.close_by.unwrap_or(now + KEEP_ALIVE_TIMEOUT);
         let due = slot.expires_at(socket).min(close_by);
         self.wake_at = match has_input(socket.stream()) {
             _ if now < due => due,
-            // A request that has just arrived must not be lost: hyper reads it next.
+            // A request that has just arrived must not be lost: hyper gets time to read it.
             true if now < due + PARTIAL_HEAD_GRACE => now + INPUT_HANDOVER,
-            _ => return Next::Close,
+            _ => return TimerDecision::Close,
         };
-        Next::Wait
+        TimerDecision::Wait
     }
 }
--- a/crates/balancer-node/src/net/frontend/request.rs
+++ b/crates/balancer-node/src/net/frontend/request.rs
@@ -1,4 +1,5 @@
-//! A client's request: its head checked against the configuration, its body read, and the request to forward.
+//! Checks the head of a client's request against the configuration, reads its body, and derives the request
+//! to forward.
 
 use std::time::Duration;
 
@@ -12,11 +13,11 @@
 use crate::net::upstream::MAX_BODY_BYTES;
 use crate::{ClientRequest, Idempotency, RequestId};
 
-/// The longest deadline that a client may set.
+/// Longest deadline that a client may set.
 const MAX_CLIENT_DEADLINE: Duration = Duration::from_secs(3600);
-/// A body over the limit is read on so far, so that its client gets to see the answer.
+/// A body over the limit is still read up to this length in bytes, so that its client receives the response.
 const MAX_DISCARDED_BODY_BYTES: usize = 1 << 20;
-/// Fields that a request has once at most.
+/// Header fields that may occur at most once in a request.
 const SINGLE_FIELDS: [&str; 8] = [
     "host",
     "x-request-id",
@@ -27,23 +28,23 @@
     "x-retry",
     "x-cost-hint",
 ];
-/// Fields that are forwarded unchanged.
+/// Header fields that are forwarded to servers unchanged.
 const FORWARDED_FIELDS: [&str; 6] =
     ["host", "x-request-id", "idempotency-key", "content-type", "x-class", "x-tenant"];
 
-/// What a request head says.
+/// The contents of a valid request head.
 pub(super) struct RequestHead {
-    /// How long the client waits.
+    /// Time for which the client waits for the response, from its `X-Deadline`.
     pub(super) deadline: Duration,
-    /// The request, without its id and budget.
+    /// The request for the decisions; its id and budget are not set yet.
     pub(super) request: ClientRequest,
 }
 
-/// A request head that is answered with 400; the text of the answer says why.
+/// The reason why a request head is invalid: the body of the response with status 400.
 #[derive(Clone, Copy)]
 pub(super) struct InvalidHead(pub(super) &'static str);
 
-/// Header fields that decide about a request.
+/// Reads the header fields that the decisions need.
 struct Fields<'a>(&'a HeaderMap);
 
 impl Fields<'_> {
@@ -57,7 +58,8 @@
         deadline.filter(|deadline| !deadline.is_zero() && *deadline <= MAX_CLIENT_DEADLINE)
     }
 
-    /// The index of the tenant; zero where the configuration has no tenants.
+    /// Returns the index of the tenant; zero if the configuration has no tenants, and `None` if the tenant is
+    /// missing or unknown.
     fn tenant(&self, tenants: &[String]) -> Option<usize> {
         match self.text("x-tenant") {
             _ if tenants.is_empty() => Some(0),
@@ -65,8 +67,9 @@
         }
     }
 
-    /// Whether method and key fit the class. Without its key a keyed request could take effect twice.
-    fn fit(&self, idempotency: Idempotency, method: &Method) -> bool {
+    /// Returns whether the method and the idempotency key are valid for the class. Without its key, a keyed
+    /// request could take effect twice.
+    fn match_class(&self, idempotency: Idempotency, method: &Method) -> bool {
         match idempotency {
             Idempotency::Safe => method == Method::GET,
             Idempotency::Keyed { .. } => {
@@ -76,20 +79,20 @@
         }
     }
 
-    /// The work that the client expects, in milliseconds.
+    /// Returns the work that the client expects in milliseconds; the header field gives it in microseconds.
     fn cost_ms(&self) -> Option<f64> {
         let cost_us = self.text("x-cost-hint").and_then(|text| text.parse::<f64>().ok());
         cost_us.filter(|us| us.is_finite() && *us >= 0.0).map(|us| us / 1000.0)
     }
 }
 
-/// Reads a request head. The first fault that is found is the answer's.
+/// Checks a request head. The error is the first fault that is found.
 pub(super) fn read_head(
     config: &Config,
     method: &Method,
     headers: &HeaderMap,
 ) -> Result<RequestHead, InvalidHead> {
-    // Servers could read the other one of two fields.
+    // If a field occurs twice, a server could use the value that the node does not use.
     let is_repeated = |name: &&str| headers.get_all(*name).iter().nth(1).is_some();
     if SINGLE_FIELDS.iter().any(is_repeated) {
         return Err(InvalidHead("a field comes twice\n"));
@@ -103,7 +106,7 @@
     let class = class.ok_or(InvalidHead("X-Class is missing or unknown\n"))?;
     let tenant = fields.tenant(&names.tenants).ok_or(InvalidHead("X-Tenant is missing or unknown\n"))?;
     let deadline = fields.deadline().ok_or(InvalidHead("X-Deadline is missing or no time above 0\n"))?;
-    if !fields.fit(config.idempotency(class), method) {
+    if !fields.match_class(config.idempotency(class), method) {
         return Err(InvalidHead("the method or Idempotency-Key does not fit X-Class\n"));
     }
     let request = ClientRequest {
@@ -119,7 +122,7 @@
 ///
 /// # Errors
 ///
-/// The status to answer with: 400 where the body breaks off, 413 where it is too long.
+/// Returns the status of the response: 400 if the body is incomplete or malformed, 413 if it is too long.
 pub(super) async fn read_body(mut body: Incoming) -> Result<Bytes, StatusCode> {
     let (mut bytes, mut length) = (BytesMut::new(), 0);
     while let Some(frame) = body.frame().await {
@@ -137,9 +140,10 @@
     Ok(bytes.freeze())
 }
 
-/// The target and the header fields that are forwarded to a server; `None` where the target is invalid.
+/// Returns the target and the header fields that are forwarded to a server; `None` if the target is invalid.
 pub(super) fn forwarded(uri: Uri, fields: &HeaderMap) -> Option<(Uri, HeaderMap)> {
-    // A complete URL names the host; servers get the short form.
+    // If the target is a complete URL, servers get its host in the `Host` field and only path and query as
+    // the target.
     let mut uri = uri.into_parts();
     let authority = uri.authority.take().and_then(|host| HeaderValue::from_str(host.as_str()).ok());
     uri.scheme = None;
--- a/crates/balancer-node/src/net/list/decoder.rs
+++ b/crates/balancer-node/src/net/list/decoder.rs
@@ -6,14 +6,14 @@
 use super::value_scanner::ValueScanner;
 use super::{ListError, ListedMember, ServerList, UnreadableEntries};
 
-/// Memory of a listed server beyond the text of its entry, in bytes: about 0.8 KiB in all tables together, and 1.1 KiB
-/// more while the list replaces one that names other servers.
+/// Memory of a listed server beyond the text of its entry, in bytes: about 0.8 KiB in all tables together,
+/// and 1.1 KiB more while the list replaces one that names other servers.
 const SERVER_MEMORY_BYTES: usize = 2000;
 
 const INVALID_JSON: ListError = ListError::Malformed("the text is not valid JSON");
 
-/// The part of the text that a [`ListDecoder`] expects next. The `bool` is true directly after an opening bracket,
-/// where the closing bracket may follow.
+/// The part of the text that a [`ListDecoder`] expects next. The `bool` is true directly after an opening
+/// bracket, where the closing bracket may follow.
 #[derive(Clone, Copy)]
 enum ParserState {
     Start,
@@ -32,8 +32,9 @@
     id: String,
 }
 
-/// Decodes a server list chunk by chunk. An entry that is valid JSON but does not describe a server is skipped and
-/// counted in [`ServerList::unreadable`]. Invalid JSON anywhere in the text makes the whole list an error.
+/// Decodes a server list chunk by chunk. An entry that is valid JSON but does not describe a server is
+/// skipped and counted in [`ServerList::unreadable`]. Invalid JSON anywhere in the text makes the whole list
+/// an error.
 pub struct ListDecoder {
     /// Maximum memory of the decoded list, in bytes.
     max_bytes: usize,
@@ -103,8 +104,8 @@
         Ok(())
     }
 
-    /// Drops the unchanged entries among those decoded since the last call. A complete list with few changes then takes
-    /// little memory, and little work when it is applied.
+    /// Drops the unchanged entries among those decoded since the last call. A complete list with few changes
+    /// then takes little memory, and little work when it is applied.
     pub fn drop_unchanged(&mut self, mut is_unchanged: impl FnMut(&ListedMember) -> bool) {
         if let Some(members) = &mut self.members {
             let new = members.split_off(self.filtered);
@@ -117,8 +118,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the text is incomplete or lacks a key. Also fails if no entry of a non-empty complete list has an id:
-    /// the entries must then have another form, and applying the list would remove all servers.
+    /// Fails if the text is incomplete or lacks a key. Also fails if no entry of a non-empty complete list
+    /// has an id: the entries must then have another form, and applying the list would remove all servers.
     pub fn finish(self) -> Result<ServerList, ListError> {
         let ParserState::End = self.state else { return Err(ListError::Malformed("the text is incomplete")) };
         let revision =
@@ -146,8 +147,8 @@
             (ParserState::AfterEntry, b',') => ParserState::Entry(false),
             (ParserState::Key(_), b'"') | (ParserState::Value | ParserState::Entry(_), _) => {
                 let scanner = ValueScanner::from_first_byte(byte).ok_or(INVALID_JSON)?;
-                // The first byte is consumed here, so that the opening quote of a string is not taken for the closing
-                // one.
+                // The first byte is consumed here, so that the opening quote of a string is not taken for the
+                // closing one.
                 self.scanner = Some(scanner);
                 self.text.push(byte);
                 self.state
--- a/crates/balancer-node/src/net/list/mod.rs
+++ b/crates/balancer-node/src/net/list/mod.rs
@@ -16,7 +16,8 @@
 pub struct ServerList {
     /// Version of the list after these changes. The next call asks for the changes since it.
     pub revision: u64,
-    /// Whether the list names every server. If not, it holds only the changes since the version that was asked for.
+    /// Whether the list names every server. If not, it holds only the changes since the version that was
+    /// asked for.
     pub complete: bool,
     /// Number of entries that were received, including unchanged and unreadable ones.
     pub entries: usize,
@@ -48,8 +49,8 @@
 }
 
 impl ListedMember {
-    /// Converts the entry for the decisions, which identify the server by `server`, and its zone and machine kind by
-    /// their indices in the settings. `key` is the hash of the server's id.
+    /// Converts the entry for the decisions, which identify the server by `server`, and its zone and machine
+    /// kind by their indices in the settings. `key` is the hash of the server's id.
     #[must_use]
     pub fn to_entry(&self, server: ServerId, zone: usize, kind: usize, key: u64) -> ServerEntry {
         ServerEntry {
--- a/crates/balancer-node/src/net/list/value_scanner.rs
+++ b/crates/balancer-node/src/net/list/value_scanner.rs
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Scans further bytes. Returns how many of them belong to the value, and whether the value ends with them.
+    /// Scans further bytes. Returns how many of them belong to the value, and whether the value ends with
+    /// them.
     pub(super) fn scan(&mut self, bytes: &[u8]) -> (usize, bool) {
         for (index, byte) in bytes.iter().enumerate() {
             if self.bare {
--- a/crates/balancer-node/src/net/node/endpoints.rs
+++ b/crates/balancer-node/src/net/node/endpoints.rs
@@ -17,14 +17,14 @@
     named_in: u64,
 }
 
-/// The listed servers. Methods that apply parts of a list return the changed entries for the decisions, and update the
-/// connections in [`Upstream`] accordingly.
+/// The listed servers. Methods that apply parts of a list return the changed entries for the decisions, and
+/// update the connections in [`Upstream`] accordingly.
 #[derive(Default)]
 pub(super) struct ServerDirectory {
     /// Keyed by the id in the list.
     servers: RefCell<HashMap<String, ListedServer>>,
-    /// The last [`ServerId`] that was assigned. Ids are never reused, since an attempt at a removed server may end
-    /// late.
+    /// The last [`ServerId`] that was assigned. Ids are never reused, since an attempt at a removed server
+    /// may end late.
     last_server: Cell<usize>,
     /// Number of lists that have begun to arrive, including the present one.
     lists: Cell<u64>,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Returns the decisions' entry for a listed server. A zone or machine kind that the settings do not name gets the
-/// index after the last one.
+/// Returns the decisions' entry for a listed server. A zone or machine kind that the settings do not name
+/// gets the index after the last one.
 fn entry(member: &ListedMember, server: ServerId, key: u64, names: &SettingNames) -> ServerEntry {
     let index = |names: &[String], name: &String| names.iter().position(|n| n == name).unwrap_or(names.len());
     let zone = index(&names.zones, &member.locality);
--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -51,8 +51,8 @@
 
 impl std::error::Error for NodeError {}
 
-/// A clock of Unix time that never runs backwards. The list gives the starts of servers in Unix time, so the decisions
-/// use it too.
+/// A clock of Unix time that never runs backwards. The list gives the starts of servers in Unix time, so the
+/// decisions use it too.
 struct Clock {
     started: Instant,
     started_unix_ms: f64,
@@ -72,7 +72,8 @@
 
 /// The state of a node, which all of its tasks share.
 pub struct Node {
-    /// Configuration that was read at the start, without the initial server list. [`Node::reload`] does not change it.
+    /// Configuration that was read at the start, without the initial server list. [`Node::reload`] does not
+    /// change it.
     pub config: Config,
     upstream: Upstream,
     balancer: RefCell<Balancer>,
@@ -107,7 +108,8 @@
             balancer: RefCell::new(balancer),
             requests: RequestTable::default(),
             servers: ServerDirectory::default(),
-            // The configured list may come from a former discovery, whose versions the present one does not share.
+            // The configured list may come from a former discovery, whose versions the present one does not
+            // share.
             revision: Cell::new(None),
             failure_logged: Cell::new(false),
             update_requested: Notify::new(),
@@ -120,8 +122,8 @@
         let entries = node.changes(initial_list);
         node.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
         if node.config.settings.discovery == DiscoveryMode::Push {
-            // In this mode the decisions expect lists without subscribing, but on sockets lists arrive by long polls
-            // only.
+            // In this mode the decisions expect lists without subscribing, but on sockets lists arrive by
+            // long polls only.
             node.update_requested.notify_one();
         }
         Ok(node)
@@ -184,8 +186,8 @@
         let _ = writeln!(io::stderr(), "{}: {}", self.config.name, wire::one_line(line));
     }
 
-    /// Reads the configuration again and applies the address of discovery. All other changes take effect at the next
-    /// start. A configuration that cannot be read or is invalid is logged and changes nothing.
+    /// Reads the configuration again and applies the address of discovery. All other changes take effect at
+    /// the next start. A configuration that cannot be read or is invalid is logged and changes nothing.
     pub async fn reload(&self) {
         match tokio::task::spawn_blocking(Config::from_env).await {
             Ok(Ok(config)) if config.discovery != self.discovery.get() => {
@@ -221,9 +223,9 @@
         Ok(id)
     }
 
-    /// Must be called when the client has disconnected or its deadline has passed, and no answer is needed any more. An
-    /// attempt that has not been sent yet is cancelled even if the settings forbid to cancel attempts: that rule
-    /// applies to attempts that have been sent.
+    /// Must be called when the client has disconnected or its deadline has passed, and no answer is needed
+    /// any more. An attempt that has not been sent yet is cancelled even if the settings forbid to cancel
+    /// attempts: that rule applies to attempts that have been sent.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         if self.requests.abandon(id) {
             self.handle(BalancerEvent::ClientDisconnected(id));
--- a/crates/balancer-node/src/net/node/requests.rs
+++ b/crates/balancer-node/src/net/node/requests.rs
@@ -1,5 +1,5 @@
-//! The pending requests of a node. A request is pending from its admission until it has its final answer and all of its
-//! attempts have ended.
+//! The pending requests of a node. A request is pending from its admission until it has its final answer and
+//! all of its attempts have ended.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -16,8 +16,8 @@
 pub enum FinalAnswer {
     /// A server has served the request; holds the body of its response.
     Served(Bytes),
-    /// The request is rejected and has not run, so the client may safely retry. Holds the recommended pause before the
-    /// retry in milliseconds, if there is one.
+    /// The request is rejected and has not run, so the client may safely retry. Holds the recommended pause
+    /// before the retry in milliseconds, if there is one.
     Rejected(Option<f64>),
     /// The request has failed and may have taken effect.
     Failed,
@@ -72,8 +72,8 @@
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: RefCell<HashMap<RequestId, PendingRequest>>,
-    /// The `X-Request-Id` of each pending request. They must be unique, since servers take two requests with one id for
-    /// the same request.
+    /// The `X-Request-Id` of each pending request. They must be unique, since servers take two requests with
+    /// one id for the same request.
     client_ids: RefCell<HashSet<HeaderValue>>,
     last_id: Cell<u64>,
 }
@@ -156,8 +156,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Records that a client has disconnected, so that its request needs no answer any more, and cancels the attempts
-    /// that have not been sent. Returns whether an answer was still needed.
+    /// Records that a client has disconnected, so that its request needs no answer any more, and cancels the
+    /// attempts that have not been sent. Returns whether an answer was still needed.
     pub(super) fn abandon(&self, id: RequestId) -> bool {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(&id).filter(|request| request.answer.is_some()) else {
@@ -166,7 +166,8 @@
         request.answer = None;
         for attempt in &mut request.attempts {
             if let Some(handle) = attempt.take_if(|handle| handle.state.get() == SendState::NotSent) {
-                // Its connection may be established at this moment; the state prevents that the request is sent on it.
+                // Its connection may be established at this moment; the state prevents that the request is
+                // sent on it.
                 handle.state.set(SendState::Abandoned);
                 handle.cancel();
             }
--- a/crates/balancer-node/src/net/node/subscriber.rs
+++ b/crates/balancer-node/src/net/node/subscriber.rs
@@ -12,13 +12,13 @@
 use crate::net::list::{ListedMember, ServerList};
 use crate::{BalancerEvent, EndpointUpdate, ServerEntry};
 
-/// Maximum number of changes that are applied without yielding. All other tasks wait for some milliseconds while they
-/// are applied.
+/// Maximum number of changes that are applied without yielding. All other tasks wait for some milliseconds
+/// while they are applied.
 const MAX_CHANGES_AT_ONCE: usize = 2000;
 
 impl Node {
-    /// Applies a list to the server directory, and returns the entries that it changes. The work of the decisions is
-    /// then proportional to the changes even if the list is complete.
+    /// Applies a list to the server directory, and returns the entries that it changes. The work of the
+    /// decisions is then proportional to the changes even if the list is complete.
     pub(super) fn changes(&self, list: ServerList) -> Vec<ServerEntry> {
         let mut changes = self.update(list.members);
         changes.extend(self.servers.drain_unreadable(&list.unreadable, &self.upstream));
@@ -91,8 +91,8 @@
 
     fn apply(self: &Rc<Self>, list: ServerList) {
         self.failure_logged.set(false);
-        // An entry without an id may be a change of any server. Without a version the next call fetches a complete list,
-        // which shows the servers that remain.
+        // An entry without an id may be a change of any server. Without a version the next call fetches a
+        // complete list, which shows the servers that remain.
         let known = list.complete || list.unreadable.nameless == 0;
         self.revision.set(known.then_some(list.revision));
         if let Some(reason) = &list.unreadable.first {
--- a/crates/balancer-node/src/net/socket.rs
+++ b/crates/balancer-node/src/net/socket.rs
@@ -21,16 +21,17 @@
     fn received(&self, _bytes: &[u8]) {}
 }
 
-/// Returns whether there is unread input: bytes, the end of the stream or an error. It peeks at the socket, since the
-/// event loop may not have been notified yet.
+/// Returns whether there is unread input: bytes, the end of the stream or an error. It peeks at the socket,
+/// since the event loop may not have been notified yet.
 pub fn has_input(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     let peeked = SockRef::from(stream).peek(&mut byte);
     !peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Returns whether the peer has disconnected: it closed its sending side, or the connection broke. If unread input
-/// precedes the end of the stream, the result depends on the readiness that the event loop has reported.
+/// Returns whether the peer has disconnected: it closed its sending side, or the connection broke. If unread
+/// input precedes the end of the stream, the result depends on the readiness that the event loop has
+/// reported.
 pub async fn has_disconnected(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::uninit()];
     match SockRef::from(stream).peek(&mut byte) {
@@ -40,11 +41,12 @@
     }
 }
 
-/// Completes once the event loop reports that the peer has disconnected, even if unread input precedes the end.
+/// Completes once the event loop reports that the peer has disconnected, even if unread input precedes the
+/// end.
 ///
-/// tokio's priority interest completes on a disconnect and on urgent data, and no socket here is registered for urgent
-/// data. The readable interest would complete whenever there is input, which only hyper may read. The priority
-/// interest wakes its task once and does not change the readiness that hyper relies on.
+/// tokio's priority interest completes on a disconnect and on urgent data, and no socket here is registered
+/// for urgent data. The readable interest would complete whenever there is input, which only hyper may read.
+/// The priority interest wakes its task once and does not change the readiness that hyper relies on.
 pub async fn disconnected(stream: &TcpStream) {
     // This fails only if the event loop has ended.
     let _ = stream.ready(Interest::PRIORITY).await;
--- a/crates/balancer-node/src/net/upstream/attempt.rs
+++ b/crates/balancer-node/src/net/upstream/attempt.rs
@@ -19,18 +19,19 @@
 use crate::net::load_report::parse_load_report;
 use crate::{AttemptOutcome, LoadReport, ServerId};
 
-/// Fraction of a request's remaining time for which it waits until a kept connection may be reused, instead of dialing
-/// a new one. The wait counts as latency: with 1/16, the nodes of small deployments rejected most requests of the
-/// lowest value.
+/// Fraction of a request's remaining time for which it waits until a kept connection may be reused, instead
+/// of dialing a new one. The wait counts as latency: with 1/16, the nodes of small deployments rejected most
+/// requests of the lowest value.
 const MAX_REUSE_WAIT_FRACTION: f64 = 1.0 / 64.0;
-/// Fraction of a request's remaining time within which a connection must be established. The rest leaves time for
-/// another attempt.
+/// Fraction of a request's remaining time within which a connection must be established. The rest leaves time
+/// for another attempt.
 const MAX_DIAL_FRACTION: f64 = 0.25;
-/// Maximum number of dials of one attempt. Further dials run in parallel with a late one; connections that are
-/// established later are kept for other requests.
+/// Maximum number of dials of one attempt. Further dials run in parallel with a late one; connections that
+/// are established later are kept for other requests.
 const MAX_DIALS: usize = 3;
 
-/// A client's request in the form that is forwarded to servers. Only its deadline is rewritten for each attempt.
+/// A client's request in the form that is forwarded to servers. Only its deadline is rewritten for each
+/// attempt.
 pub struct ForwardedRequest {
     /// Method of the client's request.
     pub method: Method,
@@ -93,9 +94,9 @@
     }
 }
 
-/// Makes one attempt of a request, from choosing a connection to the complete response. `state` shows whether the
-/// request may have been sent. A request that cannot be sent by `send_by` is not sent at all. When this returns, the
-/// attempt is no longer in progress: its connection is idle or closed.
+/// Makes one attempt of a request, from choosing a connection to the complete response. `state` shows whether
+/// the request may have been sent. A request that cannot be sent by `send_by` is not sent at all. When this
+/// returns, the attempt is no longer in progress: its connection is idle or closed.
 pub async fn attempt(
     upstream: &Upstream,
     server: ServerId,
@@ -139,7 +140,8 @@
 }
 
 impl Message<'_> {
-    /// Returns how long to wait until a kept connection may be reused, before a new connection is dialed instead.
+    /// Returns how long to wait until a kept connection may be reused, before a new connection is dialed
+    /// instead.
     fn max_reuse_wait(&self) -> Duration {
         match self {
             Self::Request { request, .. } => request.time_left().mul_f64(MAX_REUSE_WAIT_FRACTION),
@@ -160,8 +162,8 @@
         send_by.map_or(share, |send_by| share.min(send_by.saturating_duration_since(Instant::now())))
     }
 
-    /// Returns whether the message may still be sent. Since the decision, the time limit may have passed, and the
-    /// server may have begun to drain: it must not get new requests then.
+    /// Returns whether the message may still be sent. Since the decision, the time limit may have passed, and
+    /// the server may have begun to drain: it must not get new requests then.
     fn may_be_sent(&self, server: &Server, state: SendState) -> bool {
         state != SendState::Abandoned
             && match self {
@@ -183,8 +185,8 @@
     }
 }
 
-/// Sends a message and reads the response. If a kept connection turns out to be closed by the server before anything
-/// was written, the message is sent on another connection.
+/// Sends a message and reads the response. If a kept connection turns out to be closed by the server before
+/// anything was written, the message is sent on another connection.
 async fn exchange(
     upstream: &Upstream,
     server: ServerId,
@@ -266,8 +268,8 @@
     }
 }
 
-/// Reads a response and returns whether it is complete. Only a complete response proves an outcome and allows to keep
-/// the connection. If the server requests it, hyper closes the connection.
+/// Reads a response and returns whether it is complete. Only a complete response proves an outcome and allows
+/// to keep the connection. If the server requests it, hyper closes the connection.
 async fn read_response(response: Response<Incoming>) -> (ServerReply, bool) {
     let (head, body) = response.into_parts();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
@@ -289,8 +291,8 @@
     (ServerReply { outcome, report, body }, complete)
 }
 
-/// Returns whether the length of the response body is known to be within the limit, or the body is chunked: only then
-/// can its end be distinguished from a broken connection.
+/// Returns whether the length of the response body is known to be within the limit, or the body is chunked:
+/// only then can its end be distinguished from a broken connection.
 fn is_delimited(head: &response::Parts, body: &Incoming) -> bool {
     let chunked = |value: &HeaderValue| value.as_bytes().eq_ignore_ascii_case(b"chunked");
     match (body.size_hint().exact(), head.headers.get(TRANSFER_ENCODING)) {
--- a/crates/balancer-node/src/net/upstream/connection.rs
+++ b/crates/balancer-node/src/net/upstream/connection.rs
@@ -18,9 +18,9 @@
 use crate::net::socket::{self, has_input, Io};
 use crate::AttemptOutcome;
 
-/// Minimum time between a response and the next request on the same connection. Bytes that a server sends after a
-/// response, such as a duplicate some milliseconds later, arrive within this time; they must not be taken for the
-/// response to the next request.
+/// Minimum time between a response and the next request on the same connection. Bytes that a server sends
+/// after a response, such as a duplicate some milliseconds later, arrive within this time; they must not be
+/// taken for the response to the next request.
 pub(super) const MIN_REUSE_DELAY: Duration = Duration::from_millis(20);
 /// Maximum length of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -90,8 +90,8 @@
 }
 
 impl Drop for Connection {
-    /// Shuts the socket down at once. hyper's task drops the socket only when it runs next, but the server must see the
-    /// end of a cancelled attempt before the next attempt begins.
+    /// Shuts the socket down at once. hyper's task drops the socket only when it runs next, but the server
+    /// must see the end of a cancelled attempt before the next attempt begins.
     fn drop(&mut self) {
         // This fails if the connection is closed already.
         let _ = SockRef::from(&self.socket.stream).shutdown(Shutdown::Both);
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Takes an idle connection that has been idle for less than `keep`: the last used one that may be reused now, or
-    /// else the first one that may be reused within `max_wait`.
+    /// Takes an idle connection that has been idle for less than `keep`: the last used one that may be reused
+    /// now, or else the first one that may be reused within `max_wait`.
     pub(super) fn take_idle(&self, keep: Duration, max_wait: Duration) -> Option<Connection> {
         self.close_idle(keep);
         let mut idle = self.idle.borrow_mut();
--- a/crates/balancer-node/src/net/upstream/mod.rs
+++ b/crates/balancer-node/src/net/upstream/mod.rs
@@ -22,8 +22,8 @@
 
 /// Maximum length of the body of a request or a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Fraction of the servers' idle timeout for which a connection is kept. A request that is sent while the server closes
-/// the connection would be reset.
+/// Fraction of the servers' idle timeout for which a connection is kept. A request that is sent while the
+/// server closes the connection would be reset.
 const IDLE_FRACTION: f64 = 0.9;
 /// A dial is late after this multiple of the median dial time. Another dial is then made in parallel.
 const LATE_DIAL_FACTOR: f64 = 4.0;
@@ -50,7 +50,8 @@
 }
 
 impl Upstream {
-    /// Creates an instance without servers. Servers use at most 2/5 of the sockets that the configuration allows.
+    /// Creates an instance without servers. Servers use at most 2/5 of the sockets that the configuration
+    /// allows.
     pub fn new(config: &Config) -> Self {
         Self {
             servers: RefCell::default(),
@@ -62,9 +63,9 @@
         }
     }
 
-    /// Adds or updates a listed server. If the server may get no new requests, its idle connections are closed. If its
-    /// address or start time has changed, the idle connections to the former process are closed, and connections that
-    /// are still being established to it are not used.
+    /// Adds or updates a listed server. If the server may get no new requests, its idle connections are
+    /// closed. If its address or start time has changed, the idle connections to the former process are
+    /// closed, and connections that are still being established to it are not used.
     pub fn update(&self, server: ServerId, address: SocketAddr, started_at: Option<f64>, ready: bool) {
         let same = |known: &Rc<Server>| known.address == address && known.started_at == started_at;
         if !self.servers.borrow().get(&server).is_some_and(same) {
@@ -99,8 +100,8 @@
         server.take_idle(self.keep_idle, max_wait)
     }
 
-    /// Returns a permit for one more socket. At the limit, the connection that has been idle longest is closed first;
-    /// returns `None` if no connection is idle.
+    /// Returns a permit for one more socket. At the limit, the connection that has been idle longest is
+    /// closed first; returns `None` if no connection is idle.
     fn socket_permit(&self) -> Option<SocketPermit> {
         if self.open_sockets.get() >= self.max_sockets {
             let servers = self.servers.borrow();
@@ -110,9 +111,9 @@
         Some(SocketPermit::acquire(&self.open_sockets))
     }
 
-    /// Establishes a new connection to a server within a time limit. Some dials take many times the median, because a
-    /// packet was lost or a backlog was full. While the dials so far are late, further ones are made in parallel, up to
-    /// `max_dials` in all.
+    /// Establishes a new connection to a server within a time limit. Some dials take many times the median,
+    /// because a packet was lost or a backlog was full. While the dials so far are late, further ones are
+    /// made in parallel, up to `max_dials` in all.
     async fn connect(
         &self,
         server: &Rc<Server>,
@@ -131,7 +132,8 @@
                 Some(permit) => {
                     dials.spawn_local(self.dial(Rc::clone(server), permit, established.clone()));
                 }
-                // Without a free socket the attempt is not sent. This does not count as a failure of the server.
+                // Without a free socket the attempt is not sent. This does not count as a failure of the
+                // server.
                 None if dial == 1 => return Err(AttemptOutcome::NotSent),
                 None => {}
             }
@@ -147,8 +149,8 @@
         result
     }
 
-    /// Dials a server and sends the connection through `established`. If the receiver has been dropped, the connection
-    /// is kept for other requests.
+    /// Dials a server and sends the connection through `established`. If the receiver has been dropped, the
+    /// connection is kept for other requests.
     fn dial(
         &self,
         server: Rc<Server>,
