--- a/crates/balancer-node/tests/clients.rs
+++ b/crates/balancer-node/tests/clients.rs
@@ -1,4 +1,5 @@
-//! Clients that leave without a word, and clients that stay without one.
+//! Tests of clients that disconnect before their response, of clients that stay idle, and of the time until a
+//! node accepts clients.
 
 mod net;
 use net::*;
@@ -9,147 +10,150 @@
 
 use serde_json::json;
 
-/// How a client leaves.
+/// The way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaving {
+enum Disconnect {
+    /// It closes its socket.
     Close,
-    /// It ends its sending and could still read.
+    /// It closes its sending side only, so that it could still read a response.
     HalfClose,
+    /// It resets the connection.
     Reset,
 }
 
-/// Once the end of a client has come to the node, nothing of its request begins any more, whatever is told after
-/// that. The node looked for it every 100 ms where input stood behind the request, and what came back unrun meanwhile
-/// was sent again. Where attempts may not be cancelled, the outcome still comes.
+/// After the node has received that a client has disconnected, it must not begin another attempt of the
+/// client's request, whatever a server responds. If unread input followed the request, the node once detected
+/// the disconnect only every 100 ms, and retried requests that came back within this time as not run. The
+/// settings forbid to cancel attempts here, so that the first attempt still gets its response.
 #[test]
-fn nothing_begins_for_a_client_that_has_left() {
+fn no_attempt_begins_after_the_client_has_disconnected() {
     let servers = [Server::start(), Server::start()];
     let mut config = config(&members(&[&servers[0], &servers[1]]));
     config["settings"]["allowed"]["cancel"] = json!(false);
     let node = Node::start(&config);
-    // In part with hyper, in part with the kernel.
+    // hyper buffers a part of this head, and the rest of it stays unread in the kernel.
     let long = format!("GET /api HTTP/1.1\r\nx: {}", "a".repeat(40_000));
-    let behind = ["", "GET /api", &request("read", 60.0), &long];
-    // Somewhere between two looks of 100 ms; by itself it proves nothing.
+    let inputs = ["", "GET /api", &request("read", 60.0), &long];
+    // The pauses end at different times between two checks that are 100 ms apart.
     for (round, wait) in [0, 60, 20, 80].map(Duration::from_millis).into_iter().enumerate() {
-        for (leaving, behind) in [Leaving::Close, Leaving::HalfClose, Leaving::Reset]
+        for (disconnect, following) in [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset]
             .into_iter()
-            .zip(behind.iter().cycle().skip(round))
+            .zip(inputs.iter().cycle().skip(round))
         {
             let mut client = node.client();
-            client.send(&(request("read", 60.0) + behind));
-            let (_, got) = either(&servers);
+            client.send(&(request("read", 60.0) + following));
+            let (_, got) = request_to_either(&servers);
             std::thread::sleep(wait);
             let stream = client.stream.get_ref();
-            let left = stream.local_addr().expect("connected");
-            let stays = match leaving {
-                Leaving::HalfClose => {
-                    stream.shutdown(Shutdown::Write).expect("ended");
+            let client_address = stream.local_addr().expect("connected");
+            let half_closed = match disconnect {
+                Disconnect::HalfClose => {
+                    stream.shutdown(Shutdown::Write).expect("half closed");
                     Some(client)
                 }
-                Leaving::Close | Leaving::Reset => {
-                    let linger = matches!(leaving, Leaving::Reset).then_some(Duration::ZERO);
+                Disconnect::Close | Disconnect::Reset => {
+                    let linger = matches!(disconnect, Disconnect::Reset).then_some(Duration::ZERO);
                     socket2::SockRef::from(stream).set_linger(linger).expect("set");
                     drop(client);
                     None
                 }
             };
-            until_left(node.address, left);
+            wait_until_disconnect_received(node.address, client_address);
             got.answer("503 Busy", "x-not-run: 1\r\n", b"");
-            // Others go all their way, and nothing of the first comes meanwhile.
+            // Other requests are served, and the first one does not arrive again before them.
             for _ in 0..2 {
                 let mut client = node.client();
                 client.send(&request("update", 60.0));
-                let (_, got) = either(&servers);
+                let (_, got) = request_to_either(&servers);
                 let first = &got.request.first;
                 assert!(
                     first.starts_with("POST "),
-                    "{first}: {leaving:?}, {wait:?}, {} behind",
-                    behind.len()
+                    "{first}: {disconnect:?}, {wait:?}, {} bytes following",
+                    following.len()
                 );
                 got.answer(OK, "", b"");
                 assert_eq!(client.answer().status(), 200);
             }
             assert!(
                 servers.iter().all(|server| !server.has_request()),
-                "{leaving:?}, {} behind",
-                behind.len()
+                "{disconnect:?}, {} bytes following",
+                following.len()
             );
-            drop(stays);
+            drop(half_closed);
         }
     }
 }
 
-// ---- Discovery that is down
-
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
 
-/// Clients that stay idle take every place that they may while discovery is silent, then breaks off. Places for the
-/// list and for servers are kept apart from theirs, so the node hears it when it is back, and serves a new client by
-/// it. The shell lowers the process's own limit of descriptors to the one that the node is told.
+/// Idle clients occupy all connections that clients may have, while discovery first does not respond and then
+/// closes its connections. Sockets for discovery and for servers are reserved, so the node must still receive
+/// the next list and serve new clients with it. The shell lowers the process's descriptor limit to the
+/// configured number of sockets.
 #[test]
-fn idle_clients_keep_the_node_from_neither_the_list_nor_its_servers() {
+fn idle_clients_leave_sockets_for_discovery_and_servers() {
     let servers = [Server::start(), Server::start()];
     let mut config = config(&members(&[&servers[0]]));
     config["limits"]["sockets"] = json!(128);
     config["settings"]["rules"]["drain_grace_ms"] = json!(400.0);
-    let (address, discovery) = (own_address(), Server::start());
-    let told = command(&config.to_string(), address, discovery.address);
+    let (address, discovery) = (unused_address(), Server::start());
+    let node_command = command(&config.to_string(), address, discovery.address);
     let mut limited = Command::new("sh");
-    limited.args(["-c", "ulimit -n 128 && exec \"$0\""]).arg(told.get_program());
-    limited.envs(told.get_envs().filter_map(|(key, value)| Some((key, value?))));
+    limited.args(["-c", "ulimit -n 128 && exec \"$0\""]).arg(node_command.get_program());
+    limited.envs(node_command.get_envs().filter_map(|(key, value)| Some((key, value?))));
     let node = Node::launch(&mut limited, address, discovery);
     node.discovery.request().answer(OK, "", config["known"].to_string().as_bytes());
-    node.until_healthy();
-    let mut silent = node.discovery.request();
-    // More than the process could ever hold, half of them answered once.
-    let fill = || -> Vec<Client> {
+    node.wait_until_healthy();
+    let mut unanswered = node.discovery.request();
+    // Opens more connections than the process has descriptors; half of the clients send one request.
+    let connect_idle_clients = || -> Vec<Client> {
         let mut clients: Vec<Client> = (0..300).map(|_| node.client()).collect();
         clients.iter_mut().step_by(2).for_each(|client| {
-            // It fails where the connection has been closed for a later one.
+            // Writing fails if the connection was closed for a later one.
             let _ = std::io::Write::write_all(client.stream.get_mut(), HEALTH.as_bytes());
         });
         clients
     };
-    let mut idle = vec![fill()];
-    silent.await_end();
+    let mut idle = vec![connect_idle_clients()];
+    unanswered.wait_until_closed();
     for _ in 0..3 {
         let broken = node.discovery.request();
-        idle.push(fill());
-        assert_eq!(node.client().ask(HEALTH).status(), 200, "all were taken in");
-        let held = node.descriptors();
-        assert!((50..96).contains(&held), "{held} of 128 with idle clients alone");
-        // It fails where the node has given up the call.
+        idle.push(connect_idle_clients());
+        // The response to the health check shows that the connections before it have been accepted.
+        assert_eq!(node.client().ask(HEALTH).status(), 200, "the node accepts no new client");
+        let open = node.open_descriptors();
+        assert!((50..96).contains(&open), "{open} of 128 descriptors are open with idle clients alone");
+        // This fails if the call has timed out.
         let _ = broken.stream.shutdown(Shutdown::Both);
     }
-    let news = [member("s0", servers[0].address, "leaving"), member("s1", servers[1].address, "active")];
-    let news = list(2, false, &news).to_string();
-    // Calls that the node has given up meanwhile stand before the one that it hears.
-    while let Some(mut watch) =
-        Some(node.discovery.request()).filter(|w| !w.request.first.contains("since=2&"))
+    let change = [member("s0", servers[0].address, "leaving"), member("s1", servers[1].address, "active")];
+    let change = list(2, false, &change).to_string();
+    // Calls that have timed out arrive before the one whose response the node receives.
+    while let Some(mut poll) =
+        Some(node.discovery.request()).filter(|poll| !poll.request.first.contains("since=2&"))
     {
-        watch.write(format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{news}", news.len()).as_bytes());
+        poll.write(format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{change}", change.len()).as_bytes());
     }
-    (0..3).for_each(|_| served_by(&node, &servers[1]));
+    (0..3).for_each(|_| assert_served_by(&node, &servers[1]));
     assert!(!servers[0].has_request());
     drop(idle);
 }
 
-/// Nine in ten restarted nodes have to be ready within 10 s, whatever discovery does. A node waits for the first list
-/// for a quarter of the drain grace at most, here half a second, and a list that comes in drips counts like none;
-/// then it listens with the list last known.
+/// Nine in ten restarted nodes must be ready within 10 s, however discovery fails. A node waits for the first
+/// list for at most a quarter of the drain grace, here half a second, also if the list arrives too slowly.
+/// Then it serves with the configured list.
 #[test]
-fn a_node_is_ready_in_time_whatever_discovery_does() {
+fn a_node_is_ready_in_time_however_discovery_fails() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["settings"]["rules"]["drain_grace_ms"] = json!(2_000.0);
-    let (_stuck, never_up, _filler) = full_listener();
-    let drips = own_listener();
-    let dripping = drips.local_addr().expect("bound");
+    let (_full, not_established, _filler) = full_listener();
+    let slow_listener = unused_listener();
+    let slow = slow_listener.local_addr().expect("bound");
     std::thread::spawn(move || {
-        for stream in drips.incoming() {
+        for stream in slow_listener.incoming() {
             let mut stream: TcpStream = stream.expect("accepted");
-            // Until the node has had enough of it.
+            // Sends one byte every 50 ms until the node closes the connection.
             std::thread::spawn(move || {
                 let head = b"HTTP/1.1 200 OK\r\ncontent-length: 400\r\n\r\n";
                 let bytes = head.iter().chain(std::iter::repeat(&b' '));
@@ -162,20 +166,20 @@
             });
         }
     });
-    let silent = Server::start();
+    let unresponsive = Server::start();
     let cases = [
-        ("refuses", own_address()),
-        ("is silent", silent.address),
-        ("never comes up", never_up),
-        ("drips", dripping),
+        ("connection refused", unused_address()),
+        ("no response", unresponsive.address),
+        ("connection not established", not_established),
+        ("slow response", slow),
     ];
     for (what, discovery) in cases {
-        let address = own_address();
+        let address = unused_address();
         let started = Instant::now();
         let mut command = command(&config.to_string(), address, discovery);
         let node = Node::launch(&mut command, address, Server::start());
-        node.until_healthy();
+        node.wait_until_healthy();
         assert!(started.elapsed() < Duration::from_secs(10), "{what}: {:?}", started.elapsed());
-        served_by(&node, &server);
+        assert_served_by(&node, &server);
     }
 }
--- a/crates/balancer-node/tests/discovery.rs
+++ b/crates/balancer-node/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! Following discovery over loopback: calls that fail, long lists, lists that cannot be read or held.
+//! Tests of a node's long polls on a scripted discovery: failed calls, long lists, lists over the memory
+//! limit and unreadable entries.
 
 mod net;
 
@@ -16,60 +17,60 @@
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-/// As long as a 2.7 MB list: the whole fleet's.
+/// Number of servers in the list of the whole fleet, which is 2.7 MB long.
 const LONG_LIST: usize = 21_000;
-/// A change counts as told 6 s after discovery could be reached, and then a server may be sent to for 2 s.
+/// Time within which a change must take effect: it counts as announced 6 s after discovery is reachable, and
+/// then requests may be sent to a draining server for another 2 s.
 const ANNOUNCED_WITHIN: Duration = Duration::from_secs(6 + 2);
 
-/// A configuration under which a node that goes by the settings alone would stay away for very long.
-fn patient(members: &[Value]) -> Value {
+/// Returns a configuration whose poll interval and drain grace are one hour, so that only the node's own time
+/// limits can lead to a call in time.
+fn with_long_intervals(members: &[Value]) -> Value {
     let mut config = config(members);
     config["settings"]["rules"] = json!({"ask_within_ms": 3_600_000.0, "drain_grace_ms": 3_600_000.0});
     config
 }
 
-fn asks_since(call: &Exchange, revision: u64) {
-    let wanted = format!("GET /catalog/members?since={revision}&");
-    assert!(call.request.first.starts_with(&wanted), "{}", call.request.first);
+/// Checks that a call asks for the changes since this version.
+fn assert_asks_since(call: &Exchange, revision: u64) {
+    let expected = format!("GET /catalog/members?since={revision}&");
+    assert!(call.request.first.starts_with(&expected), "{}", call.request.first);
 }
 
-// ---- Calls that fail
-
-/// A change counts as told in time whatever became of the calls before: each failure leads to another call, which
-/// goes on from the version held.
+/// Each failure must lead to another call in time, for the changes since the version in use.
 #[test]
-fn after_any_failed_call_another_comes_in_time() {
+fn after_any_failed_call_another_follows_in_time() {
     let server = Server::start();
-    let known = members(&[&server]);
-    let node = Node::start(&patient(&known));
+    let configured = members(&[&server]);
+    let node = Node::start(&with_long_intervals(&configured));
     let body = list(2, true, &[]).to_string();
-    let whole = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+    let complete = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let redirect = "HTTP/1.1 302 Found\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n";
     let cut = &body[..body.len() - 3];
-    let spoilt = [
+    let failures = [
         ("an error", "HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n".to_owned()),
         ("a redirect", redirect.to_owned()),
-        ("spoilt JSON", whole.replace("[]", "[{")),
-        ("no HTTP", "\0\0\r\n\r\n".to_owned()),
-        ("half an answer, then silence", whole[..whole.len() - 3].to_owned()),
-        ("a list cut short", format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{cut}", cut.len())),
-        ("silence", String::new()),
+        ("invalid JSON", complete.replace("[]", "[{")),
+        ("bytes that are not HTTP", "\0\0\r\n\r\n".to_owned()),
+        ("an incomplete response on an open connection", complete[..complete.len() - 3].to_owned()),
+        ("an incomplete list", format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{cut}", cut.len())),
+        ("no response", String::new()),
     ];
     let mut call = node.discovery.request();
-    for (what, text) in spoilt {
+    for (failure, text) in failures {
         let since = Instant::now();
-        asks_since(&call, 1);
+        assert_asks_since(&call, 1);
         call.write(text.as_bytes());
         let next = node.discovery.request();
-        assert!(since.elapsed() < ANNOUNCED_WITHIN, "{what}: {:?}", since.elapsed());
+        assert!(since.elapsed() < ANNOUNCED_WITHIN, "{failure}: {:?}", since.elapsed());
         call = next;
     }
-    // The connection breaks, and then an answer comes in drips.
+    // The connection breaks. Then a response arrives at one byte every 10 ms.
     call.stream.shutdown(Shutdown::Both).expect("broken");
     call = node.discovery.request();
-    asks_since(&call, 1);
+    assert_asks_since(&call, 1);
     let since = Instant::now();
-    let (head, rest) = whole.as_bytes().split_at(whole.len() - body.len());
+    let (head, rest) = complete.as_bytes().split_at(complete.len() - body.len());
     call.write(head);
     for byte in std::iter::repeat_n(b" ", 5_000).chain(rest.chunks(1).map(|_| b" ")) {
         if call.stream.write_all(byte).is_err() {
@@ -78,53 +79,56 @@
         sleep(Duration::from_millis(10));
     }
     let last = node.discovery.request();
-    assert!(since.elapsed() < ANNOUNCED_WITHIN, "drips: {:?}", since.elapsed());
-    asks_since(&last, 1);
-    // Through all of it the list held has stood.
-    served_by(&node, &server);
+    assert!(since.elapsed() < ANNOUNCED_WITHIN, "a slow response: {:?}", since.elapsed());
+    assert_asks_since(&last, 1);
+    // The configured list is still in force.
+    assert_served_by(&node, &server);
 }
 
-/// The same where no connection is to be had: nobody listens, or nobody takes what comes.
+/// While no connection to discovery can be established, the node must keep calling: it must call in time
+/// after discovery listens at its address, or accepts connections, again.
 #[test]
-fn a_discovery_that_can_be_reached_again_is_asked_in_time() {
-    let mut config = patient(&[]);
+fn a_discovery_that_is_reachable_again_is_called_in_time() {
+    let mut config = with_long_intervals(&[]);
     let mut node = Node::start(&config);
-    let mut lost = |node: &mut Node, address: SocketAddr| {
+    let mut move_discovery_and_fail = |node: &mut Node, address: SocketAddr| {
         config["discovery"] = json!(address.to_string());
         node.reload(&config.to_string());
-        while !node.logged().contains("failed to update the server list") {}
+        while !node.next_log_line().contains("failed to update the server list") {}
     };
-    let refused = own_address();
-    lost(&mut node, refused);
-    let back = TcpListener::bind(refused).expect("free still");
+    let refused = unused_address();
+    move_discovery_and_fail(&mut node, refused);
+    let listener = TcpListener::bind(refused).expect("the address is still unused");
     let since = Instant::now();
-    let (mut stream, _) = asked(&back);
-    assert!(since.elapsed() < ANNOUNCED_WITHIN, "refused: {:?}", since.elapsed());
+    let (mut stream, _) = accept_call(&listener);
+    assert!(since.elapsed() < ANNOUNCED_WITHIN, "connection refused: {:?}", since.elapsed());
     let body = list(5, true, &[]).to_string();
     write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).expect("written");
-    while !node.logged().contains("updated again") {}
+    while !node.next_log_line().contains("updated again") {}
 
-    let (silent, address, filler) = full_listener();
-    lost(&mut node, address);
+    let (full, address, filler) = full_listener();
+    move_discovery_and_fail(&mut node, address);
     let since = Instant::now();
     drop(filler);
-    let (_stream, call) = asked(&silent);
-    assert!(since.elapsed() < ANNOUNCED_WITHIN, "never up: {:?}", since.elapsed());
-    assert_eq!(call, "GET /catalog/members HTTP/1.1", "another discovery's versions may be others");
+    let (_stream, call) = accept_call(&full);
+    assert!(since.elapsed() < ANNOUNCED_WITHIN, "connection not established: {:?}", since.elapsed());
+    assert_eq!(call, "GET /catalog/members HTTP/1.1", "the versions of two discoveries may differ");
 }
 
-/// The same at the start, where clients wait for the node.
+/// Clients wait until a node has started, so it must start even if discovery does not respond.
 #[test]
-fn an_unresponsive_discovery_does_not_keep_a_node_from_its_start() {
+fn an_unresponsive_discovery_does_not_prevent_the_start_of_a_node() {
     let server = Server::start();
-    let (since, mut silent) = (Instant::now(), None);
-    let node = Node::start_with_first_call(&patient(&members(&[&server])), |_, first| silent = Some(first));
+    let (since, mut unanswered) = (Instant::now(), None);
+    let node = Node::start_with_first_call(&with_long_intervals(&members(&[&server])), |_, first| {
+        unanswered = Some(first)
+    });
     assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
-    served_by(&node, &server);
+    assert_served_by(&node, &server);
 }
 
-/// The first call that comes, on whatever connection.
-fn asked(listener: &TcpListener) -> (TcpStream, String) {
+/// Waits for the first call on any connection; returns its connection and its request line.
+fn accept_call(listener: &TcpListener) -> (TcpStream, String) {
     loop {
         let (stream, _) = listener.accept().expect("accepted");
         if let Some(call) = Message::read(&mut BufReader::new(stream.try_clone().expect("cloned"))) {
@@ -133,41 +137,41 @@
     }
 }
 
-// ---- Long lists
-
-/// A list of 2.7 MB used to be read by no node: the limit stood at 1 MiB.
+/// Nodes once failed to read a list of 2.7 MB, because its length was limited to 1 MiB.
 #[test]
-fn a_drain_in_a_list_of_21_000_is_obeyed_in_time() {
+fn a_drain_in_a_list_of_21_000_servers_takes_effect_in_time() {
     let servers = [Server::start(), Server::start()];
     let mut all = members(&[&servers[0], &servers[1]]);
-    let nowhere = own_address();
-    all.extend((2..LONG_LIST).map(|i| member(&format!("s{i}"), nowhere, "leaving")));
-    let whole = list(7, true, &all).to_string();
-    assert!(whole.len() > 2 << 20);
+    let unreachable = unused_address();
+    all.extend((2..LONG_LIST).map(|i| member(&format!("s{i}"), unreachable, "leaving")));
+    let complete = list(7, true, &all).to_string();
+    assert!(complete.len() > 2 << 20);
     let mut config = config(&all[..1]);
     config["limits"]["memory_mb"] = json!(256);
-    let node = Node::start_with_first_call(&config, |_, first| first.answer(OK, "", whole.as_bytes()));
-    let watch = node.discovery.request();
-    asks_since(&watch, 7);
-    // The second server is known from the list alone; then the first one drains.
+    let node = Node::start_with_first_call(&config, |_, first| first.answer(OK, "", complete.as_bytes()));
+    let poll = node.discovery.request();
+    assert_asks_since(&poll, 7);
+    // The configuration names only the first server, which now begins to drain. The second one is named by
+    // the long list.
     let change = list(8, false, &[member("s0", servers[0].address, "leaving")]).to_string();
     let since = Instant::now();
-    watch.answer(OK, "", change.as_bytes());
-    let watch = node.discovery.request();
+    poll.answer(OK, "", change.as_bytes());
+    let poll = node.discovery.request();
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
-    asks_since(&watch, 8);
-    (0..6).for_each(|_| served_by(&node, &servers[1]));
-    // A complete list in its place tells the same: who is not named is gone.
-    let back = list(9, true, &[member("s0", servers[0].address, "active")]).to_string();
-    watch.answer(OK, "", back.as_bytes());
-    asks_since(&node.discovery.request(), 9);
-    (0..6).for_each(|_| served_by(&node, &servers[0]));
+    assert_asks_since(&poll, 8);
+    (0..6).for_each(|_| assert_served_by(&node, &servers[1]));
+    // A complete list removes the servers that it does not name.
+    let complete = list(9, true, &[member("s0", servers[0].address, "active")]).to_string();
+    poll.answer(OK, "", complete.as_bytes());
+    assert_asks_since(&node.discovery.request(), 9);
+    (0..6).for_each(|_| assert_served_by(&node, &servers[0]));
     assert!(!servers[1].has_request());
 }
 
-/// What would take more memory than a list may, ends never or comes in drips is given up; the old list stays.
+/// A list that has too many entries, has a string without an end, or consists of endless white space must be
+/// abandoned. The present list stays in force.
 #[test]
-fn a_list_over_the_memory_limit_leaves_the_old_one() {
+fn a_list_over_the_memory_limit_is_dropped_and_the_present_one_stays_in_force() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["limits"]["memory_mb"] = json!(1);
@@ -180,69 +184,65 @@
     let open = "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{\"revision\":3,\"complete\":true,\"members\":[";
     let entry = format!("{},", entries[0]);
     let string = format!("{{\"id\":\"{}", "x".repeat(100));
-    for (begin, piece) in [("", entry.as_str()), (string.as_str(), string.as_str()), ("", " ")] {
+    for (beginning, repeated) in [("", entry.as_str()), (string.as_str(), string.as_str()), ("", " ")] {
         let mut call = node.discovery.request();
-        asks_since(&call, 1);
+        assert_asks_since(&call, 1);
         call.write(open.as_bytes());
-        call.write(begin.as_bytes());
+        call.write(beginning.as_bytes());
         let since = Instant::now();
-        while call.stream.write_all(piece.as_bytes()).is_ok() {
-            assert!(since.elapsed() < LONG, "an endless list is read for ever");
+        while call.stream.write_all(repeated.as_bytes()).is_ok() {
+            assert!(since.elapsed() < TEST_TIMEOUT, "the node keeps reading an endless list");
         }
     }
-    asks_since(&node.discovery.request(), 1);
-    served_by(&node, &server);
-    assert!(node.memory_at_most() < 64 << 20, "{} bytes", node.memory_at_most());
+    assert_asks_since(&node.discovery.request(), 1);
+    assert_served_by(&node, &server);
+    assert!(node.peak_memory() < 64 << 20, "{} bytes", node.peak_memory());
 }
 
-// ---- Entries that cannot be read
-
-/// One such entry used to make the complete list unreadable, and with it every change from then on.
+/// A single unreadable entry once made the complete list unreadable, and with it all later changes.
 #[test]
-fn an_entry_that_cannot_be_read_is_left_out_and_its_server_gets_nothing_new() {
+fn an_unreadable_entry_is_skipped_and_its_server_gets_no_new_requests() {
     let servers = [Server::start(), Server::start()];
-    let known = members(&[&servers[0], &servers[1]]);
-    let mut node = Node::start(&config(&known));
-    let other = member("s0", servers[0].address, "warming");
-    let strange = json!({"id": "s7", "host_port": "count.svc:80", "phase": "active"});
-    let told = list(2, true, &[other, json!(null), strange, known[1].clone()]).to_string();
-    node.discovery.request().answer(OK, "", told.as_bytes());
-    let watch = node.discovery.request();
-    asks_since(&watch, 2);
-    let line = node.logged();
+    let configured = members(&[&servers[0], &servers[1]]);
+    let mut node = Node::start(&config(&configured));
+    let unknown_phase = member("s0", servers[0].address, "warming");
+    let host_name = json!({"id": "s7", "host_port": "count.svc:80", "phase": "active"});
+    let complete = list(2, true, &[unknown_phase, json!(null), host_name, configured[1].clone()]).to_string();
+    node.discovery.request().answer(OK, "", complete.as_bytes());
+    let poll = node.discovery.request();
+    assert_asks_since(&poll, 2);
+    let line = node.next_log_line();
     assert!(line.contains("3 of 4 entries") && line.contains("s0: ") && line.contains("warming"), "{line}");
-    (0..6).for_each(|_| served_by(&node, &servers[1]));
+    (0..6).for_each(|_| assert_served_by(&node, &servers[1]));
     assert!(!servers[0].has_request());
 
-    // Among changes, one of them may be of any server: the complete list tells which are left.
-    let changes = list(3, false, &[known[0].clone(), json!({"id": 5})]).to_string();
-    watch.answer(OK, "", changes.as_bytes());
+    // In a delta, an entry without a valid id may concern any server, so the node fetches the complete list.
+    let changes = list(3, false, &[configured[0].clone(), json!({"id": 5})]).to_string();
+    poll.answer(OK, "", changes.as_bytes());
     let call = node.discovery.request();
     assert_eq!(call.request.first, "GET /catalog/members HTTP/1.1");
-    assert!(node.logged().contains("1 of 2 entries"));
-    call.answer(OK, "", list(4, true, &known[..1]).to_string().as_bytes());
-    asks_since(&node.discovery.request(), 4);
-    (0..6).for_each(|_| served_by(&node, &servers[0]));
+    assert!(node.next_log_line().contains("1 of 2 entries"));
+    call.answer(OK, "", list(4, true, &configured[..1]).to_string().as_bytes());
+    assert_asks_since(&node.discovery.request(), 4);
+    (0..6).for_each(|_| assert_served_by(&node, &servers[0]));
     assert!(!servers[1].has_request());
 }
 
-// ---- Calls for complete lists
-
-/// Stands for a node, at a place of its own among those that are told of a new discovery together.
-struct Follower {
-    place: f64,
+/// A minimal subscriber with a given position among the nodes that spread their calls to a new discovery.
+struct TestSubscriber {
+    spread_position: f64,
     discovery: SocketAddr,
     revision: Cell<Option<u64>>,
-    wanted: Notify,
-    moved: Notify,
+    update_requested: Notify,
+    discovery_moved: Notify,
 }
 
-impl Subscriber for Follower {
+impl Subscriber for TestSubscriber {
     fn update_requested(&self) -> &Notify {
-        &self.wanted
+        &self.update_requested
     }
     fn discovery_moved(&self) -> &Notify {
-        &self.moved
+        &self.discovery_moved
     }
     fn discovery_address(&self) -> SocketAddr {
         self.discovery
@@ -258,22 +258,30 @@
     }
     fn unavailable(self: &Rc<Self>) {}
     fn spread_position(&self) -> f64 {
-        self.place
+        self.spread_position
     }
 }
 
-/// All nodes hear of a new discovery in the same moment, and each wants its complete list.
+/// All nodes get the address of a new discovery at the same time, and each fetches its complete list. Their
+/// calls must not arrive at the same time.
 #[test]
-fn complete_lists_of_a_new_discovery_are_fetched_one_after_the_other() {
+fn nodes_spread_their_calls_for_the_complete_list_of_a_new_discovery() {
     let discovery = Server::start();
     let address = discovery.address;
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         LocalSet::new().block_on(&runtime, async {
-            let follow = |place| {
-                let (revision, wanted, moved) = (Cell::default(), Notify::new(), Notify::new());
-                let node = Rc::new(Follower { place, discovery: address, revision, wanted, moved });
-                node.moved.notify_one();
+            let follow = |spread_position| {
+                let (revision, update_requested, discovery_moved) =
+                    (Cell::default(), Notify::new(), Notify::new());
+                let node = Rc::new(TestSubscriber {
+                    spread_position,
+                    discovery: address,
+                    revision,
+                    update_requested,
+                    discovery_moved,
+                });
+                node.discovery_moved.notify_one();
                 discovery::follow(node, None)
             };
             tokio::join!(follow(1.0), follow(0.0))
@@ -282,46 +290,48 @@
     let first = discovery.request();
     assert_eq!(first.request.first, "GET /catalog/members HTTP/1.1");
     first.answer(OK, "", list(3, true, &[]).to_string().as_bytes());
-    asks_since(&discovery.request(), 3);
+    assert_asks_since(&discovery.request(), 3);
     let second = discovery.request();
     assert_eq!(second.request.first, "GET /catalog/members HTTP/1.1");
     assert_ne!(second.connection, 0);
 }
 
-// ---- The decoder
-
-fn decode(text: &[u8], piece: usize, most: usize) -> Result<ServerList, ListError> {
-    let mut decoder = ListDecoder::new(most);
-    text.chunks(piece).try_for_each(|piece| decoder.feed(piece))?;
+/// Decodes a list that is fed in chunks of this length, with a memory limit in bytes.
+fn decode(text: &[u8], chunk_bytes: usize, max_bytes: usize) -> Result<ServerList, ListError> {
+    let mut decoder = ListDecoder::new(max_bytes);
+    text.chunks(chunk_bytes).try_for_each(|chunk| decoder.feed(chunk))?;
     decoder.finish()
 }
 
 #[test]
-fn a_list_is_decoded_alike_in_any_chunks_and_layout() {
+fn a_list_is_decoded_independently_of_its_chunks_and_layout() {
     let address = "127.0.0.1:80".parse().expect("an address");
     let members = [member("a \"[{,\\ 7", address, "active"), json!([{"id": 1}, "]"]), json!(3)];
-    let mut told = list(41, true, &members);
-    told["aside"] = json!({"members": [1, "}"], "n": -1.5e3});
-    let indented = serde_json::to_string_pretty(&told).expect("JSON");
-    let reordered = format!(" {{\"members\":{},\"complete\":true , \"revision\":41}}\n", told["members"]);
-    for text in [told.to_string(), indented, reordered] {
-        for piece in [1, 2, 3, 7, text.len()] {
-            let list = decode(text.as_bytes(), piece, 1 << 20).expect("a list");
+    let mut json = list(41, true, &members);
+    json["aside"] = json!({"members": [1, "}"], "n": -1.5e3});
+    let indented = serde_json::to_string_pretty(&json).expect("JSON");
+    let reordered = format!(" {{\"members\":{},\"complete\":true , \"revision\":41}}\n", json["members"]);
+    for text in [json.to_string(), indented, reordered] {
+        for chunk_bytes in [1, 2, 3, 7, text.len()] {
+            let list = decode(text.as_bytes(), chunk_bytes, 1 << 20).expect("a list");
             let ids: Vec<_> = list.members.iter().map(|member| member.id.as_str()).collect();
             assert_eq!((list.revision, list.complete, ids), (41, true, vec!["a \"[{,\\ 7"]));
             assert_eq!((list.unreadable.nameless, list.unreadable.ids.len()), (2, 0));
         }
         let end = text.trim_end().len();
-        for cut in 0..end {
-            assert!(decode(&text.as_bytes()[..cut], 5, 1 << 20).is_err(), "cut at {cut} of {text}");
+        for length in 0..end {
+            assert!(
+                decode(&text.as_bytes()[..length], 5, 1 << 20).is_err(),
+                "the first {length} bytes of {text}"
+            );
         }
         assert!(decode(format!("{text}]").as_bytes(), 5, 1 << 20).is_err());
         assert_eq!(decode(text.as_bytes(), 5, 2_000).err(), Some(ListError::TooLarge));
     }
-    let none = |text: &str| decode(text.as_bytes(), 5, 1 << 20).is_err();
-    assert!(none("[]") && none("{}") && none(r#"{"revision":1,"complete":true,"members":3}"#));
-    assert!(none(r#"{"revision":-1,"complete":true,"members":[]}"#), "no version");
-    assert!(none(r#"{"revision":1,"complete":true,"members":[],"members":[]}"#), "twice");
-    assert!(none(r#"{"revision":1,"complete":true,"members":[{"id":5},7]}"#), "no entry names a server");
-    assert!(none(r#"{"revision":1,"complete":true,"members":[{"id":"a"]}]}"#), "no JSON");
+    let fails = |text: &str| decode(text.as_bytes(), 5, 1 << 20).is_err();
+    assert!(fails("[]") && fails("{}") && fails(r#"{"revision":1,"complete":true,"members":3}"#));
+    assert!(fails(r#"{"revision":-1,"complete":true,"members":[]}"#), "a negative version");
+    assert!(fails(r#"{"revision":1,"complete":true,"members":[],"members":[]}"#), "`members` occurs twice");
+    assert!(fails(r#"{"revision":1,"complete":true,"members":[{"id":5},7]}"#), "no entry has a valid id");
+    assert!(fails(r#"{"revision":1,"complete":true,"members":[{"id":"a"]}]}"#), "invalid JSON");
 }
--- a/crates/balancer-node/tests/endings.rs
+++ b/crates/balancer-node/tests/endings.rs
@@ -1,5 +1,6 @@
-//! Endings that cross something still owed: a node that is told to end, clients that leave, connections that break,
-//! lists that go quiet. Every crossing is forced by what the scripted peers see, never by a pause.
+//! Tests of events that end something while work is pending: SIGTERM, clients that disconnect, connections
+//! that break, servers that leave the list, discovery that stops responding. The tests wait for what the
+//! scripted peers receive, so that the order of events does not depend on the machine's speed.
 
 mod net;
 use net::*;
@@ -13,12 +14,10 @@
 
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
 
-// ---- SIGTERM
-
-/// SIGKILL waits for 3 s of a deadline and no longer. A node that waited for the rest was killed with answers owed;
-/// now every client has its final answer, and the node ends by itself.
+/// SIGKILL follows after 3 s even if a deadline is longer. A node that waited for the deadline was killed
+/// before it had answered its clients. It must fail their requests and exit in time.
 #[test]
-fn what_would_outlast_the_end_is_failed_before_it() {
+fn requests_that_would_outlast_the_shutdown_fail_before_the_node_exits() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["settings"]["classes"][2]["deadline_ms"] = json!(3_600_000.0);
@@ -29,41 +28,42 @@
     node.terminate();
     let answer = client.answer();
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
-    got.await_end();
-    assert!(!server.has_request(), "nothing follows an answer");
+    got.wait_until_closed();
+    assert!(!server.has_request(), "the request was sent again after its final answer");
     assert_eq!(node.wait().code(), Some(0));
 }
 
-/// A request of which the last byte comes when all others have been failed is too late to be begun.
+/// A request whose last byte arrives after the draining node has failed all pending requests must not be
+/// forwarded.
 #[test]
-fn a_request_that_is_complete_too_late_is_not_forwarded() {
+fn a_request_that_is_complete_just_before_the_exit_is_not_forwarded() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     for class in 0..3 {
         config["settings"]["classes"][class]["deadline_ms"] = json!(1_000.0);
     }
     let mut node = Node::start(&config);
-    let mut held = node.client();
-    held.send(&request("pay", 3600.0));
+    let mut pending = node.client();
+    pending.send(&request("pay", 3600.0));
     let _got = server.request();
-    let whole = request("update", 3600.0);
+    let complete = request("update", 3600.0);
     let mut late = node.client();
-    late.send(&whole[..whole.len() - 1]);
+    late.send(&complete[..complete.len() - 1]);
     assert_eq!(node.client().ask(HEALTH).status(), 200);
     node.terminate();
-    assert_eq!(held.answer().status(), 502);
-    // It fails where the node has ended by now.
+    assert_eq!(pending.answer().status(), 502);
+    // Writing fails if the node has exited already.
     let _ = std::io::Write::write_all(late.stream.get_mut(), b"k");
-    let said = late.rest();
-    assert!(said.is_empty() || said.starts_with("HTTP/1.1 503 "), "{said}");
+    let received = late.read_to_end();
+    assert!(received.is_empty() || received.starts_with("HTTP/1.1 503 "), "{received}");
     assert_eq!(node.wait().code(), Some(0));
     assert!(!server.has_request());
 }
 
-/// New connections that never stop coming kept every idle one open up to the end, and what clients sent on those last
-/// of all was lost.
+/// While new connections kept arriving, a draining node once left all idle ones open until its exit. Requests
+/// that clients sent on them just before the exit were lost.
 #[test]
-fn idle_connections_are_closed_though_new_ones_go_on_coming() {
+fn a_draining_node_closes_idle_connections_while_new_ones_arrive() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["settings"]["classes"][2]["deadline_ms"] = json!(2_900.0);
@@ -73,62 +73,61 @@
     let mut busy = node.client();
     busy.send(&request("pay", 3600.0));
     let got = server.request();
-    let (address, over) = (node.address, Arc::new(AtomicBool::new(false)));
-    let flood = std::thread::spawn({
-        let over = Arc::clone(&over);
+    let (address, stop) = (node.address, Arc::new(AtomicBool::new(false)));
+    let connecting = std::thread::spawn({
+        let stop = Arc::clone(&stop);
         move || {
-            while !over.load(Ordering::Relaxed) {
-                // It fails once the node takes none any more.
+            while !stop.load(Ordering::Relaxed) {
+                // Connecting fails after the node has closed its listener.
                 let _ = std::net::TcpStream::connect(address);
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
     });
     node.terminate();
-    assert_eq!(idle.rest(), "");
+    assert_eq!(idle.read_to_end(), "");
     got.answer(OK, "", b"done");
-    assert_eq!(busy.answer().body, b"done", "the idle one was closed before the end");
-    over.store(true, Ordering::Relaxed);
-    flood.join().expect("ended");
+    assert_eq!(busy.answer().body, b"done", "the idle connection was closed only when the node exited");
+    stop.store(true, Ordering::Relaxed);
+    connecting.join().expect("ended");
     assert_eq!(node.wait().code(), Some(0));
 }
 
-// ---- Lists
-
-/// What discovery has counts as told from a node's first moment on. The list that it held before named a server that
-/// has begun to drain meanwhile, and requests went there until the first watch was answered.
+/// The list of discovery counts as announced from the start of a node. If the configured list names a server
+/// that drains by now, a node that served clients at once would send requests to it until discovery has
+/// responded.
 #[test]
-fn no_client_is_taken_before_the_first_list() {
+fn no_client_is_accepted_before_the_first_list_is_applied() {
     let servers = [Server::start(), Server::start()];
-    let known = members(&[&servers[0], &servers[1]]);
-    let told = list(7, true, &[member("s0", servers[0].address, "leaving"), known[1].clone()]);
-    let told = serde_json::to_string_pretty(&told).expect("JSON");
-    let node = Node::start_with_first_call(&config(&known), |address, first| {
-        assert!(std::net::TcpStream::connect(address).is_err(), "clients are taken already");
-        first.answer(OK, "", told.as_bytes());
+    let configured = members(&[&servers[0], &servers[1]]);
+    let first_list = list(7, true, &[member("s0", servers[0].address, "leaving"), configured[1].clone()]);
+    let first_list = serde_json::to_string_pretty(&first_list).expect("JSON");
+    let node = Node::start_with_first_call(&config(&configured), |address, first| {
+        assert!(std::net::TcpStream::connect(address).is_err(), "the node already accepts clients");
+        first.answer(OK, "", first_list.as_bytes());
     });
     assert!(node.discovery.request().request.first.contains("since=7&"));
-    (0..6).for_each(|_| served_by(&node, &servers[1]));
+    (0..6).for_each(|_| assert_served_by(&node, &servers[1]));
     assert!(!servers[0].has_request());
 }
 
-/// How many answers of a scripted discovery may come too late before a test fails.
+/// Maximum number of responses of the scripted discovery that may arrive after the node's timeout.
 const MAX_LATE_ANSWERS: usize = 20;
 
-/// A discovery that is down at the start says nothing. The list held before has to do then, and the complete list is
-/// asked for until it comes.
+/// If discovery does not respond at the start, the node must serve with the configured list, and call for the
+/// complete list until it gets one.
 #[test]
-fn a_node_starts_without_discovery_and_goes_on_asking() {
+fn a_node_starts_without_discovery_and_keeps_calling_it() {
     let servers = [Server::start(), Server::start()];
     let mut config = config(&members(&[&servers[0]]));
     config["settings"]["rules"]["drain_grace_ms"] = json!(400.0);
-    let mut silent = None;
-    let node = Node::start_with_first_call(&config, |_, first| silent = Some(first));
-    served_by(&node, &servers[0]);
-    silent.expect("asked").await_end();
+    let mut unanswered = None;
+    let node = Node::start_with_first_call(&config, |_, first| unanswered = Some(first));
+    assert_served_by(&node, &servers[0]);
+    unanswered.expect("the first call").wait_until_closed();
     let complete = list(3, true, &[member("s1", servers[1].address, "active")]).to_string();
     let mut next = node.discovery.request();
-    // On a busy machine the answer may come after the node has given the call up; then the next call asks the same.
+    // On a busy machine a response may arrive after the call has timed out. The next call is then the same.
     for _ in 0..MAX_LATE_ANSWERS {
         assert_eq!(next.request.first, "GET /catalog/members HTTP/1.1");
         next.try_answer(OK, "", complete.as_bytes());
@@ -138,42 +137,40 @@
         }
     }
     assert!(next.request.first.contains("since=3&"));
-    served_by(&node, &servers[1]);
+    assert_served_by(&node, &servers[1]);
 }
 
-/// Whatever a silent watch has missed is asked for without a wait: only a discovery that answers may take time.
+/// After a poll without a response, the next call must fetch missed changes without a long poll, until
+/// discovery has responded once.
 #[test]
 fn after_an_unanswered_poll_updates_are_fetched_at_once() {
     let mut config = config(&[]);
     config["settings"]["rules"]["drain_grace_ms"] = json!(400.0);
     let node = Node::start(&config);
-    let mut silent = node.discovery.request();
-    let waits = |watch: &Exchange| {
-        let line = &watch.request.first;
-        let wait = line.split("timeout_ms=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
-        wait.unwrap_or_else(|| panic!("{line}"))
+    let mut unanswered = node.discovery.request();
+    let poll_timeout_ms = |poll: &Exchange| {
+        let line = &poll.request.first;
+        let timeout = line.split("timeout_ms=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
+        timeout.unwrap_or_else(|| panic!("{line}"))
     };
-    let usual: u64 = waits(&silent);
-    silent.await_end();
-    // It may be late to answer on a busy machine; then the next one asks the same.
+    let usual: u64 = poll_timeout_ms(&unanswered);
+    unanswered.wait_until_closed();
     let next = node.discovery.request();
-    assert_eq!(waits(&next), 1);
+    assert_eq!(poll_timeout_ms(&next), 1);
     assert!(usual >= 1_000, "{usual} ms");
 }
 
-// ---- Connections to servers
-
-/// A server that comes back under its id is another process. What was kept to the former one is of no use: where its
-/// machine vanished, the next request written there would be a reset.
+/// A server that is listed again with another start time is a new process. A kept connection to the former
+/// process must not be reused: if its machine has failed, the next request on the connection would be reset.
 #[test]
-fn a_connection_to_a_former_process_is_not_used() {
+fn a_kept_connection_to_a_former_process_is_not_reused() {
     let server = Server::start();
     let node = Node::before(&[&server]);
-    served_by(&node, &server);
-    let mut back = member("s0", server.address, "active");
-    back["up_since_ms"] = json!(1_700_000_000_000.0);
-    let news = list(2, false, &[back]);
-    node.discovery.request().answer(OK, "", news.to_string().as_bytes());
+    assert_served_by(&node, &server);
+    let mut restarted = member("s0", server.address, "active");
+    restarted["up_since_ms"] = json!(1_700_000_000_000.0);
+    let change = list(2, false, &[restarted]);
+    node.discovery.request().answer(OK, "", change.to_string().as_bytes());
     assert!(node.discovery.request().request.first.contains("since=2&"));
     let mut client = node.client();
     client.send(&request("pay", 20.0));
@@ -183,30 +180,36 @@
     assert_eq!(client.answer().status(), 200);
 }
 
-/// A dial that comes up where its server no longer is gets nothing: the request goes where the server is now.
+/// If the address of a server changes while a connection to it is being established, the request must be sent
+/// to the new address.
 #[test]
-fn a_dial_to_where_a_server_was_is_not_used() {
+fn a_new_connection_to_the_former_address_of_a_server_is_not_used() {
     let (slow, address, filler) = full_listener();
     let server = Server::start();
     let node = Node::start(&config(&[member("s0", address, "active")]));
     let mut client = node.client();
     client.send(&request("pay", 25.0));
-    until_dialled(address);
-    let news = list(2, false, &[member("s0", server.address, "active")]);
-    node.discovery.request().answer(OK, "", news.to_string().as_bytes());
+    wait_until_dialing(address);
+    let change = list(2, false, &[member("s0", server.address, "active")]);
+    node.discovery.request().answer(OK, "", change.to_string().as_bytes());
     assert!(node.discovery.request().request.first.contains("since=2&"));
     drop(slow.accept().expect("the filler"));
     drop(filler);
     let (mut stream, _) = slow.accept().expect("the node's connection");
-    stream.set_read_timeout(Some(LONG)).expect("set");
-    assert_eq!(std::io::Read::read(&mut stream, &mut [0; 1]).ok(), Some(0), "it was sent there");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
+    assert_eq!(
+        std::io::Read::read(&mut stream, &mut [0; 1]).ok(),
+        Some(0),
+        "bytes were sent to the former address"
+    );
     server.request().answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
 
-/// A connection that comes up after the window for repeats is of no use to a keyed request that may have run.
+/// A keyed request that may have run must not be retried after its deduplication window, even if the
+/// connection for the retry was dialed within the window.
 #[test]
-fn a_late_dial_sends_no_repeat_past_its_window() {
+fn a_late_connection_sends_no_retry_after_the_deduplication_window() {
     let window = Duration::from_secs(3);
     let (slow, address, filler) = full_listener();
     let server = Server::start();
@@ -218,11 +221,11 @@
     client.send(&request("update", 60.0));
     let got = server.request();
     let sent = Instant::now();
-    let news = [member("s0", server.address, "leaving"), member("s1", address, "active")];
-    node.discovery.request().answer(OK, "", list(2, false, &news).to_string().as_bytes());
+    let change = [member("s0", server.address, "leaving"), member("s1", address, "active")];
+    node.discovery.request().answer(OK, "", list(2, false, &change).to_string().as_bytes());
     assert!(node.discovery.request().request.first.contains("since=2&"));
     got.answer("500 Broken", "", b"");
-    until_dialled(address);
+    wait_until_dialing(address);
     std::thread::sleep((sent + window).saturating_duration_since(Instant::now()));
     drop(slow.accept().expect("the filler"));
     drop(filler);
@@ -230,21 +233,22 @@
     slow.set_nonblocking(true).expect("set");
     if let Ok((mut stream, _)) = slow.accept() {
         stream.set_nonblocking(false).expect("set");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let read = std::io::Read::read(&mut stream, &mut [0; 1]);
-        assert!(!matches!(read, Ok(1..)), "sent past the window");
+        assert!(!matches!(read, Ok(1..)), "the retry was sent after the window");
     }
 }
 
-/// Zone days: a third of the dials came up late, up to 1.5 s, and each used up a quarter of a request's time. One
-/// that is late gets others beside it, and what comes up after the first serves the next request.
+/// In scenarios that lose a zone, a third of the dials took up to 1.5 s, and each used up a quarter of its
+/// request's time. Further dials must run in parallel with a late one, and connections that are established
+/// after the first must serve the next requests.
 #[test]
-fn a_late_dial_gets_another_beside_it() {
+fn further_dials_run_in_parallel_with_a_late_one_and_their_connections_are_kept() {
     let (slow, address, filler) = full_listener();
     let node = Node::start(&config(&[member("slow", address, "active")]));
     let mut client = node.client();
     client.send(&request("pay", 60.0));
-    until_dialled_by(address, 2);
+    wait_until_dial_count(address, 2);
     drop(slow.accept().expect("the filler"));
     drop(filler);
     slow.set_nonblocking(true).expect("set");
@@ -255,23 +259,23 @@
             streams.push(stream);
         }
     };
-    // All that are under way come up before anything is answered.
+    // All connections must be established before the first response.
     let since = Instant::now();
-    while dials_to(address) > 0 || streams.len() < 2 {
-        assert!(since.elapsed() < LONG, "the dials do not come up");
+    while count_dials(address) > 0 || streams.len() < 2 {
+        assert!(since.elapsed() < TEST_TIMEOUT, "the connections are not established");
         accept(&mut streams);
     }
     accept(&mut streams);
-    let dialled = streams.len();
+    let dialed = streams.len();
     for served in 1..=2 {
         let since = Instant::now();
-        let asked = loop {
-            assert!(since.elapsed() < LONG, "no request comes");
-            if let Some(at) = streams.iter().position(|stream| matches!(stream.peek(&mut [0; 1]), Ok(1))) {
-                break at;
+        let with_request = loop {
+            assert!(since.elapsed() < TEST_TIMEOUT, "no request has arrived");
+            if let Some(index) = streams.iter().position(|stream| matches!(stream.peek(&mut [0; 1]), Ok(1))) {
+                break index;
             }
         };
-        let mut stream = streams.remove(asked);
+        let mut stream = streams.remove(with_request);
         std::io::Write::write_all(
             &mut stream,
             b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\nconnection: close\r\n\r\n",
@@ -280,32 +284,33 @@
         drop(stream);
         assert_eq!(client.answer().status(), 200);
         accept(&mut streams);
-        assert_eq!(streams.len(), dialled - served, "dialled anew");
+        assert_eq!(streams.len(), dialed - served, "the node has dialed again");
         if served == 1 {
             client.send(&request("pay", 60.0));
         }
     }
 }
 
-/// An answer that is cut off proves nothing, though its head says that nothing ran.
+/// An incomplete response proves nothing, even if its head states that the request did not run.
 #[test]
-fn a_spoilt_answer_is_no_proof_that_nothing_ran() {
+fn an_unsafe_request_is_not_retried_after_an_incomplete_response() {
     for status in ["503 Busy", "504 Late"] {
         let servers = [Server::start(), Server::start()];
         let node = Node::before(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (_, mut got) = either(&servers);
+        let (_, mut got) = request_to_either(&servers);
         got.write(format!("HTTP/1.1 {status}\r\nx-not-run: 1\r\ncontent-length: 9\r\n\r\nhalf").as_bytes());
-        got.stream.shutdown(std::net::Shutdown::Both).expect("cut off");
+        got.stream.shutdown(std::net::Shutdown::Both).expect("closed");
         assert_eq!(client.answer().status(), 502, "{status}");
-        assert!(servers.iter().all(|server| !server.has_request()), "{status}: it was sent again");
+        assert!(servers.iter().all(|server| !server.has_request()), "{status}: the request was sent again");
     }
 }
 
-/// A second answer may come some milliseconds behind the first, and would be taken for that of the next request.
+/// A duplicate of a response may arrive some milliseconds after it, and would be taken for the response to
+/// the next request on the connection.
 #[test]
-fn a_connection_rests_before_it_is_used_again() {
+fn a_connection_is_not_reused_within_20_ms_after_a_response() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -322,65 +327,66 @@
     }
 }
 
-// ---- Clients that leave
-
-/// Held from now on: what waits for a connection when its client leaves is not sent on. It was where attempts may not
-/// be cancelled, and where a part of a next request stood behind the first.
+/// A request that waits for a connection when its client disconnects must not be sent. It once was if the
+/// settings forbid to cancel attempts, and if a part of another request followed it.
 #[test]
-fn a_request_whose_client_left_while_it_was_dialled_is_not_sent_on() {
-    for (cancel, behind) in [(false, ""), (true, "GET /api"), (false, "GET /api"), (true, "")] {
+fn a_request_is_not_sent_if_its_client_disconnects_while_the_server_is_dialed() {
+    for (cancel, following) in [(false, ""), (true, "GET /api"), (false, "GET /api"), (true, "")] {
         let (slow, address, filler) = full_listener();
         let mut config = config(&[member("slow", address, "active")]);
         config["settings"]["allowed"]["cancel"] = json!(cancel);
         let node = Node::start(&config);
         let mut client = node.client();
-        client.send(&(request("pay", 25.0) + behind));
-        until_dialled(address);
-        let gone = client.stream.get_ref().local_addr().expect("connected");
+        client.send(&(request("pay", 25.0) + following));
+        wait_until_dialing(address);
+        let client_address = client.stream.get_ref().local_addr().expect("connected");
         drop(client);
-        until_dropped(node.address, gone);
+        wait_until_closed_by_node(node.address, client_address);
         drop(slow.accept().expect("the filler"));
         drop(filler);
-        // The dial may have been given up, before or after it came up; nothing may come on it.
+        // The node may have abandoned the dial before or after the connection was established. No bytes may
+        // arrive.
         slow.set_nonblocking(true).expect("set");
-        until_not_dialled(address);
+        wait_until_not_dialing(address);
         if let Ok((mut stream, _)) = slow.accept() {
             stream.set_nonblocking(false).expect("set");
-            stream.set_read_timeout(Some(LONG)).expect("set");
+            stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
             let read = std::io::Read::read(&mut stream, &mut [0; 1]);
-            assert!(!matches!(read, Ok(1..)), "sent on: cancel {cancel}, behind {behind:?}");
+            assert!(!matches!(read, Ok(1..)), "sent: cancel {cancel}, following {following:?}");
         }
     }
 }
 
-/// Neither is it sent again, where its attempt comes back unrun after that.
+/// If a server reports that a request did not run, but its client has disconnected before, the request must
+/// not be retried.
 #[test]
-fn a_request_whose_client_left_is_not_sent_again() {
+fn a_request_is_not_retried_after_its_client_has_disconnected() {
     let servers = [Server::start(), Server::start()];
     let mut config = config(&members(&[&servers[0], &servers[1]]));
     config["settings"]["allowed"]["cancel"] = json!(false);
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&request("read", 60.0));
-    let (_, got) = either(&servers);
-    let gone = client.stream.get_ref().local_addr().expect("connected");
+    let (_, got) = request_to_either(&servers);
+    let client_address = client.stream.get_ref().local_addr().expect("connected");
     drop(client);
-    until_dropped(node.address, gone);
+    wait_until_closed_by_node(node.address, client_address);
     got.answer("503 Busy", "x-not-run: 1\r\n", b"");
-    // Another goes all its way, and nothing of the first comes meanwhile.
+    // Another request is served, and the first one does not arrive again before it.
     let mut client = node.client();
     client.send(&request("update", 20.0));
-    let (_, got) = either(&servers);
+    let (_, got) = request_to_either(&servers);
     assert!(got.request.first.starts_with("POST "), "{}", got.request.first);
     got.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
     assert!(servers.iter().all(|server| !server.has_request()));
 }
 
-/// The time of a request counts from when it came, also where another on its connection is answered first. One whose
-/// time is over by then is refused, and no server gets it.
+/// The deadline of a pipelined request counts from its arrival, although it waits for the response to the
+/// request before it. If the deadline has passed by then, the request must be rejected and no server may get
+/// it.
 #[test]
-fn a_pipelined_request_whose_time_has_passed_is_refused_unsent() {
+fn a_pipelined_request_past_its_deadline_is_rejected_and_not_sent() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -390,13 +396,14 @@
     got.answer(OK, "", b"first");
     assert_eq!(client.answer().body, b"first");
     assert_eq!(client.answer().status(), 503);
-    served_by(&node, &server);
+    assert_served_by(&node, &server);
     assert!(!server.has_request());
 }
 
-/// A whole next request behind the one that is out: its client leaves, and it must not be begun.
+/// A client sends two requests and disconnects while the first one is in progress. The second one must not be
+/// sent.
 #[test]
-fn a_pipelined_request_whose_client_left_is_not_begun() {
+fn a_pipelined_request_is_not_sent_after_its_client_has_disconnected() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["settings"]["allowed"]["cancel"] = json!(false);
@@ -404,10 +411,10 @@
     let mut client = node.client();
     client.send(&(request("read", 60.0) + &request("pay", 60.0)));
     let got = server.request();
-    let gone = client.stream.get_ref().local_addr().expect("connected");
+    let client_address = client.stream.get_ref().local_addr().expect("connected");
     drop(client);
-    until_dropped(node.address, gone);
+    wait_until_closed_by_node(node.address, client_address);
     got.answer(OK, "", b"");
-    served_by(&node, &server);
+    assert_served_by(&node, &server);
     assert!(!server.has_request());
 }
--- a/crates/balancer-node/tests/lists.rs
+++ b/crates/balancer-node/tests/lists.rs
@@ -1,32 +1,33 @@
-//! Lists of servers and what a change of them moves.
+//! Tests of how the decisions apply server lists, and of the selection of servers from long lists.
 
 mod common;
 
 use balancer::*;
 use common::*;
 
-/// Two nodes of the same seed hear the same, one of them by changes and the other by complete lists: they send alike.
+/// Two nodes with the same seed get the same servers, one as deltas and the other as snapshots. They must
+/// return the same actions.
 #[test]
-fn deltas_give_the_same_table_as_snapshots() {
-    let mut repeats = 0;
+fn deltas_and_snapshots_lead_to_the_same_decisions() {
+    let mut retries = 0;
     for seed in 0..24 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut settings = one_class(keyed(DeduplicationScope::Zone, 500.0));
         (settings.nodes, settings.zone) = (1 + random.usize(..100), 1);
         settings.node_index = random.usize(..settings.nodes);
-        let mut by_changes = Node::new(settings.clone(), seed);
-        let mut by_lists = Node::new(settings, seed);
+        let mut with_deltas = Node::new(settings.clone(), seed);
+        let mut with_snapshots = Node::new(settings, seed);
         let mut fleet = ready(0..400);
         for entry in &mut fleet {
-            // Some keys are the same: then the number decides.
+            // Some keys are equal, so that the order depends on the server ids.
             (entry.zone, entry.key) = (random.usize(..3), random.u64(..300));
         }
-        by_changes.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(fleet.clone())));
-        by_lists.servers(fleet.clone());
+        with_deltas.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(fleet.clone())));
+        with_snapshots.servers(fleet.clone());
         for round in 0..60_u64 {
-            let most = if random.u8(..10) == 0 { 400 } else { 4 };
+            let max_changes = if random.u8(..10) == 0 { 400 } else { 4 };
             let mut changed = Vec::new();
-            for _ in 0..random.usize(..=most) {
+            for _ in 0..random.usize(..=max_changes) {
                 let entry = &mut fleet[random.usize(..400)];
                 let states = [Availability::Ready, Availability::Draining, Availability::Removed];
                 match random.u8(..6) {
@@ -37,57 +38,66 @@
                 }
                 changed.push(entry.clone());
             }
-            by_changes.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(changed)));
+            with_deltas.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(changed)));
             let listed = fleet.iter().filter(|entry| entry.availability != Availability::Removed);
-            by_lists.servers(listed.cloned().collect());
+            with_snapshots.servers(listed.cloned().collect());
             for id in round * 8..round * 8 + 8 {
-                let sent = by_changes.request(id, 0, 800.0);
-                assert_eq!(sent, by_lists.request(id, 0, 800.0), "seed {seed}, request {id}");
+                let sent = with_deltas.request(id, 0, 800.0);
+                assert_eq!(sent, with_snapshots.request(id, 0, 800.0), "seed {seed}, request {id}");
                 if send_of(&sent).is_none() {
                     continue;
                 }
                 let outcome = if id % 3 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Served };
-                let held = Some(random.u8(..6).into());
-                let further = by_changes.report(id, 0, 20.0, outcome, held);
-                assert_eq!(further, by_lists.report(id, 0, 20.0, outcome, held), "seed {seed}, request {id}");
-                repeats += usize::from(send_of(&further).is_some());
-                for node in [&mut by_changes, &mut by_lists] {
+                let in_flight = Some(random.u8(..6).into());
+                let actions = with_deltas.report(id, 0, 20.0, outcome, in_flight);
+                assert_eq!(
+                    actions,
+                    with_snapshots.report(id, 0, 20.0, outcome, in_flight),
+                    "seed {seed}, request {id}"
+                );
+                retries += usize::from(send_of(&actions).is_some());
+                for node in [&mut with_deltas, &mut with_snapshots] {
                     node.end(id, 1, 20.0, AttemptOutcome::Served);
                     node.now += 10.0;
                 }
             }
         }
     }
-    assert!(repeats > 1_000, "{repeats} repeats are too few to mean much");
+    assert!(retries > 1_000, "only {retries} retries were compared");
 }
 
-/// Only so many are offered to a request that may have run; what its group allows is found all round the ring.
+/// In a large fleet, each request is offered a part of the ring only. The retry of a request that may have
+/// run must still find the only server that its deduplication scope allows, wherever on the ring that is.
 #[test]
-fn a_repeat_finds_the_one_server_of_its_group() {
+fn a_retry_finds_the_only_other_server_of_its_cell() {
     let mut settings = one_class(keyed(DeduplicationScope::Cell, 500.0));
     settings.nodes = 2_000;
     for seed in 0..20 {
         let mut node = Node::new(settings.clone(), seed);
         let mut entries = ready(0..4_000);
-        // Cells of two: each server has its fellow in the other zone, half the ring away.
+        // Each cell has two servers, which are in different zones and half the ring apart.
         let cell = |i: usize| if i < 2_000 { i } else { (i + 1_000) % 2_000 };
         entries.iter_mut().enumerate().for_each(|(i, e)| (e.cell, e.zone) = (cell(i), i / 2_000));
         node.servers(entries);
         let first = node.sent_to(1);
-        let second = send_of(&node.end(1, 0, 5.0, AttemptOutcome::Error)).expect("its fellow is ready");
+        let second =
+            send_of(&node.end(1, 0, 5.0, AttemptOutcome::Error)).expect("a retry at the other server");
         assert!(second != first && cell(second) == cell(first), "{first}, then {second}");
     }
 }
 
-/// Beyond some hundreds of servers a request sees a window of them. All have their turn, as evenly as if seen at
-/// once.
+/// In a fleet of more than some hundreds of servers, each request is offered a window of them. The window
+/// must move so that all servers are selected as evenly as without it.
 #[test]
-fn a_window_of_a_large_fleet_goes_round() {
+fn all_servers_of_a_large_fleet_are_selected_evenly() {
     let mut node =
         Node::new(DecisionSettings::new(vec![RequestClass::new(40_000.0, 80_000.0, Idempotency::Safe)]), 1);
     node.servers(ready(0..700));
     let mut sends = [0; 700];
     (0..7_000).for_each(|id| sends[node.sent_to(id)] += 1);
     let (least, most) = (sends.iter().min(), sends.iter().max());
-    assert!(least >= Some(&8) && most <= Some(&12), "{least:?} to {most:?} of ten each");
+    assert!(
+        least >= Some(&8) && most <= Some(&12),
+        "{least:?} to {most:?} requests per server, 10 on average"
+    );
 }
--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -1,6 +1,7 @@
-//! What the tests of the node share: the real binary, and scripted servers, discovery and clients round it.
+//! Helpers of the tests that run the node's binary: they start it and provide scripted servers, discovery and
+//! clients.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,39 +14,40 @@
 
 use serde_json::{json, Value};
 
-/// What a server says that has served.
+/// Status of a response to a request that was served.
 pub const OK: &str = "200 OK";
-/// Longer than anything that a test waits for takes, however busy the machine.
-pub const LONG: Duration = Duration::from_secs(90);
+/// Timeout of everything that a test waits for. It is long enough even on a busy machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// A process that is being started holds, for a moment, every socket of this one. An address that is given up for it
-/// to bind must not be held by another that starts just then.
-static STARTING: Mutex<()> = Mutex::new(());
+/// Prevents that a process is spawned while [`unused_address`] has a listener open. Between fork and exec, a
+/// child process holds every socket of this process, so the address could not be bound while it starts.
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-/// A listener at a loopback address that nothing else of these tests uses.
-pub fn own_listener() -> TcpListener {
-    TcpListener::bind(SocketAddr::from((own_host(), 0))).expect("a free port")
+/// Binds a listener to a loopback address that no other test uses.
+pub fn unused_listener() -> TcpListener {
+    TcpListener::bind(SocketAddr::from((unused_ip(), 0))).expect("a free port")
 }
 
-/// Such an address, at which nobody listens yet.
-pub fn own_address() -> SocketAddr {
-    let _alone = STARTING.lock();
-    own_listener().local_addr().expect("bound")
+/// Returns a loopback address that no other test uses and at which no process listens.
+pub fn unused_address() -> SocketAddr {
+    let _guard = SPAWN_LOCK.lock();
+    unused_listener().local_addr().expect("bound")
 }
 
-fn own_host() -> [u8; 4] {
+/// Returns a loopback address that this process has not used yet; its second byte depends on the process.
+fn unused_ip() -> [u8; 4] {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
     [127, 1 + (std::process::id() % 250) as u8, (n / 250) as u8, 1 + (n % 250) as u8]
 }
 
-/// Starts a process; see `STARTING`.
+/// Starts a process; see [`SPAWN_LOCK`].
 pub fn spawn(command: &mut Command) -> Child {
-    let _alone = STARTING.lock();
+    let _guard = SPAWN_LOCK.lock();
     command.spawn().expect("started")
 }
 
-/// A message as it came: its first line, its headers in lower case, its body.
+/// An HTTP request or response. The names of its headers are in lower case.
 #[derive(Debug)]
 pub struct Message {
     pub first: String,
@@ -54,7 +56,7 @@
 }
 
 impl Message {
-    /// Reads one message; `None` where the connection ends before it is whole.
+    /// Reads one message; returns `None` if the connection ends before the message is complete.
     pub fn read(from: &mut impl BufRead) -> Option<Self> {
         let mut line = || {
             let mut text = String::new();
@@ -83,53 +85,60 @@
     }
 }
 
-/// What a scripted server sees.
-pub enum Seen {
+/// An event at a scripted server.
+pub enum ServerEvent {
+    /// A request has arrived.
     Request(Exchange),
-    /// A connection with no request on it has ended.
+    /// The connection with this number has ended, with no request in progress.
     Closed(usize),
 }
 
-/// A request that waits for the test to answer it.
+/// A request that the test has to answer. Dropping it ends the reading from its connection.
 pub struct Exchange {
     pub request: Message,
-    /// Its connection's number, from zero in the order of accepting.
+    /// Number of the connection; they count from zero in the order of their acceptance.
     pub connection: usize,
     pub stream: TcpStream,
-    go_on: Sender<()>,
+    /// Lets the server's thread read the next request from the connection.
+    continue_reading: Sender<()>,
 }
 
 impl Exchange {
-    /// Answers; the connection takes a next request.
+    /// Sends a response. The connection then accepts another request.
+    ///
+    /// # Panics
+    ///
+    /// The node has closed the connection.
     pub fn answer(self, status: &str, headers: &str, body: &[u8]) {
         assert!(self.try_answer(status, headers, body), "answered");
     }
 
-    /// Answers, unless the node has given up the call. The connection takes a next request if it is still open.
+    /// Sends a response if the connection is still open; returns whether it is. The connection then accepts
+    /// another request.
     pub fn try_answer(mut self, status: &str, headers: &str, body: &[u8]) -> bool {
         let length = body.len();
         let written = write!(self.stream, "HTTP/1.1 {status}\r\ncontent-length: {length}\r\n{headers}\r\n")
             .and_then(|()| self.stream.write_all(body));
-        written.is_ok() && self.go_on.send(()).is_ok()
+        written.is_ok() && self.continue_reading.send(()).is_ok()
     }
 
-    /// Writes this as it is.
+    /// Sends bytes unchanged.
     pub fn write(&mut self, bytes: &[u8]) {
-        // It fails where the node has given up on what it was sent.
+        // This fails if the node has closed the connection.
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Waits until the node has ended its sending; it must send nothing more.
-    pub fn await_end(&mut self) {
-        self.stream.set_read_timeout(Some(LONG)).expect("set");
+    /// Waits until the node has closed its sending side, and checks that it sends nothing more.
+    pub fn wait_until_closed(&mut self) {
+        self.stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         match self.stream.read(&mut [0; 1]) {
-            Ok(n) => assert_eq!(n, 0, "more was sent"),
+            Ok(n) => assert_eq!(n, 0, "the node has sent further bytes"),
             Err(error) => assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset),
         }
     }
 
-    /// Whether the node has ended its sending by now.
-    pub fn has_ended(&mut self) -> bool {
+    /// Returns whether the node has closed its sending side.
+    pub fn is_closed(&mut self) -> bool {
         self.stream.set_nonblocking(true).expect("set");
         let ended = match self.stream.read(&mut [0; 1]) {
             Ok(n) => n == 0,
@@ -140,79 +149,83 @@
     }
 }
 
-/// A server, or discovery: what it gets comes to the test, which answers.
+/// A scripted model server or discovery: it passes each request to the test, which answers it.
 pub struct Server {
     pub address: SocketAddr,
-    seen: Receiver<Seen>,
+    events: Receiver<ServerEvent>,
 }
 
 impl Server {
     pub fn start() -> Self {
-        let listener = own_listener();
+        let listener = unused_listener();
         let address = listener.local_addr().expect("bound");
-        let (tell, seen) = mpsc::channel();
+        let (sender, events) = mpsc::channel();
         thread::spawn(move || {
             for (connection, stream) in listener.incoming().enumerate() {
-                let (stream, tell) = (stream.expect("accepted"), tell.clone());
-                thread::spawn(move || serve(&stream, connection, &tell));
+                let (stream, sender) = (stream.expect("accepted"), sender.clone());
+                thread::spawn(move || serve(&stream, connection, &sender));
             }
         });
-        Self { address, seen }
+        Self { address, events }
     }
 
-    pub fn seen(&self) -> Seen {
-        self.seen.recv_timeout(LONG).expect("something comes")
+    /// Waits for the next event.
+    pub fn next_event(&self) -> ServerEvent {
+        self.events.recv_timeout(TEST_TIMEOUT).expect("a request or the end of a connection")
     }
 
-    /// The next request; a connection that ends meanwhile is passed over.
+    /// Waits for the next request, and skips the ends of connections.
     pub fn request(&self) -> Exchange {
         loop {
-            if let Seen::Request(exchange) = self.seen() {
+            if let ServerEvent::Request(exchange) = self.next_event() {
                 return exchange;
             }
         }
     }
 
-    /// A request, if one has come.
-    pub fn poll(&self) -> Option<Exchange> {
-        self.seen.try_iter().find_map(|seen| match seen {
-            Seen::Request(exchange) => Some(exchange),
-            Seen::Closed(_) => None,
+    /// Returns the next request if one has arrived, and skips the ends of connections.
+    pub fn try_request(&self) -> Option<Exchange> {
+        self.events.try_iter().find_map(|event| match event {
+            ServerEvent::Request(exchange) => Some(exchange),
+            ServerEvent::Closed(_) => None,
         })
     }
 
-    /// Whether a request has come that the test has not taken.
+    /// Returns whether a request has arrived that the test has not received, and drops that request.
     pub fn has_request(&self) -> bool {
-        self.poll().is_some()
+        self.try_request().is_some()
     }
 }
 
-fn serve(stream: &TcpStream, connection: usize, tell: &Sender<Seen>) {
+/// Reads the requests of one connection, one after the other, and passes each to the test.
+fn serve(stream: &TcpStream, connection: usize, sender: &Sender<ServerEvent>) {
     let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
     while let Some(request) = Message::read(&mut reader) {
-        let (go_on, answered) = mpsc::channel();
+        let (continue_reading, answered) = mpsc::channel();
         let stream = stream.try_clone().expect("cloned");
-        // The test may be over: then nobody listens.
-        let _ = tell.send(Seen::Request(Exchange { request, connection, stream, go_on }));
+        // Sending fails if the test has ended.
+        let _ = sender.send(ServerEvent::Request(Exchange { request, connection, stream, continue_reading }));
         if answered.recv().is_err() {
             return;
         }
     }
     let _ = stream.shutdown(Shutdown::Both);
-    let _ = tell.send(Seen::Closed(connection));
+    let _ = sender.send(ServerEvent::Closed(connection));
 }
 
-/// A list's entry.
+/// Returns an entry of a server list.
 pub fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": 0,
            "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
+/// Returns a server list in the form that discovery sends.
 pub fn list(revision: u64, complete: bool, members: &[Value]) -> Value {
     json!({"revision": revision, "complete": complete, "members": members})
 }
 
-/// A configuration with three classes: `read` is safe, `update` keyed, `pay` unsafe.
+/// Returns a configuration with this initial list and three classes: `read` is safe, `update` keyed, `pay`
+/// unsafe.
 pub fn config(members: &[Value]) -> Value {
     let class = |name, effect| {
         json!({"name": name, "effect": effect, "group": "cell", "dedup_window_ms": 60_000.0,
@@ -231,21 +244,24 @@
     })
 }
 
-/// The real binary, started by a test.
+/// A process that runs the node's binary. Dropping it kills the process.
 pub struct Node {
+    /// Address at which the node listens for clients.
     pub address: SocketAddr,
+    /// The scripted discovery whose address the node gets from its environment.
     pub discovery: Server,
     child: Child,
     log: BufReader<ChildStderr>,
 }
 
-/// The file that a node at this address reads.
+/// Returns the path of the configuration file of the node at this address.
 pub fn config_path(address: SocketAddr) -> std::path::PathBuf {
     let name = format!("{}.json", address.to_string().replace(':', "-"));
     std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-/// The binary's command, with everything it is told.
+/// Writes the configuration file, and returns the command that starts the node with its environment
+/// variables.
 pub fn command(config: &str, address: SocketAddr, discovery: SocketAddr) -> Command {
     let path = config_path(address);
     std::fs::write(&path, config).expect("written");
@@ -256,63 +272,68 @@
 }
 
 impl Node {
-    /// Starts with this configuration; returns when it is healthy. Discovery tells the list that is in it.
+    /// Starts a node and waits until it is healthy. Discovery answers the first call with the list of the
+    /// configuration.
     pub fn start(config: &Value) -> Self {
         Self::start_with_first_call(config, |_, first| {
             first.answer(OK, "", config["known"].to_string().as_bytes());
         })
     }
 
-    /// The same, where the test sees to the first call for the list.
-    pub fn start_with_first_call(config: &Value, tell: impl FnOnce(SocketAddr, Exchange)) -> Self {
-        let (address, discovery) = (own_address(), Server::start());
+    /// Starts a node and waits until it is healthy. `on_first_call` gets the node's address and its first
+    /// call to discovery.
+    pub fn start_with_first_call(config: &Value, on_first_call: impl FnOnce(SocketAddr, Exchange)) -> Self {
+        let (address, discovery) = (unused_address(), Server::start());
         let node =
             Self::launch(&mut command(&config.to_string(), address, discovery.address), address, discovery);
         let first = node.discovery.request();
         assert_eq!(first.request.first, "GET /catalog/members HTTP/1.1");
-        tell(node.address, first);
-        node.until_healthy();
+        on_first_call(node.address, first);
+        node.wait_until_healthy();
         node
     }
 
-    /// Starts this command, which listens at this address by and by.
+    /// Starts the command of a node that will listen at this address.
     pub fn launch(command: &mut Command, address: SocketAddr, discovery: Server) -> Self {
         let mut child = spawn(command.stderr(Stdio::piped()));
         let log = BufReader::new(child.stderr.take().expect("piped"));
         Self { address, discovery, child, log }
     }
 
-    /// Waits until it listens and says that it is healthy.
-    pub fn until_healthy(&self) {
+    /// Waits until the node listens, and checks that it is healthy.
+    pub fn wait_until_healthy(&self) {
         let since = Instant::now();
         while TcpStream::connect(self.address).is_err() {
-            assert!(since.elapsed() < LONG, "the node does not listen");
+            assert!(since.elapsed() < TEST_TIMEOUT, "the node does not listen");
             thread::sleep(Duration::from_millis(5));
         }
         assert_eq!(self.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
     }
 
-    /// Starts in front of these servers, named `s0`, `s1` and so on.
+    /// Starts a node whose server list holds these servers, with the ids `s0`, `s1` and so on.
     pub fn before(servers: &[&Server]) -> Self {
         Self::start(&config(&members(servers)))
     }
 
+    /// Connects a new client.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration's text, as a whole, and tells the node.
+    /// Replaces the configuration file atomically, and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         let (path, new) = (config_path(self.address), config_path(self.address).with_extension("new"));
         std::fs::write(&new, config).and_then(|()| std::fs::rename(&new, path)).expect("replaced");
-        self.hang_up();
+        self.send_sighup();
     }
 
-    pub fn hang_up(&self) {
+    /// Sends SIGHUP.
+    pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
 
@@ -321,41 +342,43 @@
         assert!(sent.expect("sent").success());
     }
 
-    /// Memory that it holds, in bytes.
-    pub fn memory(&self) -> u64 {
-        self.status("VmRSS:")
+    /// Returns the resident memory of the process, in bytes.
+    pub fn resident_memory(&self) -> u64 {
+        self.memory_status("VmRSS:")
     }
 
-    /// The most that it has held.
-    pub fn memory_at_most(&self) -> u64 {
-        self.status("VmHWM:")
+    /// Returns the peak resident memory of the process, in bytes.
+    pub fn peak_memory(&self) -> u64 {
+        self.memory_status("VmHWM:")
     }
 
-    /// Descriptors that it holds.
-    pub fn descriptors(&self) -> usize {
+    /// Returns the number of open file descriptors of the process.
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("running").count()
     }
 
-    fn status(&self, field: &str) -> u64 {
+    /// Returns a size in `/proc/PID/status`, converted to bytes.
+    fn memory_status(&self, field: &str) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("running");
-        let line = text.lines().find_map(|line| line.strip_prefix(field)).expect("told");
+        let line = text.lines().find_map(|line| line.strip_prefix(field)).expect("the field");
         line.trim().trim_end_matches(" kB").parse::<u64>().expect("a number") * 1024
     }
 
-    /// The next line of the log.
-    pub fn logged(&mut self) -> String {
+    /// Waits for the next line of the node's log.
+    pub fn next_log_line(&mut self) -> String {
         let mut line = String::new();
         self.log.read_line(&mut line).expect("read");
         line
     }
 
+    /// Waits until the process has exited.
     pub fn wait(&mut self) -> ExitStatus {
         let since = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("waited for") {
                 return status;
             }
-            assert!(since.elapsed() < LONG, "the node does not end");
+            assert!(since.elapsed() < TEST_TIMEOUT, "the node does not exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
@@ -363,18 +386,19 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // It fails where the node has ended already.
+        // This fails if the node has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
+/// Returns the list entries of active servers, with the ids `s0`, `s1` and so on.
 pub fn members(servers: &[&Server]) -> Vec<Value> {
     let name = |(i, server): (usize, &&Server)| member(&format!("s{i}"), server.address, "active");
     servers.iter().enumerate().map(name).collect()
 }
 
-/// A client's connection.
+/// A client's connection to a node.
 pub struct Client {
     pub stream: BufReader<TcpStream>,
 }
@@ -382,7 +406,7 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("accepted");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         Self { stream: BufReader::new(stream) }
     }
 
@@ -390,12 +414,13 @@
         self.stream.get_mut().write_all(request.as_bytes()).expect("sent");
     }
 
+    /// Waits for the next response.
     pub fn answer(&mut self) -> Message {
-        Message::read(&mut self.stream).expect("a whole answer")
+        Message::read(&mut self.stream).expect("a complete response")
     }
 
-    /// All that comes until the node closes the connection.
-    pub fn rest(&mut self) -> String {
+    /// Returns everything that the node sends until it closes the connection.
+    pub fn read_to_end(&mut self) -> String {
         let mut all = Vec::new();
         if let Err(error) = self.stream.read_to_end(&mut all) {
             assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
@@ -403,13 +428,14 @@
         String::from_utf8_lossy(&all).into_owned()
     }
 
+    /// Sends a request and waits for the response.
     pub fn ask(&mut self, request: &str) -> Message {
         self.send(request);
         self.answer()
     }
 }
 
-/// A sound request of a class, whose client waits so long. Each has an id of its own.
+/// Returns a valid request of a class with a deadline in seconds. Each has a different id.
 pub fn request(class: &str, seconds: f64) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -425,10 +451,11 @@
     )
 }
 
-/// A listener whose queue is full, so that whoever connects waits, with what fills it.
+/// Returns a listener whose backlog is full, so that further connections are not established, its address,
+/// and the connection that fills the backlog.
 pub fn full_listener() -> (TcpListener, SocketAddr, TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.bind(&SocketAddr::from((own_host(), 0)).into()).expect("bound");
+    socket.bind(&SocketAddr::from((unused_ip(), 0)).into()).expect("bound");
     socket.listen(0).expect("listening");
     let slow = TcpListener::from(socket);
     let address = slow.local_addr().expect("bound");
@@ -436,71 +463,75 @@
     (slow, address, filler)
 }
 
-/// The request that came to one of two servers, and to which.
-pub fn either(servers: &[Server; 2]) -> (usize, Exchange) {
+/// Waits until a request arrives at one of two servers; returns the index of that server and the request.
+pub fn request_to_either(servers: &[Server; 2]) -> (usize, Exchange) {
     let since = Instant::now();
     loop {
-        for (at, server) in servers.iter().enumerate() {
-            if let Some(exchange) = server.poll() {
-                return (at, exchange);
+        for (index, server) in servers.iter().enumerate() {
+            if let Some(exchange) = server.try_request() {
+                return (index, exchange);
             }
         }
-        assert!(since.elapsed() < LONG, "no request comes");
+        assert!(since.elapsed() < TEST_TIMEOUT, "no request has arrived");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-pub fn served_by(node: &Node, server: &Server) {
+/// Sends a keyed request, and checks that this server gets it and that its response is returned.
+pub fn assert_served_by(node: &Node, server: &Server) {
     let mut client = node.client();
     client.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
 
-/// Waits until a connect to this address is under way: in the kernel's list state 02 is SYN sent.
-pub fn until_dialled(address: SocketAddr) {
-    until_listed(&format!("{} 02", listed(address)), true);
+/// Waits until a connection to this address is being established. State 02 in `/proc/net/tcp` is SYN_SENT.
+pub fn wait_until_dialing(address: SocketAddr) {
+    wait_until_listed(&format!("{} 02", proc_net_address(address)), true);
 }
 
-/// How many connects to this address are under way.
-pub fn dials_to(address: SocketAddr) -> usize {
+/// Returns how many connections to this address are being established.
+pub fn count_dials(address: SocketAddr) -> usize {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("Linux");
-    table.matches(&format!("{} 02", listed(address))).count()
+    table.matches(&format!("{} 02", proc_net_address(address))).count()
 }
 
-/// Waits until at least so many are.
-pub fn until_dialled_by(address: SocketAddr, dials: usize) {
+/// Waits until at least `dials` connections to this address are being established.
+pub fn wait_until_dial_count(address: SocketAddr, dials: usize) {
     let since = Instant::now();
-    while dials_to(address) < dials {
-        assert!(since.elapsed() < LONG, "{} dials are under way", dials_to(address));
+    while count_dials(address) < dials {
+        assert!(since.elapsed() < TEST_TIMEOUT, "{} connections are being established", count_dials(address));
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Waits until no connect to this address is under way.
-pub fn until_not_dialled(address: SocketAddr) {
-    until_listed(&format!("{} 02", listed(address)), false);
+/// Waits until no connection to this address is being established.
+pub fn wait_until_not_dialing(address: SocketAddr) {
+    wait_until_listed(&format!("{} 02", proc_net_address(address)), false);
 }
 
-/// Waits until a node's end of a client's connection is gone.
-pub fn until_dropped(node: SocketAddr, client: SocketAddr) {
-    until_listed(&format!("{} {}", listed(node), listed(client)), false);
+/// Waits until the node has closed its socket of a client's connection.
+pub fn wait_until_closed_by_node(node: SocketAddr, client: SocketAddr) {
+    wait_until_listed(&format!("{} {}", proc_net_address(node), proc_net_address(client)), false);
 }
 
-/// Waits until the end of a client's sending, or its reset, has come to a node: state 01 is established.
-pub fn until_left(node: SocketAddr, client: SocketAddr) {
-    until_listed(&format!("{} {} 01", listed(node), listed(client)), false);
+/// Waits until the node's kernel has received that the client closed its sending side or reset the
+/// connection: until the node's socket is no longer in state 01, ESTABLISHED.
+pub fn wait_until_disconnect_received(node: SocketAddr, client: SocketAddr) {
+    wait_until_listed(&format!("{} {} 01", proc_net_address(node), proc_net_address(client)), false);
 }
 
-fn listed(address: SocketAddr) -> String {
+/// Returns an address in the form of `/proc/net/tcp`.
+fn proc_net_address(address: SocketAddr) -> String {
     let SocketAddr::V4(v4) = address else { panic!("IPv4") };
     format!("{:08X}:{:04X}", u32::from_ne_bytes(v4.ip().octets()), v4.port())
 }
 
-fn until_listed(entry: &str, there: bool) {
+/// Waits until `/proc/net/tcp` contains an entry, or until it does not.
+fn wait_until_listed(entry: &str, is_listed: bool) {
     let since = Instant::now();
-    while std::fs::read_to_string("/proc/net/tcp").expect("Linux").contains(entry) != there {
-        assert!(since.elapsed() < LONG, "`{entry}` is listed: {}", !there);
+    while std::fs::read_to_string("/proc/net/tcp").expect("Linux").contains(entry) != is_listed {
+        assert!(since.elapsed() < TEST_TIMEOUT, "`{entry}` in /proc/net/tcp: {}", !is_listed);
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/balancer-node/tests/node.rs
+++ b/crates/balancer-node/tests/node.rs
@@ -1,4 +1,4 @@
-//! The real node over loopback sockets, among scripted servers, clients and discovery.
+//! Tests of the node's binary over loopback sockets, with scripted servers, clients and discovery.
 
 mod net;
 use net::*;
@@ -9,8 +9,6 @@
 
 use serde_json::{json, Value};
 
-// ---- One request
-
 #[test]
 fn a_request_is_forwarded_and_its_answer_returned_unchanged() {
     let server = Server::start();
@@ -27,18 +25,16 @@
         assert_eq!(got.request.header("idempotency-key"), Some("k1"));
         let left: f64 = got.request.header("x-deadline").and_then(|t| t.parse().ok()).expect("a deadline");
         assert!(left > 1.0 && left < 20.0, "{left}");
-        assert_eq!(got.connection, 0, "connections are kept");
+        assert_eq!(got.connection, 0, "the connection was not kept");
         got.answer(OK, "", b"an \x00 answer");
         let answer = client.answer();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"an \x00 answer"[..]));
     }
 }
 
-// ---- Outcomes
-
-/// An unsafe request shows what the node concludes: it is retried only where it is known not to have run.
+/// An unsafe request is retried only if it is known not to have run.
 #[test]
-fn an_answer_that_proves_that_nothing_ran_is_retried() {
+fn an_unsafe_request_is_retried_if_the_response_proves_that_it_did_not_run() {
     for (status, headers) in
         [("503 Busy", "x-not-run: 1\r\n"), ("504 Late", "x-not-run: 1\r\nx-load: inflight=3,queue=1\r\n")]
     {
@@ -46,7 +42,7 @@
         let node = Node::before(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (first, got) = either(&servers);
+        let (first, got) = request_to_either(&servers);
         got.answer(status, headers, b"");
         servers[1 - first].request().answer(OK, "", b"done");
         assert_eq!(client.answer().status(), 200, "{status}");
@@ -54,39 +50,43 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails() {
+fn an_unsafe_request_that_may_have_run_fails_without_a_retry() {
     type Script = fn(Exchange);
     let scripts: [(&str, Script); 14] = [
-        ("an end that may be a broken connection", |mut got| {
+        ("a body without length or chunks", |mut got| {
             got.write(b"HTTP/1.1 200 OK\r\n\r\nhalf");
             drop(got.stream.shutdown(Shutdown::Both));
         }),
-        ("two lengths", |mut got| {
+        ("two different lengths", |mut got| {
             got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-length: 2\r\n\r\nwork");
         }),
-        ("a length and chunks", |mut got| {
+        ("a length and a transfer encoding", |mut got| {
             got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n");
             got.write(b"transfer-encoding: chunked\r\n\r\n4\r\nwork\r\n0\r\n\r\n");
         }),
-        ("another protocol", |mut got| {
+        ("a switch to another protocol", |mut got| {
             got.write(b"HTTP/1.1 101 Other\r\nconnection: upgrade\r\nupgrade: other\r\n\r\n");
         }),
-        ("3 GB", |mut got| got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nhalf")),
-        ("a head too long", |mut got| {
+        ("a length of 3 GB", |mut got| {
+            got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nhalf")
+        }),
+        ("a head over the limit", |mut got| {
             got.write(b"HTTP/1.1 200 OK\r\nx-more: ");
             got.write(&vec![b'x'; 40_000]);
         }),
-        ("noise", |mut got| got.write(b"\x00\x01\x02\r\n\r\n")),
+        ("bytes that are not HTTP", |mut got| got.write(b"\x00\x01\x02\r\n\r\n")),
         ("an error", |got| got.answer("500 Broken", "", b"")),
-        ("an error with a report", |got| got.answer("500 Broken", "x-load: inflight=2,queue=0\r\n", b"")),
-        ("a rejection with no proof", |got| got.answer("503 Busy", "", b"")),
-        ("another success", |got| got.answer("204 Nothing", "", b"")),
-        ("a reset", |got| drop(got.stream.shutdown(Shutdown::Both))),
-        ("a broken answer", |mut got| {
+        ("an error with a load report", |got| {
+            got.answer("500 Broken", "x-load: inflight=2,queue=0\r\n", b"")
+        }),
+        ("a rejection without X-Not-Run", |got| got.answer("503 Busy", "", b"")),
+        ("a success status other than 200", |got| got.answer("204 Nothing", "", b"")),
+        ("a closed connection", |got| drop(got.stream.shutdown(Shutdown::Both))),
+        ("an incomplete body", |mut got| {
             got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf");
             drop(got.stream.shutdown(Shutdown::Both));
         }),
-        ("an answer too long", |mut got| {
+        ("a body over the limit", |mut got| {
             got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 65537\r\n\r\n");
             got.write(&vec![b'x'; 65_537]);
         }),
@@ -96,18 +96,19 @@
         let node = Node::before(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        script(either(&servers).1);
+        script(request_to_either(&servers).1);
         assert_eq!(client.answer().status(), 502, "{name}");
-        assert!(!servers[0].has_request() && !servers[1].has_request(), "{name}: it was retried");
+        assert!(!servers[0].has_request() && !servers[1].has_request(), "{name}: the request was retried");
     }
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_is_known_not_to_have_run_it() {
+fn an_unsafe_request_is_retried_if_its_server_is_unreachable() {
     let server = Server::start();
-    let members = [member("unreachable", own_address(), "active"), member("s", server.address, "active")];
+    let members = [member("unreachable", unused_address(), "active"), member("s", server.address, "active")];
     let node = Node::start(&config(&members));
-    // Both start with the same count: of three sends to the lowest, at least one goes to the unreachable one.
+    // Both servers start with the same count, so at least one of three requests is first sent to the
+    // unreachable one.
     for _ in 0..3 {
         let mut client = node.client();
         client.send(&request("pay", 20.0));
@@ -116,9 +117,10 @@
     }
 }
 
-/// The deadline counts from the client's sending; an unresponsive server must not use it up.
+/// The deadline counts from the sending of the request. The node must respond before it even if the server
+/// does not.
 #[test]
-fn an_attempt_at_an_unresponsive_server_ends_and_its_client_is_answered_in_time() {
+fn an_attempt_at_an_unresponsive_server_is_closed_and_its_client_answered_in_time() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -127,8 +129,12 @@
     let mut got = server.request();
     assert_eq!(client.answer().status(), 502);
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
-    assert!(since.elapsed() > Duration::from_millis(1_500), "the attempt was given its time");
-    got.await_end();
+    assert!(
+        since.elapsed() > Duration::from_millis(1_500),
+        "the attempt ended too early: {:?}",
+        since.elapsed()
+    );
+    got.wait_until_closed();
     assert!(!server.has_request());
 }
 
@@ -140,50 +146,49 @@
     client.send(&request("read", 60.0));
     let mut got = server.request();
     drop(client);
-    got.await_end();
-    assert!(!server.has_request(), "nothing is sent for it afterwards");
-    // The node serves the next client.
+    got.wait_until_closed();
+    assert!(!server.has_request(), "the request was sent again");
+    // The node still serves the next client.
     let mut client = node.client();
     client.send(&request("read", 20.0));
     server.request().answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
 
-/// Guards against two attempts at once: a future that was dropped is no proof that its socket is closed.
+/// Guards against two concurrent attempts: dropping the future of an attempt does not yet close its socket.
 #[test]
 fn a_cancelled_attempt_is_closed_before_the_next_begins() {
     for _ in 0..5 {
         let servers = [Server::start(), Server::start()];
         let node = Node::before(&[&servers[0], &servers[1]]);
-        // Both get a connection that is kept, so that the next attempt has nothing to wait for.
+        // Both servers get a connection that is kept, so that the next attempt need not wait for one.
         let mut clients = [node.client(), node.client()];
         clients.iter_mut().for_each(|client| client.send(&request("read", 20.0)));
         servers.iter().for_each(|server| server.request().answer(OK, "", b""));
         clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
         let mut client = node.client();
         client.send(&request("read", 20.0));
-        let (at, mut first) = either(&servers);
-        // Too long to be returned, and not yet at its end: the server still has the connection open.
+        let (at, mut first) = request_to_either(&servers);
+        // The body exceeds the limit and is incomplete, so the server still has the connection open.
         first.write(b"HTTP/1.1 200 OK\r\ncontent-length: 999999\r\n\r\n");
         first.write(&vec![b'x'; 70_000]);
         let next = servers[1 - at].request();
-        assert!(first.has_ended(), "two attempts were in flight");
+        assert!(first.is_closed(), "two attempts were in flight");
         next.answer(OK, "", b"");
         assert_eq!(client.answer().status(), 200);
     }
 }
 
-// ---- Connections to servers
-
-/// A connect that hangs ends at its time-out, and the request is known not to have run.
+/// A request whose connection is not established has not run, so even an unsafe one is retried.
 #[test]
-fn a_connection_that_is_never_established_times_out() {
+fn an_unsafe_request_is_retried_if_its_connection_is_not_established_in_time() {
     let (_slow, address, _filler) = full_listener();
     let server = Server::start();
     let mut config = config(&[member("slow", address, "active"), member("s", server.address, "active")]);
     config["settings"]["allowed"]["dial_timeout_ms"] = json!(300.0);
     let node = Node::start(&config);
-    // Both start with the same count: at least one of these sends goes to the slow one.
+    // Both servers start with the same count, so at least one of these requests is first sent to the slow
+    // one.
     for _ in 0..3 {
         let mut client = node.client();
         client.send(&request("pay", 20.0));
@@ -192,9 +197,9 @@
     }
 }
 
-/// Guards against requests written to a connection that its server is about to close.
+/// Guards against requests that are written to a connection while its server closes it.
 #[test]
-fn an_idle_connection_is_closed_before_its_server_would() {
+fn an_idle_connection_is_closed_before_its_server_closes_it() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["settings"]["allowed"]["conn_idle_ms"] = json!(4_000.0);
@@ -205,7 +210,7 @@
     got.answer(OK, "", b"");
     let since = Instant::now();
     assert_eq!(client.answer().status(), 200);
-    assert!(matches!(server.seen(), Seen::Closed(0)));
+    assert!(matches!(server.next_event(), ServerEvent::Closed(0)));
     assert!(since.elapsed() < Duration::from_millis(4_000), "{:?}", since.elapsed());
     client.send(&request("pay", 20.0));
     let got = server.request();
@@ -214,7 +219,8 @@
     assert_eq!(client.answer().status(), 200);
 }
 
-/// A kept connection that its server has closed, or is about to close, fails no request: here none may be sent twice.
+/// A request must not fail because its server has closed the kept connection or has announced to close it.
+/// The requests are unsafe, so the node cannot hide a failure with a retry.
 #[test]
 fn a_kept_connection_that_was_closed_is_not_reused() {
     for headers in ["", "connection: close\r\n"] {
@@ -235,47 +241,50 @@
     }
 }
 
-// ---- The list of servers
-
-/// Time passes between decision and send; a server that drains by then must get nothing new.
+/// Time passes between the decision and the sending. A server that has begun to drain by then must get no new
+/// request.
 #[test]
 fn a_server_that_drains_during_a_slow_connect_gets_no_request() {
-    drained_while_connecting(|slow| list(2, false, &[member("slow", slow, "leaving")]));
-    // A complete list removes a server by not naming it.
-    drained_while_connecting(|_| list(2, true, &[]));
+    check_update_while_connecting(|slow| list(2, false, &[member("slow", slow, "leaving")]));
+    // A complete list removes a server that it does not name.
+    check_update_while_connecting(|_| list(2, true, &[]));
 }
 
-fn drained_while_connecting(update: fn(SocketAddr) -> Value) {
+/// Applies an update of the list while the node connects to its only server, and checks that the request is
+/// rejected and not sent.
+fn check_update_while_connecting(update: fn(SocketAddr) -> Value) {
     let (slow, address, filler) = full_listener();
     let node = Node::start(&config(&[member("slow", address, "active")]));
     let poll = node.discovery.request();
     let mut client = node.client();
     client.send(&request("pay", 25.0));
-    until_dialled(address);
+    wait_until_dialing(address);
     poll.answer(OK, "", update(address).to_string().as_bytes());
     // The next poll shows that the list has been applied.
     assert!(node.discovery.request().request.first.contains("since=2&"));
     drop(slow.accept().expect("the filler"));
     drop(filler);
     let (mut stream, _) = slow.accept().expect("the node's connection");
-    stream.set_read_timeout(Some(LONG)).expect("set");
-    assert_eq!(stream.read(&mut [0; 1]).ok(), Some(0), "bytes went to a draining server");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
+    assert_eq!(stream.read(&mut [0; 1]).ok(), Some(0), "bytes were sent to the server");
     assert_eq!(client.answer().status(), 503);
 }
 
-/// A partitioned discovery does not answer, and its connection stays open: only a time-out detects it.
+/// If the network to discovery is partitioned, a poll gets no response and its connection stays open, so that
+/// only a timeout detects the failure.
 #[test]
 fn an_unanswered_poll_times_out_and_is_repeated() {
     let node = Node::before(&[]);
     let mut unanswered = node.discovery.request();
     let again = node.discovery.request();
     assert_ne!(unanswered.connection, again.connection);
-    unanswered.await_end();
+    unanswered.wait_until_closed();
 }
 
-/// A failed long poll, a malformed list and a broken connection must each lead to another call, from the known version.
+/// An error status, a malformed list and a broken connection must each lead to another call, from the same
+/// version.
 #[test]
-fn the_list_is_followed_through_failures() {
+fn the_list_is_polled_again_after_each_failure() {
     let (old, new) = (Server::start(), Server::start());
     let node = Node::before(&[&old]);
     let next_poll = || {
@@ -286,21 +295,22 @@
     next_poll().answer("503 Down", "", b"");
     next_poll().answer(OK, "", b"{\"revision\": 7, \"complete\": true, \"members\": [{\"id\": 5}]}");
     next_poll().stream.shutdown(Shutdown::Both).expect("broken");
-    // A change adds a server and changes the address of the other; then a complete list has only the new one.
+    // A delta changes the address of the server. Then a complete list names only another server.
     let moved = Server::start();
     let change = list(2, false, &[member("s0", moved.address, "active")]);
     next_poll().answer(OK, "", change.to_string().as_bytes());
     let poll = node.discovery.request();
     assert!(poll.request.first.contains("since=2&"), "{}", poll.request.first);
-    served_by(&node, &moved);
+    assert_served_by(&node, &moved);
     let full = list(9, true, &[member("s9", new.address, "active")]);
     poll.answer(OK, "", full.to_string().as_bytes());
     assert!(node.discovery.request().request.first.contains("since=9&"));
-    (0..4).for_each(|_| served_by(&node, &new));
+    (0..4).for_each(|_| assert_served_by(&node, &new));
     assert!(!old.has_request() && !moved.has_request());
 }
 
-/// Servers are added and removed under new ids for as long as the node runs; it must not retain the removed ones.
+/// Servers are added and removed with new ids as long as the node runs, so it must free the memory of removed
+/// ones.
 #[test]
 fn removed_servers_take_no_memory() {
     let server = Server::start();
@@ -316,7 +326,7 @@
             members.push(stays.clone());
             let poll = node.discovery.request();
             poll.answer(OK, "", list(revision, true, &members).to_string().as_bytes());
-            // And by a list of changes, some about unknown servers.
+            // A delta removes servers, too.
             members.iter_mut().skip(200).take(200).for_each(|member| member["phase"] = json!("left"));
             revision += 1;
             let change = list(revision, false, &members[200..400]).to_string();
@@ -327,17 +337,17 @@
         node.discovery.request().answer(OK, "", last.as_bytes());
     };
     round(10);
-    let before = node.memory();
+    let before = node.resident_memory();
     round(100);
-    let grown = node.memory().saturating_sub(before);
+    let grown = node.resident_memory().saturating_sub(before);
     assert!(grown < 8 << 20, "{grown} bytes more for 40,000 removed servers");
-    served_by(&node, &server);
+    assert_served_by(&node, &server);
 }
 
-/// An answer of a server that has been removed from the list meanwhile is still returned to its client, and another
-/// server at the same address does not reuse the connection.
+/// The response of a server that was removed from the list during the attempt is still returned, and the
+/// connection is not reused for another server at the same address.
 #[test]
-fn an_answer_of_a_removed_server_is_returned() {
+fn the_response_of_a_removed_server_is_returned_to_the_client() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -350,15 +360,14 @@
     assert_eq!(client.answer().body, b"late");
     client.send(&request("pay", 20.0));
     let got = server.request();
-    assert_eq!(got.connection, 1, "the old server's connection is not used for the new one");
+    assert_eq!(got.connection, 1, "the removed server's connection was used for the new server");
     got.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
 
-// ---- A new configuration
-
-/// SIGHUP once ended the node. The known version means nothing to the new discovery, which would hold a long poll from
-/// it; and pending requests are still answered.
+/// SIGHUP once killed the node. The new discovery does not share the versions of the former one and would
+/// hold a long poll since an unknown version, so the first call must fetch the complete list. Pending
+/// requests must still be answered.
 #[test]
 fn sighup_under_load_moves_the_long_poll_to_a_new_discovery() {
     let (old, new) = (Server::start(), Server::start());
@@ -376,21 +385,21 @@
     }
     let first_call = elsewhere.request();
     assert_eq!(first_call.request.first, "GET /catalog/members HTTP/1.1");
-    poll.await_end();
+    poll.wait_until_closed();
     let full = list(1, true, &[member("s9", new.address, "active")]);
     first_call.answer(OK, "", full.to_string().as_bytes());
     let mut next = elsewhere.request();
     assert!(next.request.first.contains("since=1&"), "{}", next.request.first);
-    served_by(&node, &new);
+    assert_served_by(&node, &new);
     got.answer(OK, "", b"");
     assert_eq!(pending.answer().status(), 200);
-    // Reloading the same configuration changes nothing.
+    // Reloading an unchanged configuration has no effect.
     node.reload(&config.to_string());
-    served_by(&node, &new);
-    assert!(!next.has_ended() && !elsewhere.has_request() && !old.has_request());
+    assert_served_by(&node, &new);
+    assert!(!next.is_closed() && !elsewhere.has_request() && !old.has_request());
 }
 
-/// The backoff after failed calls must not delay the first call to a new discovery.
+/// The pause after a failed call, here one hour, must not delay the first call to a new discovery.
 #[test]
 fn a_new_discovery_is_called_at_once_after_failures_of_the_old_one() {
     let mut config = config(&[]);
@@ -404,24 +413,22 @@
 }
 
 #[test]
-fn an_invalid_new_configuration_is_logged_and_the_old_one_stays() {
-    let mut sound = config(&[]);
-    let mut node = Node::start(&sound);
+fn an_invalid_new_configuration_is_logged_and_the_old_one_stays_in_force() {
+    let mut config = config(&[]);
+    let mut node = Node::start(&config);
     let mut poll = node.discovery.request();
-    sound["discovery"] = json!("here");
-    for (key, text) in [("GW_CONFIG", "{".to_owned()), ("discovery", sound.to_string())] {
+    config["discovery"] = json!("here");
+    for (key, text) in [("GW_CONFIG", "{".to_owned()), ("discovery", config.to_string())] {
         node.reload(&text);
-        let line = node.logged();
+        let line = node.next_log_line();
         assert!(line.contains(&format!("`{key}")), "{key}: {line}");
     }
     std::fs::remove_file(config_path(node.address)).expect("removed");
-    node.hang_up();
-    assert!(node.logged().contains("`GW_CONFIG`"));
-    assert!(!poll.has_ended());
+    node.send_sighup();
+    assert!(node.next_log_line().contains("`GW_CONFIG`"));
+    assert!(!poll.is_closed());
 }
 
-// ---- Graceful shutdown
-
 #[test]
 fn after_sigterm_all_admitted_requests_are_answered() {
     let server = Server::start();
@@ -435,10 +442,10 @@
         admitted.push(server.request());
     }
     node.terminate();
-    // The health check shows that the node drains; it still accepts connections.
+    // The health check shows when the node has begun to drain. It still accepts connections then.
     let since = Instant::now();
     while node.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status() == 200 {
-        assert!(since.elapsed() < LONG);
+        assert!(since.elapsed() < TEST_TIMEOUT);
     }
     clients.push(node.client());
     clients.last_mut().expect("pushed").send(&request("pay", 20.0));
@@ -452,9 +459,7 @@
     assert_eq!(node.wait().code(), Some(0));
 }
 
-// ---- Limits
-
-/// A rejection promises that nothing ran, and has a retry hint.
+/// Requests are rejected if there is no server, and if the maximum number of requests is pending.
 #[test]
 fn a_request_that_is_not_admitted_is_rejected_with_a_retry_hint() {
     let node = Node::start(&config(&[]));
@@ -474,9 +479,10 @@
     assert_eq!(pending.answer().status(), 200);
 }
 
-/// The fleet's settings switch the retry hint off for simulated clients; real ones once got none either.
+/// `allowed.retry_after` disables the retry hint for simulated clients. It once disabled the hint on sockets,
+/// too.
 #[test]
-fn a_rejection_has_a_retry_hint_whatever_simulated_clients_get() {
+fn a_rejection_has_a_retry_hint_even_if_the_settings_disable_it_for_simulated_clients() {
     let mut config = config(&[]);
     config["settings"]["allowed"]["retry_after"] = json!(false);
     let node = Node::start(&config);
@@ -484,7 +490,7 @@
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.250")));
 }
 
-/// Guards against clients that open connections and leave them idle: new ones are still accepted.
+/// New clients must be accepted even if other clients have opened many connections and left them idle.
 #[test]
 fn idle_connections_are_closed_for_new_ones() {
     let server = Server::start();
@@ -492,45 +498,50 @@
     config["limits"]["sockets"] = json!(40);
     let node = Node::start(&config);
     let mut idle: Vec<Client> = (0..60).map(|_| node.client()).collect();
-    // One of them has sent a part of a request.
+    // One of the clients has sent a part of a request.
     idle[30].send("POST /api HTTP/1.1\r\nhost:");
-    served_by(&node, &server);
-    assert_eq!(idle[0].stream.get_mut().read(&mut [0; 1]).ok(), Some(0), "the oldest was closed");
+    assert_served_by(&node, &server);
+    assert_eq!(
+        idle[0].stream.get_mut().read(&mut [0; 1]).ok(),
+        Some(0),
+        "the oldest connection is still open"
+    );
 }
 
-/// Guards against clients without a request that displace clients that are served.
+/// Clients that never send a request must not displace clients that are served.
 #[test]
 fn connections_without_a_request_are_closed_first() {
     let server = Server::start();
     let mut config = config(&members(&[&server]));
     config["limits"]["sockets"] = json!(40);
     let node = Node::start(&config);
-    let mut known = node.client();
-    known.send(&request("update", 20.0));
+    let mut served = node.client();
+    served.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
-    assert_eq!(known.answer().status(), 200);
+    assert_eq!(served.answer().status(), 200);
     let mut idle: Vec<Client> = (0..12).map(|_| node.client()).collect();
     std::thread::sleep(Duration::from_millis(600));
     idle.extend((0..8).map(|_| node.client()));
-    // The health check shows that all of them have been accepted.
+    // The response to the health check shows that all of the connections have been accepted.
     assert_eq!(node.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
-    known.send(&request("update", 20.0));
+    served.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
-    assert_eq!(known.answer().status(), 200);
+    assert_eq!(served.answer().status(), 200);
     drop(idle);
 }
 
-/// Guards against closing each new client for the next one, where clients that were answered have all connection slots.
+/// If clients that have had a response occupy all connection slots, a new client must not be disconnected for
+/// the next one before it has sent its request.
 #[test]
 fn new_clients_are_not_disconnected_before_their_first_request() {
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(40);
     let node = Node::start(&config);
     let health = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
-    let mut stay = Vec::new();
+    let mut answered = Vec::new();
     for _ in 0..30 {
-        stay.push(node.client());
-        assert_eq!(stay.last_mut().expect("pushed").ask(health).status(), 200);
+        answered.push(node.client());
+        assert_eq!(answered.last_mut().expect("pushed").ask(health).status(), 200);
     }
     let mut new: Vec<Client> = (0..8).map(|_| node.client()).collect();
     for client in &mut new {
@@ -538,31 +549,29 @@
     }
 }
 
-/// A client that finds all connection slots busy is disconnected at once, rather than left waiting.
+/// A client that is disconnected at once can try another node; one that is not accepted would wait.
 #[test]
-fn accepting_goes_on_while_all_connection_slots_are_busy() {
+fn a_client_is_disconnected_at_once_if_all_connection_slots_are_busy() {
     let mut config = config(&[]);
     config["limits"]["sockets"] = json!(64);
     let node = Node::start(&config);
     let complete = request("update", 20.0);
     let mut clients: Vec<Client> = (0..60).map(|_| node.client()).collect();
     for client in &mut clients {
-        // It fails where the connection is closed already.
+        // Writing fails if the connection is closed already.
         let _ = client.stream.get_mut().write_all(&complete.as_bytes()[..complete.len() - 1]);
     }
     let answered =
-        clients.iter_mut().filter_map(|client| Some(client.rest()).filter(|text| !text.is_empty()));
+        clients.iter_mut().filter_map(|client| Some(client.read_to_end()).filter(|text| !text.is_empty()));
     let answered = answered.count();
     assert!((20..=40).contains(&answered), "{answered}");
 }
 
-// ---- Invalid input
-
 #[test]
-fn an_invalid_configuration_ends_the_program_with_a_line_that_names_the_key() {
-    let sound = config(&[]);
+fn an_invalid_configuration_ends_the_process_with_an_error_that_names_the_key() {
+    let valid = config(&[]);
     let edit = |change: fn(&mut Value)| {
-        let mut config = sound.clone();
+        let mut config = valid.clone();
         change(&mut config);
         config.to_string()
     };
@@ -582,18 +591,22 @@
         ("max_attempts", edit(|c| c["settings"]["allowed"]["max_attempts"] = json!("many"))),
     ];
     for (key, text) in cases {
-        assert_exits_naming(key, &mut command(&text, own_address(), own_address()));
+        assert_exits_naming(key, &mut command(&text, unused_address(), unused_address()));
     }
     for key in ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"] {
-        assert_exits_naming(key, command(&sound.to_string(), own_address(), own_address()).env_remove(key));
+        assert_exits_naming(
+            key,
+            command(&valid.to_string(), unused_address(), unused_address()).env_remove(key),
+        );
     }
     assert_exits_naming(
         "GW_LISTEN",
-        command(&sound.to_string(), own_address(), own_address()).env("GW_LISTEN", "here"),
+        command(&valid.to_string(), unused_address(), unused_address()).env("GW_LISTEN", "here"),
     );
 }
 
-/// Another customer's settings may leave a limit or a switch out, or have it at zero. The node starts and serves.
+/// Settings may omit a limit or a switch, or set it to zero or false. The node must start and serve
+/// nevertheless.
 #[test]
 fn a_node_serves_with_settings_that_are_absent_or_zero() {
     let limits =
@@ -615,9 +628,9 @@
         let server = Server::start();
         case["known"] = list(1, true, &members(&[&server]));
         let node = Node::start(case);
-        (0..3).for_each(|_| served_by(&node, &server));
+        (0..3).for_each(|_| assert_served_by(&node, &server));
     }
-    // With no attempt allowed nothing can be served; the answer is still a rejection with a retry hint.
+    // With zero attempts allowed no request can be served, but it is still rejected with a retry hint.
     let server = Server::start();
     let mut case = config(&members(&[&server]));
     case["settings"]["allowed"]["max_attempts"] = json!(0);
@@ -631,62 +644,63 @@
 fn an_invalid_request_is_answered_and_not_forwarded() {
     let server = Server::start();
     let node = Node::before(&[&server]);
-    let sound = request("update", 20.0);
+    let valid = request("update", 20.0);
     let cases = [
-        (400, sound.replace("x-class: update", "x-class: other")),
-        (400, sound.replace("x-class: update\r\n", "")),
-        (400, sound.replace("x-tenant: acme", "x-tenant: other")),
-        (400, sound.replace("x-tenant: acme\r\n", "")),
-        (400, sound.replace("x-deadline: 20", "x-deadline: soon")),
-        (400, sound.replace("x-deadline: 20", "x-deadline: -1")),
-        (400, sound.replace("x-deadline: 20", "x-deadline: 0")),
-        (400, sound.replace("x-deadline: 20", "x-deadline: NaN")),
-        (400, sound.replace("x-deadline: 20\r\n", "")),
-        (400, sound.replace("x-request-id", "x-other")),
-        (400, sound.replace("x-class", "x-class: update\r\nx-class")),
-        (400, sound.replace("x-request-id", "x-request-id: r0\r\nx-request-id")),
-        (400, sound.replace("host", "host: b\r\nhost")),
-        (400, sound.replace("content-length: 4", "content-length: 4\r\ncontent-length: 4")),
-        (400, sound.replace("content-length: 4", "content-length: -4")),
-        (400, sound.replace("content-length: 4", "content-length: 99999999999999999999")),
+        (400, valid.replace("x-class: update", "x-class: other")),
+        (400, valid.replace("x-class: update\r\n", "")),
+        (400, valid.replace("x-tenant: acme", "x-tenant: other")),
+        (400, valid.replace("x-tenant: acme\r\n", "")),
+        (400, valid.replace("x-deadline: 20", "x-deadline: soon")),
+        (400, valid.replace("x-deadline: 20", "x-deadline: -1")),
+        (400, valid.replace("x-deadline: 20", "x-deadline: 0")),
+        (400, valid.replace("x-deadline: 20", "x-deadline: NaN")),
+        (400, valid.replace("x-deadline: 20\r\n", "")),
+        (400, valid.replace("x-request-id", "x-other")),
+        (400, valid.replace("x-class", "x-class: update\r\nx-class")),
+        (400, valid.replace("x-request-id", "x-request-id: r0\r\nx-request-id")),
+        (400, valid.replace("host", "host: b\r\nhost")),
+        (400, valid.replace("content-length: 4", "content-length: 4\r\ncontent-length: 4")),
+        (400, valid.replace("content-length: 4", "content-length: -4")),
+        (400, valid.replace("content-length: 4", "content-length: 99999999999999999999")),
         (400, request("read", 20.0).replace("\r\n\r\n", "\r\ncontent-length: 4\r\n\r\nwork")),
-        (431, sound.replace("x-class", &("x-long: ".to_owned() + &"x".repeat(20_000) + "\r\nx-class"))),
-        (400, sound.replace("idempotency-key: k1\r\n", "")),
-        (400, sound.replace("POST", "GET")),
-        (404, sound.replace("/api", "/other")),
-        (413, sound.replace("content-length: 4", "content-length: 70000") + &"x".repeat(69_996)),
+        (431, valid.replace("x-class", &("x-long: ".to_owned() + &"x".repeat(20_000) + "\r\nx-class"))),
+        (400, valid.replace("idempotency-key: k1\r\n", "")),
+        (400, valid.replace("POST", "GET")),
+        (404, valid.replace("/api", "/other")),
+        (413, valid.replace("content-length: 4", "content-length: 70000") + &"x".repeat(69_996)),
     ];
     for (status, text) in cases {
         assert_eq!(node.client().ask(&text).status(), status, "{}", &text[..text.len().min(300)]);
     }
-    // Bytes that are not HTTP end their own connection only.
+    // Bytes that are not HTTP close only the connection on which they were sent.
     let mut client = node.client();
     client.stream.get_mut().write_all(b"\x00\x01\x02 nonsense\r\n\r\n").expect("sent");
     client.stream.read_to_end(&mut Vec::new()).expect("ended");
     assert!(!server.has_request());
-    served_by(&node, &server);
+    assert_served_by(&node, &server);
 }
 
-/// hyper drops one of the two fields; a server that goes by the other one would find another request in the body.
+/// hyper drops one of the two fields. A server that uses the other one would find another request in the body
+/// (request smuggling).
 #[test]
 fn a_request_with_two_lengths_ends_its_connection() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let (length, chunks) = ("content-length: 5\r\n", "transfer-encoding: chunked\r\n");
     for lengths in [[length, chunks], [chunks, length], [chunks, chunks], [length, length]] {
-        let hiding = request("update", 20.0).replace("content-length: 4\r\n", &lengths.concat());
-        let hidden = hiding.replace("\r\n\r\nwork", "\r\n\r\n0\r\n\r\n") + &request("update", 20.0);
+        let outer = request("update", 20.0).replace("content-length: 4\r\n", &lengths.concat());
+        let smuggling = outer.replace("\r\n\r\nwork", "\r\n\r\n0\r\n\r\n") + &request("update", 20.0);
         let mut client = node.client();
-        client.send(&hidden);
-        let all = client.rest();
+        client.send(&smuggling);
+        let all = client.read_to_end();
         assert!(all.starts_with("HTTP/1.1 400 "), "{lengths:?}: {all}");
         assert_eq!(all.matches("HTTP/1.1 ").count(), 1, "{lengths:?}: {all}");
     }
     assert!(!server.has_request());
-    served_by(&node, &server);
+    assert_served_by(&node, &server);
 }
 
-/// The chunks of a body were once buffered twice, up to a megabyte for each client.
+/// The chunks of a body were once buffered a second time, up to one megabyte for each client.
 #[test]
 fn long_chunked_bodies_are_not_buffered() {
     let node = Node::before(&[]);
@@ -694,7 +708,7 @@
     let head = request("update", 60.0).replace("content-length: 4", "transfer-encoding: chunked");
     let head = head.strip_suffix("work").expect("its body");
     assert_eq!(node.client().ask(&(head.to_owned() + "4\r\nwork\r\n0\r\n\r\n")).status(), 503);
-    let before = node.memory_at_most();
+    let before = node.peak_memory();
     let mut clients: Vec<Client> = (0..40).map(|_| node.client()).collect();
     for client in &mut clients {
         client.send(&(head.to_owned() + &chunk.repeat(28)));
@@ -703,12 +717,12 @@
         client.send("0\r\n\r\n");
         assert_eq!(client.answer().status(), 413);
     }
-    let grown = node.memory_at_most() - before;
+    let grown = node.peak_memory() - before;
     assert!(grown < 16 << 20, "{grown} bytes for 40 clients");
 }
 
 #[test]
-fn requests_in_unusual_but_sound_forms_are_served() {
+fn requests_in_unusual_but_valid_forms_are_served() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let mut client = node.client();
@@ -738,20 +752,20 @@
 fn the_id_of_a_pending_request_is_not_accepted_again() {
     let server = Server::start();
     let node = Node::before(&[&server]);
-    let (mut first, again) = (node.client(), request("update", 20.0));
-    first.send(&again);
+    let (mut first, repeated) = (node.client(), request("update", 20.0));
+    first.send(&repeated);
     let got = server.request();
-    assert_eq!(node.client().ask(&again).status(), 409);
+    assert_eq!(node.client().ask(&repeated).status(), 409);
     got.answer(OK, "", b"mine");
     assert_eq!(first.answer().body, b"mine");
     assert!(!server.has_request());
-    // Once it has been answered, its id may be used again.
-    first.send(&again);
+    // After the response, the id may be used again.
+    first.send(&repeated);
     server.request().answer(OK, "", b"");
     assert_eq!(first.answer().status(), 200);
 }
 
-/// Each of these would occupy its connection slot for as long as it likes.
+/// Guards against clients that occupy a connection slot without sending a complete request.
 #[test]
 fn slow_clients_are_disconnected() {
     let server = Server::start();
@@ -764,22 +778,23 @@
         (client, answer)
     });
     for (mut client, answer) in clients {
-        let text = client.rest();
+        let text = client.read_to_end();
         assert!(text.starts_with(answer) && text.is_empty() == answer.is_empty(), "{text}");
     }
-    // So is one that was served and then stays idle.
+    // A client that was served and then stays idle is disconnected, too.
     let mut client = node.client();
     client.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
-    assert_eq!(client.rest(), "");
+    assert_eq!(client.read_to_end(), "");
     assert!(!server.has_request());
 }
 
-/// A report overwrites its server's count, whichever names it uses and even where it comes with an error. Without it
-/// the other server's count, which the node's own sends raise, would soon be the higher one.
+/// A load report overwrites the node's count of requests at the server, with either set of field names and
+/// even with an error response. Without the report, the node's own requests would soon raise the other
+/// server's count above it.
 #[test]
-fn load_reports_decide_the_next_selections() {
+fn a_load_report_determines_the_next_selections() {
     for (status, load) in [
         (OK, "waiting=3,active=5000"),
         (OK, "inflight=5000,queue=3,util=0.61"),
@@ -789,12 +804,12 @@
         let node = Node::before(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (loaded, got) = either(&servers);
+        let (loaded, got) = request_to_either(&servers);
         got.answer(status, &format!("x-load: {load}\r\n"), b"");
         client.answer();
         for _ in 0..6 {
             client.send(&request("pay", 20.0));
-            let (at, got) = either(&servers);
+            let (at, got) = request_to_either(&servers);
             assert_eq!(at, 1 - loaded, "{status}, {load}");
             got.answer(OK, "", b"");
             assert_eq!(client.answer().status(), 200);
@@ -802,30 +817,31 @@
     }
 }
 
-/// Bytes after a complete answer belong to no request; the next request on that connection would get them.
+/// Bytes after a complete response belong to no request. On a reused connection, they would be taken for the
+/// response to the next request.
 #[test]
-fn bytes_after_an_answer_are_not_taken_for_the_next_one() {
+fn bytes_after_a_response_are_not_taken_for_the_next_one() {
     let server = Server::start();
     let node = Node::before(&[&server]);
     let good = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nmine";
-    for (n, (behind, apart)) in
+    for (n, (extra, written_separately)) in
         [(good, false), (good, true), ("noise", false), ("noise", true)].into_iter().enumerate()
     {
         let mut client = node.client();
         client.send(&request("pay", 20.0));
         let mut got = server.request();
         assert_eq!(got.connection, n);
-        if apart {
+        if written_separately {
             got.write(good.as_bytes());
-            got.write(behind.as_bytes());
+            got.write(extra.as_bytes());
         } else {
-            got.write(&[good, behind].concat().into_bytes());
+            got.write(&[good, extra].concat().into_bytes());
         }
         assert_eq!(client.answer().body, b"mine");
     }
 }
 
-/// Interim responses precede the final one.
+/// Interim responses with status 1xx precede the final one and must not be returned.
 #[test]
 fn interim_responses_are_skipped() {
     let server = Server::start();
@@ -834,7 +850,7 @@
     for _ in 0..2 {
         client.send(&request("update", 20.0));
         let mut got = server.request();
-        assert_eq!(got.connection, 0, "the connection is reused");
+        assert_eq!(got.connection, 0, "the connection was not reused");
         got.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nlink: x\r\n\r\n");
         got.answer(OK, "", b"done");
         let answer = client.answer();
@@ -842,8 +858,8 @@
     }
 }
 
-/// The dial time-out of the settings may be as long as a request's deadline; a dial is given up after a part of that,
-/// and even an unsafe request is retried at another server.
+/// The dial timeout of the settings may be as long as a request's deadline. The node abandons a dial after a
+/// fraction of the remaining time, so that even an unsafe request is retried at another server.
 #[test]
 fn a_stuck_dial_leaves_time_for_another_server() {
     let (_slow, address, _filler) = full_listener();
@@ -856,7 +872,8 @@
     assert!(clients.iter_mut().all(|client| client.answer().status() == 200));
 }
 
-/// A stalled attempt from end to end: the timer, the closed connection, the retry at another server.
+/// Checks a stalled attempt from end to end: the timer fires, the connection is closed, and the request is
+/// retried at another server.
 #[test]
 fn stalled_requests_are_retried_at_another_server() {
     let servers = [Server::start(), Server::start()];
@@ -868,10 +885,10 @@
         servers[1].request().answer(OK, "", b"");
     }
     assert!(clients.iter_mut().all(|client| client.answer().status() == 200));
-    unanswered.iter_mut().for_each(Exchange::await_end);
+    unanswered.iter_mut().for_each(Exchange::wait_until_closed);
 }
 
-/// A malformed load report is ignored, and the answer that carries it is not.
+/// A malformed load report is ignored, but the response that carries it is returned.
 #[test]
 fn a_malformed_load_report_is_ignored() {
     let server = Server::start();
@@ -884,13 +901,12 @@
     }
 }
 
-// ---- Helpers
-
+/// Checks that a command fails and writes one line that names the key.
 fn assert_exits_naming(key: &str, command: &mut std::process::Command) {
     let child = spawn(command.stdout(std::process::Stdio::null()).stderr(std::process::Stdio::piped()));
     let output = child.wait_with_output().expect("ended");
     let log = String::from_utf8_lossy(&output.stderr);
-    assert!(!output.status.success(), "{key}");
+    assert!(!output.status.success(), "{key}: the process has not failed");
     assert_eq!(log.lines().count(), 1, "{key}: {log}");
     assert!(log.contains(&format!("`{key}")), "{key}: {log}");
 }
