--- a/crates/balancer-node/src/net/config.rs
+++ b/crates/balancer-node/src/net/config.rs
@@ -30,7 +30,7 @@
     pub discovery: SocketAddr,
     /// Seed of the random numbers that the decisions draw.
     pub seed: u64,
-    /// Maximum number of open sockets, to clients and to servers together.
+    /// Maximum number of open sockets in all: to clients, to servers and to discovery.
     pub max_sockets: usize,
     /// Maximum memory of the decoded server list, in bytes.
     pub max_list_bytes: usize,
--- a/crates/balancer-node/src/net/discovery.rs
+++ b/crates/balancer-node/src/net/discovery.rs
@@ -52,7 +52,8 @@
 /// A subscriber of the server list: a [`Node`](super::node::Node), or a substitute for one in a test or
 /// emulator.
 pub trait Subscriber: 'static {
-    /// Returns the notification that makes [`follow`] poll again after a failed call.
+    /// Returns the notification that makes [`follow`] start polling, at first and again after each failed
+    /// call.
     fn update_requested(&self) -> &Notify;
     /// Returns the notification that the address of discovery has changed.
     fn discovery_moved(&self) -> &Notify;
@@ -101,7 +102,7 @@
     TimedOut,
     /// The response has a status other than 200.
     Status(StatusCode),
-    /// The body of the response is not a valid list.
+    /// The body of the response is not a valid list, or the list is too large.
     List(ListError),
 }
 
@@ -111,7 +112,7 @@
             Self::Connection => f.write_str("the connection was not established, or it broke"),
             Self::TimedOut => f.write_str("the response did not arrive completely in time"),
             Self::Status(status) => write!(f, "the response has status {status}"),
-            Self::List(error) => write!(f, "the response is not a valid server list: {error}"),
+            Self::List(error) => write!(f, "the server list in the response cannot be used: {error}"),
         }
     }
 }
--- a/crates/balancer-node/src/net/frontend/mod.rs
+++ b/crates/balancer-node/src/net/frontend/mod.rs
@@ -193,7 +193,7 @@
 struct ConnectionTimer {
     /// Time of the next check.
     wake_at: Instant,
-    /// Time by which the connection must be closed; `None` if it has not been told to close.
+    /// Time by which the connection must be closed; `None` while it may stay open.
     close_by: Option<Instant>,
 }
 
--- a/crates/balancer-node/tests/clients.rs
+++ b/crates/balancer-node/tests/clients.rs
@@ -13,11 +13,11 @@
 /// The way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
-    /// It closes its socket.
+    /// The client closes its socket.
     Close,
-    /// It closes its sending side only, so that it could still read a response.
+    /// The client closes its sending side only, so that it could still read a response.
     HalfClose,
-    /// It resets the connection.
+    /// The client resets the connection.
     Reset,
 }
 
@@ -42,7 +42,7 @@
         {
             let mut client = node.client();
             client.send(&(request("read", 60.0) + following));
-            let (_, got) = request_to_either(&servers);
+            let (_, exchange) = request_to_either(&servers);
             std::thread::sleep(wait);
             let stream = client.stream.get_ref();
             let client_address = stream.local_addr().expect("connected");
@@ -59,19 +59,19 @@
                 }
             };
             wait_until_disconnect_received(node.address, client_address);
-            got.answer("503 Busy", "x-not-run: 1\r\n", b"");
+            exchange.answer("503 Busy", "x-not-run: 1\r\n", b"");
             // Other requests are served, and the first one does not arrive again before them.
             for _ in 0..2 {
                 let mut client = node.client();
                 client.send(&request("update", 60.0));
-                let (_, got) = request_to_either(&servers);
-                let first = &got.request.first;
+                let (_, exchange) = request_to_either(&servers);
+                let first = &exchange.request.first;
                 assert!(
                     first.starts_with("POST "),
                     "{first}: {disconnect:?}, {wait:?}, {} bytes following",
                     following.len()
                 );
-                got.answer(OK, "", b"");
+                exchange.answer(OK, "", b"");
                 assert_eq!(client.answer().status(), 200);
             }
             assert!(
--- a/crates/balancer-node/tests/endings.rs
+++ b/crates/balancer-node/tests/endings.rs
@@ -24,11 +24,11 @@
     let mut node = Node::start(&config);
     let mut client = node.client();
     client.send(&request("pay", 3600.0));
-    let mut got = server.request();
+    let mut exchange = server.request();
     node.terminate();
     let answer = client.answer();
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
-    got.wait_until_closed();
+    exchange.wait_until_closed();
     assert!(!server.has_request(), "the request was sent again after its final answer");
     assert_eq!(node.wait().code(), Some(0));
 }
@@ -45,7 +45,7 @@
     let mut node = Node::start(&config);
     let mut pending = node.client();
     pending.send(&request("pay", 3600.0));
-    let _got = server.request();
+    let _exchange = server.request();
     let complete = request("update", 3600.0);
     let mut late = node.client();
     late.send(&complete[..complete.len() - 1]);
@@ -72,7 +72,7 @@
     assert_eq!(idle.ask(HEALTH).status(), 200);
     let mut busy = node.client();
     busy.send(&request("pay", 3600.0));
-    let got = server.request();
+    let exchange = server.request();
     let (address, stop) = (node.address, Arc::new(AtomicBool::new(false)));
     let connecting = std::thread::spawn({
         let stop = Arc::clone(&stop);
@@ -86,7 +86,7 @@
     });
     node.terminate();
     assert_eq!(idle.read_to_end(), "");
-    got.answer(OK, "", b"done");
+    exchange.answer(OK, "", b"done");
     assert_eq!(busy.answer().body, b"done", "the idle connection was closed only when the node exited");
     stop.store(true, Ordering::Relaxed);
     connecting.join().expect("ended");
@@ -174,9 +174,9 @@
     assert!(node.discovery.request().request.first.contains("since=2&"));
     let mut client = node.client();
     client.send(&request("pay", 20.0));
-    let got = server.request();
-    assert_eq!(got.connection, 1);
-    got.answer(OK, "", b"");
+    let exchange = server.request();
+    assert_eq!(exchange.connection, 1);
+    exchange.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
 
@@ -219,12 +219,12 @@
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&request("update", 60.0));
-    let got = server.request();
+    let exchange = server.request();
     let sent = Instant::now();
     let change = [member("s0", server.address, "leaving"), member("s1", address, "active")];
     node.discovery.request().answer(OK, "", list(2, false, &change).to_string().as_bytes());
     assert!(node.discovery.request().request.first.contains("since=2&"));
-    got.answer("500 Broken", "", b"");
+    exchange.answer("500 Broken", "", b"");
     wait_until_dialing(address);
     std::thread::sleep((sent + window).saturating_duration_since(Instant::now()));
     drop(slow.accept().expect("the filler"));
@@ -299,9 +299,10 @@
         let node = Node::before(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (_, mut got) = request_to_either(&servers);
-        got.write(format!("HTTP/1.1 {status}\r\nx-not-run: 1\r\ncontent-length: 9\r\n\r\nhalf").as_bytes());
-        got.stream.shutdown(std::net::Shutdown::Both).expect("closed");
+        let (_, mut exchange) = request_to_either(&servers);
+        exchange
+            .write(format!("HTTP/1.1 {status}\r\nx-not-run: 1\r\ncontent-length: 9\r\n\r\nhalf").as_bytes());
+        exchange.stream.shutdown(std::net::Shutdown::Both).expect("closed");
         assert_eq!(client.answer().status(), 502, "{status}");
         assert!(servers.iter().all(|server| !server.has_request()), "{status}: the request was sent again");
     }
@@ -315,14 +316,14 @@
     let node = Node::before(&[&server]);
     let mut client = node.client();
     client.send(&request("update", 60.0));
-    let mut got = server.request();
+    let mut exchange = server.request();
     for _ in 0..3 {
         let answered = Instant::now();
-        got.answer(OK, "", b"");
+        exchange.answer(OK, "", b"");
         assert_eq!(client.answer().status(), 200);
         client.send(&request("update", 60.0));
-        got = server.request();
-        assert_eq!(got.connection, 0);
+        exchange = server.request();
+        assert_eq!(exchange.connection, 0);
         assert!(answered.elapsed() >= Duration::from_millis(20), "{:?}", answered.elapsed());
     }
 }
@@ -367,17 +368,17 @@
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&request("read", 60.0));
-    let (_, got) = request_to_either(&servers);
+    let (_, exchange) = request_to_either(&servers);
     let client_address = client.stream.get_ref().local_addr().expect("connected");
     drop(client);
     wait_until_closed_by_node(node.address, client_address);
-    got.answer("503 Busy", "x-not-run: 1\r\n", b"");
+    exchange.answer("503 Busy", "x-not-run: 1\r\n", b"");
     // Another request is served, and the first one does not arrive again before it.
     let mut client = node.client();
     client.send(&request("update", 20.0));
-    let (_, got) = request_to_either(&servers);
-    assert!(got.request.first.starts_with("POST "), "{}", got.request.first);
-    got.answer(OK, "", b"");
+    let (_, exchange) = request_to_either(&servers);
+    assert!(exchange.request.first.starts_with("POST "), "{}", exchange.request.first);
+    exchange.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
     assert!(servers.iter().all(|server| !server.has_request()));
 }
@@ -391,9 +392,9 @@
     let node = Node::before(&[&server]);
     let mut client = node.client();
     client.send(&(request("read", 60.0) + &request("pay", 1.0)));
-    let got = server.request();
+    let exchange = server.request();
     std::thread::sleep(Duration::from_secs(1));
-    got.answer(OK, "", b"first");
+    exchange.answer(OK, "", b"first");
     assert_eq!(client.answer().body, b"first");
     assert_eq!(client.answer().status(), 503);
     assert_served_by(&node, &server);
@@ -410,11 +411,11 @@
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&(request("read", 60.0) + &request("pay", 60.0)));
-    let got = server.request();
+    let exchange = server.request();
     let client_address = client.stream.get_ref().local_addr().expect("connected");
     drop(client);
     wait_until_closed_by_node(node.address, client_address);
-    got.answer(OK, "", b"");
+    exchange.answer(OK, "", b"");
     assert_served_by(&node, &server);
     assert!(!server.has_request());
 }
--- a/crates/balancer-node/tests/node.rs
+++ b/crates/balancer-node/tests/node.rs
@@ -17,16 +17,17 @@
     for _ in 0..2 {
         let sent = request("update", 20.0);
         client.send(&sent);
-        let got = server.request();
-        assert_eq!(got.request.first, "POST /api?k=7f3a HTTP/1.1");
-        assert_eq!(got.request.body, b"work");
-        let id = got.request.header("x-request-id").expect("forwarded");
+        let exchange = server.request();
+        assert_eq!(exchange.request.first, "POST /api?k=7f3a HTTP/1.1");
+        assert_eq!(exchange.request.body, b"work");
+        let id = exchange.request.header("x-request-id").expect("forwarded");
         assert!(sent.contains(&format!("x-request-id: {id}\r\n")));
-        assert_eq!(got.request.header("idempotency-key"), Some("k1"));
-        let left: f64 = got.request.header("x-deadline").and_then(|t| t.parse().ok()).expect("a deadline");
+        assert_eq!(exchange.request.header("idempotency-key"), Some("k1"));
+        let left: f64 =
+            exchange.request.header("x-deadline").and_then(|t| t.parse().ok()).expect("a deadline");
         assert!(left > 1.0 && left < 20.0, "{left}");
-        assert_eq!(got.connection, 0, "the connection was not kept");
-        got.answer(OK, "", b"an \x00 answer");
+        assert_eq!(exchange.connection, 0, "the connection was not kept");
+        exchange.answer(OK, "", b"an \x00 answer");
         let answer = client.answer();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"an \x00 answer"[..]));
     }
@@ -42,8 +43,8 @@
         let node = Node::before(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (first, got) = request_to_either(&servers);
-        got.answer(status, headers, b"");
+        let (first, exchange) = request_to_either(&servers);
+        exchange.answer(status, headers, b"");
         servers[1 - first].request().answer(OK, "", b"done");
         assert_eq!(client.answer().status(), 200, "{status}");
     }
@@ -53,42 +54,42 @@
 fn an_unsafe_request_that_may_have_run_fails_without_a_retry() {
     type Script = fn(Exchange);
     let scripts: [(&str, Script); 14] = [
-        ("a body without length or chunks", |mut got| {
-            got.write(b"HTTP/1.1 200 OK\r\n\r\nhalf");
-            drop(got.stream.shutdown(Shutdown::Both));
+        ("a body without length or chunks", |mut exchange| {
+            exchange.write(b"HTTP/1.1 200 OK\r\n\r\nhalf");
+            drop(exchange.stream.shutdown(Shutdown::Both));
         }),
-        ("two different lengths", |mut got| {
-            got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-length: 2\r\n\r\nwork");
+        ("two different lengths", |mut exchange| {
+            exchange.write(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-length: 2\r\n\r\nwork");
         }),
-        ("a length and a transfer encoding", |mut got| {
-            got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n");
-            got.write(b"transfer-encoding: chunked\r\n\r\n4\r\nwork\r\n0\r\n\r\n");
+        ("a length and a transfer encoding", |mut exchange| {
+            exchange.write(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n");
+            exchange.write(b"transfer-encoding: chunked\r\n\r\n4\r\nwork\r\n0\r\n\r\n");
         }),
-        ("a switch to another protocol", |mut got| {
-            got.write(b"HTTP/1.1 101 Other\r\nconnection: upgrade\r\nupgrade: other\r\n\r\n");
+        ("a switch to another protocol", |mut exchange| {
+            exchange.write(b"HTTP/1.1 101 Other\r\nconnection: upgrade\r\nupgrade: other\r\n\r\n");
         }),
-        ("a length of 3 GB", |mut got| {
-            got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nhalf")
+        ("a length of 3 GB", |mut exchange| {
+            exchange.write(b"HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nhalf")
         }),
-        ("a head over the limit", |mut got| {
-            got.write(b"HTTP/1.1 200 OK\r\nx-more: ");
-            got.write(&vec![b'x'; 40_000]);
+        ("a head over the limit", |mut exchange| {
+            exchange.write(b"HTTP/1.1 200 OK\r\nx-more: ");
+            exchange.write(&vec![b'x'; 40_000]);
         }),
-        ("bytes that are not HTTP", |mut got| got.write(b"\x00\x01\x02\r\n\r\n")),
-        ("an error", |got| got.answer("500 Broken", "", b"")),
-        ("an error with a load report", |got| {
-            got.answer("500 Broken", "x-load: inflight=2,queue=0\r\n", b"")
+        ("bytes that are not HTTP", |mut exchange| exchange.write(b"\x00\x01\x02\r\n\r\n")),
+        ("an error", |exchange| exchange.answer("500 Broken", "", b"")),
+        ("an error with a load report", |exchange| {
+            exchange.answer("500 Broken", "x-load: inflight=2,queue=0\r\n", b"")
         }),
-        ("a rejection without X-Not-Run", |got| got.answer("503 Busy", "", b"")),
-        ("a success status other than 200", |got| got.answer("204 Nothing", "", b"")),
-        ("a closed connection", |got| drop(got.stream.shutdown(Shutdown::Both))),
-        ("an incomplete body", |mut got| {
-            got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf");
-            drop(got.stream.shutdown(Shutdown::Both));
+        ("a rejection without X-Not-Run", |exchange| exchange.answer("503 Busy", "", b"")),
+        ("a success status other than 200", |exchange| exchange.answer("204 Nothing", "", b"")),
+        ("a closed connection", |exchange| drop(exchange.stream.shutdown(Shutdown::Both))),
+        ("an incomplete body", |mut exchange| {
+            exchange.write(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf");
+            drop(exchange.stream.shutdown(Shutdown::Both));
         }),
-        ("a body over the limit", |mut got| {
-            got.write(b"HTTP/1.1 200 OK\r\ncontent-length: 65537\r\n\r\n");
-            got.write(&vec![b'x'; 65_537]);
+        ("a body over the limit", |mut exchange| {
+            exchange.write(b"HTTP/1.1 200 OK\r\ncontent-length: 65537\r\n\r\n");
+            exchange.write(&vec![b'x'; 65_537]);
         }),
     ];
     for (name, script) in scripts {
@@ -126,7 +127,7 @@
     let mut client = node.client();
     let since = Instant::now();
     client.send(&request("pay", 3.0));
-    let mut got = server.request();
+    let mut exchange = server.request();
     assert_eq!(client.answer().status(), 502);
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
     assert!(
@@ -134,7 +135,7 @@
         "the attempt ended too early: {:?}",
         since.elapsed()
     );
-    got.wait_until_closed();
+    exchange.wait_until_closed();
     assert!(!server.has_request());
 }
 
@@ -144,9 +145,9 @@
     let node = Node::before(&[&server]);
     let mut client = node.client();
     client.send(&request("read", 60.0));
-    let mut got = server.request();
+    let mut exchange = server.request();
     drop(client);
-    got.wait_until_closed();
+    exchange.wait_until_closed();
     assert!(!server.has_request(), "the request was sent again");
     // The node still serves the next client.
     let mut client = node.client();
@@ -206,16 +207,16 @@
     let node = Node::start(&config);
     let mut client = node.client();
     client.send(&request("pay", 20.0));
-    let got = server.request();
-    got.answer(OK, "", b"");
+    let exchange = server.request();
+    exchange.answer(OK, "", b"");
     let since = Instant::now();
     assert_eq!(client.answer().status(), 200);
     assert!(matches!(server.next_event(), ServerEvent::Closed(0)));
     assert!(since.elapsed() < Duration::from_millis(4_000), "{:?}", since.elapsed());
     client.send(&request("pay", 20.0));
-    let got = server.request();
-    assert_eq!(got.connection, 1);
-    got.answer(OK, "", b"");
+    let exchange = server.request();
+    assert_eq!(exchange.connection, 1);
+    exchange.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
 
@@ -229,10 +230,10 @@
         let mut client = node.client();
         for round in 0..5 {
             client.send(&request("pay", 20.0));
-            let got = server.request();
-            assert_eq!(got.connection, round, "{headers}");
-            let stream = got.stream.try_clone().expect("cloned");
-            got.answer(OK, headers, b"");
+            let exchange = server.request();
+            assert_eq!(exchange.connection, round, "{headers}");
+            let stream = exchange.stream.try_clone().expect("cloned");
+            exchange.answer(OK, headers, b"");
             assert_eq!(client.answer().status(), 200);
             if headers.is_empty() {
                 stream.shutdown(Shutdown::Both).expect("closed");
@@ -352,16 +353,16 @@
     let node = Node::before(&[&server]);
     let mut client = node.client();
     client.send(&request("pay", 20.0));
-    let got = server.request();
+    let exchange = server.request();
     let next = list(2, true, &[member("s1", server.address, "active")]);
     node.discovery.request().answer(OK, "", next.to_string().as_bytes());
     assert!(node.discovery.request().request.first.contains("since=2&"));
-    got.answer(OK, "", b"late");
+    exchange.answer(OK, "", b"late");
     assert_eq!(client.answer().body, b"late");
     client.send(&request("pay", 20.0));
-    let got = server.request();
-    assert_eq!(got.connection, 1, "the removed server's connection was used for the new server");
-    got.answer(OK, "", b"");
+    let exchange = server.request();
+    assert_eq!(exchange.connection, 1, "the removed server's connection was used for the new server");
+    exchange.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
 
@@ -376,7 +377,7 @@
     let mut poll = node.discovery.request();
     let mut pending = node.client();
     pending.send(&request("pay", 20.0));
-    let got = old.request();
+    let exchange = old.request();
 
     let elsewhere = Server::start();
     config["discovery"] = json!(elsewhere.address.to_string());
@@ -391,7 +392,7 @@
     let mut next = elsewhere.request();
     assert!(next.request.first.contains("since=1&"), "{}", next.request.first);
     assert_served_by(&node, &new);
-    got.answer(OK, "", b"");
+    exchange.answer(OK, "", b"");
     assert_eq!(pending.answer().status(), 200);
     // Reloading an unchanged configuration has no effect.
     node.reload(&config.to_string());
@@ -450,7 +451,7 @@
     clients.push(node.client());
     clients.last_mut().expect("pushed").send(&request("pay", 20.0));
     admitted.push(server.request());
-    admitted.into_iter().for_each(|got| got.answer(OK, "", b"done"));
+    admitted.into_iter().for_each(|exchange| exchange.answer(OK, "", b"done"));
     for client in &mut clients {
         let answer = client.answer();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
@@ -472,10 +473,10 @@
     let node = Node::start(&config);
     let mut pending = node.client();
     pending.send(&request("pay", 20.0));
-    let got = server.request();
+    let exchange = server.request();
     let answer = node.client().ask(&request("pay", 20.0));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.400")));
-    got.answer(OK, "", b"");
+    exchange.answer(OK, "", b"");
     assert_eq!(pending.answer().status(), 200);
 }
 
@@ -735,16 +736,16 @@
         assert_eq!(client.answer().body, text.as_bytes());
     }
     client.send(&request("update", 20.0).replace("/api", "http://other.svc/api"));
-    let got = server.request();
-    assert_eq!(got.request.first, "POST /api?k=7f3a HTTP/1.1");
-    assert_eq!(got.request.header("host"), Some("other.svc"));
-    got.answer(OK, "", b"");
+    let exchange = server.request();
+    assert_eq!(exchange.request.first, "POST /api?k=7f3a HTTP/1.1");
+    assert_eq!(exchange.request.header("host"), Some("other.svc"));
+    exchange.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
     let chunked = request("update", 20.0).replace("content-length: 4", "transfer-encoding: chunked");
     client.send(&chunked.replace("\r\n\r\nwork", "\r\n\r\n2\r\nwo\r\n2\r\nrk\r\n0\r\n\r\n"));
-    let got = server.request();
-    assert_eq!(got.request.body, b"work");
-    got.answer(OK, "", b"");
+    let exchange = server.request();
+    assert_eq!(exchange.request.body, b"work");
+    exchange.answer(OK, "", b"");
     assert_eq!(client.answer().status(), 200);
 }
 
@@ -754,9 +755,9 @@
     let node = Node::before(&[&server]);
     let (mut first, repeated) = (node.client(), request("update", 20.0));
     first.send(&repeated);
-    let got = server.request();
+    let exchange = server.request();
     assert_eq!(node.client().ask(&repeated).status(), 409);
-    got.answer(OK, "", b"mine");
+    exchange.answer(OK, "", b"mine");
     assert_eq!(first.answer().body, b"mine");
     assert!(!server.has_request());
     // After the response, the id may be used again.
@@ -804,14 +805,14 @@
         let node = Node::before(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let (loaded, got) = request_to_either(&servers);
-        got.answer(status, &format!("x-load: {load}\r\n"), b"");
+        let (loaded, exchange) = request_to_either(&servers);
+        exchange.answer(status, &format!("x-load: {load}\r\n"), b"");
         client.answer();
         for _ in 0..6 {
             client.send(&request("pay", 20.0));
-            let (at, got) = request_to_either(&servers);
+            let (at, exchange) = request_to_either(&servers);
             assert_eq!(at, 1 - loaded, "{status}, {load}");
-            got.answer(OK, "", b"");
+            exchange.answer(OK, "", b"");
             assert_eq!(client.answer().status(), 200);
         }
     }
@@ -829,13 +830,13 @@
     {
         let mut client = node.client();
         client.send(&request("pay", 20.0));
-        let mut got = server.request();
-        assert_eq!(got.connection, n);
+        let mut exchange = server.request();
+        assert_eq!(exchange.connection, n);
         if written_separately {
-            got.write(good.as_bytes());
-            got.write(extra.as_bytes());
+            exchange.write(good.as_bytes());
+            exchange.write(extra.as_bytes());
         } else {
-            got.write(&[good, extra].concat().into_bytes());
+            exchange.write(&[good, extra].concat().into_bytes());
         }
         assert_eq!(client.answer().body, b"mine");
     }
@@ -849,10 +850,10 @@
     let mut client = node.client();
     for _ in 0..2 {
         client.send(&request("update", 20.0));
-        let mut got = server.request();
-        assert_eq!(got.connection, 0, "the connection was not reused");
-        got.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nlink: x\r\n\r\n");
-        got.answer(OK, "", b"done");
+        let mut exchange = server.request();
+        assert_eq!(exchange.connection, 0, "the connection was not reused");
+        exchange.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nlink: x\r\n\r\n");
+        exchange.answer(OK, "", b"done");
         let answer = client.answer();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
     }
