--- a/crates/balancer-node/src/net/frontend/api.rs
+++ b/crates/balancer-node/src/net/frontend/api.rs
@@ -59,6 +59,7 @@
     response
 }
 
+/// Creates the response to a rejected request, with the recommended pause before a retry.
 fn rejection(retry_after_ms: Option<f64>) -> ClientResponse {
     let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
     if let Some(ms) = retry_after_ms {
--- a/crates/balancer-node/src/net/frontend/connections.rs
+++ b/crates/balancer-node/src/net/frontend/connections.rs
@@ -24,6 +24,7 @@
 
 /// A connection without a request in progress.
 struct IdleConnection {
+    /// Time at which the connection became idle.
     since: Instant,
     /// Notified to close the connection.
     close: Rc<Notify>,
--- a/crates/balancer-node/src/net/frontend/mod.rs
+++ b/crates/balancer-node/src/net/frontend/mod.rs
@@ -88,6 +88,7 @@
     }
 }
 
+/// Returns the longest deadline of the request classes, at most [`MAX_DRAIN`].
 fn longest_deadline(node: &Node) -> Duration {
     let longest_ms = node.config.settings.longest_deadline_ms();
     Duration::try_from_secs_f64(longest_ms / 1000.0).map_or(MAX_DRAIN, |longest| longest.min(MAX_DRAIN))
@@ -157,10 +158,10 @@
             biased;
             // Errors are caused by the client: it has disconnected, or its input is not HTTP.
             _ = served.as_mut() => return,
-            () = slot.close.notified() => timer.close(&slot, &socket),
+            () = slot.close.notified() => timer.schedule_close(&slot, &socket),
             () = sleep_until(timer.wake_at) => {}
         }
-        match timer.next(&slot, &socket) {
+        match timer.decide(&slot, &socket) {
             TimerDecision::Wait => {}
             TimerDecision::CloseAfterResponse => served.as_mut().graceful_shutdown(),
             TimerDecision::Close => return,
@@ -211,14 +212,14 @@
     /// Sets the time by which the connection must be closed. On a draining node, a request head that has
     /// begun to arrive gets [`PARTIAL_HEAD_GRACE`] to arrive completely; otherwise the connection is closed
     /// at once.
-    fn close(&mut self, slot: &ConnectionSlot, socket: &ClientSocket) {
+    fn schedule_close(&mut self, slot: &ConnectionSlot, socket: &ClientSocket) {
         let partial_head = slot.connections.draining.get() && socket.head_started_at().is_some();
         let grace = if partial_head { PARTIAL_HEAD_GRACE } else { Duration::ZERO };
         self.close_by = Some(Instant::now() + grace);
     }
 
     /// Decides about the connection, and sets the time of the next check.
-    fn next(&mut self, slot: &ConnectionSlot, socket: &ClientSocket) -> TimerDecision {
+    fn decide(&mut self, slot: &ConnectionSlot, socket: &ClientSocket) -> TimerDecision {
         let now = Instant::now();
         if !slot.is_idle() {
             self.wake_at = now + SLOW_CLIENT_TIMEOUT;
--- a/crates/balancer-node/src/net/frontend/request.rs
+++ b/crates/balancer-node/src/net/frontend/request.rs
@@ -52,6 +52,7 @@
         self.0.get(name).and_then(|value| value.to_str().ok())
     }
 
+    /// Returns the deadline; `None` if it is missing, zero, malformed or above [`MAX_CLIENT_DEADLINE`].
     fn deadline(&self) -> Option<Duration> {
         let seconds = self.text("x-deadline").and_then(|text| text.parse().ok());
         let deadline = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
--- a/crates/balancer-node/src/net/list/decoder.rs
+++ b/crates/balancer-node/src/net/list/decoder.rs
@@ -45,9 +45,11 @@
     scanner: Option<ValueScanner>,
     /// The text received so far of the key or value that is being read.
     text: Vec<u8>,
+    /// The last key that was read.
     key: String,
     revision: Option<u64>,
     complete: Option<bool>,
+    /// Number of entries read so far, including unreadable ones.
     entries: usize,
     members: Option<Vec<ListedMember>>,
     /// Number of leading `members` that [`drop_unchanged`](Self::drop_unchanged) has checked already.
--- a/crates/balancer-node/src/net/node/requests.rs
+++ b/crates/balancer-node/src/net/node/requests.rs
@@ -33,6 +33,7 @@
 
 /// A request without a final answer, or with attempts in flight.
 struct PendingRequest {
+    /// The request in the form in which each attempt sends it.
     forward: Rc<ForwardedRequest>,
     /// Channel of the final answer; `None` after that was sent or the client has disconnected.
     answer: Option<oneshot::Sender<FinalAnswer>>,
--- a/crates/balancer-node/src/net/upstream/attempt.rs
+++ b/crates/balancer-node/src/net/upstream/attempt.rs
@@ -51,10 +51,12 @@
         &self.headers["x-request-id"]
     }
 
+    /// Returns the time until the node stops waiting for a response; zero if it has passed.
     fn time_left(&self) -> Duration {
         self.expires_at.saturating_duration_since(Instant::now())
     }
 
+    /// Builds the HTTP request of an attempt, whose `X-Deadline` is the time left.
     fn to_request(&self) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -135,7 +137,9 @@
 
 /// A message to a server.
 enum Message<'a> {
+    /// A client's request, which must not be sent after `send_by`.
     Request { request: &'a ForwardedRequest, send_by: Option<Instant> },
+    /// A request for the load report.
     Probe,
 }
 
@@ -149,6 +153,7 @@
         }
     }
 
+    /// Returns how many dials may be made for the message.
     fn max_dials(&self) -> usize {
         match self {
             Self::Request { .. } => MAX_DIALS,
@@ -156,10 +161,11 @@
         }
     }
 
+    /// Returns the time within which a new connection must be established.
     fn dial_timeout(&self, upstream: &Upstream) -> Duration {
         let Self::Request { request, send_by } = self else { return upstream.dial_timeout() };
-        let share = request.time_left().mul_f64(MAX_DIAL_FRACTION).min(upstream.dial_timeout());
-        send_by.map_or(share, |send_by| share.min(send_by.saturating_duration_since(Instant::now())))
+        let limit = request.time_left().mul_f64(MAX_DIAL_FRACTION).min(upstream.dial_timeout());
+        send_by.map_or(limit, |send_by| limit.min(send_by.saturating_duration_since(Instant::now())))
     }
 
     /// Returns whether the message may still be sent. Since the decision, the time limit may have passed, and
@@ -230,11 +236,13 @@
 
 /// The result of sending a message on one connection.
 enum SendOutcome {
+    /// The message may have been sent, or must not be sent any more.
     Reply(ServerReply),
     /// The connection was closed, and nothing was written.
     Unusable,
 }
 
+/// Sends a message on a connection and reads the response. After a complete response the connection is kept.
 async fn send(
     server: &Server,
     mut connection: Connection,
--- a/crates/balancer-node/src/net/upstream/mod.rs
+++ b/crates/balancer-node/src/net/upstream/mod.rs
@@ -39,7 +39,9 @@
 /// The listed servers and the sockets to them.
 pub struct Upstream {
     servers: RefCell<HashMap<ServerId, Rc<Server>>>,
+    /// Number of open sockets to servers, including those of dials in progress.
     open_sockets: Rc<Cell<usize>>,
+    /// Maximum number of open sockets to servers.
     max_sockets: usize,
     /// Time for which an idle connection is kept.
     keep_idle: Duration,
@@ -63,9 +65,9 @@
         }
     }
 
-    /// Adds or updates a listed server. If the server may get no new requests, its idle connections are
-    /// closed. If its address or start time has changed, the idle connections to the former process are
-    /// closed, and connections that are still being established to it are not used.
+    /// Adds or updates a listed server. If `ready` is false, it must get no new requests, and its idle
+    /// connections are closed. If its address or start time has changed, the idle connections to the former
+    /// process are closed, and connections that are still being established to it are not used.
     pub fn update(&self, server: ServerId, address: SocketAddr, started_at: Option<f64>, ready: bool) {
         let same = |known: &Rc<Server>| known.address == address && known.started_at == started_at;
         if !self.servers.borrow().get(&server).is_some_and(same) {
@@ -160,11 +162,11 @@
         let (within, median) = (self.dial_timeout, Rc::clone(&self.median_dial));
         async move {
             let started = Instant::now();
-            let dialled = timeout(within, Connection::dial(server.address, permit)).await;
+            let dialed = timeout(within, Connection::dial(server.address, permit)).await;
             let slower = started.elapsed().as_secs_f64() > median.get();
             let step = if slower { MEDIAN_DIAL_STEP } else { 1.0 / MEDIAN_DIAL_STEP };
             median.set((median.get() * step).clamp(MIN_MEDIAN_DIAL, MAX_MEDIAN_DIAL));
-            let connection = dialled.unwrap_or(Err(AttemptOutcome::Unreachable));
+            let connection = dialed.unwrap_or(Err(AttemptOutcome::Unreachable));
             if let Err(mpsc::error::SendError(Ok(connection))) = established.send(connection) {
                 server.keep(connection);
             }
--- a/crates/balancer-node/tests/clients.rs
+++ b/crates/balancer-node/tests/clients.rs
@@ -34,7 +34,7 @@
     // hyper buffers a part of this head, and the rest of it stays unread in the kernel.
     let long = format!("GET /api HTTP/1.1\r\nx: {}", "a".repeat(40_000));
     let inputs = ["", "GET /api", &request("read", 60.0), &long];
-    // The pauses end at different times between two checks that are 100 ms apart.
+    // Varies the time of the disconnect relative to periodic checks, which were once 100 ms apart.
     for (round, wait) in [0, 60, 20, 80].map(Duration::from_millis).into_iter().enumerate() {
         for (disconnect, following) in [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset]
             .into_iter()
--- a/crates/balancer-node/tests/endings.rs
+++ b/crates/balancer-node/tests/endings.rs
@@ -14,8 +14,8 @@
 
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
 
-/// SIGKILL follows after 3 s even if a deadline is longer. A node that waited for the deadline was killed
-/// before it had answered its clients. It must fail their requests and exit in time.
+/// Before SIGKILL, a node gets at most 3 s for its deadlines. A node that waited for a longer deadline was
+/// killed before it had answered its clients. It must fail their requests and exit in time.
 #[test]
 fn requests_that_would_outlast_the_shutdown_fail_before_the_node_exits() {
     let server = Server::start();
--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -19,8 +19,8 @@
 /// Timeout of everything that a test waits for. It is long enough even on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Prevents that a process is spawned while [`unused_address`] has a listener open. Between fork and exec, a
-/// child process holds every socket of this process, so the address could not be bound while it starts.
+/// Prevents a process from being spawned while [`unused_address`] has a listener open. Between fork and exec,
+/// a child process holds every socket of this process, so the address could not be bound while it starts.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// Binds a listener to a loopback address that no other test uses.
@@ -50,6 +50,7 @@
 /// An HTTP request or response. The names of its headers are in lower case.
 #[derive(Debug)]
 pub struct Message {
+    /// Request line or status line.
     pub first: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
