--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -19,8 +19,8 @@
     pub journal: storage::Journal,
     /// The recovered records with their positions, oldest first.
     pub records: Vec<(storage::Position, Vec<u8>)>,
-    /// Identifies the data on the disk. A journal that is created anew, for instance after a loss of the
-    /// data, has another incarnation.
+    /// Identifies the data on the disk. A new journal, created for example after a loss of the data, has
+    /// another incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -58,8 +58,8 @@
 }
 
 /// Opens a journal with `open`. If durable records are missing or cannot be decoded, the disk counts as
-/// failed: the files are set aside, and a new journal with another incarnation is opened. A member that may
-/// have lost one of its promises must not continue under the same incarnation.
+/// failed: the files are set aside, and a new journal with another incarnation is opened. A member must not
+/// continue under the same incarnation if one of its promises may be missing.
 ///
 /// A record that a loss of power has torn was never acknowledged. The journal itself drops it, and the disk
 /// does not count as failed.
@@ -75,7 +75,7 @@
     mut open: impl FnMut() -> Result<(T, Recovered), Report<StorageError>>,
 ) -> Result<(T, Recovered), Report<StorageError>> {
     let with_directory = |error| {
-        let attachment = format!("folder {}", directory.display());
+        let attachment = format!("directory {}", directory.display());
         Report::new(StorageError::from(error)).attach(attachment)
     };
     let is_interrupted = storage::is_set_aside_interrupted(file_system, directory).map_err(with_directory)?;
