--- a/crates/node-emulator/src/slopes/discovery_cost.rs
+++ b/crates/node-emulator/src/slopes/discovery_cost.rs
@@ -48,13 +48,10 @@
             for _ in 0..repeats {
                 let reader =
                     Rc::new(ListReader { address, update_requested: Notify::new(), read: false.into() });
-                let (started_at, cpu) = (Instant::now(), thread_cpu_time());
+                let (start, cpu) = (Instant::now(), thread_cpu_time());
                 let connection = fetch_initial(&reader).await;
                 if reader.read.get() {
-                    values.push((
-                        to_microseconds(thread_cpu_time() - cpu),
-                        to_microseconds(started_at.elapsed()),
-                    ));
+                    values.push((to_microseconds(thread_cpu_time() - cpu), to_microseconds(start.elapsed())));
                 } else {
                     tracing::warn!(servers, "the discovery client could not read the complete list");
                     break;
