--- a/crates/batch/src/job.rs
+++ b/crates/batch/src/job.rs
@@ -18,7 +18,7 @@
 pub struct Job {
     /// Number of the training step that the job belongs to; `None` if the trainer does not give it.
     pub step: Option<u64>,
-    /// The model that generates the texts; `None` allows any model.
+    /// The model that generates the text of each item; `None` allows any model.
     pub model: Option<Arc<str>>,
     /// The oldest version of the weights that may generate any part of a text; `None` allows all versions.
     #[serde(rename = "oldestEdition")]
--- a/crates/batch/src/schedule/job_schedule.rs
+++ b/crates/batch/src/schedule/job_schedule.rs
@@ -23,9 +23,9 @@
 #[derive(Debug)]
 pub struct JobSchedule {
     groups: Vec<Group>,
-    /// Group of each item.
+    /// Index in `groups` of the group that each item belongs to, by item index.
     group_of_item: Vec<GroupIndex>,
-    /// Phase of each item.
+    /// Phase of each item, by item index.
     phases: Vec<ItemPhase>,
     /// Number of complete groups that the trainer requires; at most the number of groups.
     required_groups: usize,
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -18,7 +18,7 @@
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Number of servers that may run one request of a client, for a route that does not set `tries`.
 const DEFAULT_MAX_ATTEMPTS: u32 = 1;
-/// Weight of the service of a route that has `postalLine` in place of `split`.
+/// Weight of the service of a route that has `postalLine` instead of `split`.
 const SINGLE_TARGET_WEIGHT: u32 = 1;
 
 /// Compiled services by name.
--- a/crates/configuration/src/configuration.rs
+++ b/crates/configuration/src/configuration.rs
@@ -66,8 +66,8 @@
         &self.limits
     }
 
-    /// Returns the models whose texts may be continued by another weight version than the one that began
-    /// them. A model is excluded if a route that requires a single version has a target with the model.
+    /// Returns the models for which another weight version may continue a text than the one that began it.
+    /// A model is excluded if a route that requires a single version has a target with the model.
     #[must_use]
     pub fn models_of_mixed_versions(&self) -> BTreeSet<Arc<str>> {
         let single_version_routes = self.routes.iter().filter(|route| route.single_version);
--- a/crates/control-plane/src/consensus/acceptor_service.rs
+++ b/crates/control-plane/src/consensus/acceptor_service.rs
@@ -24,15 +24,15 @@
     /// State machine of the acceptor in memory. Its state may be ahead of the durable one.
     acceptor: Acceptor<ControlState>,
     persisted: PersistedState,
-    /// Whether all records of the journal could be decoded. If not, a promise may be lost, and the service
-    /// replies to no request.
+    /// Whether all records of the journal could be decoded. If not, a promise may be missing, and the
+    /// service replies to no request.
     is_intact: bool,
 }
 
 impl AcceptorService {
     /// Creates the service of the acceptor that wrote these records of the journal. If a record cannot be
-    /// decoded, the service replies to no request, because the acceptor may have lost a promise. A process
-    /// sets a journal with such a record aside before it creates the service.
+    /// decoded, the service replies to no request, because that record may contain a promise of the acceptor.
+    /// A process sets a journal with such a record aside before it creates the service.
     #[must_use]
     pub fn new(journal: Journal, incarnation: Incarnation, records: &[(Position, Vec<u8>)]) -> Arc<Self> {
         let recovered = recover(incarnation, records);
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -42,7 +42,8 @@
     /// Highest round that this process has used or seen. Starts at 1, the round of the initial value.
     round: AtomicU64,
     contacts: Arc<AcceptorContacts>,
-    /// Held during each attempt, because concurrent proposals of one process would preempt each other.
+    /// Lock that is held during each attempt, because concurrent proposals of one process would preempt each
+    /// other.
     attempt_lock: tokio::sync::Mutex<()>,
 }
 
--- a/crates/lease/src/candidate.rs
+++ b/crates/lease/src/candidate.rs
@@ -21,7 +21,7 @@
 /// A clock that steps back by more than this fraction of the TTL cannot be trusted, and the candidate drops
 /// the lease. Smaller differences are tolerated.
 const MAX_CLOCK_STEP_BACK_DIVISOR: u32 = 20;
-/// Upper bound of the random delay before a lost round is retried, as a fraction of the TTL.
+/// Upper bound of the random delay before a failed round is retried, as a fraction of the TTL.
 const MAX_RETRY_JITTER_DIVISOR: u32 = 4;
 /// A deferring candidate waits for this additional fraction of the TTL, which equals the longest random delay
 /// of the other candidates, so that all of them retry first.
@@ -191,16 +191,16 @@
         LeaseRelease { holder: self.name.clone(), term: self.term }
     }
 
-    /// Returns the delay between a lost round and the next one. A holder retries soon, and so does a
+    /// Returns the delay between a failed round and the next one. A holder retries soon, and so does a
     /// candidate after a split vote. If a majority has granted the lease to another candidate, the next round
     /// starts after that lease has expired, and that of a deferring candidate still later. The jitter keeps
     /// candidates from retrying at the same time.
-    fn retry_delay(&mut self, lost: &Round, is_holder: bool) -> Duration {
+    fn retry_delay(&mut self, failed: &Round, is_holder: bool) -> Duration {
         let jitter = self.random_below(self.ttl / MAX_RETRY_JITTER_DIVISOR);
         if is_holder {
             return jitter / 2;
         }
-        match lost.majority_holder_remaining() {
+        match failed.majority_holder_remaining() {
             Some(remaining) if self.is_deferring => {
                 remaining.min(self.ttl) + self.ttl / DEFERRAL_DIVISOR + jitter
             }
--- a/crates/lease/src/grantor.rs
+++ b/crates/lease/src/grantor.rs
@@ -48,8 +48,9 @@
 }
 
 impl Grantor {
-    /// Creates a grantor that rejects all requests for one `ttl` after `now`, since it may have lost a grant
-    /// from before a restart. Create a new grantor when the acceptor beside it becomes a member.
+    /// Creates a grantor that rejects all requests for one `ttl` after `now`, because grants are not
+    /// stored and one from before a restart may still be valid. Create a new grantor when the acceptor beside
+    /// it becomes a member.
     pub fn new(id: GrantorId, now: Duration, ttl: Duration) -> Self {
         Self {
             id,
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -18,8 +18,8 @@
 //! there is at most one holder:
 //!
 //! - A grantor is identified by the incarnation of its disk, and grants only requests that name this
-//!   incarnation. A machine that lost its disk has lost the sets of grantors that it had observed, and its
-//!   vote must not count as that of the former incarnation.
+//!   incarnation. A machine that lost its disk no longer has the sets of grantors that it had observed, so
+//!   its vote must not count as a vote of the former incarnation.
 //! - A grantor rejects requests with an older set than the newest one that it has observed. It observes a set
 //!   before its acceptor replies that it has accepted the set ([`Grantor::observe`]), and a set is committed
 //!   only when a majority of the previous set has accepted it. So after the commit no candidate can get
--- a/crates/lease/src/messages.rs
+++ b/crates/lease/src/messages.rs
@@ -44,7 +44,8 @@
     },
 }
 
-/// Message by which a candidate gives back its grants, because it lost the round or resigned the lease.
+/// Message by which a candidate gives back its grants, because its round failed or because it
+/// resigned the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRelease {
     /// Name of the candidate.
--- a/crates/local-fleet/src/deployment/fleet.rs
+++ b/crates/local-fleet/src/deployment/fleet.rs
@@ -60,8 +60,8 @@
         self.names().iter().try_for_each(|name| self.start(name))
     }
 
-    /// Starts a process, unless it is running. Its settings mark only the first start as the first start of
-    /// the system.
+    /// Starts a process, unless it is running. `firstStart` in its settings, which says that the system
+    /// starts for the first time, is set only for the first start of the process.
     ///
     /// # Errors
     ///
--- a/crates/local-fleet/src/deployment/process.rs
+++ b/crates/local-fleet/src/deployment/process.rs
@@ -36,8 +36,8 @@
         self.child.is_some()
     }
 
-    /// Starts the process, unless it is running. Its settings mark only the first start as the first start of
-    /// the system.
+    /// Starts the process, unless it is running. `firstStart` in its settings, which says that the system
+    /// starts for the first time, is set only for the first start of the process.
     pub(super) fn start(&mut self, executable: &Path) -> Result<(), FleetError> {
         if self.child.is_none() {
             self.child = Some(self.spawn(executable)?);
--- a/crates/local-fleet/src/deployment/settings_file.rs
+++ b/crates/local-fleet/src/deployment/settings_file.rs
@@ -45,6 +45,7 @@
 #[serde(rename_all = "camelCase")]
 pub struct ProcessLimits {
     cpu_share: f64,
+    /// Speed of the processor core of which the process gets `cpu_share`, as a multiple of a standard core.
     cores: u32,
     memory_mb: u64,
     file_handles: u64,
--- a/crates/local-fleet/src/run/local_run.rs
+++ b/crates/local-fleet/src/run/local_run.rs
@@ -32,7 +32,8 @@
 const ROLLOUT_PREFIX: &str = "/rollouts/";
 /// Number of steps after which the configuration is changed, repeatedly.
 const STEPS_PER_CONFIGURATION_CHANGE: u64 = 2;
-/// Version of the initial configuration.
+/// Version of the first configuration, which the operator sends after the processes have started. Until then
+/// the fleet has version 0; any higher version is accepted.
 const INITIAL_CONFIGURATION_VERSION: u64 = 2;
 /// Number of prompt tokens in the prefix that all items of a group share.
 const SHARED_PROMPT_TOKENS: u64 = 255;
--- a/crates/local-fleet/src/trainer/step_plan.rs
+++ b/crates/local-fleet/src/trainer/step_plan.rs
@@ -35,7 +35,7 @@
 pub struct JobTemplate {
     /// Routes and services of the requests.
     pub routing: JobRouting,
-    /// Name of the model that generates the texts.
+    /// Name of the model that generates the text of each item.
     pub model: String,
     /// Number of groups in a batch job.
     pub groups: usize,
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -216,7 +216,7 @@
         self.published.get(index).copied()
     }
 
-    /// Looks up a server by number, also one that has left.
+    /// Returns a server by its number, even if it has left; `None` if no server has had the number.
     pub fn server(&mut self, number: usize) -> Option<&mut Server> {
         self.servers.get_mut(number)
     }
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! Emulated nodes, which run the real `Balancer` and the real discovery client. A thread runs many nodes.
 //!
 //! The nodes of a thread share their connections to the servers and their counters. To save memory, a node
-//! stores neither names nor addresses of servers: names encode the servers' numbers, and addresses are looked
-//! up in the catalogue.
+//! stores neither names nor addresses of servers: names encode the servers' numbers, and addresses are read
+//! from the catalogue.
 
 mod emulated_node;
 mod endpoint_update;
@@ -76,7 +76,7 @@
         self.0.iter().map(|version| version.load(std::sync::atomic::Ordering::Relaxed))
     }
 
-    /// Sets the version of a node; 0 if it has lost its list in a restart.
+    /// Sets the version of a node; 0 if a restart has discarded its list.
     fn set(&self, node: usize, version: u64) {
         self.0[node].store(version, std::sync::atomic::Ordering::Relaxed);
     }
--- a/crates/register/src/confirmation.rs
+++ b/crates/register/src/confirmation.rs
@@ -19,7 +19,7 @@
     /// A newer value, given here, is committed. Adopt it, and start a confirmation of that value.
     Superseded(Versioned<V>),
     /// A majority has replied, and at least one acceptor has accepted a value with this newer ballot, which
-    /// may or may not be committed. If further replies do not settle that, make a
+    /// may or may not be committed. If further replies do not show whether it is, make a
     /// [`Proposal`](crate::Proposal) that proposes the value it reads unchanged.
     Undecided(Ballot),
 }
--- a/crates/register/src/proposal.rs
+++ b/crates/register/src/proposal.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Proposes a value in place of the one that was read, and returns the accept requests to send.
+    /// Proposes a value instead of the one that was read, and returns the accept requests to send.
     ///
     /// Returns no requests unless the last step was [`ProposalStep::Prepared`]. A value with other acceptors
     /// is proposed only if the value that was read [is known to be committed](Self::is_known_committed) and
--- a/crates/register/src/reconfiguration.rs
+++ b/crates/register/src/reconfiguration.rs
@@ -22,7 +22,7 @@
     !to.is_empty() && !has_duplicates && added <= 1 && removed <= 1
 }
 
-/// Returns the members with `added` at the end, in place of an entry of the same incarnation if there is one.
+/// Returns the members with `added` at the end. An earlier entry with the same incarnation is removed.
 pub fn with_member(members: &[Member], added: Member) -> Vec<Member> {
     let mut changed = without_member(members, added.incarnation);
     changed.push(added);
--- a/crates/settings/src/resource_limits.rs
+++ b/crates/settings/src/resource_limits.rs
@@ -14,11 +14,13 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(default)]
 pub struct ResourceLimits {
-    /// `cpuShare`: fraction of a core that the process may use; above 0, and 0.25 by default.
+    /// `cpuShare`: fraction of the time of one processor core that the process may use; above 0, and 0.25 by
+    /// default.
     #[serde(rename = "cpuShare")]
     #[validate(range(exclusive_min = 0.0, message = "limits.cpuShare is not above 0"))]
     pub cpu_share: f64,
-    /// `cores`: speed of the process during its share, as a multiple of the speed of one core; 1 by default.
+    /// `cores`: speed of the processor core of which the process gets `cpuShare`, as a multiple of the speed
+    /// of a standard core; 1 by default. It is not a number of cores.
     #[serde(rename = "cores")]
     pub cpu_speed_factor: f64,
     /// `memoryMb`: memory in megabytes (10^6 bytes); the platform kills a process that exceeds it. Above 0,
--- a/crates/settings/src/timing_rules.rs
+++ b/crates/settings/src/timing_rules.rs
@@ -103,13 +103,16 @@
 
     /// Returns `touchMs` (3 s by default): the time that a machine and the core must be without faults before
     /// rules with time bounds apply to the machine (the rules call this "in touch").
+    ///
+    /// The core consists of the nodes with a disk, whose acceptors form the register. It is stable while more
+    /// than half of it has been running and connected for this time.
     #[must_use]
     pub fn stabilization_period(&self) -> Duration {
         duration_from_millis(self.stabilization_period_ms, Duration::from_secs(3))
     }
 
     /// Returns `receiptMs` (4 s by default): the time within which an order of the operator must be
-    /// acknowledged while the core is stable.
+    /// acknowledged while the core is stable (see [`Self::stabilization_period`]).
     #[must_use]
     pub fn acknowledgement_timeout(&self) -> Duration {
         duration_from_millis(self.acknowledgement_timeout_ms, Duration::from_secs(4))
@@ -169,8 +172,8 @@
         duration_from_millis(self.configuration_regression_tolerance_ms, Duration::from_millis(250))
     }
 
-    /// Returns `stretchMs` (5 s by default): the time by which an unstable core extends
-    /// [`Self::configuration_propagation_timeout`].
+    /// Returns `stretchMs` (5 s by default): the time by which an unstable core (see
+    /// [`Self::stabilization_period`]) extends [`Self::configuration_propagation_timeout`].
     #[must_use]
     pub fn unstable_core_extension(&self) -> Duration {
         duration_from_millis(self.unstable_core_extension_ms, Duration::from_secs(5))
--- a/crates/simulator/src/fleet/external_clients.rs
+++ b/crates/simulator/src/fleet/external_clients.rs
@@ -26,7 +26,7 @@
         call
     }
 
-    /// Passes a request to the process of a node. The request is lost if there is none.
+    /// Passes a request to the process of a node. The request is lost if no process runs there.
     pub(super) fn deliver_external_request(&mut self, node: usize, call: u64, request: ExternalRequest) {
         let machine = &mut self.machines[node];
         if machine.is_frozen() {
--- a/crates/simulator/src/fleet/mod.rs
+++ b/crates/simulator/src/fleet/mod.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Advances the simulation until a condition holds. Returns whether it held within `timeout`.
+    /// Advances the simulation until a condition is true. Returns whether it became true within `timeout`.
     pub fn run_until(&mut self, timeout: Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let deadline = self.now + timeout;
         while self.now < deadline {
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,8 +3,8 @@
 //! determines every random choice.
 //!
 //! Each process of a [`Fleet`] is the same assembly that the program runs ([`rushrudder::node::TrafficNode`],
-//! [`rushrudder::store::BatchStore`]). It has a separate runtime with a paused clock. Only its interfaces to
-//! the outside are simulated: the transport of internal calls, the calls to servers and to the platform, the
+//! [`rushrudder::store::BatchStore`]). It has a separate runtime with a paused clock. Only its external
+//! interfaces are simulated: the transport of internal calls, the calls to servers and to the platform, the
 //! disk below the journal, and the monotonic clock. The fleet advances time in short steps. In each step it
 //! runs the processes one after another and delivers the messages that they have sent. The clock of a frozen
 //! process advances, but the process does not run. Killing a process drops it with all its tasks.
--- a/crates/simulator/src/simulation/convergence.rs
+++ b/crates/simulator/src/simulation/convergence.rs
@@ -8,7 +8,7 @@
 
 use crate::Fleet;
 
-/// A condition of recovery that does not hold yet.
+/// A condition of recovery that is not met yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unconverged {
     /// No running process holds the leader lease with the newest fencing token.
@@ -95,7 +95,7 @@
 
 /// Checks that the control plane has recovered: one process leads, no migration is in progress, all processes
 /// have the newest state, and all machines with a disk are members with their present disk. Returns the first
-/// condition that does not hold.
+/// condition that is not met.
 pub(super) fn check_fleet(fleet: &Fleet) -> Option<Unconverged> {
     let newest = fleet.newest_state()?;
     let fence = fleet.machines().find_map(|machine| fleet.fence(machine));
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -174,7 +174,7 @@
         Ok(self.operators.check_acknowledged(&self.checker)?)
     }
 
-    /// Returns the first condition of recovery that does not hold yet; `None` after the recovery.
+    /// Returns the first condition of recovery that is not met yet; `None` after the recovery.
     fn first_unconverged(&self) -> Option<Unconverged> {
         self.operators
             .pending_order()
--- a/crates/simulator/src/simulation/violation.rs
+++ b/crates/simulator/src/simulation/violation.rs
@@ -220,14 +220,14 @@
     UnexpectedReply {
         /// Description of the request.
         request: String,
-        /// The reply.
+        /// The reply of the node that received the request.
         reply: ExternalReply,
     },
     /// The fleet did not recover in time after the last fault.
     NotConverged {
         /// The time limit of the recovery.
         timeout: Duration,
-        /// The first condition of recovery that did not hold.
+        /// The first condition of recovery that was not met.
         missing: Unconverged,
     },
     /// A process or a check panicked.
--- a/crates/state/src/change/operator.rs
+++ b/crates/state/src/change/operator.rs
@@ -22,7 +22,7 @@
 /// Reason why the control state rejects a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeRejected {
-    /// The same change was applied before.
+    /// The state already records this change as applied.
     AlreadyApplied,
     /// The change is based on another version of the configuration than the current one; contains the current
     /// version.
--- a/crates/state/src/change/reconcile.rs
+++ b/crates/state/src/change/reconcile.rs
@@ -56,8 +56,8 @@
 }
 
 /// Finishes a migration once enough stores of the previous set have migrated all their batch jobs: these
-/// stores must have a majority of the replicas of each job. Draining machines outside the current set then
-/// become drained.
+/// stores must have a majority of the replicas of each job. Draining machines that are not in the current
+/// set then become drained.
 fn finish_migration(next: &mut ControlState, observed: &Observation) -> Option<()> {
     let previous = next.previous_stores.as_ref()?;
     let epoch = next.stores.epoch;
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -15,8 +15,8 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// Maximum length of the decompressed text, in bytes. A longer text is cut there and then rejected, because
-/// its digest differs.
+/// Maximum length of the decompressed text, in bytes. A longer text is truncated to this length and then
+/// rejected, because its digest differs.
 const MAX_TEXT_BYTES: u64 = 64 * 1024 * 1024;
 
 /// Text that is stored and sent in compressed form. Clones share the text. Two documents are equal if their
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -89,7 +89,7 @@
         Ok((Self::spawn_writer(ring)?, Recovered::new(identity, Vec::new())))
     }
 
-    /// Opens a journal for simulations, with a future in place of the writer thread. After records are
+    /// Opens a journal for simulations, with a future instead of the writer thread. After records are
     /// queued, the returned future awaits a future made by `sync_delay`, then writes all queued records as
     /// one batch. Nothing is written after the returned future is dropped.
     ///
--- a/crates/storage/src/recovery.rs
+++ b/crates/storage/src/recovery.rs
@@ -83,7 +83,7 @@
 /// to the newest segment.
 ///
 /// A header may be missing only in the file that is used next, because a write of the next header may have
-/// been interrupted. Any other missing header means that durable records are lost.
+/// been interrupted. Any other missing header means that durable records are missing.
 fn live_segments(
     headers: &[Option<SegmentHeader>],
     newest: &SegmentHeader,
--- a/crates/storage/src/ring.rs
+++ b/crates/storage/src/ring.rs
@@ -30,7 +30,8 @@
 /// Identity of an opened ring, and whether the ring is new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingIdentity {
-    /// Random number drawn when the ring was created. It stays the same until the ring is lost or set aside.
+    /// Random number drawn when the ring was created. It stays the same until the disk is lost or the ring is
+    /// set aside.
     pub incarnation: u64,
     /// Whether this open created the ring because the directory contained none.
     pub is_new: bool,
--- a/crates/store-plane/src/replication/server/ownership_status.rs
+++ b/crates/store-plane/src/replication/server/ownership_status.rs
@@ -128,7 +128,7 @@
     }
 
     /// Waits until `find` returns a value for a batch job that this store owns or claims. Returns `None` once
-    /// the deadline has passed or the ownership is lost.
+    /// the deadline has passed or this store neither owns nor claims the batch job any more.
     pub(super) async fn wait_for_ownership<T>(
         &self,
         id: &JobId,
--- a/crates/store-plane/src/replication/state/durability.rs
+++ b/crates/store-plane/src/replication/state/durability.rs
@@ -1,5 +1,5 @@
-//! Tracks which records of a store are durable: the queued and the lost ones, and the part of the journal
-//! that is still needed.
+//! Tracks which records of a store are durable, which are queued, which could not be written, and which part
+//! of the journal is still needed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -123,8 +123,8 @@
         !self.has_pending_writes(job) && !self.records_lost.contains(job)
     }
 
-    /// Returns whether a record of a batch job was lost since the last call. If so, the caller must write a
-    /// snapshot.
+    /// Returns whether a record of a batch job could not be written since the last call. If so, the caller
+    /// must write a snapshot.
     pub fn take_records_lost(&mut self, job: &str) -> bool {
         self.records_lost.remove(job)
     }
--- a/crates/store-plane/src/replication/state/mod.rs
+++ b/crates/store-plane/src/replication/state/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! - [`OwnershipTable`]: batch jobs that this store owns or claims; written by `ownership` and `maintenance`.
 //! - [`JobStatusTable`]: reports of other stores about batch jobs; written where their messages arrive.
-//! - [`Durability`]: the records that are queued, durable or lost; written by `writer` and where records are
-//!   queued.
+//! - [`Durability`]: the records that are queued or durable, or that could not be written; updated by
+//!   `writer` and where records are queued.
 //! - [`PeerLiveness`]: the stores that do not answer; written by `heartbeat` and where calls fail.
 
 mod description;
@@ -74,7 +74,7 @@
     }
 
     /// Executes the request of an owner or claimant. If a receiver is returned, the reply may only be sent
-    /// after it reports that the records are durable; it is closed if they were lost.
+    /// after it reports that the records are durable; it is closed if a write failed.
     pub fn handle(
         &mut self,
         job: &JobId,
@@ -86,8 +86,8 @@
         }
         let (reply, mut records) = self.replicas.handle(job, request);
         if self.durability.take_records_lost(job) {
-            // The reply may depend on the lost record, so the complete state of the batch job is written
-            // again.
+            // The reply may depend on the record that could not be written, so the complete state of the
+            // batch job is written again.
             records = vec![Record::Epoch(self.replicas.epoch()), self.replicas.snapshot(job)];
         }
         let must_wait = !records.is_empty() || self.durability.has_pending_writes(job);
--- a/crates/store-plane/src/replication/writer.rs
+++ b/crates/store-plane/src/replication/writer.rs
@@ -65,7 +65,7 @@
     }
 
     /// Drops the failed requests and all requests queued behind them, without acknowledging any, since later
-    /// records may depend on the lost ones. The next write of each affected batch job is a snapshot.
+    /// records may depend on the failed ones. The next write of each affected batch job is a snapshot.
     fn drop_failed(&mut self, mut failed: Vec<WriteRequest>) {
         // Records are queued only under this lock, so no request can follow the failed ones before it is
         // released.
--- a/crates/store-plane/src/runner/active_job.rs
+++ b/crates/store-plane/src/runner/active_job.rs
@@ -46,7 +46,7 @@
     pub schedule: JobSchedule,
     /// The state of each item, by item index; the default once the item has a result.
     pub work: Vec<ItemWork>,
-    /// The rules of the route when they were last looked up; `None` while no route matches.
+    /// The rules of the route when they were last read; `None` while no route matches.
     pub rules: Option<RouteRules>,
     submission: SubmissionTime,
     /// Channel to the task that appends results to the log.
--- a/crates/store-plane/src/runner/mod.rs
+++ b/crates/store-plane/src/runner/mod.rs
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Looks the rules of the routes up again, since the configuration may have changed.
+    /// Reads the rules of the routes again, since the configuration may have changed.
     fn refresh_route_rules(&mut self) {
         for job in self.jobs.values_mut() {
             job.rules = self.executor.route_rules(&job.address.host, &job.address.path);
