--- a/crates/store-plane/src/replication/state/durability.rs
+++ b/crates/store-plane/src/replication/state/durability.rs
@@ -29,7 +29,7 @@
     /// Number of queued records by batch job; batch jobs without queued records have no entry.
     pending_writes: BTreeMap<JobId, usize>,
     /// Batch jobs of which a record could not be written. The next write for each of them is a snapshot.
-    records_lost: BTreeSet<JobId>,
+    failed_writes: BTreeSet<JobId>,
     /// Position of the oldest record that is needed to recover each batch job.
     oldest_positions: BTreeMap<JobId, u64>,
     durable_epoch: DurableEpoch,
@@ -40,7 +40,7 @@
     pub fn new(write_queue: mpsc::UnboundedSender<WriteRequest>) -> Self {
         Self {
             pending_writes: BTreeMap::new(),
-            records_lost: BTreeSet::new(),
+            failed_writes: BTreeSet::new(),
             oldest_positions: BTreeMap::new(),
             durable_epoch: DurableEpoch::default(),
             write_queue,
@@ -76,10 +76,10 @@
 
     /// Called when queued records could not be written. The next write of each affected batch job must be a
     /// snapshot.
-    pub fn on_lost(&mut self, records: &[Record]) {
+    pub fn on_write_failed(&mut self, records: &[Record]) {
         self.remove_pending(records);
         let jobs = records.iter().filter_map(|record| record.job().cloned());
-        self.records_lost.extend(jobs);
+        self.failed_writes.extend(jobs);
     }
 
     fn remove_pending(&mut self, records: &[Record]) {
@@ -120,13 +120,13 @@
 
     /// Returns whether all records of a batch job are durable.
     pub fn is_durable(&self, job: &str) -> bool {
-        !self.has_pending_writes(job) && !self.records_lost.contains(job)
+        !self.has_pending_writes(job) && !self.failed_writes.contains(job)
     }
 
     /// Returns whether a record of a batch job could not be written since the last call. If so, the caller
     /// must write a snapshot.
-    pub fn take_records_lost(&mut self, job: &str) -> bool {
-        self.records_lost.remove(job)
+    pub fn take_failed_write(&mut self, job: &str) -> bool {
+        self.failed_writes.remove(job)
     }
 
     /// Returns up to `limit` batch jobs with the oldest needed records, oldest first.
--- a/crates/store-plane/src/replication/state/mod.rs
+++ b/crates/store-plane/src/replication/state/mod.rs
@@ -85,7 +85,7 @@
             self.job_status.record_known(job, now);
         }
         let (reply, mut records) = self.replicas.handle(job, request);
-        if self.durability.take_records_lost(job) {
+        if self.durability.take_failed_write(job) {
             // The reply may depend on the record that could not be written, so the complete state of the
             // batch job is written again.
             records = vec![Record::Epoch(self.replicas.epoch()), self.replicas.snapshot(job)];
--- a/crates/store-plane/src/replication/writer.rs
+++ b/crates/store-plane/src/replication/writer.rs
@@ -74,7 +74,7 @@
             failed.push(request);
         }
         for request in &failed {
-            state.durability.on_lost(&request.records);
+            state.durability.on_write_failed(&request.records);
         }
     }
 }
