--- a/crates/data-plane/tests/support/fake_server.rs
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -13,7 +13,7 @@
 pub struct ReceivedRequest {
     /// The unmodified bytes of the head, including the blank line that ends it.
     pub head: String,
-    /// The request line.
+    /// The request line, without the line break.
     pub line: String,
     /// The values of the headers, by lower-case name. Of repeated headers, only the last one is kept.
     pub headers: BTreeMap<String, String>,
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -89,7 +89,7 @@
 pub struct Server {
     /// The slot that the server occupies, or occupied before its replacement.
     pub slot: usize,
-    /// The listed state.
+    /// The state of the server in the server list.
     pub phase: Phase,
     /// Whether the server responds. The list does not show this.
     pub reachability: Reachability,
--- a/crates/node-emulator/src/report.rs
+++ b/crates/node-emulator/src/report.rs
@@ -40,7 +40,7 @@
     pub cpu_seconds: BTreeMap<String, f64>,
     /// Bytes, messages and connections by role, such as `discovery`.
     pub traffic: BTreeMap<String, TrafficTotals>,
-    /// The measurements.
+    /// What the command measured: results of the scenario for `play`, slopes by quantity for `slopes`.
     pub results: R,
 }
 
--- a/crates/register/tests/disk_loss.rs
+++ b/crates/register/tests/disk_loss.rs
@@ -131,7 +131,7 @@
     }
 }
 
-/// Returns the members with the new disk of a machine in place of its first one.
+/// Returns the members with the new disk of a machine instead of its first one.
 fn with_new_disk(acceptors: &[Member], machine: usize) -> Vec<Member> {
     let others = without_member(acceptors, Incarnation(machine as u64 + 1));
     with_member(&others, member_with_disk(machine, NEW_INCARNATION))
--- a/crates/simulator/src/simulation/violation.rs
+++ b/crates/simulator/src/simulation/violation.rs
@@ -120,7 +120,7 @@
     BothAcknowledged {
         /// The version before both changes.
         expected: u64,
-        /// The two changes.
+        /// The two changes, in the order in which they were acknowledged.
         changes: Box<[AcknowledgedChange; 2]>,
     },
     /// The committed configuration with the version of an acknowledged change does not contain the change.
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -58,7 +58,7 @@
 /// Notice to a replica that the owner has released a batch job and no longer answers reads of it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct ReleaseNotice {
-    /// The former owner.
+    /// The store that has released the batch job.
     pub from: StoreId,
 }
 
