--- a/crates/rushrudder/src/cli/check.rs
+++ b/crates/rushrudder/src/cli/check.rs
@@ -37,7 +37,7 @@
     ExitCode::SUCCESS
 }
 
-/// Reason for which a file cannot be used.
+/// Reason why a file cannot be used.
 enum CheckError {
     /// The file cannot be read.
     Read(std::io::Error),
--- a/crates/rushrudder/src/cli/local.rs
+++ b/crates/rushrudder/src/cli/local.rs
@@ -47,7 +47,7 @@
 }
 
 /// Runs a fleet and prints its report. Returns failure unless every training step was completed and no rule
-/// violated.
+/// was violated, and [`EXIT_USAGE`] if the fleet cannot run.
 pub fn run(command: &LocalCommand) -> ExitCode {
     logging::start(command.log_level);
     match run_fleet(command) {
--- a/crates/rushrudder/src/cli/mod.rs
+++ b/crates/rushrudder/src/cli/mod.rs
@@ -17,7 +17,7 @@
 use local::LocalCommand;
 use role::RoleOptions;
 
-/// Exit code for invalid arguments, and for settings or options that cannot be used.
+/// Exit code for invalid arguments, for settings that cannot be used, and for a local fleet that cannot run.
 const EXIT_USAGE: u8 = 2;
 
 /// A rollout scheduler for trainers.
--- a/crates/rushrudder/src/control/clients.rs
+++ b/crates/rushrudder/src/control/clients.rs
@@ -5,15 +5,15 @@
 use control_plane::{HttpServerCalls, ListSource, Platform, ServerCalls};
 use settings::NodeSettings;
 
-/// Clients for other processes, the platform and the model servers. The simulator replaces them by simulated
-/// ones.
+/// Clients for other processes, the platform and the model servers. The simulator replaces them with
+/// simulated ones.
 #[derive(Clone)]
 pub struct OutboundClients {
-    /// Calls other processes of the system.
+    /// Client for calls to other processes of the system.
     pub rpc: rpc::Client,
-    /// Reads the platform's list of servers; `None` if the settings name no platform list.
+    /// Reader of the platform's server list; `None` if the settings name no platform list.
     pub server_list: Option<Arc<dyn ListSource>>,
-    /// Sends orders to load weight versions to model servers, and reads their reports.
+    /// Client that orders model servers to load weight versions, and reads their reports.
     pub servers: Arc<dyn ServerCalls>,
 }
 
--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -10,7 +10,7 @@
 
 use crate::RoleError;
 
-/// Checks that the role of a process can decode a record of its journal.
+/// Function that checks whether the role of a process can decode a record of its journal.
 pub type RecordCheck = fn(&[u8]) -> Result<(), DecodeError>;
 
 /// The open journal of a process, with the records that it recovered.
@@ -19,8 +19,8 @@
     pub journal: storage::Journal,
     /// The recovered records with their positions, oldest first.
     pub records: Vec<(storage::Position, Vec<u8>)>,
-    /// Identifies the data on the disk. A journal that is created anew, for instance after a loss of the
-    /// data, has another incarnation.
+    /// Identity of the data on the disk. A new journal, for instance after a loss of the data, has another
+    /// incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -44,7 +44,8 @@
             incarnation = recovered.incarnation,
             records = recovered.records.len(),
             fresh = recovered.is_new;
-            "journal opened"
+            "opened the journal in {}",
+            directory.display()
         );
         Ok(Some(Self::new(journal, recovered)))
     }
@@ -57,8 +58,9 @@
     }
 }
 
-/// Opens a journal with `open`. If durable records are missing or cannot be decoded, the disk counts as
-/// failed: the files are set aside, and a new journal with another incarnation is opened. A member that may
+/// Opens a journal with `open`. If durable records are missing or cannot be decoded, or an earlier setting
+/// aside was interrupted, the disk counts as failed: the files are set aside, and a new journal with another
+/// incarnation is opened. A member that may
 /// have lost one of its promises must not continue under the same incarnation.
 ///
 /// A record that a loss of power has torn was never acknowledged. The journal itself drops it, and the disk
@@ -75,7 +77,7 @@
     mut open: impl FnMut() -> Result<(T, Recovered), Report<StorageError>>,
 ) -> Result<(T, Recovered), Report<StorageError>> {
     let with_directory = |error| {
-        let attachment = format!("folder {}", directory.display());
+        let attachment = format!("directory {}", directory.display());
         Report::new(StorageError::from(error)).attach(attachment)
     };
     let is_interrupted = storage::is_set_aside_interrupted(file_system, directory).map_err(with_directory)?;
--- a/crates/rushrudder/src/control/mod.rs
+++ b/crates/rushrudder/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control plane of a process, assembled in the same way for all roles.
 //!
 //! [`ControlPlane`] owns the components that the roles and the simulator call. The module `routes` exposes
-//! them to other processes; the module `tasks` starts their loops.
+//! them to other processes; the module `tasks` starts their tasks.
 
 mod clients;
 mod disk;
@@ -30,13 +30,13 @@
 
 /// The components of the control plane of a process, shared by its endpoints and its tasks.
 pub struct ControlPlane {
-    /// The newest snapshot of the control state and the list of servers in this process.
+    /// Newest snapshot of the control state and the server list in this process.
     pub view: Arc<ViewCell>,
-    /// Proposes changes of the control state to the acceptors.
+    /// Proposer of changes of the control state to the acceptors.
     pub proposer: Arc<Proposer>,
-    /// Replies to the pings of other processes.
+    /// Service that replies to the pings of other processes.
     pub ping_service: Arc<PingService>,
-    /// The leader lease of this process, while it holds one.
+    /// Leader lease of this process, while it holds one.
     pub leadership: Arc<Leadership>,
     /// Clients with which the process calls other processes, the platform and the model servers.
     pub clients: OutboundClients,
@@ -44,15 +44,15 @@
     internal_address: String,
     /// Internal addresses of the seeds, as `ip:port`. Replaced when the settings are reloaded.
     seeds: watch::Sender<Vec<String>>,
-    /// Replies to the long polls of other processes.
+    /// Service that replies to the long polls of other processes.
     poll_service: Arc<PollService>,
     /// Announcements of other machines, received during the first start of the system.
     bootstrap_announcements: Arc<BootstrapAnnouncements>,
-    /// The newest acceptors that this process has received from others by gossip.
+    /// Newest addresses of the acceptors that this process has received by gossip.
     acceptor_gossip: Arc<AcceptorGossip>,
     /// The acceptor and the lease grantor; `None` if the process has no disk for them.
     quorum_service: Option<Arc<QuorumService>>,
-    /// Aborts the task that makes this machine an acceptor or a store; `None` before its start, and after
+    /// Handle of the task that makes this machine an acceptor or a store; `None` before its start, and after
     /// [`ControlPlane::stop_joining`].
     join_task: Mutex<Option<AbortHandle>>,
 }
@@ -121,7 +121,9 @@
     pub fn reload_settings(&self) {
         match NodeSettings::from_env() {
             Ok(settings) => self.apply_settings(&settings),
-            Err(error) => log::error!("the settings stay as they are: {error}"),
+            Err(error) => {
+                log::error!("failed to reload the settings, the present ones stay in force: {error}")
+            }
         }
     }
 
--- a/crates/rushrudder/src/control/tasks.rs
+++ b/crates/rushrudder/src/control/tasks.rs
@@ -13,11 +13,11 @@
 
 use super::{internal_seed_addresses, ControlPlane};
 
-/// Time without a new list of servers after which a process with an acceptor reads the platform's list
-/// itself. The reader adds a random time.
+/// Age of the server list at which a process with an acceptor reads the platform's list itself. The reader
+/// adds a random time.
 const LIST_STALE_AFTER_ON_ACCEPTOR: Duration = Duration::from_millis(1700);
-/// Time without a new list of servers after which a process without an acceptor reads the platform's list
-/// itself. The reader adds a random time. It is longer than [`LIST_STALE_AFTER_ON_ACCEPTOR`].
+/// Age of the server list at which a process without an acceptor reads the platform's list itself. The reader
+/// adds a random time. It is higher than [`LIST_STALE_AFTER_ON_ACCEPTOR`].
 const LIST_STALE_AFTER: Duration = Duration::from_millis(2300);
 
 impl ControlPlane {
@@ -25,7 +25,11 @@
     /// for which role it uses the disk.
     pub fn start(&self, settings: &NodeSettings, member: Option<Member>, capability: Capability) {
         let seeds = internal_seed_addresses(settings);
-        log::info!("internal address {}, seeds {}", self.internal_address, seeds.join(" "));
+        log::info!(
+            "starting the control plane: internal address {}, seeds {}",
+            self.internal_address,
+            seeds.join(" ")
+        );
         self.spawn_poller();
         self.spawn_acceptor_gossip();
         self.spawn_list_reader();
@@ -54,7 +58,7 @@
         tokio::spawn(poller.run());
     }
 
-    /// Starts the gossip about acceptors: this process sends the newest acceptors that it has to its seeds.
+    /// Starts the gossip about acceptors, which sends the addresses of the acceptors to the seeds.
     fn spawn_acceptor_gossip(&self) {
         let sender = GossipSender {
             view: Arc::clone(&self.view),
@@ -66,9 +70,8 @@
         tokio::spawn(sender.run());
     }
 
-    /// Starts the reader of the platform's server list. It reads while this process is the leader, or when it
-    /// has received no recent list from other processes. Without a platform list in the settings, no reader
-    /// is started.
+    /// Starts the reader of the platform's server list. It reads while this process is the leader, or if no
+    /// recent list has arrived from other processes. Does nothing if the settings name no platform list.
     fn spawn_list_reader(&self) {
         let Some(server_list) = &self.clients.server_list else { return };
         let has_acceptor = self.quorum_service.is_some();
@@ -110,8 +113,8 @@
         self.set_join_task(&join_task);
     }
 
-    /// Starts the tasks of a machine with an acceptor. The tasks of the leader do nothing while another
-    /// process holds the leader lease.
+    /// Starts the tasks of a machine with an acceptor. The tasks of the leader do nothing while this process
+    /// does not hold the leader lease.
     fn spawn_acceptor_tasks(&self, settings: &NodeSettings, member: Member) {
         self.spawn_read_repair();
         self.spawn_leader_election(settings);
--- a/crates/rushrudder/src/error.rs
+++ b/crates/rushrudder/src/error.rs
@@ -2,8 +2,7 @@
 
 use std::fmt;
 
-/// Reason for which a process cannot serve its role. The cause follows as the next context of the error
-/// report.
+/// Reason why a process cannot serve its role. The error report contains the cause as its next context.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleError {
     /// The process cannot register for SIGTERM and SIGHUP.
@@ -22,7 +21,7 @@
 impl fmt::Display for RoleError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Signals => f.write_str("cannot receive signals"),
+            Self::Signals => f.write_str("cannot register for SIGTERM and SIGHUP"),
             Self::Journal => f.write_str("cannot open the journal"),
             Self::MissingDataDir => f.write_str("a store needs dataDir in its settings"),
             Self::Listen { address } => write!(f, "cannot listen at {address}"),
--- a/crates/rushrudder/src/job_api.rs
+++ b/crates/rushrudder/src/job_api.rs
@@ -24,7 +24,7 @@
 const JOB_ID_HEADER: &str = "Attempt-Id";
 /// Request header with the time, in milliseconds, for which a read waits for a first result.
 const LONG_POLL_HEADER: &str = "Hold-Ms";
-/// Maximum time for which a read waits for a first result, whatever the request asks for.
+/// Upper bound of the time for which a read waits for a first result.
 const MAX_LONG_POLL: Duration = Duration::from_millis(2000);
 /// Path prefix of calls that read or end a batch job. The id of the job follows.
 const JOB_PATH: &str = "/api/lots/";
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -1,5 +1,4 @@
-//! The role of a traffic node. It serves clients, trainers and operators. With a disk it is an acceptor as
-//! well.
+//! The role of a traffic node. It serves clients, trainers and operators. With a disk it is also an acceptor.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,11 +44,11 @@
     node.start(&settings);
     serve_operator(&settings, &node).await?;
     let client_server = ClientServer::start(&settings, &node.control).await?;
-    log::info!("{} serves", settings.machine_name);
+    log::info!("traffic node {} is serving", settings.machine_name);
     while signals.next().await == SignalEvent::Reload {
         node.control.reload_settings();
     }
-    log::info!("{} shuts down", settings.machine_name);
+    log::info!("traffic node {} is shutting down", settings.machine_name);
     tokio::join!(node.resign(), client_server.drain());
     Ok(())
 }
@@ -143,7 +142,7 @@
     }
 }
 
-/// Whether the process has a confirmed control state, a list of servers and a configuration, all of which it
+/// Whether the process has a confirmed control state, a server list and a configuration, all of which it
 /// needs to handle requests.
 fn is_ready(view: &ViewCell) -> bool {
     view.confirmed_age().is_some() && view.servers_age().is_some() && view.view().configuration.is_some()
--- a/crates/rushrudder/src/signals.rs
+++ b/crates/rushrudder/src/signals.rs
@@ -5,7 +5,7 @@
 
 use crate::RoleError;
 
-/// Receives SIGTERM and SIGHUP.
+/// Receiver of SIGTERM and SIGHUP.
 pub struct Signals {
     terminate: Signal,
     reload: Signal,
@@ -33,7 +33,7 @@
         Ok(Self { terminate, reload })
     }
 
-    /// Waits for the next signal.
+    /// Waits for the next signal and returns it.
     pub async fn next(&mut self) -> SignalEvent {
         tokio::select! {
             _ = self.terminate.recv() => SignalEvent::Terminate,
--- a/crates/rushrudder/src/store.rs
+++ b/crates/rushrudder/src/store.rs
@@ -20,9 +20,9 @@
 
 /// Size of a journal segment in bytes.
 const SEGMENT_BYTES: u64 = 16 * 1024 * 1024;
-/// Minimum number of journal segments, however small the disk is.
+/// Minimum number of journal segments, used for a small disk.
 const MIN_SEGMENTS: u64 = 3;
-/// Maximum number of journal segments, however large the disk is.
+/// Maximum number of journal segments, used for a large disk.
 const MAX_SEGMENTS: u64 = 20;
 /// Time for which a store still answers calls after it has handed over its batch jobs, because the new owners
 /// read its replicas.
@@ -47,21 +47,21 @@
     store.start(&settings);
     let forwarder = Forwarder::new(store.control.view.subscribe(), settings.zone.as_str().into());
     tokio::spawn(run_owned_jobs(owned_jobs, forwarder, RunnerSettings::default()));
-    log::info!("{} serves", settings.machine_name);
+    log::info!("store {} is serving", settings.machine_name);
     while signals.next().await == SignalEvent::Reload {
         store.control.reload_settings();
     }
-    log::info!("{} shuts down", settings.machine_name);
+    log::info!("store {} is shutting down", settings.machine_name);
     store.resign().await;
     Ok(())
 }
 
-/// The parts of a store that replicate batch jobs. The items of owned jobs are run by the caller,
-/// which receives these jobs from [`BatchStore::new`].
+/// The parts of a store that replicate batch jobs. The caller runs the items of owned jobs, which it receives
+/// from [`BatchStore::new`].
 pub struct BatchStore {
     /// Control plane of the store, without an acceptor.
     pub control: ControlPlane,
-    /// The replicas of batch jobs in this store, and the ownership of jobs.
+    /// Replicas of batch jobs in this store, and the ownership of jobs.
     pub jobs: JobStore,
     /// Identity of this process as a store: member and zone.
     member: StoreMember,
@@ -101,8 +101,8 @@
         tokio::spawn(report_migration(self.jobs.clone(), Arc::clone(&self.control.ping_service)));
     }
 
-    /// Prepares the end of the process: leaves the store set if another machine has replaced this one, and
-    /// hands all batch jobs over to other stores.
+    /// Prepares the end of the process: leaves the store set if that has more stores than intended, and hands
+    /// all batch jobs over to other stores.
     pub async fn resign(&self) {
         self.control.stop_joining();
         self.control.ping_service.set_shutting_down();
@@ -121,8 +121,8 @@
     storage::RingOptions { segment_bytes: SEGMENT_BYTES, segments }
 }
 
-/// Keeps the epoch up to date that this store reports to the leader in its replies to pings: the epoch of the
-/// store set to which it has migrated all its batch jobs, or 0 while a migration is in progress.
+/// Updates the epoch that this store reports to the leader in its replies to pings: the epoch of the store
+/// set to which it has migrated all its batch jobs, or 0 while a migration is in progress.
 async fn report_migration(store: JobStore, ping_service: Arc<PingService>) {
     ping_service.set_committed_epoch(0);
     loop {
