--- a/crates/rushrudder/tests/docs.rs
+++ b/crates/rushrudder/tests/docs.rs
@@ -52,7 +52,7 @@
         let name = entry.file_name();
         if path.is_dir() && name != "target" && name != ".git" && name != "journal" {
             sources(&path, found);
-        } else if path.extension().is_some_and(|ending| ending == "rs") {
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
     }
@@ -103,7 +103,7 @@
     let mut identifiers = HashSet::new();
     for file in &files {
         let text = fs::read_to_string(file).expect("the source can be read");
-        let is_separator = |letter: char| !letter.is_alphanumeric() && letter != '_';
+        let is_separator = |character: char| !character.is_alphanumeric() && character != '_';
         identifiers.extend(text.split(is_separator).map(str::to_owned));
     }
     let glossary = read("docs/GLOSSARY.md");
--- a/crates/rushrudder/tests/local.rs
+++ b/crates/rushrudder/tests/local.rs
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn given_truncated_texts_and_mixed_versions_when_steps_run_then_texts_and_steps_are_complete() {
+async fn given_truncated_texts_and_mixed_versions_when_steps_run_then_all_are_completed_without_violations() {
     let mut options = fleet_options(22, 3, &[]);
     (options.workload.truncate_every, options.workload.single_version) = (4, false);
     assert_clean(&run(options).await, 3);
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn given_processes_that_receive_sigterm_when_steps_run_then_no_request_is_lost() {
+async fn given_processes_that_receive_sigterm_when_steps_run_then_all_are_completed_without_violations() {
     let report = run(fleet_options(24, 4, &["0:stop:node-2", "1:stop:store-3", "2:stop:node-3"])).await;
     assert_clean(&report, 4);
 }
--- a/crates/rushrudder/tests/startup.rs
+++ b/crates/rushrudder/tests/startup.rs
@@ -26,9 +26,9 @@
 }
 
 /// Returns settings with the given internal port and additional lines.
-fn settings(internal_port: u16, more: &str) -> String {
+fn settings(internal_port: u16, additional_lines: &str) -> String {
     format!(
-        "station = \"node-1\"\nip = \"127.0.0.1\"\ninnerPorts = [{internal_port}, {internal_port}]\n{more}\n"
+        "station = \"node-1\"\nip = \"127.0.0.1\"\ninnerPorts = [{internal_port}, {internal_port}]\n{additional_lines}\n"
     )
 }
 
--- a/crates/rushrudder/tests/stored_data.rs
+++ b/crates/rushrudder/tests/stored_data.rs
@@ -1,8 +1,8 @@
 //! Compatibility with stored data: opens data directories that a released program has written.
 //!
-//! `golden/stored_data/` contains the journals of three nodes and three stores, as the program of commit
-//! fe88581 left them at the end of `rushrudder local --steps 5`, in deflate format. For each journal, a text
-//! file contains what that program read from it. These files must never change.
+//! `golden/stored_data/` contains the journals of three nodes and three stores that the program of commit
+//! fe88581 wrote in a run of `rushrudder local --steps 5`, in deflate format. For each journal, a text file
+//! contains what that program read from it. These files must never change.
 
 use std::fmt::Write as _;
 use std::io::Read;
--- a/crates/rushrudder/tests/unreadable_records.rs
+++ b/crates/rushrudder/tests/unreadable_records.rs
@@ -1,5 +1,5 @@
-//! Recovery of a journal with damaged records. A disk with a record that cannot be decoded counts as lost; a
-//! disk whose last record was torn by a loss of power does not.
+//! Recovery of a journal with damaged records. A disk with a record that cannot be decoded counts as failed;
+//! a disk whose last record was torn by a loss of power does not.
 
 use std::path::Path;
 
@@ -13,7 +13,8 @@
 const DIRECTORY: &str = "/data";
 const OPTIONS: RingOptions = RingOptions { segment_bytes: 4096, segments: 4 };
 
-/// Opens the journal on a simulated disk as an acceptor does, with a new journal if the disk counts as lost.
+/// Opens the journal on a simulated disk as an acceptor does. If the disk counts as failed, a new journal is
+/// created.
 fn open(disk: &SimulatedDisk) -> (Journal, Recovered) {
     let file_system = disk.file_system();
     let open = || Journal::open_inline(disk.file_system(), Path::new(DIRECTORY), OPTIONS);
@@ -30,7 +31,7 @@
     excess_bytes = { &[0, 0, 0, 0] },
     empty = { b"" },
 )]
-fn given_a_record_that_cannot_be_decoded_when_the_disk_is_opened_then_it_counts_as_lost(record: &[u8]) {
+fn given_a_record_that_cannot_be_decoded_when_the_disk_is_opened_then_it_counts_as_failed(record: &[u8]) {
     let disk = SimulatedDisk::new(1);
     let (journal, first) = open(&disk);
     drop(journal.append(PROMISE.to_vec()));
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn given_an_interrupted_set_aside_when_the_disk_is_opened_then_it_counts_as_lost() {
+fn given_an_interrupted_set_aside_when_the_disk_is_opened_then_it_counts_as_failed() {
     let disk = SimulatedDisk::new(3);
     let (journal, first) = open(&disk);
     drop(journal.append(PROMISE.to_vec()));
