--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -60,8 +60,8 @@
 
 /// Opens a journal with `open`. If durable records are missing or cannot be decoded, or an earlier setting
 /// aside was interrupted, the disk counts as failed: the files are set aside, and a new journal with another
-/// incarnation is opened. A member that may
-/// have lost one of its promises must not continue under the same incarnation.
+/// incarnation is opened. A member that may have lost one of its promises must not continue under the same
+/// incarnation.
 ///
 /// A record that a loss of power has torn was never acknowledged. The journal itself drops it, and the disk
 /// does not count as failed.
