--- a/crates/balancer-node/src/bin/balancer-simhost.rs
+++ b/crates/balancer-node/src/bin/balancer-simhost.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// Answers batches until the input ends. Keeps the number of the last line read in `line_number`.
+/// Answers batches until the input ends. Stores the number of the last line read in `line_number`.
 fn run(input: &mut impl BufRead, output: &mut impl Write, line_number: &mut u64) -> Result<(), HostError> {
     let mut host = SimulatedHost::default();
     let mut text = String::new();
--- a/crates/balancer-node/src/decisions/admission.rs
+++ b/crates/balancer-node/src/decisions/admission.rs
@@ -8,14 +8,14 @@
 const MAX_WAIT_FRACTION: f64 = 0.45;
 const MIN_VALUE_FRACTION: f64 = 0.5;
 
-/// The same two with stale counts: they lag behind the queues, and a tight bound would reject too much.
+/// Both fractions for stale counts. These lag behind the queues, so a tight bound would reject too much.
 const STALE_MAX_WAIT_FRACTION: f64 = 0.75;
 const STALE_MIN_VALUE_FRACTION: f64 = 0.9;
 
 /// With stale counts, a request over the bound is admitted with probability (bound / wait)^(1 / this).
 const ADMISSION_JITTER_EXPONENT: f64 = 0.2;
 
-/// Maximum number of queued requests per server, besides those in service, at a bound of the full target.
+/// Maximum number of queued requests per server, besides those in service, if the target fraction is one.
 const MAX_QUEUED: f64 = 3.0;
 
 /// With stale counts, the bound is multiplied by the fraction of attempts not rejected, to this power.
@@ -56,7 +56,7 @@
     }
 }
 
-/// Interpolates linearly between `fraction` (`weight` 0) and one (`weight` 1).
+/// Moves `fraction` linearly towards one: it is unchanged with `weight` 0, and one with `weight` 1.
 fn lerp_up(fraction: f64, weight: f64) -> f64 {
     fraction + (1.0 - fraction) * weight
 }
@@ -72,9 +72,9 @@
         let within_quota = self.quotas.get_mut(request.tenant).is_none_or(|bucket| bucket.try_acquire(now));
         let mut max_wait = self.max_expected_wait(class, within_quota);
         if self.signals.stale {
-            // Rejections are known before counts: without this, the other servers would be overloaded.
+            // Counts lag behind rejections: without a lower bound, the other servers would be overloaded.
             max_wait *= (1.0 - self.estimates.rejection_rate(now)).powf(REJECTION_EXPONENT);
-            // Random, so that nodes with few requests each admit a fraction of them, not all or none.
+            // The bound is random so that nodes with few requests admit a fraction of them, not all or none.
             max_wait /= self.random.f64().powf(ADMISSION_JITTER_EXPONENT);
         }
         let expires_at = now + request.budget_ms;
@@ -83,7 +83,7 @@
             pending.probing = self.pick(now, &pending, f64::INFINITY, self.signals.probes_per_request);
         }
         for &server in &pending.probing {
-            // Counts a probe like a send until a report arrives, or a silent server would be probed forever.
+            // Without this count, an unresponsive server would be probed forever. A report overwrites it.
             self.endpoints.get_mut(server).expect("in use").count.iter_mut().for_each(|count| *count += 1.0);
             cx.actions.push(BalancerAction::Probe { server: ServerId(server) });
         }
@@ -125,7 +125,7 @@
             if request.probing.is_empty() {
                 due.push(*id);
             } else if request.probed == [server] {
-                // Waits only for answers that have already arrived: servers that answer later are busy.
+                // Only answers that have already arrived are awaited: servers that answer later are busy.
                 cx.set_request_timer(*id, 0.0);
             }
         }
@@ -155,7 +155,7 @@
         let quota = if within_quota { 1.0 } else { self.settings.over_quota_value };
         let best = (0..self.settings.classes.len()).map(|k| self.value_density(k)).fold(0.0, f64::max);
         let value = if best > 0.0 { self.value_density(class) * quota / best } else { 1.0 };
-        // Late answers cost less if they keep some value; counts just probed need less margin.
+        // Late answers cost less if they keep some value; freshly probed counts need less margin.
         let late_value = self.settings.classes[class].late_value;
         let late = if self.signals.probing { PROBED_CONFIDENCE } else { late_value };
         if !self.signals.stale {
--- a/crates/balancer-node/src/decisions/attempts.rs
+++ b/crates/balancer-node/src/decisions/attempts.rs
@@ -20,12 +20,12 @@
 pub(super) struct Attempt {
     pub(super) target: ServerEntry,
     pub(super) sent_at: f64,
-    /// Number of requests at the server when the attempt was sent, including it, by this node's information.
+    /// Number of requests at the server after sending the attempt, according to this node's information.
     pub(super) depth: f64,
     /// Time in ms from which the attempt may be cancelled as stalled.
     pub(super) stalls_at: f64,
     pub(super) in_flight: bool,
-    /// Whether it was cancelled as stalled: its end then counts as a failure of its server.
+    /// Whether the attempt was cancelled as stalled. Its end then counts as a failure of the server.
     pub(super) stalled: bool,
 }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Returns whether the class allows a retry at `now`. `with_last`: the last attempt may have run, too.
+    /// Returns whether the class allows a retry at `now`; with `with_last`, even if the last attempt has run.
     fn may_repeat(&self, now: f64, request: &PendingRequest, with_last: bool) -> bool {
         let last = request.attempts.last().filter(|_| with_last);
         let Some(first) = request.first_run().or(last) else { return true };
--- a/crates/balancer-node/src/decisions/estimates.rs
+++ b/crates/balancer-node/src/decisions/estimates.rs
@@ -1,5 +1,5 @@
 //! Running estimates: latency of servers and classes, load level of the fleet, rejections and arrivals.
-//! Times are in milliseconds; half-lives are constants in mean latency targets of the classes.
+//! Times are in milliseconds; constant half-lives are multiples of the mean latency target of the classes.
 
 use crate::interface::*;
 
@@ -144,7 +144,7 @@
     }
 }
 
-/// Returns the requests in a report; with `stale` counts, one in service is added to a queue length.
+/// Returns the requests in a report. If it has only the queued ones, `stale` adds one that is in service.
 pub(super) fn reported_requests(report: &LoadReport, stale: bool) -> Option<f64> {
     let in_service = if stale { IDLE_REQUESTS } else { 0.0 };
     let requests = report.in_flight.or(report.queued.map(|queued| queued + in_service));
--- a/crates/balancer-node/src/decisions/expectation.rs
+++ b/crates/balancer-node/src/decisions/expectation.rs
@@ -14,13 +14,13 @@
 /// With stale counts, half-life of the difference of a report from the load level, in mean latency targets.
 const REPORT_HALF_LIFE: f64 = 12.0;
 
-/// Maximum random relative change of a rank that selects probes: else all nodes would probe the same server.
+/// Maximum random relative change of a rank that selects probes. It keeps nodes from probing the same server.
 const TIE_BREAK_JITTER: f64 = 0.7;
 
 /// Estimates over all servers at the time `now`, used for every candidate of one selection.
 pub(super) struct Baseline {
     now: f64,
-    /// Latency and depth by all outcomes, and by recent outcomes alone.
+    /// Mean latency and depth of all outcomes, and of recent outcomes alone.
     long_term: LatencyAtDepth,
     recent: LatencyAtDepth,
     /// Count that is assumed for a server without one.
@@ -128,7 +128,7 @@
     /// Returns the expected time until an answer of the server, in milliseconds.
     fn wait(&self, server: &Server, baseline: &Baseline) -> f64 {
         let (count, LatencyAtDepth { latency, depth }) = self.expected(server, baseline);
-        // A report in a response counts the answered request, whose place the next request takes.
+        // A report in a response counts the answered request, which the next request replaces.
         match self.signals.probing {
             _ if self.signals.stale && self.signals.reports_arrive => count * latency / depth,
             true if count < 0.5 => 0.0,
--- a/crates/balancer-node/src/decisions/health.rs
+++ b/crates/balancer-node/src/decisions/health.rs
@@ -9,8 +9,8 @@
 const EJECTION_FAILURES: u32 = 3;
 const EJECTION_TIME: f64 = 2.0;
 
-/// The same with more than `NODES_PER_SERVER` nodes: each seldom sends to a given server, and would lose
-/// requests until it has seen several failures itself.
+/// The same with more than `NODES_PER_SERVER` nodes: each node seldom sends to a given server, and its
+/// requests would fail until it has seen several failures itself.
 const STALE_EJECTION_FAILURES: u32 = 1;
 const STALE_EJECTION_TIME: f64 = 30.0;
 
--- a/crates/balancer-node/src/decisions/mod.rs
+++ b/crates/balancer-node/src/decisions/mod.rs
@@ -19,7 +19,7 @@
 /// Target number of nodes that send to one server. A low number keeps connections few and in regular use.
 const NODES_PER_SERVER: f64 = 12.0;
 
-/// Minimum size of a node's subset of servers, if as many are ready; and maximum number of probes a request.
+/// Minimum size of a node's subset of servers, if as many are ready; maximum number of probes per request.
 const MIN_SUBSET_SIZE: usize = 3;
 
 /// Fractional part of the golden ratio: its multiples, modulo one, spread the nodes evenly over a ring.
@@ -43,14 +43,14 @@
     }
 }
 
-/// The signals by which this node learns the load of servers. They follow from the settings and never change.
+/// How this node obtains the load of servers. It follows from the settings and never changes.
 struct LoadSignals {
     /// Number of servers probed before the first attempt of each request; `probing` if it is not zero.
     probes_per_request: usize,
     probing: bool,
     /// Whether reported counts are out of date when used: other nodes also send, and there are no probes.
     stale: bool,
-    /// Whether load reports arrive, with responses or with the probes before each send.
+    /// Whether load reports arrive, with responses or with the probes before first attempts.
     reports_arrive: bool,
 }
 
@@ -58,7 +58,7 @@
     fn new(settings: &DecisionSettings) -> Self {
         // No probes if responses keep the counts of a few nodes fresh, or if nodes may exchange messages.
         let outdated = !settings.responses_carry_load || settings.nodes as f64 > NODES_PER_SERVER;
-        // Probes are paid for with every request. They are useless if they carry no load report.
+        // Each request pays the price of its probes. They are useless if they carry no load report.
         let affordable = (PROBE_BUDGET / settings.probe_price).clamp(0.0, MIN_SUBSET_SIZE as f64) as usize;
         let useful = settings.probes && settings.probes_carry_load && !settings.peers && outdated;
         let probes_per_request = if useful { affordable } else { 0 };
--- a/crates/balancer-node/src/decisions/selection.rs
+++ b/crates/balancer-node/src/decisions/selection.rs
@@ -5,7 +5,7 @@
 use super::{expectation::Candidate, Balancer, PendingRequest};
 use crate::interface::*;
 
-/// Servers with more than this many times the shortest expected wait are excluded. Over 2, so counts decide.
+/// Servers over this multiple of the shortest expected wait are excluded. It exceeds 2 so that counts decide.
 const MAX_WAIT_RATIO: f64 = 2.5;
 
 /// Maximum number of near and of far servers that are considered for one request, to save time.
--- a/crates/balancer-node/src/decisions/slow_start.rs
+++ b/crates/balancer-node/src/decisions/slow_start.rs
@@ -5,7 +5,7 @@
 use super::{estimates::RECENT_OUTCOMES, selection::MAX_CANDIDATES_PER_PART};
 use crate::{interface::DecisionSettings, ring::Ring};
 
-/// Fraction of a warming server's load limit that all nodes use: capacities are estimates, arrivals burst.
+/// Fraction of a warming server's load limit that all nodes use: capacities are estimates, arrivals bursty.
 const WARMUP_UTILIZATION: f64 = 0.5;
 
 /// Number of selections over which the share of a warm server is averaged.
--- a/crates/balancer-node/src/interface/endpoints.rs
+++ b/crates/balancer-node/src/interface/endpoints.rs
@@ -1,6 +1,6 @@
 //! Servers and updates of the server list, as discovery passes them to the decision logic.
 
-/// Identifies a server. The embedding node assigns the number and never reuses it for another server.
+/// Number of a server. The embedding node assigns it and never reuses it for another server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub usize);
 
@@ -31,9 +31,9 @@
     pub zone: usize,
     /// Index of its machine kind, below [`DecisionSettings::kinds`](crate::DecisionSettings::kinds).
     pub kind: usize,
-    /// Listed weight; [`WeightMeaning`](crate::WeightMeaning) tells how to interpret it.
+    /// Weight in the server list, interpreted according to [`WeightMeaning`](crate::WeightMeaning).
     pub weight: f64,
-    /// Hash of the server's name, the same at every node: all nodes order the servers alike by it.
+    /// Hash of the server's name, the same at every node, by which all nodes order the servers alike.
     pub key: u64,
 }
 
--- a/crates/balancer-node/src/interface/events.rs
+++ b/crates/balancer-node/src/interface/events.rs
@@ -2,7 +2,7 @@
 
 use super::{EndpointUpdate, ServerId};
 
-/// Identifies a client's request. The embedding node assigns the number and never reuses it.
+/// Number of a client's request. The embedding node assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Load reported by a server itself; `None` for a figure that it does not report.
+/// Load that a server reports; `None` for a figure that it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Number of requests in flight at the server, from all nodes.
--- a/crates/balancer-node/src/interface/settings.rs
+++ b/crates/balancer-node/src/interface/settings.rs
@@ -20,7 +20,7 @@
 pub enum Idempotency {
     /// The request may be repeated at any server and at any time.
     Safe,
-    /// Repeats carry an idempotency key. The servers of the group discard them within a time window.
+    /// Repeats carry an idempotency key, by which the servers of the group discard them within a time window.
     Keyed {
         /// Servers that share the deduplication table with the server of the first attempt.
         group: DeduplicationScope,
--- a/crates/balancer-node/src/main.rs
+++ b/crates/balancer-node/src/main.rs
@@ -16,7 +16,7 @@
 use balancer::net::node::{Node, NodeError};
 use balancer::net::{discovery, frontend};
 
-/// A reason why the node cannot start.
+/// Reason why the node cannot start.
 enum StartError {
     Runtime(io::Error),
     Signal { name: &'static str, source: io::Error },
@@ -55,7 +55,7 @@
 }
 
 async fn serve() -> Result<(), StartError> {
-    // Must come first: once the handlers are installed, neither signal kills the process.
+    // The handlers come first: once they are installed, neither signal kills the process.
     let mut terminate = on_signal(SignalKind::terminate(), "SIGTERM")?;
     let mut hangup = on_signal(SignalKind::hangup(), "SIGHUP")?;
     let config = Config::from_env().map_err(StartError::Config)?;
--- a/crates/balancer-node/src/net/config.rs
+++ b/crates/balancer-node/src/net/config.rs
@@ -12,7 +12,7 @@
 use super::list::{ListDecoder, ServerList};
 use crate::{wire, DecisionSettings, Idempotency};
 
-/// Used in place of a time limit that is not configured.
+/// Time limit that applies if none is configured, and upper bound of a configured one.
 const UNLIMITED: Duration = Duration::from_secs(24 * 3600);
 /// Fraction of the memory limit that the server list may take.
 const LIST_MEMORY_FRACTION: f64 = 0.5;
@@ -144,8 +144,8 @@
     }
     let mut settings = wire::read_settings(json).map_err(ConfigError::MalformedSettings)?;
     // `allowed.retry_after` applies to simulated clients only. On sockets every rejection has a `Retry-After`
-    // header, so that a client that is rejected at once can tell when to retry. The longest pause is the one
-    // in the settings, or else the longest deadline.
+    // header: a client that is rejected immediately could not otherwise determine when to retry. The longest
+    // pause is the one in the settings, or else the longest deadline.
     let longest = settings.longest_deadline_ms();
     settings.max_retry_after_ms = Some(json["allowed"]["max_retry_after_ms"].as_f64().unwrap_or(longest));
     settings.validate().map_err(ConfigError::InvalidSettings)?;
@@ -180,7 +180,7 @@
     value.ok_or(ConfigError::InvalidCount { key })
 }
 
-/// Returns how many bytes of memory a server list may take under the memory limit of the node.
+/// Returns the maximum memory of a server list in bytes, derived from the memory limit of the node.
 fn max_list_bytes(limits: &Value) -> usize {
     let memory_mb = limits["memory_mb"].as_f64().filter(|mb| *mb > 0.0).unwrap_or(DEFAULT_MEMORY_MB);
     (memory_mb * LIST_MEMORY_FRACTION * f64::from(1 << 20)) as usize
--- a/crates/balancer-node/src/net/config_error.rs
+++ b/crates/balancer-node/src/net/config_error.rs
@@ -1,4 +1,4 @@
-//! The errors of reading a node's configuration.
+//! Errors of reading a node's configuration.
 
 use std::fmt;
 use std::io;
@@ -7,7 +7,7 @@
 use crate::wire::WireError;
 use crate::SettingsError;
 
-/// A reason why a configuration cannot be used. The message names the invalid variable or key.
+/// Reason why a configuration cannot be used. The message names the invalid variable or key.
 #[derive(Debug)]
 pub enum ConfigError {
     /// An environment variable is not set, or is not valid UTF-8.
@@ -63,7 +63,7 @@
     },
     /// An entry of a list of names is neither a string nor an object with a `name`.
     UnnamedEntry {
-        /// Name of the key that holds the list.
+        /// Name of the key of the list.
         key: &'static str,
     },
 }
--- a/crates/balancer-node/src/net/discovery.rs
+++ b/crates/balancer-node/src/net/discovery.rs
@@ -93,7 +93,7 @@
     fn call_failed(&self, _error: &CallError) {}
 }
 
-/// A reason why a call to discovery has failed.
+/// Reason why a call to discovery has failed.
 #[derive(Debug)]
 pub enum CallError {
     /// The connection was not established, or it broke.
@@ -160,7 +160,7 @@
     }
 }
 
-/// The state of polling discovery, kept from one call to the next.
+/// State of polling discovery, kept from one call to the next.
 struct Poller {
     connection: Option<DiscoveryConnection>,
     /// Time for which discovery may hold the next call; zero until it has responded once.
@@ -173,9 +173,9 @@
         Self { connection, poll_timeout }
     }
 
-    /// Drops the connection to the former discovery, so that the next call goes to the new one. All nodes
-    /// learn of the new address at once, so each node first waits for its part of the time over which the
-    /// calls are spread.
+    /// Drops the connection to the former discovery, so that the next call is sent to the new one. All nodes
+    /// receive the new address at the same time, so each node first waits for its part of the time over
+    /// which the calls are spread.
     async fn move_to_new_discovery(&mut self, node: &impl Subscriber) {
         sleep(response_timeout(node).min(MAX_MOVE_SPREAD).mul_f64(node.spread_position())).await;
         *self = Self::new(None);
@@ -240,7 +240,7 @@
 fn call_request(node: &impl Subscriber, poll_timeout: Duration) -> Request<Empty<Bytes>> {
     let path = node.revision().map_or_else(
         || "/catalog/members".to_owned(),
-        // At least 1 ms: discovery might take zero for a missing value.
+        // The timeout is at least 1 ms: discovery might treat zero as a missing value.
         |revision| {
             format!("/catalog/members?since={revision}&timeout_ms={}", poll_timeout.as_millis().max(1))
         },
--- a/crates/balancer-node/src/net/frontend/api.rs
+++ b/crates/balancer-node/src/net/frontend/api.rs
@@ -29,7 +29,7 @@
 /// that.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A response to a client, with its whole body.
+/// Response to a client, with its complete body.
 pub(super) type ClientResponse = Response<Full<Bytes>>;
 
 /// Answers a request. Its body must have arrived by `body_by`.
@@ -69,8 +69,8 @@
     response
 }
 
-/// Reports on drop that the client needs no answer any more, which has no effect after the final answer.
-/// hyper drops the future that holds this value if the client disconnects.
+/// Guard that reports on drop that the client needs no answer any more, which has no effect after the final
+/// answer. hyper drops the future that owns the guard if the client disconnects.
 struct PendingAnswer {
     node: Rc<Node>,
     id: RequestId,
--- a/crates/balancer-node/src/net/frontend/connections.rs
+++ b/crates/balancer-node/src/net/frontend/connections.rs
@@ -13,7 +13,7 @@
 /// Time within which a client must send the head of its first request, any head that it has begun, and a
 /// body. A client that sends nothing or sends slowly must be disconnected within 3 s.
 pub(super) const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Idle timeout of a connection after a response. The rules allow to close it after 2 s.
+/// Idle timeout of a connection after a response. The rules allow closing it after 2 s.
 pub(super) const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time that a new client has for its first request before its connection is the first choice for closing.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
--- a/crates/balancer-node/src/net/frontend/request.rs
+++ b/crates/balancer-node/src/net/frontend/request.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct InvalidHead(pub(super) &'static str);
 
-/// Reads the header fields that the decisions need.
+/// Header fields of a request, with accessors for those that the decisions need.
 struct Fields<'a>(&'a HeaderMap);
 
 impl Fields<'_> {
--- a/crates/balancer-node/src/net/list/decoder.rs
+++ b/crates/balancer-node/src/net/list/decoder.rs
@@ -26,15 +26,15 @@
     End,
 }
 
-/// Reads just the id of an entry that does not describe a server.
+/// Id of an entry that does not describe a server.
 #[derive(Deserialize)]
 struct NamedEntry {
     id: String,
 }
 
 /// Decodes a server list chunk by chunk. An entry that is valid JSON but does not describe a server is
-/// skipped and counted in [`ServerList::unreadable`]. Invalid JSON anywhere in the text makes the whole list
-/// an error.
+/// skipped and counted in [`ServerList::unreadable`]. Invalid JSON anywhere in the text invalidates the
+/// complete list.
 pub struct ListDecoder {
     /// Maximum memory of the decoded list, in bytes.
     max_bytes: usize,
@@ -43,9 +43,9 @@
     state: ParserState,
     /// Scanner of the key or value that is being read; `None` between two of them.
     scanner: Option<ValueScanner>,
-    /// The text received so far of the key or value that is being read.
+    /// Text received so far of the key or value that is being read.
     text: Vec<u8>,
-    /// The last key that was read.
+    /// Last key that was read.
     key: String,
     revision: Option<u64>,
     complete: Option<bool>,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Returns the list after the whole text has been fed.
+    /// Returns the list after the complete text has been fed.
     ///
     /// # Errors
     ///
--- a/crates/balancer-node/src/net/list/mod.rs
+++ b/crates/balancer-node/src/net/list/mod.rs
@@ -16,8 +16,7 @@
 pub struct ServerList {
     /// Version of the list after these changes. The next call asks for the changes since it.
     pub revision: u64,
-    /// Whether the list names every server. If not, it holds only the changes since the version that was
-    /// asked for.
+    /// Whether the list names every server. If not, it contains only the changes since the requested version.
     pub complete: bool,
     /// Number of entries that were received, including unchanged and unreadable ones.
     pub entries: usize,
@@ -70,7 +69,7 @@
     }
 }
 
-/// Phase in the life of a listed server.
+/// Lifecycle phase of a listed server.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberPhase {
@@ -110,7 +109,7 @@
     }
 }
 
-/// A reason why a text is not a valid server list.
+/// Reason why a text is not a valid server list.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ListError {
     /// The decoded list would exceed the memory limit of the [`ListDecoder`].
--- a/crates/balancer-node/src/net/list/value_scanner.rs
+++ b/crates/balancer-node/src/net/list/value_scanner.rs
@@ -1,6 +1,6 @@
 //! Finds the end of a JSON value without decoding it.
 
-/// Finds the end of a JSON value in text that arrives in chunks.
+/// Scanner that finds the end of a JSON value in text that arrives in chunks.
 #[derive(Clone, Copy)]
 pub(super) struct ValueScanner {
     /// Number of objects and lists that are open.
--- a/crates/balancer-node/src/net/node/endpoints.rs
+++ b/crates/balancer-node/src/net/node/endpoints.rs
@@ -13,7 +13,7 @@
 struct ListedServer {
     entry: ServerEntry,
     address: SocketAddr,
-    /// Number of that list, as counted by [`ServerDirectory::list_started`].
+    /// Number of the last list that named the server, as counted by [`ServerDirectory::list_started`].
     named_in: u64,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl ServerDirectory {
-    /// Must be called when a list begins to arrive, before its entries are applied.
+    /// Records that a list begins to arrive. Must be called before its entries are applied.
     pub(super) fn list_started(&self) {
         self.lists.set(self.lists.get() + 1);
     }
--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -31,7 +31,7 @@
 /// Number of checks for idle connections within their idle timeout.
 const IDLE_CHECKS_PER_TIMEOUT: u32 = 20;
 
-/// A reason why a node cannot start.
+/// Reason why a node cannot start.
 #[derive(Debug)]
 pub enum NodeError {
     /// The settings of the decisions are out of range.
@@ -79,7 +79,7 @@
     balancer: RefCell<Balancer>,
     requests: RequestTable,
     servers: ServerDirectory,
-    /// See [`Subscriber::revision`](super::discovery::Subscriber::revision).
+    /// Version of the list in use; `None` if the list did not come from the present discovery.
     revision: Cell<Option<u64>>,
     /// Whether a failure has been logged since the last list was applied: repeated failures are logged once.
     failure_logged: Cell<bool>,
@@ -89,7 +89,8 @@
     discovery: Cell<SocketAddr>,
     /// Notified when the address of discovery has changed.
     discovery_moved: Notify,
-    /// See [`Subscriber::spread_position`](super::discovery::Subscriber::spread_position).
+    /// Delay of the first call after discovery has moved, as a fraction (0 to 1) of the time over which nodes
+    /// spread these calls.
     spread_position: f64,
     clock: Clock,
 }
@@ -223,9 +224,9 @@
         Ok(id)
     }
 
-    /// Must be called when the client has disconnected or its deadline has passed, and no answer is needed
-    /// any more. An attempt that has not been sent yet is cancelled even if the settings forbid to cancel
-    /// attempts: that rule applies to attempts that have been sent.
+    /// Abandons a request whose client has disconnected or whose deadline has passed. An attempt that has
+    /// not been sent yet is cancelled even if the settings forbid cancelling attempts: that rule applies to
+    /// attempts that have been sent.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         if self.requests.abandon(id) {
             self.handle(BalancerEvent::ClientDisconnected(id));
--- a/crates/balancer-node/src/net/node/requests.rs
+++ b/crates/balancer-node/src/net/node/requests.rs
@@ -12,7 +12,7 @@
 use crate::net::upstream::{ForwardedRequest, SendState};
 use crate::RequestId;
 
-/// The final answer to a request. Each request gets exactly one, unless its client disconnects before.
+/// Final answer to a request. Each request gets exactly one, unless its client disconnects before.
 pub enum FinalAnswer {
     /// A server has served the request; holds the body of its response.
     Served(Bytes),
@@ -23,7 +23,7 @@
     Failed,
 }
 
-/// A reason why a request is not admitted.
+/// Reason why a request is not admitted.
 pub enum AdmissionError {
     /// The maximum number of requests is pending.
     Full,
@@ -47,7 +47,7 @@
     }
 }
 
-/// The means to cancel an attempt in flight.
+/// Handle to cancel an attempt in flight.
 struct AttemptHandle {
     cancel: oneshot::Sender<()>,
     state: Rc<Cell<SendState>>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// What the task of a new attempt needs.
+/// Input of the task that makes a new attempt.
 pub(super) struct StartedAttempt {
     /// Index of the attempt among the attempts of its request.
     pub(super) index: usize,
@@ -73,8 +73,8 @@
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: RefCell<HashMap<RequestId, PendingRequest>>,
-    /// The `X-Request-Id` of each pending request. They must be unique, since servers take two requests with
-    /// one id for the same request.
+    /// The `X-Request-Id` of each pending request. They must be unique, since servers treat two requests
+    /// with the same id as one.
     client_ids: RefCell<HashSet<HeaderValue>>,
     last_id: Cell<u64>,
 }
@@ -167,8 +167,8 @@
         request.answer = None;
         for attempt in &mut request.attempts {
             if let Some(handle) = attempt.take_if(|handle| handle.state.get() == SendState::NotSent) {
-                // Its connection may be established at this moment; the state prevents that the request is
-                // sent on it.
+                // Its connection may be established at this moment; the state prevents the request from
+                // being sent on it.
                 handle.state.set(SendState::Abandoned);
                 handle.cancel();
             }
--- a/crates/balancer-node/src/net/upstream/attempt.rs
+++ b/crates/balancer-node/src/net/upstream/attempt.rs
@@ -37,7 +37,7 @@
     pub method: Method,
     /// Path and query of the client's request, without scheme and authority.
     pub uri: Uri,
-    /// Those header fields of the client's request that are forwarded.
+    /// Header fields of the client's request that are forwarded.
     pub headers: HeaderMap,
     /// Body of the client's request.
     pub body: Bytes,
@@ -79,7 +79,7 @@
     Abandoned,
 }
 
-/// The result of an attempt or a probe.
+/// Result of an attempt or a probe.
 pub struct ServerReply {
     /// Outcome for the decisions.
     pub outcome: AttemptOutcome,
@@ -96,9 +96,9 @@
     }
 }
 
-/// Makes one attempt of a request, from choosing a connection to the complete response. `state` shows whether
-/// the request may have been sent. A request that cannot be sent by `send_by` is not sent at all. When this
-/// returns, the attempt is no longer in progress: its connection is idle or closed.
+/// Makes one attempt of a request, from selecting a connection to the complete response. `state` shows
+/// whether the request may have been sent. A request that cannot be sent by `send_by` is not sent at all.
+/// When this returns, the attempt is no longer in progress: its connection is idle or closed.
 pub async fn attempt(
     upstream: &Upstream,
     server: ServerId,
@@ -234,7 +234,7 @@
     }
 }
 
-/// The result of sending a message on one connection.
+/// Result of sending a message on one connection.
 enum SendOutcome {
     /// The message may have been sent, or must not be sent any more.
     Reply(ServerReply),
@@ -277,7 +277,7 @@
 }
 
 /// Reads a response and returns whether it is complete. Only a complete response proves an outcome and allows
-/// to keep the connection. If the server requests it, hyper closes the connection.
+/// keeping the connection. If the server requests it, hyper closes the connection.
 async fn read_response(response: Response<Incoming>) -> (ServerReply, bool) {
     let (head, body) = response.into_parts();
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
--- a/crates/balancer-node/src/net/upstream/connection.rs
+++ b/crates/balancer-node/src/net/upstream/connection.rs
@@ -25,7 +25,7 @@
 /// Maximum length of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Counts one socket as open for as long as the permit exists.
+/// Permit for one socket, which counts as open for as long as the permit exists.
 pub(super) struct SocketPermit(Rc<Cell<usize>>);
 
 impl SocketPermit {
--- a/crates/balancer-node/src/ring.rs
+++ b/crates/balancer-node/src/ring.rs
@@ -19,7 +19,7 @@
         Self { parts: Default::default(), start, share, min_size }
     }
 
-    /// Replaces all entries; the flag tells whether the server is far.
+    /// Replaces all entries; the flag of an entry is true if the server is far.
     pub fn rebuild(&mut self, entries: Vec<(bool, RingEntry)>) {
         self.parts.iter_mut().for_each(Vec::clear);
         entries.into_iter().for_each(|(far, entry)| self.parts[usize::from(far)].push(entry));
@@ -60,7 +60,7 @@
         self.parts.each_ref().map(|part| size.min(part.len()) as f64 / part.len().max(1) as f64)
     }
 
-    /// Returns the subset's slots, near ones first. Of a part over `max`, takes `max` from a random start.
+    /// Returns the subset's slots, near ones first: of a part over `max`, `max` slots from a random start.
     pub fn subset(&self, max: usize, random: &mut fastrand::Rng) -> Vec<usize> {
         let subset_size = self.subset_size();
         let mut slots = Vec::with_capacity(2 * max.min(subset_size));
@@ -79,7 +79,7 @@
         self.min_size.max((self.len() as f64 * self.share).ceil() as usize)
     }
 
-    /// Iterates over a whole ring from the start of the node's subset.
+    /// Iterates over a complete ring from the start of the node's subset.
     fn rotated<'a>(&self, part: &'a [RingEntry]) -> impl Iterator<Item = &'a RingEntry> {
         let (before, after) = part.split_at((self.start * part.len() as f64) as usize);
         after.iter().chain(before)
--- a/crates/balancer-node/src/wire/codec.rs
+++ b/crates/balancer-node/src/wire/codec.rs
@@ -13,8 +13,8 @@
 const FLAG_COST_KNOWN: u64 = 1;
 const FLAG_RETRY: u64 = 2;
 
-/// State that the conversion of one instance's messages needs: the numbers of its servers, and the columns of
-/// its load reports.
+/// Converter of one instance's messages and actions, with the numbers of its servers and the columns of its
+/// load reports.
 #[derive(Debug, Default)]
 pub struct MessageCodec {
     /// Names of servers, by server number.
@@ -79,7 +79,7 @@
             }
             "ENDED" => BalancerEvent::AttemptEnded(self.attempt_end(line)?),
             "HANGUP" => BalancerEvent::ClientDisconnected(request_id(line)?),
-            // The timers of this instance have numbers: another token is not one of them.
+            // The instance identifies its timers by numbers: any other token belongs to none of them.
             "FIRED" => match line.text("nonce")?.parse() {
                 Ok(timer) => BalancerEvent::TimerFired(timer),
                 Err(_) => return Ok(None),
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Appends an action of the instance `node` to `out`, as one line. Its server must have a number here.
+    /// Appends an action of the instance `node` to `out`, as one line. This codec must have assigned the
+    /// number of the action's server.
     pub fn print(&self, node: &str, action: &BalancerAction, out: &mut String) {
         let printed = match action {
             BalancerAction::Send { request, server, .. } => {
--- a/crates/balancer-node/src/wire/settings.rs
+++ b/crates/balancer-node/src/wire/settings.rs
@@ -76,7 +76,7 @@
     read_flag(allowed, "peers", &mut settings.peers)
 }
 
-/// Reads where load reports come from. Reports without a used field count as absent.
+/// Reads the source of the load reports. Reports without a used field count as absent.
 fn read_load_reports(stats: &Value, settings: &mut DecisionSettings) {
     let is_used = |field: &Value| field.as_str().is_some_and(|name| USED_REPORT_FIELDS.contains(&name));
     let useful = list(stats, "fields").iter().any(is_used);
