--- a/crates/balancer-node/src/decisions/admission.rs
+++ b/crates/balancer-node/src/decisions/admission.rs
@@ -57,7 +57,7 @@
 }
 
 /// Moves `fraction` linearly towards one: it is unchanged with `weight` 0, and one with `weight` 1.
-fn lerp_up(fraction: f64, weight: f64) -> f64 {
+fn toward_1(fraction: f64, weight: f64) -> f64 {
     fraction + (1.0 - fraction) * weight
 }
 
@@ -159,10 +159,10 @@
         let late_value = self.settings.classes[class].late_value;
         let late = if self.signals.probing { PROBED_CONFIDENCE } else { late_value };
         if !self.signals.stale {
-            return lerp_up(MAX_WAIT_FRACTION, late) * lerp_up(lerp_up(MIN_VALUE_FRACTION, late), value);
+            return toward_1(MAX_WAIT_FRACTION, late) * toward_1(toward_1(MIN_VALUE_FRACTION, late), value);
         }
-        let by_value = lerp_up(lerp_up(STALE_MIN_VALUE_FRACTION, late), value);
-        STALE_MAX_WAIT_FRACTION * by_value * lerp_up(lerp_up(MIN_VALUE_FRACTION, late), quota)
+        let by_value = toward_1(toward_1(STALE_MIN_VALUE_FRACTION, late), value);
+        STALE_MAX_WAIT_FRACTION * by_value * toward_1(toward_1(MIN_VALUE_FRACTION, late), quota)
     }
 
     fn value_density(&self, class: usize) -> f64 {
