--- a/crates/balancer-node/src/net/frontend/api.rs
+++ b/crates/balancer-node/src/net/frontend/api.rs
@@ -46,14 +46,14 @@
             let rejecting = || slot.connections.rejecting.get();
             forward(node, socket, request, body_by, rejecting).await.unwrap_or_else(|response| response)
         }
-        "/_health" if draining => text(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
-        "/_health" => text(StatusCode::OK, "ready\n"),
-        _ => text(StatusCode::NOT_FOUND, "no such path\n"),
+        "/_health" if draining => text_response(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
+        "/_health" => text_response(StatusCode::OK, "ready\n"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
 /// Creates a response with one line of text.
-pub(super) fn text(status: StatusCode, line: &'static str) -> ClientResponse {
+pub(super) fn text_response(status: StatusCode, line: &'static str) -> ClientResponse {
     let mut response = Response::new(Full::from(line));
     *response.status_mut() = status;
     response
@@ -61,7 +61,7 @@
 
 /// Creates the response to a rejected request, with the recommended pause before a retry.
 fn rejection(retry_after_ms: Option<f64>) -> ClientResponse {
-    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
     if let Some(ms) = retry_after_ms {
         let seconds = format!("{:.3}", ms / 1000.0).parse().expect("digits");
         response.headers_mut().insert(RETRY_AFTER, seconds);
@@ -105,7 +105,7 @@
     let (RequestHead { deadline, mut request }, body) =
         read_request(node, arrived_at, &head, body, body_by).await?;
     let target = forwarded(head.uri, &head.headers);
-    let (uri, headers) = target.ok_or_else(|| text(StatusCode::BAD_REQUEST, "a bad target\n"))?;
+    let (uri, headers) = target.ok_or_else(|| text_response(StatusCode::BAD_REQUEST, "a bad target\n"))?;
     let expires_at = arrived_at + deadline.saturating_sub(TRANSIT_MARGIN).max(deadline / 2);
     let budget = expires_at.saturating_duration_since(Instant::now());
     let max_retry_after_ms = node.config.settings.max_retry_after_ms;
@@ -116,7 +116,7 @@
     request.budget_ms = budget.as_secs_f64() * 1000.0;
     // If the client disconnected before its request was read, nothing is sent to a server.
     if has_disconnected(socket.stream()).await {
-        return Err(text(StatusCode::BAD_REQUEST, "the client has left\n"));
+        return Err(text_response(StatusCode::BAD_REQUEST, "the client has left\n"));
     }
     let forwarded_request = ForwardedRequest { method: head.method, uri, headers, body, expires_at };
     let (answer, answered) = oneshot::channel();
@@ -137,9 +137,11 @@
         biased;
         answer = timeout_at(until, answered) => Ok(match answer {
             Ok(answer) => final_response(answer.unwrap_or(FinalAnswer::Failed)),
-            Err(_) => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+            Err(_) => text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
         }),
-        () = client_disconnected(socket.stream()) => Err(text(StatusCode::BAD_REQUEST, "the client has left\n")),
+        () = client_disconnected(socket.stream()) => {
+            Err(text_response(StatusCode::BAD_REQUEST, "the client has left\n"))
+        }
     }
 }
 
@@ -148,7 +150,7 @@
         // The limit of pending requests is reached. How long that lasts is unknown, so the longest pause is
         // recommended.
         AdmissionError::Full => rejection(max_retry_after_ms),
-        AdmissionError::DuplicateId => text(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
+        AdmissionError::DuplicateId => text_response(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
     }
 }
 
@@ -156,7 +158,7 @@
     match answer {
         FinalAnswer::Served(body) => Response::new(Full::new(body)),
         FinalAnswer::Rejected(retry_after_ms) => rejection(retry_after_ms),
-        FinalAnswer::Failed => text(StatusCode::BAD_GATEWAY, "failed\n"),
+        FinalAnswer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
     }
 }
 
@@ -173,12 +175,12 @@
     let body_by = checked.as_ref().map_or(body_by, |checked| body_by.min(arrived_at + checked.deadline));
     let body = match timeout_at(body_by, read_body(body)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(status)) => return Err(text(status, "the body is broken or too long\n")),
-        Err(_) => return Err(text(StatusCode::REQUEST_TIMEOUT, "the body does not come\n")),
+        Ok(Err(status)) => return Err(text_response(status, "the body is broken or too long\n")),
+        Err(_) => return Err(text_response(StatusCode::REQUEST_TIMEOUT, "the body does not come\n")),
     };
-    let checked = checked.map_err(|invalid| text(StatusCode::BAD_REQUEST, invalid.0))?;
+    let checked = checked.map_err(|invalid| text_response(StatusCode::BAD_REQUEST, invalid.0))?;
     if head.method == Method::GET && !body.is_empty() {
-        return Err(text(StatusCode::BAD_REQUEST, "GET has no body\n"));
+        return Err(text_response(StatusCode::BAD_REQUEST, "GET has no body\n"));
     }
     Ok((checked, body))
 }
--- a/crates/balancer-node/src/net/frontend/mod.rs
+++ b/crates/balancer-node/src/net/frontend/mod.rs
@@ -179,7 +179,7 @@
     body_by: Instant,
 ) -> Result<ClientResponse, Infallible> {
     let mut response = match framing {
-        Framing::Invalid => api::text(StatusCode::BAD_REQUEST, "the length is unclear\n"),
+        Framing::Invalid => api::text_response(StatusCode::BAD_REQUEST, "the length is unclear\n"),
         Framing::Length(_) | Framing::Chunked => api::answer(node, slot, socket, request, body_by).await,
     };
     // Without a known length, the beginning of the next request head cannot be determined.
