--- a/crates/balancer-node/src/decisions/attempts.rs
+++ b/crates/balancer-node/src/decisions/attempts.rs
@@ -157,7 +157,7 @@
         idempotency == Idempotency::Safe || idempotency.window_ms().is_some_and(in_window)
     }
 
-    /// Makes another attempt if class, deadline and retry budget allow it, else gives the final answer.
+    /// Makes another attempt if class, deadline and retry budget allow it; otherwise gives the final answer.
     fn retry_or_give_up(&mut self, cx: &mut Context, id: RequestId, request: &mut PendingRequest) {
         let attempts_left = request.attempts.len() < self.settings.max_attempts;
         let in_budget = attempts_left && self.retry_tokens >= 1.0;
--- a/crates/balancer-node/src/decisions/selection.rs
+++ b/crates/balancer-node/src/decisions/selection.rs
@@ -85,7 +85,7 @@
         candidates
     }
 
-    /// Returns slots of servers: if the request may have run, those that deduplicate it, else `subset`.
+    /// Returns slots of servers: if the request may have run, those that deduplicate it, otherwise `subset`.
     fn eligible(&self, request: &PendingRequest, subset: Vec<usize>) -> Vec<usize> {
         let Some(first) = request.first_run() else { return subset };
         let idempotency = self.settings.classes[request.class].idempotency;
--- a/crates/balancer-node/src/interface/events.rs
+++ b/crates/balancer-node/src/interface/events.rs
@@ -24,7 +24,7 @@
 }
 
 impl ClientRequest {
-    /// Creates a request of the first tenant that is not a retry and has no known cost.
+    /// Creates a request of the first tenant that is not a retry and whose cost is unknown.
     #[must_use]
     pub fn new(id: RequestId, class: usize, budget_ms: f64) -> Self {
         Self { id, class, tenant: 0, budget_ms, cost_ms: None, is_retry: false }
--- a/crates/balancer-node/src/net/config.rs
+++ b/crates/balancer-node/src/net/config.rs
@@ -28,7 +28,7 @@
     /// Address of discovery. The file takes precedence over `GW_DISCOVERY`, because the file can be replaced
     /// while the node runs.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers that the decisions draw.
+    /// Seed of the random numbers that the decision logic draws.
     pub seed: u64,
     /// Maximum number of open sockets in all: to clients, to servers and to discovery.
     pub max_sockets: usize,
@@ -36,9 +36,9 @@
     pub max_list_bytes: usize,
     /// The server list to use until discovery has sent one.
     pub initial_list: ServerList,
-    /// Validated settings of the decisions.
+    /// Validated settings of the decision logic.
     pub settings: DecisionSettings,
-    /// Maps the names in request headers and server lists to the indices that the decisions use.
+    /// Names in request headers and server lists, with the indices that the decision logic uses for them.
     pub names: SettingNames,
     /// Time after which servers close an idle connection. If it is zero, no connection is kept.
     pub idle_timeout: Duration,
@@ -48,7 +48,7 @@
     pub max_pending: usize,
 }
 
-/// Names in the order of the settings. The decisions refer to each name by its index.
+/// Names in the order of the settings. The decision logic refers to each name by its index.
 pub struct SettingNames {
     /// Names of the request classes, as in the `X-Class` header.
     pub classes: Vec<String>,
--- a/crates/balancer-node/src/net/frontend/api.rs
+++ b/crates/balancer-node/src/net/frontend/api.rs
@@ -126,8 +126,8 @@
     wait_for_answer(answered, socket, expires_at + TRANSIT_MARGIN / 2).await
 }
 
-/// Waits for the final answer of an admitted request. The timeout covers requests that the decisions never
-/// answer.
+/// Waits for the final answer of an admitted request. The timeout covers requests that the decision logic
+/// never answers.
 async fn wait_for_answer(
     answered: oneshot::Receiver<FinalAnswer>,
     socket: &ClientSocket,
--- a/crates/balancer-node/src/net/frontend/connections.rs
+++ b/crates/balancer-node/src/net/frontend/connections.rs
@@ -15,7 +15,7 @@
 pub(super) const SLOW_CLIENT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Idle timeout of a connection after a response. The rules allow closing it after 2 s.
 pub(super) const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time that a new client has for its first request before its connection is the first choice for closing.
+/// Time that a new client has for its first request before its connection is the first to be closed.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(250);
 
 /// Sort key of an idle connection: whether it has had a response, and then a number that counts up as
@@ -76,9 +76,9 @@
         self.open.get() < self.max_open + self.overflow
     }
 
-    /// Closes an idle connection and returns whether there was one. The first choice is a connection that has
-    /// passed [`FIRST_REQUEST_GRACE`] without a request, the second one the connection with the oldest last
-    /// response, and the third one a new connection.
+    /// Closes an idle connection and returns whether there was one. A connection that has passed
+    /// [`FIRST_REQUEST_GRACE`] without a request is closed first, then the one with the oldest last response,
+    /// and then a new connection.
     pub(super) fn close_one(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         // A new client keeps its connection until its first request can have arrived.
--- a/crates/balancer-node/src/net/frontend/request.rs
+++ b/crates/balancer-node/src/net/frontend/request.rs
@@ -36,7 +36,7 @@
 pub(super) struct RequestHead {
     /// Time for which the client waits for the response, from its `X-Deadline`.
     pub(super) deadline: Duration,
-    /// The request for the decisions; its id and budget are not set yet.
+    /// The request for the decision logic; its id and budget are not set yet.
     pub(super) request: ClientRequest,
 }
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct InvalidHead(pub(super) &'static str);
 
-/// Header fields of a request, with accessors for those that the decisions need.
+/// Header fields of a request, with accessors for those that the decision logic needs.
 struct Fields<'a>(&'a HeaderMap);
 
 impl Fields<'_> {
--- a/crates/balancer-node/src/net/list/mod.rs
+++ b/crates/balancer-node/src/net/list/mod.rs
@@ -41,15 +41,15 @@
     pub cell: usize,
     /// Whether the server accepts requests, drains or has been removed.
     pub phase: MemberPhase,
-    /// Weight of the server in the decisions, relative to other servers.
+    /// Weight of the server in the decision logic, relative to other servers.
     pub size: f64,
     /// Unix time in milliseconds at which the server last started; 0 if it started long ago.
     pub up_since_ms: f64,
 }
 
 impl ListedMember {
-    /// Converts the entry for the decisions, which identify the server by `server`, and its zone and machine
-    /// kind by their indices in the settings. `key` is the hash of the server's id.
+    /// Converts the entry for the decision logic, which identifies the server by `server`, and its zone and
+    /// machine kind by their indices in the settings. `key` is the hash of the server's id.
     #[must_use]
     pub fn to_entry(&self, server: ServerId, zone: usize, kind: usize, key: u64) -> ServerEntry {
         ServerEntry {
--- a/crates/balancer-node/src/net/node/endpoints.rs
+++ b/crates/balancer-node/src/net/node/endpoints.rs
@@ -1,4 +1,5 @@
-//! The directory of listed servers: assigns their ids in the decisions, and finds what a new list changes.
+//! The directory of listed servers: assigns their ids in the decision logic, and finds what a new list
+//! changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,8 +18,8 @@
     named_in: u64,
 }
 
-/// The listed servers. Methods that apply parts of a list return the changed entries for the decisions, and
-/// update the connections in [`Upstream`] accordingly.
+/// The listed servers. Methods that apply parts of a list return the changed entries for the decision logic,
+/// and update the connections in [`Upstream`] accordingly.
 #[derive(Default)]
 pub(super) struct ServerDirectory {
     /// Keyed by the id in the list.
@@ -107,8 +108,8 @@
     }
 }
 
-/// Returns the decisions' entry for a listed server. A zone or machine kind that the settings do not name
-/// gets the index after the last one.
+/// Returns the decision logic's entry for a listed server. A zone or machine kind that the settings do not
+/// name gets the index after the last one.
 fn entry(member: &ListedMember, server: ServerId, key: u64, names: &SettingNames) -> ServerEntry {
     let index = |names: &[String], name: &String| names.iter().position(|n| n == name).unwrap_or(names.len());
     let zone = index(&names.zones, &member.locality);
--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -1,4 +1,4 @@
-//! The node: passes events to the decisions and executes the actions that they return.
+//! The node: passes events to the decision logic and executes the actions that it returns.
 
 mod endpoints;
 mod requests;
@@ -34,7 +34,7 @@
 /// Reason why a node cannot start.
 #[derive(Debug)]
 pub enum NodeError {
-    /// The settings of the decisions are out of range.
+    /// The settings of the decision logic are out of range.
     Settings(SettingsError),
     /// The clock of the machine shows a time before 1970.
     Clock(SystemTimeError),
@@ -83,7 +83,7 @@
     revision: Cell<Option<u64>>,
     /// Whether a failure has been logged since the last list was applied: repeated failures are logged once.
     failure_logged: Cell<bool>,
-    /// Notified when the decisions request an update of the list.
+    /// Notified when the decision logic requests an update of the list.
     update_requested: Notify,
     /// Present address of discovery; [`Node::reload`] may change it.
     discovery: Cell<SocketAddr>,
@@ -123,8 +123,8 @@
         let entries = node.changes(initial_list);
         node.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
         if node.config.settings.discovery == DiscoveryMode::Push {
-            // In this mode the decisions expect lists without subscribing, but on sockets lists arrive by
-            // long polls only.
+            // In this mode the decision logic expects lists without subscribing, but on sockets lists arrive
+            // by long polls only.
             node.update_requested.notify_one();
         }
         Ok(node)
@@ -208,7 +208,8 @@
         }
     }
 
-    /// Admits a client's request and passes it to the decisions. Its final answer is sent through `answer`.
+    /// Admits a client's request and passes it to the decision logic. Its final answer is sent through
+    /// `answer`.
     ///
     /// # Errors
     ///
--- a/crates/balancer-node/src/net/node/subscriber.rs
+++ b/crates/balancer-node/src/net/node/subscriber.rs
@@ -1,4 +1,4 @@
-//! Implements [`Subscriber`] for the node: turns server lists into events for the decisions.
+//! Implements [`Subscriber`] for the node: turns server lists into events for the decision logic.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/balancer-node/src/net/socket.rs
+++ b/crates/balancer-node/src/net/socket.rs
@@ -52,7 +52,7 @@
     let _ = stream.ready(Interest::PRIORITY).await;
 }
 
-/// Gives hyper access to a [`Socket`].
+/// Adapter that gives hyper access to a [`Socket`].
 pub struct Io<S>(pub Rc<S>);
 
 impl<S: Socket> AsyncRead for Io<S> {
--- a/crates/balancer-node/src/net/upstream/attempt.rs
+++ b/crates/balancer-node/src/net/upstream/attempt.rs
@@ -81,7 +81,7 @@
 
 /// Result of an attempt or a probe.
 pub struct ServerReply {
-    /// Outcome for the decisions.
+    /// Outcome for the decision logic.
     pub outcome: AttemptOutcome,
     /// Load report in the response; `None` if it has none or a malformed one.
     pub report: Option<LoadReport>,
