--- a/crates/balancer-node/src/decisions/admission.rs
+++ b/crates/balancer-node/src/decisions/admission.rs
@@ -109,7 +109,7 @@
             self.send(cx, id, server, &mut request);
             self.pending.insert(id, request);
         } else {
-            self.slow_start.record_choice(false);
+            self.slow_start.record_selection(false);
             self.give_up(cx, id, &request);
         }
     }
--- a/crates/balancer-node/src/decisions/attempts.rs
+++ b/crates/balancer-node/src/decisions/attempts.rs
@@ -169,7 +169,7 @@
                 self.retry_tokens -= 1.0;
                 return self.send(cx, id, server, request);
             }
-            self.slow_start.record_choice(false);
+            self.slow_start.record_selection(false);
         }
         self.give_up(cx, id, request);
         request.answered = true;
--- a/crates/balancer-node/src/decisions/health.rs
+++ b/crates/balancer-node/src/decisions/health.rs
@@ -23,7 +23,7 @@
         let is_warm = |server: &Server| server.age(now) >= self.settings.warmup_ms;
         let warm = self.endpoints.get(number).is_some_and(is_warm);
         if matches!(outcome, Served | Rejected | TimedOut) {
-            self.slow_start.record_choice(warm && outcome == Served);
+            self.slow_start.record_selection(warm && outcome == Served);
         }
         let server = self.endpoints.get_mut(number).expect("in use");
         server.in_flight = server.in_flight.saturating_sub(1);
--- a/crates/balancer-node/src/decisions/slow_start.rs
+++ b/crates/balancer-node/src/decisions/slow_start.rs
@@ -41,7 +41,7 @@
 
     /// Records whether a warm server served a request. Failures are not recorded: they would reduce the share
     /// of the servers that replace the failed ones.
-    pub(super) fn record_choice(&mut self, served_warm: bool) {
+    pub(super) fn record_selection(&mut self, served_warm: bool) {
         if self.warm_servers > 0.0 {
             let served = if served_warm { 1.0 / self.warm_servers } else { 0.0 };
             let share = self.warm_share.min(1.0 / self.warm_servers);
--- a/crates/balancer-node/src/net/config.rs
+++ b/crates/balancer-node/src/net/config.rs
@@ -83,9 +83,9 @@
     ///
     /// Fails if a variable or key is missing or malformed. The error names the first one.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let name = variable("GW_NAME")?;
-        let listen = address("GW_LISTEN")?;
-        let path = variable("GW_CONFIG")?;
+        let name = env_variable("GW_NAME")?;
+        let listen = env_address("GW_LISTEN")?;
+        let path = env_variable("GW_CONFIG")?;
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(source) => return Err(ConfigError::Unreadable { path, source }),
@@ -96,7 +96,7 @@
 
     fn from_file(name: String, listen: SocketAddr, file: &ConfigFile<'_>) -> Result<Self, ConfigError> {
         let discovery = match &file.discovery {
-            Value::Null => address("GW_DISCOVERY")?,
+            Value::Null => env_address("GW_DISCOVERY")?,
             value => parse_address("discovery", value.as_str().unwrap_or_default())?,
         };
         let seed = file.seed.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
@@ -110,7 +110,7 @@
             listen,
             discovery,
             seed: seed.ok_or(ConfigError::InvalidSeed)?,
-            max_sockets: positive("sockets", &file.limits)?,
+            max_sockets: positive_integer("sockets", &file.limits)?,
             max_list_bytes,
             initial_list,
             names,
@@ -163,19 +163,19 @@
     }
 }
 
-fn variable(key: &'static str) -> Result<String, ConfigError> {
+fn env_variable(key: &'static str) -> Result<String, ConfigError> {
     std::env::var(key).map_err(|_| ConfigError::MissingVariable { key })
 }
 
-fn address(key: &'static str) -> Result<SocketAddr, ConfigError> {
-    parse_address(key, &variable(key)?)
+fn env_address(key: &'static str) -> Result<SocketAddr, ConfigError> {
+    parse_address(key, &env_variable(key)?)
 }
 
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::InvalidAddress { key, text: text.to_owned() })
 }
 
-fn positive(key: &'static str, from: &Value) -> Result<usize, ConfigError> {
+fn positive_integer(key: &'static str, from: &Value) -> Result<usize, ConfigError> {
     let value = from[key].as_u64().and_then(|n| usize::try_from(n).ok()).filter(|n| *n > 0);
     value.ok_or(ConfigError::InvalidCount { key })
 }
@@ -193,7 +193,7 @@
     match &allowed[KEY] {
         Value::Null => Ok(usize::MAX),
         value if value.as_u64() == Some(0) => Ok(usize::MAX),
-        _ => positive(KEY, allowed),
+        _ => positive_integer(KEY, allowed),
     }
 }
 
--- a/crates/balancer-node/src/net/frontend/request.rs
+++ b/crates/balancer-node/src/net/frontend/request.rs
@@ -70,7 +70,7 @@
 
     /// Returns whether the method and the idempotency key are valid for the class. Without its key, a keyed
     /// request could take effect twice.
-    fn match_class(&self, idempotency: Idempotency, method: &Method) -> bool {
+    fn matches_class(&self, idempotency: Idempotency, method: &Method) -> bool {
         match idempotency {
             Idempotency::Safe => method == Method::GET,
             Idempotency::Keyed { .. } => {
@@ -107,7 +107,7 @@
     let class = class.ok_or(InvalidHead("X-Class is missing or unknown\n"))?;
     let tenant = fields.tenant(&names.tenants).ok_or(InvalidHead("X-Tenant is missing or unknown\n"))?;
     let deadline = fields.deadline().ok_or(InvalidHead("X-Deadline is missing or no time above 0\n"))?;
-    if !fields.match_class(config.idempotency(class), method) {
+    if !fields.matches_class(config.idempotency(class), method) {
         return Err(InvalidHead("the method or Idempotency-Key does not fit X-Class\n"));
     }
     let request = ClientRequest {
--- a/crates/balancer-node/src/net/node/endpoints.rs
+++ b/crates/balancer-node/src/net/node/endpoints.rs
@@ -40,10 +40,10 @@
     /// Marks a server as named by the present list, and returns whether its description is unchanged.
     pub(super) fn is_unchanged(&self, member: &ListedMember, names: &SettingNames) -> bool {
         let mut servers = self.servers.borrow_mut();
-        let Some(known) = servers.get_mut(&member.id) else { return false };
-        known.named_in = self.lists.get();
-        known.address == member.host_port
-            && known.entry == entry(member, known.entry.server, known.entry.key, names)
+        let Some(listed) = servers.get_mut(&member.id) else { return false };
+        listed.named_in = self.lists.get();
+        listed.address == member.host_port
+            && listed.entry == entry(member, listed.entry.server, listed.entry.key, names)
     }
 
     /// Applies entries of a list, and assigns ids to new servers.
@@ -57,8 +57,8 @@
         let mut changes = Vec::with_capacity(members.len());
         for member in members {
             let next = ServerId(self.last_server.get() + 1);
-            let known = servers.get(&member.id).map(|known| known.entry.server);
-            let entry = entry(&member, known.unwrap_or(next), wire::key(&member.id), names);
+            let listed_id = servers.get(&member.id).map(|listed| listed.entry.server);
+            let entry = entry(&member, listed_id.unwrap_or(next), wire::key(&member.id), names);
             if entry.availability == Availability::Removed {
                 let removed = servers.remove(&member.id);
                 changes.extend(removed.map(|server| remove(&server.entry, upstream)));
@@ -83,12 +83,12 @@
         let mut servers = self.servers.borrow_mut();
         let mut changes = Vec::new();
         for id in &unreadable.ids {
-            let Some(known) = servers.get_mut(id) else { continue };
-            known.named_in = self.lists.get();
-            if known.entry.availability == Availability::Ready {
-                known.entry.availability = Availability::Draining;
-                upstream.update(known.entry.server, known.address, known.entry.started_at, false);
-                changes.push(known.entry.clone());
+            let Some(listed) = servers.get_mut(id) else { continue };
+            listed.named_in = self.lists.get();
+            if listed.entry.availability == Availability::Ready {
+                listed.entry.availability = Availability::Draining;
+                upstream.update(listed.entry.server, listed.address, listed.entry.started_at, false);
+                changes.push(listed.entry.clone());
             }
         }
         changes
--- a/crates/balancer-node/src/net/node/subscriber.rs
+++ b/crates/balancer-node/src/net/node/subscriber.rs
@@ -93,8 +93,8 @@
         self.failure_logged.set(false);
         // An entry without an id may be a change of any server. Without a version the next call fetches a
         // complete list, which shows the servers that remain.
-        let known = list.complete || list.unreadable.nameless == 0;
-        self.revision.set(known.then_some(list.revision));
+        let all_applied = list.complete || list.unreadable.nameless == 0;
+        self.revision.set(all_applied.then_some(list.revision));
         if let Some(reason) = &list.unreadable.first {
             let (count, all) = (list.unreadable.count(), list.entries);
             self.log(&format!(
--- a/crates/balancer-node/src/net/upstream/mod.rs
+++ b/crates/balancer-node/src/net/upstream/mod.rs
@@ -69,7 +69,7 @@
     /// connections are closed. If its address or start time has changed, the idle connections to the former
     /// process are closed, and connections that are still being established to it are not used.
     pub fn update(&self, server: ServerId, address: SocketAddr, started_at: Option<f64>, ready: bool) {
-        let same = |known: &Rc<Server>| known.address == address && known.started_at == started_at;
+        let same = |listed: &Rc<Server>| listed.address == address && listed.started_at == started_at;
         if !self.servers.borrow().get(&server).is_some_and(same) {
             self.remove(server);
         }
