--- a/crates/balancer-node/src/decisions/selection.rs
+++ b/crates/balancer-node/src/decisions/selection.rs
@@ -53,7 +53,7 @@
         candidates.retain(|c| (c.idle || c.wait <= bound) && (c.near || !near_only));
     }
 
-    /// Returns the servers that deduplication, probing and slow start allow for a request.
+    /// Returns the servers that idempotency, probing and slow start allow for a request.
     fn candidates(&mut self, now: f64, request: &PendingRequest) -> Vec<Candidate> {
         let subset = self.endpoints.ring.subset(MAX_CANDIDATES_PER_PART, &mut self.random);
         let subset_size = subset.len();
@@ -85,7 +85,7 @@
         candidates
     }
 
-    /// Returns slots of servers: if the request may have run, those that deduplicate it, otherwise `subset`.
+    /// Returns slots of servers: if the request may have run, those that may repeat it, otherwise `subset`.
     fn eligible(&self, request: &PendingRequest, subset: Vec<usize>) -> Vec<usize> {
         let Some(first) = request.first_run() else { return subset };
         let idempotency = self.settings.classes[request.class].idempotency;
--- a/crates/rushrudder/src/control/tasks.rs
+++ b/crates/rushrudder/src/control/tasks.rs
@@ -123,8 +123,8 @@
         self.spawn_acceptor_join(member);
     }
 
-    /// Starts read repair, which confirms with a majority of the acceptors that this process has the newest
-    /// committed value.
+    /// Starts read repair, which confirms the committed value with a majority of the acceptors at regular
+    /// intervals, and adopts a newer one.
     fn spawn_read_repair(&self) {
         tokio::spawn(control_plane::run_read_repair(Arc::clone(&self.view), Arc::clone(&self.proposer)));
     }
--- a/crates/rushrudder/src/job_api.rs
+++ b/crates/rushrudder/src/job_api.rs
@@ -158,12 +158,12 @@
         SubmitOutcome::Accepted => StatusCode::ACCEPTED.into(),
         SubmitOutcome::Invalid(error) => error_response(StatusCode::BAD_REQUEST, &error.to_string()),
         SubmitOutcome::NotAccepted => {
-            log::warn!("batch job {job} was not accepted");
+            log::warn!("batch job {job} was not accepted by any store");
             let response = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE);
             response.header("Retry-After", RETRY_AFTER_SECONDS).body("the batch job was not taken")
         }
         SubmitOutcome::Unknown => {
-            log::warn!("batch job {job} may have been accepted");
+            log::warn!("batch job {job} may have been accepted: no store gave a definite answer");
             error_response(StatusCode::GATEWAY_TIMEOUT, "the batch job may have been taken")
         }
     }
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -20,7 +20,7 @@
 const JOURNAL_OPTIONS: storage::RingOptions =
     storage::RingOptions { segment_bytes: 2 * 1024 * 1024, segments: 8 };
 /// Maximum age of the latest confirmation of the configuration at which a path without a route is answered
-/// with 404. After a longer time, a newer configuration may contain the route.
+/// with 404. Later it is answered with 503, since a newer configuration may contain the route.
 const MAX_CONFIRMED_AGE: Duration = Duration::from_millis(1900);
 /// Time after SIGTERM for which new connections are still accepted. The platform directs clients to the node
 /// until two readiness checks have failed.
