--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -225,9 +225,9 @@
         Ok(id)
     }
 
-    /// Abandons a request whose client has disconnected or whose deadline has passed. An attempt that has
-    /// not been sent yet is cancelled even if the settings forbid cancelling attempts: that rule applies to
-    /// attempts that have been sent.
+    /// Abandons a request whose client has disconnected or whose deadline has passed; has no effect after its
+    /// final answer. An attempt that has not been sent yet is cancelled even if the settings forbid
+    /// cancelling attempts: that rule applies to attempts that have been sent.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         if self.requests.abandon(id) {
             self.handle(BalancerEvent::ClientDisconnected(id));
