--- a/crates/balancer-node/src/decisions/health.rs
+++ b/crates/balancer-node/src/decisions/health.rs
@@ -9,8 +9,8 @@
 const EJECTION_FAILURES: u32 = 3;
 const EJECTION_TIME: f64 = 2.0;
 
-/// The same with more than `NODES_PER_SERVER` nodes: each seldom sends to a given server, and would lose
-/// requests until it has seen several failures itself.
+/// The same with more than `NODES_PER_SERVER` nodes: each node seldom sends to a given server, and its
+/// requests would fail until it has seen several failures itself.
 const STALE_EJECTION_FAILURES: u32 = 1;
 const STALE_EJECTION_TIME: f64 = 30.0;
 
@@ -23,7 +23,7 @@
         let is_warm = |server: &Server| server.age(now) >= self.settings.warmup_ms;
         let warm = self.endpoints.get(number).is_some_and(is_warm);
         if matches!(outcome, Served | Rejected | TimedOut) {
-            self.slow_start.record_choice(warm && outcome == Served);
+            self.slow_start.record_selection(warm && outcome == Served);
         }
         let server = self.endpoints.get_mut(number).expect("in use");
         server.in_flight = server.in_flight.saturating_sub(1);
--- a/crates/balancer-node/src/decisions/selection.rs
+++ b/crates/balancer-node/src/decisions/selection.rs
@@ -5,7 +5,7 @@
 use super::{expectation::Candidate, Balancer, PendingRequest};
 use crate::interface::*;
 
-/// Servers with more than this many times the shortest expected wait are excluded. Over 2, so counts decide.
+/// Servers over this multiple of the shortest expected wait are excluded. It exceeds 2 so that counts decide.
 const MAX_WAIT_RATIO: f64 = 2.5;
 
 /// Maximum number of near and of far servers that are considered for one request, to save time.
@@ -53,7 +53,7 @@
         candidates.retain(|c| (c.idle || c.wait <= bound) && (c.near || !near_only));
     }
 
-    /// Returns the servers that deduplication, probing and slow start allow for a request.
+    /// Returns the servers that idempotency, probing and slow start allow for a request.
     fn candidates(&mut self, now: f64, request: &PendingRequest) -> Vec<Candidate> {
         let subset = self.endpoints.ring.subset(MAX_CANDIDATES_PER_PART, &mut self.random);
         let subset_size = subset.len();
@@ -85,7 +85,7 @@
         candidates
     }
 
-    /// Returns slots of servers: if the request may have run, those that deduplicate it, else `subset`.
+    /// Returns slots of servers: if the request may have run, those that may repeat it, otherwise `subset`.
     fn eligible(&self, request: &PendingRequest, subset: Vec<usize>) -> Vec<usize> {
         let Some(first) = request.first_run() else { return subset };
         let idempotency = self.settings.classes[request.class].idempotency;
--- a/crates/balancer-node/src/decisions/slow_start.rs
+++ b/crates/balancer-node/src/decisions/slow_start.rs
@@ -5,7 +5,7 @@
 use super::{estimates::RECENT_OUTCOMES, selection::MAX_CANDIDATES_PER_PART};
 use crate::{interface::DecisionSettings, ring::Ring};
 
-/// Fraction of a warming server's load limit that all nodes use: capacities are estimates, arrivals burst.
+/// Fraction of a warming server's load limit that all nodes use: capacities are estimates, arrivals bursty.
 const WARMUP_UTILIZATION: f64 = 0.5;
 
 /// Number of selections over which the share of a warm server is averaged.
@@ -41,7 +41,7 @@
 
     /// Records whether a warm server served a request. Failures are not recorded: they would reduce the share
     /// of the servers that replace the failed ones.
-    pub(super) fn record_choice(&mut self, served_warm: bool) {
+    pub(super) fn record_selection(&mut self, served_warm: bool) {
         if self.warm_servers > 0.0 {
             let served = if served_warm { 1.0 / self.warm_servers } else { 0.0 };
             let share = self.warm_share.min(1.0 / self.warm_servers);
--- a/crates/balancer-node/src/interface/events.rs
+++ b/crates/balancer-node/src/interface/events.rs
@@ -2,7 +2,7 @@
 
 use super::{EndpointUpdate, ServerId};
 
-/// Identifies a client's request. The embedding node assigns the number and never reuses it.
+/// Number of a client's request. The embedding node assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -24,14 +24,14 @@
 }
 
 impl ClientRequest {
-    /// Creates a request of the first tenant that is not a retry and has no known cost.
+    /// Creates a request of the first tenant that is not a retry and whose cost is unknown.
     #[must_use]
     pub fn new(id: RequestId, class: usize, budget_ms: f64) -> Self {
         Self { id, class, tenant: 0, budget_ms, cost_ms: None, is_retry: false }
     }
 }
 
-/// Load reported by a server itself; `None` for a figure that it does not report.
+/// Load that a server reports; `None` for a figure that it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Number of requests in flight at the server, from all nodes.
--- a/crates/balancer-node/src/net/config.rs
+++ b/crates/balancer-node/src/net/config.rs
@@ -12,7 +12,7 @@
 use super::list::{ListDecoder, ServerList};
 use crate::{wire, DecisionSettings, Idempotency};
 
-/// Used in place of a time limit that is not configured.
+/// Time limit that applies if none is configured, and upper bound of a configured one.
 const UNLIMITED: Duration = Duration::from_secs(24 * 3600);
 /// Fraction of the memory limit that the server list may take.
 const LIST_MEMORY_FRACTION: f64 = 0.5;
@@ -28,7 +28,7 @@
     /// Address of discovery. The file takes precedence over `GW_DISCOVERY`, because the file can be replaced
     /// while the node runs.
     pub discovery: SocketAddr,
-    /// Seed of the random numbers that the decisions draw.
+    /// Seed of the random numbers that the decision logic draws.
     pub seed: u64,
     /// Maximum number of open sockets in all: to clients, to servers and to discovery.
     pub max_sockets: usize,
@@ -36,9 +36,9 @@
     pub max_list_bytes: usize,
     /// The server list to use until discovery has sent one.
     pub initial_list: ServerList,
-    /// Validated settings of the decisions.
+    /// Validated settings of the decision logic.
     pub settings: DecisionSettings,
-    /// Maps the names in request headers and server lists to the indices that the decisions use.
+    /// Names in request headers and server lists, with the indices that the decision logic uses for them.
     pub names: SettingNames,
     /// Time after which servers close an idle connection. If it is zero, no connection is kept.
     pub idle_timeout: Duration,
@@ -48,7 +48,7 @@
     pub max_pending: usize,
 }
 
-/// Names in the order of the settings. The decisions refer to each name by its index.
+/// Names in the order of the settings. The decision logic refers to each name by its index.
 pub struct SettingNames {
     /// Names of the request classes, as in the `X-Class` header.
     pub classes: Vec<String>,
@@ -83,9 +83,9 @@
     ///
     /// Fails if a variable or key is missing or malformed. The error names the first one.
     pub fn from_env() -> Result<Self, ConfigError> {
-        let name = variable("GW_NAME")?;
-        let listen = address("GW_LISTEN")?;
-        let path = variable("GW_CONFIG")?;
+        let name = env_variable("GW_NAME")?;
+        let listen = env_address("GW_LISTEN")?;
+        let path = env_variable("GW_CONFIG")?;
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(source) => return Err(ConfigError::Unreadable { path, source }),
@@ -96,7 +96,7 @@
 
     fn from_file(name: String, listen: SocketAddr, file: &ConfigFile<'_>) -> Result<Self, ConfigError> {
         let discovery = match &file.discovery {
-            Value::Null => address("GW_DISCOVERY")?,
+            Value::Null => env_address("GW_DISCOVERY")?,
             value => parse_address("discovery", value.as_str().unwrap_or_default())?,
         };
         let seed = file.seed.as_str().and_then(|text| u64::from_str_radix(text, 16).ok());
@@ -110,7 +110,7 @@
             listen,
             discovery,
             seed: seed.ok_or(ConfigError::InvalidSeed)?,
-            max_sockets: positive("sockets", &file.limits)?,
+            max_sockets: positive_integer("sockets", &file.limits)?,
             max_list_bytes,
             initial_list,
             names,
@@ -144,8 +144,8 @@
     }
     let mut settings = wire::read_settings(json).map_err(ConfigError::MalformedSettings)?;
     // `allowed.retry_after` applies to simulated clients only. On sockets every rejection has a `Retry-After`
-    // header, so that a client that is rejected at once can tell when to retry. The longest pause is the one
-    // in the settings, or else the longest deadline.
+    // header: a client that is rejected immediately could not otherwise determine when to retry. The longest
+    // pause is the one in the settings, or else the longest deadline.
     let longest = settings.longest_deadline_ms();
     settings.max_retry_after_ms = Some(json["allowed"]["max_retry_after_ms"].as_f64().unwrap_or(longest));
     settings.validate().map_err(ConfigError::InvalidSettings)?;
@@ -163,24 +163,24 @@
     }
 }
 
-fn variable(key: &'static str) -> Result<String, ConfigError> {
+fn env_variable(key: &'static str) -> Result<String, ConfigError> {
     std::env::var(key).map_err(|_| ConfigError::MissingVariable { key })
 }
 
-fn address(key: &'static str) -> Result<SocketAddr, ConfigError> {
-    parse_address(key, &variable(key)?)
+fn env_address(key: &'static str) -> Result<SocketAddr, ConfigError> {
+    parse_address(key, &env_variable(key)?)
 }
 
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::InvalidAddress { key, text: text.to_owned() })
 }
 
-fn positive(key: &'static str, from: &Value) -> Result<usize, ConfigError> {
+fn positive_integer(key: &'static str, from: &Value) -> Result<usize, ConfigError> {
     let value = from[key].as_u64().and_then(|n| usize::try_from(n).ok()).filter(|n| *n > 0);
     value.ok_or(ConfigError::InvalidCount { key })
 }
 
-/// Returns how many bytes of memory a server list may take under the memory limit of the node.
+/// Returns the maximum memory of a server list in bytes, derived from the memory limit of the node.
 fn max_list_bytes(limits: &Value) -> usize {
     let memory_mb = limits["memory_mb"].as_f64().filter(|mb| *mb > 0.0).unwrap_or(DEFAULT_MEMORY_MB);
     (memory_mb * LIST_MEMORY_FRACTION * f64::from(1 << 20)) as usize
@@ -193,7 +193,7 @@
     match &allowed[KEY] {
         Value::Null => Ok(usize::MAX),
         value if value.as_u64() == Some(0) => Ok(usize::MAX),
-        _ => positive(KEY, allowed),
+        _ => positive_integer(KEY, allowed),
     }
 }
 
--- a/crates/balancer-node/src/net/frontend/request.rs
+++ b/crates/balancer-node/src/net/frontend/request.rs
@@ -36,7 +36,7 @@
 pub(super) struct RequestHead {
     /// Time for which the client waits for the response, from its `X-Deadline`.
     pub(super) deadline: Duration,
-    /// The request for the decisions; its id and budget are not set yet.
+    /// The request for the decision logic; its id and budget are not set yet.
     pub(super) request: ClientRequest,
 }
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct InvalidHead(pub(super) &'static str);
 
-/// Reads the header fields that the decisions need.
+/// Header fields of a request, with accessors for those that the decision logic needs.
 struct Fields<'a>(&'a HeaderMap);
 
 impl Fields<'_> {
@@ -70,7 +70,7 @@
 
     /// Returns whether the method and the idempotency key are valid for the class. Without its key, a keyed
     /// request could take effect twice.
-    fn match_class(&self, idempotency: Idempotency, method: &Method) -> bool {
+    fn matches_class(&self, idempotency: Idempotency, method: &Method) -> bool {
         match idempotency {
             Idempotency::Safe => method == Method::GET,
             Idempotency::Keyed { .. } => {
@@ -107,7 +107,7 @@
     let class = class.ok_or(InvalidHead("X-Class is missing or unknown\n"))?;
     let tenant = fields.tenant(&names.tenants).ok_or(InvalidHead("X-Tenant is missing or unknown\n"))?;
     let deadline = fields.deadline().ok_or(InvalidHead("X-Deadline is missing or no time above 0\n"))?;
-    if !fields.match_class(config.idempotency(class), method) {
+    if !fields.matches_class(config.idempotency(class), method) {
         return Err(InvalidHead("the method or Idempotency-Key does not fit X-Class\n"));
     }
     let request = ClientRequest {
--- a/crates/balancer-node/src/net/list/mod.rs
+++ b/crates/balancer-node/src/net/list/mod.rs
@@ -16,8 +16,7 @@
 pub struct ServerList {
     /// Version of the list after these changes. The next call asks for the changes since it.
     pub revision: u64,
-    /// Whether the list names every server. If not, it holds only the changes since the version that was
-    /// asked for.
+    /// Whether the list names every server. If not, it contains only the changes since the requested version.
     pub complete: bool,
     /// Number of entries that were received, including unchanged and unreadable ones.
     pub entries: usize,
@@ -42,15 +41,15 @@
     pub cell: usize,
     /// Whether the server accepts requests, drains or has been removed.
     pub phase: MemberPhase,
-    /// Weight of the server in the decisions, relative to other servers.
+    /// Weight of the server in the decision logic, relative to other servers.
     pub size: f64,
     /// Unix time in milliseconds at which the server last started; 0 if it started long ago.
     pub up_since_ms: f64,
 }
 
 impl ListedMember {
-    /// Converts the entry for the decisions, which identify the server by `server`, and its zone and machine
-    /// kind by their indices in the settings. `key` is the hash of the server's id.
+    /// Converts the entry for the decision logic, which identifies the server by `server`, and its zone and
+    /// machine kind by their indices in the settings. `key` is the hash of the server's id.
     #[must_use]
     pub fn to_entry(&self, server: ServerId, zone: usize, kind: usize, key: u64) -> ServerEntry {
         ServerEntry {
@@ -70,7 +69,7 @@
     }
 }
 
-/// Phase in the life of a listed server.
+/// Lifecycle phase of a listed server.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberPhase {
@@ -110,7 +109,7 @@
     }
 }
 
-/// A reason why a text is not a valid server list.
+/// Reason why a text is not a valid server list.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ListError {
     /// The decoded list would exceed the memory limit of the [`ListDecoder`].
--- a/crates/balancer-node/src/net/node/endpoints.rs
+++ b/crates/balancer-node/src/net/node/endpoints.rs
@@ -1,4 +1,5 @@
-//! The directory of listed servers: assigns their ids in the decisions, and finds what a new list changes.
+//! The directory of listed servers: assigns their ids in the decision logic, and finds what a new list
+//! changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,12 +14,12 @@
 struct ListedServer {
     entry: ServerEntry,
     address: SocketAddr,
-    /// Number of that list, as counted by [`ServerDirectory::list_started`].
+    /// Number of the last list that named the server, as counted by [`ServerDirectory::list_started`].
     named_in: u64,
 }
 
-/// The listed servers. Methods that apply parts of a list return the changed entries for the decisions, and
-/// update the connections in [`Upstream`] accordingly.
+/// The listed servers. Methods that apply parts of a list return the changed entries for the decision logic,
+/// and update the connections in [`Upstream`] accordingly.
 #[derive(Default)]
 pub(super) struct ServerDirectory {
     /// Keyed by the id in the list.
@@ -31,7 +32,7 @@
 }
 
 impl ServerDirectory {
-    /// Must be called when a list begins to arrive, before its entries are applied.
+    /// Records that a list begins to arrive. Must be called before its entries are applied.
     pub(super) fn list_started(&self) {
         self.lists.set(self.lists.get() + 1);
     }
@@ -39,10 +40,10 @@
     /// Marks a server as named by the present list, and returns whether its description is unchanged.
     pub(super) fn is_unchanged(&self, member: &ListedMember, names: &SettingNames) -> bool {
         let mut servers = self.servers.borrow_mut();
-        let Some(known) = servers.get_mut(&member.id) else { return false };
-        known.named_in = self.lists.get();
-        known.address == member.host_port
-            && known.entry == entry(member, known.entry.server, known.entry.key, names)
+        let Some(listed) = servers.get_mut(&member.id) else { return false };
+        listed.named_in = self.lists.get();
+        listed.address == member.host_port
+            && listed.entry == entry(member, listed.entry.server, listed.entry.key, names)
     }
 
     /// Applies entries of a list, and assigns ids to new servers.
@@ -56,8 +57,8 @@
         let mut changes = Vec::with_capacity(members.len());
         for member in members {
             let next = ServerId(self.last_server.get() + 1);
-            let known = servers.get(&member.id).map(|known| known.entry.server);
-            let entry = entry(&member, known.unwrap_or(next), wire::key(&member.id), names);
+            let listed_id = servers.get(&member.id).map(|listed| listed.entry.server);
+            let entry = entry(&member, listed_id.unwrap_or(next), wire::key(&member.id), names);
             if entry.availability == Availability::Removed {
                 let removed = servers.remove(&member.id);
                 changes.extend(removed.map(|server| remove(&server.entry, upstream)));
@@ -82,12 +83,12 @@
         let mut servers = self.servers.borrow_mut();
         let mut changes = Vec::new();
         for id in &unreadable.ids {
-            let Some(known) = servers.get_mut(id) else { continue };
-            known.named_in = self.lists.get();
-            if known.entry.availability == Availability::Ready {
-                known.entry.availability = Availability::Draining;
-                upstream.update(known.entry.server, known.address, known.entry.started_at, false);
-                changes.push(known.entry.clone());
+            let Some(listed) = servers.get_mut(id) else { continue };
+            listed.named_in = self.lists.get();
+            if listed.entry.availability == Availability::Ready {
+                listed.entry.availability = Availability::Draining;
+                upstream.update(listed.entry.server, listed.address, listed.entry.started_at, false);
+                changes.push(listed.entry.clone());
             }
         }
         changes
@@ -107,8 +108,8 @@
     }
 }
 
-/// Returns the decisions' entry for a listed server. A zone or machine kind that the settings do not name
-/// gets the index after the last one.
+/// Returns the decision logic's entry for a listed server. A zone or machine kind that the settings do not
+/// name gets the index after the last one.
 fn entry(member: &ListedMember, server: ServerId, key: u64, names: &SettingNames) -> ServerEntry {
     let index = |names: &[String], name: &String| names.iter().position(|n| n == name).unwrap_or(names.len());
     let zone = index(&names.zones, &member.locality);
--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -1,4 +1,4 @@
-//! The node: passes events to the decisions and executes the actions that they return.
+//! The node: passes events to the decision logic and executes the actions that it returns.
 
 mod endpoints;
 mod requests;
@@ -31,10 +31,10 @@
 /// Number of checks for idle connections within their idle timeout.
 const IDLE_CHECKS_PER_TIMEOUT: u32 = 20;
 
-/// A reason why a node cannot start.
+/// Reason why a node cannot start.
 #[derive(Debug)]
 pub enum NodeError {
-    /// The settings of the decisions are out of range.
+    /// The settings of the decision logic are out of range.
     Settings(SettingsError),
     /// The clock of the machine shows a time before 1970.
     Clock(SystemTimeError),
@@ -79,17 +79,18 @@
     balancer: RefCell<Balancer>,
     requests: RequestTable,
     servers: ServerDirectory,
-    /// See [`Subscriber::revision`](super::discovery::Subscriber::revision).
+    /// Version of the list in use; `None` if the list did not come from the present discovery.
     revision: Cell<Option<u64>>,
     /// Whether a failure has been logged since the last list was applied: repeated failures are logged once.
     failure_logged: Cell<bool>,
-    /// Notified when the decisions request an update of the list.
+    /// Notified when the decision logic requests an update of the list.
     update_requested: Notify,
     /// Present address of discovery; [`Node::reload`] may change it.
     discovery: Cell<SocketAddr>,
     /// Notified when the address of discovery has changed.
     discovery_moved: Notify,
-    /// See [`Subscriber::spread_position`](super::discovery::Subscriber::spread_position).
+    /// Delay of the first call after discovery has moved, as a fraction (0 to 1) of the time over which nodes
+    /// spread these calls.
     spread_position: f64,
     clock: Clock,
 }
@@ -122,8 +123,8 @@
         let entries = node.changes(initial_list);
         node.handle(BalancerEvent::EndpointsUpdated(EndpointUpdate::CachedSnapshot(entries)));
         if node.config.settings.discovery == DiscoveryMode::Push {
-            // In this mode the decisions expect lists without subscribing, but on sockets lists arrive by
-            // long polls only.
+            // In this mode the decision logic expects lists without subscribing, but on sockets lists arrive
+            // by long polls only.
             node.update_requested.notify_one();
         }
         Ok(node)
@@ -207,7 +208,8 @@
         }
     }
 
-    /// Admits a client's request and passes it to the decisions. Its final answer is sent through `answer`.
+    /// Admits a client's request and passes it to the decision logic. Its final answer is sent through
+    /// `answer`.
     ///
     /// # Errors
     ///
@@ -223,9 +225,9 @@
         Ok(id)
     }
 
-    /// Must be called when the client has disconnected or its deadline has passed, and no answer is needed
-    /// any more. An attempt that has not been sent yet is cancelled even if the settings forbid to cancel
-    /// attempts: that rule applies to attempts that have been sent.
+    /// Abandons a request whose client has disconnected or whose deadline has passed; has no effect after its
+    /// final answer. An attempt that has not been sent yet is cancelled even if the settings forbid
+    /// cancelling attempts: that rule applies to attempts that have been sent.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         if self.requests.abandon(id) {
             self.handle(BalancerEvent::ClientDisconnected(id));
--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -10,7 +10,7 @@
 
 use crate::RoleError;
 
-/// Checks that the role of a process can decode a record of its journal.
+/// Function that checks whether the role of a process can decode a record of its journal.
 pub type RecordCheck = fn(&[u8]) -> Result<(), DecodeError>;
 
 /// The open journal of a process, with the records that it recovered.
@@ -19,8 +19,8 @@
     pub journal: storage::Journal,
     /// The recovered records with their positions, oldest first.
     pub records: Vec<(storage::Position, Vec<u8>)>,
-    /// Identifies the data on the disk. A new journal, created for example after a loss of the data, has
-    /// another incarnation.
+    /// Identity of the data on the disk. A new journal, for instance after a loss of the data, has another
+    /// incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -57,9 +57,10 @@
     }
 }
 
-/// Opens a journal with `open`. If durable records are missing or cannot be decoded, the disk counts as
-/// failed: the files are set aside, and a new journal with another incarnation is opened. A member must not
-/// continue under the same incarnation if one of its promises may be missing.
+/// Opens a journal with `open`. If durable records are missing or cannot be decoded, or an earlier setting
+/// aside was interrupted, the disk counts as failed: the files are set aside, and a new journal with another
+/// incarnation is opened. A member that may have lost one of its promises must not continue under the same
+/// incarnation.
 ///
 /// A record that a loss of power has torn was never acknowledged. The journal itself drops it, and the disk
 /// does not count as failed.
--- a/crates/rushrudder/src/node.rs
+++ b/crates/rushrudder/src/node.rs
@@ -1,5 +1,4 @@
-//! The role of a traffic node. It serves clients, trainers and operators. With a disk it is an acceptor as
-//! well.
+//! The role of a traffic node. It serves clients, trainers and operators. With a disk it is also an acceptor.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +20,7 @@
 const JOURNAL_OPTIONS: storage::RingOptions =
     storage::RingOptions { segment_bytes: 2 * 1024 * 1024, segments: 8 };
 /// Maximum age of the latest confirmation of the configuration at which a path without a route is answered
-/// with 404. After a longer time, a newer configuration may contain the route.
+/// with 404. Later it is answered with 503, since a newer configuration may contain the route.
 const MAX_CONFIRMED_AGE: Duration = Duration::from_millis(1900);
 /// Time after SIGTERM for which new connections are still accepted. The platform directs clients to the node
 /// until two readiness checks have failed.
@@ -143,7 +142,7 @@
     }
 }
 
-/// Whether the process has a confirmed control state, a list of servers and a configuration, all of which it
+/// Whether the process has a confirmed control state, a server list and a configuration, all of which it
 /// needs to handle requests.
 fn is_ready(view: &ViewCell) -> bool {
     view.confirmed_age().is_some() && view.servers_age().is_some() && view.view().configuration.is_some()
