--- a/crates/balancer-node/tests/clients.rs
+++ b/crates/balancer-node/tests/clients.rs
@@ -65,14 +65,14 @@
                 let mut client = node.client();
                 client.send(&request("update", 60.0));
                 let (_, exchange) = request_to_either(&servers);
-                let first = &exchange.request.first;
+                let first = &exchange.request.start_line;
                 assert!(
                     first.starts_with("POST "),
                     "{first}: {disconnect:?}, {wait:?}, {} bytes following",
                     following.len()
                 );
                 exchange.answer(OK, "", b"");
-                assert_eq!(client.answer().status(), 200);
+                assert_eq!(client.response().status(), 200);
             }
             assert!(
                 servers.iter().all(|server| !server.has_request()),
@@ -120,7 +120,7 @@
         let broken = node.discovery.request();
         idle.push(connect_idle_clients());
         // The response to the health check shows that the connections before it have been accepted.
-        assert_eq!(node.client().ask(HEALTH).status(), 200, "the node accepts no new client");
+        assert_eq!(node.client().round_trip(HEALTH).status(), 200, "the node accepts no new client");
         let open = node.open_descriptors();
         assert!((50..96).contains(&open), "{open} of 128 descriptors are open with idle clients alone");
         // This fails if the call has timed out.
@@ -130,7 +130,7 @@
     let change = list(2, false, &change).to_string();
     // Calls that have timed out arrive before the one whose response the node receives.
     while let Some(mut poll) =
-        Some(node.discovery.request()).filter(|poll| !poll.request.first.contains("since=2&"))
+        Some(node.discovery.request()).filter(|poll| !poll.request.start_line.contains("since=2&"))
     {
         poll.write(format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{change}", change.len()).as_bytes());
     }
--- a/crates/balancer-node/tests/common/mod.rs
+++ b/crates/balancer-node/tests/common/mod.rs
@@ -23,7 +23,7 @@
     }
 
     /// Passes a complete server list.
-    pub fn servers(&mut self, entries: Vec<ServerEntry>) -> Vec<BalancerAction> {
+    pub fn set_servers(&mut self, entries: Vec<ServerEntry>) -> Vec<BalancerAction> {
         self.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries)))
     }
 
@@ -50,11 +50,11 @@
         elapsed_ms: f64,
         outcome: AttemptOutcome,
     ) -> Vec<BalancerAction> {
-        self.report(id, attempt, elapsed_ms, outcome, None)
+        self.end_with_load(id, attempt, elapsed_ms, outcome, None)
     }
 
     /// Ends an attempt, with a load report if `in_flight` gives the number of requests at the server.
-    pub fn report(
+    pub fn end_with_load(
         &mut self,
         id: u64,
         attempt: usize,
--- a/crates/balancer-node/tests/discovery.rs
+++ b/crates/balancer-node/tests/discovery.rs
@@ -34,7 +34,7 @@
 /// Checks that a call asks for the changes since this version.
 fn assert_asks_since(call: &Exchange, revision: u64) {
     let expected = format!("GET /catalog/members?since={revision}&");
-    assert!(call.request.first.starts_with(&expected), "{}", call.request.first);
+    assert!(call.request.start_line.starts_with(&expected), "{}", call.request.start_line);
 }
 
 /// Each failure must lead to another call in time, for the changes since the version in use.
@@ -132,7 +132,7 @@
     loop {
         let (stream, _) = listener.accept().expect("accepted");
         if let Some(call) = Message::read(&mut BufReader::new(stream.try_clone().expect("cloned"))) {
-            return (stream, call.first);
+            return (stream, call.start_line);
         }
     }
 }
@@ -220,7 +220,7 @@
     let changes = list(3, false, &[configured[0].clone(), json!({"id": 5})]).to_string();
     poll.answer(OK, "", changes.as_bytes());
     let call = node.discovery.request();
-    assert_eq!(call.request.first, "GET /catalog/members HTTP/1.1");
+    assert_eq!(call.request.start_line, "GET /catalog/members HTTP/1.1");
     assert!(node.next_log_line().contains("1 of 2 entries"));
     call.answer(OK, "", list(4, true, &configured[..1]).to_string().as_bytes());
     assert_asks_since(&node.discovery.request(), 4);
@@ -288,11 +288,11 @@
         });
     });
     let first = discovery.request();
-    assert_eq!(first.request.first, "GET /catalog/members HTTP/1.1");
+    assert_eq!(first.request.start_line, "GET /catalog/members HTTP/1.1");
     first.answer(OK, "", list(3, true, &[]).to_string().as_bytes());
     assert_asks_since(&discovery.request(), 3);
     let second = discovery.request();
-    assert_eq!(second.request.first, "GET /catalog/members HTTP/1.1");
+    assert_eq!(second.request.start_line, "GET /catalog/members HTTP/1.1");
     assert_ne!(second.connection, 0);
 }
 
--- a/crates/balancer-node/tests/endings.rs
+++ b/crates/balancer-node/tests/endings.rs
@@ -26,7 +26,7 @@
     client.send(&request("pay", 3600.0));
     let mut exchange = server.request();
     node.terminate();
-    let answer = client.answer();
+    let answer = client.response();
     assert_eq!((answer.status(), answer.header("connection")), (502, Some("close")));
     exchange.wait_until_closed();
     assert!(!server.has_request(), "the request was sent again after its final answer");
@@ -49,9 +49,9 @@
     let complete = request("update", 3600.0);
     let mut late = node.client();
     late.send(&complete[..complete.len() - 1]);
-    assert_eq!(node.client().ask(HEALTH).status(), 200);
+    assert_eq!(node.client().round_trip(HEALTH).status(), 200);
     node.terminate();
-    assert_eq!(pending.answer().status(), 502);
+    assert_eq!(pending.response().status(), 502);
     // Writing fails if the node has exited already.
     let _ = std::io::Write::write_all(late.stream.get_mut(), b"k");
     let received = late.read_to_end();
@@ -69,7 +69,7 @@
     config["settings"]["classes"][2]["deadline_ms"] = json!(2_900.0);
     let mut node = Node::start(&config);
     let mut idle = node.client();
-    assert_eq!(idle.ask(HEALTH).status(), 200);
+    assert_eq!(idle.round_trip(HEALTH).status(), 200);
     let mut busy = node.client();
     busy.send(&request("pay", 3600.0));
     let exchange = server.request();
@@ -87,7 +87,7 @@
     node.terminate();
     assert_eq!(idle.read_to_end(), "");
     exchange.answer(OK, "", b"done");
-    assert_eq!(busy.answer().body, b"done", "the idle connection was closed only when the node exited");
+    assert_eq!(busy.response().body, b"done", "the idle connection was closed only when the node exited");
     stop.store(true, Ordering::Relaxed);
     connecting.join().expect("ended");
     assert_eq!(node.wait().code(), Some(0));
@@ -106,7 +106,7 @@
         assert!(std::net::TcpStream::connect(address).is_err(), "the node already accepts clients");
         first.answer(OK, "", first_list.as_bytes());
     });
-    assert!(node.discovery.request().request.first.contains("since=7&"));
+    assert!(node.discovery.request().request.start_line.contains("since=7&"));
     (0..6).for_each(|_| assert_served_by(&node, &servers[1]));
     assert!(!servers[0].has_request());
 }
@@ -129,14 +129,14 @@
     let mut next = node.discovery.request();
     // On a busy machine a response may arrive after the call has timed out. The next call is then the same.
     for _ in 0..MAX_LATE_ANSWERS {
-        assert_eq!(next.request.first, "GET /catalog/members HTTP/1.1");
+        assert_eq!(next.request.start_line, "GET /catalog/members HTTP/1.1");
         next.try_answer(OK, "", complete.as_bytes());
         next = node.discovery.request();
-        if next.request.first.contains("since=3&") {
+        if next.request.start_line.contains("since=3&") {
             break;
         }
     }
-    assert!(next.request.first.contains("since=3&"));
+    assert!(next.request.start_line.contains("since=3&"));
     assert_served_by(&node, &servers[1]);
 }
 
@@ -149,7 +149,7 @@
     let node = Node::start(&config);
     let mut unanswered = node.discovery.request();
     let poll_timeout_ms = |poll: &Exchange| {
-        let line = &poll.request.first;
+        let line = &poll.request.start_line;
         let timeout = line.split("timeout_ms=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
         timeout.unwrap_or_else(|| panic!("{line}"))
     };
@@ -163,21 +163,21 @@
 /// A server that is listed again with another start time is a new process. A kept connection to the former
 /// process must not be reused: if its machine has failed, the next request on the connection would be reset.
 #[test]
-fn a_kept_connection_to_a_former_process_is_not_reused() {
+fn an_idle_connection_to_a_former_process_is_not_reused() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     assert_served_by(&node, &server);
     let mut restarted = member("s0", server.address, "active");
     restarted["up_since_ms"] = json!(1_700_000_000_000.0);
     let change = list(2, false, &[restarted]);
     node.discovery.request().answer(OK, "", change.to_string().as_bytes());
-    assert!(node.discovery.request().request.first.contains("since=2&"));
+    assert!(node.discovery.request().request.start_line.contains("since=2&"));
     let mut client = node.client();
     client.send(&request("pay", 20.0));
     let exchange = server.request();
     assert_eq!(exchange.connection, 1);
     exchange.answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
 }
 
 /// If the address of a server changes while a connection to it is being established, the request must be sent
@@ -192,7 +192,7 @@
     wait_until_dialing(address);
     let change = list(2, false, &[member("s0", server.address, "active")]);
     node.discovery.request().answer(OK, "", change.to_string().as_bytes());
-    assert!(node.discovery.request().request.first.contains("since=2&"));
+    assert!(node.discovery.request().request.start_line.contains("since=2&"));
     drop(slow.accept().expect("the filler"));
     drop(filler);
     let (mut stream, _) = slow.accept().expect("the node's connection");
@@ -203,7 +203,7 @@
         "bytes were sent to the former address"
     );
     server.request().answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
 }
 
 /// A keyed request that may have run must not be retried after its deduplication window, even if the
@@ -223,13 +223,13 @@
     let sent = Instant::now();
     let change = [member("s0", server.address, "leaving"), member("s1", address, "active")];
     node.discovery.request().answer(OK, "", list(2, false, &change).to_string().as_bytes());
-    assert!(node.discovery.request().request.first.contains("since=2&"));
+    assert!(node.discovery.request().request.start_line.contains("since=2&"));
     exchange.answer("500 Broken", "", b"");
     wait_until_dialing(address);
     std::thread::sleep((sent + window).saturating_duration_since(Instant::now()));
     drop(slow.accept().expect("the filler"));
     drop(filler);
-    assert_eq!(client.answer().status(), 502);
+    assert_eq!(client.response().status(), 502);
     slow.set_nonblocking(true).expect("set");
     if let Ok((mut stream, _)) = slow.accept() {
         stream.set_nonblocking(false).expect("set");
@@ -282,7 +282,7 @@
         )
         .expect("answered");
         drop(stream);
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(client.response().status(), 200);
         accept(&mut streams);
         assert_eq!(streams.len(), dialed - served, "the node has dialed again");
         if served == 1 {
@@ -296,14 +296,14 @@
 fn an_unsafe_request_is_not_retried_after_an_incomplete_response() {
     for status in ["503 Busy", "504 Late"] {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
         let (_, mut exchange) = request_to_either(&servers);
         exchange
             .write(format!("HTTP/1.1 {status}\r\nx-not-run: 1\r\ncontent-length: 9\r\n\r\nhalf").as_bytes());
         exchange.stream.shutdown(std::net::Shutdown::Both).expect("closed");
-        assert_eq!(client.answer().status(), 502, "{status}");
+        assert_eq!(client.response().status(), 502, "{status}");
         assert!(servers.iter().all(|server| !server.has_request()), "{status}: the request was sent again");
     }
 }
@@ -313,14 +313,14 @@
 #[test]
 fn a_connection_is_not_reused_within_20_ms_after_a_response() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     client.send(&request("update", 60.0));
     let mut exchange = server.request();
     for _ in 0..3 {
         let answered = Instant::now();
         exchange.answer(OK, "", b"");
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(client.response().status(), 200);
         client.send(&request("update", 60.0));
         exchange = server.request();
         assert_eq!(exchange.connection, 0);
@@ -377,9 +377,9 @@
     let mut client = node.client();
     client.send(&request("update", 20.0));
     let (_, exchange) = request_to_either(&servers);
-    assert!(exchange.request.first.starts_with("POST "), "{}", exchange.request.first);
+    assert!(exchange.request.start_line.starts_with("POST "), "{}", exchange.request.start_line);
     exchange.answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
     assert!(servers.iter().all(|server| !server.has_request()));
 }
 
@@ -389,14 +389,14 @@
 #[test]
 fn a_pipelined_request_past_its_deadline_is_rejected_and_not_sent() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     client.send(&(request("read", 60.0) + &request("pay", 1.0)));
     let exchange = server.request();
     std::thread::sleep(Duration::from_secs(1));
     exchange.answer(OK, "", b"first");
-    assert_eq!(client.answer().body, b"first");
-    assert_eq!(client.answer().status(), 503);
+    assert_eq!(client.response().body, b"first");
+    assert_eq!(client.response().status(), 503);
     assert_served_by(&node, &server);
     assert!(!server.has_request());
 }
--- a/crates/balancer-node/tests/golden.rs
+++ b/crates/balancer-node/tests/golden.rs
@@ -317,7 +317,7 @@
 
 /// Formats a message for a golden file. Header values that differ between runs are replaced by placeholders.
 fn masked(message: &Message) -> String {
-    let mut text = format!("{}\n", message.first);
+    let mut text = format!("{}\n", message.start_line);
     for (name, value) in &message.headers {
         let digits = value.replace(|c: char| c.is_ascii_digit(), "#");
         let value = match name.as_str() {
@@ -336,7 +336,7 @@
 /// Receives the next request at a server; asserts that its first line starts with `expected`.
 fn receive(server: &Server, expected: &str) -> Exchange {
     let exchange = server.request();
-    assert!(exchange.request.first.starts_with(expected), "{}", exchange.request.first);
+    assert!(exchange.request.start_line.starts_with(expected), "{}", exchange.request.start_line);
     exchange
 }
 
@@ -362,42 +362,48 @@
     let forwarded = receive(&server, "POST /api");
     text += &masked(&forwarded.request);
     forwarded.answer(OK, "x-load: active=1,waiting=0\r\n", b"done");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
     assert_golden("messages-sent.txt", &text);
 }
 
 #[test]
 fn answers_to_clients_equal_the_golden_file() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut text = String::new();
-    let mut show = |what: &str, answer: &Message| text += &format!("# {what}\n{}\n\n", masked(answer));
-    let mut ask = |what: &str, request: &str| show(what, &node.client().ask(request));
-    ask("healthy", "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n");
-    ask("no such path", "GET /other HTTP/1.1\r\nhost: n\r\n\r\n");
+    let mut record = |what: &str, answer: &Message| text += &format!("# {what}\n{}\n\n", masked(answer));
+    let mut record_answer = |what: &str, request: &str| record(what, &node.client().round_trip(request));
+    record_answer("healthy", "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n");
+    record_answer("no such path", "GET /other HTTP/1.1\r\nhost: n\r\n\r\n");
     let valid = request("read", 20.0);
     for name in ["x-request-id", "x-class", "x-tenant", "x-deadline"] {
-        ask(&format!("without {name}"), &valid.replace(name, "other"));
+        record_answer(&format!("without {name}"), &valid.replace(name, "other"));
     }
-    ask("a field that comes twice", &valid.replace("x-class", "x-class: read\r\nx-class"));
-    ask("a method that does not fit", &valid.replace("GET", "POST"));
-    ask("a body of GET", &valid.replace("\r\n\r\n", "\r\ncontent-length: 2\r\n\r\nxy"));
-    ask("two lengths", &valid.replace("\r\n\r\n", "\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nxyz"));
-    ask("a long body", &format!("{}{}", request("pay", 20.0).replace(": 4", ": 70000"), "x".repeat(69_996)));
-    let mut asked = |what: &str, class: &str, status: &str, headers: &str| {
+    record_answer("a field that comes twice", &valid.replace("x-class", "x-class: read\r\nx-class"));
+    record_answer("a method that does not fit", &valid.replace("GET", "POST"));
+    record_answer("a body of GET", &valid.replace("\r\n\r\n", "\r\ncontent-length: 2\r\n\r\nxy"));
+    record_answer(
+        "two lengths",
+        &valid.replace("\r\n\r\n", "\r\ncontent-length: 2\r\ncontent-length: 3\r\n\r\nxyz"),
+    );
+    record_answer(
+        "a long body",
+        &format!("{}{}", request("pay", 20.0).replace(": 4", ": 70000"), "x".repeat(69_996)),
+    );
+    let mut record_forwarded = |what: &str, class: &str, status: &str, headers: &str| {
         let mut client = node.client();
         client.send(&request(class, 20.0));
         receive(&server, "").answer(status, headers, b"body");
-        show(what, &client.answer());
+        record(what, &client.response());
     };
-    asked("served", "read", OK, "x-load: active=1,waiting=0\r\n");
-    asked("failed", "pay", "500 Oh", "");
-    let none = Node::before(&[]);
-    show("refused", &none.client().ask(&request("read", 20.0)));
+    record_forwarded("served", "read", OK, "x-load: active=1,waiting=0\r\n");
+    record_forwarded("failed", "pay", "500 Oh", "");
+    let none = Node::with_servers(&[]);
+    record("refused", &none.client().round_trip(&request("read", 20.0)));
     let mut client = node.client();
     client.send(&request("read", 0.2));
     let unanswered = receive(&server, "");
-    show("no answer in time", &client.answer());
+    record("no answer in time", &client.response());
     drop(unanswered);
     assert_golden("answers.txt", &text);
 }
--- a/crates/balancer-node/tests/hsq.rs
+++ b/crates/balancer-node/tests/hsq.rs
@@ -17,7 +17,7 @@
 #[test]
 fn each_send_raises_the_count_of_its_server() {
     let mut node = Node::new(long_target(), 1);
-    node.servers(ready(0..5));
+    node.set_servers(ready(0..5));
     for round in 0..3 {
         let mut seen: Vec<usize> = (0..5).map(|i| node.sent_to(round * 5 + i)).collect();
         seen.sort_unstable();
@@ -30,7 +30,7 @@
     let mut first = [0; 4];
     for seed in 0..400 {
         let mut node = Node::new(long_target(), seed);
-        node.servers(ready(0..4));
+        node.set_servers(ready(0..4));
         first[node.sent_to(1)] += 1;
     }
     assert!(first.iter().all(|n| (60..140).contains(n)), "{first:?}");
@@ -40,7 +40,7 @@
 fn the_same_seed_and_events_give_the_same_actions() {
     let run = || {
         let mut node = Node::new(long_target(), 9);
-        node.servers(ready(0..7));
+        node.set_servers(ready(0..7));
         (0..20).map(|id| node.sent_to(id)).collect::<Vec<_>>()
     };
     assert_eq!(run(), run());
@@ -50,12 +50,12 @@
 /// servers.
 fn node_with_equal_servers(servers: usize, settings: DecisionSettings) -> Node {
     let mut node = Node::new(settings, 3);
-    node.servers(ready(0..servers));
+    node.set_servers(ready(0..servers));
     for id in 10_000..10_000 + 20 * servers as u64 {
         node.now += 10.0;
         node.sent_to(id);
         node.now += 40.0;
-        node.report(id, 0, 40.0, AttemptOutcome::Served, Some(0.0));
+        node.end_with_load(id, 0, 40.0, AttemptOutcome::Served, Some(0.0));
     }
     node.now += 5_000.0;
     node
@@ -68,7 +68,7 @@
     let servers: Vec<usize> = (0..3).map(|id| node.sent_to(id)).collect();
     for (id, in_flight) in [(0, 9.0), (1, 2.0), (2, 9.0)] {
         node.now += 40.0;
-        node.report(id, 0, 40.0, AttemptOutcome::Served, Some(in_flight));
+        node.end_with_load(id, 0, 40.0, AttemptOutcome::Served, Some(in_flight));
     }
     // The count of the second server is now lower by 7 than the others: it gets the next requests.
     assert_eq!(node.sent_to(100), servers[1]);
@@ -107,7 +107,7 @@
         let server = node.sent_to(id);
         answers[server] += 1;
         node.now += 100.0;
-        node.report(id, 0, 40.0, AttemptOutcome::Served, Some((1 + answers[server] / 2 % 2) as f64));
+        node.end_with_load(id, 0, 40.0, AttemptOutcome::Served, Some((1 + answers[server] / 2 % 2) as f64));
     }
 }
 
@@ -126,7 +126,13 @@
     }
     node.now += 10_000.0;
     for id in first_ids {
-        node.report(id.expect("both servers got a request"), 0, 40.0, AttemptOutcome::Served, Some(5.0));
+        node.end_with_load(
+            id.expect("both servers got a request"),
+            0,
+            40.0,
+            AttemptOutcome::Served,
+            Some(5.0),
+        );
     }
     let sends: Vec<usize> = (100..102).map(|id| node.sent_to(id)).collect();
     assert_ne!(sends[0], sends[1]);
@@ -134,7 +140,7 @@
     // get the next two requests.
     let repeating = sends[0];
     node.now += 1.0;
-    node.report(100, 0, 40.0, AttemptOutcome::Served, Some(5.0));
+    node.end_with_load(100, 0, 40.0, AttemptOutcome::Served, Some(5.0));
     let next: Vec<usize> = (200..202).map(|id| node.sent_to(id)).collect();
     assert!(next != [repeating, repeating], "the repeated report erased a send");
 }
@@ -154,7 +160,7 @@
     for (ids, in_flight) in ids_by_server.iter().zip([0.0, 6.0]) {
         for (id, depth) in ids.iter().zip(1..) {
             let report = (depth == ids.len()).then_some(in_flight);
-            node.report(*id, 0, 40.0 * depth as f64, AttemptOutcome::Served, report);
+            node.end_with_load(*id, 0, 40.0 * depth as f64, AttemptOutcome::Served, report);
         }
     }
     for id in 20..24 {
@@ -163,7 +169,7 @@
     }
     node.now += 10_000.0;
     node.sent_to(30);
-    node.report(30, 0, 40.0, AttemptOutcome::Served, Some(0.0));
+    node.end_with_load(30, 0, 40.0, AttemptOutcome::Served, Some(0.0));
     for id in 40..44 {
         assert_eq!(node.sent_to(id), 0, "the second report of 0 was ignored");
         node.end(id, 0, 40.0, AttemptOutcome::Served);
@@ -175,9 +181,9 @@
     let mut node = node_with_equal_servers(2, long_target());
     let servers: Vec<usize> = (0..2).map(|id| node.sent_to(id)).collect();
     node.now += 40.0;
-    node.report(0, 0, 40.0, AttemptOutcome::Served, Some(1.0));
-    node.report(1, 0, 40.0, AttemptOutcome::Served, Some(9.0));
-    node.servers(ready(0..3));
+    node.end_with_load(0, 0, 40.0, AttemptOutcome::Served, Some(1.0));
+    node.end_with_load(1, 0, 40.0, AttemptOutcome::Served, Some(9.0));
+    node.set_servers(ready(0..3));
     // The counts are 1, 9 and, for the new server, their mean 5: the lowest is selected four times.
     for id in 100..104 {
         assert_eq!(node.sent_to(id), servers[0], "the new server was taken for idle");
@@ -195,16 +201,16 @@
 
 /// Guards against an equal share for a slower server, which would overload it.
 #[test]
-fn a_slower_server_is_sent_less() {
+fn a_slower_server_is_sent_fewer_requests() {
     let mut node = Node::new(long_target(), 5);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     let mut sent = [0; 2];
     for id in 0..300 {
         let server = node.sent_to(id);
         sent[server] += 1;
         let elapsed = if server == 0 { 30.0 } else { 90.0 };
         node.now += elapsed;
-        node.report(id, 0, elapsed, AttemptOutcome::Served, Some(if id % 2 == 0 { 1.0 } else { 2.0 }));
+        node.end_with_load(id, 0, elapsed, AttemptOutcome::Served, Some(if id % 2 == 0 { 1.0 } else { 2.0 }));
     }
     assert!(sent[0] > sent[1] * 3 / 2, "{sent:?}");
 }
@@ -218,7 +224,7 @@
         let mut settings = long_target();
         (settings.nodes, settings.node_index) = (300, node_index);
         let mut node = Node::new(settings, node_index as u64);
-        node.servers(ready(0..60));
+        node.set_servers(ready(0..60));
         let mut subset: Vec<usize> = (0..40).map(|id| node.sent_to(id)).collect();
         subset.sort_unstable();
         subset.dedup();
@@ -259,7 +265,7 @@
         (settings.probes, settings.nodes, settings.probe_price) = (true, 100, price);
         settings.responses_carry_load = responses_carry_load;
         let mut node = Node::new(settings, 5);
-        node.servers(ready(0..6));
+        node.set_servers(ready(0..6));
         let actions = node.request(1, 0, 800.0);
         assert_eq!(
             probes_of(&actions).is_empty(),
@@ -279,7 +285,7 @@
 #[test]
 fn servers_are_probed_before_a_send_if_only_probes_carry_reports() {
     let mut node = Node::new(probes_only(), 1);
-    node.servers(ready(0..8));
+    node.set_servers(ready(0..8));
     let probed = probes_of(&node.request(1, 0, 800.0));
     assert_eq!(probed.len(), 3, "{probed:?}");
     for (server, in_flight) in probed.iter().zip([3.0, 1.0]) {
@@ -301,7 +307,7 @@
         let mut settings = probes_only();
         (settings.probes_carry_load, settings.nodes) = (false, nodes);
         let mut node = Node::new(settings, 1);
-        node.servers(ready(0..8));
+        node.set_servers(ready(0..8));
         for id in 0..1_000 {
             let actions = node.request(id, 0, 800.0);
             assert!(probes_of(&actions).is_empty(), "{nodes} nodes, request {id}");
@@ -322,8 +328,8 @@
     let mut sends = [0_u32; 5];
     for id in 0..450 {
         match id {
-            0 => drop(node.servers(ready(0..4))),
-            200 => drop(node.servers(ready(0..5))),
+            0 => drop(node.set_servers(ready(0..4))),
+            200 => drop(node.set_servers(ready(0..5))),
             _ => {}
         }
         sends[node.sent_to(id)] += 1;
@@ -340,7 +346,7 @@
 #[test]
 fn an_unanswered_probe_does_not_delay_a_request() {
     let mut node = Node::new(probes_only(), 1);
-    node.servers(ready(0..8));
+    node.set_servers(ready(0..8));
     let actions = node.request(1, 0, 800.0);
     let probed = probes_of(&actions);
     let timer = |actions: &[BalancerAction]| match actions[..] {
@@ -364,7 +370,7 @@
     let mut settings = probes_only();
     settings.probe_price = 0.008;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..6));
+    node.set_servers(ready(0..6));
     let mut probed = [0; 6];
     for id in 0..60 {
         let actions = node.request(id, 0, 800.0);
@@ -395,7 +401,7 @@
         let mut settings = probes_only();
         settings.probe_price = 0.008;
         let mut node = Node::new(settings, seed);
-        node.servers(ready(0..2));
+        node.set_servers(ready(0..2));
         for (server, in_flight) in [(0, 2.0), (1, 3.0)] {
             answer_probe(&mut node, server, in_flight);
         }
@@ -408,7 +414,7 @@
 #[test]
 fn a_request_is_not_sent_after_its_client_disconnected() {
     let mut node = Node::new(probes_only(), 1);
-    node.servers(ready(0..8));
+    node.set_servers(ready(0..8));
     let probed = probes_of(&node.request(1, 0, 800.0));
     node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
     for server in probed {
@@ -448,7 +454,7 @@
     let mut entries = ready(0..4);
     entries[2].zone = 1;
     entries[3].zone = 1;
-    node.servers(entries);
+    node.set_servers(entries);
     let sent: Vec<usize> = (0..4).map(|id| node.sent_to(id)).collect();
     assert!(
         sent.iter().all(|server| *server >= 2),
@@ -469,7 +475,7 @@
     let mut node = Node::new(settings, 4);
     let mut entries = ready(0..3);
     entries[2].zone = 1;
-    node.servers(entries);
+    node.set_servers(entries);
     for id in 0..3 {
         assert_eq!(node.sent_to(id), 2);
         node.now += 1.0;
--- a/crates/balancer-node/tests/lists.rs
+++ b/crates/balancer-node/tests/lists.rs
@@ -23,7 +23,7 @@
             (entry.zone, entry.key) = (random.usize(..3), random.u64(..300));
         }
         with_deltas.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(fleet.clone())));
-        with_snapshots.servers(fleet.clone());
+        with_snapshots.set_servers(fleet.clone());
         for round in 0..60_u64 {
             let max_changes = if random.u8(..10) == 0 { 400 } else { 4 };
             let mut changed = Vec::new();
@@ -40,7 +40,7 @@
             }
             with_deltas.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(changed)));
             let listed = fleet.iter().filter(|entry| entry.availability != Availability::Removed);
-            with_snapshots.servers(listed.cloned().collect());
+            with_snapshots.set_servers(listed.cloned().collect());
             for id in round * 8..round * 8 + 8 {
                 let sent = with_deltas.request(id, 0, 800.0);
                 assert_eq!(sent, with_snapshots.request(id, 0, 800.0), "seed {seed}, request {id}");
@@ -49,10 +49,10 @@
                 }
                 let outcome = if id % 3 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Served };
                 let in_flight = Some(random.u8(..6).into());
-                let actions = with_deltas.report(id, 0, 20.0, outcome, in_flight);
+                let actions = with_deltas.end_with_load(id, 0, 20.0, outcome, in_flight);
                 assert_eq!(
                     actions,
-                    with_snapshots.report(id, 0, 20.0, outcome, in_flight),
+                    with_snapshots.end_with_load(id, 0, 20.0, outcome, in_flight),
                     "seed {seed}, request {id}"
                 );
                 retries += usize::from(send_of(&actions).is_some());
@@ -78,7 +78,7 @@
         // Each cell has two servers, which are in different zones and half the ring apart.
         let cell = |i: usize| if i < 2_000 { i } else { (i + 1_000) % 2_000 };
         entries.iter_mut().enumerate().for_each(|(i, e)| (e.cell, e.zone) = (cell(i), i / 2_000));
-        node.servers(entries);
+        node.set_servers(entries);
         let first = node.sent_to(1);
         let second =
             send_of(&node.end(1, 0, 5.0, AttemptOutcome::Error)).expect("a retry at the other server");
@@ -92,7 +92,7 @@
 fn all_servers_of_a_large_fleet_are_selected_evenly() {
     let mut node =
         Node::new(DecisionSettings::new(vec![RequestClass::new(40_000.0, 80_000.0, Idempotency::Safe)]), 1);
-    node.servers(ready(0..700));
+    node.set_servers(ready(0..700));
     let mut sends = [0; 700];
     (0..7_000).for_each(|id| sends[node.sent_to(id)] += 1);
     let (least, most) = (sends.iter().min(), sends.iter().max());
--- a/crates/balancer-node/tests/many_nodes.rs
+++ b/crates/balancer-node/tests/many_nodes.rs
@@ -30,7 +30,7 @@
         let sent = send_of(&node.request(id, (id % 2) as usize, 390.0)).is_some();
         node.now += elapsed_ms;
         if sent {
-            node.report(id, 0, elapsed_ms, AttemptOutcome::Served, Some(in_flight));
+            node.end_with_load(id, 0, elapsed_ms, AttemptOutcome::Served, Some(in_flight));
         }
         rejections += usize::from(!sent);
         node.now += (66.0 - elapsed_ms).max(0.0);
@@ -44,14 +44,14 @@
 #[test]
 fn no_request_is_rejected_while_servers_have_spare_capacity() {
     let mut node = Node::new(hundred_nodes(), 3);
-    node.servers(ready(0..60));
+    node.set_servers(ready(0..60));
     assert_eq!(count_rejections(&mut node, 0..400, 25.0, 1.3), 0);
 }
 
 #[test]
 fn rejections_begin_when_servers_are_full_and_end_when_they_recover() {
     let mut node = Node::new(hundred_nodes(), 3);
-    node.servers(ready(0..60));
+    node.set_servers(ready(0..60));
     count_rejections(&mut node, 0..100, 25.0, 1.3);
     let full = count_rejections(&mut node, 100..300, 250.0, 10.0);
     assert!(full > 100, "{full} of 200 rejected while answers take three latency targets");
@@ -69,14 +69,14 @@
     let mut node = Node::new(settings, 3);
     let mut entries = ready(0..16);
     entries[8..].iter_mut().for_each(|entry| entry.zone = 1);
-    node.servers(entries);
+    node.set_servers(entries);
     let mut far = 0;
     for id in 0..400 {
         let Some(server) = send_of(&node.request(id, 0, 390.0)) else { continue };
         far += usize::from(id >= 200 && server >= 8);
         node.now += 25.0;
         let in_flight = if server < 8 { 3.0 } else { 1.0 };
-        node.report(id, 0, 20.0 * in_flight, AttemptOutcome::Served, Some(in_flight));
+        node.end_with_load(id, 0, 20.0 * in_flight, AttemptOutcome::Served, Some(in_flight));
         node.now += 41.0;
     }
     assert!(far > 150, "{far} of 200 sent to the other zone");
@@ -87,11 +87,11 @@
 fn the_weight_of_a_report_decays() {
     let selected_again = |after_ms: f64| {
         let mut node = Node::new(hundred_nodes(), 3);
-        node.servers(ready(0..3));
+        node.set_servers(ready(0..3));
         count_rejections(&mut node, 0..60, 25.0, 1.3);
         let id = 1_000;
         let loaded = node.sent_to(id);
-        node.report(id, 0, 25.0, AttemptOutcome::Served, Some(4.0));
+        node.end_with_load(id, 0, 25.0, AttemptOutcome::Served, Some(4.0));
         node.now += after_ms;
         // The two other servers get one request each; the third request is sent to the lowest count.
         let selected = [node.sent_to(id + 1), node.sent_to(id + 2), node.sent_to(id + 3)];
@@ -107,31 +107,31 @@
 #[test]
 fn one_failure_ejects_a_server_for_seconds_among_many_nodes() {
     let mut node = Node::new(hundred_nodes(), 3);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     count_rejections(&mut node, 0..60, 25.0, 1.3);
     let bad = node.sent_to(1_000);
     node.now += 2.0;
-    let further = node.report(1_000, 0, 2.0, AttemptOutcome::Error, Some(0.0));
+    let further = node.end_with_load(1_000, 0, 2.0, AttemptOutcome::Error, Some(0.0));
     assert!(
         send_of(&further).is_some_and(|server| server != bad),
         "not retried at another server: {further:?}"
     );
     node.now += 25.0;
-    node.report(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
+    node.end_with_load(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
     let checked_until = node.now + 20.0 * LATENCY_TARGET;
     let mut id = 2_000;
     while node.now < checked_until {
         let server = node.sent_to(id);
         assert_ne!(server, bad, "sent to the ejected server, {} ms too early", checked_until - node.now);
         node.now += 25.0;
-        node.report(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
+        node.end_with_load(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
         node.now += 41.0;
         id += 1;
     }
     let tried = (id..id + 60).any(|id| {
         node.now += 66.0;
         let server = node.sent_to(id);
-        node.report(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
+        node.end_with_load(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
         server == bad
     });
     assert!(tried, "the server got no trial request after its ejection");
@@ -148,14 +148,14 @@
     let mut node = Node::new(settings, 3);
     let mut entries = ready(0..3);
     entries[2].started_at = Some(node.now);
-    node.servers(entries);
+    node.set_servers(entries);
     let (mut to_warming, all) = (0, 3_000);
     for id in 0..all {
         let server = node.sent_to(id);
         to_warming += usize::from(server == 2);
         node.now += 25.0;
         // The warming server sends no report; the others report one request in flight.
-        node.report(id, 0, 25.0, AttemptOutcome::Served, (server != 2).then_some(1.0));
+        node.end_with_load(id, 0, 25.0, AttemptOutcome::Served, (server != 2).then_some(1.0));
         node.now += 41.0;
     }
     // Slow start uses half of the overload factor 3, at half of a warm server's capacity, one of three
@@ -171,9 +171,9 @@
 /// others rejected more requests than they accepted within a second, since each node retried rejected
 /// requests at the next server. The servers slowed down and did not recover.
 #[test]
-fn rejecting_servers_are_sent_less() {
+fn attempts_decrease_while_servers_reject_them() {
     let mut node = Node::new(hundred_nodes(), 3);
-    node.servers(ready(0..60));
+    node.set_servers(ready(0..60));
     assert_eq!(count_rejections(&mut node, 0..100, 25.0, 1.3), 0);
     let mut sent = 0;
     for id in 100..140 {
@@ -182,7 +182,7 @@
             let Some(_) = next else { break };
             sent += 1;
             node.now += 1.0;
-            next = send_of(&node.report(id, attempt, 1.0, AttemptOutcome::Rejected, Some(4.0)));
+            next = send_of(&node.end_with_load(id, attempt, 1.0, AttemptOutcome::Rejected, Some(4.0)));
         }
         node.now += 66.0;
     }
@@ -208,7 +208,7 @@
     settings.max_retry_after_ms = Some(2_000.0);
     let mut node = Node::new(settings, 3);
     let idle = hint(&node.request(1, 0, 390.0)).expect("rejected because no server is known");
-    node.servers(ready(0..60));
+    node.set_servers(ready(0..60));
     let mut last = None;
     for id in 100..140 {
         let mut actions = node.request(id, 0, 390.0);
@@ -218,7 +218,7 @@
                 break;
             }
             node.now += 1.0;
-            actions = node.report(id, attempt, 1.0, AttemptOutcome::Rejected, Some(8.0));
+            actions = node.end_with_load(id, attempt, 1.0, AttemptOutcome::Rejected, Some(8.0));
         }
     }
     let full = last.expect("a request is rejected");
@@ -238,25 +238,25 @@
         let mut settings = hundred_nodes();
         (settings.nodes, settings.classes[1].value) = (nodes, 0.01);
         let mut node = Node::new(settings, 3);
-        node.servers(ready(0..6));
+        node.set_servers(ready(0..6));
         assert_eq!(count_rejections(&mut node, 0..400, 0.9 * LATENCY_TARGET, 1.0), 0, "{nodes} nodes");
     }
 }
 
 /// Among few nodes, too, load reports determine when requests are rejected, those of the lowest value first.
 #[test]
-fn few_nodes_reject_the_lowest_value_where_servers_are_full() {
+fn few_nodes_reject_requests_of_low_value_when_servers_are_full() {
     for nodes in [2, 3, 12] {
         let mut settings = hundred_nodes();
         settings.nodes = nodes;
         let mut node = Node::new(settings, 3);
-        node.servers(ready(0..6));
+        node.set_servers(ready(0..6));
         count_rejections(&mut node, 0..60, 25.0, 1.3);
         let mut rejections = [0; 2];
         for id in 100..500 {
             let class = (id % 2) as usize;
             match send_of(&node.request(id, class, 390.0)) {
-                Some(_) => drop(node.report(id, 0, 65.0, AttemptOutcome::Served, Some(3.0))),
+                Some(_) => drop(node.end_with_load(id, 0, 65.0, AttemptOutcome::Served, Some(3.0))),
                 None => rejections[class] += 1,
             }
             node.now += 20.0;
@@ -278,7 +278,7 @@
             .iter_mut()
             .for_each(|class| (class.latency_target_ms, class.deadline_ms) = (2_400.0, 5_000.0));
         let mut node = Node::new(settings, 3);
-        node.servers(ready(0..6));
+        node.set_servers(ready(0..6));
         let report = Some(LoadReport { in_flight, queued: Some(queued) });
         let mut rejected = 0;
         for id in 0..300 {
@@ -307,22 +307,22 @@
         let mut settings = hundred_nodes();
         settings.nodes = nodes;
         let mut node = Node::new(settings, 3);
-        node.servers(ready(0..3));
+        node.set_servers(ready(0..3));
         count_rejections(&mut node, 0..60, 25.0, 1.0);
         let bad = node.sent_to(1_000);
-        let further = node.report(1_000, 0, 2.0, AttemptOutcome::Reset, None);
+        let further = node.end_with_load(1_000, 0, 2.0, AttemptOutcome::Reset, None);
         assert!(
             send_of(&further).is_some_and(|server| server != bad),
             "not retried at another server: {further:?}"
         );
-        node.report(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
+        node.end_with_load(1_000, 1, 25.0, AttemptOutcome::Served, Some(1.0));
         let mut selected_again = false;
         for id in 2_000..2_012 {
             node.now += 66.0;
             let Some(server) = send_of(&node.request(id, 0, 390.0)) else { continue };
             selected_again |= server == bad;
             // The other servers report more requests in flight than the failed one did before.
-            node.report(id, 0, 25.0, AttemptOutcome::Served, Some(3.0));
+            node.end_with_load(id, 0, 25.0, AttemptOutcome::Served, Some(3.0));
         }
         assert!(selected_again, "{nodes} nodes: not selected for twelve requests after one failure");
     }
@@ -345,14 +345,14 @@
     let mut settings = hundred_nodes();
     settings.nodes = nodes;
     let mut node = Node::new(settings, seed);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     count_rejections(&mut node, 0..60, 25.0, 1.0);
     let loaded = node.sent_to(1_000);
-    node.report(1_000, 0, 50.0, AttemptOutcome::Served, Some(4.0));
+    node.end_with_load(1_000, 0, 50.0, AttemptOutcome::Served, Some(4.0));
     let requests = (2_000..).position(|id| {
         node.now += 33.0;
         let Some(server) = send_of(&node.request(id, 0, 390.0)) else { return false };
-        node.report(id, 0, 50.0, AttemptOutcome::Served, Some(2.0));
+        node.end_with_load(id, 0, 50.0, AttemptOutcome::Served, Some(2.0));
         server == loaded
     });
     requests.expect("an endless range") as u64
--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub struct Message {
     /// Request line or status line.
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -63,14 +63,14 @@
             let mut text = String::new();
             from.read_line(&mut text).ok().filter(|n| *n > 0).map(|_| text.trim_end().to_owned())
         };
-        let first = line()?;
+        let start_line = line()?;
         let mut headers = Vec::new();
         loop {
             let text = line()?;
             let Some((name, value)) = text.split_once(':') else { break };
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
-        let mut message = Self { first, headers, body: Vec::new() };
+        let mut message = Self { start_line, headers, body: Vec::new() };
         let length = message.header("content-length").map_or(0, |n| n.parse().expect("a length"));
         message.body.resize(length, 0);
         from.read_exact(&mut message.body).ok()?;
@@ -82,7 +82,7 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
     }
 }
 
@@ -288,7 +288,7 @@
         let node =
             Self::launch(&mut command(&config.to_string(), address, discovery.address), address, discovery);
         let first = node.discovery.request();
-        assert_eq!(first.request.first, "GET /catalog/members HTTP/1.1");
+        assert_eq!(first.request.start_line, "GET /catalog/members HTTP/1.1");
         on_first_call(node.address, first);
         node.wait_until_healthy();
         node
@@ -308,11 +308,11 @@
             assert!(since.elapsed() < TEST_TIMEOUT, "the node does not listen");
             thread::sleep(Duration::from_millis(5));
         }
-        assert_eq!(self.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
+        assert_eq!(self.client().round_trip("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
     }
 
     /// Starts a node whose server list holds these servers, with the ids `s0`, `s1` and so on.
-    pub fn before(servers: &[&Server]) -> Self {
+    pub fn with_servers(servers: &[&Server]) -> Self {
         Self::start(&config(&members(servers)))
     }
 
@@ -416,7 +416,7 @@
     }
 
     /// Waits for the next response.
-    pub fn answer(&mut self) -> Message {
+    pub fn response(&mut self) -> Message {
         Message::read(&mut self.stream).expect("a complete response")
     }
 
@@ -430,9 +430,9 @@
     }
 
     /// Sends a request and waits for the response.
-    pub fn ask(&mut self, request: &str) -> Message {
+    pub fn round_trip(&mut self, request: &str) -> Message {
         self.send(request);
-        self.answer()
+        self.response()
     }
 }
 
@@ -483,7 +483,7 @@
     let mut client = node.client();
     client.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
 }
 
 /// Waits until a connection to this address is being established. State 02 in `/proc/net/tcp` is SYN_SENT.
--- a/crates/balancer-node/tests/node.rs
+++ b/crates/balancer-node/tests/node.rs
@@ -12,13 +12,13 @@
 #[test]
 fn a_request_is_forwarded_and_its_answer_returned_unchanged() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     for _ in 0..2 {
         let sent = request("update", 20.0);
         client.send(&sent);
         let exchange = server.request();
-        assert_eq!(exchange.request.first, "POST /api?k=7f3a HTTP/1.1");
+        assert_eq!(exchange.request.start_line, "POST /api?k=7f3a HTTP/1.1");
         assert_eq!(exchange.request.body, b"work");
         let id = exchange.request.header("x-request-id").expect("forwarded");
         assert!(sent.contains(&format!("x-request-id: {id}\r\n")));
@@ -28,7 +28,7 @@
         assert!(left > 1.0 && left < 20.0, "{left}");
         assert_eq!(exchange.connection, 0, "the connection was not kept");
         exchange.answer(OK, "", b"an \x00 answer");
-        let answer = client.answer();
+        let answer = client.response();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"an \x00 answer"[..]));
     }
 }
@@ -40,13 +40,13 @@
         [("503 Busy", "x-not-run: 1\r\n"), ("504 Late", "x-not-run: 1\r\nx-load: inflight=3,queue=1\r\n")]
     {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
         let (first, exchange) = request_to_either(&servers);
         exchange.answer(status, headers, b"");
         servers[1 - first].request().answer(OK, "", b"done");
-        assert_eq!(client.answer().status(), 200, "{status}");
+        assert_eq!(client.response().status(), 200, "{status}");
     }
 }
 
@@ -94,11 +94,11 @@
     ];
     for (name, script) in scripts {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
         script(request_to_either(&servers).1);
-        assert_eq!(client.answer().status(), 502, "{name}");
+        assert_eq!(client.response().status(), 502, "{name}");
         assert!(!servers[0].has_request() && !servers[1].has_request(), "{name}: the request was retried");
     }
 }
@@ -114,7 +114,7 @@
         let mut client = node.client();
         client.send(&request("pay", 20.0));
         server.request().answer(OK, "", b"");
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(client.response().status(), 200);
     }
 }
 
@@ -123,12 +123,12 @@
 #[test]
 fn an_attempt_at_an_unresponsive_server_is_closed_and_its_client_answered_in_time() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     let since = Instant::now();
     client.send(&request("pay", 3.0));
     let mut exchange = server.request();
-    assert_eq!(client.answer().status(), 502);
+    assert_eq!(client.response().status(), 502);
     assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
     assert!(
         since.elapsed() > Duration::from_millis(1_500),
@@ -142,7 +142,7 @@
 #[test]
 fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     client.send(&request("read", 60.0));
     let mut exchange = server.request();
@@ -153,7 +153,7 @@
     let mut client = node.client();
     client.send(&request("read", 20.0));
     server.request().answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
 }
 
 /// Guards against two concurrent attempts: dropping the future of an attempt does not yet close its socket.
@@ -161,12 +161,12 @@
 fn a_cancelled_attempt_is_closed_before_the_next_begins() {
     for _ in 0..5 {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         // Both servers get a connection that is kept, so that the next attempt need not wait for one.
         let mut clients = [node.client(), node.client()];
         clients.iter_mut().for_each(|client| client.send(&request("read", 20.0)));
         servers.iter().for_each(|server| server.request().answer(OK, "", b""));
-        clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
+        clients.iter_mut().for_each(|client| assert_eq!(client.response().status(), 200));
         let mut client = node.client();
         client.send(&request("read", 20.0));
         let (at, mut first) = request_to_either(&servers);
@@ -176,7 +176,7 @@
         let next = servers[1 - at].request();
         assert!(first.is_closed(), "two attempts were in flight");
         next.answer(OK, "", b"");
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(client.response().status(), 200);
     }
 }
 
@@ -194,7 +194,7 @@
         let mut client = node.client();
         client.send(&request("pay", 20.0));
         server.request().answer(OK, "", b"");
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(client.response().status(), 200);
     }
 }
 
@@ -210,23 +210,23 @@
     let exchange = server.request();
     exchange.answer(OK, "", b"");
     let since = Instant::now();
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
     assert!(matches!(server.next_event(), ServerEvent::Closed(0)));
     assert!(since.elapsed() < Duration::from_millis(4_000), "{:?}", since.elapsed());
     client.send(&request("pay", 20.0));
     let exchange = server.request();
     assert_eq!(exchange.connection, 1);
     exchange.answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
 }
 
 /// A request must not fail because its server has closed the kept connection or has announced to close it.
 /// The requests are unsafe, so the node cannot hide a failure with a retry.
 #[test]
-fn a_kept_connection_that_was_closed_is_not_reused() {
+fn a_connection_that_its_server_closes_is_not_reused() {
     for headers in ["", "connection: close\r\n"] {
         let server = Server::start();
-        let node = Node::before(&[&server]);
+        let node = Node::with_servers(&[&server]);
         let mut client = node.client();
         for round in 0..5 {
             client.send(&request("pay", 20.0));
@@ -234,7 +234,7 @@
             assert_eq!(exchange.connection, round, "{headers}");
             let stream = exchange.stream.try_clone().expect("cloned");
             exchange.answer(OK, headers, b"");
-            assert_eq!(client.answer().status(), 200);
+            assert_eq!(client.response().status(), 200);
             if headers.is_empty() {
                 stream.shutdown(Shutdown::Both).expect("closed");
             }
@@ -262,20 +262,20 @@
     wait_until_dialing(address);
     poll.answer(OK, "", update(address).to_string().as_bytes());
     // The next poll shows that the list has been applied.
-    assert!(node.discovery.request().request.first.contains("since=2&"));
+    assert!(node.discovery.request().request.start_line.contains("since=2&"));
     drop(slow.accept().expect("the filler"));
     drop(filler);
     let (mut stream, _) = slow.accept().expect("the node's connection");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     assert_eq!(stream.read(&mut [0; 1]).ok(), Some(0), "bytes were sent to the server");
-    assert_eq!(client.answer().status(), 503);
+    assert_eq!(client.response().status(), 503);
 }
 
 /// If the network to discovery is partitioned, a poll gets no response and its connection stays open, so that
 /// only a timeout detects the failure.
 #[test]
 fn an_unanswered_poll_times_out_and_is_repeated() {
-    let node = Node::before(&[]);
+    let node = Node::with_servers(&[]);
     let mut unanswered = node.discovery.request();
     let again = node.discovery.request();
     assert_ne!(unanswered.connection, again.connection);
@@ -287,10 +287,10 @@
 #[test]
 fn the_list_is_polled_again_after_each_failure() {
     let (old, new) = (Server::start(), Server::start());
-    let node = Node::before(&[&old]);
+    let node = Node::with_servers(&[&old]);
     let next_poll = || {
         let poll = node.discovery.request();
-        assert!(poll.request.first.starts_with("GET /catalog/members?since=1&timeout_ms="));
+        assert!(poll.request.start_line.starts_with("GET /catalog/members?since=1&timeout_ms="));
         poll
     };
     next_poll().answer("503 Down", "", b"");
@@ -301,11 +301,11 @@
     let change = list(2, false, &[member("s0", moved.address, "active")]);
     next_poll().answer(OK, "", change.to_string().as_bytes());
     let poll = node.discovery.request();
-    assert!(poll.request.first.contains("since=2&"), "{}", poll.request.first);
+    assert!(poll.request.start_line.contains("since=2&"), "{}", poll.request.start_line);
     assert_served_by(&node, &moved);
     let full = list(9, true, &[member("s9", new.address, "active")]);
     poll.answer(OK, "", full.to_string().as_bytes());
-    assert!(node.discovery.request().request.first.contains("since=9&"));
+    assert!(node.discovery.request().request.start_line.contains("since=9&"));
     (0..4).for_each(|_| assert_served_by(&node, &new));
     assert!(!old.has_request() && !moved.has_request());
 }
@@ -315,7 +315,7 @@
 #[test]
 fn removed_servers_take_no_memory() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let stays = member("s0", server.address, "active");
     let mut revision = 1;
     let mut round = |polls: usize| {
@@ -350,20 +350,20 @@
 #[test]
 fn the_response_of_a_removed_server_is_returned_to_the_client() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     client.send(&request("pay", 20.0));
     let exchange = server.request();
     let next = list(2, true, &[member("s1", server.address, "active")]);
     node.discovery.request().answer(OK, "", next.to_string().as_bytes());
-    assert!(node.discovery.request().request.first.contains("since=2&"));
+    assert!(node.discovery.request().request.start_line.contains("since=2&"));
     exchange.answer(OK, "", b"late");
-    assert_eq!(client.answer().body, b"late");
+    assert_eq!(client.response().body, b"late");
     client.send(&request("pay", 20.0));
     let exchange = server.request();
     assert_eq!(exchange.connection, 1, "the removed server's connection was used for the new server");
     exchange.answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
 }
 
 /// SIGHUP once killed the node. The new discovery does not share the versions of the former one and would
@@ -385,15 +385,15 @@
         node.reload(&config.to_string());
     }
     let first_call = elsewhere.request();
-    assert_eq!(first_call.request.first, "GET /catalog/members HTTP/1.1");
+    assert_eq!(first_call.request.start_line, "GET /catalog/members HTTP/1.1");
     poll.wait_until_closed();
     let full = list(1, true, &[member("s9", new.address, "active")]);
     first_call.answer(OK, "", full.to_string().as_bytes());
     let mut next = elsewhere.request();
-    assert!(next.request.first.contains("since=1&"), "{}", next.request.first);
+    assert!(next.request.start_line.contains("since=1&"), "{}", next.request.start_line);
     assert_served_by(&node, &new);
     exchange.answer(OK, "", b"");
-    assert_eq!(pending.answer().status(), 200);
+    assert_eq!(pending.response().status(), 200);
     // Reloading an unchanged configuration has no effect.
     node.reload(&config.to_string());
     assert_served_by(&node, &new);
@@ -445,7 +445,7 @@
     node.terminate();
     // The health check shows when the node has begun to drain. It still accepts connections then.
     let since = Instant::now();
-    while node.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status() == 200 {
+    while node.client().round_trip("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status() == 200 {
         assert!(since.elapsed() < TEST_TIMEOUT);
     }
     clients.push(node.client());
@@ -453,7 +453,7 @@
     admitted.push(server.request());
     admitted.into_iter().for_each(|exchange| exchange.answer(OK, "", b"done"));
     for client in &mut clients {
-        let answer = client.answer();
+        let answer = client.response();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
         assert_eq!(answer.header("connection"), Some("close"));
     }
@@ -464,7 +464,7 @@
 #[test]
 fn a_request_that_is_not_admitted_is_rejected_with_a_retry_hint() {
     let node = Node::start(&config(&[]));
-    let answer = node.client().ask(&request("pay", 20.0));
+    let answer = node.client().round_trip(&request("pay", 20.0));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.250")));
 
     let server = Server::start();
@@ -474,10 +474,10 @@
     let mut pending = node.client();
     pending.send(&request("pay", 20.0));
     let exchange = server.request();
-    let answer = node.client().ask(&request("pay", 20.0));
+    let answer = node.client().round_trip(&request("pay", 20.0));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.400")));
     exchange.answer(OK, "", b"");
-    assert_eq!(pending.answer().status(), 200);
+    assert_eq!(pending.response().status(), 200);
 }
 
 /// `allowed.retry_after` disables the retry hint for simulated clients. It once disabled the hint on sockets,
@@ -487,7 +487,7 @@
     let mut config = config(&[]);
     config["settings"]["allowed"]["retry_after"] = json!(false);
     let node = Node::start(&config);
-    let answer = node.client().ask(&request("pay", 20.0));
+    let answer = node.client().round_trip(&request("pay", 20.0));
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("0.250")));
 }
 
@@ -519,15 +519,15 @@
     let mut served = node.client();
     served.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
-    assert_eq!(served.answer().status(), 200);
+    assert_eq!(served.response().status(), 200);
     let mut idle: Vec<Client> = (0..12).map(|_| node.client()).collect();
     std::thread::sleep(Duration::from_millis(600));
     idle.extend((0..8).map(|_| node.client()));
     // The response to the health check shows that all of the connections have been accepted.
-    assert_eq!(node.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
+    assert_eq!(node.client().round_trip("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
     served.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
-    assert_eq!(served.answer().status(), 200);
+    assert_eq!(served.response().status(), 200);
     drop(idle);
 }
 
@@ -542,11 +542,11 @@
     let mut answered = Vec::new();
     for _ in 0..30 {
         answered.push(node.client());
-        assert_eq!(answered.last_mut().expect("pushed").ask(health).status(), 200);
+        assert_eq!(answered.last_mut().expect("pushed").round_trip(health).status(), 200);
     }
     let mut new: Vec<Client> = (0..8).map(|_| node.client()).collect();
     for client in &mut new {
-        assert_eq!(client.ask(health).status(), 200);
+        assert_eq!(client.round_trip(health).status(), 200);
     }
 }
 
@@ -636,7 +636,7 @@
     let mut case = config(&members(&[&server]));
     case["settings"]["allowed"]["max_attempts"] = json!(0);
     case["settings"]["allowed"]["max_retry_after_ms"] = Value::Null;
-    let answer = Node::start(&case).client().ask(&request("pay", 20.0));
+    let answer = Node::start(&case).client().round_trip(&request("pay", 20.0));
     assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, true));
     assert!(!server.has_request());
 }
@@ -644,7 +644,7 @@
 #[test]
 fn an_invalid_request_is_answered_and_not_forwarded() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let valid = request("update", 20.0);
     let cases = [
         (400, valid.replace("x-class: update", "x-class: other")),
@@ -671,7 +671,7 @@
         (413, valid.replace("content-length: 4", "content-length: 70000") + &"x".repeat(69_996)),
     ];
     for (status, text) in cases {
-        assert_eq!(node.client().ask(&text).status(), status, "{}", &text[..text.len().min(300)]);
+        assert_eq!(node.client().round_trip(&text).status(), status, "{}", &text[..text.len().min(300)]);
     }
     // Bytes that are not HTTP close only the connection on which they were sent.
     let mut client = node.client();
@@ -686,7 +686,7 @@
 #[test]
 fn a_request_with_two_lengths_ends_its_connection() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let (length, chunks) = ("content-length: 5\r\n", "transfer-encoding: chunked\r\n");
     for lengths in [[length, chunks], [chunks, length], [chunks, chunks], [length, length]] {
         let outer = request("update", 20.0).replace("content-length: 4\r\n", &lengths.concat());
@@ -704,11 +704,11 @@
 /// The chunks of a body were once buffered a second time, up to one megabyte for each client.
 #[test]
 fn long_chunked_bodies_are_not_buffered() {
-    let node = Node::before(&[]);
+    let node = Node::with_servers(&[]);
     let chunk = format!("8000\r\n{}\r\n", "x".repeat(0x8000));
     let head = request("update", 60.0).replace("content-length: 4", "transfer-encoding: chunked");
     let head = head.strip_suffix("work").expect("its body");
-    assert_eq!(node.client().ask(&(head.to_owned() + "4\r\nwork\r\n0\r\n\r\n")).status(), 503);
+    assert_eq!(node.client().round_trip(&(head.to_owned() + "4\r\nwork\r\n0\r\n\r\n")).status(), 503);
     let before = node.peak_memory();
     let mut clients: Vec<Client> = (0..40).map(|_| node.client()).collect();
     for client in &mut clients {
@@ -716,7 +716,7 @@
     }
     for client in &mut clients {
         client.send("0\r\n\r\n");
-        assert_eq!(client.answer().status(), 413);
+        assert_eq!(client.response().status(), 413);
     }
     let grown = node.peak_memory() - before;
     assert!(grown < 16 << 20, "{grown} bytes for 40 clients");
@@ -725,7 +725,7 @@
 #[test]
 fn requests_in_unusual_but_valid_forms_are_served() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     let pipelined = [request("update", 20.0), request("read", 20.0), request("pay", 20.0)];
     client.send(&pipelined.concat());
@@ -733,44 +733,44 @@
         server.request().answer(OK, "", text.as_bytes());
     }
     for text in ["first", "second", "third"] {
-        assert_eq!(client.answer().body, text.as_bytes());
+        assert_eq!(client.response().body, text.as_bytes());
     }
     client.send(&request("update", 20.0).replace("/api", "http://other.svc/api"));
     let exchange = server.request();
-    assert_eq!(exchange.request.first, "POST /api?k=7f3a HTTP/1.1");
+    assert_eq!(exchange.request.start_line, "POST /api?k=7f3a HTTP/1.1");
     assert_eq!(exchange.request.header("host"), Some("other.svc"));
     exchange.answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
     let chunked = request("update", 20.0).replace("content-length: 4", "transfer-encoding: chunked");
     client.send(&chunked.replace("\r\n\r\nwork", "\r\n\r\n2\r\nwo\r\n2\r\nrk\r\n0\r\n\r\n"));
     let exchange = server.request();
     assert_eq!(exchange.request.body, b"work");
     exchange.answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
 }
 
 #[test]
 fn the_id_of_a_pending_request_is_not_accepted_again() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let (mut first, repeated) = (node.client(), request("update", 20.0));
     first.send(&repeated);
     let exchange = server.request();
-    assert_eq!(node.client().ask(&repeated).status(), 409);
+    assert_eq!(node.client().round_trip(&repeated).status(), 409);
     exchange.answer(OK, "", b"mine");
-    assert_eq!(first.answer().body, b"mine");
+    assert_eq!(first.response().body, b"mine");
     assert!(!server.has_request());
     // After the response, the id may be used again.
     first.send(&repeated);
     server.request().answer(OK, "", b"");
-    assert_eq!(first.answer().status(), 200);
+    assert_eq!(first.response().status(), 200);
 }
 
 /// Guards against clients that occupy a connection slot without sending a complete request.
 #[test]
 fn slow_clients_are_disconnected() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let complete = request("update", 3600.0);
     let cases = [("", ""), (&complete[..40], ""), (&complete[..complete.len() - 1], "HTTP/1.1 408 ")];
     let clients = cases.map(|(part, answer)| {
@@ -786,7 +786,7 @@
     let mut client = node.client();
     client.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
     assert_eq!(client.read_to_end(), "");
     assert!(!server.has_request());
 }
@@ -802,18 +802,18 @@
         ("500 Broken", "waiting=3,active=5000"),
     ] {
         let servers = [Server::start(), Server::start()];
-        let node = Node::before(&[&servers[0], &servers[1]]);
+        let node = Node::with_servers(&[&servers[0], &servers[1]]);
         let mut client = node.client();
         client.send(&request("pay", 20.0));
         let (loaded, exchange) = request_to_either(&servers);
         exchange.answer(status, &format!("x-load: {load}\r\n"), b"");
-        client.answer();
+        client.response();
         for _ in 0..6 {
             client.send(&request("pay", 20.0));
             let (at, exchange) = request_to_either(&servers);
             assert_eq!(at, 1 - loaded, "{status}, {load}");
             exchange.answer(OK, "", b"");
-            assert_eq!(client.answer().status(), 200);
+            assert_eq!(client.response().status(), 200);
         }
     }
 }
@@ -823,7 +823,7 @@
 #[test]
 fn bytes_after_a_response_are_not_taken_for_the_next_one() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let good = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nmine";
     for (n, (extra, written_separately)) in
         [(good, false), (good, true), ("noise", false), ("noise", true)].into_iter().enumerate()
@@ -838,7 +838,7 @@
         } else {
             exchange.write(&[good, extra].concat().into_bytes());
         }
-        assert_eq!(client.answer().body, b"mine");
+        assert_eq!(client.response().body, b"mine");
     }
 }
 
@@ -846,7 +846,7 @@
 #[test]
 fn interim_responses_are_skipped() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     let mut client = node.client();
     for _ in 0..2 {
         client.send(&request("update", 20.0));
@@ -854,7 +854,7 @@
         assert_eq!(exchange.connection, 0, "the connection was not reused");
         exchange.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nlink: x\r\n\r\n");
         exchange.answer(OK, "", b"done");
-        let answer = client.answer();
+        let answer = client.response();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
     }
 }
@@ -870,7 +870,7 @@
     let mut clients = [node.client(), node.client()];
     clients.iter_mut().for_each(|client| client.send(&request("pay", 8.0)));
     (0..2).for_each(|_| server.request().answer(OK, "", b""));
-    assert!(clients.iter_mut().all(|client| client.answer().status() == 200));
+    assert!(clients.iter_mut().all(|client| client.response().status() == 200));
 }
 
 /// Checks a stalled attempt from end to end: the timer fires, the connection is closed, and the request is
@@ -878,14 +878,14 @@
 #[test]
 fn stalled_requests_are_retried_at_another_server() {
     let servers = [Server::start(), Server::start()];
-    let node = Node::before(&[&servers[0], &servers[1]]);
+    let node = Node::with_servers(&[&servers[0], &servers[1]]);
     let mut clients: Vec<Client> = (0..6).map(|_| node.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("read", 60.0)));
     let mut unanswered = [(); 3].map(|()| servers[0].request());
     for _ in 0..6 {
         servers[1].request().answer(OK, "", b"");
     }
-    assert!(clients.iter_mut().all(|client| client.answer().status() == 200));
+    assert!(clients.iter_mut().all(|client| client.response().status() == 200));
     unanswered.iter_mut().for_each(Exchange::wait_until_closed);
 }
 
@@ -893,12 +893,12 @@
 #[test]
 fn a_malformed_load_report_is_ignored() {
     let server = Server::start();
-    let node = Node::before(&[&server]);
+    let node = Node::with_servers(&[&server]);
     for load in ["", "inflight", "inflight=NaN,queue=1", "active=-1", "\u{e9}", "active=1,waiting=2"] {
         let mut client = node.client();
         client.send(&request("read", 20.0));
         server.request().answer(OK, &format!("x-load: {load}\r\n"), b"");
-        assert_eq!(client.answer().status(), 200, "{load}");
+        assert_eq!(client.response().status(), 200, "{load}");
     }
 }
 
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -17,7 +17,7 @@
     for idempotency in [Idempotency::Safe, keyed(DeduplicationScope::Cell, 500.0), Idempotency::Unsafe] {
         let mut node = Node::new(one_class(idempotency), 1);
         assert!(rejected(&node.request(1, 0, 100.0)), "a request that was never sent is rejected");
-        node.servers(Vec::new());
+        node.set_servers(Vec::new());
         assert!(rejected(&node.request(2, 0, 100.0)));
     }
 }
@@ -25,7 +25,7 @@
 #[test]
 fn a_request_of_an_unknown_class_fails() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     assert!(failed(&node.request(1, 7, 100.0)));
 }
 
@@ -39,10 +39,10 @@
         let mut node = Node::new(settings, 1);
         let rejection = BalancerAction::Reject { request: RequestId(1), retry_after_ms: hint };
         assert_eq!(node.request(1, 0, 800.0), [rejection]);
-        node.servers(ready(0..2));
+        node.set_servers(ready(0..2));
         node.sent_to(2);
         node.end(2, 0, 20.0, AttemptOutcome::Served);
-        node.servers(Vec::new());
+        node.set_servers(Vec::new());
         let hint = max.map(|_| 20.0);
         let rejection = BalancerAction::Reject { request: RequestId(3), retry_after_ms: hint };
         assert_eq!(node.request(3, 0, 800.0), [rejection]);
@@ -62,7 +62,7 @@
         (AttemptOutcome::Cancelled, false),
     ] {
         let mut node = Node::new(one_class(Idempotency::Unsafe), 1);
-        node.servers(ready(0..3));
+        node.set_servers(ready(0..3));
         node.sent_to(1);
         node.now += 5.0;
         let actions = node.end(1, 0, 5.0, outcome);
@@ -80,7 +80,7 @@
             let mut node = Node::new(settings.clone(), seed);
             let mut entries = ready(0..6);
             entries.iter_mut().enumerate().for_each(|(i, e)| e.cell = i / 2);
-            node.servers(entries);
+            node.set_servers(entries);
             let first = node.sent_to(1);
             node.now += wait;
             let actions = node.end(1, 0, wait, AttemptOutcome::Error);
@@ -101,7 +101,7 @@
     let mut settings = one_class(keyed(DeduplicationScope::All, 500.0));
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     node.sent_to(1);
     node.now += 5.0;
     assert!(rejected(&node.end(1, 0, 5.0, AttemptOutcome::Error)));
@@ -110,7 +110,7 @@
 #[test]
 fn a_request_fails_at_once_if_its_attempt_times_out_at_the_deadline() {
     let mut node = Node::new(one_class(Idempotency::Unsafe), 1);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     node.sent_to(1);
     node.now += 800.0;
     assert!(failed(&node.end(1, 0, 800.0, AttemptOutcome::TimedOut)));
@@ -123,7 +123,7 @@
 #[test]
 fn no_retry_follows_a_disconnect_and_a_second_disconnect_is_ignored() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     node.sent_to(1);
     node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
     node.now += 5.0;
@@ -134,7 +134,7 @@
 #[test]
 fn draining_and_removed_servers_get_no_new_requests() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
     node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![entry.clone()])));
     entry.server = ServerId(1);
@@ -142,7 +142,7 @@
     node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
     assert!((0..20).all(|id| node.sent_to(id) == 2));
     // A complete list without the last ready server removes it.
-    node.servers(ready(3..4));
+    node.set_servers(ready(3..4));
     assert!((20..40).all(|id| node.sent_to(id) == 3));
 }
 
@@ -150,14 +150,14 @@
 /// A keyed request is still retried in the cell of its first attempt only, although that server is no longer
 /// in the table.
 #[test]
-fn a_removed_server_is_forgotten_after_its_last_attempt_and_retries_stay_in_its_cell() {
+fn a_removed_server_is_dropped_after_its_last_attempt_and_retries_stay_in_its_cell() {
     let cell = |i, cell| ServerEntry { cell, ..ServerEntry::new(ServerId(i), Availability::Ready) };
     let mut node = Node::new(one_class(keyed(DeduplicationScope::Cell, 500.0)), 1);
-    node.servers(vec![cell(0, 7)]);
+    node.set_servers(vec![cell(0, 7)]);
     assert_eq!((node.sent_to(1), node.sent_to(2)), (0, 0));
-    node.servers(vec![cell(1, 8), cell(2, 7)]);
-    assert_eq!(send_of(&node.report(1, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
-    assert_eq!(send_of(&node.report(2, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
+    node.set_servers(vec![cell(1, 8), cell(2, 7)]);
+    assert_eq!(send_of(&node.end_with_load(1, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
+    assert_eq!(send_of(&node.end_with_load(2, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
     let report = Some(LoadReport { in_flight: Some(9.0), queued: None });
     node.feed(BalancerEvent::ProbeEnded { server: ServerId(0), outcome: AttemptOutcome::Served, report });
     node.end(1, 1, 50.0, AttemptOutcome::Served);
@@ -177,14 +177,14 @@
     settings.warmup_overload_factor = 2.5;
     settings.warmup_overload_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..10));
+    node.set_servers(ready(0..10));
     let mut server_of = BTreeMap::new();
     let mut warming_sends = Vec::new();
     for id in 0..3_000 {
         if id == 1_500 {
             let mut entries = ready(0..11);
             entries[10].started_at = Some(node.now);
-            node.servers(entries);
+            node.set_servers(entries);
         }
         server_of.insert(id, node.sent_to(id));
         if server_of[&id] == 10 {
@@ -196,7 +196,7 @@
             let warming = server_of[&(id - 10)] == 10;
             let in_flight = if warming { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
             let elapsed = if warming { 10.0 } else { 40.0 };
-            node.report(id - 10, 0, elapsed, AttemptOutcome::Served, Some(in_flight));
+            node.end_with_load(id - 10, 0, elapsed, AttemptOutcome::Served, Some(in_flight));
         }
     }
     // Ten servers serve 250 requests per second. The capacity of the warming one begins at 0.3 of a tenth of
@@ -240,11 +240,11 @@
         let mut node = Node::new(settings.clone(), node_index as u64);
         let mut entries = ready(0..10);
         entries[7].started_at = Some(node.now);
-        node.servers(entries);
+        node.set_servers(entries);
         for id in 0..30 {
             node.now += 50.0;
             let server = node.sent_to(id);
-            node.report(id, 0, 40.0, AttemptOutcome::Served, Some(1.0));
+            node.end_with_load(id, 0, 40.0, AttemptOutcome::Served, Some(1.0));
             sent += 1;
             to_warming += usize::from(server == 7);
         }
@@ -296,7 +296,7 @@
 #[test]
 fn failures_eject_a_server_and_a_success_ends_the_ejection() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let sends_to_first_server = |node: &mut Node, from: u64, faulty: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
@@ -304,7 +304,7 @@
             node.now += 10.0;
             sent += usize::from(server == 0);
             if faulty && server == 0 {
-                let retry = node.report(id, 0, 2.0, AttemptOutcome::Error, Some(0.0));
+                let retry = node.end_with_load(id, 0, 2.0, AttemptOutcome::Error, Some(0.0));
                 let attempt = usize::from(send_of(&retry).is_some());
                 node.end(id, attempt, 30.0, AttemptOutcome::Served);
             } else {
@@ -325,7 +325,7 @@
 #[test]
 fn an_unresponsive_server_is_avoided() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let mut unanswered = 0;
     for id in 0..600 {
         let server = send_of(&node.request(id, 0, 800.0));
@@ -333,7 +333,7 @@
         if id > 200 && server == Some(0) {
             unanswered += 1;
         } else if server.is_some() {
-            node.report(id, 0, 30.0, AttemptOutcome::Served, Some((1 + id % 3) as f64));
+            node.end_with_load(id, 0, 30.0, AttemptOutcome::Served, Some((1 + id % 3) as f64));
         }
     }
     assert!(unanswered < 12, "{unanswered} requests were sent to the unresponsive server");
@@ -352,7 +352,7 @@
         (Idempotency::Safe, true, false),
     ] {
         let mut node = Node::new(one_class(idempotency), 1);
-        node.servers(ready(0..2));
+        node.set_servers(ready(0..2));
         let ids = 1..=6;
         let server_of: BTreeMap<u64, usize> = ids.clone().map(|id| (id, node.sent_to(id))).collect();
         node.now += 20.0;
@@ -383,12 +383,12 @@
 #[test]
 fn an_implausible_report_changes_no_count() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     let mut sent = [0; 2];
     for id in 1..=40 {
         let server = node.sent_to(id);
         sent[server] += 1;
-        node.report(
+        node.end_with_load(
             id,
             0,
             20.0,
@@ -405,7 +405,7 @@
     let mut settings = one_class(Idempotency::Safe);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let mut last = (0, 0);
     for id in 0..3_000 {
         let failing = (500..1_000).contains(&id);
@@ -430,7 +430,7 @@
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (16, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..10));
+    node.set_servers(ready(0..10));
     let mut trials = 0;
     for id in 0..4_000 {
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
@@ -451,7 +451,7 @@
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (12, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..20));
+    node.set_servers(ready(0..20));
     let mut in_flight = std::collections::VecDeque::new();
     let (mut requests, mut rejections) = (0, 0);
     for id in 0..620_u64 {
@@ -483,7 +483,7 @@
         let mut settings = one_class(Idempotency::Safe);
         settings.drain_grace_ms = grace;
         let mut node = Node::new(settings, 1);
-        node.servers(ready(0..1));
+        node.set_servers(ready(0..1));
         for _ in 0..12 {
             let actions = node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
             let after = |a: &BalancerAction| {
@@ -511,7 +511,7 @@
     let keyed = keyed(DeduplicationScope::All, 1_000.0);
     for (idempotency, limit) in [(keyed, Some(700.0)), (Idempotency::Safe, None)] {
         let mut node = Node::new(one_class(idempotency), 1);
-        node.servers(ready(0..3));
+        node.set_servers(ready(0..3));
         assert_eq!(within(&node.request(1, 0, 800.0)), None);
         node.now += 200.0;
         assert_eq!(within(&node.end(1, 0, 200.0, AttemptOutcome::Error)), limit);
@@ -536,7 +536,7 @@
             let mut settings = one_class(Idempotency::Safe);
             settings.cancel = cancel;
             let mut node = Node::new(settings, 1);
-            node.servers(ready(0..3));
+            node.set_servers(ready(0..3));
             node.sent_to(1);
             let actions = node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
             assert_eq!(send_of(&actions), None);
@@ -556,7 +556,7 @@
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let mut sent = 0;
     for id in 0..400 {
         let admitted = send_of(&node.request(id, 0, 800.0)).is_some();
@@ -576,7 +576,7 @@
     settings.quotas_per_s = vec![1_000.0, 10.0];
     settings.over_quota_value = 0.1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     let mut rejections = [0; 2];
     for id in 0..4_000_u64 {
         let tenant = (id % 2) as usize;
@@ -603,7 +603,7 @@
     settings.over_quota_value = 0.1;
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let mut rejections = [0; 2];
     for id in 0..2_000_u64 {
         // Each tenant sends one request every two seconds, within the first tenant's share but not the
@@ -627,7 +627,7 @@
         DecisionSettings::new(vec![urgent, RequestClass::new(4_000.0, 8_000.0, Idempotency::Safe)]);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     let mut rejections = [0; 2];
     let mut in_flight = std::collections::VecDeque::new();
     for id in 0..4_000_u64 {
@@ -928,7 +928,7 @@
 #[test]
 fn events_with_unknown_ids_are_ignored() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     assert!(node.end(77, 0, 5.0, AttemptOutcome::Served).is_empty());
     assert!(node.feed(BalancerEvent::ClientDisconnected(RequestId(77))).is_empty());
     assert!(
--- a/crates/balancer-node/tests/slow_start.rs
+++ b/crates/balancer-node/tests/slow_start.rs
@@ -344,12 +344,12 @@
 }
 
 /// Restarts of these servers at the time of the fault.
-fn at_once(servers: impl Iterator<Item = usize>) -> Vec<(usize, f64)> {
+fn restarts_at_fault(servers: impl Iterator<Item = usize>) -> Vec<(usize, f64)> {
     servers.map(|i| (i, 0.0)).collect()
 }
 
 /// Restarts of these servers one after another, `gap` milliseconds apart, after the fault.
-fn one_by_one(servers: impl Iterator<Item = usize>, gap: f64) -> Vec<(usize, f64)> {
+fn staggered_restarts(servers: impl Iterator<Item = usize>, gap: f64) -> Vec<(usize, f64)> {
     servers.enumerate().map(|(k, i)| (i, gap * (1 + k) as f64)).collect()
 }
 
@@ -374,34 +374,42 @@
     let second_zone = || (0..servers).filter(|i| i % 2 == 1);
     let all_but_three = 3..servers;
     vec![
-        ("one restart", Fleet { starts: at_once(5..6), ..one_zone.clone() }),
-        ("one restart at low load", Fleet { load: 0.6, starts: at_once(5..6), ..two_zones.clone() }),
+        ("one restart", Fleet { starts: restarts_at_fault(5..6), ..one_zone.clone() }),
+        (
+            "one restart at low load",
+            Fleet { load: 0.6, starts: restarts_at_fault(5..6), ..two_zones.clone() },
+        ),
         (
             "a third restart",
-            Fleet { starts: at_once(0..servers / 3), traffic: vec![3.0, 1.0], ..two_zones.clone() },
+            Fleet { starts: restarts_at_fault(0..servers / 3), traffic: vec![3.0, 1.0], ..two_zones.clone() },
         ),
         (
             "some restart, some are faulty",
-            Fleet { faulty: vec![0, 9], starts: at_once(4..8), ..two_zones.clone() },
+            Fleet { faulty: vec![0, 9], starts: restarts_at_fault(4..8), ..two_zones.clone() },
         ),
         (
             "a cell restarts, requests bound to it",
-            Fleet { faulty: vec![0, 9], starts: at_once(1..3), idempotency: keyed, ..two_zones.clone() },
+            Fleet {
+                faulty: vec![0, 9],
+                starts: restarts_at_fault(1..3),
+                idempotency: keyed,
+                ..two_zones.clone()
+            },
         ),
-        ("all but one restart", Fleet { starts: at_once(1..servers), ..one_zone.clone() }),
+        ("all but one restart", Fleet { starts: restarts_at_fault(1..servers), ..one_zone.clone() }),
         (
             "all but one restart, only probes report",
-            Fleet { probes_only: true, starts: at_once(1..servers), ..one_zone.clone() },
+            Fleet { probes_only: true, starts: restarts_at_fault(1..servers), ..one_zone.clone() },
         ),
         (
             "a zone restarts one by one",
-            Fleet { starts: one_by_one(second_zone(), 700.0), ..two_zones.clone() },
+            Fleet { starts: staggered_restarts(second_zone(), 700.0), ..two_zones.clone() },
         ),
         (
             "one restart in a small zone",
             Fleet {
                 zones: (0..servers).map(|i| usize::from(i < 2)).collect(),
-                starts: at_once(1..2),
+                starts: restarts_at_fault(1..2),
                 ..two_zones.clone()
             },
         ),
@@ -409,7 +417,7 @@
             "most fail, one restart",
             Fleet {
                 failed_servers: all_but_three.clone().collect(),
-                starts: at_once(2..3),
+                starts: restarts_at_fault(2..3),
                 ..two_zones.clone()
             },
         ),
@@ -418,13 +426,13 @@
             Fleet {
                 probes_only: true,
                 failed_servers: all_but_three.clone().collect(),
-                starts: at_once(2..3),
+                starts: restarts_at_fault(2..3),
                 ..two_zones.clone()
             },
         ),
         (
             "most fail, all others restart",
-            Fleet { failed_servers: all_but_three.collect(), starts: at_once(0..3), ..two_zones },
+            Fleet { failed_servers: all_but_three.collect(), starts: restarts_at_fault(0..3), ..two_zones },
         ),
     ]
 }
@@ -472,7 +480,7 @@
             starts: (0..12).map(|i| (i, 1_000.0)).collect(),
             ..fleet.clone()
         };
-        let faulty = Fleet { faulty: vec![0], starts: at_once(1..12), ..fleet };
+        let faulty = Fleet { faulty: vec![0], starts: restarts_at_fault(1..12), ..fleet };
         for (name, fleet) in [("all restart, announced late", late), ("all but a faulty one restart", faulty)]
         {
             let (worst, used) = simulate(name, &fleet);
