--- a/crates/balancer-node/tests/clients.rs
+++ b/crates/balancer-node/tests/clients.rs
@@ -21,10 +21,10 @@
     Reset,
 }
 
-/// After the node has received that a client has disconnected, it must not begin another attempt of the
-/// client's request, whatever a server responds. If unread input followed the request, the node once detected
-/// the disconnect only every 100 ms, and retried requests that came back within this time as not run. The
-/// settings forbid to cancel attempts here, so that the first attempt still gets its response.
+/// Once the disconnect of a client has arrived at the node, no further attempt of its request may begin,
+/// whatever a server responds. If unread input followed the request, the node once checked for a disconnect
+/// only every 100 ms. If a server rejected the request as not run within that time, the node retried it. The
+/// settings forbid cancelling attempts here, so the first attempt still gets its response.
 #[test]
 fn no_attempt_begins_after_the_client_has_disconnected() {
     let servers = [Server::start(), Server::start()];
@@ -68,7 +68,7 @@
                 let first = &exchange.request.start_line;
                 assert!(
                     first.starts_with("POST "),
-                    "{first}: {disconnect:?}, {wait:?}, {} bytes following",
+                    "`{first}` was sent again after {disconnect:?}, {wait:?}, {} bytes following",
                     following.len()
                 );
                 exchange.answer(OK, "", b"");
@@ -76,7 +76,7 @@
             }
             assert!(
                 servers.iter().all(|server| !server.has_request()),
-                "{disconnect:?}, {} bytes following",
+                "a request was sent after {disconnect:?}, {} bytes following",
                 following.len()
             );
             drop(half_closed);
@@ -88,8 +88,8 @@
 
 /// Idle clients occupy all connections that clients may have, while discovery first does not respond and then
 /// closes its connections. Sockets for discovery and for servers are reserved, so the node must still receive
-/// the next list and serve new clients with it. The shell lowers the process's descriptor limit to the
-/// configured number of sockets.
+/// the next list and serve new clients with it. A shell lowers the descriptor limit of the node's process to
+/// the configured number of sockets.
 #[test]
 fn idle_clients_leave_sockets_for_discovery_and_servers() {
     let servers = [Server::start(), Server::start()];
@@ -123,7 +123,7 @@
         assert_eq!(node.client().round_trip(HEALTH).status(), 200, "the node accepts no new client");
         let open = node.open_descriptors();
         assert!((50..96).contains(&open), "{open} of 128 descriptors are open with idle clients alone");
-        // This fails if the call has timed out.
+        // Shutting down fails if the call has timed out and the node has closed its connection.
         let _ = broken.stream.shutdown(Shutdown::Both);
     }
     let change = [member("s0", servers[0].address, "leaving"), member("s1", servers[1].address, "active")];
@@ -140,7 +140,7 @@
 }
 
 /// Nine in ten restarted nodes must be ready within 10 s, however discovery fails. A node waits for the first
-/// list for at most a quarter of the drain grace, here half a second, also if the list arrives too slowly.
+/// list for at most a quarter of the drain grace, here half a second, even if a part of the list has arrived.
 /// Then it serves with the configured list.
 #[test]
 fn a_node_is_ready_in_time_however_discovery_fails() {
--- a/crates/balancer-node/tests/common/mod.rs
+++ b/crates/balancer-node/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the decision tests: they build settings and events, pass them to a balancer and read its
+//! Helpers of the decision tests, which build settings and events, pass them to a balancer and read its
 //! actions.
 #![allow(dead_code, reason = "each test file uses some of the helpers")]
 
@@ -22,7 +22,7 @@
         actions
     }
 
-    /// Passes a complete server list.
+    /// Passes a complete server list, which replaces the previous one.
     pub fn set_servers(&mut self, entries: Vec<ServerEntry>) -> Vec<BalancerAction> {
         self.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(entries)))
     }
@@ -36,7 +36,7 @@
     ///
     /// # Panics
     ///
-    /// The request is not sent at once.
+    /// Panics if the request is not sent at once.
     pub fn sent_to(&mut self, id: u64) -> usize {
         let actions = self.request(id, 0, 800.0);
         send_of(&actions).unwrap_or_else(|| panic!("request {id} was not sent: {actions:?}"))
@@ -86,17 +86,17 @@
     })
 }
 
-/// Returns whether a request is rejected by one of the actions.
+/// Whether one of the actions rejects a request.
 pub fn rejected(actions: &[BalancerAction]) -> bool {
     actions.iter().any(|a| matches!(a, BalancerAction::Reject { .. }))
 }
 
-/// Returns whether a request fails by one of the actions.
+/// Whether one of the actions fails a request.
 pub fn failed(actions: &[BalancerAction]) -> bool {
     actions.iter().any(|a| matches!(a, BalancerAction::Fail { .. }))
 }
 
-/// Returns the idempotency of requests with a key: servers of `group` discard repeats for `window_ms`.
+/// Returns the idempotency of requests with a key: servers of a `group` discard repeats for `window_ms`.
 pub fn keyed(group: DeduplicationScope, window_ms: f64) -> Idempotency {
     Idempotency::Keyed { group, window_ms }
 }
--- a/crates/balancer-node/tests/discovery.rs
+++ b/crates/balancer-node/tests/discovery.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio::task::LocalSet;
 
-/// Number of servers in the list of the whole fleet, which is 2.7 MB long.
+/// Number of servers in a list of a large fleet; its JSON has 2.7 MB.
 const LONG_LIST: usize = 21_000;
 /// Time within which a change must take effect: it counts as announced 6 s after discovery is reachable, and
 /// then requests may be sent to a draining server for another 2 s.
@@ -31,13 +31,13 @@
     config
 }
 
-/// Checks that a call asks for the changes since this version.
+/// Checks that a call asks for the changes since this revision.
 fn assert_asks_since(call: &Exchange, revision: u64) {
     let expected = format!("GET /catalog/members?since={revision}&");
     assert!(call.request.start_line.starts_with(&expected), "{}", call.request.start_line);
 }
 
-/// Each failure must lead to another call in time, for the changes since the version in use.
+/// Each failure must lead to another call in time, for the changes since the revision in use.
 #[test]
 fn after_any_failed_call_another_follows_in_time() {
     let server = Server::start();
@@ -46,14 +46,17 @@
     let body = list(2, true, &[]).to_string();
     let complete = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let redirect = "HTTP/1.1 302 Found\r\nlocation: /elsewhere\r\ncontent-length: 0\r\n\r\n";
-    let cut = &body[..body.len() - 3];
+    let truncated = &body[..body.len() - 3];
     let failures = [
         ("an error", "HTTP/1.1 500 Oh\r\ncontent-length: 0\r\n\r\n".to_owned()),
         ("a redirect", redirect.to_owned()),
         ("invalid JSON", complete.replace("[]", "[{")),
         ("bytes that are not HTTP", "\0\0\r\n\r\n".to_owned()),
         ("an incomplete response on an open connection", complete[..complete.len() - 3].to_owned()),
-        ("an incomplete list", format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{cut}", cut.len())),
+        (
+            "an incomplete list",
+            format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{truncated}", truncated.len()),
+        ),
         ("no response", String::new()),
     ];
     let mut call = node.discovery.request();
@@ -65,7 +68,7 @@
         assert!(since.elapsed() < ANNOUNCED_WITHIN, "{failure}: {:?}", since.elapsed());
         call = next;
     }
-    // The connection breaks. Then a response arrives at one byte every 10 ms.
+    // The connection breaks. After the next call, the response arrives at one byte every 10 ms.
     call.stream.shutdown(Shutdown::Both).expect("broken");
     call = node.discovery.request();
     assert_asks_since(&call, 1);
@@ -85,8 +88,8 @@
     assert_served_by(&node, &server);
 }
 
-/// While no connection to discovery can be established, the node must keep calling: it must call in time
-/// after discovery listens at its address, or accepts connections, again.
+/// While no connection to discovery can be established, the node must keep trying: its call must arrive in
+/// time after discovery listens at its address again, or accepts connections again.
 #[test]
 fn a_discovery_that_is_reachable_again_is_called_in_time() {
     let mut config = with_long_intervals(&[]);
@@ -112,7 +115,10 @@
     drop(filler);
     let (_stream, call) = accept_call(&full);
     assert!(since.elapsed() < ANNOUNCED_WITHIN, "connection not established: {:?}", since.elapsed());
-    assert_eq!(call, "GET /catalog/members HTTP/1.1", "the versions of two discoveries may differ");
+    assert_eq!(
+        call, "GET /catalog/members HTTP/1.1",
+        "a new discovery need not have the revisions of the old one"
+    );
 }
 
 /// Clients wait until a node has started, so it must start even if discovery does not respond.
@@ -168,8 +174,8 @@
     assert!(!servers[1].has_request());
 }
 
-/// A list that has too many entries, has a string without an end, or consists of endless white space must be
-/// abandoned. The present list stays in force.
+/// The node must stop reading a list that has too many entries, a string without an end, or endless white
+/// space. The present list stays in force.
 #[test]
 fn a_list_over_the_memory_limit_is_dropped_and_the_present_one_stays_in_force() {
     let server = Server::start();
@@ -199,7 +205,7 @@
     assert!(node.peak_memory() < 64 << 20, "{} bytes", node.peak_memory());
 }
 
-/// A single unreadable entry once made the complete list unreadable, and with it all later changes.
+/// A single unreadable entry once made the node discard the complete list, and with it all later changes.
 #[test]
 fn an_unreadable_entry_is_skipped_and_its_server_gets_no_new_requests() {
     let servers = [Server::start(), Server::start()];
@@ -296,7 +302,7 @@
     assert_ne!(second.connection, 0);
 }
 
-/// Decodes a list that is fed in chunks of this length, with a memory limit in bytes.
+/// Decodes a list in chunks of `chunk_bytes`, with a memory limit of `max_bytes`.
 fn decode(text: &[u8], chunk_bytes: usize, max_bytes: usize) -> Result<ServerList, ListError> {
     let mut decoder = ListDecoder::new(max_bytes);
     text.chunks(chunk_bytes).try_for_each(|chunk| decoder.feed(chunk))?;
@@ -330,7 +336,7 @@
     }
     let fails = |text: &str| decode(text.as_bytes(), 5, 1 << 20).is_err();
     assert!(fails("[]") && fails("{}") && fails(r#"{"revision":1,"complete":true,"members":3}"#));
-    assert!(fails(r#"{"revision":-1,"complete":true,"members":[]}"#), "a negative version");
+    assert!(fails(r#"{"revision":-1,"complete":true,"members":[]}"#), "a negative revision");
     assert!(fails(r#"{"revision":1,"complete":true,"members":[],"members":[]}"#), "`members` occurs twice");
     assert!(fails(r#"{"revision":1,"complete":true,"members":[{"id":5},7]}"#), "no entry has a valid id");
     assert!(fails(r#"{"revision":1,"complete":true,"members":[{"id":"a"]}]}"#), "invalid JSON");
--- a/crates/balancer-node/tests/endings.rs
+++ b/crates/balancer-node/tests/endings.rs
@@ -14,8 +14,9 @@
 
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
 
-/// Before SIGKILL, a node gets at most 3 s for its deadlines. A node that waited for a longer deadline was
-/// killed before it had answered its clients. It must fail their requests and exit in time.
+/// After SIGTERM, a node may wait at most 3 s for the deadlines of pending requests, because SIGKILL follows.
+/// Nodes that waited for a longer deadline were killed before they had answered their clients. A node must
+/// fail the remaining requests and exit in time.
 #[test]
 fn requests_that_would_outlast_the_shutdown_fail_before_the_node_exits() {
     let server = Server::start();
@@ -114,8 +115,8 @@
 /// Maximum number of responses of the scripted discovery that may arrive after the node's timeout.
 const MAX_LATE_ANSWERS: usize = 20;
 
-/// If discovery does not respond at the start, the node must serve with the configured list, and call for the
-/// complete list until it gets one.
+/// If discovery does not respond when a node starts, the node must serve with the configured list, and keep
+/// calling for the complete list until it gets one.
 #[test]
 fn a_node_starts_without_discovery_and_keeps_calling_it() {
     let servers = [Server::start(), Server::start()];
@@ -140,8 +141,8 @@
     assert_served_by(&node, &servers[1]);
 }
 
-/// After a poll without a response, the next call must fetch missed changes without a long poll, until
-/// discovery has responded once.
+/// After a poll without a response, each call must fetch missed changes at once instead of with a long poll,
+/// until discovery has responded.
 #[test]
 fn after_an_unanswered_poll_updates_are_fetched_at_once() {
     let mut config = config(&[]);
@@ -160,7 +161,7 @@
     assert!(usual >= 1_000, "{usual} ms");
 }
 
-/// A server that is listed again with another start time is a new process. A kept connection to the former
+/// A server that is listed again with another start time is a new process. An idle connection to the former
 /// process must not be reused: if its machine has failed, the next request on the connection would be reset.
 #[test]
 fn an_idle_connection_to_a_former_process_is_not_reused() {
@@ -239,7 +240,7 @@
     }
 }
 
-/// In scenarios that lose a zone, a third of the dials took up to 1.5 s, and each used up a quarter of its
+/// In scenarios where a zone fails, a third of the dials took up to 1.5 s, and each used up a quarter of its
 /// request's time. Further dials must run in parallel with a late one, and connections that are established
 /// after the first must serve the next requests.
 #[test]
@@ -328,8 +329,8 @@
     }
 }
 
-/// A request that waits for a connection when its client disconnects must not be sent. It once was if the
-/// settings forbid to cancel attempts, and if a part of another request followed it.
+/// A request that waits for a connection when its client disconnects must not be sent. It was once sent if
+/// the settings forbade cancelling attempts and a part of another request followed it.
 #[test]
 fn a_request_is_not_sent_if_its_client_disconnects_while_the_server_is_dialed() {
     for (cancel, following) in [(false, ""), (true, "GET /api"), (false, "GET /api"), (true, "")] {
@@ -358,8 +359,7 @@
     }
 }
 
-/// If a server reports that a request did not run, but its client has disconnected before, the request must
-/// not be retried.
+/// A request that a server rejects as not run must not be retried if its client has disconnected.
 #[test]
 fn a_request_is_not_retried_after_its_client_has_disconnected() {
     let servers = [Server::start(), Server::start()];
--- a/crates/balancer-node/tests/golden.rs
+++ b/crates/balancer-node/tests/golden.rs
@@ -33,9 +33,10 @@
     std::fs::read_to_string(path(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
+/// Name of the golden file with the settings that the message `BOOT` passes.
 const FACTS: &str = "wire-facts.json";
 
-/// Returns a codec that knows the columns of load reports in the golden settings.
+/// Returns a codec that has read the golden settings, which define the columns of load reports.
 fn codec() -> MessageCodec {
     let mut codec = MessageCodec::default();
     codec.settings(&read_golden(FACTS)).expect("valid settings");
--- a/crates/balancer-node/tests/hsq.rs
+++ b/crates/balancer-node/tests/hsq.rs
@@ -1,4 +1,5 @@
-//! Server selection by HSQ: counts and reports, probes, subsets of many nodes, and the preference for near
+//! Server selection by HSQ: the server with the lowest count gets the request, and a load report overwrites the
+//! count of its server. Covers counts and reports, probes, subsets of many nodes and the preference for near
 //! servers.
 
 mod common;
@@ -46,8 +47,7 @@
     assert_eq!(run(), run());
 }
 
-/// Returns a node with latency samples of all servers, all alike, so that it expects equal speed of the
-/// servers.
+/// Returns a node with equal latency samples of all servers, so that it expects them to be equally fast.
 fn node_with_equal_servers(servers: usize, settings: DecisionSettings) -> Node {
     let mut node = Node::new(settings, 3);
     node.set_servers(ready(0..servers));
@@ -145,8 +145,8 @@
     assert!(next != [repeating, repeating], "the repeated report erased a send");
 }
 
-/// The report of an idle server stays the same; after a long time, an unchanged report is used like a new
-/// one.
+/// The report of an idle server stays the same. After a long time, an unchanged report must therefore be used
+/// like a new one.
 #[test]
 fn an_unchanged_report_after_a_long_time_overwrites_the_count() {
     let mut node = node_with_equal_servers(2, long_target());
@@ -342,7 +342,7 @@
     );
 }
 
-/// A probe that is not answered must not delay the request: it is sent by the probes answered so far.
+/// An unanswered probe must not delay the request, which is sent according to the probes answered so far.
 #[test]
 fn an_unanswered_probe_does_not_delay_a_request() {
     let mut node = Node::new(probes_only(), 1);
@@ -392,8 +392,8 @@
     assert!(probed[0] + probed[1] <= 20, "probes by server, the first two are unresponsive: {probed:?}");
 }
 
-/// Found by random search (day h422b7a): if all nodes probe the server with the lowest old count, they
-/// overload it. The server to probe is drawn at random, more often one with a low count.
+/// If all nodes probed the server with the lowest old count, they would overload it. The server to probe is
+/// drawn at random, more often one with a low count.
 #[test]
 fn the_server_to_probe_is_drawn_at_random_with_a_preference_for_low_counts() {
     let mut first = [0; 2];
@@ -410,7 +410,7 @@
     assert!(first[0] > first[1] && first[1] > 20, "{first:?}");
 }
 
-/// The client disconnects while its request waits for probes.
+/// Covers a client that disconnects while its request waits for probes.
 #[test]
 fn a_request_is_not_sent_after_its_client_disconnected() {
     let mut node = Node::new(probes_only(), 1);
--- a/crates/balancer-node/tests/lists.rs
+++ b/crates/balancer-node/tests/lists.rs
@@ -66,8 +66,8 @@
     assert!(retries > 1_000, "only {retries} retries were compared");
 }
 
-/// In a large fleet, each request is offered a part of the ring only. The retry of a request that may have
-/// run must still find the only server that its deduplication scope allows, wherever on the ring that is.
+/// In a large fleet, only a part of the ring is considered for each request. The retry of a request that may
+/// have run must still find the only server that its deduplication scope allows, wherever on the ring it is.
 #[test]
 fn a_retry_finds_the_only_other_server_of_its_cell() {
     let mut settings = one_class(keyed(DeduplicationScope::Cell, 500.0));
@@ -75,7 +75,8 @@
     for seed in 0..20 {
         let mut node = Node::new(settings.clone(), seed);
         let mut entries = ready(0..4_000);
-        // Each cell has two servers, which are in different zones and half the ring apart.
+        // The two servers of a cell are in different zones. Each zone has its own ring, on which their
+        // positions are half a ring apart.
         let cell = |i: usize| if i < 2_000 { i } else { (i + 1_000) % 2_000 };
         entries.iter_mut().enumerate().for_each(|(i, e)| (e.cell, e.zone) = (cell(i), i / 2_000));
         node.set_servers(entries);
@@ -86,8 +87,8 @@
     }
 }
 
-/// In a fleet of more than some hundreds of servers, each request is offered a window of them. The window
-/// must move so that all servers are selected as evenly as without it.
+/// In a large fleet, only a part of the ring is considered for each request. Its start must vary, so that all
+/// servers are selected equally often.
 #[test]
 fn all_servers_of_a_large_fleet_are_selected_evenly() {
     let mut node =
--- a/crates/balancer-node/tests/many_nodes.rs
+++ b/crates/balancer-node/tests/many_nodes.rs
@@ -22,8 +22,9 @@
     settings
 }
 
-/// Passes requests of alternating classes, one every 66 ms. Each one sent is answered after `elapsed_ms` with
-/// a load report of `in_flight` requests. Returns the number of requests that were not sent.
+/// Passes requests of alternating classes, one every 66 ms. Each request that is sent is answered after
+/// `elapsed_ms` with a load report of `in_flight` requests. Returns the number of requests that were not
+/// sent.
 fn count_rejections(node: &mut Node, ids: std::ops::Range<u64>, elapsed_ms: f64, in_flight: f64) -> usize {
     let mut rejections = 0;
     for id in ids {
@@ -134,7 +135,7 @@
         node.end_with_load(id, 0, 25.0, AttemptOutcome::Served, Some(1.0));
         server == bad
     });
-    assert!(tried, "the server got no trial request after its ejection");
+    assert!(tried, "server {bad} got no trial request after its ejection");
 }
 
 /// Guards against warming servers that stay idle: with six in ten servers new, each new one got five requests
@@ -158,8 +159,8 @@
         node.end_with_load(id, 0, 25.0, AttemptOutcome::Served, (server != 2).then_some(1.0));
         node.now += 41.0;
     }
-    // Slow start uses half of the overload factor 3, at half of a warm server's capacity, one of three
-    // servers.
+    // The load limit is 3 times the capacity of the warming server, which is half of that of a warm one; a
+    // warm server gets a third of the requests. Slow start uses half of the load limit.
     let allowed = all as f64 * 0.5 * 3.0 * 0.5 / 3.0;
     assert!(
         (0.7 * allowed..1.3 * allowed).contains(&(to_warming as f64)),
@@ -194,8 +195,8 @@
     );
 }
 
-/// Guards against a retry hint of one service time, as given by a node with fresh counts: clients retried
-/// while the servers were still full.
+/// Guards against a retry hint of only one service time, which suffices only if counts are fresh: clients
+/// retried while the servers were still full.
 #[test]
 fn the_retry_hint_is_longer_while_servers_are_full() {
     let hint = |actions: &[BalancerAction]| {
@@ -234,16 +235,17 @@
 #[test]
 fn a_request_that_an_idle_server_can_serve_in_time_is_never_rejected() {
     for nodes in [1, 2, 3, 12, 13, 100] {
-        // An answer takes nine tenths of the latency target.
         let mut settings = hundred_nodes();
         (settings.nodes, settings.classes[1].value) = (nodes, 0.01);
         let mut node = Node::new(settings, 3);
         node.set_servers(ready(0..6));
+        // An answer takes nine tenths of the latency target.
         assert_eq!(count_rejections(&mut node, 0..400, 0.9 * LATENCY_TARGET, 1.0), 0, "{nodes} nodes");
     }
 }
 
-/// Among few nodes, too, load reports determine when requests are rejected, those of the lowest value first.
+/// Among few nodes, too, load reports determine when requests are rejected. Those of the lowest value are
+/// rejected first.
 #[test]
 fn few_nodes_reject_requests_of_low_value_when_servers_are_full() {
     for nodes in [2, 3, 12] {
@@ -330,12 +332,15 @@
 
 /// Guards against outdated reports that keep servers unused: each of two nodes sent nothing to four of nine
 /// servers because these had once reported a queue, and rejected requests because the servers in use were
-/// full. If one of few nodes does not send to a server, only few other nodes do.
+/// full. Among few nodes, only few others remain to send to a server that one node avoids.
 #[test]
 fn given_a_server_that_reported_a_queue_when_the_others_stay_busy_then_it_is_soon_selected_again() {
     for nodes in [2, 3] {
         let requests: u64 = (0..40).map(|seed| requests_until_selected_again(nodes, seed)).sum();
-        assert!(requests <= 40 * 70, "{nodes} nodes: {requests} requests until then, sum over forty seeds");
+        assert!(
+            requests <= 40 * 70,
+            "{nodes} nodes: {requests} requests until the server was selected again, summed over forty seeds"
+        );
     }
 }
 
--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -16,11 +16,11 @@
 
 /// Status of a response to a request that was served.
 pub const OK: &str = "200 OK";
-/// Timeout of everything that a test waits for. It is long enough even on a busy machine.
+/// Timeout of every wait in a test. It is long enough even on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Prevents a process from being spawned while [`unused_address`] has a listener open. Between fork and exec,
-/// a child process holds every socket of this process, so the address could not be bound while it starts.
+/// a child process has a copy of every socket of this process, so the address could not be bound meanwhile.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// Binds a listener to a loopback address that no other test uses.
@@ -94,10 +94,11 @@
     Closed(usize),
 }
 
-/// A request that the test has to answer. Dropping it ends the reading from its connection.
+/// A request that the test has to answer. If it is dropped without an answer, no further request is read from
+/// its connection.
 pub struct Exchange {
     pub request: Message,
-    /// Number of the connection; they count from zero in the order of their acceptance.
+    /// Number of the connection, counted from zero in the order of acceptance.
     pub connection: usize,
     pub stream: TcpStream,
     /// Lets the server's thread read the next request from the connection.
@@ -109,13 +110,13 @@
     ///
     /// # Panics
     ///
-    /// The node has closed the connection.
+    /// Panics if the node has closed the connection.
     pub fn answer(self, status: &str, headers: &str, body: &[u8]) {
-        assert!(self.try_answer(status, headers, body), "answered");
+        assert!(self.try_answer(status, headers, body), "the node has closed the connection");
     }
 
-    /// Sends a response if the connection is still open; returns whether it is. The connection then accepts
-    /// another request.
+    /// Sends a response unless the connection is closed; returns whether it was sent. The connection then
+    /// accepts another request.
     pub fn try_answer(mut self, status: &str, headers: &str, body: &[u8]) -> bool {
         let length = body.len();
         let written = write!(self.stream, "HTTP/1.1 {status}\r\ncontent-length: {length}\r\n{headers}\r\n")
@@ -123,7 +124,7 @@
         written.is_ok() && self.continue_reading.send(()).is_ok()
     }
 
-    /// Sends bytes unchanged.
+    /// Sends raw bytes, and ignores a failure.
     pub fn write(&mut self, bytes: &[u8]) {
         // This fails if the node has closed the connection.
         let _ = self.stream.write_all(bytes);
@@ -192,7 +193,7 @@
         })
     }
 
-    /// Returns whether a request has arrived that the test has not received, and drops that request.
+    /// Returns whether a request has arrived that the test has not received. That request is dropped.
     pub fn has_request(&self) -> bool {
         self.try_request().is_some()
     }
--- a/crates/balancer-node/tests/node.rs
+++ b/crates/balancer-node/tests/node.rs
@@ -23,10 +23,10 @@
         let id = exchange.request.header("x-request-id").expect("forwarded");
         assert!(sent.contains(&format!("x-request-id: {id}\r\n")));
         assert_eq!(exchange.request.header("idempotency-key"), Some("k1"));
-        let left: f64 =
+        let time_left: f64 =
             exchange.request.header("x-deadline").and_then(|t| t.parse().ok()).expect("a deadline");
-        assert!(left > 1.0 && left < 20.0, "{left}");
-        assert_eq!(exchange.connection, 0, "the connection was not kept");
+        assert!(time_left > 1.0 && time_left < 20.0, "x-deadline: {time_left}");
+        assert_eq!(exchange.connection, 0, "the connection was not reused");
         exchange.answer(OK, "", b"an \x00 answer");
         let answer = client.response();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"an \x00 answer"[..]));
@@ -162,7 +162,7 @@
     for _ in 0..5 {
         let servers = [Server::start(), Server::start()];
         let node = Node::with_servers(&[&servers[0], &servers[1]]);
-        // Both servers get a connection that is kept, so that the next attempt need not wait for one.
+        // Each server gets a connection that stays open, so that the next attempt need not wait for one.
         let mut clients = [node.client(), node.client()];
         clients.iter_mut().for_each(|client| client.send(&request("read", 20.0)));
         servers.iter().for_each(|server| server.request().answer(OK, "", b""));
@@ -220,8 +220,8 @@
     assert_eq!(client.response().status(), 200);
 }
 
-/// A request must not fail because its server has closed the kept connection or has announced to close it.
-/// The requests are unsafe, so the node cannot hide a failure with a retry.
+/// A request must not fail because its server has closed the idle connection, or has announced with the
+/// previous response that it will close it. The requests are unsafe, so a retry cannot hide the failure.
 #[test]
 fn a_connection_that_its_server_closes_is_not_reused() {
     for headers in ["", "connection: close\r\n"] {
@@ -242,7 +242,7 @@
     }
 }
 
-/// Time passes between the decision and the sending. A server that has begun to drain by then must get no new
+/// While the node connects to the selected server, that server may begin to drain. It must then get no new
 /// request.
 #[test]
 fn a_server_that_drains_during_a_slow_connect_gets_no_request() {
@@ -282,8 +282,8 @@
     unanswered.wait_until_closed();
 }
 
-/// An error status, a malformed list and a broken connection must each lead to another call, from the same
-/// version.
+/// An error status, a malformed list and a broken connection must each lead to another call for the changes
+/// since the same revision.
 #[test]
 fn the_list_is_polled_again_after_each_failure() {
     let (old, new) = (Server::start(), Server::start());
@@ -310,8 +310,8 @@
     assert!(!old.has_request() && !moved.has_request());
 }
 
-/// Servers are added and removed with new ids as long as the node runs, so it must free the memory of removed
-/// ones.
+/// While a node runs, servers with new ids are added and removed again and again, so it must free the memory
+/// of removed ones.
 #[test]
 fn removed_servers_take_no_memory() {
     let server = Server::start();
@@ -341,7 +341,7 @@
     let before = node.resident_memory();
     round(100);
     let grown = node.resident_memory().saturating_sub(before);
-    assert!(grown < 8 << 20, "{grown} bytes more for 40,000 removed servers");
+    assert!(grown < 8 << 20, "the memory has grown by {grown} bytes for 40,000 removed servers");
     assert_served_by(&node, &server);
 }
 
@@ -366,8 +366,8 @@
     assert_eq!(client.response().status(), 200);
 }
 
-/// SIGHUP once killed the node. The new discovery does not share the versions of the former one and would
-/// hold a long poll since an unknown version, so the first call must fetch the complete list. Pending
+/// SIGHUP once killed the node. The new discovery need not have the revisions of the former one and would not
+/// respond to a long poll since an unknown revision, so the first call must fetch the complete list. Pending
 /// requests must still be answered.
 #[test]
 fn sighup_under_load_moves_the_long_poll_to_a_new_discovery() {
@@ -480,8 +480,8 @@
     assert_eq!(pending.response().status(), 200);
 }
 
-/// `allowed.retry_after` disables the retry hint for simulated clients. It once disabled the hint on sockets,
-/// too.
+/// The setting `allowed.retry_after` applies to simulated clients only. It once also disabled the retry hint
+/// of the node's binary.
 #[test]
 fn a_rejection_has_a_retry_hint_even_if_the_settings_disable_it_for_simulated_clients() {
     let mut config = config(&[]);
@@ -531,8 +531,8 @@
     drop(idle);
 }
 
-/// If clients that have had a response occupy all connection slots, a new client must not be disconnected for
-/// the next one before it has sent its request.
+/// If clients that have had a response occupy all connection slots, idle connections are closed for new
+/// clients. A new client must not itself be disconnected for the next one before it has sent its request.
 #[test]
 fn new_clients_are_not_disconnected_before_their_first_request() {
     let mut config = config(&[]);
@@ -565,7 +565,7 @@
     let answered =
         clients.iter_mut().filter_map(|client| Some(client.read_to_end()).filter(|text| !text.is_empty()));
     let answered = answered.count();
-    assert!((20..=40).contains(&answered), "{answered}");
+    assert!((20..=40).contains(&answered), "{answered} of 60 clients were answered");
 }
 
 #[test]
@@ -681,8 +681,8 @@
     assert_served_by(&node, &server);
 }
 
-/// hyper drops one of the two fields. A server that uses the other one would find another request in the body
-/// (request smuggling).
+/// hyper drops one of the two fields with the length of the body. A server that uses the dropped one would
+/// find another request in the body (request smuggling).
 #[test]
 fn a_request_with_two_lengths_ends_its_connection() {
     let server = Server::start();
@@ -719,7 +719,7 @@
         assert_eq!(client.response().status(), 413);
     }
     let grown = node.peak_memory() - before;
-    assert!(grown < 16 << 20, "{grown} bytes for 40 clients");
+    assert!(grown < 16 << 20, "the peak memory has grown by {grown} bytes for 40 clients");
 }
 
 #[test]
@@ -907,7 +907,7 @@
     let child = spawn(command.stdout(std::process::Stdio::null()).stderr(std::process::Stdio::piped()));
     let output = child.wait_with_output().expect("ended");
     let log = String::from_utf8_lossy(&output.stderr);
-    assert!(!output.status.success(), "{key}: the process has not failed");
+    assert!(!output.status.success(), "{key}: the process has exited without an error");
     assert_eq!(log.lines().count(), 1, "{key}: {log}");
     assert!(log.contains(&format!("`{key}")), "{key}: {log}");
 }
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -211,7 +211,7 @@
     assert!(!warming_sends.is_empty(), "the warming server got no request");
 }
 
-/// A node that has just restarted learns the start times of servers from the server list only.
+/// A node that has just restarted gets the start times of servers from the server list only.
 #[test]
 fn a_restarted_node_limits_requests_to_warming_servers() {
     let mut settings = one_class(Idempotency::Safe);
@@ -321,7 +321,7 @@
     assert!(sends_to_first_server(&mut node, 3_000, false) > 50, "the server is still ejected");
 }
 
-/// The count of a server that accepts requests but answers none does not differ from the counts of others.
+/// A server that accepts requests but answers none must soon get no more of them.
 #[test]
 fn an_unresponsive_server_is_avoided() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
@@ -339,7 +339,7 @@
     assert!(unanswered < 12, "{unanswered} requests were sent to the unresponsive server");
 }
 
-/// Requests at a server that becomes unresponsive lose time. Those that may be repeated are sent to another
+/// If a server becomes unresponsive, its requests are delayed. Those that may be repeated are sent to another
 /// server.
 #[test]
 fn stalled_attempts_are_cancelled_if_the_request_may_be_repeated() {
@@ -379,7 +379,7 @@
     }
 }
 
-/// After a report of an impossible number of requests, the server would never be selected again.
+/// If a report of an impossible number of requests were used, the server would never be selected again.
 #[test]
 fn an_implausible_report_changes_no_count() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
@@ -399,7 +399,7 @@
     assert_eq!(sent, [20, 20]);
 }
 
-/// While all servers fail, some requests must still be sent, so that the recovery is noticed.
+/// While all servers fail, some requests must still be sent, so that the recovery is detected.
 #[test]
 fn rejections_end_when_the_servers_recover() {
     let mut settings = one_class(Idempotency::Safe);
@@ -423,7 +423,7 @@
     assert!(last.0 * 100 > last.1 * 95, "(sent, requests) long after the recovery: {last:?}");
 }
 
-/// While all answers are late, nodes send trial requests to idle servers to notice the recovery. The trials
+/// While all answers are late, nodes send trial requests to idle servers to detect the recovery. The trials
 /// of many nodes must not keep the servers overloaded.
 #[test]
 fn many_nodes_send_few_trial_requests_while_answers_are_late() {
@@ -501,7 +501,7 @@
     }
 }
 
-/// A retry must be sent within its deduplication window, also if the connection is slow to establish.
+/// A retry must be sent within its deduplication window, even if the connection is slow to establish.
 #[test]
 fn the_retry_of_a_keyed_request_must_be_sent_within_its_window() {
     let within = |actions: &[BalancerAction]| match actions[..] {
@@ -521,8 +521,8 @@
     }
 }
 
-/// A request whose client disconnected is not retried, however its attempt ends, also if attempts may not be
-/// cancelled.
+/// A request whose client disconnected is not retried, however its attempt ends, even if the settings forbid
+/// cancelling attempts.
 #[test]
 fn nothing_is_sent_after_the_client_has_disconnected() {
     for cancel in [true, false] {
@@ -617,8 +617,8 @@
     assert!(rejections[0] < 20 && rejections[1] > 400, "rejections by tenant: {rejections:?}");
 }
 
-/// A class of low value with a long latency target could wait long. It must not fill the queues so that
-/// requests of a class of higher value with a short target are late.
+/// Requests of a class with a long latency target can wait long. If their value is low, they must not fill
+/// the queues so that requests of a class of higher value with a short target are late.
 #[test]
 fn requests_of_low_value_are_rejected_before_those_of_higher_value() {
     let mut urgent = RequestClass::new(200.0, 2_000.0, Idempotency::Safe);
@@ -649,19 +649,22 @@
     assert!(rejections[1] > 2 * rejections[0], "rejections by class: {rejections:?}");
 }
 
-/// Checks the rules by events and actions alone, independently of the decision logic.
+/// Checks the rules from events and actions alone, independently of the decision logic.
 struct Checker {
     settings: DecisionSettings,
     requests: BTreeMap<u64, RequestRecord>,
+    /// Last entry of each server, also of removed ones.
     servers: BTreeMap<usize, ServerEntry>,
     /// Time in ms when each server was announced as draining or removed.
     unavailable_since: BTreeMap<usize, f64>,
+    /// Time in milliseconds for which requests may still be sent to such a server.
     grace_ms: f64,
 }
 
 /// State of one request, as far as the rules need it.
 struct RequestRecord {
     class: usize,
+    /// Time in milliseconds by which the request must have its final answer.
     deadline: f64,
     /// Server, time of sending in milliseconds, and outcome once it has ended.
     attempts: Vec<(usize, f64, Option<AttemptOutcome>)>,
@@ -688,8 +691,8 @@
         }
     }
 
-    /// Records an event before the balancer handles it. Completes the end of an attempt: whether the request
-    /// is done.
+    /// Records an event before the balancer handles it. At the end of an attempt, sets `complete` if the
+    /// request already has its final answer or its client has disconnected.
     fn record_event(&mut self, event: &mut BalancerEvent) {
         match event {
             BalancerEvent::AttemptEnded(attempt_end) => {
@@ -720,7 +723,10 @@
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
                 assert!(!entry.done, "sent after the final answer");
                 assert!(entry.attempts.len() < self.settings.max_attempts, "too many attempts");
-                assert!(entry.attempts.iter().all(|a| a.2.is_some()), "two attempts at once");
+                assert!(
+                    entry.attempts.iter().all(|a| a.2.is_some()),
+                    "a second attempt while one is in flight"
+                );
                 let ran = entry.attempts.iter().find(|a| a.2.is_none_or(AttemptOutcome::may_have_run));
                 if let Some((first, sent_at, _)) = ran {
                     match self.settings.classes[entry.class].idempotency {
--- a/crates/balancer-node/tests/slow_start.rs
+++ b/crates/balancer-node/tests/slow_start.rs
@@ -15,30 +15,33 @@
 const CAPACITY: f64 = 40.0;
 /// Number of requests in the queue of a server from which on it rejects further ones.
 const MAX_QUEUE: usize = 10;
-/// Fraction of its capacity that a starting server has at least, by which its load is judged; and the
-/// fraction that the simulated servers have. Real servers also start with more than the minimum, and a server
-/// whose answers are late or which is full soon gets fewer requests for that reason.
+/// Fraction of its capacity that a starting server has at least. Its load limit is computed from it.
 const WARMUP_INITIAL_FRACTION: f64 = 0.12;
+/// Fraction of its capacity with which a simulated server starts. Real servers, too, start with more than the
+/// minimum. With less, the server would soon be full or late, and get fewer requests for that reason.
 const SIMULATED_INITIAL_FRACTION: f64 = 0.36;
 /// Total time that a client waits, in milliseconds.
 const BUDGET: f64 = 900.0;
-/// Time of the fault, length of the burst of requests after it, and end of the arrivals, in milliseconds.
+/// Time of the fault, in milliseconds.
 const FAULT_AT: f64 = 3_000.0;
+/// Length of the burst of requests after the fault, in milliseconds.
 const BURST: f64 = 3_000.0;
+/// Time after which no more requests arrive, in milliseconds.
 const END: f64 = 10_000.0;
 
 /// Nodes and servers of one scenario, and the fault that happens in it.
 #[derive(Clone)]
 struct Fleet {
     nodes: usize,
-    /// Zone of each server, and relative traffic of each node in a zone.
+    /// Zone of each server.
     zones: Vec<usize>,
+    /// Relative traffic of the nodes in each zone.
     traffic: Vec<f64>,
     /// Request rate as a fraction of the capacity of all servers when warm.
     load: f64,
-    /// Servers that fail for the rest of the scenario, and servers that fail and restart, each with the time
-    /// from the fault to its restart in milliseconds.
+    /// Servers that fail for the rest of the scenario.
     failed_servers: Vec<usize>,
+    /// Servers that fail and restart, each with the time from the fault to its restart in milliseconds.
     starts: Vec<(usize, f64)>,
     /// Time from the fault to the server list without the failed servers, in milliseconds.
     announced_after_ms: f64,
@@ -78,7 +81,8 @@
     }
 }
 
-/// Event of the simulation. `Change(usize::MAX)` is the fault, `Change` of a server is its restart.
+/// Event of the simulation. `Change(usize::MAX)` is the fault, `Change` of a server is its restart, and
+/// `Announce` passes the server list to all nodes.
 #[derive(PartialEq, PartialOrd)]
 enum Event {
     Arrival,
@@ -110,28 +114,32 @@
     }
 }
 
-/// A simulated server. `queue` has the end times of its requests, `sends` the times of all attempts sent to
-/// it.
+/// A simulated server. Its times are in milliseconds.
 #[derive(Default)]
 struct Server {
     up: bool,
     incarnation: u32,
     started_at: Option<f64>,
+    /// End times of the requests in its queue.
     queue: VecDeque<f64>,
+    /// End time of the last request in its queue.
     free_at: f64,
+    /// Times of all attempts sent to it.
     sends: Vec<f64>,
 }
 
-/// State of one simulation. `attempts` has the index of the last attempt and the arrival time of each
-/// request.
+/// State of one simulation.
 struct Simulation {
     fleet: Fleet,
     random: fastrand::Rng,
     nodes: Vec<Node>,
     servers: Vec<Server>,
     due: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of events scheduled so far.
     scheduled: u64,
+    /// Index of the last attempt and arrival time of each request.
     attempts: HashMap<u64, (usize, f64)>,
+    /// Number of requests served after the fault.
     served: usize,
 }
 
@@ -139,16 +147,16 @@
 struct SimulationResult {
     /// Maximum number of attempts at a warming server in a window, as a fraction of the number allowed.
     worst: f64,
-    /// Attempts at all warming servers, as a fraction of their load limit over the whole time.
+    /// Attempts at all warming servers, as a fraction of their load limit from their start to the end.
     used: f64,
     /// Fraction of the requests after the fault that were served.
     served: f64,
 }
 
-/// Returns the requests per ms of a server of this age (ms) that started with the fraction `from` of its
+/// Returns the requests per ms of a server of this age (ms) that started with the fraction `initial` of its
 /// capacity.
-fn capacity(from: f64, age: f64) -> f64 {
-    CAPACITY / 1_000.0 * (from + (1.0 - from) * (age / 24_000.0).min(1.0))
+fn capacity(initial: f64, age: f64) -> f64 {
+    CAPACITY / 1_000.0 * (initial + (1.0 - initial) * (age / 24_000.0).min(1.0))
 }
 
 impl Simulation {
@@ -226,7 +234,8 @@
         Some(LoadReport { in_flight: Some(queue.len() as f64), queued: None })
     }
 
-    /// Ends an attempt. The incarnation `u32::MAX` marks an attempt that failed at once.
+    /// Passes the end of an attempt to its node. The incarnation `u32::MAX` marks an attempt that failed at
+    /// once.
     fn end_attempt(&mut self, now: f64, due: Event) {
         let Event::AttemptEnds { node, request, attempt, server, incarnation, sent_at } = due else { return };
         let report = self.load_report(now, server);
@@ -252,6 +261,7 @@
         self.feed(now, node, BalancerEvent::AttemptEnded(attempt_end));
     }
 
+    /// Runs one simulation of a fleet.
     #[allow(clippy::too_many_lines, reason = "the steps of one simulation, in their order")]
     fn run(fleet: &Fleet, seed: u64) -> SimulationResult {
         let count = fleet.zones.len();
@@ -343,12 +353,12 @@
     }
 }
 
-/// Restarts of these servers at the time of the fault.
-fn restarts_at_fault(servers: impl Iterator<Item = usize>) -> Vec<(usize, f64)> {
+/// Returns restarts of these servers at the time of the fault.
+fn restarts(servers: impl Iterator<Item = usize>) -> Vec<(usize, f64)> {
     servers.map(|i| (i, 0.0)).collect()
 }
 
-/// Restarts of these servers one after another, `gap` milliseconds apart, after the fault.
+/// Returns restarts of these servers after the fault, one every `gap` milliseconds.
 fn staggered_restarts(servers: impl Iterator<Item = usize>, gap: f64) -> Vec<(usize, f64)> {
     servers.enumerate().map(|(k, i)| (i, gap * (1 + k) as f64)).collect()
 }
@@ -374,32 +384,24 @@
     let second_zone = || (0..servers).filter(|i| i % 2 == 1);
     let all_but_three = 3..servers;
     vec![
-        ("one restart", Fleet { starts: restarts_at_fault(5..6), ..one_zone.clone() }),
+        ("one restart", Fleet { starts: restarts(5..6), ..one_zone.clone() }),
+        ("one restart at low load", Fleet { load: 0.6, starts: restarts(5..6), ..two_zones.clone() }),
         (
-            "one restart at low load",
-            Fleet { load: 0.6, starts: restarts_at_fault(5..6), ..two_zones.clone() },
+            "a third of the servers restart",
+            Fleet { starts: restarts(0..servers / 3), traffic: vec![3.0, 1.0], ..two_zones.clone() },
         ),
         (
-            "a third restart",
-            Fleet { starts: restarts_at_fault(0..servers / 3), traffic: vec![3.0, 1.0], ..two_zones.clone() },
+            "four servers restart, two are faulty",
+            Fleet { faulty: vec![0, 9], starts: restarts(4..8), ..two_zones.clone() },
         ),
         (
-            "some restart, some are faulty",
-            Fleet { faulty: vec![0, 9], starts: restarts_at_fault(4..8), ..two_zones.clone() },
+            "two servers of a cell restart, retries are bound to their cell",
+            Fleet { faulty: vec![0, 9], starts: restarts(1..3), idempotency: keyed, ..two_zones.clone() },
         ),
-        (
-            "a cell restarts, requests bound to it",
-            Fleet {
-                faulty: vec![0, 9],
-                starts: restarts_at_fault(1..3),
-                idempotency: keyed,
-                ..two_zones.clone()
-            },
-        ),
-        ("all but one restart", Fleet { starts: restarts_at_fault(1..servers), ..one_zone.clone() }),
+        ("all but one restart", Fleet { starts: restarts(1..servers), ..one_zone.clone() }),
         (
             "all but one restart, only probes report",
-            Fleet { probes_only: true, starts: restarts_at_fault(1..servers), ..one_zone.clone() },
+            Fleet { probes_only: true, starts: restarts(1..servers), ..one_zone.clone() },
         ),
         (
             "a zone restarts one by one",
@@ -409,7 +411,7 @@
             "one restart in a small zone",
             Fleet {
                 zones: (0..servers).map(|i| usize::from(i < 2)).collect(),
-                starts: restarts_at_fault(1..2),
+                starts: restarts(1..2),
                 ..two_zones.clone()
             },
         ),
@@ -417,7 +419,7 @@
             "most fail, one restart",
             Fleet {
                 failed_servers: all_but_three.clone().collect(),
-                starts: restarts_at_fault(2..3),
+                starts: restarts(2..3),
                 ..two_zones.clone()
             },
         ),
@@ -426,13 +428,13 @@
             Fleet {
                 probes_only: true,
                 failed_servers: all_but_three.clone().collect(),
-                starts: restarts_at_fault(2..3),
+                starts: restarts(2..3),
                 ..two_zones.clone()
             },
         ),
         (
             "most fail, all others restart",
-            Fleet { failed_servers: all_but_three.collect(), starts: restarts_at_fault(0..3), ..two_zones },
+            Fleet { failed_servers: all_but_three.collect(), starts: restarts(0..3), ..two_zones },
         ),
     ]
 }
@@ -469,8 +471,8 @@
 }
 
 /// Guards against nodes that send nothing to warming servers because no warm server has answered for a while,
-/// and so never learn that they answer. If all servers are warming, or all others are faulty, they still get
-/// requests.
+/// and so never detect that the warming ones answer. If all servers are warming, or all others are faulty,
+/// the warming ones must still get requests.
 #[test]
 fn warming_servers_get_requests_if_there_are_no_healthy_warm_servers() {
     for nodes in [1, 3, 12, 13, 30] {
@@ -480,7 +482,7 @@
             starts: (0..12).map(|i| (i, 1_000.0)).collect(),
             ..fleet.clone()
         };
-        let faulty = Fleet { faulty: vec![0], starts: restarts_at_fault(1..12), ..fleet };
+        let faulty = Fleet { faulty: vec![0], starts: restarts(1..12), ..fleet };
         for (name, fleet) in [("all restart, announced late", late), ("all but a faulty one restart", faulty)]
         {
             let (worst, used) = simulate(name, &fleet);
--- a/crates/balancer-node/tests/wire.rs
+++ b/crates/balancer-node/tests/wire.rs
@@ -3,6 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Message that starts the instance `node-1` with one class.
 const BOOT: &str = r#"BOOT node=node-1 seed=7 facts={"classes": [{"deadline_ms": 800.0, "promise_ms": 400.0, "effect": "retryable", "name": "a"}], "n_instances": 1, "stats": {"fields": ["waiting", "active"], "source": "inline"}}"#;
 
 /// Runs `balancer-simhost` with this input until it ends.
@@ -42,7 +43,7 @@
     assert_eq!(text(&output.stdout), "NEXT\nPLACE node=node-1 txn=5 server=10.0.0.1:80\nNEXT\nNEXT\n");
 }
 
-/// Sends a list of two servers, of which the second started at 6100 ms.
+/// Messages that pass a list of two servers, of which the second started at 6100 ms.
 const LIST: &str =
     "CENSUS roster_id=0 hosts=2\nM availability=2 block=0 units=1 type=0 site=0 server=10.0.0.1:80\n\
                     M availability=2 launched_ms=6100.0 block=0 units=1.5 type=0 site=1 server=10.0.0.2:80\n\
@@ -92,7 +93,7 @@
     assert_eq!(text(&run_simhost(&input).stdout), "PUSH_BACK node=node-1 txn=5\nNEXT\n");
 }
 
-/// A list number refers to the list received last before the event, not to the last one of the batch.
+/// A list number refers to the last list with that number before the event, not to a later one in the batch.
 #[test]
 fn a_list_number_can_be_reused_within_a_batch() {
     let second = BOOT.replace("node-1", "node-2");
@@ -153,7 +154,8 @@
     }
 }
 
-/// A malformed line ends the program with one error line: the line number, the message and the problem.
+/// A malformed line ends the program with one error line that gives the line number, the message and the
+/// problem.
 #[test]
 fn malformed_input_ends_the_program_with_one_error_line() {
     let cases = [
@@ -214,7 +216,7 @@
     assert_eq!(text(&output.stdout), "NEXT\n", "an incomplete batch is not answered");
 }
 
-/// The `effect` of the class is missing: it counts as unsafe, so the request fails instead of being retried.
+/// A class without `effect` counts as unsafe, so its request fails instead of being retried.
 #[test]
 fn missing_settings_keep_their_defaults_and_unknown_ones_are_ignored() {
     let boot = r#"BOOT node=node-1 seed=7 facts={"classes": [{"deadline_ms": 800.0, "tone": 3}], "news": {"a": []}}"#;
