--- a/crates/balancer-node/tests/clients.rs
+++ b/crates/balancer-node/tests/clients.rs
@@ -179,7 +179,7 @@
         let mut command = command(&config.to_string(), address, discovery);
         let node = Node::launch(&mut command, address, Server::start());
         node.wait_until_healthy();
-        assert!(started.elapsed() < Duration::from_secs(10), "{what}: {:?}", started.elapsed());
+        assert!(started.elapsed() < Duration::from_secs(10), "{what}: ready after {:?}", started.elapsed());
         assert_served_by(&node, &server);
     }
 }
--- a/crates/balancer-node/tests/discovery.rs
+++ b/crates/balancer-node/tests/discovery.rs
@@ -65,7 +65,7 @@
         assert_asks_since(&call, 1);
         call.write(text.as_bytes());
         let next = node.discovery.request();
-        assert!(since.elapsed() < ANNOUNCED_WITHIN, "{failure}: {:?}", since.elapsed());
+        assert!(since.elapsed() < ANNOUNCED_WITHIN, "{failure}: called again after {:?}", since.elapsed());
         call = next;
     }
     // The connection breaks. After the next call, the response arrives at one byte every 10 ms.
@@ -82,7 +82,7 @@
         sleep(Duration::from_millis(10));
     }
     let last = node.discovery.request();
-    assert!(since.elapsed() < ANNOUNCED_WITHIN, "a slow response: {:?}", since.elapsed());
+    assert!(since.elapsed() < ANNOUNCED_WITHIN, "a slow response: called again after {:?}", since.elapsed());
     assert_asks_since(&last, 1);
     // The configured list is still in force.
     assert_served_by(&node, &server);
@@ -104,7 +104,7 @@
     let listener = TcpListener::bind(refused).expect("the address is still unused");
     let since = Instant::now();
     let (mut stream, _) = accept_call(&listener);
-    assert!(since.elapsed() < ANNOUNCED_WITHIN, "connection refused: {:?}", since.elapsed());
+    assert!(since.elapsed() < ANNOUNCED_WITHIN, "connection refused: called after {:?}", since.elapsed());
     let body = list(5, true, &[]).to_string();
     write!(stream, "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).expect("written");
     while !node.next_log_line().contains("updated again") {}
@@ -114,7 +114,11 @@
     let since = Instant::now();
     drop(filler);
     let (_stream, call) = accept_call(&full);
-    assert!(since.elapsed() < ANNOUNCED_WITHIN, "connection not established: {:?}", since.elapsed());
+    assert!(
+        since.elapsed() < ANNOUNCED_WITHIN,
+        "connection not established: called after {:?}",
+        since.elapsed()
+    );
     assert_eq!(
         call, "GET /catalog/members HTTP/1.1",
         "a new discovery need not have the revisions of the old one"
--- a/crates/balancer-node/tests/hsq.rs
+++ b/crates/balancer-node/tests/hsq.rs
@@ -34,7 +34,7 @@
         node.set_servers(ready(0..4));
         first[node.sent_to(1)] += 1;
     }
-    assert!(first.iter().all(|n| (60..140).contains(n)), "{first:?}");
+    assert!(first.iter().all(|n| (60..140).contains(n)), "first requests by server: {first:?}");
 }
 
 #[test]
@@ -212,7 +212,7 @@
         node.now += elapsed;
         node.end_with_load(id, 0, elapsed, AttemptOutcome::Served, Some(if id % 2 == 0 { 1.0 } else { 2.0 }));
     }
-    assert!(sent[0] > sent[1] * 3 / 2, "{sent:?}");
+    assert!(sent[0] > sent[1] * 3 / 2, "requests by server, the second is slower: {sent:?}");
 }
 
 /// Incident ie11f3d: every node opened connections to every server, more than the servers accept. Among
@@ -228,10 +228,10 @@
         let mut subset: Vec<usize> = (0..40).map(|id| node.sent_to(id)).collect();
         subset.sort_unstable();
         subset.dedup();
-        assert!(subset.len() <= 6, "{subset:?}");
+        assert!(subset.len() <= 6, "node {node_index} uses too many servers: {subset:?}");
         subset.into_iter().for_each(|server| nodes_of[server] += 1);
     }
-    assert!(nodes_of.iter().all(|n| (10..=20).contains(n)), "{nodes_of:?}");
+    assert!(nodes_of.iter().all(|n| (10..=20).contains(n)), "nodes by server: {nodes_of:?}");
 }
 
 /// Returns settings of a node that may probe, where only answers to probes carry load reports.
@@ -274,10 +274,10 @@
         );
         send_of(&actions).is_some()
     };
-    assert!(sends(0.08, true), "too expensive, responses carry reports");
-    assert!(!sends(0.002, true), "affordable, responses carry reports");
-    assert!(sends(0.08, false), "too expensive, no reports but probes");
-    assert!(!sends(0.002, false), "affordable, no reports but probes");
+    assert!(sends(0.08, true), "probed although too expensive, responses carry reports");
+    assert!(!sends(0.002, true), "not probed although affordable, responses carry reports");
+    assert!(sends(0.08, false), "probed although too expensive, only probes carry reports");
+    assert!(!sends(0.002, false), "not probed although affordable, only probes carry reports");
 }
 
 /// Incident i5292a8: with load reports in answers to probes only, no count was ever updated and all servers
@@ -287,7 +287,7 @@
     let mut node = Node::new(probes_only(), 1);
     node.set_servers(ready(0..8));
     let probed = probes_of(&node.request(1, 0, 800.0));
-    assert_eq!(probed.len(), 3, "{probed:?}");
+    assert_eq!(probed.len(), 3, "probed servers: {probed:?}");
     for (server, in_flight) in probed.iter().zip([3.0, 1.0]) {
         assert_eq!(
             send_of(&answer_probe(&mut node, *server, in_flight)),
@@ -407,7 +407,7 @@
         }
         first[probes_of(&node.request(1, 0, 800.0))[0]] += 1;
     }
-    assert!(first[0] > first[1] && first[1] > 20, "{first:?}");
+    assert!(first[0] > first[1] && first[1] > 20, "first probes by server: {first:?}");
 }
 
 /// Covers a client that disconnects while its request waits for probes.
@@ -480,7 +480,10 @@
         assert_eq!(node.sent_to(id), 2);
         node.now += 1.0;
         let further = node.end(id, 0, 1.0, AttemptOutcome::Unreachable);
-        assert!(send_of(&further).is_some_and(|server| server < 2), "{further:?}");
+        assert!(
+            send_of(&further).is_some_and(|server| server < 2),
+            "not retried in the other zone: {further:?}"
+        );
         node.end(id, 1, 20.0, AttemptOutcome::Served);
     }
     assert!(node.sent_to(3) < 2);
--- a/crates/balancer-node/tests/lists.rs
+++ b/crates/balancer-node/tests/lists.rs
@@ -83,7 +83,10 @@
         let first = node.sent_to(1);
         let second =
             send_of(&node.end(1, 0, 5.0, AttemptOutcome::Error)).expect("a retry at the other server");
-        assert!(second != first && cell(second) == cell(first), "{first}, then {second}");
+        assert!(
+            second != first && cell(second) == cell(first),
+            "first sent to server {first}, then to {second}"
+        );
     }
 }
 
--- a/crates/balancer-node/tests/many_nodes.rs
+++ b/crates/balancer-node/tests/many_nodes.rs
@@ -55,7 +55,7 @@
     node.set_servers(ready(0..60));
     count_rejections(&mut node, 0..100, 25.0, 1.3);
     let full = count_rejections(&mut node, 100..300, 250.0, 10.0);
-    assert!(full > 100, "{full} of 200 rejected while answers take three latency targets");
+    assert!(full > 100, "{full} of 200 rejected while answers take three times the latency target");
     count_rejections(&mut node, 300..400, 25.0, 1.3);
     let after = count_rejections(&mut node, 400..500, 25.0, 1.3);
     assert!(after < 10, "{after} of 100 rejected after the recovery");
@@ -139,8 +139,8 @@
 }
 
 /// Guards against warming servers that stay idle: with six in ten servers new, each new one got five requests
-/// per second while each old one got fifty and filled up. Without a report, a new server offered by slow
-/// start was ranked by the mean count and seldom selected.
+/// per second while each old one got fifty and filled up. Without a report, a new server was ranked by the
+/// mean count, so it was seldom selected although slow start allowed it.
 #[test]
 fn a_warming_server_gets_all_requests_that_slow_start_allows() {
     let mut settings = hundred_nodes();
@@ -294,10 +294,13 @@
         }
         rejected
     };
-    assert!(rejected(None, 9.0) > 100, "nine requests queued at each server");
-    assert!(rejected(Some(10.0), 9.0) > 100, "nine queued, one in service");
-    assert_eq!(rejected(None, 0.0), 0, "none queued");
-    assert_eq!(rejected(Some(16.0), 0.0), 0, "sixteen in service, none queued");
+    assert!(rejected(None, 9.0) > 100, "too few rejections with nine requests queued at each server");
+    assert!(
+        rejected(Some(10.0), 9.0) > 100,
+        "too few rejections with nine requests queued and one in service"
+    );
+    assert_eq!(rejected(None, 0.0), 0, "rejections with no request queued");
+    assert_eq!(rejected(Some(16.0), 0.0), 0, "rejections with sixteen requests in service and none queued");
 }
 
 /// Guards against ejection rules made for many nodes: after one broken answer, each of two nodes ejected a
--- a/crates/balancer-node/tests/node.rs
+++ b/crates/balancer-node/tests/node.rs
@@ -231,7 +231,7 @@
         for round in 0..5 {
             client.send(&request("pay", 20.0));
             let exchange = server.request();
-            assert_eq!(exchange.connection, round, "{headers}");
+            assert_eq!(exchange.connection, round, "response headers {headers:?}");
             let stream = exchange.stream.try_clone().expect("cloned");
             exchange.answer(OK, headers, b"");
             assert_eq!(client.response().status(), 200);
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that every node must keep: edge cases, and generated sequences of events with an independent
+//! Rules that every node must obey: edge cases, and generated sequences of events with an independent
 //! checker.
 //!
 //! The checker asserts that each request gets one final answer in time, that drained servers get no new
@@ -66,9 +66,9 @@
         node.sent_to(1);
         node.now += 5.0;
         let actions = node.end(1, 0, 5.0, outcome);
-        assert_eq!(send_of(&actions).is_some(), may_retry, "{outcome:?}");
-        assert_eq!(failed(&actions), !may_retry, "{outcome:?}");
-        assert!(!rejected(&actions), "{outcome:?}");
+        assert_eq!(send_of(&actions).is_some(), may_retry, "retried after {outcome:?}");
+        assert_eq!(failed(&actions), !may_retry, "failed after {outcome:?}");
+        assert!(!rejected(&actions), "rejected after {outcome:?}");
     }
 }
 
@@ -90,7 +90,7 @@
                     may_retry && second / 2 == first / 2,
                     "after {wait} ms: server {first}, then {second}"
                 ),
-                None => assert!(!may_retry && failed(&actions), "{wait} ms"),
+                None => assert!(!may_retry && failed(&actions), "after {wait} ms: no retry, or no failure"),
             }
         }
     }
@@ -146,9 +146,9 @@
     assert!((20..40).all(|id| node.sent_to(id) == 3));
 }
 
-/// A removed server leaves the table when its last attempt has ended. Later probe results of it are ignored.
-/// A keyed request is still retried in the cell of its first attempt only, although that server is no longer
-/// in the table.
+/// A removed server stays in the table of servers until its last attempt has ended; later results of probes
+/// at it are ignored. A keyed request is still retried only in the cell of its first attempt, although the
+/// server of that attempt is no longer in the table.
 #[test]
 fn a_removed_server_is_dropped_after_its_last_attempt_and_retries_stay_in_its_cell() {
     let cell = |i, cell| ServerEntry { cell, ..ServerEntry::new(ServerId(i), Availability::Ready) };
@@ -285,7 +285,10 @@
             "a second firing of the same timer is ignored"
         );
     }
-    assert!(waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0), "{waits:?}");
+    assert!(
+        waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0),
+        "times in ms until the next call: {waits:?}"
+    );
     let list = || BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(ready(0..2)));
     let logged = node.feed(list());
     assert!(matches!(logged[..], [BalancerAction::Log(_)]), "the recovery is logged: {logged:?}");
@@ -365,7 +368,7 @@
         let actions = node.feed(BalancerEvent::TimerFired(stalled[2] + 1));
         for id in stalled {
             let cancel = BalancerAction::Cancel { request: RequestId(id), attempt: 0 };
-            assert_eq!(actions.contains(&cancel), cancelled, "{idempotency:?} {responsive}");
+            assert_eq!(actions.contains(&cancel), cancelled, "{idempotency:?}, responsive: {responsive}");
             if !cancelled {
                 continue;
             }
@@ -540,7 +543,7 @@
             node.sent_to(1);
             let actions = node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
             assert_eq!(send_of(&actions), None);
-            assert_eq!(actions.len(), usize::from(cancel), "{actions:?}");
+            assert_eq!(actions.len(), usize::from(cancel), "after the disconnect: {actions:?}");
             node.now += 300.0;
             let actions = node.end(1, 0, 300.0, outcome);
             assert!(actions.iter().all(|a| matches!(a, BalancerAction::Log(_))), "{outcome:?}: {actions:?}");
--- a/crates/balancer-node/tests/slow_start.rs
+++ b/crates/balancer-node/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! Load of warming servers from all nodes together, in a simulation: nodes that do not communicate, servers
-//! that work off a queue and warm up after a restart, requests that arrive at random. In any window of
-//! `warmup_overload_ms`, a warming server may get at most N + 2 * sqrt(N) + 2 attempts, where N is
-//! `warmup_overload_factor` times its capacity at the start of the window.
+//! that have a queue and warm up after a restart, requests that arrive at random. In any window of
+//! `warmup_overload_ms`, a warming server may get at most N + 2 * sqrt(N) + 2 attempts. N is
+//! `warmup_overload_factor` times the number of requests that its capacity at the start of the window allows.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 /// Requests per second that a warm server serves.
 const CAPACITY: f64 = 40.0;
-/// Number of requests in the queue of a server from which on it rejects further ones.
+/// Maximum number of requests in the queue of a server, which rejects further ones.
 const MAX_QUEUE: usize = 10;
 /// Fraction of its capacity that a starting server has at least. Its load limit is computed from it.
 const WARMUP_INITIAL_FRACTION: f64 = 0.12;
@@ -134,6 +134,7 @@
     random: fastrand::Rng,
     nodes: Vec<Node>,
     servers: Vec<Server>,
+    /// Scheduled events, the earliest first.
     due: BinaryHeap<Reverse<ScheduledEvent>>,
     /// Number of events scheduled so far.
     scheduled: u64,
@@ -161,9 +162,9 @@
 
 impl Simulation {
     /// Schedules an event at the time `at`.
-    fn schedule(&mut self, at: f64, due: Event) {
+    fn schedule(&mut self, at: f64, event: Event) {
         self.scheduled += 1;
-        self.due.push(Reverse(ScheduledEvent(at, self.scheduled, due)));
+        self.due.push(Reverse(ScheduledEvent(at, self.scheduled, event)));
     }
 
     /// Passes the list of the running servers to all nodes.
@@ -236,8 +237,10 @@
 
     /// Passes the end of an attempt to its node. The incarnation `u32::MAX` marks an attempt that failed at
     /// once.
-    fn end_attempt(&mut self, now: f64, due: Event) {
-        let Event::AttemptEnds { node, request, attempt, server, incarnation, sent_at } = due else { return };
+    fn end_attempt(&mut self, now: f64, event: Event) {
+        let Event::AttemptEnds { node, request, attempt, server, incarnation, sent_at } = event else {
+            return;
+        };
         let report = self.load_report(now, server);
         let (up, (_, arrived_at)) = (self.servers[server].up, self.attempts[&request]);
         let outcome = match incarnation {
@@ -289,8 +292,8 @@
         for (server, later) in fleet.starts.clone() {
             simulation.schedule(FAULT_AT + later, Event::Change(server));
         }
-        while let Some(Reverse(ScheduledEvent(now, _, due))) = simulation.due.pop() {
-            match due {
+        while let Some(Reverse(ScheduledEvent(now, _, event))) = simulation.due.pop() {
+            match event {
                 Event::Arrival if now < END => {
                     let mut rest = simulation.random.f64() * total_weight;
                     let node = weights.iter().position(|w| {
@@ -334,7 +337,7 @@
                     );
                 }
                 Event::Timer { node, timer } => simulation.feed(now, node, BalancerEvent::TimerFired(timer)),
-                Event::AttemptEnds { .. } => simulation.end_attempt(now, due),
+                Event::AttemptEnds { .. } => simulation.end_attempt(now, event),
             }
         }
         let (mut worst, mut sent, mut budget) = (0.0_f64, 0.0, 0.0);
