--- a/crates/balancer-node/tests/clients.rs
+++ b/crates/balancer-node/tests/clients.rs
@@ -84,6 +84,7 @@
     }
 }
 
+/// Request for the health check, which the node answers itself.
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
 
 /// Idle clients occupy all connections that clients may have, while discovery first does not respond and then
--- a/crates/balancer-node/tests/endings.rs
+++ b/crates/balancer-node/tests/endings.rs
@@ -12,6 +12,7 @@
 
 use serde_json::json;
 
+/// Request for the health check, which the node answers itself.
 const HEALTH: &str = "GET /_health HTTP/1.1\r\nhost: n\r\n\r\n";
 
 /// After SIGTERM, a node may wait at most 3 s for the deadlines of pending requests, because SIGKILL follows.
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -49,7 +49,8 @@
     }
 }
 
-/// After any other outcome the request may have run: it fails, and is not rejected either.
+/// After an outcome with which the request may have run, an unsafe request fails: it is neither retried nor
+/// rejected, since the client would repeat a rejected one.
 #[test]
 fn unsafe_requests_are_retried_only_if_they_did_not_run() {
     for (outcome, may_retry) in [
