--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -16,11 +16,11 @@
 
 /// Status of a response to a request that was served.
 pub const OK: &str = "200 OK";
-/// Timeout of everything that a test waits for. It is long enough even on a busy machine.
+/// Timeout of every wait in a test. It is long enough even on a busy machine.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Prevents a process from being spawned while [`unused_address`] has a listener open. Between fork and exec,
-/// a child process holds every socket of this process, so the address could not be bound while it starts.
+/// a child process has a copy of every socket of this process, so the address could not be bound meanwhile.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// Binds a listener to a loopback address that no other test uses.
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 pub struct Message {
     /// Request line or status line.
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -63,14 +63,14 @@
             let mut text = String::new();
             from.read_line(&mut text).ok().filter(|n| *n > 0).map(|_| text.trim_end().to_owned())
         };
-        let first = line()?;
+        let start_line = line()?;
         let mut headers = Vec::new();
         loop {
             let text = line()?;
             let Some((name, value)) = text.split_once(':') else { break };
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
-        let mut message = Self { first, headers, body: Vec::new() };
+        let mut message = Self { start_line, headers, body: Vec::new() };
         let length = message.header("content-length").map_or(0, |n| n.parse().expect("a length"));
         message.body.resize(length, 0);
         from.read_exact(&mut message.body).ok()?;
@@ -82,7 +82,7 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
     }
 }
 
@@ -94,10 +94,11 @@
     Closed(usize),
 }
 
-/// A request that the test has to answer. Dropping it ends the reading from its connection.
+/// A request that the test has to answer. If it is dropped without an answer, no further request is read from
+/// its connection.
 pub struct Exchange {
     pub request: Message,
-    /// Number of the connection; they count from zero in the order of their acceptance.
+    /// Number of the connection, counted from zero in the order of acceptance.
     pub connection: usize,
     pub stream: TcpStream,
     /// Lets the server's thread read the next request from the connection.
@@ -109,13 +110,13 @@
     ///
     /// # Panics
     ///
-    /// The node has closed the connection.
+    /// Panics if the node has closed the connection.
     pub fn answer(self, status: &str, headers: &str, body: &[u8]) {
-        assert!(self.try_answer(status, headers, body), "answered");
+        assert!(self.try_answer(status, headers, body), "the node has closed the connection");
     }
 
-    /// Sends a response if the connection is still open; returns whether it is. The connection then accepts
-    /// another request.
+    /// Sends a response unless the connection is closed; returns whether it was sent. The connection then
+    /// accepts another request.
     pub fn try_answer(mut self, status: &str, headers: &str, body: &[u8]) -> bool {
         let length = body.len();
         let written = write!(self.stream, "HTTP/1.1 {status}\r\ncontent-length: {length}\r\n{headers}\r\n")
@@ -123,7 +124,7 @@
         written.is_ok() && self.continue_reading.send(()).is_ok()
     }
 
-    /// Sends bytes unchanged.
+    /// Sends raw bytes, and ignores a failure.
     pub fn write(&mut self, bytes: &[u8]) {
         // This fails if the node has closed the connection.
         let _ = self.stream.write_all(bytes);
@@ -192,7 +193,7 @@
         })
     }
 
-    /// Returns whether a request has arrived that the test has not received, and drops that request.
+    /// Returns whether a request has arrived that the test has not received. That request is dropped.
     pub fn has_request(&self) -> bool {
         self.try_request().is_some()
     }
@@ -288,7 +289,7 @@
         let node =
             Self::launch(&mut command(&config.to_string(), address, discovery.address), address, discovery);
         let first = node.discovery.request();
-        assert_eq!(first.request.first, "GET /catalog/members HTTP/1.1");
+        assert_eq!(first.request.start_line, "GET /catalog/members HTTP/1.1");
         on_first_call(node.address, first);
         node.wait_until_healthy();
         node
@@ -308,11 +309,11 @@
             assert!(since.elapsed() < TEST_TIMEOUT, "the node does not listen");
             thread::sleep(Duration::from_millis(5));
         }
-        assert_eq!(self.client().ask("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
+        assert_eq!(self.client().round_trip("GET /_health HTTP/1.1\r\nhost: n\r\n\r\n").status(), 200);
     }
 
     /// Starts a node whose server list holds these servers, with the ids `s0`, `s1` and so on.
-    pub fn before(servers: &[&Server]) -> Self {
+    pub fn with_servers(servers: &[&Server]) -> Self {
         Self::start(&config(&members(servers)))
     }
 
@@ -416,7 +417,7 @@
     }
 
     /// Waits for the next response.
-    pub fn answer(&mut self) -> Message {
+    pub fn response(&mut self) -> Message {
         Message::read(&mut self.stream).expect("a complete response")
     }
 
@@ -430,9 +431,9 @@
     }
 
     /// Sends a request and waits for the response.
-    pub fn ask(&mut self, request: &str) -> Message {
+    pub fn round_trip(&mut self, request: &str) -> Message {
         self.send(request);
-        self.answer()
+        self.response()
     }
 }
 
@@ -483,7 +484,7 @@
     let mut client = node.client();
     client.send(&request("update", 20.0));
     server.request().answer(OK, "", b"");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.response().status(), 200);
 }
 
 /// Waits until a connection to this address is being established. State 02 in `/proc/net/tcp` is SYN_SENT.
