--- a/crates/balancer-node/src/net/frontend/api.rs
+++ b/crates/balancer-node/src/net/frontend/api.rs
@@ -1,4 +1,4 @@
-//! The answer to one request of a client.
+//! Answers one request of a client: a health check or a request to forward.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,16 +21,18 @@
 use crate::net::upstream::ForwardedRequest;
 use crate::RequestId;
 
-/// Subtracted from a client's deadline for the transit of its request and of the answer.
+/// Part of a client's deadline that is reserved for the transit of its request and of the response.
 const TRANSIT_MARGIN: Duration = Duration::from_millis(10);
-/// How often a client that waits for its answer is checked beside what readiness reports: half of the 0.1 s in which
-/// an attempt may still begin once it has disconnected. Not every event loop reports an end behind unread input.
+/// Interval at which the node checks whether a waiting client has disconnected. The check is needed beside
+/// the event loop's readiness, since not every event loop reports the end of a stream that unread input
+/// precedes. An attempt may begin up to 0.1 s after the client has disconnected; the interval is half of
+/// that.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An answer to a client.
+/// Response to a client, with its complete body.
 pub(super) type ClientResponse = Response<Full<Bytes>>;
 
-/// Answers a request, whose body must have come by `body_by`.
+/// Answers a request. Its body must have arrived by `body_by`.
 pub(super) async fn answer(
     node: &Rc<Node>,
     slot: &ConnectionSlot,
@@ -44,21 +46,22 @@
             let rejecting = || slot.connections.rejecting.get();
             forward(node, socket, request, body_by, rejecting).await.unwrap_or_else(|response| response)
         }
-        "/_health" if draining => text(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
-        "/_health" => text(StatusCode::OK, "ready\n"),
-        _ => text(StatusCode::NOT_FOUND, "no such path\n"),
+        "/_health" if draining => text_response(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
+        "/_health" => text_response(StatusCode::OK, "ready\n"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-/// An answer of one line.
-pub(super) fn text(status: StatusCode, line: &'static str) -> ClientResponse {
+/// Creates a response with one line of text.
+pub(super) fn text_response(status: StatusCode, line: &'static str) -> ClientResponse {
     let mut response = Response::new(Full::from(line));
     *response.status_mut() = status;
     response
 }
 
+/// Creates the response to a rejected request, with the recommended pause before a retry.
 fn rejection(retry_after_ms: Option<f64>) -> ClientResponse {
-    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
     if let Some(ms) = retry_after_ms {
         let seconds = format!("{:.3}", ms / 1000.0).parse().expect("digits");
         response.headers_mut().insert(RETRY_AFTER, seconds);
@@ -66,8 +69,8 @@
     response
 }
 
-/// Reports on drop that the client needs no answer any more; without effect after the answer. hyper drops the service's
-/// future where the client disconnects.
+/// Guard that reports on drop that the client needs no answer any more, which has no effect after the final
+/// answer. hyper drops the future that owns the guard if the client disconnects.
 struct PendingAnswer {
     node: Rc<Node>,
     id: RequestId,
@@ -79,14 +82,15 @@
     }
 }
 
-/// Completes once the client has disconnected: hyper sees that only while there is no unread input.
+/// Completes once the client has disconnected. hyper detects that only while there is no unread input.
 async fn client_disconnected(stream: &TcpStream) {
     while timeout(DISCONNECT_POLL_INTERVAL, disconnected(stream)).await.is_err()
         && !has_disconnected(stream).await
     {}
 }
 
-/// Forwards a request and waits for its final answer. `Err` is an answer that is given without forwarding.
+/// Forwards a request and waits for its final answer. `Err` is the response to a request that is not
+/// forwarded, or whose client has disconnected.
 async fn forward(
     node: &Rc<Node>,
     socket: &ClientSocket,
@@ -94,13 +98,14 @@
     body_by: Instant,
     rejecting: impl Fn() -> bool,
 ) -> Result<ClientResponse, ClientResponse> {
-    // The deadline counts from when the request came, not from when the one before it on its connection was answered.
+    // The deadline counts from the arrival of the request, even if it had to wait for the response to an
+    // earlier request on the same connection.
     let arrived_at = socket.last_read_at();
     let (head, body) = request.into_parts();
     let (RequestHead { deadline, mut request }, body) =
         read_request(node, arrived_at, &head, body, body_by).await?;
     let target = forwarded(head.uri, &head.headers);
-    let (uri, headers) = target.ok_or_else(|| text(StatusCode::BAD_REQUEST, "a bad target\n"))?;
+    let (uri, headers) = target.ok_or_else(|| text_response(StatusCode::BAD_REQUEST, "a bad target\n"))?;
     let expires_at = arrived_at + deadline.saturating_sub(TRANSIT_MARGIN).max(deadline / 2);
     let budget = expires_at.saturating_duration_since(Instant::now());
     let max_retry_after_ms = node.config.settings.max_retry_after_ms;
@@ -111,7 +116,7 @@
     request.budget_ms = budget.as_secs_f64() * 1000.0;
     // If the client disconnected before its request was read, nothing is sent to a server.
     if has_disconnected(socket.stream()).await {
-        return Err(text(StatusCode::BAD_REQUEST, "the client has left\n"));
+        return Err(text_response(StatusCode::BAD_REQUEST, "the client has left\n"));
     }
     let forwarded_request = ForwardedRequest { method: head.method, uri, headers, body, expires_at };
     let (answer, answered) = oneshot::channel();
@@ -121,7 +126,8 @@
     wait_for_answer(answered, socket, expires_at + TRANSIT_MARGIN / 2).await
 }
 
-/// Waits for the final answer of an admitted request; the time-out covers requests that the decisions leave unanswered.
+/// Waits for the final answer of an admitted request. The timeout covers requests that the decision logic
+/// never answers.
 async fn wait_for_answer(
     answered: oneshot::Receiver<FinalAnswer>,
     socket: &ClientSocket,
@@ -131,17 +137,20 @@
         biased;
         answer = timeout_at(until, answered) => Ok(match answer {
             Ok(answer) => final_response(answer.unwrap_or(FinalAnswer::Failed)),
-            Err(_) => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+            Err(_) => text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
         }),
-        () = client_disconnected(socket.stream()) => Err(text(StatusCode::BAD_REQUEST, "the client has left\n")),
+        () = client_disconnected(socket.stream()) => {
+            Err(text_response(StatusCode::BAD_REQUEST, "the client has left\n"))
+        }
     }
 }
 
 fn admission_error_response(error: &AdmissionError, max_retry_after_ms: Option<f64>) -> ClientResponse {
     match error {
-        // A bound of the settings, not a decision: how long it lasts is unknown.
+        // The limit of pending requests is reached. How long that lasts is unknown, so the longest pause is
+        // recommended.
         AdmissionError::Full => rejection(max_retry_after_ms),
-        AdmissionError::DuplicateId => text(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
+        AdmissionError::DuplicateId => text_response(StatusCode::CONFLICT, "X-Request-Id is in use\n"),
     }
 }
 
@@ -149,11 +158,12 @@
     match answer {
         FinalAnswer::Served(body) => Response::new(Full::new(body)),
         FinalAnswer::Rejected(retry_after_ms) => rejection(retry_after_ms),
-        FinalAnswer::Failed => text(StatusCode::BAD_GATEWAY, "failed\n"),
+        FinalAnswer::Failed => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
     }
 }
 
-/// Reads a request: its body to the end, so that the client sees the answer also where its head is invalid.
+/// Reads and checks a request. Its body is read to the end even if its head is invalid, so that the client
+/// receives the response.
 async fn read_request(
     node: &Node,
     arrived_at: Instant,
@@ -165,12 +175,12 @@
     let body_by = checked.as_ref().map_or(body_by, |checked| body_by.min(arrived_at + checked.deadline));
     let body = match timeout_at(body_by, read_body(body)).await {
         Ok(Ok(body)) => body,
-        Ok(Err(status)) => return Err(text(status, "the body is broken or too long\n")),
-        Err(_) => return Err(text(StatusCode::REQUEST_TIMEOUT, "the body does not come\n")),
+        Ok(Err(status)) => return Err(text_response(status, "the body is broken or too long\n")),
+        Err(_) => return Err(text_response(StatusCode::REQUEST_TIMEOUT, "the body does not come\n")),
     };
-    let checked = checked.map_err(|invalid| text(StatusCode::BAD_REQUEST, invalid.0))?;
+    let checked = checked.map_err(|invalid| text_response(StatusCode::BAD_REQUEST, invalid.0))?;
     if head.method == Method::GET && !body.is_empty() {
-        return Err(text(StatusCode::BAD_REQUEST, "GET has no body\n"));
+        return Err(text_response(StatusCode::BAD_REQUEST, "GET has no body\n"));
     }
     Ok((checked, body))
 }
--- a/crates/balancer-node/src/net/node/endpoints.rs
+++ b/crates/balancer-node/src/net/node/endpoints.rs
@@ -1,4 +1,5 @@
-//! The directory of listed servers: assigns their numbers, and finds what a new list changes.
+//! The directory of listed servers: assigns their ids in the decision logic, and finds what a new list
+//! changes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -9,26 +10,29 @@
 use crate::net::upstream::Upstream;
 use crate::{wire, Availability, ServerEntry, ServerId};
 
-/// A server as the last list that named it described it.
+/// A server as described by the last list that named it.
 struct ListedServer {
     entry: ServerEntry,
     address: SocketAddr,
-    /// The number of that list, counted by [`ServerDirectory::list_started`].
+    /// Number of the last list that named the server, as counted by [`ServerDirectory::list_started`].
     named_in: u64,
 }
 
-/// The servers that are listed, by their ids in the list. Its methods return entries for the decisions.
+/// The listed servers. Methods that apply parts of a list return the changed entries for the decision logic,
+/// and update the connections in [`Upstream`] accordingly.
 #[derive(Default)]
 pub(super) struct ServerDirectory {
+    /// Keyed by the id in the list.
     servers: RefCell<HashMap<String, ListedServer>>,
-    /// Numbers are never reused: an attempt at a removed server may end late.
+    /// The last [`ServerId`] that was assigned. Ids are never reused, since an attempt at a removed server
+    /// may end late.
     last_server: Cell<usize>,
-    /// The number of lists that have begun to arrive.
+    /// Number of lists that have begun to arrive, including the present one.
     lists: Cell<u64>,
 }
 
 impl ServerDirectory {
-    /// A list begins to arrive.
+    /// Records that a list begins to arrive. Must be called before its entries are applied.
     pub(super) fn list_started(&self) {
         self.lists.set(self.lists.get() + 1);
     }
@@ -36,13 +40,13 @@
     /// Marks a server as named by the present list, and returns whether its description is unchanged.
     pub(super) fn is_unchanged(&self, member: &ListedMember, names: &SettingNames) -> bool {
         let mut servers = self.servers.borrow_mut();
-        let Some(known) = servers.get_mut(&member.id) else { return false };
-        known.named_in = self.lists.get();
-        known.address == member.host_port
-            && known.entry == entry(member, known.entry.server, known.entry.key, names)
+        let Some(listed) = servers.get_mut(&member.id) else { return false };
+        listed.named_in = self.lists.get();
+        listed.address == member.host_port
+            && listed.entry == entry(member, listed.entry.server, listed.entry.key, names)
     }
 
-    /// Applies members of a list, and assigns numbers to new servers.
+    /// Applies entries of a list, and assigns ids to new servers.
     pub(super) fn update(
         &self,
         members: Vec<ListedMember>,
@@ -53,8 +57,8 @@
         let mut changes = Vec::with_capacity(members.len());
         for member in members {
             let next = ServerId(self.last_server.get() + 1);
-            let known = servers.get(&member.id).map(|known| known.entry.server);
-            let entry = entry(&member, known.unwrap_or(next), wire::key(&member.id), names);
+            let listed_id = servers.get(&member.id).map(|listed| listed.entry.server);
+            let entry = entry(&member, listed_id.unwrap_or(next), wire::key(&member.id), names);
             if entry.availability == Availability::Removed {
                 let removed = servers.remove(&member.id);
                 changes.extend(removed.map(|server| remove(&server.entry, upstream)));
@@ -70,7 +74,7 @@
         changes
     }
 
-    /// Applies entries that cannot be read. Whether such a server is ready is unknown: it is treated as draining.
+    /// Applies unreadable entries. Whether such a server is ready is unknown, so it is treated as draining.
     pub(super) fn drain_unreadable(
         &self,
         unreadable: &UnreadableEntries,
@@ -79,32 +83,33 @@
         let mut servers = self.servers.borrow_mut();
         let mut changes = Vec::new();
         for id in &unreadable.ids {
-            let Some(known) = servers.get_mut(id) else { continue };
-            known.named_in = self.lists.get();
-            if known.entry.availability == Availability::Ready {
-                known.entry.availability = Availability::Draining;
-                upstream.update(known.entry.server, known.address, known.entry.started_at, false);
-                changes.push(known.entry.clone());
+            let Some(listed) = servers.get_mut(id) else { continue };
+            listed.named_in = self.lists.get();
+            if listed.entry.availability == Availability::Ready {
+                listed.entry.availability = Availability::Draining;
+                upstream.update(listed.entry.server, listed.address, listed.entry.started_at, false);
+                changes.push(listed.entry.clone());
             }
         }
         changes
     }
 
-    /// Removes servers that a complete list has not named, `max` of them at most.
+    /// Removes at most `max` of the servers that a complete list has not named.
     pub(super) fn remove_unlisted(&self, max: usize, upstream: &Upstream) -> Vec<ServerEntry> {
         let mut changes = Vec::new();
         self.servers.borrow_mut().retain(|_, server| {
-            let stays = server.named_in == self.lists.get() || changes.len() >= max;
-            if !stays {
+            let is_kept = server.named_in == self.lists.get() || changes.len() >= max;
+            if !is_kept {
                 changes.push(remove(&server.entry, upstream));
             }
-            stays
+            is_kept
         });
         changes
     }
 }
 
-/// The entry of a listed server. A zone or kind that the settings do not name gets the index after the last.
+/// Returns the decision logic's entry for a listed server. A zone or machine kind that the settings do not
+/// name gets the index after the last one.
 fn entry(member: &ListedMember, server: ServerId, key: u64, names: &SettingNames) -> ServerEntry {
     let index = |names: &[String], name: &String| names.iter().position(|n| n == name).unwrap_or(names.len());
     let zone = index(&names.zones, &member.locality);
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that every node must keep: edge cases, and generated sequences of events with an independent
+//! Rules that every node must obey: edge cases, and generated sequences of events with an independent
 //! checker.
 //!
 //! The checker asserts that each request gets one final answer in time, that drained servers get no new
@@ -17,7 +17,7 @@
     for idempotency in [Idempotency::Safe, keyed(DeduplicationScope::Cell, 500.0), Idempotency::Unsafe] {
         let mut node = Node::new(one_class(idempotency), 1);
         assert!(rejected(&node.request(1, 0, 100.0)), "a request that was never sent is rejected");
-        node.servers(Vec::new());
+        node.set_servers(Vec::new());
         assert!(rejected(&node.request(2, 0, 100.0)));
     }
 }
@@ -25,7 +25,7 @@
 #[test]
 fn a_request_of_an_unknown_class_fails() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     assert!(failed(&node.request(1, 7, 100.0)));
 }
 
@@ -39,17 +39,18 @@
         let mut node = Node::new(settings, 1);
         let rejection = BalancerAction::Reject { request: RequestId(1), retry_after_ms: hint };
         assert_eq!(node.request(1, 0, 800.0), [rejection]);
-        node.servers(ready(0..2));
+        node.set_servers(ready(0..2));
         node.sent_to(2);
         node.end(2, 0, 20.0, AttemptOutcome::Served);
-        node.servers(Vec::new());
+        node.set_servers(Vec::new());
         let hint = max.map(|_| 20.0);
         let rejection = BalancerAction::Reject { request: RequestId(3), retry_after_ms: hint };
         assert_eq!(node.request(3, 0, 800.0), [rejection]);
     }
 }
 
-/// After any other outcome the request may have run: it fails, and is not rejected either.
+/// After an outcome with which the request may have run, an unsafe request fails: it is neither retried nor
+/// rejected, since the client would repeat a rejected one.
 #[test]
 fn unsafe_requests_are_retried_only_if_they_did_not_run() {
     for (outcome, may_retry) in [
@@ -62,13 +63,13 @@
         (AttemptOutcome::Cancelled, false),
     ] {
         let mut node = Node::new(one_class(Idempotency::Unsafe), 1);
-        node.servers(ready(0..3));
+        node.set_servers(ready(0..3));
         node.sent_to(1);
         node.now += 5.0;
         let actions = node.end(1, 0, 5.0, outcome);
-        assert_eq!(send_of(&actions).is_some(), may_retry, "{outcome:?}");
-        assert_eq!(failed(&actions), !may_retry, "{outcome:?}");
-        assert!(!rejected(&actions), "{outcome:?}");
+        assert_eq!(send_of(&actions).is_some(), may_retry, "retried after {outcome:?}");
+        assert_eq!(failed(&actions), !may_retry, "failed after {outcome:?}");
+        assert!(!rejected(&actions), "rejected after {outcome:?}");
     }
 }
 
@@ -80,7 +81,7 @@
             let mut node = Node::new(settings.clone(), seed);
             let mut entries = ready(0..6);
             entries.iter_mut().enumerate().for_each(|(i, e)| e.cell = i / 2);
-            node.servers(entries);
+            node.set_servers(entries);
             let first = node.sent_to(1);
             node.now += wait;
             let actions = node.end(1, 0, wait, AttemptOutcome::Error);
@@ -90,7 +91,7 @@
                     may_retry && second / 2 == first / 2,
                     "after {wait} ms: server {first}, then {second}"
                 ),
-                None => assert!(!may_retry && failed(&actions), "{wait} ms"),
+                None => assert!(!may_retry && failed(&actions), "after {wait} ms: no retry, or no failure"),
             }
         }
     }
@@ -101,7 +102,7 @@
     let mut settings = one_class(keyed(DeduplicationScope::All, 500.0));
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     node.sent_to(1);
     node.now += 5.0;
     assert!(rejected(&node.end(1, 0, 5.0, AttemptOutcome::Error)));
@@ -110,7 +111,7 @@
 #[test]
 fn a_request_fails_at_once_if_its_attempt_times_out_at_the_deadline() {
     let mut node = Node::new(one_class(Idempotency::Unsafe), 1);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     node.sent_to(1);
     node.now += 800.0;
     assert!(failed(&node.end(1, 0, 800.0, AttemptOutcome::TimedOut)));
@@ -123,7 +124,7 @@
 #[test]
 fn no_retry_follows_a_disconnect_and_a_second_disconnect_is_ignored() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     node.sent_to(1);
     node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
     node.now += 5.0;
@@ -134,7 +135,7 @@
 #[test]
 fn draining_and_removed_servers_get_no_new_requests() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..3));
+    node.set_servers(ready(0..3));
     let mut entry = ServerEntry::new(ServerId(0), Availability::Draining);
     node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![entry.clone()])));
     entry.server = ServerId(1);
@@ -142,22 +143,22 @@
     node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Delta(vec![entry])));
     assert!((0..20).all(|id| node.sent_to(id) == 2));
     // A complete list without the last ready server removes it.
-    node.servers(ready(3..4));
+    node.set_servers(ready(3..4));
     assert!((20..40).all(|id| node.sent_to(id) == 3));
 }
 
-/// A removed server leaves the table when its last attempt has ended. Later probe results of it are ignored.
-/// A keyed request is still retried in the cell of its first attempt only, although that server is no longer
-/// in the table.
+/// A removed server stays in the table of servers until its last attempt has ended; later results of probes
+/// at it are ignored. A keyed request is still retried only in the cell of its first attempt, although the
+/// server of that attempt is no longer in the table.
 #[test]
-fn a_removed_server_is_forgotten_after_its_last_attempt_and_retries_stay_in_its_cell() {
+fn a_removed_server_is_dropped_after_its_last_attempt_and_retries_stay_in_its_cell() {
     let cell = |i, cell| ServerEntry { cell, ..ServerEntry::new(ServerId(i), Availability::Ready) };
     let mut node = Node::new(one_class(keyed(DeduplicationScope::Cell, 500.0)), 1);
-    node.servers(vec![cell(0, 7)]);
+    node.set_servers(vec![cell(0, 7)]);
     assert_eq!((node.sent_to(1), node.sent_to(2)), (0, 0));
-    node.servers(vec![cell(1, 8), cell(2, 7)]);
-    assert_eq!(send_of(&node.report(1, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
-    assert_eq!(send_of(&node.report(2, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
+    node.set_servers(vec![cell(1, 8), cell(2, 7)]);
+    assert_eq!(send_of(&node.end_with_load(1, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
+    assert_eq!(send_of(&node.end_with_load(2, 0, 50.0, AttemptOutcome::Reset, Some(3.0))), Some(2));
     let report = Some(LoadReport { in_flight: Some(9.0), queued: None });
     node.feed(BalancerEvent::ProbeEnded { server: ServerId(0), outcome: AttemptOutcome::Served, report });
     node.end(1, 1, 50.0, AttemptOutcome::Served);
@@ -177,14 +178,14 @@
     settings.warmup_overload_factor = 2.5;
     settings.warmup_overload_ms = 3_000.0;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..10));
+    node.set_servers(ready(0..10));
     let mut server_of = BTreeMap::new();
     let mut warming_sends = Vec::new();
     for id in 0..3_000 {
         if id == 1_500 {
             let mut entries = ready(0..11);
             entries[10].started_at = Some(node.now);
-            node.servers(entries);
+            node.set_servers(entries);
         }
         server_of.insert(id, node.sent_to(id));
         if server_of[&id] == 10 {
@@ -196,7 +197,7 @@
             let warming = server_of[&(id - 10)] == 10;
             let in_flight = if warming { 0.1 * (id % 2) as f64 } else { (300 + id % 2) as f64 };
             let elapsed = if warming { 10.0 } else { 40.0 };
-            node.report(id - 10, 0, elapsed, AttemptOutcome::Served, Some(in_flight));
+            node.end_with_load(id - 10, 0, elapsed, AttemptOutcome::Served, Some(in_flight));
         }
     }
     // Ten servers serve 250 requests per second. The capacity of the warming one begins at 0.3 of a tenth of
@@ -211,7 +212,7 @@
     assert!(!warming_sends.is_empty(), "the warming server got no request");
 }
 
-/// A node that has just restarted learns the start times of servers from the server list only.
+/// A node that has just restarted gets the start times of servers from the server list only.
 #[test]
 fn a_restarted_node_limits_requests_to_warming_servers() {
     let mut settings = one_class(Idempotency::Safe);
@@ -240,11 +241,11 @@
         let mut node = Node::new(settings.clone(), node_index as u64);
         let mut entries = ready(0..10);
         entries[7].started_at = Some(node.now);
-        node.servers(entries);
+        node.set_servers(entries);
         for id in 0..30 {
             node.now += 50.0;
             let server = node.sent_to(id);
-            node.report(id, 0, 40.0, AttemptOutcome::Served, Some(1.0));
+            node.end_with_load(id, 0, 40.0, AttemptOutcome::Served, Some(1.0));
             sent += 1;
             to_warming += usize::from(server == 7);
         }
@@ -285,7 +286,10 @@
             "a second firing of the same timer is ignored"
         );
     }
-    assert!(waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0), "{waits:?}");
+    assert!(
+        waits[0] < waits[4] && waits.iter().all(|w| *w <= 2_500.0),
+        "times in ms until the next call: {waits:?}"
+    );
     let list = || BalancerEvent::EndpointsUpdated(EndpointUpdate::Snapshot(ready(0..2)));
     let logged = node.feed(list());
     assert!(matches!(logged[..], [BalancerAction::Log(_)]), "the recovery is logged: {logged:?}");
@@ -296,7 +300,7 @@
 #[test]
 fn failures_eject_a_server_and_a_success_ends_the_ejection() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let sends_to_first_server = |node: &mut Node, from: u64, faulty: bool| {
         let mut sent = 0;
         for id in from..from + 400 {
@@ -304,7 +308,7 @@
             node.now += 10.0;
             sent += usize::from(server == 0);
             if faulty && server == 0 {
-                let retry = node.report(id, 0, 2.0, AttemptOutcome::Error, Some(0.0));
+                let retry = node.end_with_load(id, 0, 2.0, AttemptOutcome::Error, Some(0.0));
                 let attempt = usize::from(send_of(&retry).is_some());
                 node.end(id, attempt, 30.0, AttemptOutcome::Served);
             } else {
@@ -321,11 +325,11 @@
     assert!(sends_to_first_server(&mut node, 3_000, false) > 50, "the server is still ejected");
 }
 
-/// The count of a server that accepts requests but answers none does not differ from the counts of others.
+/// A server that accepts requests but answers none must soon get no more of them.
 #[test]
 fn an_unresponsive_server_is_avoided() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let mut unanswered = 0;
     for id in 0..600 {
         let server = send_of(&node.request(id, 0, 800.0));
@@ -333,13 +337,13 @@
         if id > 200 && server == Some(0) {
             unanswered += 1;
         } else if server.is_some() {
-            node.report(id, 0, 30.0, AttemptOutcome::Served, Some((1 + id % 3) as f64));
+            node.end_with_load(id, 0, 30.0, AttemptOutcome::Served, Some((1 + id % 3) as f64));
         }
     }
     assert!(unanswered < 12, "{unanswered} requests were sent to the unresponsive server");
 }
 
-/// Requests at a server that becomes unresponsive lose time. Those that may be repeated are sent to another
+/// If a server becomes unresponsive, its requests are delayed. Those that may be repeated are sent to another
 /// server.
 #[test]
 fn stalled_attempts_are_cancelled_if_the_request_may_be_repeated() {
@@ -352,7 +356,7 @@
         (Idempotency::Safe, true, false),
     ] {
         let mut node = Node::new(one_class(idempotency), 1);
-        node.servers(ready(0..2));
+        node.set_servers(ready(0..2));
         let ids = 1..=6;
         let server_of: BTreeMap<u64, usize> = ids.clone().map(|id| (id, node.sent_to(id))).collect();
         node.now += 20.0;
@@ -365,7 +369,7 @@
         let actions = node.feed(BalancerEvent::TimerFired(stalled[2] + 1));
         for id in stalled {
             let cancel = BalancerAction::Cancel { request: RequestId(id), attempt: 0 };
-            assert_eq!(actions.contains(&cancel), cancelled, "{idempotency:?} {responsive}");
+            assert_eq!(actions.contains(&cancel), cancelled, "{idempotency:?}, responsive: {responsive}");
             if !cancelled {
                 continue;
             }
@@ -379,16 +383,16 @@
     }
 }
 
-/// After a report of an impossible number of requests, the server would never be selected again.
+/// If a report of an impossible number of requests were used, the server would never be selected again.
 #[test]
 fn an_implausible_report_changes_no_count() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     let mut sent = [0; 2];
     for id in 1..=40 {
         let server = node.sent_to(id);
         sent[server] += 1;
-        node.report(
+        node.end_with_load(
             id,
             0,
             20.0,
@@ -399,13 +403,13 @@
     assert_eq!(sent, [20, 20]);
 }
 
-/// While all servers fail, some requests must still be sent, so that the recovery is noticed.
+/// While all servers fail, some requests must still be sent, so that the recovery is detected.
 #[test]
 fn rejections_end_when_the_servers_recover() {
     let mut settings = one_class(Idempotency::Safe);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let mut last = (0, 0);
     for id in 0..3_000 {
         let failing = (500..1_000).contains(&id);
@@ -423,14 +427,14 @@
     assert!(last.0 * 100 > last.1 * 95, "(sent, requests) long after the recovery: {last:?}");
 }
 
-/// While all answers are late, nodes send trial requests to idle servers to notice the recovery. The trials
+/// While all answers are late, nodes send trial requests to idle servers to detect the recovery. The trials
 /// of many nodes must not keep the servers overloaded.
 #[test]
 fn many_nodes_send_few_trial_requests_while_answers_are_late() {
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (16, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..10));
+    node.set_servers(ready(0..10));
     let mut trials = 0;
     for id in 0..4_000 {
         let sent = send_of(&node.request(id, 0, 800.0)).is_some();
@@ -451,7 +455,7 @@
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (12, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..20));
+    node.set_servers(ready(0..20));
     let mut in_flight = std::collections::VecDeque::new();
     let (mut requests, mut rejections) = (0, 0);
     for id in 0..620_u64 {
@@ -483,7 +487,7 @@
         let mut settings = one_class(Idempotency::Safe);
         settings.drain_grace_ms = grace;
         let mut node = Node::new(settings, 1);
-        node.servers(ready(0..1));
+        node.set_servers(ready(0..1));
         for _ in 0..12 {
             let actions = node.feed(BalancerEvent::EndpointsUpdated(EndpointUpdate::Unavailable));
             let after = |a: &BalancerAction| {
@@ -501,7 +505,7 @@
     }
 }
 
-/// A retry must be sent within its deduplication window, also if the connection is slow to establish.
+/// A retry must be sent within its deduplication window, even if the connection is slow to establish.
 #[test]
 fn the_retry_of_a_keyed_request_must_be_sent_within_its_window() {
     let within = |actions: &[BalancerAction]| match actions[..] {
@@ -511,7 +515,7 @@
     let keyed = keyed(DeduplicationScope::All, 1_000.0);
     for (idempotency, limit) in [(keyed, Some(700.0)), (Idempotency::Safe, None)] {
         let mut node = Node::new(one_class(idempotency), 1);
-        node.servers(ready(0..3));
+        node.set_servers(ready(0..3));
         assert_eq!(within(&node.request(1, 0, 800.0)), None);
         node.now += 200.0;
         assert_eq!(within(&node.end(1, 0, 200.0, AttemptOutcome::Error)), limit);
@@ -521,8 +525,8 @@
     }
 }
 
-/// A request whose client disconnected is not retried, however its attempt ends, also if attempts may not be
-/// cancelled.
+/// A request whose client disconnected is not retried, however its attempt ends, even if the settings forbid
+/// cancelling attempts.
 #[test]
 fn nothing_is_sent_after_the_client_has_disconnected() {
     for cancel in [true, false] {
@@ -536,11 +540,11 @@
             let mut settings = one_class(Idempotency::Safe);
             settings.cancel = cancel;
             let mut node = Node::new(settings, 1);
-            node.servers(ready(0..3));
+            node.set_servers(ready(0..3));
             node.sent_to(1);
             let actions = node.feed(BalancerEvent::ClientDisconnected(RequestId(1)));
             assert_eq!(send_of(&actions), None);
-            assert_eq!(actions.len(), usize::from(cancel), "{actions:?}");
+            assert_eq!(actions.len(), usize::from(cancel), "after the disconnect: {actions:?}");
             node.now += 300.0;
             let actions = node.end(1, 0, 300.0, outcome);
             assert!(actions.iter().all(|a| matches!(a, BalancerAction::Log(_))), "{outcome:?}: {actions:?}");
@@ -556,7 +560,7 @@
     let mut settings = one_class(Idempotency::Safe);
     (settings.nodes, settings.max_attempts) = (400, 1);
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let mut sent = 0;
     for id in 0..400 {
         let admitted = send_of(&node.request(id, 0, 800.0)).is_some();
@@ -576,7 +580,7 @@
     settings.quotas_per_s = vec![1_000.0, 10.0];
     settings.over_quota_value = 0.1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     let mut rejections = [0; 2];
     for id in 0..4_000_u64 {
         let tenant = (id % 2) as usize;
@@ -603,7 +607,7 @@
     settings.over_quota_value = 0.1;
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..4));
+    node.set_servers(ready(0..4));
     let mut rejections = [0; 2];
     for id in 0..2_000_u64 {
         // Each tenant sends one request every two seconds, within the first tenant's share but not the
@@ -617,8 +621,8 @@
     assert!(rejections[0] < 20 && rejections[1] > 400, "rejections by tenant: {rejections:?}");
 }
 
-/// A class of low value with a long latency target could wait long. It must not fill the queues so that
-/// requests of a class of higher value with a short target are late.
+/// Requests of a class with a long latency target can wait long. If their value is low, they must not fill
+/// the queues so that requests of a class of higher value with a short target are late.
 #[test]
 fn requests_of_low_value_are_rejected_before_those_of_higher_value() {
     let mut urgent = RequestClass::new(200.0, 2_000.0, Idempotency::Safe);
@@ -627,7 +631,7 @@
         DecisionSettings::new(vec![urgent, RequestClass::new(4_000.0, 8_000.0, Idempotency::Safe)]);
     settings.max_attempts = 1;
     let mut node = Node::new(settings, 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     let mut rejections = [0; 2];
     let mut in_flight = std::collections::VecDeque::new();
     for id in 0..4_000_u64 {
@@ -649,19 +653,22 @@
     assert!(rejections[1] > 2 * rejections[0], "rejections by class: {rejections:?}");
 }
 
-/// Checks the rules by events and actions alone, independently of the decision logic.
+/// Checks the rules from events and actions alone, independently of the decision logic.
 struct Checker {
     settings: DecisionSettings,
     requests: BTreeMap<u64, RequestRecord>,
+    /// Last entry of each server, also of removed ones.
     servers: BTreeMap<usize, ServerEntry>,
     /// Time in ms when each server was announced as draining or removed.
     unavailable_since: BTreeMap<usize, f64>,
+    /// Time in milliseconds for which requests may still be sent to such a server.
     grace_ms: f64,
 }
 
 /// State of one request, as far as the rules need it.
 struct RequestRecord {
     class: usize,
+    /// Time in milliseconds by which the request must have its final answer.
     deadline: f64,
     /// Server, time of sending in milliseconds, and outcome once it has ended.
     attempts: Vec<(usize, f64, Option<AttemptOutcome>)>,
@@ -688,8 +695,8 @@
         }
     }
 
-    /// Records an event before the balancer handles it. Completes the end of an attempt: whether the request
-    /// is done.
+    /// Records an event before the balancer handles it. At the end of an attempt, sets `complete` if the
+    /// request already has its final answer or its client has disconnected.
     fn record_event(&mut self, event: &mut BalancerEvent) {
         match event {
             BalancerEvent::AttemptEnded(attempt_end) => {
@@ -720,7 +727,10 @@
                 let entry = self.requests.get_mut(&request.0).expect("a known request");
                 assert!(!entry.done, "sent after the final answer");
                 assert!(entry.attempts.len() < self.settings.max_attempts, "too many attempts");
-                assert!(entry.attempts.iter().all(|a| a.2.is_some()), "two attempts at once");
+                assert!(
+                    entry.attempts.iter().all(|a| a.2.is_some()),
+                    "a second attempt while one is in flight"
+                );
                 let ran = entry.attempts.iter().find(|a| a.2.is_none_or(AttemptOutcome::may_have_run));
                 if let Some((first, sent_at, _)) = ran {
                     match self.settings.classes[entry.class].idempotency {
@@ -928,7 +938,7 @@
 #[test]
 fn events_with_unknown_ids_are_ignored() {
     let mut node = Node::new(one_class(Idempotency::Safe), 1);
-    node.servers(ready(0..2));
+    node.set_servers(ready(0..2));
     assert!(node.end(77, 0, 5.0, AttemptOutcome::Served).is_empty());
     assert!(node.feed(BalancerEvent::ClientDisconnected(RequestId(77))).is_empty());
     assert!(
--- a/crates/node-emulator/src/catalogue.rs
+++ b/crates/node-emulator/src/catalogue.rs
@@ -89,7 +89,7 @@
 pub struct Server {
     /// The slot that the server occupies, or occupied before its replacement.
     pub slot: usize,
-    /// The listed state.
+    /// The state of the server in the server list.
     pub phase: Phase,
     /// Whether the server responds. The list does not show this.
     pub reachability: Reachability,
@@ -216,7 +216,7 @@
         self.published.get(index).copied()
     }
 
-    /// Looks up a server by number, also one that has left.
+    /// Returns a server by its number, even if it has left; `None` if no server has had the number.
     pub fn server(&mut self, number: usize) -> Option<&mut Server> {
         self.servers.get_mut(number)
     }
--- a/crates/rushrudder/src/error.rs
+++ b/crates/rushrudder/src/error.rs
@@ -2,11 +2,10 @@
 
 use std::fmt;
 
-/// Reason for which a process cannot serve its role. The cause follows as the next context of the error
-/// report.
+/// Reason why a process cannot serve its role. The error report contains the cause as its next context.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleError {
-    /// The process cannot register for SIGTERM and SIGHUP.
+    /// The process cannot receive signals.
     Signals,
     /// The journal cannot be opened. The cause names its directory.
     Journal,
