--- a/crates/local-fleet/src/clients/client.rs
+++ b/crates/local-fleet/src/clients/client.rs
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Checks that a reply belongs to the attempt `id` and was generated for it; returns whether its status
-    /// is 2xx.
+    /// Checks that a reply belongs to the attempt `id` and was generated for it; returns whether it has the
+    /// id of the attempt, if any, and a 2xx status.
     fn check(&self, id: &str, path: &str, reply: &HttpReply) -> bool {
         if let Some(other) = reply.header(header::ATTEMPT_ID).filter(|other| *other != id) {
             self.report(Rule::Mismatch, format!("request {id} got the answer to {other}"));
--- a/crates/local-fleet/src/deployment/fault.rs
+++ b/crates/local-fleet/src/deployment/fault.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Error for this text, which does not describe a fault.
+/// Error for a text that does not describe a fault; contains the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseProcessFaultError(String);
 
--- a/crates/local-fleet/src/deployment/process.rs
+++ b/crates/local-fleet/src/deployment/process.rs
@@ -74,8 +74,7 @@
         Ok(has_ended)
     }
 
-    /// Returns whether a process that was running has exited without a call of this module, and marks it as
-    /// not running.
+    /// Returns whether the process was running and has exited on its own, and marks it as not running.
     pub(super) fn take_unexpected_exit(&mut self) -> bool {
         let status = self.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
         let Some(status) = status else { return false };
--- a/crates/local-fleet/src/http/caller.rs
+++ b/crates/local-fleet/src/http/caller.rs
@@ -84,8 +84,8 @@
         (200..300).contains(&self.status)
     }
 
-    /// Returns whether the status states the outcome of the call: it is no server error (5xx), timeout (408)
-    /// or overload (429), after which a call may or may not have been executed.
+    /// Returns whether the status states the outcome of the call. After a server error (5xx), a timeout (408)
+    /// or an overload (429), the call may or may not have been executed.
     fn is_conclusive(&self) -> bool {
         self.status < 500 && self.status != 408 && self.status != 429
     }
--- a/crates/local-fleet/src/operator.rs
+++ b/crates/local-fleet/src/operator.rs
@@ -54,8 +54,8 @@
     }
 }
 
-/// An operator that calls the nodes in rotation, starting at a random one, until one of them acknowledges a
-/// call.
+/// An operator that calls the nodes in rotation, starting at a random one, until one of them acknowledges or
+/// rejects the call.
 #[derive(Clone, Debug)]
 pub struct Operator {
     caller: HttpCaller,
--- a/crates/local-fleet/src/run/local_run.rs
+++ b/crates/local-fleet/src/run/local_run.rs
@@ -18,7 +18,8 @@
 use crate::trainer::{ItemGroup, JobRouting, JobTemplate, StepOutcome, Trainer, TrainerError};
 use crate::verification::{RequestLog, Rule, Violation};
 
-/// Time limit for the acknowledgement of the initial configuration, and again until all nodes are ready.
+/// Time limit for the acknowledgement of the initial configuration. The same limit then applies to the
+/// readiness of all nodes.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between two readiness checks of all nodes during the start.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/local-fleet/src/servers/engine.rs
+++ b/crates/local-fleet/src/servers/engine.rs
@@ -228,8 +228,8 @@
         response
     }
 
-    /// Waits for a slot and starts the stream. Rejects requests that expect another server or version, and
-    /// requests that get no slot or arrive while weights are loaded.
+    /// Waits for a slot and starts the stream. Rejects requests that expect another server or version, that
+    /// get no slot, or that get it while weights are loaded.
     async fn admit_generation(&self, request: &Request, id: &str, body: &[u8]) -> Response {
         let deadline = responses::deadline(request, Instant::now());
         if responses::expects_other_server(request, &self.options.id) || self.expects_other_version(request) {
@@ -292,8 +292,8 @@
     }
 }
 
-/// Returns the number of events in the complete text: one for each requested token.
-/// `None` for a missing or invalid header.
+/// Returns the number of events in the complete text, one for each requested token; `None` if the header with
+/// the number of tokens is missing or invalid.
 fn requested_events(request: &Request) -> Option<u64> {
     request.header(header::TOKENS)?.split_once(',')?.1.trim().parse().ok()
 }
--- a/crates/local-fleet/src/servers/weights.rs
+++ b/crates/local-fleet/src/servers/weights.rs
@@ -5,6 +5,6 @@
 pub(super) struct WeightState {
     /// Version in use; while another version is loaded, the previous version.
     pub(super) version: u64,
-    /// Whether another version is being loaded; no text is generated until it is complete.
+    /// Whether another version is being loaded; no text is generated until it is loaded.
     pub(super) is_loading: bool,
 }
--- a/crates/local-fleet/src/trainer/mod.rs
+++ b/crates/local-fleet/src/trainer/mod.rs
@@ -239,7 +239,7 @@
         true
     }
 
-    /// Ends a batch job, and records the end of its requests in the request log.
+    /// Ends a batch job, and records the end of its requests in the request log, even if the call failed.
     async fn end_job(&self, job: &mut SubmittedJob) {
         // From here on, items may be listed as undeliverable.
         job.plan.expectations.may_be_undeliverable = true;
--- a/crates/local-fleet/src/verification/result_check.rs
+++ b/crates/local-fleet/src/verification/result_check.rs
@@ -1,5 +1,5 @@
-//! Checks the results of a batch job against the events that engines generated and the responses of reward
-//! servers.
+//! Checks the results of a batch job against the events that engines generated and the responses of plain
+//! servers to reward calls.
 
 use std::collections::{BTreeSet, HashMap};
 use std::str::FromStr;
--- a/crates/local-fleet/tests/verify.rs
+++ b/crates/local-fleet/tests/verify.rs
@@ -25,7 +25,7 @@
 }
 
 /// Records a generation of item `t1` that continues after event `after` up to event `last`, all by `version`;
-/// returns its events.
+/// returns its id and events.
 fn generate(request_log: &RequestLog, after: u64, last: u64, version: u64) -> (GenerationId, Vec<EventData>) {
     let generation = request_log.start_generation("t1", after);
     let data = (after + 1..=last).map(|index| {
--- a/crates/simulator/src/bin/simulate.rs
+++ b/crates/simulator/src/bin/simulate.rs
@@ -10,7 +10,7 @@
 
 /// Time between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(10);
-/// Time between two checks by the progress thread whether all runs have ended.
+/// Time between two checks by the progress thread whether no further run will be started.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Exit status for invalid options or an unsuitable build.
 const USAGE_ERROR: u8 = 2;
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Draws the faults of the run with this seed.
+    /// Draws the faults of the run with this seed: those of `--troubles-of` if the option is given, otherwise
+    /// those of the seed.
     fn faults(&self, seed: u64, setup: &Setup) -> Vec<Fault> {
         setup.plan_faults(self.faults_of.unwrap_or(seed))
     }
@@ -88,7 +89,8 @@
     failed: Vec<(u64, FailedRun)>,
 }
 
-/// Runs successive seeds on several threads, until the time is over, all seeds have run or a run has failed.
+/// Runs successive seeds on several threads until the time is over, all seeds have run or, without
+/// `--keep-on`, a run has failed.
 struct SeedRunner<'a> {
     options: &'a SimulateOptions,
     setup: &'a Setup,
@@ -180,7 +182,8 @@
         self.is_stopped.load(Ordering::Relaxed)
     }
 
-    /// Takes and runs seeds until the time is over, all seeds have run or another thread has stopped.
+    /// Takes and runs seeds until the time is over, all seeds have been taken or [`SeedRunner::stop`] was
+    /// called.
     fn run_seeds(&self) {
         let end = self.options.first.saturating_add(self.options.seeds);
         loop {
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Prints the number of runs at intervals until the end.
+    /// Prints the number of runs at intervals until no further run will be started.
     fn print_progress(&self) {
         let mut next = Instant::now() + PROGRESS_INTERVAL;
         while !self.is_stopped() {
--- a/crates/simulator/src/fleet/machine.rs
+++ b/crates/simulator/src/fleet/machine.rs
@@ -74,7 +74,8 @@
     clock: MachineClock,
     execution: Execution,
     lifecycle: Lifecycle,
-    /// Number of processes that have ended on this machine, which identifies the current process.
+    /// Number of processes that have ended on this machine, including failed starts. It identifies the
+    /// current process.
     process_exits: u64,
 }
 
--- a/crates/simulator/src/fleet/observe.rs
+++ b/crates/simulator/src/fleet/observe.rs
@@ -144,8 +144,8 @@
         self.machines.iter().position(|machine| machine.name == owner)
     }
 
-    /// Progress of a store in the migration of its batch jobs; `None` for a traffic node or without a
-    /// process.
+    /// Returns the progress of a store in the migration of its batch jobs; `None` for a traffic node or
+    /// without a process.
     #[must_use]
     pub fn migration_status(&self, machine: usize) -> Option<MigrationStatus> {
         Some(self.machines[machine].process()?.jobs()?.migration_status())
--- a/crates/simulator/src/simulation/faults/failure_limits.rs
+++ b/crates/simulator/src/simulation/faults/failure_limits.rs
@@ -46,7 +46,7 @@
 }
 
 /// Whether a majority of the acceptors has durably recorded that the last change of the acceptors is
-/// committed. Until then one failure less is tolerated (`docs/CONTROL.md`, section 3).
+/// committed. Until then one failure fewer is tolerated (`docs/CONTROL.md`, section 3).
 fn is_change_recorded(fleet: &Fleet, state: &ControlState) -> bool {
     let has_recorded = |machine: &usize| {
         let recorded = fleet.recorded_state(*machine);
--- a/crates/simulator/src/simulation/faults/mod.rs
+++ b/crates/simulator/src/simulation/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Faults of a run: their kinds, their random choice and their injection.
+//! Faults of a run: their kinds, their random plan and their injection.
 
 mod failure_limits;
 mod injection;
--- a/crates/simulator/src/simulation/faults/plan.rs
+++ b/crates/simulator/src/simulation/faults/plan.rs
@@ -1,4 +1,4 @@
-//! Random choice of the faults of a seed.
+//! Draws the planned faults of a run from a seed.
 
 use std::time::Duration;
 
--- a/crates/simulator/src/simulation/run.rs
+++ b/crates/simulator/src/simulation/run.rs
@@ -24,7 +24,8 @@
 /// The summary of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunSummary {
-    /// Number of planned faults, including those without effect because too many machines had failed.
+    /// Number of planned faults, including those without effect, for example because too many machines had
+    /// failed.
     pub faults: usize,
     /// Number of acknowledged changes of the configuration.
     pub changes: usize,
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Starts the fleet, injects the faults at their times, and waits until the fleet has recovered.
+    /// Sends the first configuration, injects the faults at their times, and waits until the fleet has
+    /// recovered.
     fn execute(&mut self, faults: &[Fault]) -> Result<(), SimulationViolation> {
         self.operators.put_first_configuration(&mut self.fleet, START_TIMEOUT)?;
         let started = self.fleet.now;
--- a/crates/simulator/tests/scenarios/faults.rs
+++ b/crates/simulator/tests/scenarios/faults.rs
@@ -5,7 +5,8 @@
 use crate::support::seconds;
 
 /// Injects a fault. Functions that replace, freeze or disconnect a machine return after 8 to 15 s, in which
-/// the fleet can recover. After all other faults, the machines still have to restart.
+/// the fleet can recover. Functions that kill machines, cut their power or erase disks return at once, while
+/// the machines still have to restart.
 pub type InjectFault = fn(&mut Fleet);
 
 /// Injects no fault, for comparison.
--- a/crates/simulator/tests/scenarios/lease.rs
+++ b/crates/simulator/tests/scenarios/lease.rs
@@ -7,8 +7,8 @@
 use crate::scenario::Scenario;
 use crate::support::{seconds, SEEDS};
 
-/// Whether no running node has a state in which this machine is an acceptor. Until a majority of the present
-/// acceptors has recorded a change, one failure less is tolerated (`docs/CONTROL.md`, section 3).
+/// Whether every running node has a state in which this machine is not an acceptor. Until a majority of the
+/// present acceptors has recorded a change, one failure fewer is tolerated (`docs/CONTROL.md`, section 3).
 fn is_replaced(fleet: &Fleet, machine: usize) -> bool {
     let mut running = fleet.present_nodes().into_iter().filter(|node| fleet.is_running(*node));
     running.all(|node| {
