--- a/crates/local-fleet/src/deployment/settings_file.rs
+++ b/crates/local-fleet/src/deployment/settings_file.rs
@@ -45,7 +45,8 @@
 #[serde(rename_all = "camelCase")]
 pub struct ProcessLimits {
     cpu_share: f64,
-    /// Speed of the processor core of which the process gets `cpu_share`, as a multiple of a standard core.
+    /// Speed of the processor core of which the process gets `cpu_share`, as a multiple of the speed of a
+    /// standard core. It is not a number of cores.
     cores: u32,
     memory_mb: u64,
     file_handles: u64,
@@ -53,7 +54,8 @@
     disk_mb: u64,
 }
 
-/// The number of machines, zones and regions that may fail at the same time without an outage.
+/// The numbers of machines, zones and regions that may be unavailable at the same time while the system still
+/// complies with all rules. Only machines with `counts_for_quorum` count.
 #[derive(Clone, Debug, Serialize)]
 pub struct ToleratedFailures {
     machines: u8,
--- a/crates/local-fleet/src/deployment/timing_rules.rs
+++ b/crates/local-fleet/src/deployment/timing_rules.rs
@@ -109,7 +109,7 @@
         Duration::from_millis(self.batch_job_propagation_timeout_ms)
     }
 
-    /// Returns the time for which the results of a batch job are retained.
+    /// Returns the time after the submission of a batch job for which its results are retained.
     #[must_use]
     pub fn result_retention(&self) -> Duration {
         Duration::from_secs(self.result_retention_s)
--- a/crates/local-fleet/src/run/error.rs
+++ b/crates/local-fleet/src/run/error.rs
@@ -11,7 +11,8 @@
 pub enum LocalError {
     /// An option is out of its range; the text names the option and the range.
     Options(&'static str),
-    /// The address of an emulated server or of the emulated platform cannot be bound.
+    /// The address of an emulated server or of the emulated platform cannot be bound, or another I/O
+    /// operation before the start of the fleet failed.
     Listen(io::Error),
     /// An HTTP client cannot be set up.
     Http(reqwest::Error),
