--- a/crates/control-plane/src/consensus/proposal_attempt.rs
+++ b/crates/control-plane/src/consensus/proposal_attempt.rs
@@ -185,8 +185,8 @@
 /// Waits until a majority of the acceptors has learned a change of the set of acceptors, or all calls have
 /// ended.
 ///
-/// Only after that is the failure of one more machine tolerated. Before, this process may be the only one
-/// that has received the commit, and all others would still ask the previous acceptors.
+/// Until then, this process may be the only one that has received the commit, and all others would still ask
+/// the previous acceptors, so that the failure of one more machine is not tolerated.
 async fn wait_for_majority(mut learners: mpsc::UnboundedReceiver<Member>, acceptors: &[Member]) {
     let mut learned = 0;
     while let Some(member) = learners.recv().await {
--- a/crates/control-plane/src/discovery/acceptor_gossip.rs
+++ b/crates/control-plane/src/discovery/acceptor_gossip.rs
@@ -1,5 +1,5 @@
-//! Acceptor gossip: lets a process without any control state find an acceptor even if its seeds have none
-//! either.
+//! Acceptor gossip: lets a process without any control state find an acceptor even if its seeds have no
+//! control state either.
 //!
 //! A process polls its seeds until it receives the acceptors. Seeds may be nodes without a disk. After a
 //! power loss of all machines these have no state, and a process that is configured with only such seeds
--- a/crates/control-plane/src/discovery/bootstrap.rs
+++ b/crates/control-plane/src/discovery/bootstrap.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Part of this process in the bootstrap of a system.
+/// Participation of this process in the bootstrap of a system.
 pub struct Bootstrap {
     /// Announcement of this machine; `None` if it has no disk.
     pub announcement: Option<Announcement>,
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Offers an initial value to its acceptors: the value that an acceptor has accepted from an earlier
-    /// coordinator, if any, otherwise `proposed`. Adopts the value if a majority has accepted it.
+    /// Offers an initial value to the acceptors that it lists: the value that an acceptor has accepted from
+    /// an earlier coordinator, if any, otherwise `proposed`. Adopts the value if a majority has accepted it.
     ///
     /// A majority of the acceptors must reply to a read first, so that an initial value that a majority has
     /// accepted is always found.
--- a/crates/control-plane/src/discovery/list_reader.rs
+++ b/crates/control-plane/src/discovery/list_reader.rs
@@ -19,7 +19,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 /// Interval at which the reader checks whether a read is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
-/// Maximum of the random addition to a pause, as a fraction of it.
+/// Maximum random addition to a pause or to the age of a stale list, as a fraction of it.
 const JITTER: f64 = 0.5;
 
 /// Task that reads the platform's server list.
--- a/crates/control-plane/src/distribution/messages.rs
+++ b/crates/control-plane/src/distribution/messages.rs
@@ -66,8 +66,8 @@
     /// the same version.
     pub fn apply_to(&self, view: &ViewCell, now: Instant) {
         if let Some(update) = self.control.clone() {
-            // An update that does not apply to the present state is dropped, together with the ages, which
-            // belong to a value that the view does not have.
+            // An update that does not apply to the present state is dropped with the rest of the reply,
+            // because the age of the confirmation belongs to a value that the view does not have.
             let Some(newer) = update.apply(&view.view().control) else { return };
             view.adopt_control(&newer);
         }
--- a/crates/control-plane/src/distribution/server_update.rs
+++ b/crates/control-plane/src/distribution/server_update.rs
@@ -105,7 +105,8 @@
         }));
     }
 
-    /// Returns the list after the changes, or `None` if a changed server or model is not in `base`.
+    /// Returns the list after the changes, or `None` if a new model version refers to a server or a model
+    /// that is not in `base`.
     fn apply(&self, base: &ServerList) -> Option<ServerList> {
         let mut servers = base.servers.clone();
         for change in &self.versions {
--- a/crates/control-plane/src/election/campaign.rs
+++ b/crates/control-plane/src/election/campaign.rs
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Runs one round of requests to all grantors. Ends as soon as the lease is granted or all have replied.
+    /// Runs one round of requests to all grantors. Ends as soon as the lease is granted or all calls have
+    /// ended.
     async fn run_round(&mut self, control: &ControlState) {
         let client = &self.client;
         let previous_expiry = self.candidate.expires_at();
--- a/crates/control-plane/src/liveness/contacts.rs
+++ b/crates/control-plane/src/liveness/contacts.rs
@@ -7,8 +7,8 @@
 use register::{Incarnation, Member};
 use tokio::time::Instant;
 
-/// Maximum pause between two rounds. After a longer pause this process was suspended or starved, so missing
-/// replies are no evidence against the acceptors, and all their timeouts start again.
+/// Maximum pause between two rounds. A longer pause means that this process was suspended or starved. Missing
+/// replies are then no evidence against the acceptors, and all their timeouts start again.
 const MAX_ROUND_GAP: Duration = Duration::from_millis(1200);
 
 /// Times of the last replies of the acceptors, as read repair records them in its rounds.
--- a/crates/control-plane/src/liveness/ping.rs
+++ b/crates/control-plane/src/liveness/ping.rs
@@ -22,8 +22,8 @@
     pub is_in_contact: bool,
     /// Whether the process has run for long enough to be in contact with the others and is not shutting down.
     pub is_stable: bool,
-    /// Acceptors from which the process, if it is an acceptor itself, has not received a reply for longer
-    /// than its timeout.
+    /// Acceptors that have not replied to the confirmations of the process for longer than its timeout. Empty
+    /// if the process runs no read repair, which only a machine with an acceptor or a standby does.
     pub unresponsive: Vec<Incarnation>,
 }
 
--- a/crates/control-plane/src/reconcile/migration_watch.rs
+++ b/crates/control-plane/src/reconcile/migration_watch.rs
@@ -46,8 +46,8 @@
 }
 
 impl MigrationWatch {
-    /// Logs the stores that delay the current migration if it has lasted longer than [`WARN_INTERVAL`].
-    /// The reconciler calls this function in each round of pings.
+    /// Logs the stores that delay the current migration, once [`WARN_INTERVAL`] has passed since it was first
+    /// observed or last logged. The reconciler calls this function in each round of pings.
     pub(super) fn observe(&mut self, control: &ControlState, observed: &Observation) {
         if control.previous_stores.is_none() {
             self.current = None;
--- a/crates/control-plane/tests/golden/operator.rs
+++ b/crates/control-plane/tests/golden/operator.rs
@@ -101,7 +101,7 @@
 ) {
     let changes = (0..MAX_APPLIED_CHANGES as u64)
         .map(|index| AppliedChange { digest: index.into(), version: 100 + index });
-    // The digest of a text, with bytes that cannot be decompressed.
+    // Document with the digest of a text and with bytes that cannot be decompressed.
     let corrupt: Document =
         rpc::decode(&rpc::encode(&(77_u128, [0xff_u8; 4].as_slice()))).expect("a document is decoded");
     let adapt = |state: ControlState| ControlState {
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -26,7 +26,7 @@
 
 /// Time without a reply after which nodes report an acceptor as unresponsive.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(2);
-/// Time after which nodes report themselves as stable: from their start.
+/// Time from the start of a node after which it reports itself as stable.
 const STABLE_AFTER: Duration = Duration::ZERO;
 
 /// Traffic node with an acceptor.
--- a/crates/rushrudder/src/control/disk.rs
+++ b/crates/rushrudder/src/control/disk.rs
@@ -57,10 +57,10 @@
     }
 }
 
-/// Opens a journal with `open`. If durable records are missing or cannot be decoded, or an earlier setting
-/// aside was interrupted, the disk counts as failed: the files are set aside, and a new journal with another
-/// incarnation is opened. A member that may have lost one of its promises must not continue under the same
-/// incarnation.
+/// Opens a journal with `open`. If durable records are missing or cannot be decoded, or an earlier attempt to
+/// set the files aside was interrupted, the disk counts as failed: the files are set aside, and a new journal
+/// with another incarnation is opened. A member that may have lost one of its promises must not continue
+/// under the same incarnation.
 ///
 /// A record that a loss of power has torn was never acknowledged. The journal itself drops it, and the disk
 /// does not count as failed.
--- a/crates/rushrudder/src/control/mod.rs
+++ b/crates/rushrudder/src/control/mod.rs
@@ -93,7 +93,7 @@
         self.quorum_service.as_ref().map(|service| service.acceptor())
     }
 
-    /// Returns a client with which this machine joins and leaves the acceptors of the register, as `member`.
+    /// Returns the task with which this machine joins and leaves the acceptors of the register, as `member`.
     pub fn acceptor_membership(&self, member: Member) -> AcceptorMembership {
         AcceptorMembership {
             member,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns a client with which this machine joins and leaves the store set, as `member`.
+    /// Returns the task with which this machine joins and leaves the store set, as `member`.
     pub fn store_membership(&self, member: StoreMember) -> StoreMembership {
         StoreMembership { member, view: Arc::clone(&self.view), proposer: Arc::clone(&self.proposer) }
     }
--- a/crates/rushrudder/src/job_api.rs
+++ b/crates/rushrudder/src/job_api.rs
@@ -35,7 +35,7 @@
 /// Value of the `Retry-After` header, in seconds, in the response to a batch job that was not accepted.
 const RETRY_AFTER_SECONDS: &str = "0.3";
 
-/// Handles the trainers' calls on batch jobs by forwarding them to the stores.
+/// Interface for trainers' calls on batch jobs, which it forwards to the stores.
 pub struct JobApi {
     stores: JobClient,
     view: Arc<ViewCell>,
--- a/crates/store-plane/src/replication/client/routing_cache.rs
+++ b/crates/store-plane/src/replication/client/routing_cache.rs
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub(super) struct RoutingCache {
     owners: HashMap<JobId, StoreId>,
-    /// When each store last failed to answer; removed when it answers.
+    /// Time at which each store last failed to answer. The entry of a store is removed when it answers.
     suspects: HashMap<StoreId, Instant>,
 }
 
@@ -41,13 +41,13 @@
         self.suspects.get(&store).is_some_and(|since| since.elapsed() < SUSPECT_TTL)
     }
 
-    /// Called when a store has answered a call.
+    /// Records that a store has answered a call.
     pub fn on_answer(&mut self, store: StoreId) {
         self.suspects.remove(&store);
     }
 
-    /// Called when a call to a store about a batch job has failed. Also removes the cached owner of the batch
-    /// job.
+    /// Records that a call to a store about a batch job has failed. Also removes the cached owner of the
+    /// batch job.
     pub fn on_failure(&mut self, store: StoreId, job: &str) {
         self.suspects.insert(store, Instant::now());
         self.owners.remove(job);
--- a/crates/store-plane/src/replication/heartbeat.rs
+++ b/crates/store-plane/src/replication/heartbeat.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Passes the reply about one batch job to its ownership. `sent` is when the heartbeat was sent; the
-    /// lease is counted from then.
+    /// Passes the reply about one batch job to its ownership. `sent` is the time at which the heartbeat was
+    /// sent, from which the lease is counted.
     fn on_heartbeat_reply(
         self: &Arc<Self>,
         store: StoreId,
--- a/crates/store-plane/src/replication/maintenance/retention.rs
+++ b/crates/store-plane/src/replication/maintenance/retention.rs
@@ -9,8 +9,8 @@
 use super::super::node::StoreNode;
 use super::super::state::{OwnedEntry, ReplicationState};
 
-/// An ended batch job is retained for the time during which its results must be readable, plus that time
-/// divided by this.
+/// Divisor that gives the margin of the retention: an ended batch job is retained for the time during which
+/// its results must be readable, plus that time divided by this number.
 const RETENTION_MARGIN_DIVISOR: u32 = 2;
 /// Retention of a batch job that has all results but was not ended by its trainer, as a multiple of the
 /// retention of an ended one.
--- a/crates/store-plane/src/replication/messages.rs
+++ b/crates/store-plane/src/replication/messages.rs
@@ -77,7 +77,8 @@
 pub(super) struct Heartbeat {
     /// The incarnation of the store that may answer.
     pub to: StoreId,
-    /// Empty if the heartbeat only checks whether the store answers.
+    /// The batch jobs that the sender owns and the addressed store keeps. Empty if the heartbeat only checks
+    /// whether the store answers.
     pub jobs: Vec<JobHeartbeat>,
 }
 
@@ -138,7 +139,7 @@
     Redirect(StoreId),
 }
 
-/// Requests results. The position of a result is its index among the results in the log, starting at 0.
+/// Request for results. The position of a result is its index among the results in the log, starting at 0.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct ReadRequest {
     /// Position of the first result to return.
--- a/crates/store-plane/src/replication/node.rs
+++ b/crates/store-plane/src/replication/node.rs
@@ -24,7 +24,7 @@
     /// The newest view of the control plane, which contains the store sets and the addresses of stores.
     pub view: watch::Receiver<Arc<View>>,
     pub limits: StoreLimits,
-    /// When this store was opened; [`Self::lease_time`] is counted from it.
+    /// Time at which this store was opened; [`Self::lease_time`] is counted from it.
     pub started: Instant,
     pub journal: Arc<dyn RecordJournal>,
     /// Channel to the runner for the batch jobs that this store owns.
--- a/crates/store-plane/src/replication/ownership.rs
+++ b/crates/store-plane/src/replication/ownership.rs
@@ -88,8 +88,8 @@
         self.send_due_requests(&job);
     }
 
-    /// Passes the reply of a replica to the ownership. `sent` is when the request was sent; the lease is
-    /// counted from then.
+    /// Passes the reply of a replica to the ownership. `sent` is the time at which the request was sent, from
+    /// which the lease is counted.
     fn on_reply(
         self: &Arc<Self>,
         job: &JobId,
@@ -99,8 +99,8 @@
         sent: Instant,
     ) {
         self.with_ownership(job, term, |node, state| {
-            // Counted back from now, not from when the request was sent, since the age of a batch job must
-            // never be overestimated.
+            // The age is counted back from now, not from the time at which the request was sent, since the
+            // age of a batch job must never be overestimated.
             let now = Instant::now();
             let known_since = now.checked_sub(Duration::from_millis(reply.age_ms)).unwrap_or(now);
             state.job_status.record_known_since(job, known_since);
@@ -229,8 +229,8 @@
     }
 }
 
-/// Called when a replica has promised a higher term: releases the ownership if another store claims the batch
-/// job.
+/// Handles the promise of a higher term by a replica: releases the ownership if another store claims the
+/// batch job.
 fn on_ownership_lost(state: &mut ReplicationState, job: &JobId, promised: OwnershipTerm) {
     if promised.owner == NO_OWNER {
         // Replicas have a newer store set. This store claims the batch job again once it has received that
--- a/crates/store-plane/src/replication/replicate.rs
+++ b/crates/store-plane/src/replication/replicate.rs
@@ -89,9 +89,10 @@
 }
 
 impl ReplicationState {
-    /// Returns when the read lease ends that contacts with this store may have given to an owner other than
-    /// `claimant`; `None` if there is no such lease any more. `own_id` is the id of this store and `started`
-    /// the time when it started. This store itself holds a read lease only while it owns the batch job.
+    /// Returns the latest end of a read lease that an owner other than `claimant` may hold because of its
+    /// contacts with this store; `None` if there is no such lease any more. `own_id` is the id of this store
+    /// and `started` the time at which it started. This store itself holds a read lease only while it owns
+    /// the batch job.
     fn other_owner_lease_end(
         &self,
         job: &JobId,
--- a/crates/store-plane/src/replication/server/mod.rs
+++ b/crates/store-plane/src/replication/server/mod.rs
@@ -80,7 +80,8 @@
     rpc::handler(move |request: Request| method(Arc::clone(&node), request))
 }
 
-/// Like [`handler`], for requests to one incarnation of a store; calls to any other incarnation fail.
+/// Returns an endpoint as [`handler`] does, for requests to one incarnation of a store. Calls to any other
+/// incarnation fail.
 fn addressed_handler<Request, Reply, Method, ReplyFuture>(
     node: &Arc<StoreNode>,
     method: Method,
--- a/crates/store-plane/src/replication/server/ownership_status.rs
+++ b/crates/store-plane/src/replication/server/ownership_status.rs
@@ -17,7 +17,7 @@
 /// Timeout of the query whether other stores have a batch job.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Why a store does not answer a request about a batch job itself.
+/// Reason why a store does not answer a request about a batch job itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NotOwner {
     /// No store has the batch job.
--- a/crates/store-plane/src/replication/state/durability.rs
+++ b/crates/store-plane/src/replication/state/durability.rs
@@ -65,8 +65,8 @@
         durable
     }
 
-    /// Called when queued records have become durable. `position` is their position in the journal; `None` if
-    /// there were no records to write.
+    /// Marks queued records as durable. `position` is their position in the journal; `None` if there were no
+    /// records to write.
     pub fn on_durable(&mut self, records: &[Record], position: Option<u64>) {
         self.remove_pending(records);
         if let Some(position) = position {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Called when queued records could not be written. The next write of each affected batch job must be a
+    /// Marks the write of queued records as failed. The next write of each affected batch job must be a
     /// snapshot.
     pub fn on_write_failed(&mut self, records: &[Record]) {
         self.remove_pending(records);
--- a/crates/store-plane/src/replication/state/job_status.rs
+++ b/crates/store-plane/src/replication/state/job_status.rs
@@ -20,9 +20,10 @@
 /// The status of one batch job at this store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct JobStatus {
-    /// When a store, which may be this one, last contacted this store as owner or claimant. Also set when
-    /// this store releases a stale claim or ownership or its claim is rejected, to delay its next claim.
-    /// `None` after a handover to this store, and until the first contact after the start of this process.
+    /// Time at which a store, which may be this one, last contacted this store as owner or claimant. Also set
+    /// when this store releases a stale claim or ownership, or when its claim or ownership is rejected, to
+    /// delay its next claim. `None` after a handover to this store, and until the first contact after the
+    /// start of this process.
     pub owner_last_contact: Option<Instant>,
     /// The earliest time at which the batch job is known to have existed, from this process and the replies
     /// of other stores; its age is counted from then.
--- a/crates/store-plane/src/replication/state/ownership_table.rs
+++ b/crates/store-plane/src/replication/state/ownership_table.rs
@@ -17,7 +17,7 @@
     pub token: u64,
     /// The protocol state machine of the ownership.
     pub ownership: Ownership,
-    /// When the batch job was last claimed by this store.
+    /// Time at which this store last claimed the batch job.
     pub claimed_at: Instant,
     /// The parsed batch job; `None` until the ownership is established, and after the batch job has ended.
     pub job: Option<Arc<Job>>,
@@ -46,7 +46,7 @@
         self.progress.send_replace(());
     }
 
-    /// Appends those of the entries that the log lacks. Does nothing unless the ownership is established.
+    /// Appends the entries that the log lacks. Does nothing unless the ownership is established.
     pub fn append_missing(&mut self, entries: &[Arc<Entry>]) {
         if !self.ownership.is_established() {
             return;
--- a/crates/store-plane/src/replication/state/peer_liveness.rs
+++ b/crates/store-plane/src/replication/state/peer_liveness.rs
@@ -41,7 +41,7 @@
         self.heartbeats_in_flight.remove(&store);
     }
 
-    /// Called when a heartbeat was answered or has failed; the store counts as reachable only if it was
+    /// Records that a heartbeat was answered or has failed. The store counts as reachable only if it was
     /// answered.
     pub fn finish_heartbeat(&mut self, store: StoreId, is_answered: bool) {
         self.heartbeats_in_flight.remove(&store);
--- a/crates/store-plane/src/replication/store.rs
+++ b/crates/store-plane/src/replication/store.rs
@@ -26,7 +26,7 @@
 
 impl JobStore {
     /// Creates a store from the records of its journal, which `recovered` contains with their positions,
-    /// oldest first. The receiver gets each batch job whose items this store is to run. The store writes no
+    /// oldest first. The receiver yields each batch job whose items this store is to run. The store writes no
     /// records and runs no maintenance before [`Self::run`].
     pub fn open(
         member: Member,
--- a/crates/store-plane/src/runner/active_job.rs
+++ b/crates/store-plane/src/runner/active_job.rs
@@ -21,12 +21,12 @@
 /// Delay after the route's shelf life before items are given up, since the clocks of stores differ.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(1);
 
-/// When a batch job was submitted, expressed on the runner's clock.
+/// Time of the submission of a batch job, expressed on the runner's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SubmissionTime {
     /// Age of the batch job when this store became its owner.
     pub age: Duration,
-    /// When this store became the owner, on the runner's clock.
+    /// Time at which this store became the owner, on the runner's clock.
     pub acquired_at: Duration,
 }
 
@@ -89,14 +89,16 @@
         self.rules.map_or(u32::MAX, |rules| rules.max_attempts.max(1))
     }
 
-    /// Returns when the remaining items are given up, on the runner's clock; `None` while no route matches.
+    /// Returns the time at which the remaining items are given up, on the runner's clock; `None` while no
+    /// route matches.
     pub fn expiry(&self) -> Option<Duration> {
         let shelf_life = self.rules?.shelf_life;
         Some(self.submission.after(shelf_life + EXPIRY_MARGIN))
     }
 
-    /// Returns whether the versions that generated some events satisfy the version rules of the batch job.
-    /// While no route matches, the stricter rule applies: a single version.
+    /// Returns whether the versions that generated some events satisfy the version rules of the batch job. If
+    /// the batch job names a model, events without known versions do not. While no route matches, the
+    /// stricter rule applies: a single version.
     pub fn accepts(&self, progress: &ItemProgress) -> bool {
         let single_version = self.rules.is_none_or(|rules| rules.single_version);
         let has_known_versions =
--- a/crates/store-plane/src/runner/forwarder_executor.rs
+++ b/crates/store-plane/src/runner/forwarder_executor.rs
@@ -57,8 +57,8 @@
         self.forwarder.total_capacity(&route.targets, address.model.as_deref(), address.oldest_version)
     }
 
-    /// Always `true`: the forwarder selects a server with a suitable version by itself, and returns
-    /// [`ItemOutcome::NotExecuted`] if there is none.
+    /// Returns `true` in all cases: the forwarder itself selects a server with a suitable version, and
+    /// returns [`ItemOutcome::NotExecuted`] if there is none.
     fn can_continue(&self, _address: &JobAddress, _versions: &BTreeSet<u64>) -> bool {
         true
     }
--- a/crates/store-plane/src/runner/item_work.rs
+++ b/crates/store-plane/src/runner/item_work.rs
@@ -11,8 +11,8 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 /// Upper bound on the doublings that are computed: the backoff has reached [`MAX_BACKOFF`] by then.
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
-/// Consecutive rejections up to which the next run continues the output. After more, the item starts over,
-/// since probably no server can continue the output.
+/// Number of consecutive rejections up to which the next run continues the output. After more, the item
+/// starts over, since probably no server can continue the output.
 const MAX_REJECTIONS_BEFORE_RESTART: u32 = 3;
 /// Longest pause after a rejection, even if the server specified a longer one: other servers may accept the
 /// item earlier.
--- a/crates/store-plane/src/runner/mod.rs
+++ b/crates/store-plane/src/runner/mod.rs
@@ -75,7 +75,7 @@
 pub struct Runner<Executor, Log> {
     executor: Arc<Executor>,
     settings: RunnerSettings,
-    /// When the runner was created; its clock then shows [`CLOCK_AT_START`].
+    /// Time at which the runner was created; its clock then shows [`CLOCK_AT_START`].
     started: Instant,
     /// The batch jobs in the order in which they were acquired.
     jobs: BTreeMap<JobKey, ActiveJob>,
@@ -263,8 +263,8 @@
         }
     }
 
-    /// Returns when to check the items again if no event arrives earlier; `None` if there is nothing to
-    /// check.
+    /// Returns the time of the next check of the items if no event arrives earlier; `None` if there is
+    /// nothing to check.
     fn next_wake(&self) -> Option<Duration> {
         let now = self.now();
         let unfinished = || self.jobs.values().filter(|job| !job.schedule.is_finished());
--- a/crates/store-plane/src/runner/ports.rs
+++ b/crates/store-plane/src/runner/ports.rs
@@ -54,7 +54,7 @@
     pub body: Bytes,
     /// The events to continue from; empty to start from the beginning.
     pub progress: ItemProgress,
-    /// When the run is interrupted if it has not ended before.
+    /// Time at which the run is interrupted if it has not ended before.
     pub deadline: Instant,
 }
 
--- a/crates/store-plane/src/runner/scheduling.rs
+++ b/crates/store-plane/src/runner/scheduling.rs
@@ -15,8 +15,8 @@
 
 /// Timeout of a run as a multiple of the average run.
 const RUN_TIMEOUT_FACTOR: u32 = 3;
-/// Items that no trainer waits for must leave the total capacity divided by this free, since other stores run
-/// items at the same servers.
+/// Divisor that gives the part of the total capacity that must stay free when an item is started that no
+/// trainer waits for, since other stores run items at the same servers.
 const SURPLUS_RESERVE_DIVISOR: usize = 2;
 /// Maximum number of times that the timeout of a run doubles; see [`run_timeout`].
 const MAX_TIMEOUT_DOUBLINGS: u32 = 2;
@@ -95,8 +95,8 @@
     }
 }
 
-/// Counter of the runs that were spawned but have not called the executor yet, so that the executor can't
-/// have subtracted them from its free capacity.
+/// Counter of the runs that were spawned but have not called the executor yet, and which its free capacity
+/// therefore does not account for.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingStarts(Arc<()>);
 
--- a/crates/store-plane/src/runner/settings.rs
+++ b/crates/store-plane/src/runner/settings.rs
@@ -10,7 +10,8 @@
     /// Minimum capacity, in items, that must stay free for other stores when an item is started that no
     /// trainer waits for.
     pub min_surplus_reserve: usize,
-    /// Shortest timeout of a run of an item, before it is doubled; applies until a run has completed.
+    /// Shortest timeout of a run of an item, before it is doubled. Also the timeout before the first run has
+    /// completed.
     pub min_run_timeout: Duration,
     /// Longest timeout of a run of an item.
     pub max_run_timeout: Duration,
--- a/crates/store-plane/tests/replication/cluster.rs
+++ b/crates/store-plane/tests/replication/cluster.rs
@@ -27,7 +27,7 @@
 pub struct Store {
     pub member: Member,
     pub disk: MemoryDisk,
-    /// `None` while the store does not run.
+    /// Thread that runs the store; `None` while the store does not run.
     process: Option<StoreProcess>,
 }
 
@@ -51,7 +51,7 @@
         Self::start_with_retention(count, RESULT_RETENTION)
     }
 
-    /// Like [`Cluster::start`], with results kept for `result_retention`.
+    /// Starts stores as [`Cluster::start`] does, with results kept for `result_retention`.
     pub fn start_with_retention(count: u64, result_retention: Duration) -> Self {
         let stores: Vec<Store> = (1..=count).map(Store::new).collect();
         let members = stores.iter().map(Store::as_member).collect();
@@ -77,8 +77,8 @@
         cluster
     }
 
-    /// Like [`Cluster::start`], then submits a batch job with the id `job` and commits results of the items
-    /// with the numbers `items`. Returns the batch job as its owner's runner receives it.
+    /// Starts `count` stores, submits a batch job with the id `job` and commits results of the items with the
+    /// numbers `items`. Returns the batch job as its owner's runner receives it.
     pub async fn with_owned_job(count: u64, items: &[usize]) -> (Self, OwnedJob) {
         let mut cluster = Self::start(count);
         cluster.submit_until_accepted("job").await;
@@ -107,7 +107,7 @@
         self.process(index).freeze()
     }
 
-    /// Makes a store hand its batch jobs over, and waits until it has.
+    /// Makes a store hand its batch jobs over, and waits until it has done so.
     pub async fn hand_over_jobs(&self, index: usize) {
         let done = self.process(index).hand_over_jobs();
         tokio::time::timeout(TEST_TIMEOUT, done)
--- a/crates/store-plane/tests/runner/harness.rs
+++ b/crates/store-plane/tests/runner/harness.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct ObservedRun {
     pub id: String,
-    /// When the run started, counted from the creation of the executor.
+    /// Time of the start of the run, counted from the creation of the executor.
     pub at: Duration,
     /// The events from which the run continues.
     pub progress: ItemProgress,
--- a/crates/store-plane/tests/unit/owner_lease.rs
+++ b/crates/store-plane/tests/unit/owner_lease.rs
@@ -65,8 +65,8 @@
     OwnershipTerm { epoch: 1, number, owner, nonce: 0 }
 }
 
-/// Returns the reply to a claim; `None` if another owner may still answer reads when the wait for its lease
-/// ends.
+/// Claims a batch job at a replica. Returns its reply; `None` if another owner may still answer reads when
+/// the wait for its lease ends.
 async fn claim(replica: &StoreNode, job: &JobId, term: OwnershipTerm) -> Option<ReplicaReply> {
     let request = ReplicaRequest::Prepare { term, accepted: OwnershipTerm::default(), length: 0 };
     replica.replicate(job, request).await.map(|reply| reply.reply)
