--- a/crates/control-plane/src/distribution/poller.rs
+++ b/crates/control-plane/src/distribution/poller.rs
@@ -38,8 +38,8 @@
     pub view: Arc<ViewCell>,
     /// Client for internal calls to other processes.
     pub client: rpc::Client,
-    /// Internal addresses of the seeds in the present settings. They are polled if no acceptor is known or
-    /// this process is out of contact.
+    /// Internal addresses of the seeds in the present settings. They are polled if no acceptor in another
+    /// process is known or this process is out of contact.
     pub seeds: watch::Receiver<Vec<String>>,
     /// Addresses of acceptors that this process has received by gossip; polled like seeds.
     pub gossip: Arc<AcceptorGossip>,
@@ -90,10 +90,10 @@
         self.leadership.as_ref().is_some_and(|leadership| leadership.fence().is_some())
     }
 
-    /// Returns the internal addresses of the peers to poll: the acceptors, with the leader first if this
-    /// process can become the leader. If no acceptor is known or this process is out of contact, gossiped
-    /// acceptors and seeds follow. In a long search all other members in the control state follow too,
-    /// because they may still be members after all acceptors were replaced.
+    /// Returns the internal addresses of the peers to poll: the acceptors in other processes, with the leader
+    /// first if this process can become the leader. If there is no such acceptor or this process is out of
+    /// contact, gossiped acceptors and seeds follow, and in a long search all other members in the control
+    /// state, because they may still be members after all acceptors were replaced.
     fn peers(&self, search: &PeerSearch) -> Vec<String> {
         let control = &self.view.view().control;
         let mut acceptors: Vec<_> = control.acceptors.iter().collect();
