--- a/crates/data-plane/src/batch/item.rs
+++ b/crates/data-plane/src/batch/item.rs
@@ -20,8 +20,8 @@
 use crate::streaming::{EventParser, StreamEvent};
 use crate::upstream::{AttemptError, AttemptOptions, ExecutionStatus, UpstreamAttempt, UpstreamResponse};
 
-/// The delay before an item may be sent again if the server's rejection has no `Retry-After`, or no server
-/// was eligible.
+/// The delay before an item may be sent again if no server specified a `Retry-After`, for example because no
+/// server was eligible or the connection failed.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// The maximum time between two chunks of the response body; after that, the run is interrupted. The head of
 /// the response may take twice as long, as the request may wait in the server's queue (`HEAD_TIMEOUT_FACTOR`
@@ -170,8 +170,8 @@
     }
 }
 
-/// Collects the events of a response. The text is complete if the body ended properly and directly after a
-/// complete event.
+/// Collects the events of a response. The text is complete if it has at least one event, and the body ended
+/// properly and directly after a complete event.
 async fn collect_text(
     item: ItemRequest,
     mut upstream: UpstreamResponse,
--- a/crates/data-plane/src/batch/reward.rs
+++ b/crates/data-plane/src/batch/reward.rs
@@ -22,7 +22,7 @@
         /// The number of responses with status 500.
         internal_errors: u32,
     },
-    /// The call was not executed, or received no valid response. It may be retried.
+    /// No server responded with a grade or with status 500. The call may be retried.
     Retryable,
     /// The call cannot be sent: no route is configured for its host and path, or the host or the id is not a
     /// valid header value.
--- a/crates/data-plane/src/ingress/http_server.rs
+++ b/crates/data-plane/src/ingress/http_server.rs
@@ -31,8 +31,8 @@
 pub(super) struct HttpServer<E, I> {
     /// The endpoint that responds to all requests.
     pub(super) endpoint: Arc<E>,
-    /// Returns the idle timeout of a new connection. The connection is closed if the complete head of the
-    /// next request is not received within this time.
+    /// The function that returns the idle timeout of a new connection. The connection is closed if the
+    /// complete head of the next request is not received within this time.
     pub(super) idle_timeout: I,
     /// The time that requests in flight may take after the server has stopped accepting connections.
     pub(super) finish_timeout: Duration,
--- a/crates/data-plane/src/ingress/request_reader.rs
+++ b/crates/data-plane/src/ingress/request_reader.rs
@@ -17,7 +17,7 @@
 /// bytes.
 const HEADER_LINE_OVERHEAD: usize = 4;
 
-/// Why a request is rejected before it is forwarded.
+/// Reason why a request is rejected before it is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestError {
     /// The headers are larger than the operator's limit.
--- a/crates/data-plane/src/selection/affinity.rs
+++ b/crates/data-plane/src/selection/affinity.rs
@@ -1,5 +1,5 @@
-//! Affinity between groups of items and servers. All items of a group have the same prompt, which is in the
-//! prefix cache of a server after the first of them.
+//! Affinity between groups of items and servers. All items of a group have the same prompt. A server that has
+//! run one of them has the prompt in its prefix cache.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
--- a/crates/data-plane/src/selection/hedging.rs
+++ b/crates/data-plane/src/selection/hedging.rs
@@ -8,7 +8,7 @@
 
 /// Limits hedged requests, which are sent in addition to a slow attempt, to a share of all attempts.
 pub(super) struct HedgeBudget {
-    /// The number of hedged requests that may be sent now, in fractions of [`HEDGES_PER_ATTEMPT`].
+    /// The number of hedged requests that may be sent now, from 0 to [`MAX_BUDGET`]. It may be fractional.
     available: f64,
 }
 
--- a/crates/data-plane/src/streaming/event_parser.rs
+++ b/crates/data-plane/src/streaming/event_parser.rs
@@ -19,7 +19,7 @@
 }
 
 impl StreamEvent {
-    /// Whether the event contains neither id, data nor version, as a comment or a keep-alive line.
+    /// Whether the event contains neither id, data nor version, for example only a comment.
     #[must_use]
     pub fn is_comment(&self) -> bool {
         self.id.is_none() && self.data.is_empty() && self.version.is_none()
--- a/crates/data-plane/src/streaming/relay.rs
+++ b/crates/data-plane/src/streaming/relay.rs
@@ -36,8 +36,8 @@
 /// An event stream to a client, and the response of the server from which it is currently read.
 struct StreamRelay {
     retry: RetryState,
-    /// The id of the last complete event that was received; before the first, the client's `Last-Event-Id`,
-    /// if any.
+    /// The id of the last complete event with an id that was received; before the first one, the client's
+    /// `Last-Event-Id`, if any.
     last_event_id: Option<u64>,
     /// The response from which the events are read; `None` before the first one, while the stream is being
     /// resumed, and after a failed resumption.
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -111,7 +111,7 @@
     }
 
     /// Records the load that a server reported: the numbers of its running and queued requests and of its
-    /// slots. If `slots` is 0, the number known before is kept.
+    /// slots. If `slots` is 0, the previous number of slots is kept.
     pub fn record_load(&mut self, now: Duration, id: &str, running: u32, queued: u32, slots: u32) {
         if let Some(pool) = self.services.get(id).and_then(|service| self.pools.get_mut(service)) {
             pool.record_load(now, id, running.saturating_add(queued), slots);
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -9,8 +9,7 @@
 //! 1. A service is drawn at random by the weights of the route, among the services with an eligible server.
 //! 2. The eligible servers of that service are reduced to the best tier that is not empty. The best of all
 //!    tiers contains the servers that list the model, that no earlier attempt was sent to, and that are not
-//!    ejected as outliers. A server that lists no models is treated as if it listed every
-//!    model.
+//!    ejected as outliers. A server that lists no models is treated as if it listed every model.
 //! 3. Of that tier, the server with the shortest queue is selected (see [`hsq`]). A server with an idle
 //!    connection is preferred to one whose queue is shorter by a single request. Ties go to the server whose
 //!    prefix cache contains the beginning of the prompt, then to servers of the local zone.
--- a/crates/dispatch/src/outlier.rs
+++ b/crates/dispatch/src/outlier.rs
@@ -21,7 +21,7 @@
 const ERROR_RESPONSE_WEIGHT: f64 = 0.4;
 
 /// Decides whether one server is ejected. An ejected server is selected only if each eligible server that
-/// lists the model is ejected too or was already tried by the same request.
+/// lists the model is ejected too, or an earlier attempt of the request was sent to it.
 ///
 /// The failure score rises with each failure and decays with each success, so that a server that fails only
 /// some of its requests is ejected as well.
--- a/crates/dispatch/tests/selection.rs
+++ b/crates/dispatch/tests/selection.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns the ids of the servers selected for `times` consecutive requests, each cancelled at once.
+/// Returns the ids of the servers selected for `times` consecutive requests, each cancelled immediately.
 fn selected(dispatcher: &mut Dispatcher, criteria: &SelectionCriteria<'_>, times: usize) -> BTreeSet<String> {
     let mut selected = BTreeSet::new();
     for _ in 0..times {
--- a/crates/node-emulator/src/discovery.rs
+++ b/crates/node-emulator/src/discovery.rs
@@ -21,7 +21,7 @@
 use crate::traffic::CountedStream;
 use crate::world::{accept, World};
 
-/// Longest wait of a long poll, whatever `timeout_ms` says.
+/// Maximum wait of a long poll. A longer `timeout_ms` is reduced to it.
 const MAX_LONG_POLL: Duration = Duration::from_secs(60);
 
 /// A request for the server list.
@@ -39,11 +39,11 @@
 }
 
 impl ListRequest {
-    /// Parses the path and query of a request. The error is the status of the response.
+    /// Parses the path and query of a request.
     ///
     /// # Errors
     ///
-    /// Returns 404 for an unknown path and 400 for an invalid query.
+    /// Returns the status of the response: 404 for an unknown path and 400 for an invalid query.
     pub fn parse(uri: &Uri) -> Result<Self, StatusCode> {
         if uri.path() != "/catalog/members" {
             return Err(StatusCode::NOT_FOUND);
--- a/crates/node-emulator/src/node/mod.rs
+++ b/crates/node-emulator/src/node/mod.rs
@@ -48,7 +48,7 @@
 /// A command to a thread of nodes.
 #[derive(Clone, Copy, Debug)]
 pub enum NodeCommand {
-    /// Starts the node with this number, and stops it before if it is running.
+    /// Starts the node with this number, after stopping it if it is running.
     Start(usize),
 }
 
--- a/crates/node-emulator/src/report.rs
+++ b/crates/node-emulator/src/report.rs
@@ -36,7 +36,8 @@
     pub settings: S,
     /// Memory of the process at the end of the run.
     pub memory: Memory,
-    /// Processor seconds by role of thread; for `slopes` by quantity.
+    /// Processor seconds: by role of thread for `play`; by quantity for `slopes`, which adds the total as
+    /// `process`.
     pub cpu_seconds: BTreeMap<String, f64>,
     /// Bytes, messages and connections by role, such as `discovery`.
     pub traffic: BTreeMap<String, TrafficTotals>,
--- a/crates/node-emulator/src/scenario/check.rs
+++ b/crates/node-emulator/src/scenario/check.rs
@@ -18,7 +18,7 @@
 /// Maximum duration of a scenario: a day, in seconds.
 pub(super) const MAX_DURATION_S: f64 = 86_400.0;
 
-/// Maximum of all counts that have no lower limit.
+/// Maximum of each count that has no smaller maximum of its own.
 pub(super) const MAX_SIZE: usize = 1_000_000;
 
 /// A key that is missing, unknown or has an invalid value, and its position in the text.
@@ -77,7 +77,8 @@
     })
 }
 
-/// Checks the sizes: each region has a zone, each zone a rack, and each rack and service a server.
+/// Checks the sizes. They must allow at least one zone per region, one rack per zone, and one server per rack
+/// and per service.
 pub(super) fn check_size(raw: &RawSize) -> Result<Size, InvalidKey> {
     let count = |value: &Spanned<usize>, key, min: usize, min_text: &str, max: usize| match *value.get_ref() {
         n if n < min || n == 0 => invalid(value.span(), key, format!("must be at least {min_text}")),
--- a/crates/node-emulator/src/scenario/mod.rs
+++ b/crates/node-emulator/src/scenario/mod.rs
@@ -76,8 +76,8 @@
     pub drain_grace_ms: f64,
     /// Maximum number of attempts of one request.
     pub max_attempts: usize,
-    /// Maximum number of changes in the log of discovery. For a version that the log does not reach back to,
-    /// it sends the complete list.
+    /// Maximum number of changes in the log of discovery. To a client with a version that the log does not
+    /// reach back to, discovery sends the complete list.
     pub log_entries: usize,
 }
 
@@ -100,7 +100,7 @@
     OrdinaryDay {
         /// Duration of the event.
         for_s: f64,
-        /// Factor by which the rates are higher than on an ordinary day.
+        /// Factor by which the rates of an ordinary day are multiplied.
         speed: f64,
     },
     /// Servers are replaced, one batch after the other.
--- a/crates/node-emulator/src/scenario_run/running_fleet.rs
+++ b/crates/node-emulator/src/scenario_run/running_fleet.rs
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    /// Starts a node, and stops it before if it is running.
+    /// Starts a node, after stopping it if it is running.
     pub(super) fn start_node(&self, number: usize) {
         // This fails if the thread has panicked, which `shut_down` reports.
         let _ = self.commands[number % self.commands.len()].send(NodeCommand::Start(number));
--- a/crates/node-emulator/src/server.rs
+++ b/crates/node-emulator/src/server.rs
@@ -99,7 +99,8 @@
     Ok(respond(StatusCode::OK, Some(in_flight)))
 }
 
-/// Creates a response, with the number of requests in flight at the server as its load report.
+/// Creates a response, with the number of requests in flight at the server as its load report. There is no
+/// load report if `in_flight` is `None`.
 fn respond(status: StatusCode, in_flight: Option<u32>) -> Response<Full<Bytes>> {
     let mut response = Response::builder().status(status);
     if let Some(in_flight) = in_flight {
--- a/crates/node-emulator/src/slopes/bench.rs
+++ b/crates/node-emulator/src/slopes/bench.rs
@@ -53,7 +53,8 @@
         Self { seed, memory_sample_bytes, traffic: TrafficTotals::default(), retained_states: Vec::new() }
     }
 
-    /// Measures a quantity at one size. A time is measured at least `repeats` times.
+    /// Measures a quantity at one size. A time is measured at least `repeats` times, unless the discovery
+    /// client fails to read the list.
     pub(super) fn measure_point(
         &mut self,
         quantity: Quantity,
--- a/crates/node-emulator/src/slopes/discovery_cost.rs
+++ b/crates/node-emulator/src/slopes/discovery_cost.rs
@@ -25,7 +25,7 @@
 
 impl Bench {
     /// Measures the processor time and the elapsed time in which the discovery client reads the complete
-    /// list. Returns no values if the client does not read a list of this size.
+    /// list. Stops at the first list that the client fails to read, and returns the values until then.
     pub(super) fn read_list(
         &mut self,
         servers: usize,
--- a/crates/node-emulator/src/slopes/mod.rs
+++ b/crates/node-emulator/src/slopes/mod.rs
@@ -34,7 +34,7 @@
     pub quantities: Vec<Quantity>,
     /// The sizes to measure at; the default sizes of each quantity if empty.
     pub sizes: Vec<usize>,
-    /// Number of measurements of each time; the median counts.
+    /// Number of measurements of each time, of which the median is reported.
     pub repeats: usize,
     /// Seed of all random numbers.
     pub seed: u64,
@@ -103,7 +103,7 @@
     pub against: &'static str,
     /// The measurements, in the order of the sizes.
     pub points: Vec<Point>,
-    /// The line that fits the points; `None` for fewer than two points.
+    /// The line that fits the points; `None` for fewer than two points with a value.
     pub fit: Option<Fit>,
     /// The measurements of the same quantity with an earlier build, if one was named.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -120,7 +120,7 @@
     pub modified: bool,
     /// The measurements, at the same sizes as [`Slope::points`].
     pub points: Vec<Point>,
-    /// The line that fits the points; `None` for fewer than two points.
+    /// The line that fits the points; `None` for fewer than two points with a value.
     pub fit: Option<Fit>,
 }
 
--- a/crates/node-emulator/src/steps.rs
+++ b/crates/node-emulator/src/steps.rs
@@ -1,5 +1,5 @@
-//! Expands the events of a scenario into steps with due times. All random choices follow from the seed of the
-//! scenario and are made before the run begins.
+//! Expands the events of a scenario into steps with due times. All random numbers are derived from the seed
+//! of the scenario and drawn before the run begins.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 /// Number of machine failures on an ordinary day.
 const FAILURES_PER_DAY: f64 = 130.0;
-/// Number of restarts and replacements of servers on an ordinary day.
+/// Number of restarts and replacements of servers on an ordinary day. Both are emulated as restarts.
 const RESTARTS_PER_DAY: f64 = 4_100.0;
 /// Number of changes of the configuration on an ordinary day.
 const CHANGES_PER_DAY: f64 = 1_300.0;
--- a/crates/node-emulator/src/usage.rs
+++ b/crates/node-emulator/src/usage.rs
@@ -70,8 +70,8 @@
     roles
 }
 
-/// Returns the sum of user and system time in a line of `/proc/.../stat`, in seconds. The line has ticks of
-/// 10 ms.
+/// Returns the sum of user and system time in a line of `/proc/.../stat`, in seconds. The times in the line
+/// are in ticks of 10 ms.
 fn stat_seconds(stat: &str) -> Option<f64> {
     // The thread's name is in parentheses and may contain spaces. The times are the 12th and 13th field after
     // it.
--- a/crates/node-emulator/src/world.rs
+++ b/crates/node-emulator/src/world.rs
@@ -32,7 +32,8 @@
     /// The newest version of the catalogue, which long polls wait on.
     newest: watch::Sender<u64>,
     regions: Vec<Region>,
-    /// Start of the emulation; [`Self::now_ms`] is computed from both of its times.
+    /// Start of the emulation by the monotonic clock. [`Self::now_ms`] adds the time elapsed since then to
+    /// `started_unix_ms`.
     started: Instant,
     started_unix_ms: f64,
     /// Traffic of the discovery agents.
@@ -43,7 +44,8 @@
     pub counts: ResponseCounts,
 }
 
-/// Counts of the responses of discovery and of the requests to servers, by kind.
+/// Counts of the responses of discovery and of the requests to servers, by kind. The requests to servers
+/// include load probes.
 #[derive(Debug, Default)]
 pub struct ResponseCounts {
     /// Number of complete lists that discovery sent.
--- a/crates/node-emulator/tests/commands.rs
+++ b/crates/node-emulator/tests/commands.rs
@@ -193,7 +193,8 @@
     );
     let lines: Vec<_> = text(&run.stdout).lines().collect();
     assert!(lines[0].starts_with("request (us by servers):") && lines[2].starts_with("  baseline "));
-    // If a build cannot be run, fails or writes no report, the error says so and the previous report is kept.
+    // If a build cannot be run, fails or writes no report, the error states this and the previous report is
+    // kept.
     let previous = std::fs::read(directory.path().join("logs/slopes.json")).expect("the report can be read");
     for (binary, message) in
         [("none", "cannot run the build none"), ("/bin/false", "request at 40: exit status: 1")]
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -6,9 +6,9 @@
 //! time, which is monotonic.
 //!
 //! An order instructs a server to load a version of a model. A server normally gets one order per version,
-//! since orders and loads are expensive. The planner learns that a load has completed from the server list,
-//! from responses to requests, and from reports that it requests from the server. [`Pacing`] limits how many
-//! servers load at the same time, so that the others continue to serve requests.
+//! since orders and loads are expensive. The server list, responses to requests, and reports that the planner
+//! requests from the server show that a load has completed. [`Pacing`] limits how many servers load at the same
+//! time, so that the others continue to serve requests.
 
 mod actions;
 mod order_queue;
--- a/crates/rollout/src/server_progress.rs
+++ b/crates/rollout/src/server_progress.rs
@@ -41,8 +41,8 @@
     /// The order was sent, and at `since` it turned out to have no usable response: the server may be
     /// carrying it out.
     Indeterminate { goal: LoadGoal, since: Duration },
-    /// The server is carrying out an order of another sender, or an earlier order of this planner, according
-    /// to its last response or report, at `since`.
+    /// The server is carrying out an order of another sender, or an earlier order of this planner. `since` is
+    /// the time of the last response or report that showed this.
     Busy { since: Duration },
     /// Another server listens on the address; this incarnation gets no more calls.
     Replaced,
--- a/crates/state/src/change/leader_lease.rs
+++ b/crates/state/src/change/leader_lease.rs
@@ -48,7 +48,8 @@
 
     /// Returns this lease with the earlier of the two times from which orders are allowed, if this lease
     /// directly follows the lease `earlier` of the same holder. No other member has then raised the fencing
-    /// token or sent orders since, so the delay that began with the earlier lease continues.
+    /// token or sent orders since, so the delay that began with the earlier lease continues. Otherwise
+    /// returns this lease unchanged.
     #[must_use]
     pub fn continuing(self, earlier: Self) -> Self {
         if self.fence != earlier.fence + 1 {
--- a/crates/state/tests/golden.rs
+++ b/crates/state/tests/golden.rs
@@ -1,8 +1,8 @@
 //! Golden files with the encoded types of the shared state, as they are stored on disks and sent between
 //! processes.
 //!
-//! `bincode` encodes by position. A field or variant that is moved, is added or gets another type changes the
-//! bytes. If `GOLDEN_WRITE` is set, missing files are written. Existing files are never changed.
+//! `bincode` encodes by position. A field or variant that is moved or added, or whose type changes, changes
+//! the bytes. If `GOLDEN_WRITE` is set, missing files are written. Existing files are never changed.
 
 mod common;
 
--- a/crates/state/tests/server_list.rs
+++ b/crates/state/tests/server_list.rs
@@ -23,19 +23,19 @@
 
 #[test]
 fn given_a_leader_when_it_issues_lists_then_their_versions_increase() {
-    let first = ServerListVersion::default().next_of_leader(3).expect("no later leader is known");
-    let second = first.next_of_leader(3).expect("no later leader is known");
-    let next_leader = second.next_of_leader(4).expect("no later leader is known");
+    let first = ServerListVersion::default().next_of_leader(3).expect("no later leader has issued a list");
+    let second = first.next_of_leader(3).expect("no later leader has issued a list");
+    let next_leader = second.next_of_leader(4).expect("no later leader has issued a list");
     assert!(first < second && second < next_leader);
-    assert_eq!(next_leader.next_of_leader(3), None, "a later leader is known");
+    assert_eq!(next_leader.next_of_leader(3), None, "a later leader has issued this version");
 }
 
 #[test]
 fn given_a_list_that_a_process_read_itself_when_the_leader_reads_then_the_list_of_the_leader_is_newer() {
-    let known = ServerListVersion::default().next_of_leader(3).expect("no later leader is known");
+    let known = ServerListVersion::default().next_of_leader(3).expect("no later leader has issued a list");
     let local = known.next_local(u64::MAX);
     assert!(known < local && local < local.next_local(0), "{local:?}");
-    assert!(local < known.next_of_leader(3).expect("no later leader is known"));
+    assert!(local < known.next_of_leader(3).expect("no later leader has issued a list"));
 }
 
 #[test]
