--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -7,8 +7,8 @@
 //!
 //! An order instructs a server to load a version of a model. A server normally gets one order per version,
 //! since orders and loads are expensive. The server list, responses to requests, and reports that the planner
-//! requests from the server show that a load has completed. [`Pacing`] limits how many servers load at the same
-//! time, so that the others continue to serve requests.
+//! requests from the server show that a load has completed. [`Pacing`] limits how many servers load at the
+//! same time, so that the others continue to serve requests.
 
 mod actions;
 mod order_queue;
