--- a/crates/data-plane/tests/support/fake_server.rs
+++ b/crates/data-plane/tests/support/fake_server.rs
@@ -86,7 +86,7 @@
     /// Waits until a client has closed a connection to whose request the server reacted with
     /// [`Reaction::Hang`] or [`Reaction::WriteAndHang`].
     pub async fn wait_for_close(&self) {
-        self.closed_receiver.lock().await.recv().await.expect("a fake server");
+        self.closed_receiver.lock().await.recv().await.expect("a fake server that is running");
     }
 }
 
--- a/crates/node-emulator/src/quantity.rs
+++ b/crates/node-emulator/src/quantity.rs
@@ -58,7 +58,7 @@
         matches!(self, Self::TenantMemory | Self::BalancerMemory | Self::NodeMemory)
     }
 
-    /// Returns the unit of the measured values. Only times (`us`, microseconds) differ from run to run.
+    /// Returns the unit of the measured values. Only times (`us`, microseconds) are measured repeatedly.
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
--- a/crates/node-emulator/tests/catalogue.rs
+++ b/crates/node-emulator/tests/catalogue.rs
@@ -1,4 +1,5 @@
-//! Checks that the real discovery client can read the lists of the stand-in discovery service.
+//! Checks the stand-in discovery service: the content of its lists, the parsing of requests, and that the
+//! real discovery client can read the lists.
 
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -185,10 +186,10 @@
         world.change(|catalogue| catalogue.restart(&[5, 6], 1_000));
         assert_eq!(received.recv().await, Some(None), "a call without a response fails");
         world.set_discovery_responsive(1, true);
+        // Further calls may have failed during the outage. They are skipped.
         while received.recv().await != Some(Some((4, false, 2))) {}
         // This version has more changes than the log retains, so the complete list is sent.
         world.change(|catalogue| catalogue.restart(&[0, 1, 2, 3, 4, 5], 2_000));
         assert_eq!(received.recv().await, Some(Some((5, true, 20))));
     });
-    // Apart from the calls above, the client has only sent calls that stayed open during the outage.
 }
--- a/crates/node-emulator/tests/commands.rs
+++ b/crates/node-emulator/tests/commands.rs
@@ -111,7 +111,7 @@
     assert!(results["answers"]["whole_lists"].as_u64() >= Some(6));
     assert!(
         results["answers"]["sends_to_silent"].as_u64() > Some(0),
-        "requests were sent to servers of the failed rack and zone or across the partition"
+        "no request was sent to a server of the failed rack or zone, or across the partition"
     );
     assert!(results["node_seconds_behind"].as_f64() > Some(0.0));
     assert!(count("requests") > 0 && count("sends") >= count("served"));
@@ -156,7 +156,7 @@
         let name = slope["quantity"].as_str().expect("the quantity is a string");
         assert!(text(&run.stdout).contains(&format!("\n{name} (")) || text(&run.stdout).starts_with(name));
     }
-    // Quantities other than times are exact.
+    // Numbers of servers, and lengths of messages, do not differ from run to run.
     let value = |name: &str, at: usize| {
         slope_of(name)["points"][at]["value"].as_f64().expect("the point has a value")
     };
--- a/crates/rollout/tests/large_fleet.rs
+++ b/crates/rollout/tests/large_fleet.rs
@@ -28,8 +28,8 @@
     serde_json::from_str(&text).expect("a report can be deserialized")
 }
 
-/// Passes the outcomes of the actions to the planner as if each server replied and loaded at once. Returns
-/// the number of orders.
+/// Passes the outcomes of the actions to the planner as if each server replied and loaded immediately.
+/// Returns the number of orders.
 fn complete_immediately(planner: &mut Planner, now: Duration, actions: Vec<RolloutAction>) -> usize {
     let mut orders = 0;
     for action in actions {
