--- a/crates/batch/src/schedule/precedence.rs
+++ b/crates/batch/src/schedule/precedence.rs
@@ -36,9 +36,9 @@
 /// Sort key of the next items of several batch jobs; the smallest starts first. The derived order compares
 /// the fields in the order of their declaration.
 ///
-/// Among batch jobs that are on schedule, the one with the fewest needed items goes first, so that trainers
-/// wait as briefly as possible (shortest job first). Batch jobs that are behind schedule go before these,
-/// earliest due first.
+/// Of the items that are in time, those of batch jobs behind schedule start first, earliest due first. Among
+/// batch jobs on schedule, the one with the fewest needed items goes first, so that trainers wait as briefly
+/// as possible (shortest job first).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     /// Priority class of the item.
--- a/crates/batch/tests/cluster/message.rs
+++ b/crates/batch/tests/cluster/message.rs
@@ -2,7 +2,8 @@
 
 use batch::{OwnershipTerm, ReplicaReply, ReplicaRequest, StoreId};
 
-/// A message in flight. The machine of an owner is given by its index, a replica by the identity of its disk.
+/// A message in flight. An owner is identified by the index of its machine and its term, a replica by the
+/// identity of its disk.
 #[derive(Clone)]
 pub enum Message {
     Request {
--- a/crates/batch/tests/cluster/mod.rs
+++ b/crates/batch/tests/cluster/mod.rs
@@ -33,7 +33,7 @@
 const MAX_RECOVERY_ROUNDS: usize = 2000;
 /// Number of recovery rounds between two claims while no owner leads.
 const RECOVERY_CLAIM_INTERVAL: usize = 40;
-/// Identity of the first replacement disk; further ones count up.
+/// Identity of the first replacement disk. Those of further disks are higher.
 const FIRST_REPLACEMENT_ID: StoreId = 100;
 
 /// A simulated cluster that replicates the log of one job.
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -23,8 +23,8 @@
         self.heartbeat_interval * (self.max_missed_heartbeats + 1)
     }
 
-    /// Returns the time after the last heartbeat at which a peer counts as unresponsive, which is before it
-    /// is suspected: one heartbeat interval less than the failure timeout.
+    /// Returns the time after the last heartbeat at which a peer counts as unresponsive: one heartbeat
+    /// interval less than the failure timeout.
     fn unresponsive_timeout(&self) -> Duration {
         self.failure_timeout().saturating_sub(self.heartbeat_interval)
     }
--- a/crates/register/src/acceptor.rs
+++ b/crates/register/src/acceptor.rs
@@ -41,7 +41,8 @@
 ///
 /// The caller makes the state durable. If that fails, the reply must not be sent; the state in memory may
 /// then stay ahead of the disk. Each promise and each acceptance requires the complete state to be durable.
-/// This includes the reply to a repeated request, since the write for the first one may still be in flight.
+/// This includes the reply to a repeated request, since the write for the first one may still be in flight. A
+/// learn request requires it only if it changes the state.
 #[derive(Clone, Debug)]
 pub struct Acceptor<V> {
     state: AcceptorState<V>,
--- a/crates/register/src/ballot.rs
+++ b/crates/register/src/ballot.rs
@@ -11,7 +11,7 @@
     pub proposer: u64,
 }
 
-/// Issues the ballots of one process. No ballot is issued twice.
+/// Source of the ballots of one process. It issues no ballot twice.
 #[derive(Clone, Debug)]
 pub struct BallotSource {
     /// Random number that the process drew at its start.
--- a/crates/register/src/value.rs
+++ b/crates/register/src/value.rs
@@ -22,8 +22,8 @@
     pub ballot: Ballot,
     /// Content of the register, shared between copies of this version.
     pub value: Arc<V>,
-    /// Acceptors of the committed value from which this value was derived, if they differ from its acceptors;
-    /// else empty.
+    /// Acceptors of the committed value from which this value was derived, if they differ from the acceptors
+    /// of this value; else empty.
     ///
     /// Until this value is known to be committed, promises and acceptances are needed from a majority of
     /// these acceptors and from a majority of the value's acceptors.
--- a/crates/register/tests/common/simulation/proposer.rs
+++ b/crates/register/tests/common/simulation/proposer.rs
@@ -170,7 +170,7 @@
                 with_valid_acceptors(current, change, replaced)
             }
             8 => {
-                // Two steps at once, which a proposal must not propose.
+                // Usually two steps at once, for which a proposal must propose the current value instead.
                 let removed = acceptors[self.random.usize(..acceptors.len())].incarnation;
                 let replaced = with_member_replaced(acceptors, removed, self.random_member());
                 let two_changes = with_member(&replaced, self.random_member());
--- a/crates/register/tests/exhaustive.rs
+++ b/crates/register/tests/exhaustive.rs
@@ -62,8 +62,7 @@
     Finished,
 }
 
-/// Replies that a proposal has received, as far as they affect its next actions. The order of the replies
-/// does not.
+/// Progress of a proposal, as far as it affects later events. The order of the replies has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ProposalProgress {
     round: Round,
--- a/crates/storage/src/journal.rs
+++ b/crates/storage/src/journal.rs
@@ -91,7 +91,8 @@
 
     /// Opens a journal for simulations, with a future instead of the writer thread. After records are
     /// queued, the returned future awaits a future made by `sync_delay`, then writes all queued records as
-    /// one batch. Nothing is written after the returned future is dropped.
+    /// one batch. Nothing is written after the returned future is dropped, and pending appends then do not
+    /// complete as long as a clone of the journal exists.
     ///
     /// # Errors
     ///
--- a/crates/storage/src/set_aside.rs
+++ b/crates/storage/src/set_aside.rs
@@ -26,8 +26,8 @@
     Ok(file_system.list(directory)?.iter().any(|name| name == IN_PROGRESS))
 }
 
-/// Durably renames all files of the ring in `directory` and keeps their contents. They replace the files of
-/// an earlier call. The next open of the ring creates a new one with another incarnation.
+/// Durably renames all files of the ring in `directory` and keeps their contents. The renamed files replace
+/// those of an earlier call. The next open of the ring creates a new one with another incarnation.
 ///
 /// # Errors
 ///
--- a/crates/storage/src/simulated.rs
+++ b/crates/storage/src/simulated.rs
@@ -3,8 +3,8 @@
 //!
 //! After a loss of power, a file contains all writes that its last sync covered. For each later write, a
 //! [`WriteFaultModel`] decides whether it is complete, lost or torn. The model also decides whether a new
-//! file survives that neither was synced itself nor is in a directory that was synced after
-//! its creation.
+//! file survives that neither was synced itself nor is in a directory that was synced after its creation. A
+//! rename needs no sync, unlike on a real disk.
 
 mod content;
 mod disk;
