--- a/crates/configuration/tests/golden.rs
+++ b/crates/configuration/tests/golden.rs
@@ -1,7 +1,8 @@
 //! Golden files: the compiled form of documents, the documents that result from changes, and the errors that
 //! are returned to the operator.
 //!
-//! Each result must equal its golden file byte for byte. A run with `GOLDEN_WRITE=1` writes the golden files.
+//! Each result must equal its golden file byte for byte. A run with `GOLDEN_WRITE=1` writes the results to
+//! the golden files.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -28,7 +29,7 @@
 macro_rules! render {
     ($($field:literal => $value:expr,)*) => {{
         let mut text = String::new();
-        $(writeln!(text, "  {}: {:?}", $field, $value).expect("a string takes any text");)*
+        $(writeln!(text, "  {}: {:?}", $field, $value).expect("writing to a string cannot fail");)*
         text
     }};
 }
@@ -135,7 +136,8 @@
     let mut rendered = String::new();
     for (name, error) in error_variants() {
         let (status, field) = (error.status(), error.field());
-        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
+        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}")
+            .expect("writing to a string cannot fail");
     }
     assert_golden("errors.txt", &rendered);
 }
@@ -174,10 +176,11 @@
     let document = read_golden("configuration-full.json");
     let mut rendered = String::new();
     for (name, good, bad) in DOCUMENT_FAULTS {
-        assert!(document.contains(good), "{name}");
+        assert!(document.contains(good), "{name}: the document does not contain the text to replace");
         let error = replace(6, document.replacen(good, bad, 1).as_bytes()).expect_err(name);
         let (status, field) = (error.status(), error.field());
-        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
+        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}")
+            .expect("writing to a string cannot fail");
     }
     assert_golden("document-faults.txt", &rendered);
 }
@@ -205,11 +208,12 @@
     let document = read_golden("configuration-full.json");
     let mut rendered = String::new();
     for (name, good, bad) in TYPE_FAULTS {
-        assert!(document.contains(good), "{name}");
+        assert!(document.contains(good), "{name}: the document does not contain the text to replace");
         let invalid = if good.is_empty() { (*bad).to_owned() } else { document.replacen(good, bad, 1) };
         let error = replace(6, invalid.as_bytes()).expect_err(name);
         let (status, field) = (error.status(), error.field());
-        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
+        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}")
+            .expect("writing to a string cannot fail");
     }
     assert_golden("type-faults.txt", &rendered);
 }
@@ -237,7 +241,8 @@
     for (name, body) in PATCH_FAULTS {
         let error = patch(&document, body.as_bytes()).expect_err(name);
         let (status, field) = (error.status(), error.field());
-        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}").expect("text");
+        writeln!(rendered, "{name}\n  status: {status}\n  field: {field}\n  text: {error}")
+            .expect("writing to a string cannot fail");
     }
     assert_golden("patch-faults.txt", &rendered);
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -27,7 +27,7 @@
 macro_rules! render {
     ($($field:literal => $value:expr,)*) => {{
         let mut text = String::new();
-        $(writeln!(text, "{} = {:?}", $field, $value).expect("a string takes any text");)*
+        $(writeln!(text, "{} = {:?}", $field, $value).expect("writing to a string cannot fail");)*
         text
     }};
 }
