--- a/crates/balancer-node/src/decisions/admission.rs
+++ b/crates/balancer-node/src/decisions/admission.rs
@@ -27,7 +27,7 @@
 /// Maximum mean number of retries per request, so that retries cannot amplify an overload.
 const RETRY_RATIO: f64 = 0.2;
 
-/// Maximum time that a request waits for probes, as a fraction of its latency target.
+/// Maximum time that a request waits for probes, as a fraction of its latency target or shorter budget.
 const PROBE_TIMEOUT_FRACTION: f64 = 0.1;
 
 /// Minimum capacity of a token bucket: a node's share of a quota may be below one request per second.
@@ -72,7 +72,7 @@
         let within_quota = self.quotas.get_mut(request.tenant).is_none_or(|bucket| bucket.try_acquire(now));
         let mut max_wait = self.max_expected_wait(class, within_quota);
         if self.signals.stale {
-            // Counts lag behind rejections: without a lower bound, the other servers would be overloaded.
+            // Counts lag behind rejections: without a tighter bound, the other servers would be overloaded.
             max_wait *= (1.0 - self.estimates.rejection_rate(now)).powf(REJECTION_EXPONENT);
             // The bound is random so that nodes with few requests admit a fraction of them, not all or none.
             max_wait /= self.random.f64().powf(ADMISSION_JITTER_EXPONENT);
@@ -102,7 +102,7 @@
         let Some(index) = self.awaiting_probes.iter().position(|waiting| *waiting == id) else { return };
         self.awaiting_probes.remove(index);
         let Some(mut request) = self.pending.remove(&id) else { return };
-        // If no probed server answered, all count as overloaded: the request is not sent without a report.
+        // If no probed server answered, all count as overloaded, and the request is not sent.
         let load_known = !self.signals.probing || !request.probed.is_empty();
         let max = usize::from(load_known && self.settings.max_attempts > 0);
         if let Some(&server) = self.pick(cx.now, &request, request.max_wait, max).first() {
@@ -125,7 +125,7 @@
             if request.probing.is_empty() {
                 due.push(*id);
             } else if request.probed == [server] {
-                // Only answers that have already arrived are awaited: servers that answer later are busy.
+                // Further answers count only if they have arrived by now: servers that answer later are busy.
                 cx.set_request_timer(*id, 0.0);
             }
         }
@@ -145,7 +145,7 @@
         let more_valuable = all.filter(|k| *k == class || self.value_density(*k) > own);
         let target = |k: usize| self.settings.classes[k].latency_target_ms / estimates.relative_latency(k);
         let in_time = more_valuable.map(target).fold(f64::INFINITY, f64::min) * fraction;
-        // No class may queue more than keeps servers busy: longer queues add no throughput.
+        // No class may queue more requests than keep the servers busy: longer queues add no throughput.
         let max_requests = estimates.in_service.map_or(f64::INFINITY, |busy| busy + MAX_QUEUED * fraction);
         in_time.min(max_requests * overall.latency / overall.depth)
     }
--- a/crates/balancer-node/src/decisions/attempts.rs
+++ b/crates/balancer-node/src/decisions/attempts.rs
@@ -8,7 +8,7 @@
 const MAX_SEND_WINDOW_FRACTION: f64 = 0.8;
 const MAX_CONNECT_WINDOW_FRACTION: f64 = 0.9;
 
-/// An attempt is stalled after this many latency targets (a lower bound would duplicate more work than it
+/// An attempt is stalled after this many latency targets (a smaller number would duplicate more work than it
 /// saves) and this many times its expected wait, if its server has answered no attempt since it was sent.
 const MIN_STALL_TARGETS: f64 = 1.5;
 const MIN_STALL_WAITS: f64 = 3.0;
@@ -20,7 +20,7 @@
 pub(super) struct Attempt {
     pub(super) target: ServerEntry,
     pub(super) sent_at: f64,
-    /// Number of requests at the server after sending the attempt, according to this node's information.
+    /// Number of requests at the server including this one: its count with probes, otherwise this node's.
     pub(super) depth: f64,
     /// Time in ms from which the attempt may be cancelled as stalled.
     pub(super) stalls_at: f64,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Returns whether the class allows a retry at `now`; with `with_last`, even if the last attempt has run.
+    /// Returns whether the class allows a retry at `now`, with `with_last` also if the last attempt has run.
     fn may_repeat(&self, now: f64, request: &PendingRequest, with_last: bool) -> bool {
         let last = request.attempts.last().filter(|_| with_last);
         let Some(first) = request.first_run().or(last) else { return true };
--- a/crates/balancer-node/src/decisions/endpoint_table.rs
+++ b/crates/balancer-node/src/decisions/endpoint_table.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) entry: ServerEntry,
-    /// HSQ count: requests in the last report plus this node's sends and probes since; and the report's time.
+    /// HSQ count: the last report, or an assumed count, plus this node's sends and probes since; report time.
     pub(super) count: Option<f64>,
     pub(super) reported_at: Option<f64>,
     /// This node's attempts in flight. The server stays in the table until it is zero.
@@ -53,7 +53,7 @@
         self.slot_of.get(&server).map(|slot| &mut self.slots[*slot])
     }
 
-    /// Removes a server if it is not listed and has no attempt in flight; returns whether that was so.
+    /// Removes a server if it is not listed and has no attempt in flight; returns whether it was removed.
     pub(super) fn remove_unreferenced(&mut self, server: usize) -> bool {
         let listed = |server: &Server| server.entry.availability != Availability::Removed;
         let unreferenced = self.get(server).is_some_and(|server| server.in_flight == 0 && !listed(server));
--- a/crates/balancer-node/src/decisions/estimates.rs
+++ b/crates/balancer-node/src/decisions/estimates.rs
@@ -80,7 +80,7 @@
     /// Recent mean of the reported number of requests at a server, and the time of the last report.
     load_level: f64,
     reported_at: f64,
-    /// Recent mean of the requests in service (not queued) at a server; `None` before a report with both.
+    /// Recent mean of the requests in service at a server; `None` without stale counts or a queue report.
     pub(super) in_service: Option<f64>,
     /// Recent fraction of attempts that full servers rejected, and the time when the last attempt ended.
     rejected: f64,
@@ -132,7 +132,7 @@
         IDLE_REQUESTS + (self.load_level - IDLE_REQUESTS) * kept
     }
 
-    /// Records the reported requests at a server, and those in service if the report has that number.
+    /// Records the reported requests at a server, and those in service if the report determines them.
     pub(super) fn record_load(&mut self, now: f64, requests: f64, in_service: Option<f64>) {
         let kept = decay(now - self.reported_at, LEVEL_GAIN_HALF_LIFE * self.latency_target);
         self.load_level = requests + (self.load_level - requests) * kept.min(1.0 - MIN_LEVEL_GAIN);
--- a/crates/balancer-node/src/decisions/expectation.rs
+++ b/crates/balancer-node/src/decisions/expectation.rs
@@ -35,7 +35,7 @@
     pub(super) idle: bool,
     /// Expected time plus the price of crossing zones, in ms. The server with the lowest rank is selected.
     pub(super) rank: f64,
-    /// 0 for a healthy server, 1 if it had an earlier attempt; 2 and 3 likewise for an unhealthy server.
+    /// 0 for a healthy server, 1 if it had an attempt of the request; 2 and 3 likewise for an unhealthy one.
     pub(super) health_tier: u8,
     pub(super) near: bool,
 }
--- a/crates/balancer-node/src/decisions/health.rs
+++ b/crates/balancer-node/src/decisions/health.rs
@@ -9,8 +9,8 @@
 const EJECTION_FAILURES: u32 = 3;
 const EJECTION_TIME: f64 = 2.0;
 
-/// The same with more than `NODES_PER_SERVER` nodes: each node seldom sends to a given server, and its
-/// requests would fail until it has seen several failures itself.
+/// Values for stale counts and more than `NODES_PER_SERVER` nodes: a node seldom sends to a given server, and
+/// its requests would fail until it has seen several failures itself.
 const STALE_EJECTION_FAILURES: u32 = 1;
 const STALE_EJECTION_TIME: f64 = 30.0;
 
@@ -76,7 +76,7 @@
         );
     }
 
-    /// Ejects servers that fail quickly, hang or are unreachable: their low counts would attract requests.
+    /// Records a failure of a server, and ejects it after enough of them: its low count attracts requests.
     fn record_failure(&mut self, cx: &mut Context, number: usize) {
         let many_nodes = self.signals.stale && self.settings.nodes as f64 > NODES_PER_SERVER;
         let max_failures = if many_nodes { STALE_EJECTION_FAILURES } else { EJECTION_FAILURES };
--- a/crates/balancer-node/src/decisions/mod.rs
+++ b/crates/balancer-node/src/decisions/mod.rs
@@ -45,7 +45,7 @@
 
 /// How this node obtains the load of servers. It follows from the settings and never changes.
 struct LoadSignals {
-    /// Number of servers probed before the first attempt of each request; `probing` if it is not zero.
+    /// Number of servers probed before the first attempt of a request; `probing` is whether it is above zero.
     probes_per_request: usize,
     probing: bool,
     /// Whether reported counts are out of date when used: other nodes also send, and there are no probes.
--- a/crates/balancer-node/src/decisions/subscription.rs
+++ b/crates/balancer-node/src/decisions/subscription.rs
@@ -3,12 +3,12 @@
 use super::{Balancer, Context, RESUBSCRIBE_TIMER};
 use crate::interface::*;
 
-/// Maximum backoff as a fraction of `max_poll_interval_ms`, and the number of failed calls that double it.
+/// Maximum backoff as a fraction of `max_poll_interval_ms`, and the doublings from the first backoff to it.
 const MAX_RESUBSCRIBE_FRACTION: f64 = 0.25;
 const MAX_DOUBLINGS: i32 = 4;
 
-/// Time in ms after which a change of the list counts as announced. The maximum backoff is also at most this
-/// fraction of it, so that two backoffs, each with a call that times out, fit into it.
+/// Time in ms after which a change of the list counts as announced. The maximum backoff is also at most
+/// `MAX_ANNOUNCED_FRACTION` of it, so that two backoffs, each with a call that times out, fit into it.
 const ANNOUNCED_WITHIN_MS: f64 = 6_000.0;
 const MAX_ANNOUNCED_FRACTION: f64 = 0.4;
 
--- a/crates/balancer-node/src/interface/events.rs
+++ b/crates/balancer-node/src/interface/events.rs
@@ -127,7 +127,7 @@
         /// Server to send it to.
         server: ServerId,
         /// Time from now, in milliseconds, after which nothing of the attempt may be sent any more. `None`
-        /// unless the deduplication window of the class sets a limit.
+        /// unless an earlier attempt may have run and the class has a deduplication window.
         within_ms: Option<f64>,
     },
     /// Asks a server for its load report.
--- a/crates/balancer-node/src/net/discovery.rs
+++ b/crates/balancer-node/src/net/discovery.rs
@@ -20,8 +20,8 @@
 use super::list::{ListDecoder, ListError, ListedMember, ServerList};
 
 /// Time for which discovery may hold a long poll before it responds that nothing has changed. If a poll gets
-/// no response, the changes that it missed count as announced 6 s after it began, or 2 s after this time. The
-/// sooner the missing response is detected, the fewer requests are sent to removed servers.
+/// no response, the changes that it missed count as announced 6 s after it began, or 2 s after this time has
+/// passed. The sooner the missing response is detected, the fewer requests are sent to removed servers.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Fraction of the drain grace within which the response to a call must begin, after the time of its long
 /// poll. Otherwise the call has failed. Two such times and the pause between them are shorter than the grace,
@@ -60,7 +60,7 @@
     /// Returns the present address of discovery.
     fn discovery_address(&self) -> SocketAddr;
     /// Returns the version of the list in use. It is `None` if the list did not come from the present
-    /// discovery; the next call then fetches the complete list.
+    /// discovery or a change could not be applied; the next call then fetches the complete list.
     fn revision(&self) -> Option<u64>;
     /// Returns how long requests may still be sent to a server after its draining was announced.
     fn drain_grace(&self) -> Duration;
--- a/crates/balancer-node/src/net/node/mod.rs
+++ b/crates/balancer-node/src/net/node/mod.rs
@@ -79,7 +79,8 @@
     balancer: RefCell<Balancer>,
     requests: RequestTable,
     servers: ServerDirectory,
-    /// Version of the list in use; `None` if the list did not come from the present discovery.
+    /// Version of the list in use; `None` if the list did not come from the present discovery, or if a change
+    /// in it could not be applied because its entry has no id.
     revision: Cell<Option<u64>>,
     /// Whether a failure has been logged since the last list was applied: repeated failures are logged once.
     failure_logged: Cell<bool>,
--- a/crates/balancer-node/src/net/node/requests.rs
+++ b/crates/balancer-node/src/net/node/requests.rs
@@ -14,10 +14,10 @@
 
 /// Final answer to a request. Each request gets exactly one, unless its client disconnects before.
 pub enum FinalAnswer {
-    /// A server has served the request; holds the body of its response.
+    /// A server has served the request; the value is the body of its response.
     Served(Bytes),
-    /// The request is rejected and has not run, so the client may safely retry. Holds the recommended pause
-    /// before the retry in milliseconds, if there is one.
+    /// The request is rejected and either has not run or may run again, so the client may safely retry. The
+    /// value is the recommended pause before the retry in milliseconds, if there is one.
     Rejected(Option<f64>),
     /// The request has failed and may have taken effect.
     Failed,
@@ -35,7 +35,7 @@
 struct PendingRequest {
     /// The request in the form in which each attempt sends it.
     forward: Rc<ForwardedRequest>,
-    /// Channel of the final answer; `None` after that was sent or the client has disconnected.
+    /// Channel of the final answer; `None` after the answer was sent or the client has disconnected.
     answer: Option<oneshot::Sender<FinalAnswer>>,
     /// All attempts in the order of their start; `None` for those that have ended or were cancelled.
     attempts: Vec<Option<AttemptHandle>>,
@@ -176,7 +176,7 @@
         true
     }
 
-    /// Removes a request that has its final answer and no attempts in flight.
+    /// Removes a request that needs no answer any more and has no attempts in flight.
     pub(super) fn remove_if_finished(&self, id: RequestId) {
         let mut requests = self.requests.borrow_mut();
         if requests.get(&id).is_some_and(PendingRequest::is_finished) {
--- a/crates/balancer-node/src/net/node/subscriber.rs
+++ b/crates/balancer-node/src/net/node/subscriber.rs
@@ -17,8 +17,9 @@
 const MAX_CHANGES_AT_ONCE: usize = 2000;
 
 impl Node {
-    /// Applies a list to the server directory, and returns the entries that it changes. The work of the
-    /// decisions is then proportional to the changes even if the list is complete.
+    /// Applies a list to the server directory, and returns the entries for the decision logic. Unchanged
+    /// entries were dropped while the list was decoded, so the work is proportional to the changes even if
+    /// the list is complete.
     pub(super) fn changes(&self, list: ServerList) -> Vec<ServerEntry> {
         let mut changes = self.update(list.members);
         changes.extend(self.servers.drain_unreadable(&list.unreadable, &self.upstream));
--- a/crates/balancer-node/src/net/upstream/attempt.rs
+++ b/crates/balancer-node/src/net/upstream/attempt.rs
@@ -238,7 +238,7 @@
 enum SendOutcome {
     /// The message may have been sent, or must not be sent any more.
     Reply(ServerReply),
-    /// The connection was closed, and nothing was written.
+    /// The connection is closed or has unexpected input, and nothing was written.
     Unusable,
 }
 
--- a/crates/balancer-node/src/ring.rs
+++ b/crates/balancer-node/src/ring.rs
@@ -7,7 +7,7 @@
 pub struct Ring {
     /// Near servers (in the node's zone) and far servers, both sorted.
     parts: [Vec<RingEntry>; 2],
-    /// The node's subset: start as a fraction of each ring, share of all servers, minimum size.
+    /// The node's subset: start as a fraction of each ring, size as a share of all servers, minimum size.
     start: f64,
     share: f64,
     min_size: usize,
@@ -60,7 +60,7 @@
         self.parts.each_ref().map(|part| size.min(part.len()) as f64 / part.len().max(1) as f64)
     }
 
-    /// Returns the subset's slots, near ones first: of a part over `max`, `max` slots from a random start.
+    /// Returns up to `max` subset slots per ring, near ones first; if there are more, from a random start.
     pub fn subset(&self, max: usize, random: &mut fastrand::Rng) -> Vec<usize> {
         let subset_size = self.subset_size();
         let mut slots = Vec::with_capacity(2 * max.min(subset_size));
--- a/crates/balancer-node/tests/endings.rs
+++ b/crates/balancer-node/tests/endings.rs
@@ -96,7 +96,7 @@
 }
 
 /// The list of discovery counts as announced from the start of a node. If the configured list names a server
-/// that drains by now, a node that served clients at once would send requests to it until discovery has
+/// that already drains, a node that served clients at once would send requests to it until discovery has
 /// responded.
 #[test]
 fn no_client_is_accepted_before_the_first_list_is_applied() {
@@ -195,7 +195,7 @@
     let change = list(2, false, &[member("s0", server.address, "active")]);
     node.discovery.request().answer(OK, "", change.to_string().as_bytes());
     assert!(node.discovery.request().request.start_line.contains("since=2&"));
-    drop(slow.accept().expect("the filler"));
+    drop(slow.accept().expect("the connection that fills the backlog"));
     drop(filler);
     let (mut stream, _) = slow.accept().expect("the node's connection");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
@@ -229,7 +229,7 @@
     exchange.answer("500 Broken", "", b"");
     wait_until_dialing(address);
     std::thread::sleep((sent + window).saturating_duration_since(Instant::now()));
-    drop(slow.accept().expect("the filler"));
+    drop(slow.accept().expect("the connection that fills the backlog"));
     drop(filler);
     assert_eq!(client.response().status(), 502);
     slow.set_nonblocking(true).expect("set");
@@ -251,7 +251,7 @@
     let mut client = node.client();
     client.send(&request("pay", 60.0));
     wait_until_dial_count(address, 2);
-    drop(slow.accept().expect("the filler"));
+    drop(slow.accept().expect("the connection that fills the backlog"));
     drop(filler);
     slow.set_nonblocking(true).expect("set");
     let mut streams = Vec::new();
@@ -272,8 +272,8 @@
         let since = Instant::now();
         let with_request = loop {
             assert!(since.elapsed() < TEST_TIMEOUT, "no request has arrived");
-            // A connection that the node has established may enter the full queue of the listener only when the
-            // node sends a request on it.
+            // A connection that the node has established may enter the full queue of the listener only when
+            // the node sends a request on it.
             accept(&mut streams);
             if let Some(index) = streams.iter().position(|stream| matches!(stream.peek(&mut [0; 1]), Ok(1))) {
                 break index;
@@ -346,7 +346,7 @@
         let client_address = client.stream.get_ref().local_addr().expect("connected");
         drop(client);
         wait_until_closed_by_node(node.address, client_address);
-        drop(slow.accept().expect("the filler"));
+        drop(slow.accept().expect("the connection that fills the backlog"));
         drop(filler);
         // The node may have abandoned the dial before or after the connection was established. No bytes may
         // arrive.
--- a/crates/balancer-node/tests/hsq.rs
+++ b/crates/balancer-node/tests/hsq.rs
@@ -1,6 +1,6 @@
-//! Server selection by HSQ: the server with the lowest count gets the request, and a load report overwrites the
-//! count of its server. Covers counts and reports, probes, subsets of many nodes and the preference for near
-//! servers.
+//! Server selection by HSQ: the server with the lowest count gets the request, and a load report overwrites
+//! the count of its server. Covers counts and reports, probes, subsets of many nodes and the preference for
+//! near servers.
 
 mod common;
 use common::*;
@@ -434,7 +434,7 @@
     let read = |file: &&str| std::fs::read_to_string(root.join(file)).expect("a policy file");
     let text: String = files.iter().map(read).collect();
     let decisions = "crates/balancer-node/src/decisions";
-    for entry in std::fs::read_dir(root.join(decisions)).expect("the folder of the decisions") {
+    for entry in std::fs::read_dir(root.join(decisions)).expect("the directory of the decision logic") {
         let path = Path::new(decisions).join(entry.expect("an entry").file_name());
         assert!(files.iter().any(|file| Path::new(file) == path), "{} is not in `policy`", path.display());
     }
--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -21,7 +21,7 @@
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(90);
 
 /// Prevents a process from being spawned while [`unused_address`] has a listener open. Between fork and exec,
-/// a child process has a copy of every socket of this process, so the address could not be bound meanwhile.
+/// a child process has a copy of every socket of this process, so the address would stay bound until exec.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 /// Binds a listener to a loopback address that no other test uses.
--- a/crates/balancer-node/tests/node.rs
+++ b/crates/balancer-node/tests/node.rs
@@ -263,7 +263,7 @@
     poll.answer(OK, "", update(address).to_string().as_bytes());
     // The next poll shows that the list has been applied.
     assert!(node.discovery.request().request.start_line.contains("since=2&"));
-    drop(slow.accept().expect("the filler"));
+    drop(slow.accept().expect("the connection that fills the backlog"));
     drop(filler);
     let (mut stream, _) = slow.accept().expect("the node's connection");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
--- a/crates/balancer-node/tests/wire.rs
+++ b/crates/balancer-node/tests/wire.rs
@@ -93,7 +93,8 @@
     assert_eq!(text(&run_simhost(&input).stdout), "PUSH_BACK node=node-1 txn=5\nNEXT\n");
 }
 
-/// A list number refers to the last list with that number before the event, not to a later one in the batch.
+/// A roster number refers to the last roster with that number before the event, not to a later one in the
+/// batch.
 #[test]
 fn a_list_number_can_be_reused_within_a_batch() {
     let second = BOOT.replace("node-1", "node-2");
