--- a/crates/balancer-node/src/decisions/attempts.rs
+++ b/crates/balancer-node/src/decisions/attempts.rs
@@ -20,7 +20,7 @@
 pub(super) struct Attempt {
     pub(super) target: ServerEntry,
     pub(super) sent_at: f64,
-    /// Number of requests at the server including this one: its count with probes, otherwise this node's.
+    /// Requests at the server including this one: its count with probes, otherwise this node's in flight.
     pub(super) depth: f64,
     /// Time in ms from which the attempt may be cancelled as stalled.
     pub(super) stalls_at: f64,
--- a/crates/balancer-node/src/decisions/endpoint_table.rs
+++ b/crates/balancer-node/src/decisions/endpoint_table.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(super) struct Server {
     pub(super) entry: ServerEntry,
-    /// HSQ count: the last report, or an assumed count, plus this node's sends and probes since; report time.
+    /// HSQ count: requests in the last report, or assumed ones, plus this node's sends and probes since then.
     pub(super) count: Option<f64>,
     pub(super) reported_at: Option<f64>,
     /// This node's attempts in flight. The server stays in the table until it is zero.
--- a/crates/balancer-node/tests/many_nodes.rs
+++ b/crates/balancer-node/tests/many_nodes.rs
@@ -164,7 +164,7 @@
     let allowed = all as f64 * 0.5 * 3.0 * 0.5 / 3.0;
     assert!(
         (0.7 * allowed..1.3 * allowed).contains(&(to_warming as f64)),
-        "{to_warming} of {all} sent, {allowed} allowed"
+        "{to_warming} of {all} requests sent to the warming server, {allowed} allowed"
     );
 }
 
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -16,7 +16,7 @@
 fn requests_are_rejected_at_once_if_there_are_no_servers() {
     for idempotency in [Idempotency::Safe, keyed(DeduplicationScope::Cell, 500.0), Idempotency::Unsafe] {
         let mut node = Node::new(one_class(idempotency), 1);
-        assert!(rejected(&node.request(1, 0, 100.0)), "a request that was never sent is rejected");
+        assert!(rejected(&node.request(1, 0, 100.0)), "a request that was never sent was not rejected");
         node.set_servers(Vec::new());
         assert!(rejected(&node.request(2, 0, 100.0)));
     }
@@ -67,8 +67,12 @@
         node.sent_to(1);
         node.now += 5.0;
         let actions = node.end(1, 0, 5.0, outcome);
-        assert_eq!(send_of(&actions).is_some(), may_retry, "retried after {outcome:?}");
-        assert_eq!(failed(&actions), !may_retry, "failed after {outcome:?}");
+        assert_eq!(
+            send_of(&actions).is_some(),
+            may_retry,
+            "whether the request is retried after {outcome:?}"
+        );
+        assert_eq!(failed(&actions), !may_retry, "whether the request fails after {outcome:?}");
         assert!(!rejected(&actions), "rejected after {outcome:?}");
     }
 }
