--- a/crates/balancer-node/tests/clients.rs
+++ b/crates/balancer-node/tests/clients.rs
@@ -140,9 +140,9 @@
     drop(idle);
 }
 
-/// Nine in ten restarted nodes must be ready within 10 s, however discovery fails. A node waits for the first
-/// list for at most a quarter of the drain grace, here half a second, even if a part of the list has arrived.
-/// Then it serves with the configured list.
+/// Nine in ten restarted nodes must be ready within 10 s, however discovery fails. The response with the
+/// first list must begin within a quarter of the drain grace, here half a second, even if a part of its head
+/// has arrived. Otherwise the node serves with the configured list.
 #[test]
 fn a_node_is_ready_in_time_however_discovery_fails() {
     let server = Server::start();
--- a/crates/balancer-node/tests/discovery.rs
+++ b/crates/balancer-node/tests/discovery.rs
@@ -133,7 +133,7 @@
     let node = Node::start_with_first_call(&with_long_intervals(&members(&[&server])), |_, first| {
         unanswered = Some(first)
     });
-    assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
+    assert!(since.elapsed() < Duration::from_secs(10), "started after {:?}", since.elapsed());
     assert_served_by(&node, &server);
 }
 
@@ -167,7 +167,7 @@
     let since = Instant::now();
     poll.answer(OK, "", change.as_bytes());
     let poll = node.discovery.request();
-    assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
+    assert!(since.elapsed() < Duration::from_secs(2), "polled again after {:?}", since.elapsed());
     assert_asks_since(&poll, 8);
     (0..6).for_each(|_| assert_served_by(&node, &servers[1]));
     // A complete list removes the servers that it does not name.
@@ -206,7 +206,7 @@
     }
     assert_asks_since(&node.discovery.request(), 1);
     assert_served_by(&node, &server);
-    assert!(node.peak_memory() < 64 << 20, "{} bytes", node.peak_memory());
+    assert!(node.peak_memory() < 64 << 20, "the peak memory is {} bytes", node.peak_memory());
 }
 
 /// A single unreadable entry once made the node discard the complete list, and with it all later changes.
--- a/crates/balancer-node/tests/endings.rs
+++ b/crates/balancer-node/tests/endings.rs
@@ -153,13 +153,13 @@
     let poll_timeout_ms = |poll: &Exchange| {
         let line = &poll.request.start_line;
         let timeout = line.split("timeout_ms=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
-        timeout.unwrap_or_else(|| panic!("{line}"))
+        timeout.unwrap_or_else(|| panic!("no `timeout_ms` in {line}"))
     };
     let usual: u64 = poll_timeout_ms(&unanswered);
     unanswered.wait_until_closed();
     let next = node.discovery.request();
     assert_eq!(poll_timeout_ms(&next), 1);
-    assert!(usual >= 1_000, "{usual} ms");
+    assert!(usual >= 1_000, "the usual poll timeout is {usual} ms");
 }
 
 /// A server that is listed again with another start time is a new process. An idle connection to the former
@@ -327,7 +327,7 @@
         client.send(&request("update", 60.0));
         exchange = server.request();
         assert_eq!(exchange.connection, 0);
-        assert!(answered.elapsed() >= Duration::from_millis(20), "{:?}", answered.elapsed());
+        assert!(answered.elapsed() >= Duration::from_millis(20), "reused after {:?}", answered.elapsed());
     }
 }
 
--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -495,13 +495,13 @@
 
 /// Returns how many connections to this address are being established.
 pub fn count_dials(address: SocketAddr) -> usize {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("Linux");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("a TCP table");
     table.matches(&format!("{} 02", proc_net_address(address))).count()
 }
 
 /// Returns the local addresses of all connections to this address, whatever their state.
 pub fn connections_to(address: SocketAddr) -> HashSet<String> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("Linux");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("a TCP table");
     let remote_address = proc_net_address(address);
     let local_address_of = |line: &str| {
         let mut columns = line.split_whitespace().skip(1);
@@ -538,15 +538,15 @@
 
 /// Returns an address in the form of `/proc/net/tcp`.
 fn proc_net_address(address: SocketAddr) -> String {
-    let SocketAddr::V4(v4) = address else { panic!("IPv4") };
+    let SocketAddr::V4(v4) = address else { panic!("{address} is not an IPv4 address") };
     format!("{:08X}:{:04X}", u32::from_ne_bytes(v4.ip().octets()), v4.port())
 }
 
 /// Waits until `/proc/net/tcp` contains an entry, or until it does not.
 fn wait_until_listed(entry: &str, is_listed: bool) {
     let since = Instant::now();
-    while std::fs::read_to_string("/proc/net/tcp").expect("Linux").contains(entry) != is_listed {
-        assert!(since.elapsed() < TEST_TIMEOUT, "`{entry}` in /proc/net/tcp: {}", !is_listed);
+    while std::fs::read_to_string("/proc/net/tcp").expect("a TCP table").contains(entry) != is_listed {
+        assert!(since.elapsed() < TEST_TIMEOUT, "whether `{entry}` is in /proc/net/tcp: {}", !is_listed);
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/balancer-node/tests/node.rs
+++ b/crates/balancer-node/tests/node.rs
@@ -129,7 +129,7 @@
     client.send(&request("pay", 3.0));
     let mut exchange = server.request();
     assert_eq!(client.response().status(), 502);
-    assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
+    assert!(since.elapsed() < Duration::from_secs(3), "answered after {:?}", since.elapsed());
     assert!(
         since.elapsed() > Duration::from_millis(1_500),
         "the attempt ended too early: {:?}",
@@ -212,7 +212,7 @@
     let since = Instant::now();
     assert_eq!(client.response().status(), 200);
     assert!(matches!(server.next_event(), ServerEvent::Closed(0)));
-    assert!(since.elapsed() < Duration::from_millis(4_000), "{:?}", since.elapsed());
+    assert!(since.elapsed() < Duration::from_millis(4_000), "closed after {:?}", since.elapsed());
     client.send(&request("pay", 20.0));
     let exchange = server.request();
     assert_eq!(exchange.connection, 1);
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -67,12 +67,8 @@
         node.sent_to(1);
         node.now += 5.0;
         let actions = node.end(1, 0, 5.0, outcome);
-        assert_eq!(
-            send_of(&actions).is_some(),
-            may_retry,
-            "whether the request is retried after {outcome:?}"
-        );
-        assert_eq!(failed(&actions), !may_retry, "whether the request fails after {outcome:?}");
+        assert_eq!(send_of(&actions).is_some(), may_retry, "whether it is retried after {outcome:?}");
+        assert_eq!(failed(&actions), !may_retry, "whether it fails after {outcome:?}");
         assert!(!rejected(&actions), "rejected after {outcome:?}");
     }
 }
