--- a/crates/store-plane/tests/runner/harness.rs
+++ b/crates/store-plane/tests/runner/harness.rs
@@ -211,7 +211,7 @@
 
     /// Makes appends fail because another store owns the batch job, while the state still shows the job as
     /// open.
-    pub fn with_lost_ownership(self) -> Self {
+    pub fn with_superseded_ownership(self) -> Self {
         Self { ownership_lost: true, ..self }
     }
 
--- a/crates/store-plane/tests/runner/ownership.rs
+++ b/crates/store-plane/tests/runner/ownership.rs
@@ -49,7 +49,7 @@
         job_with_items("a", 5),
         Duration::ZERO,
         Vec::new(),
-        FakeLog::new().with_lost_ownership(),
+        FakeLog::new().with_superseded_ownership(),
     );
     advance(AMPLE_TIME).await;
 
