--- a/crates/balancer-node/tests/net/mod.rs
+++ b/crates/balancer-node/tests/net/mod.rs
@@ -335,7 +335,7 @@
         self.send_sighup();
     }
 
-    /// Sends SIGHUP.
+    /// Sends SIGHUP, on which the node reads its configuration file again.
     pub fn send_sighup(&self) {
         self.signal("-HUP");
     }
--- a/crates/balancer-node/tests/rules.rs
+++ b/crates/balancer-node/tests/rules.rs
@@ -1,5 +1,4 @@
-//! Rules that every node must obey: edge cases, and generated sequences of events with an independent
-//! checker.
+//! Rules that every node must obey, in edge cases and in generated sequences of events with a checker.
 //!
 //! The checker asserts that each request gets one final answer in time, that drained servers get no new
 //! requests, that a request is sent twice only if its class allows it, that a request is rejected only if a
--- a/crates/balancer-node/tests/slow_start.rs
+++ b/crates/balancer-node/tests/slow_start.rs
@@ -144,7 +144,7 @@
     served: usize,
 }
 
-/// Result of a simulation.
+/// How much load the warming servers got in a simulation, and how much was served.
 struct SimulationResult {
     /// Maximum number of attempts at a warming server in a window, as a fraction of the number allowed.
     worst: f64,
