--- a/crates/node-emulator/tests/commands.rs
+++ b/crates/node-emulator/tests/commands.rs
@@ -111,7 +111,7 @@
     assert!(results["answers"]["whole_lists"].as_u64() >= Some(6));
     assert!(
         results["answers"]["sends_to_silent"].as_u64() > Some(0),
-        "requests were sent to servers of the failed rack and zone or across the partition"
+        "no request was sent to a server of the failed rack or zone, or across the partition"
     );
     assert!(results["node_seconds_behind"].as_f64() > Some(0.0));
     assert!(count("requests") > 0 && count("sends") >= count("served"));
@@ -156,7 +156,7 @@
         let name = slope["quantity"].as_str().expect("the quantity is a string");
         assert!(text(&run.stdout).contains(&format!("\n{name} (")) || text(&run.stdout).starts_with(name));
     }
-    // Quantities other than times are exact.
+    // Numbers of servers, and lengths of messages, do not differ from run to run.
     let value = |name: &str, at: usize| {
         slope_of(name)["points"][at]["value"].as_f64().expect("the point has a value")
     };
@@ -193,7 +193,8 @@
     );
     let lines: Vec<_> = text(&run.stdout).lines().collect();
     assert!(lines[0].starts_with("request (us by servers):") && lines[2].starts_with("  baseline "));
-    // If a build cannot be run, fails or writes no report, the error says so and the previous report is kept.
+    // If a build cannot be run, fails or writes no report, the error states this and the previous report is
+    // kept.
     let previous = std::fs::read(directory.path().join("logs/slopes.json")).expect("the report can be read");
     for (binary, message) in
         [("none", "cannot run the build none"), ("/bin/false", "request at 40: exit status: 1")]
--- a/crates/store-plane/tests/runner/harness.rs
+++ b/crates/store-plane/tests/runner/harness.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct ObservedRun {
     pub id: String,
-    /// When the run started, counted from the creation of the executor.
+    /// Time of the start of the run, counted from the creation of the executor.
     pub at: Duration,
     /// The events from which the run continues.
     pub progress: ItemProgress,
@@ -211,7 +211,7 @@
 
     /// Makes appends fail because another store owns the batch job, while the state still shows the job as
     /// open.
-    pub fn with_lost_ownership(self) -> Self {
+    pub fn with_superseded_ownership(self) -> Self {
         Self { ownership_lost: true, ..self }
     }
 
