--- a/crates/settings/src/timing_rules.rs
+++ b/crates/settings/src/timing_rules.rs
@@ -104,8 +104,11 @@
     /// Returns `touchMs` (3 s by default): the time that a machine and the core must be without faults before
     /// rules with time bounds apply to the machine (the rules call this "in touch").
     ///
-    /// The core consists of the nodes with a disk, whose acceptors form the register. It is stable while more
-    /// than half of it has been running and connected for this time.
+    /// The core consists of the nodes with a disk, or of all nodes if none has one. It is stable while more than
+    /// half of it is running and connected, no machine or link of it is slowed, and this time has passed since
+    /// the last disturbance: a slowdown, a kill, stop, start, suspension, resumption or removal of one of its
+    /// machines, a clock step, a reset of connections, or a partition that began or ended. Disturbances of
+    /// stores count as well.
     #[must_use]
     pub fn stabilization_period(&self) -> Duration {
         duration_from_millis(self.stabilization_period_ms, Duration::from_secs(3))
